--- /dev/null
+++ b/capture/src/test/java/ashlink/capture/StoredCaptureTest.java
@@ -0,0 +1,124 @@
+package ashlink.capture;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import ashlink.Gateway.Action;
+import ashlink.Gateway.Effect;
+import ashlink.Gateway.Event;
+import ashlink.Gateway.ListForm;
+import ashlink.Gateway.NoteKind;
+import ashlink.Gateway.Outcome;
+import ashlink.Gateway.Phase;
+import ashlink.Gateway.RepeatGroup;
+import ashlink.Rules;
+import ashlink.capture.events.Entry;
+import ashlink.capture.log.FolderDisk;
+import ashlink.capture.log.Segment;
+import java.io.IOException;
+import java.net.URISyntaxException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/**
+ * Captures that an earlier build wrote are read as they were written, and decided again exactly.
+ * They are in {@code src/test/resources/stored/capture}; the README beside tells how they were
+ * written.
+ *
+ * <p>The hash of the module in them is data like any other: it changes with each build, so no test
+ * asks that it be that of today's rules.
+ */
+class StoredCaptureTest {
+
+    private static final int DAY_STEPS = 300;
+
+    private static Path stored(String name) throws URISyntaxException {
+        Path folder = Path.of(StoredCaptureTest.class.getResource("/stored/capture").toURI());
+        return folder.resolve(name);
+    }
+
+    private static List<Entry> read(String name) throws IOException, URISyntaxException {
+        List<Entry> entries = new ArrayList<>();
+        new CaptureReader(FolderDisk.reading(stored(name))).read(entries::add);
+        return entries;
+    }
+
+    private static Replay replay() throws IOException, URISyntaxException {
+        Replay replay = new Replay(Rules::new, "");
+        new CaptureReader(FolderDisk.reading(stored("day"))).read(replay);
+        return replay;
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"kinds", "day"})
+    void allEntriesAreReadAsTheyWereWritten(String name) throws Exception {
+        assertEquals(Files.readString(stored(name + ".txt")), EntryText.of(read(name)));
+    }
+
+    @ParameterizedTest
+    @ValueSource(strings = {"kinds", "day"})
+    void allSegmentsAreWholeAndFollowEachOther(String name) throws Exception {
+        List<CaptureReader.Found> found =
+                new CaptureReader(FolderDisk.reading(stored(name))).read(entry -> { });
+        assertTrue(found.size() > 1, found.toString());
+        for (int i = 0; i < found.size(); i++) {
+            assertEquals(Segment.State.WHOLE, found.get(i).state(), found.get(i).why());
+            assertEquals(i, found.get(i).number());
+            assertEquals(1_700_000_000_000L, found.get(i).boot());
+        }
+    }
+
+    @Test
+    void theStoredCaptureHasEveryKindOfEventAndAction() throws Exception {
+        Set<Class<?>> seen = new HashSet<>();
+        for (Entry entry : read("kinds")) {
+            seen.add(entry.getClass());
+            if (entry instanceof Entry.Step step) {
+                seen.add(step.event().getClass());
+                step.actions().forEach(action -> seen.add(action.getClass()));
+            }
+        }
+        for (Class<?> sealed : List.of(Entry.class, Event.class, Action.class)) {
+            assertTrue(seen.containsAll(List.of(sealed.getPermittedSubclasses())), seen.toString());
+        }
+    }
+
+    /** Constants are stored as their ordinal numbers: in another order they mean something else. */
+    @Test
+    void constantsKeepTheOrderInWhichTheirNumbersWereStored() {
+        assertEquals(List.of(Effect.IDEMPOTENT, Effect.DEDUPLICATED, Effect.AT_MOST_ONCE),
+                List.of(Effect.values()));
+        assertEquals(List.of(RepeatGroup.ALL, RepeatGroup.ZONE, RepeatGroup.CELL),
+                List.of(RepeatGroup.values()));
+        assertEquals(List.of(Phase.READY, Phase.DRAINING, Phase.GONE), List.of(Phase.values()));
+        assertEquals(List.of(Outcome.SERVED, Outcome.ERROR, Outcome.TURNED_AWAY, Outcome.TIMED_OUT,
+                Outcome.NO_CONNECTION, Outcome.RESET, Outcome.CANCELLED, Outcome.NEVER_SENT),
+                List.of(Outcome.values()));
+        assertEquals(List.of(NoteKind.SHARE_DONE, NoteKind.SPILLS_MB, NoteKind.WAITS),
+                List.of(NoteKind.values()));
+        assertEquals(List.of(ListForm.WHOLE, ListForm.CHANGES, ListForm.REMEMBERED,
+                ListForm.REFUSED), List.of(ListForm.values()));
+    }
+
+    @Test
+    void theRulesDecideTheStoredDayAgainWithoutADivergence() throws Exception {
+        Replay replay = replay();
+        assertEquals(List.of(), replay.divergences());
+        assertEquals(0, replay.differing());
+    }
+
+    @Test
+    void theReplayOfTheStoredDayDecidesEveryStep() throws Exception {
+        Replay replay = replay();
+        assertEquals(2, replay.starts());
+        assertEquals(DAY_STEPS, replay.decided());
+        assertEquals(0, replay.passedOver());
+    }
+}
--- /dev/null
+++ b/router/src/test/java/ashlink/router/StoredDataRecorder.java
@@ -0,0 +1,122 @@
+package ashlink.router;
+
+import ashlink.Gateway.ListEntry;
+import ashlink.Gateway.Phase;
+import ashlink.capture.log.FolderDisk;
+import ashlink.router.core.Ending;
+import ashlink.router.list.ListStore;
+import ashlink.router.spool.KeyJournal;
+import ashlink.router.spool.PageStore;
+import ashlink.router.spool.SpoolFolder;
+import ashlink.router.statement.KeyTable;
+import ashlink.router.statement.SpoolBudget;
+import ashlink.wire.Quota;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Arrays;
+import java.util.List;
+
+/**
+ * Writes what {@code StoredKeysTest}, {@code StoredListTest} and {@code StoredSpoolTest} read: a
+ * journal of keys, a list of engines and a spool, each as a router leaves it that is killed.
+ */
+final class StoredDataRecorder {
+
+    private static final long MS = 1_000_000L;
+    private static final long SECOND_MS = 1_000;
+    private static final long START_MS = 1_700_000_000_000L;
+    private static final long DAY_MS = 24 * 3_600 * SECOND_MS;
+    private static final String BOOT_BEFORE = "ln0b9j5c";
+    private static final String BOOT_FIRST = "ln0a0000";
+
+    private StoredDataRecorder() { }
+
+    /** Writes all of it into the folder that is named. */
+    public static void main(String[] arguments) throws Exception {
+        Path folder = Path.of(arguments[0]);
+        firstStartOfKeys(folder.resolve("keys"));
+        secondStartOfKeys(folder.resolve("keys"));
+        list(folder.resolve("engines.list"));
+        spool(folder.resolve("spool"));
+    }
+
+    // ---- Keys
+    private static void firstStartOfKeys(Path folder) throws IOException {
+        KeyTable table = new KeyTable(100, DAY_MS);
+        try (KeyJournal journal = new KeyJournal(FolderDisk.writing(folder), table, START_MS)) {
+            claim(journal, table, "ann", "over-its-time", START_MS - DAY_MS / 2);
+            claim(journal, table, "ann", "under-way-at-the-first-end", START_MS + 1);
+            for (Ending ending : Ending.values()) {
+                answer(journal, table, claim(journal, table, "ann", "ending-" + ending.ordinal(),
+                        START_MS + 10 + ending.ordinal()), ending);
+            }
+        }
+    }
+
+    private static void secondStartOfKeys(Path folder) throws IOException {
+        KeyTable table = new KeyTable(100, DAY_MS);
+        long nowMs = START_MS + 3_600 * SECOND_MS;
+        try (KeyJournal journal = new KeyJournal(FolderDisk.writing(folder), table, nowMs)) {
+            KeyTable.Entry free = claim(journal, table, "böb", "free-again", nowMs + 1);
+            claim(journal, table, "böb", "ending-0", nowMs + 2);
+            table.release(free.user(), free.key());
+            journal.release(free);
+            KeyTable.Entry first = claim(journal, table, "", "answered-late", nowMs + 3);
+            claim(journal, table, "", "under-way", nowMs + 4);
+            answer(journal, table, first, Ending.SERVED);
+        }
+    }
+
+    private static KeyTable.Entry claim(KeyJournal journal, KeyTable table, String user, String key,
+            long nowMs) throws IOException {
+        KeyTable.Entry entry =
+                table.claim(user, key, "digest of " + key, "r1~" + user + "-" + key, nowMs).entry();
+        journal.put(entry);
+        return entry;
+    }
+
+    private static void answer(KeyJournal journal, KeyTable table, KeyTable.Entry entry,
+            Ending ending) throws IOException {
+        table.put(entry.answered(ending));
+        journal.put(entry.answered(ending));
+    }
+
+    // ---- The list of engines
+    private static void list(Path file) throws IOException {
+        long nowNs = 5_000 * SECOND_MS * MS;
+        new ListStore(file).save(List.of(
+                new ListEntry("q1", Phase.READY, "z", "large", 3, nowNs - 2 * SECOND_MS * MS),
+                new ListEntry("q2", Phase.DRAINING, "mañana", "small", -1, 0),
+                new ListEntry("q3", Phase.GONE, "", "", Long.MAX_VALUE, nowNs - 90 * DAY_MS * MS)),
+                nowNs, START_MS);
+    }
+
+    // ---- The spool
+    private static void spool(Path folder) throws Exception {
+        leave(folder, "r1", BOOT_FIRST, "r1~b7Zq_-9", 1);
+        leave(folder, "r1", BOOT_BEFORE, "r1~sX4", 2);
+        leave(folder, "r10", BOOT_BEFORE, "r10~sX4", 1);
+        leave(folder, "r2", BOOT_BEFORE, "r2~sX4", 1);
+        Path torn = folder.resolve("r1." + BOOT_BEFORE + ".sX4.1.page");
+        Files.write(torn, Arrays.copyOf(Files.readAllBytes(torn), 5)); // killed within it
+        Files.writeString(folder.resolve("r1.notes"), "an operator's\n");
+    }
+
+    /** Keeps pages of a statement and drops none: the first in memory, so many more in files. */
+    private static void leave(Path folder, String router, String boot, String statement, int pages)
+            throws Exception {
+        SpoolBudget budget = new SpoolBudget(new SpoolBudget.Limits(1_000, 1_000, 1_000, 0));
+        try (SpoolFolder files = new SpoolFolder(folder, router, boot)) {
+            PageStore store = new PageStore(files, budget, Quota.NONE, 30);
+            long before = 0;
+            for (int page = 0; page <= pages; page++) {
+                String text = "page " + page + " of " + statement + "\n";
+                byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+                store.store(statement, "ann", page, bytes, bytes.length, before, () -> false);
+                before += bytes.length;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/router/src/test/java/ashlink/router/list/StoredListTest.java
@@ -0,0 +1,97 @@
+package ashlink.router.list;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import ashlink.Gateway.ListEntry;
+import ashlink.Gateway.Phase;
+import ashlink.router.StoredFiles;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Arrays;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/**
+ * The list of engines that an earlier build saved is read as it was, and refused where it is
+ * damaged. It is {@code src/test/resources/stored/engines.list}; the README beside tells how it was
+ * written.
+ */
+class StoredListTest {
+
+    private static final long MS = 1_000_000L;
+    private static final long SECOND = 1_000 * MS;
+    private static final long DAY = 24 * 3_600 * SECOND;
+    private static final long SAVED_MS = 1_700_000_000_000L;
+    /** The router's clock at the load: as if it had started long ago. */
+    private static final long NOW = 100 * DAY;
+
+    @TempDir
+    Path folder;
+
+    private static List<ListEntry> expected(long startedOfFirst, long startedOfThird) {
+        return List.of(new ListEntry("q1", Phase.READY, "z", "large", 3, startedOfFirst),
+                new ListEntry("q2", Phase.DRAINING, "mañana", "small", -1, 0),
+                new ListEntry("q3", Phase.GONE, "", "", Long.MAX_VALUE, startedOfThird));
+    }
+
+    private IOException refused(byte[] bytes) throws IOException {
+        Path file = Files.write(folder.resolve("engines.list"), bytes);
+        return assertThrows(IOException.class, () -> new ListStore(file).load(NOW, SAVED_MS));
+    }
+
+    private static byte[] stored() throws Exception {
+        return Files.readAllBytes(StoredFiles.stored("engines.list"));
+    }
+
+    @Test
+    void theListIsReadAsItWasSaved() throws Exception {
+        ListStore store = new ListStore(StoredFiles.stored("engines.list"));
+        assertEquals(expected(NOW - 2 * SECOND, NOW - 90 * DAY), store.load(NOW, SAVED_MS));
+    }
+
+    @Test
+    void startTimesAreOfTheRoutersClockAtTheLoad() throws Exception {
+        ListStore store = new ListStore(StoredFiles.stored("engines.list"));
+        assertEquals(expected(NOW - 12 * SECOND, NOW - 90 * DAY - 10 * SECOND),
+                store.load(NOW, SAVED_MS + 10_000));
+    }
+
+    @Test
+    void aSaveOfTheSameListGivesTheSameBytes() throws Exception {
+        Path file = folder.resolve("engines.list");
+        new ListStore(file).save(expected(NOW - 2 * SECOND, NOW - 90 * DAY), NOW, SAVED_MS);
+        assertArrayEquals(stored(), Files.readAllBytes(file));
+    }
+
+    @Test
+    void aListWithAnyByteChangedIsRefused() throws Exception {
+        byte[] whole = stored();
+        for (int i = 0; i < whole.length; i++) {
+            byte[] changed = whole.clone();
+            changed[i] ^= 1;
+            refused(changed);
+        }
+    }
+
+    @Test
+    void aListThatEndsEarlyIsRefused() throws Exception {
+        byte[] whole = stored();
+        for (int length = 0; length < whole.length; length++) {
+            refused(Arrays.copyOf(whole, length));
+        }
+    }
+
+    @Test
+    void theRefusalNamesTheFile() throws Exception {
+        byte[] whole = stored();
+        String path = folder.resolve("engines.list").toString();
+        assertEquals(path + " is torn or damaged",
+                refused(Arrays.copyOf(whole, whole.length - 1)).getMessage());
+        whole[0] ^= 1;
+        assertEquals(path + " is no list of engines of version 1", refused(whole).getMessage());
+    }
+}
--- /dev/null
+++ b/router/src/test/java/ashlink/router/spool/StoredKeysTest.java
@@ -0,0 +1,104 @@
+package ashlink.router.spool;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import ashlink.capture.log.FolderDisk;
+import ashlink.router.StoredFiles;
+import ashlink.router.core.Ending;
+import ashlink.router.statement.KeyTable;
+import ashlink.router.statement.KeyTable.Entry;
+import ashlink.router.statement.KeyTable.Fate;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/**
+ * The journal of keys that an earlier build left, after two starts, gives the table that it stood
+ * for. It is {@code src/test/resources/stored/keys}; the README beside tells how it was written.
+ */
+class StoredKeysTest {
+
+    private static final long KEPT_MS = 24 * 3_600_000L;
+    /** Twelve hours after the first start: the key of twelve hours before it is over its time. */
+    private static final long NOW_MS = 1_700_000_000_000L + KEPT_MS / 2;
+    private static final List<String> EXPECTED = List.of(
+            "ann|under-way-at-the-first-end|digest of under-way-at-the-first-end"
+                    + "|r1~ann-under-way-at-the-first-end|2|-1|1700000000001",
+            "ann|ending-0|digest of ending-0|r1~ann-ending-0|1|0|1700000000010",
+            "ann|ending-1|digest of ending-1|r1~ann-ending-1|1|1|1700000000011",
+            "ann|ending-2|digest of ending-2|r1~ann-ending-2|1|2|1700000000012",
+            "ann|ending-3|digest of ending-3|r1~ann-ending-3|1|3|1700000000013",
+            "ann|ending-4|digest of ending-4|r1~ann-ending-4|1|4|1700000000014",
+            "ann|ending-5|digest of ending-5|r1~ann-ending-5|1|5|1700000000015",
+            "ann|ending-6|digest of ending-6|r1~ann-ending-6|1|6|1700000000016",
+            "ann|ending-7|digest of ending-7|r1~ann-ending-7|1|7|1700000000017",
+            "ann|ending-8|digest of ending-8|r1~ann-ending-8|1|8|1700000000018",
+            "böb|ending-0|digest of ending-0|r1~böb-ending-0|2|-1|1700003600002",
+            "|answered-late|digest of answered-late|r1~-answered-late|1|0|1700003600003",
+            "|under-way|digest of under-way|r1~-under-way|2|-1|1700003600004");
+
+    @TempDir
+    Path folder;
+
+    @BeforeEach
+    void copy() throws Exception {
+        StoredFiles.copyFolder("keys", folder);
+    }
+
+    private KeyTable open(long nowMs) throws IOException {
+        KeyTable table = new KeyTable(100, KEPT_MS);
+        new KeyJournal(FolderDisk.writing(folder), table, nowMs).close();
+        return table;
+    }
+
+    /** A line an entry: user, key, digest, statement, numbers of fate and ending, time claimed. */
+    private static List<String> lines(KeyTable table) {
+        return table.entries().stream().map(StoredKeysTest::line).toList();
+    }
+
+    private static String line(Entry e) {
+        int ending = e.ending() == null ? -1 : e.ending().ordinal();
+        return String.join("|", e.user(), e.key(), e.digest(), e.statement(),
+                "" + e.fate().ordinal(), "" + ending, "" + e.claimedMs());
+    }
+
+    @Test
+    void theTableIsReadAsItWasWritten() throws Exception {
+        assertEquals(EXPECTED, lines(open(NOW_MS)));
+    }
+
+    @Test
+    void theTableThatIsWrittenAnewAtAStartIsReadTheSame() throws Exception {
+        open(NOW_MS);
+        assertEquals(EXPECTED, lines(open(NOW_MS)));
+    }
+
+    @Test
+    void aKeyWhoseTimeIsOverIsFree() throws Exception {
+        assertNull(open(NOW_MS).ofStatement("r1~ann-over-its-time"));
+        StoredFiles.copyFolder("keys", Files.createDirectory(folder.resolve("early")));
+        folder = folder.resolve("early");
+        assertEquals("over-its-time", open(NOW_MS - 1).ofStatement("r1~ann-over-its-time").key());
+    }
+
+    @Test
+    void whatWasUnderWayHasAnUnknownFate() throws Exception {
+        KeyTable table = open(NOW_MS);
+        assertEquals(Fate.UNKNOWN, table.ofStatement("r1~-under-way").fate());
+        assertEquals(Fate.UNKNOWN, table.ofStatement("r1~ann-under-way-at-the-first-end").fate());
+    }
+
+    /** Constants are stored as their ordinal numbers: in another order they mean something else. */
+    @Test
+    void constantsKeepTheOrderInWhichTheirNumbersWereStored() {
+        assertEquals(List.of(Fate.OPEN, Fate.ANSWERED, Fate.UNKNOWN), List.of(Fate.values()));
+        assertEquals(List.of(Ending.SERVED, Ending.ERROR, Ending.REFUSED, Ending.TURNED_AWAY,
+                Ending.FAILED, Ending.BROKEN, Ending.CANCELLED, Ending.BAD_INPUT, Ending.GONE),
+                List.of(Ending.values()));
+    }
+}
