--- a/rig/src/test/java/ashlink/rig/HttpFrontTest.java
+++ b/rig/src/test/java/ashlink/rig/HttpFrontTest.java
@@ -39,6 +39,12 @@
         return JSON.readTree(r.body());
     }
 
+    /** The URI of a statement just posted: it may have ended before its POST is answered, with a page instead of a state. */
+    private static String statementUri(HttpResponse<String> posted) throws Exception {
+        assertTrue(posted.statusCode() == 202 || posted.statusCode() == 200, posted.body());
+        return "/v1/statements/" + json(posted).get("id").asText();
+    }
+
     private static String type(HttpResponse<String> r) throws Exception {
         return json(r).path("type").asText().replace("/problems/", "");
     }
@@ -135,7 +141,7 @@
         try (Fleet f = Fleet.of("q1:typ-a").with(spool("(unpolled 300ms) (kept 300ms) (tombstone-time 1s)")).start()) {
             HttpPeer peer = new HttpPeer(f.router.httpAddress());
             String running = json(peer.post(select("tag=long work_ms=30000"), "?max_execution_time=60")).get("infoUri").asText();
-            String answered = json(peer.post(select("tag=big rows=1000 blocks=4 work_ms=1"), "")).get("infoUri").asText();
+            String answered = statementUri(peer.post(select("tag=big rows=1000 blocks=4 work_ms=1"), ""));
             Fleet.await("the result is there", () -> f.router.http().spooled() > 0);
             Fleet.await("both are dropped", () -> f.router.http().open() == 0);
             assertEquals(0, f.router.http().spooled());
@@ -155,7 +161,7 @@
         try (Fleet f = Fleet.of("q1:typ-a").with(http("")).start()) {
             HttpPeer peer = new HttpPeer(f.router.httpAddress());
             f.engine("q1").hang(true);
-            String uri = json(peer.post(select("tag=d work_ms=10"), "?max_execution_time=0.7")).get("infoUri").asText();
+            String uri = statementUri(peer.post(select("tag=d work_ms=10"), "?max_execution_time=0.7"));
             Fleet.await("its end", () -> f.router.core().openRequests() == 0);
             HttpResponse<String> r = peer.get(uri + "/pages/0?wait=10"); // the core has answered, its answer is on the way
             assertTrue(r.statusCode() == 503 || r.statusCode() == 502, r.body());
@@ -356,7 +362,7 @@
         try (Fleet f = Fleet.of("q1:typ-a").with(spool("")).start()) {
             HttpPeer peer = new HttpPeer(f.router.httpAddress());
             for (int i = 0; i < 60; i++) {
-                String uri = json(peer.post(select("tag=x" + i + " rows=300 blocks=3 work_ms=1"), "")).get("infoUri").asText();
+                String uri = statementUri(peer.post(select("tag=x" + i + " rows=300 blocks=3 work_ms=1"), ""));
                 Thread.sleep(i % 8);
                 HttpResponse<String> once = peer.delete(uri);
                 assertEquals(200, once.statusCode(), once.body());
