--- a/background/src/main/java/ashlink/background/Lease.java
+++ b/background/src/main/java/ashlink/background/Lease.java
@@ -5,7 +5,10 @@
 /** What a run may use. Its methods are called by the run's own thread. */
 public final class Lease {
 
-    /** A run that asks at each step of its work asks the planner only once in this much processor time. */
+    /**
+     * A run that asks at each step of its work asks the planner only once in this much processor
+     * time.
+     */
     private static final long SLICE_NS = 1_000_000L;
 
     private final Scheduler scheduler;
@@ -18,7 +21,9 @@
         this.run = run;
     }
 
-    /** Waits until so many bytes may be moved; more than the budget gives at once comes in parts. */
+    /**
+     * Waits until so many bytes may be moved; more than the budget gives at once comes in parts.
+     */
     public void bytes(long count) throws InterruptedException {
         long left = count;
         while (left > 0) {
--- a/background/src/main/java/ashlink/background/Scheduler.java
+++ b/background/src/main/java/ashlink/background/Scheduler.java
@@ -29,7 +29,7 @@
     private static final long LOOK_NS = 100_000_000L;
     private static final long STACK_BYTES = 256 << 10;
 
-    private record Running(Thread thread, Lease lease) { }
+    private record Running(Thread thread, Lease lease) {}
 
     private final String name;
     private final Planner planner;
@@ -79,7 +79,10 @@
         wake();
     }
 
-    /** Takes no more, lets last runs and those under way end for that time, and interrupts the rest; true if all ended. */
+    /**
+     * Takes no more, lets last runs and those under way end for that time, and interrupts the rest;
+     * true if all ended.
+     */
     public boolean stop(long limitNs) throws InterruptedException {
         synchronized (this) {
             List<Decision> out = new ArrayList<>();
--- a/background/src/main/java/ashlink/background/package-info.java
+++ b/background/src/main/java/ashlink/background/package-info.java
@@ -1,2 +1,5 @@
-/** Runs background work beside the service: threads, budgets and a stop that waits. What runs when is the planner's. */
+/**
+ * Runs background work beside the service: threads, budgets and a stop that waits. What runs when
+ * is the planner's.
+ */
 package ashlink.background;
--- a/background/src/main/java/ashlink/background/plan/Budget.java
+++ b/background/src/main/java/ashlink/background/plan/Budget.java
@@ -1,8 +1,9 @@
 package ashlink.background.plan;
 
 /**
- * An amount that comes back at a rate, up to a most: in any window of w seconds no more than {@code most + rate * w} is
- * given, whatever the clock does. Use that could not be asked for beforehand is charged and leaves a debt.
+ * An amount that comes back at a rate, up to a most: in any window of w seconds no more than {@code
+ * most + rate * w} is given, whatever the clock does. Use that could not be asked for beforehand is
+ * charged and leaves a debt.
  */
 public final class Budget {
 
@@ -18,7 +19,8 @@
     /** A full budget. */
     public Budget(double most, double perSecond) {
         if (!(most > 0 && perSecond > 0)) {
-            throw new IllegalArgumentException("a budget of " + most + " and " + perSecond + " a second");
+            throw new IllegalArgumentException(
+                    "a budget of " + most + " and " + perSecond + " a second");
         }
         this.most = most;
         this.perSecond = perSecond;
@@ -29,7 +31,10 @@
         if (started && nowNs > lastNs) {
             left = Math.min(most, left + perSecond * share * (nowNs - lastNs) / NS);
         }
-        lastNs = started ? Math.max(lastNs, nowNs) : nowNs; // a clock that goes back gives nothing twice
+        lastNs =
+                started
+                        ? Math.max(lastNs, nowNs)
+                        : nowNs; // a clock that goes back gives nothing twice
         started = true;
     }
 
@@ -39,7 +44,9 @@
         share = of;
     }
 
-    /** Gives the amount if it is there; what is over the most is asked for in parts by the caller. */
+    /**
+     * Gives the amount if it is there; what is over the most is asked for in parts by the caller.
+     */
     public boolean take(double amount, long nowNs) {
         pass(nowNs);
         if (amount > left) {
--- a/background/src/main/java/ashlink/background/plan/Planner.java
+++ b/background/src/main/java/ashlink/background/plan/Planner.java
@@ -15,18 +15,21 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides what background work runs. Told what happens and when, it answers with decisions; the same story gives the same
- * decisions.
+ * Decides what background work runs. Told what happens and when, it answers with decisions; the
+ * same story gives the same decisions.
  *
- * <p>Order: each waiting run has a turn, the time at which it came due and the slack of its priority together; the earliest
- * turn goes first. So a run waits only for those with earlier turns, and no stream of later ones can starve it. A task has
- * one run at most, waiting or under way: what it missed meanwhile is one run, not many.
+ * <p>Order: each waiting run has a turn, the time at which it came due and the slack of its
+ * priority together; the earliest turn goes first. So a run waits only for those with earlier
+ * turns, and no stream of later ones can starve it. A task has one run at most, waiting or under
+ * way: what it missed meanwhile is one run, not many.
  */
 public final class Planner {
 
     /** Pressure from which on {@link Priority#LOW} is not started until it is late. */
     private static final double PRESSED = 0.5;
+
     private static final int MOST_DOUBLINGS = 6;
+
     /** Longest rest of a task that fails: an hour, or its own time where that is longer. */
     private static final long LONGEST_REST_NS = 3_600_000_000_000L;
 
@@ -66,7 +69,8 @@
         }
     }
 
-    private static final Comparator<Task> BY_TURN = Comparator.comparingLong(Task::turnNs).thenComparing(t -> t.spec.name());
+    private static final Comparator<Task> BY_TURN =
+            Comparator.comparingLong(Task::turnNs).thenComparing(t -> t.spec.name());
 
     private final Limits limits;
     private final SplittableRandom random;
@@ -92,7 +96,10 @@
     }
 
     // ---- What happens
-    /** There is a task; false where it is known already, all stops, or it would have to give way at once. */
+    /**
+     * There is a task; false where it is known already, all stops, or it would have to give way at
+     * once.
+     */
     public boolean add(TaskSpec spec, long now, List<Decision> out) {
         pass(now);
         if (stopping || tasks.containsKey(spec.name())) {
@@ -100,8 +107,13 @@
         }
         Task t = new Task(spec, spec.everyNs() == 0 ? nowNs : nowNs + moved(spec));
         if (spec.everyNs() == 0 && waiting() >= limits.mostWaiting()) {
-            Task least = tasks.values().stream().filter(x -> x.run == null && x.spec.everyNs() == 0)
-                    .max(Comparator.comparing((Task x) -> x.spec.priority()).thenComparing(BY_TURN)).orElse(null);
+            Task least =
+                    tasks.values().stream()
+                            .filter(x -> x.run == null && x.spec.everyNs() == 0)
+                            .max(
+                                    Comparator.comparing((Task x) -> x.spec.priority())
+                                            .thenComparing(BY_TURN))
+                            .orElse(null);
             if (least == null || least.spec.priority().compareTo(spec.priority()) <= 0) {
                 return false;
             }
@@ -134,7 +146,10 @@
         budgets.values().forEach(b -> b.share(share, nowNs));
     }
 
-    /** A run wants so much before it goes on; asked for more than is ever given at once, it gets that. */
+    /**
+     * A run wants so much before it goes on; asked for more than is ever given at once, it gets
+     * that.
+     */
     public void ask(long run, Resource resource, double amount, long now) {
         pass(now);
         Run r = runs.get(run);
@@ -202,7 +217,9 @@
 
     /** True once all has stopped, but for runs that were given up. */
     public boolean isStopped() {
-        return stopping && runs.values().stream().allMatch(r -> r.abandoned) && tasks.values().stream().noneMatch(this::mayLast);
+        return stopping
+                && runs.values().stream().allMatch(r -> r.abandoned)
+                && tasks.values().stream().noneMatch(this::mayLast);
     }
 
     private boolean mayLast(Task t) {
@@ -222,11 +239,14 @@
 
     private void overtime(List<Decision> out) {
         for (Run r : runs.values()) {
-            boolean late = nowNs - r.startNs >= r.task.spec.runNs() || stopping && nowNs >= stopAtNs;
+            boolean late =
+                    nowNs - r.startNs >= r.task.spec.runNs() || stopping && nowNs >= stopAtNs;
             if (late && r.interruptedNs < 0) {
                 interrupt(r, out);
             }
-            if (r.interruptedNs >= 0 && !r.abandoned && nowNs - r.interruptedNs >= limits.graceNs()) {
+            if (r.interruptedNs >= 0
+                    && !r.abandoned
+                    && nowNs - r.interruptedNs >= limits.graceNs()) {
                 r.abandoned = true;
                 r.asks.clear();
                 out.add(new Abandon(r.id));
@@ -242,7 +262,10 @@
         }
     }
 
-    /** In order of turns, and nobody goes past one that waits: a large amount is not starved by small ones. */
+    /**
+     * In order of turns, and nobody goes past one that waits: a large amount is not starved by
+     * small ones.
+     */
     private void grant(List<Decision> out) {
         for (Resource resource : Resource.values()) {
             for (Run r : asking(resource)) {
@@ -257,12 +280,16 @@
     }
 
     private List<Run> asking(Resource resource) {
-        return runs.values().stream().filter(r -> r.asks.containsKey(resource))
-                .sorted(Comparator.comparing((Run r) -> r.task, BY_TURN)).toList();
+        return runs.values().stream()
+                .filter(r -> r.asks.containsKey(resource))
+                .sorted(Comparator.comparing((Run r) -> r.task, BY_TURN))
+                .toList();
     }
 
     private void start(List<Decision> out) {
-        List<Task> due = new ArrayList<>(tasks.values().stream().filter(this::mayStart).sorted(BY_TURN).toList());
+        List<Task> due =
+                new ArrayList<>(
+                        tasks.values().stream().filter(this::mayStart).sorted(BY_TURN).toList());
         for (Task t : due) {
             if (!hasPlace(t.spec.priority())) {
                 if (t.spec.priority() == Priority.HIGH) {
@@ -281,36 +308,60 @@
         if (t.run != null || t.dueNs > nowNs || stopping && !mayLast(t)) {
             return false;
         }
-        return stopping || t.spec.priority() != Priority.LOW || pressure < PRESSED || nowNs - t.dueNs >= t.spec.latestNs();
+        return stopping
+                || t.spec.priority() != Priority.LOW
+                || pressure < PRESSED
+                || nowNs - t.dueNs >= t.spec.latestNs();
     }
 
     private boolean hasPlace(Priority p) {
         long taken = runs.values().stream().filter(r -> !r.abandoned).count();
-        long plain = runs.values().stream().filter(r -> !r.abandoned && r.task.spec.priority() != Priority.HIGH).count();
+        long plain =
+                runs.values().stream()
+                        .filter(r -> !r.abandoned && r.task.spec.priority() != Priority.HIGH)
+                        .count();
         return taken < limits.runsAtOnce()
-                && (p == Priority.HIGH || limits.runsAtOnce() == 1 || plain < limits.runsAtOnce() - 1);
+                && (p == Priority.HIGH
+                        || limits.runsAtOnce() == 1
+                        || plain < limits.runsAtOnce() - 1);
     }
 
-    /** Time from now until something may have to be decided though nothing happens; at most {@code mostNs}. */
+    /**
+     * Time from now until something may have to be decided though nothing happens; at most {@code
+     * mostNs}.
+     */
     public long waitNs(long now, long mostNs) {
         pass(now);
         long at = nowNs + mostNs;
         for (Task t : tasks.values()) {
             if (t.run == null && hasPlace(t.spec.priority()) && (!stopping || mayLast(t))) {
-                boolean held = t.spec.priority() == Priority.LOW && pressure >= PRESSED && !stopping;
+                boolean held =
+                        t.spec.priority() == Priority.LOW && pressure >= PRESSED && !stopping;
                 at = Math.min(at, t.dueNs + (held ? t.spec.latestNs() : 0));
             }
         }
         for (Run r : runs.values()) {
             if (!r.abandoned) {
-                at = Math.min(at, r.interruptedNs >= 0 ? r.interruptedNs + limits.graceNs()
-                        : stopping ? Math.min(stopAtNs, r.startNs + r.task.spec.runNs()) : r.startNs + r.task.spec.runNs());
+                at =
+                        Math.min(
+                                at,
+                                r.interruptedNs >= 0
+                                        ? r.interruptedNs + limits.graceNs()
+                                        : stopping
+                                                ? Math.min(
+                                                        stopAtNs, r.startNs + r.task.spec.runNs())
+                                                : r.startNs + r.task.spec.runNs());
             }
         }
         for (Resource resource : Resource.values()) {
             List<Run> asking = asking(resource);
             if (!asking.isEmpty()) {
-                at = Math.min(at, nowNs + budgets.get(resource).waitNs(asking.get(0).asks.get(resource), nowNs));
+                at =
+                        Math.min(
+                                at,
+                                nowNs
+                                        + budgets.get(resource)
+                                                .waitNs(asking.get(0).asks.get(resource), nowNs));
             }
         }
         return Math.max(0, at - nowNs);
--- a/background/src/main/java/ashlink/background/plan/TaskSpec.java
+++ b/background/src/main/java/ashlink/background/plan/TaskSpec.java
@@ -10,14 +10,34 @@
  * @param runNs longest run; one that takes longer is interrupted
  * @param atStop true where a last run is wanted when all stops
  */
-public record TaskSpec(String name, Priority priority, long everyNs, double jitter, long latestNs, long runNs,
+public record TaskSpec(
+        String name,
+        Priority priority,
+        long everyNs,
+        double jitter,
+        long latestNs,
+        long runNs,
         boolean atStop) {
 
     /** Checks the ranges. */
     public TaskSpec {
-        if (name.isEmpty() || everyNs < 0 || !(jitter >= 0 && jitter <= 0.5) || latestNs < 0 || runNs <= 0) {
-            throw new IllegalArgumentException("a task " + name + " every " + everyNs + " ns, jitter " + jitter
-                    + ", latest " + latestNs + " ns, run " + runNs + " ns");
+        if (name.isEmpty()
+                || everyNs < 0
+                || !(jitter >= 0 && jitter <= 0.5)
+                || latestNs < 0
+                || runNs <= 0) {
+            throw new IllegalArgumentException(
+                    "a task "
+                            + name
+                            + " every "
+                            + everyNs
+                            + " ns, jitter "
+                            + jitter
+                            + ", latest "
+                            + latestNs
+                            + " ns, run "
+                            + runNs
+                            + " ns");
         }
     }
 
--- a/background/src/test/java/ashlink/background/SchedulerTest.java
+++ b/background/src/test/java/ashlink/background/SchedulerTest.java
@@ -26,19 +26,21 @@
         Scheduler s = scheduler(Limits.DEFAULT);
         AtomicInteger runs = new AtomicInteger();
         CountDownLatch five = new CountDownLatch(5);
-        s.add(TaskSpec.every("work", Priority.HIGH, 5 * MS, S).alsoAtStop(), lease -> {
-            runs.incrementAndGet();
-            five.countDown();
-            if (runs.get() == 2) {
-                throw new IllegalStateException("once");
-            }
-        });
+        s.add(
+                TaskSpec.every("work", Priority.HIGH, 5 * MS, S).alsoAtStop(),
+                lease -> {
+                    runs.incrementAndGet();
+                    five.countDown();
+                    if (runs.get() == 2) {
+                        throw new IllegalStateException("once");
+                    }
+                });
         assertTrue(five.await(20, TimeUnit.SECONDS));
         assertEquals(1, s.failed());
         assertTrue(s.stop(20 * S));
         int after = runs.get();
         assertTrue(after >= 6, "a last run came at the stop");
-        assertFalse(s.add(TaskSpec.once("late", Priority.HIGH, S, S), lease -> { }));
+        assertFalse(s.add(TaskSpec.once("late", Priority.HIGH, S, S), lease -> {}));
         Thread.sleep(30);
         assertEquals(after, runs.get());
     }
@@ -47,15 +49,17 @@
     void aRunThatDoesNotHeedItsInterruptIsGivenUpAndOthersGoOn() throws Exception {
         Scheduler s = scheduler(new Limits(1, 10, 0.25, 20e6, 1e6, 1e5, 0.1, 20 * MS));
         CountDownLatch release = new CountDownLatch(1);
-        s.add(TaskSpec.once("deaf", Priority.NORMAL, S, 20 * MS), lease -> {
-            while (release.getCount() > 0) {
-                try {
-                    release.await();
-                } catch (InterruptedException e) {
-                    // deaf
-                }
-            }
-        });
+        s.add(
+                TaskSpec.once("deaf", Priority.NORMAL, S, 20 * MS),
+                lease -> {
+                    while (release.getCount() > 0) {
+                        try {
+                            release.await();
+                        } catch (InterruptedException e) {
+                            // deaf
+                        }
+                    }
+                });
         CountDownLatch other = new CountDownLatch(1);
         s.add(TaskSpec.once("other", Priority.NORMAL, S, S), lease -> other.countDown());
         assertTrue(other.await(20, TimeUnit.SECONDS));
@@ -70,19 +74,23 @@
         CountDownLatch done = new CountDownLatch(2);
         long from = System.nanoTime();
         long[] took = new long[2];
-        s.add(TaskSpec.once("bytes", Priority.HIGH, S, 60 * S), lease -> {
-            lease.bytes(300_000); // 100 kB at once, the rest at 1 MB a second
-            took[0] = System.nanoTime() - from;
-            done.countDown();
-        });
-        s.add(TaskSpec.once("cpu", Priority.HIGH, S, 60 * S), lease -> {
-            long cpu = Scheduler.threadCpuNs();
-            while (Scheduler.threadCpuNs() - cpu < 15 * MS) {
-                lease.checkpoint(); // 2 ms at once, the rest at a twentieth of a core
-            }
-            took[1] = System.nanoTime() - from;
-            done.countDown();
-        });
+        s.add(
+                TaskSpec.once("bytes", Priority.HIGH, S, 60 * S),
+                lease -> {
+                    lease.bytes(300_000); // 100 kB at once, the rest at 1 MB a second
+                    took[0] = System.nanoTime() - from;
+                    done.countDown();
+                });
+        s.add(
+                TaskSpec.once("cpu", Priority.HIGH, S, 60 * S),
+                lease -> {
+                    long cpu = Scheduler.threadCpuNs();
+                    while (Scheduler.threadCpuNs() - cpu < 15 * MS) {
+                        lease.checkpoint(); // 2 ms at once, the rest at a twentieth of a core
+                    }
+                    took[1] = System.nanoTime() - from;
+                    done.countDown();
+                });
         assertTrue(done.await(60, TimeUnit.SECONDS));
         assertTrue(took[0] >= 195 * MS, took[0] / MS + " ms for the bytes");
         assertTrue(took[1] >= 150 * MS, took[1] / MS + " ms for 15 ms of work");
@@ -94,14 +102,16 @@
         Scheduler s = scheduler(new Limits(2, 10, 0.05, 2e6, 1, 1, 0.1, S));
         CountDownLatch started = new CountDownLatch(1);
         CountDownLatch interrupted = new CountDownLatch(1);
-        s.add(TaskSpec.once("big", Priority.HIGH, S, 60 * S), lease -> {
-            started.countDown();
-            try {
-                lease.bytes(1 << 30);
-            } catch (InterruptedException e) {
-                interrupted.countDown();
-            }
-        });
+        s.add(
+                TaskSpec.once("big", Priority.HIGH, S, 60 * S),
+                lease -> {
+                    started.countDown();
+                    try {
+                        lease.bytes(1 << 30);
+                    } catch (InterruptedException e) {
+                        interrupted.countDown();
+                    }
+                });
         assertTrue(started.await(20, TimeUnit.SECONDS));
         s.cancel("big");
         assertTrue(interrupted.await(20, TimeUnit.SECONDS));
--- a/background/src/test/java/ashlink/background/plan/PlannerProperties.java
+++ b/background/src/test/java/ashlink/background/plan/PlannerProperties.java
@@ -16,9 +16,12 @@
 
 class PlannerProperties {
 
-    private record Given(long atNs, double amount) { }
+    private record Given(long atNs, double amount) {}
 
-    /** Runs that ask, on a clock that stands, jumps and goes back; all grants of bytes with the greatest time seen. */
+    /**
+     * Runs that ask, on a clock that stands, jumps and goes back; all grants of bytes with the
+     * greatest time seen.
+     */
     private static List<Given> story(Limits limits, long seed, int steps) {
         SplittableRandom random = new SplittableRandom(seed);
         Planner p = new Planner(limits, seed);
@@ -28,20 +31,38 @@
         long greatest = 0; // what the planner takes for the time
         for (int i = 0; i < steps; i++) {
             int what = random.nextInt(20);
-            now += what == 0 ? -random.nextLong(1L << 32) : what == 1 ? random.nextLong(1L << 36) : random.nextLong(1L << 24);
+            now +=
+                    what == 0
+                            ? -random.nextLong(1L << 32)
+                            : what == 1 ? random.nextLong(1L << 36) : random.nextLong(1L << 24);
             greatest = Math.max(greatest, now);
             List<Decision> out = new ArrayList<>();
             switch (random.nextInt(6)) {
-                case 0 -> p.add(TaskSpec.once("t" + i, Priority.values()[random.nextInt(3)], 1L << 30, 1L << 40), now, out);
+                case 0 ->
+                        p.add(
+                                TaskSpec.once(
+                                        "t" + i,
+                                        Priority.values()[random.nextInt(3)],
+                                        1L << 30,
+                                        1L << 40),
+                                now,
+                                out);
                 case 1 -> p.pressure(random.nextDouble(), now);
                 case 2 -> {
                     if (!runs.isEmpty() && random.nextInt(4) == 0) {
-                        p.ended(runs.remove(random.nextInt(runs.size())), random.nextBoolean(), now);
+                        p.ended(
+                                runs.remove(random.nextInt(runs.size())),
+                                random.nextBoolean(),
+                                now);
                     }
                 }
                 default -> {
                     if (!runs.isEmpty()) {
-                        p.ask(runs.get(random.nextInt(runs.size())), Resource.BYTES, 1 + random.nextInt(200_000), now);
+                        p.ask(
+                                runs.get(random.nextInt(runs.size())),
+                                Resource.BYTES,
+                                1 + random.nextInt(200_000),
+                                now);
                     }
                 }
             }
@@ -57,15 +78,21 @@
     }
 
     @Property(tries = 200, seed = "42")
-    void noBudgetIsOverspentInAnyWindow(@ForAll long seed, @ForAll @DoubleRange(min = 1e3, max = 1e7) double rate,
-            @ForAll @DoubleRange(min = 1e3, max = 1e6) double burst, @ForAll @IntRange(min = 1, max = 6) int atOnce) {
-        List<Given> given = story(new Limits(atOnce, 50, 0.25, 20e6, rate, burst, 0.1, 1L << 30), seed, 600);
+    void noBudgetIsOverspentInAnyWindow(
+            @ForAll long seed,
+            @ForAll @DoubleRange(min = 1e3, max = 1e7) double rate,
+            @ForAll @DoubleRange(min = 1e3, max = 1e6) double burst,
+            @ForAll @IntRange(min = 1, max = 6) int atOnce) {
+        List<Given> given =
+                story(new Limits(atOnce, 50, 0.25, 20e6, rate, burst, 0.1, 1L << 30), seed, 600);
         for (int i = 0; i < given.size(); i++) {
             double sum = 0;
             for (int j = i; j < given.size(); j++) {
                 sum += given.get(j).amount;
                 double most = burst + rate * (given.get(j).atNs - given.get(i).atNs) / 1e9;
-                assertTrue(sum <= most * (1 + 1e-9), "given " + sum + " of " + most + " from grant " + i + " to " + j);
+                assertTrue(
+                        sum <= most * (1 + 1e-9),
+                        "given " + sum + " of " + most + " from grant " + i + " to " + j);
             }
         }
     }
@@ -78,24 +105,44 @@
     }
 
     @Property(tries = 100, seed = "44")
-    void eachRunStartsWithinItsSlackAndTheRunsAheadOfIt(@ForAll long seed, @ForAll @IntRange(min = 1, max = 4) int atOnce) {
+    void eachRunStartsWithinItsSlackAndTheRunsAheadOfIt(
+            @ForAll long seed, @ForAll @IntRange(min = 1, max = 4) int atOnce) {
         SplittableRandom random = new SplittableRandom(seed);
-        PlannerTest.Sim sim = new PlannerTest.Sim(new Limits(atOnce, 10_000, 0.25, 20e6, 1e6, 1e5, 0.1, PlannerTest.S));
-        record Asked(String name, Priority priority, long atNs) { }
+        PlannerTest.Sim sim =
+                new PlannerTest.Sim(
+                        new Limits(atOnce, 10_000, 0.25, 20e6, 1e6, 1e5, 0.1, PlannerTest.S));
+        record Asked(String name, Priority priority, long atNs) {}
         List<Asked> asked = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             Priority p = Priority.values()[random.nextInt(3)];
             asked.add(new Asked("t" + i, p, sim.now));
-            sim.add(TaskSpec.once("t" + i, p, 1L << 40, PlannerTest.S), 1 + random.nextLong(20 * PlannerTest.MS));
+            sim.add(
+                    TaskSpec.once("t" + i, p, 1L << 40, PlannerTest.S),
+                    1 + random.nextLong(20 * PlannerTest.MS));
             sim.until(sim.now + 1 + random.nextLong(10 * PlannerTest.MS));
         }
         sim.until(sim.now + 30 * PlannerTest.S);
         for (Asked a : asked) {
             long start = sim.startsOf(a.name).get(0);
-            long ahead = asked.stream().filter(b -> b.atNs + b.priority.slackNs() <= a.atNs + a.priority.slackNs()).count();
+            long ahead =
+                    asked.stream()
+                            .filter(
+                                    b ->
+                                            b.atNs + b.priority.slackNs()
+                                                    <= a.atNs + a.priority.slackNs())
+                            .count();
             long bound = a.atNs + ahead * 20 * PlannerTest.MS + 21 * PlannerTest.MS;
-            assertTrue(start <= Math.max(bound, a.atNs + a.priority.slackNs() + 21 * PlannerTest.MS * ahead),
-                    a + " started after " + (start - a.atNs) / 1e6 + " ms with " + ahead + " ahead");
+            assertTrue(
+                    start
+                            <= Math.max(
+                                    bound,
+                                    a.atNs + a.priority.slackNs() + 21 * PlannerTest.MS * ahead),
+                    a
+                            + " started after "
+                            + (start - a.atNs) / 1e6
+                            + " ms with "
+                            + ahead
+                            + " ahead");
         }
     }
 }
--- a/background/src/test/java/ashlink/background/plan/PlannerTest.java
+++ b/background/src/test/java/ashlink/background/plan/PlannerTest.java
@@ -24,14 +24,15 @@
 
     /** A planner whose runs take a given time, and what it decided when. */
     static final class Sim {
-        record Done(long run, long atNs) { }
+        record Done(long run, long atNs) {}
 
         final Planner planner;
         final Map<String, Long> takes = new HashMap<>();
         final Map<Long, String> started = new HashMap<>();
         final List<String> log = new ArrayList<>();
         final Map<String, List<Long>> starts = new HashMap<>();
-        final PriorityQueue<Done> ends = new PriorityQueue<>(java.util.Comparator.comparingLong(Done::atNs));
+        final PriorityQueue<Done> ends =
+                new PriorityQueue<>(java.util.Comparator.comparingLong(Done::atNs));
         long now = 1_000 * S;
         int most;
 
@@ -98,7 +99,9 @@
             long gap = starts.get(i) - starts.get(i - 1);
             assertTrue(gap >= 90 * MS && gap <= 111 * MS, "a gap of " + gap);
         }
-        assertTrue(starts.stream().map(t -> t % (100 * MS)).distinct().count() > 20, "jitter moves them");
+        assertTrue(
+                starts.stream().map(t -> t % (100 * MS)).distinct().count() > 20,
+                "jitter moves them");
         assertEquals(1, sim.most);
     }
 
@@ -106,7 +109,11 @@
     void thousandsThatAreDueAtOnceGoInTurnWithinTheirPlaces() {
         Sim sim = new Sim(limits(3, 5_000));
         for (int i = 0; i < 4_000; i++) {
-            assertTrue(sim.add(TaskSpec.once("t" + i, i % 2 == 0 ? Priority.LOW : Priority.NORMAL, S, S), MS));
+            assertTrue(
+                    sim.add(
+                            TaskSpec.once(
+                                    "t" + i, i % 2 == 0 ? Priority.LOW : Priority.NORMAL, S, S),
+                            MS));
         }
         sim.add(TaskSpec.once("urgent", Priority.HIGH, S, S), MS);
         sim.until(sim.now + MS);
@@ -115,7 +122,9 @@
         assertEquals(4_001, sim.started.size());
         assertEquals(3, sim.most);
         int lastNormal = sim.log.lastIndexOf("start t3999");
-        assertTrue(sim.log.indexOf("start t0") > lastNormal, "normal work of that time goes before low");
+        assertTrue(
+                sim.log.indexOf("start t0") > lastNormal,
+                "normal work of that time goes before low");
     }
 
     @Test
@@ -125,13 +134,18 @@
         long from = sim.now;
         int n = 0;
         while (sim.now < from + 120 * S) {
-            sim.add(TaskSpec.once("u" + n++, Priority.HIGH, S, S), 10 * MS); // more than the one place can run
+            sim.add(
+                    TaskSpec.once("u" + n++, Priority.HIGH, S, S),
+                    10 * MS); // more than the one place can run
             sim.until(sim.now + 9 * MS);
         }
         List<Long> starts = sim.startsOf("report");
         assertTrue(starts.size() >= 2, starts.size() + " reports");
-        assertTrue(starts.get(0) - from <= 33 * S + Priority.LOW.slackNs() + 100 * 10 * MS + 20 * MS,
-                "after its slack only those ahead of it go first: " + (starts.get(0) - from) / MS + " ms");
+        assertTrue(
+                starts.get(0) - from <= 33 * S + Priority.LOW.slackNs() + 100 * 10 * MS + 20 * MS,
+                "after its slack only those ahead of it go first: "
+                        + (starts.get(0) - from) / MS
+                        + " ms");
     }
 
     @Test
@@ -142,10 +156,14 @@
         assertTrue(sim.add(TaskSpec.once("low", Priority.LOW, S, S), MS));
         assertTrue(sim.add(TaskSpec.once("normal", Priority.NORMAL, S, S), MS));
         assertTrue(sim.add(TaskSpec.once("high", Priority.HIGH, S, S), MS));
-        assertFalse(sim.add(TaskSpec.once("low too", Priority.LOW, S, S), MS), "the least gives way at once");
+        assertFalse(
+                sim.add(TaskSpec.once("low too", Priority.LOW, S, S), MS),
+                "the least gives way at once");
         assertTrue(sim.add(TaskSpec.once("high 2", Priority.HIGH, S, S), MS));
         assertTrue(sim.add(TaskSpec.once("high 3", Priority.HIGH, S, S), MS));
-        assertFalse(sim.add(TaskSpec.once("high 4", Priority.HIGH, S, S), MS), "nothing less important is left");
+        assertFalse(
+                sim.add(TaskSpec.once("high 4", Priority.HIGH, S, S), MS),
+                "nothing less important is left");
         assertEquals(List.of("start running", "drop low", "drop normal"), sim.log);
     }
 
@@ -161,7 +179,12 @@
         assertEquals(from + 5 * S, sim.startsOf("report").get(0), "late, it goes all the same");
         sim.add(TaskSpec.once("copy", Priority.NORMAL, 5 * S, 100 * S), -1);
         sim.until(sim.now + MS);
-        long run = sim.started.entrySet().stream().filter(e -> e.getValue().equals("copy")).findFirst().orElseThrow().getKey();
+        long run =
+                sim.started.entrySet().stream()
+                        .filter(e -> e.getValue().equals("copy"))
+                        .findFirst()
+                        .orElseThrow()
+                        .getKey();
         long began = grantTime(sim, run, 100_000 + 200_000);
         assertEquals(2 * S, sim.now - began, 20 * MS, "a tenth of 1 MB a second is left");
     }
@@ -191,7 +214,9 @@
             sim.until(sim.now + (2L << Math.min(i, 6)) * S + 2 * S);
         }
         List<Long> starts = sim.startsOf("bad");
-        assertTrue(starts.get(3) - starts.get(2) >= 4 * S && starts.get(7) - starts.get(6) >= 64 * S, starts.toString());
+        assertTrue(
+                starts.get(3) - starts.get(2) >= 4 * S && starts.get(7) - starts.get(6) >= 64 * S,
+                starts.toString());
 
         Sim hang = new Sim(limits(1, 10));
         hang.add(TaskSpec.every("hang", Priority.NORMAL, 100 * MS, S), -1);
@@ -236,7 +261,9 @@
         assertFalse(sim.planner.isStopped(), "the long one is waited for");
         sim.until(sim.now + 2 * S + 100 * MS);
         assertTrue(sim.planner.isStopped());
-        assertEquals(List.of("start long", "drop clean", "start list", "interrupt long", "abandon long"), sim.log);
+        assertEquals(
+                List.of("start long", "drop clean", "start list", "interrupt long", "abandon long"),
+                sim.log);
     }
 
     @Test
@@ -250,6 +277,8 @@
         sim.perform(out);
         sim.until(sim.now + S);
         assertEquals(before, sim.startsOf("save").size());
-        assertTrue(sim.add(TaskSpec.every("save", Priority.NORMAL, 100 * MS, S), MS), "the name is free again");
+        assertTrue(
+                sim.add(TaskSpec.every("save", Priority.NORMAL, 100 * MS, S), MS),
+                "the name is free again");
     }
 }
--- a/capture/src/main/java/ashlink/capture/CaptureCut.java
+++ b/capture/src/main/java/ashlink/capture/CaptureCut.java
@@ -9,8 +9,9 @@
 import java.util.function.Consumer;
 
 /**
- * Writes a part of a capture as a capture of its own. A part from the start of a router on replays as the whole does; one
- * that begins later begins with that start and a gap, and is for reading only: the module gives no state to begin from.
+ * Writes a part of a capture as a capture of its own. A part from the start of a router on replays
+ * as the whole does; one that begins later begins with that start and a gap, and is for reading
+ * only: the module gives no state to begin from.
  */
 public final class CaptureCut implements Consumer<Entry>, AutoCloseable {
 
@@ -20,14 +21,17 @@
     private final long from;
     private final long count;
     private final SegmentWriter log;
-    private final EntryWriter writer = new EntryWriter(k -> k); // keys were hashed when they were captured
+    private final EntryWriter writer =
+            new EntryWriter(k -> k); // keys were hashed when they were captured
     private Entry start;
     private long seen;
     private long missed;
     private long written;
     private boolean open;
 
-    /** A part of {@code count} entries at most, from number {@code from} on, into an empty folder. */
+    /**
+     * A part of {@code count} entries at most, from number {@code from} on, into an empty folder.
+     */
     public CaptureCut(Disk to, long boot, long from, long count) throws IOException {
         if (to.list().stream().anyMatch(n -> n.endsWith(".seg"))) {
             throw new IOException("there is a capture in that folder already");
--- a/capture/src/main/java/ashlink/capture/CaptureReader.java
+++ b/capture/src/main/java/ashlink/capture/CaptureReader.java
@@ -13,8 +13,15 @@
 public final class CaptureReader {
 
     /** What was found of a segment. */
-    public record Found(String name, Segment.State state, long boot, int number, long firstEntry, long entries, long bytes,
-            String why) { }
+    public record Found(
+            String name,
+            Segment.State state,
+            long boot,
+            int number,
+            long firstEntry,
+            long entries,
+            long bytes,
+            String why) {}
 
     private final Disk disk;
 
@@ -23,7 +30,10 @@
         this.disk = disk;
     }
 
-    /** Gives all entries in order; a break between segments, and one within, is given as a gap of unknown size (0). */
+    /**
+     * Gives all entries in order; a break between segments, and one within, is given as a gap of
+     * unknown size (0).
+     */
     public List<Found> read(Consumer<Entry> to) throws IOException {
         List<Found> found = new ArrayList<>();
         EntryReader reader = new EntryReader();
@@ -34,8 +44,12 @@
             }
             byte[] bytes = disk.read(name);
             Segment.Contents c = Segment.read(bytes);
-            boolean follows = c.number() == 0 && c.boot() != 0 || before != null
-                    && before.boot() == c.boot() && before.state() == Segment.State.WHOLE && before.number() + 1 == c.number();
+            boolean follows =
+                    c.number() == 0 && c.boot() != 0
+                            || before != null
+                                    && before.boot() == c.boot()
+                                    && before.state() == Segment.State.WHOLE
+                                    && before.number() + 1 == c.number();
             if (!follows) {
                 to.accept(new Entry.Gap(0));
             }
@@ -45,17 +59,36 @@
             String why = c.why();
             try {
                 for (byte[] frame : c.frames()) {
-                    reader.read(frame, e -> {
-                        count[0]++;
-                        to.accept(e);
-                    });
+                    reader.read(
+                            frame,
+                            e -> {
+                                count[0]++;
+                                to.accept(e);
+                            });
                 }
             } catch (IOException | IllegalArgumentException e) {
                 state = Segment.State.DAMAGED;
                 why = String.valueOf(e.getMessage());
             }
-            found.add(new Found(name, state, c.boot(), c.number(), c.firstEntry(), count[0], bytes.length, why));
-            before = new Segment.Contents(state, c.boot(), c.number(), c.firstEntry(), List.of(), c.readTo(), why);
+            found.add(
+                    new Found(
+                            name,
+                            state,
+                            c.boot(),
+                            c.number(),
+                            c.firstEntry(),
+                            count[0],
+                            bytes.length,
+                            why));
+            before =
+                    new Segment.Contents(
+                            state,
+                            c.boot(),
+                            c.number(),
+                            c.firstEntry(),
+                            List.of(),
+                            c.readTo(),
+                            why);
         }
         return found;
     }
--- a/capture/src/main/java/ashlink/capture/CaptureSummary.java
+++ b/capture/src/main/java/ashlink/capture/CaptureSummary.java
@@ -104,9 +104,14 @@
             starts++;
             open.clear();
             sentTo.clear();
-            s.settings().classes().forEach(c -> classes.computeIfAbsent(c.name(), k -> new ClassCount()));
+            s.settings()
+                    .classes()
+                    .forEach(c -> classes.computeIfAbsent(c.name(), k -> new ClassCount()));
             firstNs = 0;
-            offset = seconds.isEmpty() ? 0 : seconds.lastKey() + 1; // starts stand one after the other
+            offset =
+                    seconds.isEmpty()
+                            ? 0
+                            : seconds.lastKey() + 1; // starts stand one after the other
         } else if (entry instanceof Entry.Gap) {
             gaps++;
         } else if (entry instanceof Entry.Step s) {
@@ -121,7 +126,9 @@
     private void step(Entry.Step s) {
         steps++;
         firstNs = firstNs == 0 ? s.nowNs() : firstNs;
-        Second second = seconds.computeIfAbsent(offset + (int) ((s.nowNs() - firstNs) / S), k -> new Second());
+        Second second =
+                seconds.computeIfAbsent(
+                        offset + (int) ((s.nowNs() - firstNs) / S), k -> new Second());
         if (s.event() instanceof Request r) {
             of(r.queryClass()).taken++;
             second.taken++;
@@ -129,7 +136,8 @@
         } else if (s.event() instanceof Ended e) {
             second.ended++;
             sentTo.remove(e.id());
-            engines.computeIfAbsent(e.engine(), k -> new TreeMap<>()).merge(e.outcome().name(), 1L, Long::sum);
+            engines.computeIfAbsent(e.engine(), k -> new TreeMap<>())
+                    .merge(e.outcome().name(), 1L, Long::sum);
             if (e.over() && open.containsKey(e.id())) {
                 ClassCount c = of(open.remove(e.id()));
                 c.served += e.outcome() == Outcome.SERVED || e.outcome() == Outcome.ERROR ? 1 : 0;
@@ -139,7 +147,8 @@
             of(open.remove(g.id())).gone++;
         }
         s.actions().forEach(this::did);
-        second.held = open.size() - (int) sentTo.keySet().stream().filter(open::containsKey).count();
+        second.held =
+                open.size() - (int) sentTo.keySet().stream().filter(open::containsKey).count();
         second.out.clear();
         sentTo.values().forEach(e -> second.out.merge(e, 1, Integer::sum));
     }
--- a/capture/src/main/java/ashlink/capture/JsonExport.java
+++ b/capture/src/main/java/ashlink/capture/JsonExport.java
@@ -10,7 +10,10 @@
 import java.io.UncheckedIOException;
 import java.util.function.Consumer;
 
-/** Writes entries as JSON, one a line: the form, its fields by name, and for events and actions their kind. */
+/**
+ * Writes entries as JSON, one a line: the form, its fields by name, and for events and actions
+ * their kind.
+ */
 public final class JsonExport implements Consumer<Entry>, AutoCloseable {
 
     private final ObjectMapper mapper = new ObjectMapper();
--- a/capture/src/main/java/ashlink/capture/ModuleHash.java
+++ b/capture/src/main/java/ashlink/capture/ModuleHash.java
@@ -11,9 +11,12 @@
 
     private static final int SHOWN_BYTES = 8;
 
-    private ModuleHash() { }
+    private ModuleHash() {}
 
-    /** SHA-256 over the class files of the module and what it keeps beside itself, the first 8 bytes in hex. */
+    /**
+     * SHA-256 over the class files of the module and what it keeps beside itself, the first 8 bytes
+     * in hex.
+     */
     public static String of(Class<?> module) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
--- a/capture/src/main/java/ashlink/capture/Recorder.java
+++ b/capture/src/main/java/ashlink/capture/Recorder.java
@@ -15,8 +15,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes a capture beside the decisions. They never wait for it: entries go through a bounded queue, and where that is full,
- * or the disk fails, entries are dropped and a gap tells how many, once the disk works again.
+ * Writes a capture beside the decisions. They never wait for it: entries go through a bounded
+ * queue, and where that is full, or the disk fails, entries are dropped and a gap tells how many,
+ * once the disk works again.
  */
 public final class Recorder implements AutoCloseable {
 
@@ -47,7 +48,14 @@
      * @param syncNs longest time between an entry and its sync
      * @param retryNs pause after an error of the disk
      */
-    public Recorder(Disk disk, long boot, long segmentBytes, long keptBytes, int queueBound, long syncNs, long retryNs,
+    public Recorder(
+            Disk disk,
+            long boot,
+            long segmentBytes,
+            long keptBytes,
+            int queueBound,
+            long syncNs,
+            long retryNs,
             UnaryOperator<String> hideKey) {
         this.disk = disk;
         this.log = new SegmentWriter(disk, boot, segmentBytes, keptBytes);
@@ -64,7 +72,8 @@
     /** Takes an entry; never waits. */
     public void record(Entry entry) {
         if (dropped.get() > 0 || !queue.offer(entry)) {
-            dropped.incrementAndGet(); // from the first that is missing on, up to the gap that tells of it
+            dropped.incrementAndGet(); // from the first that is missing on, up to the gap that
+            // tells of it
         }
     }
 
--- a/capture/src/main/java/ashlink/capture/Replay.java
+++ b/capture/src/main/java/ashlink/capture/Replay.java
@@ -10,13 +10,14 @@
 import java.util.function.Function;
 
 /**
- * Tells a fresh module all that a captured one was told, at the recorded times, and compares what it does. Nothing but the
- * capture decides: no clock, no thread, no chance. What follows a gap is passed over until the next start.
+ * Tells a fresh module all that a captured one was told, at the recorded times, and compares what
+ * it does. Nothing but the capture decides: no clock, no thread, no chance. What follows a gap is
+ * passed over until the next start.
  */
 public final class Replay implements Consumer<Entry> {
 
     /** Where a replay first did otherwise. */
-    public record Divergence(long entry, Entry.Step recorded, List<Action> replayed) { }
+    public record Divergence(long entry, Entry.Step recorded, List<Action> replayed) {}
 
     private static final int SHOWN = 20;
     private final Function<Settings, Gateway> module;
--- a/capture/src/main/java/ashlink/capture/Story.java
+++ b/capture/src/main/java/ashlink/capture/Story.java
@@ -26,7 +26,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The story of one request: when it came, what was known when it was sent, how its attempts ended, what it was answered. */
+/**
+ * The story of one request: when it came, what was known when it was sent, how its attempts ended,
+ * what it was answered.
+ */
 public final class Story implements Consumer<Entry> {
 
     private static final double MS = 1e6;
@@ -68,7 +71,10 @@
             classes.clear();
             s.settings().classes().forEach(c -> classes.put(c.name(), c));
         } else if (entry instanceof Entry.Gap g && request != null && !ended) {
-            lines.add("a gap of " + (g.entries() == 0 ? "unknown size" : g.entries() + " entries") + ": the rest is not known");
+            lines.add(
+                    "a gap of "
+                            + (g.entries() == 0 ? "unknown size" : g.entries() + " entries")
+                            + ": the rest is not known");
             ended = true;
         } else if (entry instanceof Entry.Step s && !ended) {
             told(s);
@@ -91,10 +97,20 @@
             request = r;
             takenNs = now;
             QueryClass c = classes.get(r.queryClass());
-            lines.add(String.format(Locale.ROOT, "request %d of class %s%s, worth %.1f, wanted within %.0f ms, to be answered "
-                    + "within %.0f ms, estimated at %.0f ms and %.0f MB%s", id, r.queryClass(), r.key() == null ? ""
-                    : " with key " + r.key(), c == null ? 0 : c.worth(), c == null ? 0 : c.aimNs() / MS,
-                    (r.deadlineNs() - now) / MS, r.workNs() / MS, r.memoryMb(), rules(c)));
+            lines.add(
+                    String.format(
+                            Locale.ROOT,
+                            "request %d of class %s%s, worth %.1f, wanted within %.0f ms, to be"
+                                + " answered within %.0f ms, estimated at %.0f ms and %.0f MB%s",
+                            id,
+                            r.queryClass(),
+                            r.key() == null ? "" : " with key " + r.key(),
+                            c == null ? 0 : c.worth(),
+                            c == null ? 0 : c.aimNs() / MS,
+                            (r.deadlineNs() - now) / MS,
+                            r.workNs() / MS,
+                            r.memoryMb(),
+                            rules(c)));
         } else if (s.event() instanceof Ended e) {
             Known k = known(e.engine());
             if (sentTo.remove(e.id()) != null) {
@@ -104,9 +120,16 @@
             news(e.engine(), e.report(), now);
             if (e.id() == id) {
                 mayHaveRun |= e.outcome().mayHaveRun();
-                lines.add(at(now) + "attempt " + e.attempt() + " at " + e.engine() + " ended: " + e.outcome()
-                        + (e.outcome().mayHaveRun() ? ", may have run" : ", has not run")
-                        + (e.over() ? "; the client has its answer" : ""));
+                lines.add(
+                        at(now)
+                                + "attempt "
+                                + e.attempt()
+                                + " at "
+                                + e.engine()
+                                + " ended: "
+                                + e.outcome()
+                                + (e.outcome().mayHaveRun() ? ", may have run" : ", has not run")
+                                + (e.over() ? "; the client has its answer" : ""));
                 ended = e.over();
             }
         } else if (s.event() instanceof Probed p) {
@@ -122,7 +145,12 @@
             }
             n.entries().forEach(e -> known(e.engine()).listed = e);
             if (request != null) {
-                lines.add(at(now) + "news of the list: " + n.entries().stream().map(e -> e.engine() + " " + e.phase()).toList());
+                lines.add(
+                        at(now)
+                                + "news of the list: "
+                                + n.entries().stream()
+                                        .map(e -> e.engine() + " " + e.phase())
+                                        .toList());
             }
         }
     }
@@ -149,13 +177,24 @@
             known(a.engine()).out++;
             sentTo.put(a.id(), a.engine());
             if (a.id() == id) {
-                lines.add(at(now) + "sent to " + a.engine() + " for at most " + Math.round(a.timeoutNs() / MS)
-                        + " ms; then known of each engine:");
-                engines.forEach((name, k) -> lines.add("              " + name + ": " + shown(k, now)));
+                lines.add(
+                        at(now)
+                                + "sent to "
+                                + a.engine()
+                                + " for at most "
+                                + Math.round(a.timeoutNs() / MS)
+                                + " ms; then known of each engine:");
+                engines.forEach(
+                        (name, k) -> lines.add("              " + name + ": " + shown(k, now)));
             }
         } else if (action instanceof Refuse a && a.id() == id) {
-            lines.add(at(now) + "refused: trying again is harmless" + (a.retryAfterNs() > 0 ? ", in "
-                    + Math.round(a.retryAfterNs() / MS) + " ms" : "") + (mayHaveRun ? " (it may have run, and may be repeated)" : ""));
+            lines.add(
+                    at(now)
+                            + "refused: trying again is harmless"
+                            + (a.retryAfterNs() > 0
+                                    ? ", in " + Math.round(a.retryAfterNs() / MS) + " ms"
+                                    : "")
+                            + (mayHaveRun ? " (it may have run, and may be repeated)" : ""));
             ended = true;
         } else if (action instanceof Fail a && a.id() == id) {
             lines.add(at(now) + "failed: it may have run and must not run twice");
@@ -168,11 +207,37 @@
     }
 
     private static String shown(Known k, long now) {
-        String listed = k.listed == null ? "not listed" : k.listed.phase() + ", " + k.listed.kind() + ", " + k.listed.zone()
-                + (k.listed.startedNs() > 0 ? ", up " + Math.round((now - k.listed.startedNs()) / MS / 1000) + " s" : "");
-        String report = k.report.equals(Report.NONE) ? "no report" : String.format(Locale.ROOT,
-                "report %.0f ms old: waiting %.0f, cores %.2f, memory %.2f, disks %.2f", (now - k.reportNs) / MS,
-                k.report.waiting(), k.report.coresBusy(), k.report.memoryGranted(), k.report.disksBusy());
-        return listed + "; " + k.out + " of ours out; " + report + (k.lastEnd.isEmpty() ? "" : "; last end " + k.lastEnd);
+        String listed =
+                k.listed == null
+                        ? "not listed"
+                        : k.listed.phase()
+                                + ", "
+                                + k.listed.kind()
+                                + ", "
+                                + k.listed.zone()
+                                + (k.listed.startedNs() > 0
+                                        ? ", up "
+                                                + Math.round(
+                                                        (now - k.listed.startedNs()) / MS / 1000)
+                                                + " s"
+                                        : "");
+        String report =
+                k.report.equals(Report.NONE)
+                        ? "no report"
+                        : String.format(
+                                Locale.ROOT,
+                                "report %.0f ms old: waiting %.0f, cores %.2f, memory %.2f, disks"
+                                        + " %.2f",
+                                (now - k.reportNs) / MS,
+                                k.report.waiting(),
+                                k.report.coresBusy(),
+                                k.report.memoryGranted(),
+                                k.report.disksBusy());
+        return listed
+                + "; "
+                + k.out
+                + " of ours out; "
+                + report
+                + (k.lastEnd.isEmpty() ? "" : "; last end " + k.lastEnd);
     }
 }
--- a/capture/src/main/java/ashlink/capture/events/Entry.java
+++ b/capture/src/main/java/ashlink/capture/events/Entry.java
@@ -9,11 +9,13 @@
 public sealed interface Entry {
 
     /** A module was made: its code by a hash, and its settings. All before is another module's. */
-    record Start(String moduleHash, Settings settings, String router) implements Entry { }
+    record Start(String moduleHash, Settings settings, String router) implements Entry {}
 
     /** The module was told an event at that time, and did that. */
-    record Step(Event event, long nowNs, List<Action> actions) implements Entry { }
+    record Step(Event event, long nowNs, List<Action> actions) implements Entry {}
 
-    /** So many entries are missing here; what follows cannot be decided again until the next start. */
-    record Gap(long entries) implements Entry { }
+    /**
+     * So many entries are missing here; what follows cannot be decided again until the next start.
+     */
+    record Gap(long entries) implements Entry {}
 }
--- a/capture/src/main/java/ashlink/capture/events/EntryReader.java
+++ b/capture/src/main/java/ashlink/capture/events/EntryReader.java
@@ -91,28 +91,59 @@
     private Event event() throws IOException {
         int form = in.get();
         return switch (form) {
-            case 1 -> new Request(id(), in.text(), in.text(), in.signed(), in.signed() + lastNs, in.signed(), in.fraction(),
-                    in.text());
-            case 2 -> new Ended(id(), in.count(MOST), in.text(), in.choice(Outcome.values()), in.signed(), in.flag(),
-                    in.fraction(), in.fraction(), report());
+            case 1 ->
+                    new Request(
+                            id(),
+                            in.text(),
+                            in.text(),
+                            in.signed(),
+                            in.signed() + lastNs,
+                            in.signed(),
+                            in.fraction(),
+                            in.text());
+            case 2 ->
+                    new Ended(
+                            id(),
+                            in.count(MOST),
+                            in.text(),
+                            in.choice(Outcome.values()),
+                            in.signed(),
+                            in.flag(),
+                            in.fraction(),
+                            in.fraction(),
+                            report());
             case 3 -> new Alarm(in.signed());
             case 4 -> new Probed(in.text(), in.choice(Outcome.values()), in.signed(), report());
             case 5 -> news();
             case 6 -> new ClientGone(id());
-            case 7 -> new Progress(id(), in.count(MOST), in.text(), in.choice(NoteKind.values()), in.fraction());
+            case 7 ->
+                    new Progress(
+                            id(),
+                            in.count(MOST),
+                            in.text(),
+                            in.choice(NoteKind.values()),
+                            in.fraction());
             default -> throw new IOException("an event of form " + form + " is unknown");
         };
     }
 
     private Report report() throws IOException {
-        return new Report(in.fraction(), in.fraction(), in.fraction(), in.fraction(), in.fraction());
+        return new Report(
+                in.fraction(), in.fraction(), in.fraction(), in.fraction(), in.fraction());
     }
 
     private ListNews news() throws IOException {
         ListForm form = in.choice(ListForm.values());
         List<ListEntry> entries = new ArrayList<>();
         for (int n = in.count(MOST); n > 0; n--) {
-            entries.add(new ListEntry(in.text(), in.choice(Phase.values()), in.text(), in.text(), in.signed(), in.signed()));
+            entries.add(
+                    new ListEntry(
+                            in.text(),
+                            in.choice(Phase.values()),
+                            in.text(),
+                            in.text(),
+                            in.signed(),
+                            in.signed()));
         }
         return new ListNews(form, entries);
     }
@@ -140,23 +171,68 @@
         String zone = in.text();
         List<QueryClass> classes = new ArrayList<>();
         for (int n = in.count(MOST); n > 0; n--) {
-            classes.add(new QueryClass(in.text(), in.signed(), in.fraction(), in.signed(), in.choice(Effect.values()),
-                    in.choice(RepeatGroup.values()), in.signed(), in.fraction(), in.fraction(), in.flag(), texts(), texts(),
-                    in.count(MOST), in.flag(), in.flag()));
+            classes.add(
+                    new QueryClass(
+                            in.text(),
+                            in.signed(),
+                            in.fraction(),
+                            in.signed(),
+                            in.choice(Effect.values()),
+                            in.choice(RepeatGroup.values()),
+                            in.signed(),
+                            in.fraction(),
+                            in.fraction(),
+                            in.flag(),
+                            texts(),
+                            texts(),
+                            in.count(MOST),
+                            in.flag(),
+                            in.flag()));
         }
         List<EngineKind> kinds = new ArrayList<>();
         for (int n = in.count(MOST); n > 0; n--) {
             kinds.add(new EngineKind(in.text(), in.count(MOST), in.fraction()));
         }
-        Allowed allowed = new Allowed(in.flag(), in.flag(), in.count(MOST), in.signed(), in.flag(), in.flag(), in.fraction(),
-                in.flag(), in.signed(), in.flag(), in.flag(), in.flag());
-        Limits limits = new Limits(in.signed(), in.fraction(), in.signed(), in.fraction(), in.signed(), in.signed(),
-                in.fraction(), in.fraction(), in.signed());
+        Allowed allowed =
+                new Allowed(
+                        in.flag(),
+                        in.flag(),
+                        in.count(MOST),
+                        in.signed(),
+                        in.flag(),
+                        in.flag(),
+                        in.fraction(),
+                        in.flag(),
+                        in.signed(),
+                        in.flag(),
+                        in.flag(),
+                        in.flag());
+        Limits limits =
+                new Limits(
+                        in.signed(),
+                        in.fraction(),
+                        in.signed(),
+                        in.fraction(),
+                        in.signed(),
+                        in.signed(),
+                        in.fraction(),
+                        in.fraction(),
+                        in.signed());
         List<Tenant> tenants = new ArrayList<>();
         for (int n = in.count(MOST); n > 0; n--) {
             tenants.add(new Tenant(in.text(), in.fraction()));
         }
-        return new Settings(seed, gateways, position, zone, classes, kinds, allowed, limits, tenants, in.fraction());
+        return new Settings(
+                seed,
+                gateways,
+                position,
+                zone,
+                classes,
+                kinds,
+                allowed,
+                limits,
+                tenants,
+                in.fraction());
     }
 
     private Set<String> texts() throws IOException {
--- a/capture/src/main/java/ashlink/capture/events/EntryWriter.java
+++ b/capture/src/main/java/ashlink/capture/events/EntryWriter.java
@@ -29,7 +29,10 @@
 import java.util.Set;
 import java.util.function.UnaryOperator;
 
-/** Turns entries into bytes. Times are differences to the one before; keys go through a function that hides them. */
+/**
+ * Turns entries into bytes. Times are differences to the one before; keys go through a function
+ * that hides them.
+ */
 public final class EntryWriter {
 
     static final int START = 1;
--- a/capture/src/main/java/ashlink/capture/events/Out.java
+++ b/capture/src/main/java/ashlink/capture/events/Out.java
@@ -54,7 +54,10 @@
     void fraction(double value) {
         if (Double.isNaN(value)) {
             put(0);
-        } else if (value == Math.rint(value) && value >= 0 && value < 1L << 40 && Double.doubleToRawLongBits(value) != 1L << 63) {
+        } else if (value == Math.rint(value)
+                && value >= 0
+                && value < 1L << 40
+                && Double.doubleToRawLongBits(value) != 1L << 63) {
             put(1);
             whole((long) value);
         } else {
--- a/capture/src/main/java/ashlink/capture/log/Disk.java
+++ b/capture/src/main/java/ashlink/capture/log/Disk.java
@@ -12,7 +12,10 @@
         /** Appends all of these bytes; an exception may leave any part of them behind. */
         void append(byte[] bytes, int from, int length) throws IOException;
 
-        /** Returns once all that was appended is on the disk; after an exception nothing is believed to be. */
+        /**
+         * Returns once all that was appended is on the disk; after an exception nothing is believed
+         * to be.
+         */
         void sync() throws IOException;
     }
 
--- a/capture/src/main/java/ashlink/capture/log/FaultyDisk.java
+++ b/capture/src/main/java/ashlink/capture/log/FaultyDisk.java
@@ -7,7 +7,10 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 
-/** A folder in memory whose disk fails as it is told: short writes, errors at sync, no space, power loss. For tests of all logs. */
+/**
+ * A folder in memory whose disk fails as it is told: short writes, errors at sync, no space, power
+ * loss. For tests of all logs.
+ */
 public final class FaultyDisk implements Disk {
 
     private final TreeMap<String, ByteArrayOutputStream> files = new TreeMap<>();
@@ -85,7 +88,7 @@
             }
 
             @Override
-            public void close() { }
+            public void close() {}
         };
     }
 
@@ -99,12 +102,19 @@
         }
     }
 
-    /** What may be left after the power went: all that was synced, and of the rest any part, torn or not there. */
+    /**
+     * What may be left after the power went: all that was synced, and of the rest any part, torn or
+     * not there.
+     */
     public synchronized FaultyDisk afterPowerLoss(SplittableRandom random) throws IOException {
         FaultyDisk left = new FaultyDisk();
         for (String name : files.keySet()) {
             byte[] all = files.get(name).toByteArray();
-            int kept = synced.get(name) + (all.length > synced.get(name) ? random.nextInt(all.length - synced.get(name) + 1) : 0);
+            int kept =
+                    synced.get(name)
+                            + (all.length > synced.get(name)
+                                    ? random.nextInt(all.length - synced.get(name) + 1)
+                                    : 0);
             byte[] bytes = java.util.Arrays.copyOf(all, kept);
             for (int i = synced.get(name); i < kept; i++) {
                 bytes[i] = random.nextInt(4) == 0 ? 0 : bytes[i]; // pages that were never written
@@ -139,5 +149,5 @@
     }
 
     @Override
-    public void close() { }
+    public void close() {}
 }
--- a/capture/src/main/java/ashlink/capture/log/FolderDisk.java
+++ b/capture/src/main/java/ashlink/capture/log/FolderDisk.java
@@ -31,10 +31,15 @@
         return new FolderDisk(folder, null, null);
     }
 
-    /** A folder to write, made where it is not there; an exception tells that another process has it. */
+    /**
+     * A folder to write, made where it is not there; an exception tells that another process has
+     * it.
+     */
     public static FolderDisk writing(Path folder) throws IOException {
         Files.createDirectories(folder);
-        FileChannel channel = FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        FileChannel channel =
+                FileChannel.open(
+                        folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         FileLock lock = null;
         try {
             lock = channel.tryLock();
@@ -43,7 +48,8 @@
         }
         if (lock == null) {
             channel.close();
-            throw new IOException(folder + " is being written by another router; each needs a folder of its own");
+            throw new IOException(
+                    folder + " is being written by another router; each needs a folder of its own");
         }
         return new FolderDisk(folder, channel, lock);
     }
@@ -51,13 +57,20 @@
     @Override
     public List<String> list() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
-            return files.map(p -> p.getFileName().toString()).filter(n -> !n.equals(LOCK)).sorted().toList();
+            return files.map(p -> p.getFileName().toString())
+                    .filter(n -> !n.equals(LOCK))
+                    .sorted()
+                    .toList();
         }
     }
 
     @Override
     public Appender create(String name) throws IOException {
-        FileChannel channel = FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
+        FileChannel channel =
+                FileChannel.open(
+                        folder.resolve(name),
+                        StandardOpenOption.CREATE_NEW,
+                        StandardOpenOption.WRITE);
         syncFolder();
         return new Appender() {
             @Override
--- a/capture/src/main/java/ashlink/capture/log/Segment.java
+++ b/capture/src/main/java/ashlink/capture/log/Segment.java
@@ -6,8 +6,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * The bytes of a segment: a header of 36 bytes (magic, version, boot, number of the segment, first entry, checksum), then
- * frames: length, checksum (CRC32C) of length and payload, payload. docs/capture-format.md has the layout.
+ * The bytes of a segment: a header of 36 bytes (magic, version, boot, number of the segment, first
+ * entry, checksum), then frames: length, checksum (CRC32C) of length and payload, payload.
+ * docs/capture-format.md has the layout.
  */
 public final class Segment {
 
@@ -15,6 +16,7 @@
     static final int VERSION = 1;
     static final int HEADER_BYTES = 36;
     static final int FRAME_BYTES = 8;
+
     /** The largest frame: a writer cuts before it. */
     public static final int MOST_FRAME_BYTES = 16 << 20;
 
@@ -29,9 +31,16 @@
     }
 
     /** What is in a segment; frames up to {@code readTo} are as they were written. */
-    public record Contents(State state, long boot, int number, long firstEntry, List<byte[]> frames, int readTo, String why) { }
+    public record Contents(
+            State state,
+            long boot,
+            int number,
+            long firstEntry,
+            List<byte[]> frames,
+            int readTo,
+            String why) {}
 
-    private Segment() { }
+    private Segment() {}
 
     /** The name of a segment's file; names sort in the order of writing. */
     public static String name(long boot, int number) {
@@ -76,8 +85,17 @@
             return new Contents(State.TORN, 0, 0, 0, frames, 0, "the header ends early");
         }
         ByteBuffer h = ByteBuffer.wrap(bytes);
-        if (checksum(bytes, 0, HEADER_BYTES - 4) != h.getInt(HEADER_BYTES - 4) || h.getInt() != MAGIC || h.getInt() != VERSION) {
-            return new Contents(State.DAMAGED, 0, 0, 0, frames, 0, "the header is no capture's of version " + VERSION);
+        if (checksum(bytes, 0, HEADER_BYTES - 4) != h.getInt(HEADER_BYTES - 4)
+                || h.getInt() != MAGIC
+                || h.getInt() != VERSION) {
+            return new Contents(
+                    State.DAMAGED,
+                    0,
+                    0,
+                    0,
+                    frames,
+                    0,
+                    "the header is no capture's of version " + VERSION);
         }
         long boot = h.getLong();
         int number = h.getInt();
@@ -86,21 +104,38 @@
         while (pos < bytes.length) {
             int left = bytes.length - pos;
             if (left < FRAME_BYTES) {
-                return new Contents(State.TORN, boot, number, first, frames, pos, "a frame's head ends early");
+                return new Contents(
+                        State.TORN, boot, number, first, frames, pos, "a frame's head ends early");
             }
             int length = h.getInt(pos);
             if (length <= 0 || length > MOST_FRAME_BYTES) {
-                return new Contents(State.DAMAGED, boot, number, first, frames, pos, "a frame says that it has " + length + " bytes");
+                return new Contents(
+                        State.DAMAGED,
+                        boot,
+                        number,
+                        first,
+                        frames,
+                        pos,
+                        "a frame says that it has " + length + " bytes");
             }
             if (left - FRAME_BYTES < length) {
-                return new Contents(State.TORN, boot, number, first, frames, pos, "a frame ends early");
+                return new Contents(
+                        State.TORN, boot, number, first, frames, pos, "a frame ends early");
             }
             if (frameSum(bytes, pos + FRAME_BYTES, length) != h.getInt(pos + 4)) {
                 boolean last = left - FRAME_BYTES == length;
-                return new Contents(last ? State.TORN : State.DAMAGED, boot, number, first, frames, pos,
+                return new Contents(
+                        last ? State.TORN : State.DAMAGED,
+                        boot,
+                        number,
+                        first,
+                        frames,
+                        pos,
                         "the checksum of a frame is wrong");
             }
-            frames.add(java.util.Arrays.copyOfRange(bytes, pos + FRAME_BYTES, pos + FRAME_BYTES + length));
+            frames.add(
+                    java.util.Arrays.copyOfRange(
+                            bytes, pos + FRAME_BYTES, pos + FRAME_BYTES + length));
             pos += FRAME_BYTES + length;
         }
         return new Contents(State.WHOLE, boot, number, first, frames, pos, "");
--- a/capture/src/main/java/ashlink/capture/log/SegmentWriter.java
+++ b/capture/src/main/java/ashlink/capture/log/SegmentWriter.java
@@ -5,8 +5,9 @@
 import java.util.List;
 
 /**
- * Writes frames into segments, and removes the oldest segments past the limit of bytes. After any error the segment in hand
- * is given up: what was appended to it since the last sync is not believed, and the next frame starts another.
+ * Writes frames into segments, and removes the oldest segments past the limit of bytes. After any
+ * error the segment in hand is given up: what was appended to it since the last sync is not
+ * believed, and the next frame starts another.
  */
 public final class SegmentWriter implements AutoCloseable {
 
--- a/capture/src/main/java/ashlink/capture/log/TableLog.java
+++ b/capture/src/main/java/ashlink/capture/log/TableLog.java
@@ -5,9 +5,10 @@
 import java.util.List;
 
 /**
- * A log that stands for a table: a record for each change. At each start, and when the log has grown far beyond the table, the
- * table is written anew and what was before is removed, once the new is on the disk; a crash between leaves both, and the
- * later records hold. Not for use by several threads at once.
+ * A log that stands for a table: a record for each change. At each start, and when the log has
+ * grown far beyond the table, the table is written anew and what was before is removed, once the
+ * new is on the disk; a crash between leaves both, and the later records hold. Not for use by
+ * several threads at once.
  */
 public final class TableLog implements AutoCloseable {
 
@@ -30,7 +31,10 @@
         this.boot = nowMs;
     }
 
-    /** Reads all records in order, as far as each segment is whole; returns the segments that are damaged, and why. */
+    /**
+     * Reads all records in order, as far as each segment is whole; returns the segments that are
+     * damaged, and why.
+     */
     public List<String> read(Reader to) throws IOException {
         List<String> damaged = new ArrayList<>();
         for (String name : segments()) {
@@ -72,7 +76,10 @@
         log.append(record, record.length, written++);
     }
 
-    /** Returns once all that was appended is on the disk; after an exception nothing since the last sync is believed to be. */
+    /**
+     * Returns once all that was appended is on the disk; after an exception nothing since the last
+     * sync is believed to be.
+     */
     public void sync() throws IOException {
         log.sync();
     }
--- a/capture/src/test/java/ashlink/capture/CaptureRun.java
+++ b/capture/src/test/java/ashlink/capture/CaptureRun.java
@@ -21,7 +21,16 @@
     @Test
     void recovery(@TempDir Path dir) throws Exception {
         List<Entry> day = CaptureTest.day(1, 200_000);
-        Recorder r = new Recorder(FolderDisk.writing(dir), 1, 64 << 20, 4 * GIB, 1 << 16, 100 * MS, MS, k -> k);
+        Recorder r =
+                new Recorder(
+                        FolderDisk.writing(dir),
+                        1,
+                        64 << 20,
+                        4 * GIB,
+                        1 << 16,
+                        100 * MS,
+                        MS,
+                        k -> k);
         long entries = 0;
         long from = System.nanoTime();
         while (size(dir) < GIB) {
@@ -36,12 +45,19 @@
             }
         }
         r.kill();
-        System.out.printf("wrote %d MiB in %.1f s, %d gaps%n", size(dir) >> 20, (System.nanoTime() - from) / 1e9, r.gaps());
+        System.out.printf(
+                "wrote %d MiB in %.1f s, %d gaps%n",
+                size(dir) >> 20, (System.nanoTime() - from) / 1e9, r.gaps());
         from = System.nanoTime();
         long[] read = new long[1];
-        List<CaptureReader.Found> found = new CaptureReader(FolderDisk.reading(dir)).read(e -> read[0]++);
-        System.out.printf("read %d entries of %d segments in %.2f s; the last is %s%n", read[0], found.size(),
-                (System.nanoTime() - from) / 1e9, found.get(found.size() - 1).state());
+        List<CaptureReader.Found> found =
+                new CaptureReader(FolderDisk.reading(dir)).read(e -> read[0]++);
+        System.out.printf(
+                "read %d entries of %d segments in %.2f s; the last is %s%n",
+                read[0],
+                found.size(),
+                (System.nanoTime() - from) / 1e9,
+                found.get(found.size() - 1).state());
         Replay replay = new Replay(Rules::new, "");
         day.forEach(replay);
         System.out.println("differing " + replay.differing());
@@ -53,7 +69,10 @@
         }
     }
 
-    /** What recording costs the decision thread, on a quick disk and on one that takes 20 ms a write. */
+    /**
+     * What recording costs the decision thread, on a quick disk and on one that takes 20 ms a
+     * write.
+     */
     @Test
     void recordingTakes() throws Exception {
         List<Entry> day = CaptureTest.day(2, 50_000);
@@ -71,8 +90,14 @@
                 }
             }
             Arrays.sort(took);
-            System.out.printf("delay %d ms: record takes %.2f us at the median, %.1f us at 99.9%%, %.1f us at most; %d gaps%n", delay,
-                    took[took.length / 2] / 1e3, took[(int) (took.length * 0.999)] / 1e3, took[took.length - 1] / 1e3, r.gaps());
+            System.out.printf(
+                    "delay %d ms: record takes %.2f us at the median, %.1f us at 99.9%%, %.1f us at"
+                            + " most; %d gaps%n",
+                    delay,
+                    took[took.length / 2] / 1e3,
+                    took[(int) (took.length * 0.999)] / 1e3,
+                    took[took.length - 1] / 1e3,
+                    r.gaps());
             r.kill();
         }
     }
--- a/capture/src/test/java/ashlink/capture/CaptureTest.java
+++ b/capture/src/test/java/ashlink/capture/CaptureTest.java
@@ -50,24 +50,85 @@
 class CaptureTest {
 
     private static final long MS = 1_000_000L;
-    private static final Settings SETTINGS = new Settings(7, 3, 1, "z", List.of(
-            new QueryClass("look", 500 * MS, 1.5, 2500 * MS, Effect.IDEMPOTENT, RepeatGroup.ALL, 0, 1, 0.1, false, Set.of(),
-                    Set.of(), 1, false, true),
-            new QueryClass("load", 3000 * MS, 3, 25_000 * MS, Effect.AT_MOST_ONCE, RepeatGroup.ALL, 0, 10, 0.5, true, Set.of("a"),
-                    Set.of(), 2, true, false)), List.of(new EngineKind("a", 8, 16384)),
-            new Allowed(true, true, 4, 500 * MS, true, true, 0.4, true, 0, false, true, false),
-            new Limits(2000 * MS, 0.35, 14_000 * MS, 2.5, 3000 * MS, 300 * MS, 3, 0.1, 10_000 * MS), List.of(new Tenant("t", 5)),
-            0.1);
+    private static final Settings SETTINGS =
+            new Settings(
+                    7,
+                    3,
+                    1,
+                    "z",
+                    List.of(
+                            new QueryClass(
+                                    "look",
+                                    500 * MS,
+                                    1.5,
+                                    2500 * MS,
+                                    Effect.IDEMPOTENT,
+                                    RepeatGroup.ALL,
+                                    0,
+                                    1,
+                                    0.1,
+                                    false,
+                                    Set.of(),
+                                    Set.of(),
+                                    1,
+                                    false,
+                                    true),
+                            new QueryClass(
+                                    "load",
+                                    3000 * MS,
+                                    3,
+                                    25_000 * MS,
+                                    Effect.AT_MOST_ONCE,
+                                    RepeatGroup.ALL,
+                                    0,
+                                    10,
+                                    0.5,
+                                    true,
+                                    Set.of("a"),
+                                    Set.of(),
+                                    2,
+                                    true,
+                                    false)),
+                    List.of(new EngineKind("a", 8, 16384)),
+                    new Allowed(
+                            true, true, 4, 500 * MS, true, true, 0.4, true, 0, false, true, false),
+                    new Limits(
+                            2000 * MS,
+                            0.35,
+                            14_000 * MS,
+                            2.5,
+                            3000 * MS,
+                            300 * MS,
+                            3,
+                            0.1,
+                            10_000 * MS),
+                    List.of(new Tenant("t", 5)),
+                    0.1);
 
     /** A module at work for some steps, with all that it was told and did. */
     static List<Entry> day(long seed, int steps) {
-        List<Entry> entries = new ArrayList<>(List.of(new Entry.Start(ModuleHash.of(Rules.class), SETTINGS, "r1")));
+        List<Entry> entries =
+                new ArrayList<>(
+                        List.of(new Entry.Start(ModuleHash.of(Rules.class), SETTINGS, "r1")));
         Gateway g = new Rules(SETTINGS);
         SplittableRandom random = new SplittableRandom(seed);
-        PriorityQueue<SetAlarm> alarms = new PriorityQueue<>(java.util.Comparator.comparingLong(SetAlarm::timeNs));
+        PriorityQueue<SetAlarm> alarms =
+                new PriorityQueue<>(java.util.Comparator.comparingLong(SetAlarm::timeNs));
         List<Send> out = new ArrayList<>();
-        List<Event> due = new ArrayList<>(List.of(new ListNews(ListForm.WHOLE, List.of(
-                new ListEntry("q1", Phase.READY, "z", "a", 0, 0), new ListEntry("q2", Phase.READY, "z", "a", 1, 990_000 * MS)))));
+        List<Event> due =
+                new ArrayList<>(
+                        List.of(
+                                new ListNews(
+                                        ListForm.WHOLE,
+                                        List.of(
+                                                new ListEntry("q1", Phase.READY, "z", "a", 0, 0),
+                                                new ListEntry(
+                                                        "q2",
+                                                        Phase.READY,
+                                                        "z",
+                                                        "a",
+                                                        1,
+                                                        990_000 * MS)))));
         long now = 1_000_000 * MS;
         long id = 0;
         java.util.Map<Long, Integer> shots = new java.util.HashMap<>();
@@ -80,13 +141,38 @@
                 event = new Alarm(alarms.poll().label());
             } else if (!out.isEmpty() && random.nextInt(3) == 0) {
                 Send s = out.remove(random.nextInt(out.size()));
-                Outcome o = Outcome.values()[random.nextInt(4) > 0 ? 0 : random.nextInt(Outcome.values().length)];
-                event = new Ended(s.id(), shots.get(s.id()), s.engine(), o, random.nextInt(1 << 30), o == Outcome.SERVED, 120.5, 64,
-                        new Report(random.nextInt(3), Double.NaN, random.nextDouble(), Double.NaN));
+                Outcome o =
+                        Outcome.values()[
+                                random.nextInt(4) > 0
+                                        ? 0
+                                        : random.nextInt(Outcome.values().length)];
+                event =
+                        new Ended(
+                                s.id(),
+                                shots.get(s.id()),
+                                s.engine(),
+                                o,
+                                random.nextInt(1 << 30),
+                                o == Outcome.SERVED,
+                                120.5,
+                                64,
+                                new Report(
+                                        random.nextInt(3),
+                                        Double.NaN,
+                                        random.nextDouble(),
+                                        Double.NaN));
             } else {
                 boolean load = random.nextInt(5) == 0;
-                event = new Request(++id, load ? "load" : "look", load ? "customer-" + random.nextInt(3) : null, random.nextInt(9),
-                        now + 2400 * MS, random.nextInt(2) * 80 * MS, 100, "t");
+                event =
+                        new Request(
+                                ++id,
+                                load ? "load" : "look",
+                                load ? "customer-" + random.nextInt(3) : null,
+                                random.nextInt(9),
+                                now + 2400 * MS,
+                                random.nextInt(2) * 80 * MS,
+                                100,
+                                "t");
             }
             List<Action> actions = g.on(event, now);
             entries.add(new Entry.Step(event, now, List.copyOf(actions)));
@@ -97,7 +183,12 @@
                 } else if (a instanceof SetAlarm s) {
                     alarms.add(s);
                 } else if (a instanceof Probe p) {
-                    due.add(new Probed(p.engine(), Outcome.SERVED, 1000, new Report(0, 0.5, 0.25, Double.NaN)));
+                    due.add(
+                            new Probed(
+                                    p.engine(),
+                                    Outcome.SERVED,
+                                    1000,
+                                    new Report(0, 0.5, 0.25, Double.NaN)));
                 }
             }
         }
@@ -105,7 +196,8 @@
     }
 
     private static Recorder recorder(ashlink.capture.log.Disk disk, int queue, long segment) {
-        return new Recorder(disk, 42, segment, 1L << 40, queue, MS, 5 * MS, k -> "h" + k.hashCode());
+        return new Recorder(
+                disk, 42, segment, 1L << 40, queue, MS, 5 * MS, k -> "h" + k.hashCode());
     }
 
     private static FaultyDisk written(List<Entry> entries, long segment) throws IOException {
@@ -132,17 +224,23 @@
             bytes += disk.size(s);
         }
         assertTrue(bytes / day.size() < 60, bytes / day.size() + " bytes an entry");
-        List<Long> differing = IntStream.range(0, 8).parallel().mapToObj(i -> {
-            Replay replay = new Replay(Rules::new, ModuleHash.of(Rules.class));
-            try {
-                new CaptureReader(disk).read(replay);
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
-            }
-            assertEquals(day.size() - 1, replay.decided());
-            assertFalse(replay.hashesDiffer());
-            return replay.differing();
-        }).toList();
+        List<Long> differing =
+                IntStream.range(0, 8)
+                        .parallel()
+                        .mapToObj(
+                                i -> {
+                                    Replay replay =
+                                            new Replay(Rules::new, ModuleHash.of(Rules.class));
+                                    try {
+                                        new CaptureReader(disk).read(replay);
+                                    } catch (IOException e) {
+                                        throw new IllegalStateException(e);
+                                    }
+                                    assertEquals(day.size() - 1, replay.decided());
+                                    assertFalse(replay.hashesDiffer());
+                                    return replay.differing();
+                                })
+                        .toList();
         assertEquals(List.of(0L, 0L, 0L, 0L, 0L, 0L, 0L, 0L), differing);
     }
 
@@ -166,12 +264,17 @@
         List<Entry> part = read(middle);
         assertEquals(day.get(0), part.get(0));
         assertEquals(new Entry.Gap(999), part.get(1));
-        assertTrue(read(whole).subList(1_000, 1_500).equals(part.subList(2, part.size())), "the part is as it was");
+        assertTrue(
+                read(whole).subList(1_000, 1_500).equals(part.subList(2, part.size())),
+                "the part is as it was");
         Replay none = new Replay(Rules::new, ModuleHash.of(Rules.class));
         part.forEach(none);
         assertEquals(0, none.decided());
         assertEquals(500, none.passedOver());
-        assertThrows(IOException.class, () -> new CaptureCut(middle, 42, 0, 1), "a capture is not written over");
+        assertThrows(
+                IOException.class,
+                () -> new CaptureCut(middle, 42, 0, 1),
+                "a capture is not written over");
     }
 
     @Test
@@ -216,9 +319,14 @@
             List<Entry> entries = new ArrayList<>();
             List<CaptureReader.Found> found = new CaptureReader(disk).read(entries::add);
             assertTrue(found.get(1).state() != Segment.State.WHOLE, "flipped at " + i);
-            int gap = IntStream.range(0, entries.size()).filter(n -> entries.get(n) instanceof Entry.Gap).findFirst().orElseThrow();
+            int gap =
+                    IntStream.range(0, entries.size())
+                            .filter(n -> entries.get(n) instanceof Entry.Gap)
+                            .findFirst()
+                            .orElseThrow();
             assertEquals(all.subList(0, gap), entries.subList(0, gap), "flipped at " + i);
-            assertEquals(all.get(all.size() - 1), entries.get(entries.size() - 1), "flipped at " + i);
+            assertEquals(
+                    all.get(all.size() - 1), entries.get(entries.size() - 1), "flipped at " + i);
         }
     }
 
@@ -243,9 +351,14 @@
             }
             r.kill();
             List<Entry> entries = read(left);
-            int gap = IntStream.range(0, entries.size()).filter(n -> entries.get(n) instanceof Entry.Gap).findFirst()
-                    .orElse(entries.size());
-            assertTrue(gap >= acknowledged, "trial " + trial + ": " + gap + " of " + acknowledged + " acknowledged");
+            int gap =
+                    IntStream.range(0, entries.size())
+                            .filter(n -> entries.get(n) instanceof Entry.Gap)
+                            .findFirst()
+                            .orElse(entries.size());
+            assertTrue(
+                    gap >= acknowledged,
+                    "trial " + trial + ": " + gap + " of " + acknowledged + " acknowledged");
             Replay replay = new Replay(Rules::new, "");
             entries.forEach(replay);
             assertEquals(0, replay.differing(), "trial " + trial);
@@ -286,7 +399,8 @@
         assertTrue(replay.decided() > 0);
     }
 
-    private static void waitFor(java.util.function.BooleanSupplier condition) throws InterruptedException {
+    private static void waitFor(java.util.function.BooleanSupplier condition)
+            throws InterruptedException {
         for (int i = 0; !condition.getAsBoolean(); i++) {
             assertTrue(i < 5_000, "waited in vain");
             Thread.sleep(2);
@@ -319,7 +433,8 @@
             day(8, 500).forEach(r::record);
         }
         for (String s : FolderDisk.reading(dir).list()) {
-            String bytes = new String(Files.readAllBytes(dir.resolve(s)), StandardCharsets.ISO_8859_1);
+            String bytes =
+                    new String(Files.readAllBytes(dir.resolve(s)), StandardCharsets.ISO_8859_1);
             assertFalse(bytes.contains("customer-"), "a key is in the capture");
         }
         FolderDisk.writing(dir).close(); // free again
@@ -328,13 +443,24 @@
     @Test
     void theStoryOfARequestHasItsAttemptsAndItsEnd() throws Exception {
         List<Entry> day = day(9, 2_000);
-        long id = day.stream().filter(e -> e instanceof Entry.Step s && s.event() instanceof Ended x && x.over())
-                .mapToLong(e -> ((Ended) ((Entry.Step) e).event()).id()).findFirst().orElseThrow();
+        long id =
+                day.stream()
+                        .filter(
+                                e ->
+                                        e instanceof Entry.Step s
+                                                && s.event() instanceof Ended x
+                                                && x.over())
+                        .mapToLong(e -> ((Ended) ((Entry.Step) e).event()).id())
+                        .findFirst()
+                        .orElseThrow();
         Story story = new Story(id);
         day.forEach(story);
         String text = String.join("\n", story.lines());
-        assertTrue(text.contains("request " + id + " of class") && text.contains("sent to q") && text.contains("the client has its"
-                + " answer"), text);
+        assertTrue(
+                text.contains("request " + id + " of class")
+                        && text.contains("sent to q")
+                        && text.contains("the client has its" + " answer"),
+                text);
         Story none = new Story(1 << 30);
         day.forEach(none);
         assertEquals(List.of(), none.lines());
--- a/capture/src/test/java/ashlink/capture/EntryText.java
+++ b/capture/src/test/java/ashlink/capture/EntryText.java
@@ -69,11 +69,28 @@
     // ---- Events
     private void event(Event event) {
         if (event instanceof Request e) {
-            line("  request", e.id(), e.queryClass(), e.key(), e.tables(), e.deadlineNs(),
-                    e.workNs(), e.memoryMb(), e.tenant());
+            line(
+                    "  request",
+                    e.id(),
+                    e.queryClass(),
+                    e.key(),
+                    e.tables(),
+                    e.deadlineNs(),
+                    e.workNs(),
+                    e.memoryMb(),
+                    e.tenant());
         } else if (event instanceof Ended e) {
-            line("  ended", e.id(), e.attempt(), e.engine(), e.outcome().ordinal(), e.tookNs(),
-                    e.over(), e.workMs(), e.memoryMb(), report(e.report()));
+            line(
+                    "  ended",
+                    e.id(),
+                    e.attempt(),
+                    e.engine(),
+                    e.outcome().ordinal(),
+                    e.tookNs(),
+                    e.over(),
+                    e.workMs(),
+                    e.memoryMb(),
+                    report(e.report()));
         } else if (event instanceof Alarm e) {
             line("  alarm", e.label());
         } else if (event instanceof Probed e) {
@@ -91,12 +108,27 @@
     }
 
     private static String report(Report r) {
-        return "(" + r.waiting() + " " + r.coresBusy() + " " + r.memoryGranted() + " "
-                + r.disksBusy() + " " + r.inHand() + ")";
+        return "("
+                + r.waiting()
+                + " "
+                + r.coresBusy()
+                + " "
+                + r.memoryGranted()
+                + " "
+                + r.disksBusy()
+                + " "
+                + r.inHand()
+                + ")";
     }
 
     private void listEntry(ListEntry e) {
-        line("    engine", e.engine(), e.phase().ordinal(), e.zone(), e.kind(), e.cell(),
+        line(
+                "    engine",
+                e.engine(),
+                e.phase().ordinal(),
+                e.zone(),
+                e.kind(),
+                e.cell(),
                 e.startedNs());
     }
 
@@ -140,21 +172,53 @@
     }
 
     private void queryClass(QueryClass c) {
-        line("  class", c.name(), c.aimNs(), c.aimStretch(), c.deadlineNs(), c.effect().ordinal(),
-                c.repeatGroup().ordinal(), c.repeatSpanNs(), c.worth(), c.lateShare(), c.inOrder(),
-                String.join(",", c.kinds()) + ";", String.join(",", c.zones()) + ";", c.threads(),
-                c.holdsTables(), c.waitsForTables());
+        line(
+                "  class",
+                c.name(),
+                c.aimNs(),
+                c.aimStretch(),
+                c.deadlineNs(),
+                c.effect().ordinal(),
+                c.repeatGroup().ordinal(),
+                c.repeatSpanNs(),
+                c.worth(),
+                c.lateShare(),
+                c.inOrder(),
+                String.join(",", c.kinds()) + ";",
+                String.join(",", c.zones()) + ";",
+                c.threads(),
+                c.holdsTables(),
+                c.waitsForTables());
     }
 
     private void allowed(Allowed a) {
-        line("  allowed", a.probes(), a.cancels(), a.attempts(), a.longestRetryAfterNs(),
-                a.grants(), a.priorities(), a.largestGrant(), a.memoryQueues(), a.noteEveryNs(),
-                a.costInAnswers(), a.reportsInline(), a.listMustBeAsked());
+        line(
+                "  allowed",
+                a.probes(),
+                a.cancels(),
+                a.attempts(),
+                a.longestRetryAfterNs(),
+                a.grants(),
+                a.priorities(),
+                a.largestGrant(),
+                a.memoryQueues(),
+                a.noteEveryNs(),
+                a.costInAnswers(),
+                a.reportsInline(),
+                a.listMustBeAsked());
     }
 
     private void limits(Limits l) {
-        line("  limits", l.drainGraceNs(), l.coldFrom(), l.coldNs(), l.coldMultiple(),
-                l.coldWindowNs(), l.keyRestNs(), l.freeResends(), l.resendsPerRequest(),
+        line(
+                "  limits",
+                l.drainGraceNs(),
+                l.coldFrom(),
+                l.coldNs(),
+                l.coldMultiple(),
+                l.coldWindowNs(),
+                l.keyRestNs(),
+                l.freeResends(),
+                l.resendsPerRequest(),
                 l.budgetSpanNs());
     }
 }
--- a/capture/src/test/java/ashlink/capture/StoredCaptureTest.java
+++ b/capture/src/test/java/ashlink/capture/StoredCaptureTest.java
@@ -66,7 +66,7 @@
     @ValueSource(strings = {"kinds", "day"})
     void allSegmentsAreWholeAndFollowEachOther(String name) throws Exception {
         List<CaptureReader.Found> found =
-                new CaptureReader(FolderDisk.reading(stored(name))).read(entry -> { });
+                new CaptureReader(FolderDisk.reading(stored(name))).read(entry -> {});
         assertTrue(found.size() > 1, found.toString());
         for (int i = 0; i < found.size(); i++) {
             assertEquals(Segment.State.WHOLE, found.get(i).state(), found.get(i).why());
@@ -93,18 +93,30 @@
     /** Constants are stored as their ordinal numbers: in another order they mean something else. */
     @Test
     void constantsKeepTheOrderInWhichTheirNumbersWereStored() {
-        assertEquals(List.of(Effect.IDEMPOTENT, Effect.DEDUPLICATED, Effect.AT_MOST_ONCE),
+        assertEquals(
+                List.of(Effect.IDEMPOTENT, Effect.DEDUPLICATED, Effect.AT_MOST_ONCE),
                 List.of(Effect.values()));
-        assertEquals(List.of(RepeatGroup.ALL, RepeatGroup.ZONE, RepeatGroup.CELL),
+        assertEquals(
+                List.of(RepeatGroup.ALL, RepeatGroup.ZONE, RepeatGroup.CELL),
                 List.of(RepeatGroup.values()));
         assertEquals(List.of(Phase.READY, Phase.DRAINING, Phase.GONE), List.of(Phase.values()));
-        assertEquals(List.of(Outcome.SERVED, Outcome.ERROR, Outcome.TURNED_AWAY, Outcome.TIMED_OUT,
-                Outcome.NO_CONNECTION, Outcome.RESET, Outcome.CANCELLED, Outcome.NEVER_SENT),
+        assertEquals(
+                List.of(
+                        Outcome.SERVED,
+                        Outcome.ERROR,
+                        Outcome.TURNED_AWAY,
+                        Outcome.TIMED_OUT,
+                        Outcome.NO_CONNECTION,
+                        Outcome.RESET,
+                        Outcome.CANCELLED,
+                        Outcome.NEVER_SENT),
                 List.of(Outcome.values()));
-        assertEquals(List.of(NoteKind.SHARE_DONE, NoteKind.SPILLS_MB, NoteKind.WAITS),
+        assertEquals(
+                List.of(NoteKind.SHARE_DONE, NoteKind.SPILLS_MB, NoteKind.WAITS),
                 List.of(NoteKind.values()));
-        assertEquals(List.of(ListForm.WHOLE, ListForm.CHANGES, ListForm.REMEMBERED,
-                ListForm.REFUSED), List.of(ListForm.values()));
+        assertEquals(
+                List.of(ListForm.WHOLE, ListForm.CHANGES, ListForm.REMEMBERED, ListForm.REFUSED),
+                List.of(ListForm.values()));
     }
 
     @Test
--- a/capture/src/test/java/ashlink/capture/StoredDataRecorder.java
+++ b/capture/src/test/java/ashlink/capture/StoredDataRecorder.java
@@ -60,7 +60,7 @@
     private static final int DAY_STEPS = 150;
     private static final double SIXTY_FOURTH = 1 / 64.0; // such fractions print the same everywhere
 
-    private StoredDataRecorder() { }
+    private StoredDataRecorder() {}
 
     /** Writes both captures and their texts into the folder that is named. */
     public static void main(String[] arguments) throws IOException {
@@ -73,9 +73,16 @@
 
     private static void write(Path folder, String name, List<Entry> entries, long segmentBytes)
             throws IOException {
-        try (Recorder recorder = new Recorder(FolderDisk.writing(folder.resolve(name)),
-                1_700_000_000_000L, segmentBytes, 1L << 40, 1 << 20, MS, 5 * MS,
-                key -> "hidden-" + key)) {
+        try (Recorder recorder =
+                new Recorder(
+                        FolderDisk.writing(folder.resolve(name)),
+                        1_700_000_000_000L,
+                        segmentBytes,
+                        1L << 40,
+                        1 << 20,
+                        MS,
+                        5 * MS,
+                        key -> "hidden-" + key)) {
             entries.forEach(recorder::record);
         }
         List<Entry> read = new ArrayList<>();
@@ -89,36 +96,99 @@
     }
 
     private static QueryClass look() {
-        return new QueryClass("look", 500 * MS, 1.5, 2500 * MS, Effect.IDEMPOTENT,
-                RepeatGroup.ALL, 0, 1, 0.125, false, Set.of(), Set.of(), 1, false, true);
+        return new QueryClass(
+                "look",
+                500 * MS,
+                1.5,
+                2500 * MS,
+                Effect.IDEMPOTENT,
+                RepeatGroup.ALL,
+                0,
+                1,
+                0.125,
+                false,
+                Set.of(),
+                Set.of(),
+                1,
+                false,
+                true);
     }
 
     private static QueryClass load() {
-        return new QueryClass("load", 3 * SECOND, 3, 25 * SECOND, Effect.AT_MOST_ONCE,
-                RepeatGroup.CELL, 0, 10, 0.5, true, ordered("a", "b"), Set.of(), 2, true, false);
+        return new QueryClass(
+                "load",
+                3 * SECOND,
+                3,
+                25 * SECOND,
+                Effect.AT_MOST_ONCE,
+                RepeatGroup.CELL,
+                0,
+                10,
+                0.5,
+                true,
+                ordered("a", "b"),
+                Set.of(),
+                2,
+                true,
+                false);
     }
 
     private static QueryClass upsert() {
-        return new QueryClass("upsert", SECOND, 2.25, 9 * SECOND, Effect.DEDUPLICATED,
-                RepeatGroup.ZONE, 60 * SECOND, 4, 0.25, false, ordered("b"), ordered("z", "y"), 4,
-                false, false);
+        return new QueryClass(
+                "upsert",
+                SECOND,
+                2.25,
+                9 * SECOND,
+                Effect.DEDUPLICATED,
+                RepeatGroup.ZONE,
+                60 * SECOND,
+                4,
+                0.25,
+                false,
+                ordered("b"),
+                ordered("z", "y"),
+                4,
+                false,
+                false);
     }
 
     private static Settings tightSettings() {
-        return new Settings(7, 3, 1, "z", List.of(look(), load()),
+        return new Settings(
+                7,
+                3,
+                1,
+                "z",
+                List.of(look(), load()),
                 List.of(new EngineKind("a", 8, 16384)),
-                new Allowed(true, true, 4, 500 * MS, true, true, 0.5, true, 100 * MS, false, true,
+                new Allowed(
+                        true, true, 4, 500 * MS, true, true, 0.5, true, 100 * MS, false, true,
                         false),
-                new Limits(2 * SECOND, 0.375, 14 * SECOND, 2.5, 3 * SECOND, 300 * MS, 3, 0.125,
+                new Limits(
+                        2 * SECOND,
+                        0.375,
+                        14 * SECOND,
+                        2.5,
+                        3 * SECOND,
+                        300 * MS,
+                        3,
+                        0.125,
                         10 * SECOND),
-                List.of(new Tenant("t", 5), new Tenant("mañana", 0)), 0.125);
+                List.of(new Tenant("t", 5), new Tenant("mañana", 0)),
+                0.125);
     }
 
     private static Settings wideSettings() {
-        return new Settings(-9_000_000_000L, 1, 0, "y", List.of(upsert(), look(), load()),
+        return new Settings(
+                -9_000_000_000L,
+                1,
+                0,
+                "y",
+                List.of(upsert(), look(), load()),
                 List.of(new EngineKind("a", 8, 16384), new EngineKind("b", 64, 262144.5)),
                 new Allowed(false, false, 2, 0, false, false, 0, false, 0, true, false, true),
-                new Limits(0, 0, 0, 0, 0, 0, 0, 0, 0), List.of(), 1);
+                new Limits(0, 0, 0, 0, 0, 0, 0, 0, 0),
+                List.of(),
+                1);
     }
 
     // ---- The capture that is made up
@@ -147,8 +217,17 @@
         events.add(new Request(3, "load", "customer-1", -1, 1, 1L << 50, 1e12, "mañana"));
         for (Outcome outcome : Outcome.values()) {
             int number = outcome.ordinal();
-            events.add(new Ended(2, number, "q" + number, outcome, 1L << number, number % 2 == 0,
-                    120.5 + number, 64 * number, new Report(number, 0.5, 0.25, Double.NaN, 3)));
+            events.add(
+                    new Ended(
+                            2,
+                            number,
+                            "q" + number,
+                            outcome,
+                            1L << number,
+                            number % 2 == 0,
+                            120.5 + number,
+                            64 * number,
+                            new Report(number, 0.5, 0.25, Double.NaN, 3)));
             events.add(new Probed("q" + number, outcome, 7 + number, Report.NONE));
         }
         for (ListForm form : ListForm.values()) {
@@ -171,9 +250,16 @@
     }
 
     private static List<Action> actions() {
-        return List.of(new Send(2, "q1", 900 * MS), new Terms(2, -5, 4096), new Refuse(3, 250 * MS),
-                new Fail(1), new Cancel(2, 3), new Probe("q9"), new SetAlarm(77, 1_000 * SECOND),
-                new Subscribe(), new Log("engine q1 refuses, Größe 5"));
+        return List.of(
+                new Send(2, "q1", 900 * MS),
+                new Terms(2, -5, 4096),
+                new Refuse(3, 250 * MS),
+                new Fail(1),
+                new Cancel(2, 3),
+                new Probe("q9"),
+                new SetAlarm(77, 1_000 * SECOND),
+                new Subscribe(),
+                new Log("engine q1 refuses, Größe 5"));
     }
 
     /** A day that the rules decide, against engines that answer by chance. */
@@ -208,8 +294,11 @@
         }
 
         private static ListNews news(ListForm form, Phase second) {
-            return new ListNews(form, List.of(new ListEntry("q1", Phase.READY, "z", "a", 0, 0),
-                    new ListEntry("q2", second, "y", "a", 1, 990 * SECOND)));
+            return new ListNews(
+                    form,
+                    List.of(
+                            new ListEntry("q1", Phase.READY, "z", "a", 0, 0),
+                            new ListEntry("q2", second, "y", "a", 1, 990 * SECOND)));
         }
 
         private void step(Event event) {
@@ -222,8 +311,12 @@
                 } else if (action instanceof SetAlarm alarm) {
                     alarms.add(alarm);
                 } else if (action instanceof Probe probe) {
-                    due.add(new Probed(probe.engine(), Outcome.SERVED, 1_000,
-                            new Report(0, 0.5, 0.25, Double.NaN, 2)));
+                    due.add(
+                            new Probed(
+                                    probe.engine(),
+                                    Outcome.SERVED,
+                                    1_000,
+                                    new Report(0, 0.5, 0.25, Double.NaN, 2)));
                 }
             }
         }
@@ -254,17 +347,33 @@
             }
             Outcome[] outcomes = Outcome.values();
             Outcome outcome = what < 6 ? Outcome.SERVED : outcomes[random.nextInt(outcomes.length)];
-            return new Ended(send.id(), attempt, send.engine(), outcome, random.nextInt(1 << 28),
-                    outcome == Outcome.SERVED, random.nextInt(9_000) * SIXTY_FOURTH, 64,
-                    new Report(random.nextInt(3), Double.NaN, random.nextInt(65) * SIXTY_FOURTH,
+            return new Ended(
+                    send.id(),
+                    attempt,
+                    send.engine(),
+                    outcome,
+                    random.nextInt(1 << 28),
+                    outcome == Outcome.SERVED,
+                    random.nextInt(9_000) * SIXTY_FOURTH,
+                    64,
+                    new Report(
+                            random.nextInt(3),
+                            Double.NaN,
+                            random.nextInt(65) * SIXTY_FOURTH,
                             Double.NaN));
         }
 
         private Request request() {
             QueryClass ofClass = settings.classes().get(random.nextInt(settings.classes().size()));
             String key = ofClass.inOrder() ? "customer-" + random.nextInt(3) : null;
-            return new Request(++lastRequest, ofClass.name(), key, random.nextInt(9),
-                    nowNs + ofClass.deadlineNs(), random.nextInt(2) * 80 * MS, 100,
+            return new Request(
+                    ++lastRequest,
+                    ofClass.name(),
+                    key,
+                    random.nextInt(9),
+                    nowNs + ofClass.deadlineNs(),
+                    random.nextInt(2) * 80 * MS,
+                    100,
                     random.nextInt(2) == 0 ? "t" : "");
         }
     }
--- a/cli/src/main/java/ashlink/cli/BadDayCommand.java
+++ b/cli/src/main/java/ashlink/cli/BadDayCommand.java
@@ -17,42 +17,60 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import java.util.stream.Collectors;
 import java.util.concurrent.Callable;
+import java.util.stream.Collectors;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
 /** Plays a scripted day and checks the rules by what crossed the sockets. */
-@Command(name = "badday", mixinStandardHelpOptions = true,
-        description = "Plays a scripted bad day on loopback and prints the verdict on each rule, and the service.")
+@Command(
+        name = "badday",
+        mixinStandardHelpOptions = true,
+        description =
+                "Plays a scripted bad day on loopback and prints the verdict on each rule, and the"
+                        + " service.")
 final class BadDayCommand implements Callable<Integer> {
 
     private static final int SHOWN = 10;
     private static final long MS = 1_000_000L;
 
-    @Parameters(paramLabel = "SCRIPT", arity = "0..1", description = "The day; without it the shipped one.")
+    @Parameters(
+            paramLabel = "SCRIPT",
+            arity = "0..1",
+            description = "The day; without it the shipped one.")
     private Path script;
 
     @Option(names = "--quick", description = "The shipped day in 15 s.")
     private boolean quick;
 
-    @Option(names = "--baseline", description = "Also play the day under a baseline: ${COMPLETION-CANDIDATES}.", arity = "1")
+    @Option(
+            names = "--baseline",
+            description = "Also play the day under a baseline: ${COMPLETION-CANDIDATES}.",
+            arity = "1")
     private List<Baseline.Policy> baselines = List.of();
 
     @Option(names = "--seed", description = "Seed of the load, in place of the script's.")
     private Long seed;
 
-    @Option(names = "--http", description = "Share of queries that come over HTTP, in place of the script's.")
+    @Option(
+            names = "--http",
+            description = "Share of queries that come over HTTP, in place of the script's.")
     private Double http;
 
-    @Option(names = "--trouble", description = "A day of one kind of trouble in place of the shipped one, or all for each in turn.")
+    @Option(
+            names = "--trouble",
+            description =
+                    "A day of one kind of trouble in place of the shipped one, or all for each in"
+                            + " turn.")
     private String trouble;
 
     @Option(names = "--capture", description = "Folder for captures of the routers.")
     private Path capture;
 
-    @Option(names = "--notes", description = "Folder for what clients and engines noted, as tab-separated text.")
+    @Option(
+            names = "--notes",
+            description = "Folder for what clients and engines noted, as tab-separated text.")
     private Path notes;
 
     @Override
@@ -73,15 +91,31 @@
     }
 
     private void write(DayFacts facts, String name) throws java.io.IOException {
-        Map<String, List<Sent>> byTag = facts.ledger().stream().collect(Collectors.groupingBy(Sent::tag));
-        StringBuilder text = new StringBuilder("tag\tclass\trouter\tsent_ms\tended_ms\tkind\tcode\twork_ms\tattempts\n");
+        Map<String, List<Sent>> byTag =
+                facts.ledger().stream().collect(Collectors.groupingBy(Sent::tag));
+        StringBuilder text =
+                new StringBuilder(
+                        "tag\tclass\trouter\tsent_ms\tended_ms\tkind\tcode\twork_ms\tattempts\n");
         for (Try t : facts.tries()) {
-            text.append(String.format("%s\t%s\t%s\t%d\t%d\t%s\t%d\t%.0f", t.tag(), t.queryClass(), t.router(),
-                    (t.sentNs() - facts.fromNs()) / MS, (t.reply().endNs() - facts.fromNs()) / MS, t.reply().kind(),
-                    t.reply().code(), t.workMs()));
+            text.append(
+                    String.format(
+                            "%s\t%s\t%s\t%d\t%d\t%s\t%d\t%.0f",
+                            t.tag(),
+                            t.queryClass(),
+                            t.router(),
+                            (t.sentNs() - facts.fromNs()) / MS,
+                            (t.reply().endNs() - facts.fromNs()) / MS,
+                            t.reply().kind(),
+                            t.reply().code(),
+                            t.workMs()));
             for (Sent s : byTag.getOrDefault(t.tag(), List.of())) {
-                text.append(String.format("\t%s:%d-%d:%s", s.engine(), (s.beganNs() - facts.fromNs()) / MS,
-                        (s.outUntilNs() - facts.fromNs()) / MS, s.how()));
+                text.append(
+                        String.format(
+                                "\t%s:%d-%d:%s",
+                                s.engine(),
+                                (s.beganNs() - facts.fromNs()) / MS,
+                                (s.outUntilNs() - facts.fromNs()) / MS,
+                                s.how()));
             }
             text.append('\n');
         }
@@ -98,31 +132,58 @@
             return Troubles.day(trouble, captureSetting(trouble));
         }
         String name = quick ? "bad-day-quick.sexp" : "bad-day.sexp";
-        DayConfig d = script != null ? DayConfigReader.read(script) : DayConfigReader.read(name, BriefSettings.resource(name));
-        return d.with(seed == null ? d.seed() : seed, http == null ? d.httpShare() : http, captureSetting(d.name()));
+        DayConfig d =
+                script != null
+                        ? DayConfigReader.read(script)
+                        : DayConfigReader.read(name, BriefSettings.resource(name));
+        return d.with(
+                seed == null ? d.seed() : seed,
+                http == null ? d.httpShare() : http,
+                captureSetting(d.name()));
     }
 
     private static List<String> shares(Map<String, Double> of) {
-        return of.entrySet().stream().map(e -> String.format("%s %.3f", e.getKey(), e.getValue())).toList();
+        return of.entrySet().stream()
+                .map(e -> String.format("%s %.3f", e.getKey(), e.getValue()))
+                .toList();
     }
 
     private boolean play(DayConfig day, String name, Baseline.Policy baseline) throws Exception {
-        DayFacts facts = new DayRun(day, s -> baseline == null ? new Rules(s) : new Baseline(baseline, s)).run();
+        DayFacts facts =
+                new DayRun(day, s -> baseline == null ? new Rules(s) : new Baseline(baseline, s))
+                        .run();
         Service s = Service.of(facts);
-        System.out.printf("%n%s, seed %d, decided by %s: %d queries, %d served, %d refused, %d failed, %d statements at "
-                + "engines%n", day.name(), day.seed(), name, s.asked(), s.served(), s.refused(), s.failed(),
+        System.out.printf(
+                "%n%s, seed %d, decided by %s: %d queries, %d served, %d refused, %d failed, %d"
+                        + " statements at engines%n",
+                day.name(),
+                day.seed(),
+                name,
+                s.asked(),
+                s.served(),
+                s.refused(),
+                s.failed(),
                 facts.ledger().size());
-        System.out.printf("service %.3f, worst 10 s %.3f, by class %s%s%n", s.whole(), s.worstTenSeconds(), shares(s.byClass()),
+        System.out.printf(
+                "service %.3f, worst 10 s %.3f, by class %s%s%n",
+                s.whole(),
+                s.worstTenSeconds(),
+                shares(s.byClass()),
                 s.byFront().size() > 1 ? ", by front " + shares(s.byFront()) : "");
         if (notes != null) {
             write(facts, name);
         }
         boolean kept = true;
-        boolean single = Troubles.NAMES.contains(day.name()); // one kind of trouble puts few rules at stake
+        boolean single =
+                Troubles.NAMES.contains(day.name()); // one kind of trouble puts few rules at stake
         for (Verdict v : new Checker(facts).verdicts()) {
             kept &= v.isKept() || single && v.broken().isEmpty();
-            System.out.printf("  %-30s %-6s at stake %5d, broken %d%n", v.rule(), v.isKept() ? "kept"
-                    : v.atStake() == 0 ? "UNSEEN" : "BROKEN", v.atStake(), v.broken().size());
+            System.out.printf(
+                    "  %-30s %-6s at stake %5d, broken %d%n",
+                    v.rule(),
+                    v.isKept() ? "kept" : v.atStake() == 0 ? "UNSEEN" : "BROKEN",
+                    v.atStake(),
+                    v.broken().size());
             v.broken().stream().limit(SHOWN).forEach(b -> System.out.println("      " + b));
         }
         return kept;
--- a/cli/src/main/java/ashlink/cli/BenchCommand.java
+++ b/cli/src/main/java/ashlink/cli/BenchCommand.java
@@ -11,8 +11,12 @@
 import picocli.CommandLine.Option;
 
 /** Benchmarks. */
-@Command(name = "bench", mixinStandardHelpOptions = true,
-        description = "Measures the router beside a direct connection and a plain relay, in one run on loopback.")
+@Command(
+        name = "bench",
+        mixinStandardHelpOptions = true,
+        description =
+                "Measures the router beside a direct connection and a plain relay, in one run on"
+                        + " loopback.")
 final class BenchCommand implements Callable<Integer> {
 
     @Option(names = "--round", description = "Seconds of each round.", defaultValue = "1")
@@ -24,7 +28,9 @@
     @Option(names = "--http", description = "Measure the front over HTTP beside the native one.")
     private boolean http;
 
-    @Option(names = "--background", description = "Measure short queries with and without background work at its limits.")
+    @Option(
+            names = "--background",
+            description = "Measure short queries with and without background work at its limits.")
     private boolean background;
 
     @Override
--- a/cli/src/main/java/ashlink/cli/CaptureCommand.java
+++ b/cli/src/main/java/ashlink/cli/CaptureCommand.java
@@ -18,26 +18,37 @@
 import picocli.CommandLine.Parameters;
 
 /** Looks at captures. */
-@Command(name = "capture", mixinStandardHelpOptions = true, description = "Lists, shows, verifies, cuts and exports captures.",
-        subcommands = {CaptureCommand.List_.class, CaptureCommand.Verify.class, CaptureCommand.Export.class,
-            CaptureCommand.Report.class, CaptureCommand.Cut.class, CaptureCommand.Show.class})
+@Command(
+        name = "capture",
+        mixinStandardHelpOptions = true,
+        description = "Lists, shows, verifies, cuts and exports captures.",
+        subcommands = {
+            CaptureCommand.List_.class,
+            CaptureCommand.Verify.class,
+            CaptureCommand.Export.class,
+            CaptureCommand.Report.class,
+            CaptureCommand.Cut.class,
+            CaptureCommand.Show.class
+        })
 final class CaptureCommand implements Callable<Integer> {
 
-    @picocli.CommandLine.Spec
-    private picocli.CommandLine.Model.CommandSpec spec;
+    @picocli.CommandLine.Spec private picocli.CommandLine.Model.CommandSpec spec;
 
     @Override
     public Integer call() {
-        throw new picocli.CommandLine.ParameterException(spec.commandLine(), "ls, show, verify, cut, export or report is missing");
+        throw new picocli.CommandLine.ParameterException(
+                spec.commandLine(), "ls, show, verify, cut, export or report is missing");
     }
 
     private static List<CaptureReader.Found> found(Path folder) throws Exception {
-        return new CaptureReader(FolderDisk.reading(folder)).read(e -> { });
+        return new CaptureReader(FolderDisk.reading(folder)).read(e -> {});
     }
 
     /** A part of a capture. */
     static final class Part {
-        @picocli.CommandLine.Option(names = "--from", description = "Number of the first entry, 0 for the first of the folder.")
+        @picocli.CommandLine.Option(
+                names = "--from",
+                description = "Number of the first entry, 0 for the first of the folder.")
         private long from;
 
         @picocli.CommandLine.Option(names = "--count", description = "Entries at most.")
@@ -45,7 +56,10 @@
     }
 
     /** Lists segments. */
-    @Command(name = "ls", mixinStandardHelpOptions = true, description = "Lists the segments of a capture.")
+    @Command(
+            name = "ls",
+            mixinStandardHelpOptions = true,
+            description = "Lists the segments of a capture.")
     static final class List_ implements Callable<Integer> {
         @Parameters(paramLabel = "CAPTURE")
         private Path folder;
@@ -53,16 +67,27 @@
         @Override
         public Integer call() throws Exception {
             for (CaptureReader.Found f : found(folder)) {
-                System.out.printf("%s  start of %tFT%<tT  first entry %d, %d entries, %d bytes, %.1f bytes an entry, %s %s%n",
-                        f.name(), f.boot(), f.firstEntry(), f.entries(), f.bytes(), f.bytes() / (double) Math.max(1, f.entries()),
-                        f.state(), f.why());
+                System.out.printf(
+                        "%s  start of %tFT%<tT  first entry %d, %d entries, %d bytes, %.1f bytes an"
+                                + " entry, %s %s%n",
+                        f.name(),
+                        f.boot(),
+                        f.firstEntry(),
+                        f.entries(),
+                        f.bytes(),
+                        f.bytes() / (double) Math.max(1, f.entries()),
+                        f.state(),
+                        f.why());
             }
             return 0;
         }
     }
 
     /** Verifies segments. */
-    @Command(name = "verify", mixinStandardHelpOptions = true, description = "Checks every byte of a capture; 1 if any is wrong.")
+    @Command(
+            name = "verify",
+            mixinStandardHelpOptions = true,
+            description = "Checks every byte of a capture; 1 if any is wrong.")
     static final class Verify implements Callable<Integer> {
         @Parameters(paramLabel = "CAPTURE")
         private Path folder;
@@ -79,41 +104,51 @@
     }
 
     /** Exports entries. */
-    @Command(name = "export", mixinStandardHelpOptions = true, description = "Writes a capture as JSON, one entry a line.")
+    @Command(
+            name = "export",
+            mixinStandardHelpOptions = true,
+            description = "Writes a capture as JSON, one entry a line.")
     static final class Export implements Callable<Integer> {
         @Parameters(paramLabel = "CAPTURE")
         private Path folder;
 
-        @picocli.CommandLine.Mixin
-        private Part part;
+        @picocli.CommandLine.Mixin private Part part;
 
         @Override
         public Integer call() throws Exception {
             try (JsonExport out = new JsonExport(new BufferedOutputStream(System.out))) {
                 long[] number = new long[1];
-                new CaptureReader(FolderDisk.reading(folder)).read(e -> {
-                    long n = number[0]++;
-                    if (n >= part.from && n - part.from < part.count) {
-                        out.accept(e);
-                    }
-                });
+                new CaptureReader(FolderDisk.reading(folder))
+                        .read(
+                                e -> {
+                                    long n = number[0]++;
+                                    if (n >= part.from && n - part.from < part.count) {
+                                        out.accept(e);
+                                    }
+                                });
             }
             return 0;
         }
     }
 
     /** Writes a part as a capture of its own. */
-    @Command(name = "cut", mixinStandardHelpOptions = true, description = "Writes a part of a capture as one of its own; "
-            + "it replays if it begins with a start of the router.")
+    @Command(
+            name = "cut",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Writes a part of a capture as one of its own; "
+                            + "it replays if it begins with a start of the router.")
     static final class Cut implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "CAPTURE")
         private Path folder;
 
-        @Parameters(index = "1", paramLabel = "FOLDER", description = "Where the part goes: a folder without a capture.")
+        @Parameters(
+                index = "1",
+                paramLabel = "FOLDER",
+                description = "Where the part goes: a folder without a capture.")
         private Path to;
 
-        @picocli.CommandLine.Mixin
-        private Part part;
+        @picocli.CommandLine.Mixin private Part part;
 
         @Override
         public Integer call() throws Exception {
@@ -121,7 +156,8 @@
             long boot = segments.isEmpty() ? 0 : segments.get(0).boot();
             long written;
             Files.createDirectories(to);
-            try (FolderDisk disk = FolderDisk.writing(to); CaptureCut cut = new CaptureCut(disk, boot, part.from, part.count)) {
+            try (FolderDisk disk = FolderDisk.writing(to);
+                    CaptureCut cut = new CaptureCut(disk, boot, part.from, part.count)) {
                 new CaptureReader(FolderDisk.reading(folder)).read(cut);
                 written = cut.written();
             }
@@ -131,38 +167,55 @@
     }
 
     /** Prints entries for people. */
-    @Command(name = "show", mixinStandardHelpOptions = true, description = "Prints entries: number, time, event, actions.")
+    @Command(
+            name = "show",
+            mixinStandardHelpOptions = true,
+            description = "Prints entries: number, time, event, actions.")
     static final class Show implements Callable<Integer> {
         @Parameters(paramLabel = "CAPTURE")
         private Path folder;
 
-        @picocli.CommandLine.Option(names = "--from", description = "Number of the first entry, 0 for the first of the folder.")
+        @picocli.CommandLine.Option(
+                names = "--from",
+                description = "Number of the first entry, 0 for the first of the folder.")
         private long from;
 
-        @picocli.CommandLine.Option(names = "--count", description = "Entries at most, ${DEFAULT-VALUE} if not given.")
+        @picocli.CommandLine.Option(
+                names = "--count",
+                description = "Entries at most, ${DEFAULT-VALUE} if not given.")
         private long count = 100;
 
         @Override
         public Integer call() throws Exception {
             long[] number = new long[1];
-            new CaptureReader(FolderDisk.reading(folder)).read(e -> {
-                long n = number[0]++;
-                if (n < from || n - from >= count) {
-                    return;
-                }
-                if (e instanceof Entry.Step s) {
-                    System.out.printf("%8d %14.3f ms  %s%n", n, s.nowNs() / 1e6, s.event());
-                    s.actions().forEach(a -> System.out.println(" ".repeat(28) + "-> " + a));
-                } else {
-                    System.out.printf("%8d %s%n", n, e);
-                }
-            });
+            new CaptureReader(FolderDisk.reading(folder))
+                    .read(
+                            e -> {
+                                long n = number[0]++;
+                                if (n < from || n - from >= count) {
+                                    return;
+                                }
+                                if (e instanceof Entry.Step s) {
+                                    System.out.printf(
+                                            "%8d %14.3f ms  %s%n", n, s.nowNs() / 1e6, s.event());
+                                    s.actions()
+                                            .forEach(
+                                                    a ->
+                                                            System.out.println(
+                                                                    " ".repeat(28) + "-> " + a));
+                                } else {
+                                    System.out.printf("%8d %s%n", n, e);
+                                }
+                            });
             return 0;
         }
     }
 
     /** Writes a report. */
-    @Command(name = "report", mixinStandardHelpOptions = true, description = "Writes a page of a capture: counts and plots.")
+    @Command(
+            name = "report",
+            mixinStandardHelpOptions = true,
+            description = "Writes a page of a capture: counts and plots.")
     static final class Report implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "CAPTURE")
         private Path folder;
--- a/cli/src/main/java/ashlink/cli/CheckCommand.java
+++ b/cli/src/main/java/ashlink/cli/CheckCommand.java
@@ -9,7 +9,9 @@
 import picocli.CommandLine.Parameters;
 
 /** Checks settings. */
-@Command(name = "check", mixinStandardHelpOptions = true,
+@Command(
+        name = "check",
+        mixinStandardHelpOptions = true,
         description = "Checks the settings of a router and tells all that is wrong with them.")
 final class CheckCommand implements Callable<Integer> {
 
@@ -22,8 +24,19 @@
         for (String warning : UnreachableRules.of(c)) {
             System.out.println(file + ": warning: " + warning);
         }
-        System.out.println(file + ": router " + c.name() + ", " + c.engines().size() + " engines, " + c.classes().size()
-                + " classes, " + c.rules().size() + " rules, " + c.users().size() + " users: accepted");
+        System.out.println(
+                file
+                        + ": router "
+                        + c.name()
+                        + ", "
+                        + c.engines().size()
+                        + " engines, "
+                        + c.classes().size()
+                        + " classes, "
+                        + c.rules().size()
+                        + " rules, "
+                        + c.users().size()
+                        + " users: accepted");
         return 0;
     }
 }
--- a/cli/src/main/java/ashlink/cli/DemoCommand.java
+++ b/cli/src/main/java/ashlink/cli/DemoCommand.java
@@ -18,16 +18,26 @@
 import picocli.CommandLine.Option;
 
 /** Three stand-ins in two halls and a router, in this process. */
-@Command(name = "demo", mixinStandardHelpOptions = true,
-        description = "Runs three stand-in engines in two halls and a router on loopback, shows a few queries, and stays.")
+@Command(
+        name = "demo",
+        mixinStandardHelpOptions = true,
+        description =
+                "Runs three stand-in engines in two halls and a router on loopback, shows a few"
+                        + " queries, and stays.")
 final class DemoCommand implements Callable<Integer> {
 
     private static final long S = 1_000_000_000L;
 
-    @Option(names = "--port", description = "Port of the router; 0 is any free one.", defaultValue = "0")
+    @Option(
+            names = "--port",
+            description = "Port of the router; 0 is any free one.",
+            defaultValue = "0")
     private int port;
 
-    @Option(names = "--http-port", description = "Port of the router's HTTP front; 0 is any free one.", defaultValue = "0")
+    @Option(
+            names = "--http-port",
+            description = "Port of the router's HTTP front; 0 is any free one.",
+            defaultValue = "0")
     private int httpPort;
 
     @Option(names = "--once", description = "End after the queries that are shown.")
@@ -36,14 +46,28 @@
     @Override
     public Integer call() throws Exception {
         List<StandInEngine> engines = Engines.demo();
-        Router router = new Router(BriefSettings.of("demo", "halle-1", 0, 1, 1, port, engines,
-                "(http (listen 127.0.0.1:" + httpPort + "))"));
+        Router router =
+                new Router(
+                        BriefSettings.of(
+                                "demo",
+                                "halle-1",
+                                0,
+                                1,
+                                1,
+                                port,
+                                engines,
+                                "(http (listen 127.0.0.1:" + httpPort + "))"));
         router.start();
         boolean good = show(router, engines);
-        System.out.println("The router listens on 127.0.0.1:" + router.address().getPort()
-                + " for any client of the native protocol; users: default, portal, billing (no password).");
-        System.out.println("Statements over HTTP: curl 'http://127.0.0.1:" + router.httpAddress().getPort()
-                + "/v1/statements?wait=10' -d 'SELECT 1'");
+        System.out.println(
+                "The router listens on 127.0.0.1:"
+                        + router.address().getPort()
+                        + " for any client of the native protocol; users: default, portal, billing"
+                        + " (no password).");
+        System.out.println(
+                "Statements over HTTP: curl 'http://127.0.0.1:"
+                        + router.httpAddress().getPort()
+                        + "/v1/statements?wait=10' -d 'SELECT 1'");
         if (!once) {
             System.out.println("Stop it with Ctrl-C.");
             new CountDownLatch(1).await();
@@ -56,18 +80,49 @@
         boolean good = true;
         try (NativeClient portal = NativeClient.connect(router.address(), "portal");
                 NativeClient billing = NativeClient.connect(router.address(), "billing")) {
-            good &= run(portal, "look-up", "SELECT /* sim work_ms=20 */ value FROM readings WHERE meter = 7");
-            good &= run(billing, "report", "SELECT /* sim work_ms=80 threads=4 rows=12 */ sum(value) FROM readings");
-            good &= run(portal, "load", "INSERT /* sim work_ms=60 threads=2 */ INTO readings SELECT * FROM inbox");
+            good &=
+                    run(
+                            portal,
+                            "look-up",
+                            "SELECT /* sim work_ms=20 */ value FROM readings WHERE meter = 7");
+            good &=
+                    run(
+                            billing,
+                            "report",
+                            "SELECT /* sim work_ms=80 threads=4 rows=12 */ sum(value) FROM"
+                                    + " readings");
+            good &=
+                    run(
+                            portal,
+                            "load",
+                            "INSERT /* sim work_ms=60 threads=2 */ INTO readings SELECT * FROM"
+                                    + " inbox");
         }
-        Answer a = new StatementClient(URI.create("http://127.0.0.1:" + router.httpAddress().getPort()), "portal", "").run(
-                "SELECT /* sim work_ms=20 rows=3 */ value FROM readings WHERE meter = 8", Map.of(), null, null, 10 * S, page -> { });
-        System.out.printf("%-8s %-9s %3d rows over HTTP   %s%n", "look-up", a.kind(), a.rows(), a.detail());
+        Answer a =
+                new StatementClient(
+                                URI.create("http://127.0.0.1:" + router.httpAddress().getPort()),
+                                "portal",
+                                "")
+                        .run(
+                                "SELECT /* sim work_ms=20 rows=3 */ value FROM readings WHERE meter"
+                                        + " = 8",
+                                Map.of(),
+                                null,
+                                null,
+                                10 * S,
+                                page -> {});
+        System.out.printf(
+                "%-8s %-9s %3d rows over HTTP   %s%n", "look-up", a.kind(), a.rows(), a.detail());
         good &= a.kind() == Answer.Kind.SERVED;
         for (StandInEngine e : engines) {
             for (Ledger.Entry entry : e.ledger().entries()) {
-                System.out.printf("  engine %s (%s, %s) ran %s: %s%n", e.config().name(), e.config().kind(),
-                        e.config().zone(), entry.queryId, entry.how());
+                System.out.printf(
+                        "  engine %s (%s, %s) ran %s: %s%n",
+                        e.config().name(),
+                        e.config().kind(),
+                        e.config().zone(),
+                        entry.queryId,
+                        entry.how());
             }
         }
         return good;
@@ -76,8 +131,9 @@
     private static boolean run(NativeClient client, String name, String statement) {
         long from = System.nanoTime();
         Reply r = client.query(name, statement, Map.of(), 10 * S);
-        System.out.printf("%-8s %-9s %3d rows in %5.1f ms   %s%n", name, r.kind(), r.rows(),
-                (r.endNs() - from) / 1e6, r.message());
+        System.out.printf(
+                "%-8s %-9s %3d rows in %5.1f ms   %s%n",
+                name, r.kind(), r.rows(), (r.endNs() - from) / 1e6, r.message());
         return r.kind() == Reply.Kind.SERVED;
     }
 }
--- a/cli/src/main/java/ashlink/cli/DrillCommand.java
+++ b/cli/src/main/java/ashlink/cli/DrillCommand.java
@@ -4,7 +4,9 @@
 import picocli.CommandLine.Command;
 
 /** The adapter of the simulator's wire. */
-@Command(name = "drill", mixinStandardHelpOptions = true,
+@Command(
+        name = "drill",
+        mixinStandardHelpOptions = true,
         description = "Plays the simulator's wire on standard input and output (the bench).")
 final class DrillCommand implements Callable<Integer> {
 
--- a/cli/src/main/java/ashlink/cli/EngineCommand.java
+++ b/cli/src/main/java/ashlink/cli/EngineCommand.java
@@ -10,8 +10,11 @@
 import picocli.CommandLine.Parameters;
 
 /** Runs stand-in engines until it is told to stop. */
-@Command(name = "engine", mixinStandardHelpOptions = true,
-        description = "Runs the stand-in engines of a file: for trials and tests, they hold no data.")
+@Command(
+        name = "engine",
+        mixinStandardHelpOptions = true,
+        description =
+                "Runs the stand-in engines of a file: for trials and tests, they hold no data.")
 final class EngineCommand implements Callable<Integer> {
 
     @Parameters(paramLabel = "CONFIG", description = "Settings of the engines.")
--- a/cli/src/main/java/ashlink/cli/FleetCommand.java
+++ b/cli/src/main/java/ashlink/cli/FleetCommand.java
@@ -31,10 +31,23 @@
 import picocli.CommandLine.Parameters;
 
 /** Handles the routers of a fleet together. */
-@Command(name = "fleet", mixinStandardHelpOptions = true, description = {"Handles the routers of a fleet together.",
-        "Status: 0 all did, 3 some did, 4 none did."},
-        subcommands = {FleetCommand.Status.class, FleetCommand.Drain.class, FleetCommand.Undrain.class, FleetCommand.Start.class,
-            FleetCommand.Stop.class, FleetCommand.Restart.class, FleetCommand.Logs.class, FleetCommand.Top.class})
+@Command(
+        name = "fleet",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Handles the routers of a fleet together.",
+            "Status: 0 all did, 3 some did, 4 none did."
+        },
+        subcommands = {
+            FleetCommand.Status.class,
+            FleetCommand.Drain.class,
+            FleetCommand.Undrain.class,
+            FleetCommand.Start.class,
+            FleetCommand.Stop.class,
+            FleetCommand.Restart.class,
+            FleetCommand.Logs.class,
+            FleetCommand.Top.class
+        })
 final class FleetCommand implements Callable<Integer> {
 
     private static final int SOME = 3;
@@ -42,27 +55,33 @@
     private static final long S = 1_000_000_000L;
     private static final long STOP_MS = 60_000;
 
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Override
     public Integer call() {
-        throw new CommandLine.ParameterException(spec.commandLine(),
+        throw new CommandLine.ParameterException(
+                spec.commandLine(),
                 "status, drain, undrain, start, stop, restart, logs or top is missing");
     }
 
     /** What all sub-commands take. */
     static final class Common {
-        @Option(names = "--inventory", description = "The fleet's routers, ${DEFAULT-VALUE} if not given.")
+        @Option(
+                names = "--inventory",
+                description = "The fleet's routers, ${DEFAULT-VALUE} if not given.")
         private Path inventory = Path.of("fleet.sexp");
 
         @Option(names = "--router", description = "Only these routers; may be repeated.")
         private List<String> only = List.of();
 
-        @Option(names = "--at-once", description = "Routers that are asked in parallel, ${DEFAULT-VALUE} if not given.")
+        @Option(
+                names = "--at-once",
+                description = "Routers that are asked in parallel, ${DEFAULT-VALUE} if not given.")
         private int atOnce = 32;
 
-        @Option(names = "--timeout", description = "Seconds for each router's answer, ${DEFAULT-VALUE} if not given.")
+        @Option(
+                names = "--timeout",
+                description = "Seconds for each router's answer, ${DEFAULT-VALUE} if not given.")
         private double timeout = 2;
 
         @Option(names = "--json", description = "JSON in place of a table.")
@@ -78,7 +97,13 @@
                 fleet = FleetConfig.read(inventory);
                 for (String r : only) {
                     if (!fleet.routers().containsKey(r)) {
-                        throw new IOException("router " + r + " is not in " + inventory + "; there are " + fleet.routers().keySet());
+                        throw new IOException(
+                                "router "
+                                        + r
+                                        + " is not in "
+                                        + inventory
+                                        + "; there are "
+                                        + fleet.routers().keySet());
                     }
                 }
             }
@@ -86,13 +111,19 @@
         }
 
         List<Member> routers() throws Exception {
-            return fleet().routers().values().stream().filter(m -> only.isEmpty() || only.contains(m.name())).toList();
+            return fleet().routers().values().stream()
+                    .filter(m -> only.isEmpty() || only.contains(m.name()))
+                    .toList();
         }
 
         FleetTool tool(List<Member> of) throws Exception {
             Map<String, InetSocketAddress> at = new LinkedHashMap<>();
             of.forEach(m -> at.put(m.name(), m.control()));
-            return new FleetTool(new Identity(fleet().keys(), fleet().operator()), at, atOnce, (int) (timeout * 1e3));
+            return new FleetTool(
+                    new Identity(fleet().keys(), fleet().operator()),
+                    at,
+                    atOnce,
+                    (int) (timeout * 1e3));
         }
 
         /** Prints a row a router, and gives the status of the command. */
@@ -102,20 +133,36 @@
             for (Result r : results.values()) {
                 boolean ok = good.test(r);
                 did += ok ? 1 : 0;
-                ObjectNode n = all.addObject().put("router", r.router()).put("hall", fleet().routers().get(r.router()).hall())
-                        .put("ok", ok);
+                ObjectNode n =
+                        all.addObject()
+                                .put("router", r.router())
+                                .put("hall", fleet().routers().get(r.router()).hall())
+                                .put("ok", ok);
                 if (!r.isReached()) {
                     n.put("error", r.error());
                 }
                 row.add(r, n);
             }
             if (json) {
-                System.out.println(new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(all));
+                System.out.println(
+                        new ObjectMapper()
+                                .writerWithDefaultPrettyPrinter()
+                                .writeValueAsString(all));
             } else {
                 for (JsonNode n : all) {
                     StringBuilder line = new StringBuilder();
-                    n.properties().forEach(f -> line.append(f.getKey().equals("router") || f.getKey().equals("hall")
-                            ? String.format("%-12s ", f.getValue().asText()) : f.getKey() + "=" + f.getValue().asText() + "  "));
+                    n.properties()
+                            .forEach(
+                                    f ->
+                                            line.append(
+                                                    f.getKey().equals("router")
+                                                                    || f.getKey().equals("hall")
+                                                            ? String.format(
+                                                                    "%-12s ", f.getValue().asText())
+                                                            : f.getKey()
+                                                                    + "="
+                                                                    + f.getValue().asText()
+                                                                    + "  "));
                     System.out.println(line);
                 }
             }
@@ -132,7 +179,8 @@
         if (!r.isReached()) {
             return;
         }
-        n.put("up", r.answer().path("upMs").asLong() / 1000 + "s").put("open", r.answer().path("openRequests").asInt())
+        n.put("up", r.answer().path("upMs").asLong() / 1000 + "s")
+                .put("open", r.answer().path("openRequests").asInt())
                 .put("queued", r.answer().path("queued").asInt());
         int gone = 0;
         for (JsonNode m : r.answer().path("members")) {
@@ -142,22 +190,34 @@
         List<String> wants = new ArrayList<>();
         for (Held h : Codec.notices(r.answer())) {
             if (h.leftMs() > 0 && h.notice().intent() != Intent.NONE) {
-                wants.add(h.notice().intent().name().toLowerCase() + " " + h.notice().subject() + " by " + h.notice().owner() + " for "
-                        + h.leftMs() / 1000 + "s");
+                wants.add(
+                        h.notice().intent().name().toLowerCase()
+                                + " "
+                                + h.notice().subject()
+                                + " by "
+                                + h.notice().owner()
+                                + " for "
+                                + h.leftMs() / 1000
+                                + "s");
             }
         }
-        n.put("notices", String.join(", ", wants)).put("durable", r.answer().path("durable").asBoolean());
-        long days = (r.answer().path("certificateEndsMs").asLong() - System.currentTimeMillis()) / 86_400_000L;
+        n.put("notices", String.join(", ", wants))
+                .put("durable", r.answer().path("durable").asBoolean());
+        long days =
+                (r.answer().path("certificateEndsMs").asLong() - System.currentTimeMillis())
+                        / 86_400_000L;
         if (days < 30) {
             n.put("certificate", "ends in " + days + " days");
         }
     }
 
     /** State of all. */
-    @Command(name = "status", mixinStandardHelpOptions = true, description = "Shows each router: work, members it misses, notices.")
+    @Command(
+            name = "status",
+            mixinStandardHelpOptions = true,
+            description = "Shows each router: work, members it misses, notices.")
     static final class Status implements Callable<Integer> {
-        @Mixin
-        private Common common;
+        @Mixin private Common common;
 
         @Override
         public Integer call() throws Exception {
@@ -168,10 +228,12 @@
     }
 
     /** State of all, again and again. */
-    @Command(name = "top", mixinStandardHelpOptions = true, description = "Shows the state of all routers each second.")
+    @Command(
+            name = "top",
+            mixinStandardHelpOptions = true,
+            description = "Shows the state of all routers each second.")
     static final class Top implements Callable<Integer> {
-        @Mixin
-        private Common common;
+        @Mixin private Common common;
 
         @Option(names = "--count", description = "How often; for ever if not given.")
         private int count = Integer.MAX_VALUE;
@@ -194,22 +256,29 @@
 
     /** What commands that issue a notice share. */
     private abstract static class Issue implements Callable<Integer> {
-        @Mixin
-        Common common;
+        @Mixin Common common;
 
         @Parameters(paramLabel = "SUBJECT", description = "Name of an engine, or router:NAME.")
         private String subject;
 
-        @Option(names = "--for", description = "Hours that it holds, ${DEFAULT-VALUE} if not given.")
+        @Option(
+                names = "--for",
+                description = "Hours that it holds, ${DEFAULT-VALUE} if not given.")
         private double hours = 24;
 
         @Option(names = "--why", description = "For people.")
         private String why = "";
 
-        @Option(names = "--wait", description = "Share of the routers that must know it before this ends, ${DEFAULT-VALUE} if not given.")
+        @Option(
+                names = "--wait",
+                description =
+                        "Share of the routers that must know it before this ends, ${DEFAULT-VALUE}"
+                                + " if not given.")
         private double share = 1;
 
-        @Option(names = "--wait-timeout", description = "Seconds to wait for that, ${DEFAULT-VALUE} if not given.")
+        @Option(
+                names = "--wait-timeout",
+                description = "Seconds to wait for that, ${DEFAULT-VALUE} if not given.")
         private double waitTimeout = 10;
 
         String subject() {
@@ -228,8 +297,13 @@
                 for (String owner : owners(known, common.fleet().operator())) {
                     notices.add(t.next(subject(), owner, intent(), why, known));
                 }
-                System.err.printf("%s %s: %d notices to %d routers, %d of them reached now%n", intent().name().toLowerCase(), subject(),
-                        notices.size(), known.size(), known.values().stream().filter(Result::isReached).count());
+                System.err.printf(
+                        "%s %s: %d notices to %d routers, %d of them reached now%n",
+                        intent().name().toLowerCase(),
+                        subject(),
+                        notices.size(),
+                        known.size(),
+                        known.values().stream().filter(Result::isReached).count());
                 if (common.dryRun || notices.isEmpty()) {
                     return 0;
                 }
@@ -237,20 +311,27 @@
                 for (Notice n : notices) {
                     told.putAll(t.put(n, (long) (hours * 3_600_000)));
                 }
-                Predicate<Result> knows = r -> notices.stream().allMatch(n -> FleetTool.knows(r, n));
+                Predicate<Result> knows =
+                        r -> notices.stream().allMatch(n -> FleetTool.knows(r, n));
                 Map<String, Result> now = t.await(share, (long) (waitTimeout * S), knows);
-                int status = common.show(now, knows, (r, n) -> {
-                    Result t1 = told.get(r.router());
-                    n.put("told", t1.isReached()).put("knows", knows.test(r));
-                    if (t1.isReached()) {
-                        n.put("toldAtMs", t1.atMs());
-                    }
-                    if (r.isReached() && !r.answer().path("durable").asBoolean()) {
-                        n.put("durable", false);
-                    }
-                });
+                int status =
+                        common.show(
+                                now,
+                                knows,
+                                (r, n) -> {
+                                    Result t1 = told.get(r.router());
+                                    n.put("told", t1.isReached()).put("knows", knows.test(r));
+                                    if (t1.isReached()) {
+                                        n.put("toldAtMs", t1.atMs());
+                                    }
+                                    if (r.isReached() && !r.answer().path("durable").asBoolean()) {
+                                        n.put("durable", false);
+                                    }
+                                });
                 if (status != 0 && now.values().stream().anyMatch(knows)) {
-                    System.err.println("those that know it tell the others when they reach them: each compares with one a second");
+                    System.err.println(
+                            "those that know it tell the others when they reach them: each compares"
+                                    + " with one a second");
                 }
                 return status;
             }
@@ -258,8 +339,12 @@
     }
 
     /** Drains. */
-    @Command(name = "drain", mixinStandardHelpOptions = true,
-            description = "Tells all routers that an engine gets no fresh work (or that router:NAME takes none).")
+    @Command(
+            name = "drain",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Tells all routers that an engine gets no fresh work (or that router:NAME takes"
+                            + " none).")
     static final class Drain extends Issue {
         @Override
         List<String> owners(Map<String, Result> known, String operator) {
@@ -273,7 +358,10 @@
     }
 
     /** Withdraws drains. */
-    @Command(name = "undrain", mixinStandardHelpOptions = true, description = "Withdraws the operator's own drain.")
+    @Command(
+            name = "undrain",
+            mixinStandardHelpOptions = true,
+            description = "Withdraws the operator's own drain.")
     static final class Undrain extends Issue {
         @Option(names = "--all-owners", description = "Withdraw the drains of others too.")
         private boolean all;
@@ -282,8 +370,10 @@
         List<String> owners(Map<String, Result> known, String operator) throws IOException {
             List<String> owners = FleetTool.owners(subject(), known);
             if (!all && owners.stream().anyMatch(o -> !o.equals(operator))) {
-                System.err.println("it stays drained by " + owners.stream().filter(o -> !o.equals(operator)).toList()
-                        + "; --all-owners overrules them");
+                System.err.println(
+                        "it stays drained by "
+                                + owners.stream().filter(o -> !o.equals(operator)).toList()
+                                + "; --all-owners overrules them");
             }
             return all ? owners : List.of(operator);
         }
@@ -297,20 +387,28 @@
     // ---- Processes
     private static void launch(Member m) throws IOException {
         Files.createDirectories(m.log().getParent());
-        new ProcessBuilder(SuperviseCommand.ownCommand("--log", "json", "supervise", m.config().toString()))
+        new ProcessBuilder(
+                        SuperviseCommand.ownCommand(
+                                "--log", "json", "supervise", m.config().toString()))
                 .redirectInput(ProcessBuilder.Redirect.from(new java.io.File("/dev/null")))
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(m.log().toFile()))
-                .redirectError(ProcessBuilder.Redirect.appendTo(m.log().toFile())).start();
+                .redirectError(ProcessBuilder.Redirect.appendTo(m.log().toFile()))
+                .start();
     }
 
     /** Starts routers on this machine. */
-    @Command(name = "start", mixinStandardHelpOptions = true,
-            description = "Starts routers on this machine under supervision, and waits until they are ready.")
+    @Command(
+            name = "start",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Starts routers on this machine under supervision, and waits until they are"
+                            + " ready.")
     static final class Start implements Callable<Integer> {
-        @Mixin
-        private Common common;
+        @Mixin private Common common;
 
-        @Option(names = "--wait-timeout", description = "Seconds to wait, ${DEFAULT-VALUE} if not given.")
+        @Option(
+                names = "--wait-timeout",
+                description = "Seconds to wait, ${DEFAULT-VALUE} if not given.")
         private double waitTimeout = 30;
 
         @Override
@@ -319,13 +417,18 @@
                 Map<String, Result> before = t.status();
                 for (Member m : common.routers()) {
                     boolean up = before.get(m.name()).isReached();
-                    System.err.println(m.name() + (up ? " runs already" : " is started with " + m.config()));
+                    System.err.println(
+                            m.name() + (up ? " runs already" : " is started with " + m.config()));
                     if (!up && !common.dryRun) {
                         launch(m);
                     }
                 }
-                return common.dryRun ? 0 : common.show(t.await(1, (long) (waitTimeout * S), Result::isReached), Result::isReached,
-                        FleetCommand::rowOfState);
+                return common.dryRun
+                        ? 0
+                        : common.show(
+                                t.await(1, (long) (waitTimeout * S), Result::isReached),
+                                Result::isReached,
+                                FleetCommand::rowOfState);
             }
         }
     }
@@ -337,18 +440,29 @@
             if (!known.get(m.name()).isReached()) {
                 return true;
             }
-            t.put(t.next(Notice.router(m.name()), common.fleet().operator(), Intent.STOP, "stop", known), STOP_MS);
+            t.put(
+                    t.next(
+                            Notice.router(m.name()),
+                            common.fleet().operator(),
+                            Intent.STOP,
+                            "stop",
+                            known),
+                    STOP_MS);
             return !t.await(1, timeoutNs, r -> !r.isReached()).get(m.name()).isReached();
         }
     }
 
     /** Stops routers. */
-    @Command(name = "stop", mixinStandardHelpOptions = true, description = "Stops routers: each finishes its work within its limit.")
+    @Command(
+            name = "stop",
+            mixinStandardHelpOptions = true,
+            description = "Stops routers: each finishes its work within its limit.")
     static final class Stop implements Callable<Integer> {
-        @Mixin
-        private Common common;
+        @Mixin private Common common;
 
-        @Option(names = "--wait-timeout", description = "Seconds to wait for each, ${DEFAULT-VALUE} if not given.")
+        @Option(
+                names = "--wait-timeout",
+                description = "Seconds to wait for each, ${DEFAULT-VALUE} if not given.")
         private double waitTimeout = 30;
 
         @Override
@@ -357,34 +471,55 @@
             for (Member m : common.routers()) {
                 boolean down = common.dryRun || stop(common, m, (long) (waitTimeout * S));
                 did += down ? 1 : 0;
-                System.out.println(m.name() + (common.dryRun ? " would be stopped" : down ? " is down" : " did not stop in time"));
+                System.out.println(
+                        m.name()
+                                + (common.dryRun
+                                        ? " would be stopped"
+                                        : down ? " is down" : " did not stop in time"));
             }
             return did == common.routers().size() ? 0 : did > 0 ? SOME : NONE;
         }
     }
 
     /** Rolls. */
-    @Command(name = "restart", mixinStandardHelpOptions = true, description = "Restarts routers one after the other, hall by hall; "
-            + "stops where one does not come back, or where fewer routers than the wanted share are up.")
+    @Command(
+            name = "restart",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Restarts routers one after the other, hall by hall; stops where one does not"
+                            + " come back, or where fewer routers than the wanted share are up.")
     static final class Restart implements Callable<Integer> {
-        @Mixin
-        private Common common;
+        @Mixin private Common common;
 
-        @Option(names = "--up", description = "Share of all routers that must be up before the next, ${DEFAULT-VALUE} if not given.")
+        @Option(
+                names = "--up",
+                description =
+                        "Share of all routers that must be up before the next, ${DEFAULT-VALUE} if"
+                                + " not given.")
         private double up = 0.9;
 
-        @Option(names = "--wait-timeout", description = "Seconds for each to stop and to be ready, ${DEFAULT-VALUE} if not given.")
+        @Option(
+                names = "--wait-timeout",
+                description =
+                        "Seconds for each to stop and to be ready, ${DEFAULT-VALUE} if not given.")
         private double waitTimeout = 30;
 
         @Override
         public Integer call() throws Exception {
             List<Member> plan = new ArrayList<>(common.routers());
             plan.sort(java.util.Comparator.comparing(Member::hall).thenComparing(Member::name));
-            System.err.println("in this order: " + plan.stream().map(m -> m.name() + " (" + m.hall() + ")").toList());
+            System.err.println(
+                    "in this order: "
+                            + plan.stream().map(m -> m.name() + " (" + m.hall() + ")").toList());
             int did = 0;
             for (Member m : common.dryRun ? List.<Member>of() : plan) {
                 if (!enough()) {
-                    System.err.println("stopped before " + m.name() + ": fewer than " + up + " of all routers are up");
+                    System.err.println(
+                            "stopped before "
+                                    + m.name()
+                                    + ": fewer than "
+                                    + up
+                                    + " of all routers are up");
                     break;
                 }
                 boolean down = stop(common, m, (long) (waitTimeout * S));
@@ -394,8 +529,11 @@
                 }
                 launch(m);
                 try (FleetTool t = common.tool(List.of(m))) {
-                    if (!t.await(1, (long) (waitTimeout * S), Result::isReached).get(m.name()).isReached()) {
-                        System.err.println(m.name() + " did not come back in time; the roll ends here");
+                    if (!t.await(1, (long) (waitTimeout * S), Result::isReached)
+                            .get(m.name())
+                            .isReached()) {
+                        System.err.println(
+                                m.name() + " did not come back in time; the roll ends here");
                         break;
                     }
                 }
@@ -408,16 +546,19 @@
         private boolean enough() throws Exception {
             List<Member> all = List.copyOf(common.fleet().routers().values());
             try (FleetTool t = common.tool(all)) {
-                return t.status().values().stream().filter(Result::isReached).count() >= Math.floor(up * all.size());
+                return t.status().values().stream().filter(Result::isReached).count()
+                        >= Math.floor(up * all.size());
             }
         }
     }
 
     /** Shows logs. */
-    @Command(name = "logs", mixinStandardHelpOptions = true, description = "Prints the ends of the logs of routers on this machine.")
+    @Command(
+            name = "logs",
+            mixinStandardHelpOptions = true,
+            description = "Prints the ends of the logs of routers on this machine.")
     static final class Logs implements Callable<Integer> {
-        @Mixin
-        private Common common;
+        @Mixin private Common common;
 
         @Option(names = "--lines", description = "Lines of each, ${DEFAULT-VALUE} if not given.")
         private int lines = 20;
@@ -428,7 +569,8 @@
                 System.out.println("==> " + m.name() + " <==");
                 if (Files.exists(m.log())) {
                     List<String> all = tail(m.log());
-                    all.subList(Math.max(0, all.size() - lines), all.size()).forEach(System.out::println);
+                    all.subList(Math.max(0, all.size() - lines), all.size())
+                            .forEach(System.out::println);
                 }
             }
             return 0;
--- a/cli/src/main/java/ashlink/cli/KeysCommand.java
+++ b/cli/src/main/java/ashlink/cli/KeysCommand.java
@@ -20,23 +20,35 @@
 import picocli.CommandLine.Parameters;
 
 /** Keys of a fleet. */
-@Command(name = "keys", mixinStandardHelpOptions = true, description = "Makes and shows the keys of a fleet's control channel.",
-        subcommands = {KeysCommand.Renew.class, KeysCommand.Retire.class, KeysCommand.Issue.class, KeysCommand.Show.class})
+@Command(
+        name = "keys",
+        mixinStandardHelpOptions = true,
+        description = "Makes and shows the keys of a fleet's control channel.",
+        subcommands = {
+            KeysCommand.Renew.class,
+            KeysCommand.Retire.class,
+            KeysCommand.Issue.class,
+            KeysCommand.Show.class
+        })
 final class KeysCommand implements Callable<Integer> {
 
     private static final int SOON_DAYS = 30;
 
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Override
     public Integer call() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "authority, retire, issue or show is missing");
+        throw new CommandLine.ParameterException(
+                spec.commandLine(), "authority, retire, issue or show is missing");
     }
 
     /** Makes an authority. */
-    @Command(name = "authority", mixinStandardHelpOptions = true,
-            description = "Makes an authority; those before stay trusted until 'keys retire', so that certificates can be changed over.")
+    @Command(
+            name = "authority",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Makes an authority; those before stay trusted until 'keys retire', so that"
+                            + " certificates can be changed over.")
     static final class Renew implements Callable<Integer> {
         @Parameters(paramLabel = "DIR")
         private Path dir;
@@ -52,7 +64,10 @@
     }
 
     /** Ends a change-over. */
-    @Command(name = "retire", mixinStandardHelpOptions = true, description = "Trusts only the newest authority from here on.")
+    @Command(
+            name = "retire",
+            mixinStandardHelpOptions = true,
+            description = "Trusts only the newest authority from here on.")
     static final class Retire implements Callable<Integer> {
         @Parameters(paramLabel = "DIR")
         private Path dir;
@@ -65,7 +80,10 @@
     }
 
     /** Issues certificates. */
-    @Command(name = "issue", mixinStandardHelpOptions = true, description = "Makes a key and certificate for each name.")
+    @Command(
+            name = "issue",
+            mixinStandardHelpOptions = true,
+            description = "Makes a key and certificate for each name.")
     static final class Issue implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "DIR")
         private Path dir;
@@ -73,10 +91,15 @@
         @Parameters(index = "1..*", arity = "1..*", paramLabel = "NAME")
         private List<String> names;
 
-        @Option(names = "--role", required = true, description = "router, or for operators observe, drain, stop; may be repeated.")
+        @Option(
+                names = "--role",
+                required = true,
+                description = "router, or for operators observe, drain, stop; may be repeated.")
         private List<Role> roles;
 
-        @Option(names = "--days", description = "How long they last, ${DEFAULT-VALUE} if not given.")
+        @Option(
+                names = "--days",
+                description = "How long they last, ${DEFAULT-VALUE} if not given.")
         private int days = 365;
 
         @Override
@@ -93,8 +116,13 @@
     }
 
     /** Shows certificates. */
-    @Command(name = "show", mixinStandardHelpOptions = true,
-            description = "Shows names, roles and ends of all certificates; 1 if one ends within " + SOON_DAYS + " days.")
+    @Command(
+            name = "show",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Shows names, roles and ends of all certificates; 1 if one ends within "
+                            + SOON_DAYS
+                            + " days.")
     static final class Show implements Callable<Integer> {
         @Parameters(paramLabel = "DIR")
         private Path dir;
@@ -107,11 +135,20 @@
                 files = all.filter(f -> f.toString().endsWith(".crt")).sorted().toList();
             }
             for (Path f : files) {
-                for (X509Certificate c : f.endsWith("ca.crt") ? Pem.certificates(f) : Pem.certificates(f).subList(0, 1)) {
-                    long days = Duration.between(Instant.now(), c.getNotAfter().toInstant()).toDays();
+                for (X509Certificate c :
+                        f.endsWith("ca.crt")
+                                ? Pem.certificates(f)
+                                : Pem.certificates(f).subList(0, 1)) {
+                    long days =
+                            Duration.between(Instant.now(), c.getNotAfter().toInstant()).toDays();
                     soon |= days < SOON_DAYS;
-                    System.out.printf("%-24s %-28s ends %tF, in %d days%s%n", Identity.name(c), Identity.roles(c).stream()
-                            .map(Role::word).toList(), c.getNotAfter(), days, days < SOON_DAYS ? "  RENEW" : "");
+                    System.out.printf(
+                            "%-24s %-28s ends %tF, in %d days%s%n",
+                            Identity.name(c),
+                            Identity.roles(c).stream().map(Role::word).toList(),
+                            c.getNotAfter(),
+                            days,
+                            days < SOON_DAYS ? "  RENEW" : "");
                 }
             }
             return soon ? 1 : 0;
--- a/cli/src/main/java/ashlink/cli/Logs.java
+++ b/cli/src/main/java/ashlink/cli/Logs.java
@@ -15,7 +15,7 @@
 
     private static final String PLAIN = "%d{HH:mm:ss.SSS} %-5level %logger{0} - %msg %kvp%n";
 
-    private Logs() { }
+    private Logs() {}
 
     static void configure(Main.LogForm form, String level) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
--- a/cli/src/main/java/ashlink/cli/Main.java
+++ b/cli/src/main/java/ashlink/cli/Main.java
@@ -5,25 +5,52 @@
 import picocli.CommandLine.Option;
 
 /** {@code ashlink}: sub-commands and what all of them share. */
-@Command(name = "ashlink", mixinStandardHelpOptions = true, version = "ashlink 0.2.0",
-        description = "Admits queries and routes them to analytic engines.", exitCodeOnInvalidInput = 2,
-        exitCodeOnExecutionException = 1, synopsisSubcommandLabel = "COMMAND",
-        subcommands = {RouteCommand.class, EngineCommand.class, DemoCommand.class, BadDayCommand.class,
-            CheckCommand.class, ExplainCommand.class, ReplayCommand.class, WhyCommand.class,
-            CaptureCommand.class, QueryCommand.class, FleetCommand.class, KeysCommand.class, SuperviseCommand.class, BenchCommand.class, HashPasswordCommand.class, DrillCommand.class})
+@Command(
+        name = "ashlink",
+        mixinStandardHelpOptions = true,
+        version = "ashlink 0.2.0",
+        description = "Admits queries and routes them to analytic engines.",
+        exitCodeOnInvalidInput = 2,
+        exitCodeOnExecutionException = 1,
+        synopsisSubcommandLabel = "COMMAND",
+        subcommands = {
+            RouteCommand.class,
+            EngineCommand.class,
+            DemoCommand.class,
+            BadDayCommand.class,
+            CheckCommand.class,
+            ExplainCommand.class,
+            ReplayCommand.class,
+            WhyCommand.class,
+            CaptureCommand.class,
+            QueryCommand.class,
+            FleetCommand.class,
+            KeysCommand.class,
+            SuperviseCommand.class,
+            BenchCommand.class,
+            HashPasswordCommand.class,
+            DrillCommand.class
+        })
 public final class Main implements Runnable {
 
     /** Forms of the log. */
-    enum LogForm { PLAIN, JSON }
+    enum LogForm {
+        PLAIN,
+        JSON
+    }
 
-    @CommandLine.Spec
-    private CommandLine.Model.CommandSpec spec;
+    @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
-    @Option(names = "--log", description = "Form of the log on standard error: ${COMPLETION-CANDIDATES}.",
-            defaultValue = "PLAIN", scope = CommandLine.ScopeType.INHERIT)
+    @Option(
+            names = "--log",
+            description = "Form of the log on standard error: ${COMPLETION-CANDIDATES}.",
+            defaultValue = "PLAIN",
+            scope = CommandLine.ScopeType.INHERIT)
     private LogForm log;
 
-    @Option(names = "--log-level", description = "ERROR, WARN, INFO or DEBUG; INFO where a daemon runs, else WARN.",
+    @Option(
+            names = "--log-level",
+            description = "ERROR, WARN, INFO or DEBUG; INFO where a daemon runs, else WARN.",
             scope = CommandLine.ScopeType.INHERIT)
     private String level;
 
@@ -32,23 +59,32 @@
         Main main = new Main();
         CommandLine line = new CommandLine(main);
         line.setCaseInsensitiveEnumValuesAllowed(true);
-        line.setExecutionStrategy(parsed -> {
-            String name = parsed.subcommand() == null ? "" : parsed.subcommand().commandSpec().name();
-            boolean daemon = name.equals("route") || name.equals("engine") || name.equals("supervise");
-            Logs.configure(main.log, main.level != null ? main.level : daemon ? "INFO" : "WARN");
-            return new CommandLine.RunLast().execute(parsed);
-        });
-        line.setExecutionExceptionHandler((e, commandLine, parsed) -> {
-            if (e instanceof ashlink.config.ConfigException) {
-                commandLine.getErr().println(e.getMessage());
-                return 2;
-            }
-            commandLine.getErr().println("ashlink: " + e);
-            if ("DEBUG".equalsIgnoreCase(main.level)) {
-                e.printStackTrace(commandLine.getErr());
-            }
-            return 1;
-        });
+        line.setExecutionStrategy(
+                parsed -> {
+                    String name =
+                            parsed.subcommand() == null
+                                    ? ""
+                                    : parsed.subcommand().commandSpec().name();
+                    boolean daemon =
+                            name.equals("route")
+                                    || name.equals("engine")
+                                    || name.equals("supervise");
+                    Logs.configure(
+                            main.log, main.level != null ? main.level : daemon ? "INFO" : "WARN");
+                    return new CommandLine.RunLast().execute(parsed);
+                });
+        line.setExecutionExceptionHandler(
+                (e, commandLine, parsed) -> {
+                    if (e instanceof ashlink.config.ConfigException) {
+                        commandLine.getErr().println(e.getMessage());
+                        return 2;
+                    }
+                    commandLine.getErr().println("ashlink: " + e);
+                    if ("DEBUG".equalsIgnoreCase(main.level)) {
+                        e.printStackTrace(commandLine.getErr());
+                    }
+                    return 1;
+                });
         System.exit(line.execute(args));
     }
 
--- a/cli/src/main/java/ashlink/cli/QueryCommand.java
+++ b/cli/src/main/java/ashlink/cli/QueryCommand.java
@@ -15,34 +15,52 @@
 import picocli.CommandLine.Parameters;
 
 /** Runs a statement by the statement API and prints its rows. */
-@Command(name = "query", mixinStandardHelpOptions = true, description = {"Posts a statement to a router and prints its rows, "
-        + "tab-separated, with progress on a terminal.",
-        "Status: 0 served, 1 the engine's error, 3 refused (not run, trying again is harmless), 4 may have run."})
+@Command(
+        name = "query",
+        mixinStandardHelpOptions = true,
+        description = {
+            "Posts a statement to a router and prints its rows, "
+                    + "tab-separated, with progress on a terminal.",
+            "Status: 0 served, 1 the engine's error, 3 refused (not run, trying again is harmless),"
+                    + " 4 may have run."
+        })
 final class QueryCommand implements Callable<Integer> {
 
     private static final int REFUSED = 3;
     private static final int MAYBE = 4;
     private static final long SHOW_NS = 200_000_000L;
 
-    @Option(names = "--server", description = "Address of the router's HTTP front, ${DEFAULT-VALUE} if not given.")
+    @Option(
+            names = "--server",
+            description = "Address of the router's HTTP front, ${DEFAULT-VALUE} if not given.")
     private URI server = URI.create("http://127.0.0.1:8123");
 
     @Option(names = "--user", description = "User, default if not given.")
     private String user = "default";
 
-    @Option(names = "--password", description = "Password; asked for where no value is given.", interactive = true, arity = "0..1")
+    @Option(
+            names = "--password",
+            description = "Password; asked for where no value is given.",
+            interactive = true,
+            arity = "0..1")
     private char[] password = new char[0];
 
-    @Option(names = "--setting", description = "A setting of the statement, NAME=VALUE; may be repeated.")
+    @Option(
+            names = "--setting",
+            description = "A setting of the statement, NAME=VALUE; may be repeated.")
     private Map<String, String> settings = new LinkedHashMap<>();
 
     @Option(names = "--rows", description = "Rows of a load, as a JSON array of arrays.")
     private String rows;
 
-    @Option(names = "--key", description = "A key under which the statement runs once, however often it is sent.")
+    @Option(
+            names = "--key",
+            description = "A key under which the statement runs once, however often it is sent.")
     private String key;
 
-    @Option(names = "--timeout", description = "Seconds until this client gives up, ${DEFAULT-VALUE} if not given.")
+    @Option(
+            names = "--timeout",
+            description = "Seconds until this client gives up, ${DEFAULT-VALUE} if not given.")
     private double timeout = 300;
 
     @Parameters(paramLabel = "STATEMENT")
@@ -58,10 +76,17 @@
         Thread hook = new Thread(() -> cancel(client, id.get()));
         Runtime.getRuntime().addShutdownHook(hook);
         JsonNode data = rows == null ? null : new ObjectMapper().readTree(rows);
-        Answer a = client.run(statement, settings, data, key, (long) (timeout * 1e9), n -> {
-            id.set(n.path("id").asText(null));
-            show(n);
-        });
+        Answer a =
+                client.run(
+                        statement,
+                        settings,
+                        data,
+                        key,
+                        (long) (timeout * 1e9),
+                        n -> {
+                            id.set(n.path("id").asText(null));
+                            show(n);
+                        });
         Runtime.getRuntime().removeShutdownHook(hook);
         if (terminal != null) {
             terminal.print("\r\033[K");
@@ -69,12 +94,21 @@
         if (a.kind() == Answer.Kind.SERVED) {
             return 0;
         }
-        System.err.println(a.kind() == Answer.Kind.PROBLEM ? a.problem() + ": " + a.detail()
-                + (a.retryAfterMs() > 0 ? "; come back in " + a.retryAfterMs() + " ms" : "") : a.kind() + " " + a.detail());
+        System.err.println(
+                a.kind() == Answer.Kind.PROBLEM
+                        ? a.problem()
+                                + ": "
+                                + a.detail()
+                                + (a.retryAfterMs() > 0
+                                        ? "; come back in " + a.retryAfterMs() + " ms"
+                                        : "")
+                        : a.kind() + " " + a.detail());
         if (a.kind() == Answer.Kind.TIMED_OUT) {
             cancel(client, id.get());
         }
-        return a.isRefused() || a.kind() == Answer.Kind.NOT_SENT ? REFUSED : a.problem().equals("statement-error") ? 1 : MAYBE;
+        return a.isRefused() || a.kind() == Answer.Kind.NOT_SENT
+                ? REFUSED
+                : a.problem().equals("statement-error") ? 1 : MAYBE;
     }
 
     /** Interrupted: nobody will ask for the answer. */
@@ -95,14 +129,18 @@
             }
             StringBuilder line = new StringBuilder();
             for (JsonNode v : row) {
-                line.append(line.length() > 0 ? "\t" : "").append(v.isNull() ? "\\N" : v.isTextual() ? v.textValue() : v.toString());
+                line.append(line.length() > 0 ? "\t" : "")
+                        .append(v.isNull() ? "\\N" : v.isTextual() ? v.textValue() : v.toString());
             }
             System.out.println(line);
         }
         long now = System.nanoTime();
         if (terminal != null && n.has("progress") && now - shownNs > SHOW_NS) {
             shownNs = now;
-            terminal.printf("\r\033[K%s, %.1f s, %d rows read", n.path("state").asText(), n.path("elapsedMs").asLong() / 1e3,
+            terminal.printf(
+                    "\r\033[K%s, %.1f s, %d rows read",
+                    n.path("state").asText(),
+                    n.path("elapsedMs").asLong() / 1e3,
                     n.path("progress").path("rows").asLong());
         }
     }
--- a/cli/src/main/java/ashlink/cli/ReplayCommand.java
+++ b/cli/src/main/java/ashlink/cli/ReplayCommand.java
@@ -19,7 +19,9 @@
 import picocli.CommandLine.Parameters;
 
 /** Decides captures again. */
-@Command(name = "replay", mixinStandardHelpOptions = true,
+@Command(
+        name = "replay",
+        mixinStandardHelpOptions = true,
         description = "Decides captures again by a fresh module and says whether it does the same.")
 final class ReplayCommand implements Callable<Integer> {
 
@@ -28,13 +30,17 @@
     @Parameters(paramLabel = "CAPTURE", arity = "1..*", description = "Folders of captures.")
     private List<Path> folders;
 
-    @Option(names = "--baseline", description = "Decide by a baseline instead: ${COMPLETION-CANDIDATES}.")
+    @Option(
+            names = "--baseline",
+            description = "Decide by a baseline instead: ${COMPLETION-CANDIDATES}.")
     private Baseline.Policy baseline;
 
     @Option(names = "--with", description = "Jar of another build, whose module decides instead.")
     private Path jar;
 
-    @Option(names = "--module", defaultValue = "ashlink.Rules",
+    @Option(
+            names = "--module",
+            defaultValue = "ashlink.Rules",
             description = "Class of the module in that jar, made from Settings: ${DEFAULT-VALUE}.")
     private String moduleClass;
 
@@ -71,22 +77,34 @@
     public Integer call() throws Exception {
         boolean same = true;
         Class<? extends Gateway> type = module();
-        Function<Settings, Gateway> module = s -> {
-            try {
-                return baseline != null && jar == null ? new Baseline(baseline, s)
-                        : type.getConstructor(Settings.class).newInstance(s);
-            } catch (ReflectiveOperationException e) {
-                throw new IllegalStateException("class " + moduleClass + " is no module that is made from settings", e);
-            }
-        };
+        Function<Settings, Gateway> module =
+                s -> {
+                    try {
+                        return baseline != null && jar == null
+                                ? new Baseline(baseline, s)
+                                : type.getConstructor(Settings.class).newInstance(s);
+                    } catch (ReflectiveOperationException e) {
+                        throw new IllegalStateException(
+                                "class " + moduleClass + " is no module that is made from settings",
+                                e);
+                    }
+                };
         String hash = ModuleHash.of(type);
         for (Path folder : folders) {
             Replay replay = new Replay(module, hash);
             long from = System.nanoTime();
-            List<CaptureReader.Found> found = new CaptureReader(FolderDisk.reading(folder)).read(replay);
+            List<CaptureReader.Found> found =
+                    new CaptureReader(FolderDisk.reading(folder)).read(replay);
             double took = (System.nanoTime() - from) / S;
-            System.out.printf("%s: %d starts, %d steps decided again in %.2f s (%.0f times real time), %d after gaps passed over%n",
-                    folder, replay.starts(), replay.decided(), took, replay.spanNs() / S / took, replay.passedOver());
+            System.out.printf(
+                    "%s: %d starts, %d steps decided again in %.2f s (%.0f times real time), %d"
+                            + " after gaps passed over%n",
+                    folder,
+                    replay.starts(),
+                    replay.decided(),
+                    took,
+                    replay.spanNs() / S / took,
+                    replay.passedOver());
             for (CaptureReader.Found f : found) {
                 if (f.state() != ashlink.capture.log.Segment.State.WHOLE) {
                     System.out.printf("  segment %s is %s: %s%n", f.name(), f.state(), f.why());
@@ -98,11 +116,18 @@
             if (replay.differing() == 0) {
                 System.out.println("  identical");
             } else {
-                System.out.printf("  %d steps differ; outcomes are those recorded, so all after the first is open loop%n",
+                System.out.printf(
+                        "  %d steps differ; outcomes are those recorded, so all after the first is"
+                                + " open loop%n",
                         replay.differing());
                 for (Replay.Divergence d : replay.divergences()) {
-                    System.out.printf("  entry %d at %.3f s: %s%n    recorded %s%n    replayed %s%n", d.entry(),
-                            d.recorded().nowNs() / S, d.recorded().event(), d.recorded().actions(), d.replayed());
+                    System.out.printf(
+                            "  entry %d at %.3f s: %s%n    recorded %s%n    replayed %s%n",
+                            d.entry(),
+                            d.recorded().nowNs() / S,
+                            d.recorded().event(),
+                            d.recorded().actions(),
+                            d.replayed());
                 }
                 same = false;
             }
--- a/cli/src/main/java/ashlink/cli/RouteCommand.java
+++ b/cli/src/main/java/ashlink/cli/RouteCommand.java
@@ -22,7 +22,9 @@
 import picocli.CommandLine.Parameters;
 
 /** Runs a router. */
-@Command(name = "route", mixinStandardHelpOptions = true,
+@Command(
+        name = "route",
+        mixinStandardHelpOptions = true,
         description = "Runs a router until SIGTERM or SIGINT; SIGHUP reads its settings again.")
 final class RouteCommand implements Callable<Integer> {
 
@@ -38,20 +40,28 @@
         RouterConfig config = RouterConfigReader.read(file);
         FileLock lock = config.stateDir() == null ? null : lock(config.stateDir());
         Router router = new Router(config);
-        Node node = RouterNode.of(config, router, told::countDown); // what it knows of drains holds before the first query
+        Node node =
+                RouterNode.of(
+                        config,
+                        router,
+                        told::countDown); // what it knows of drains holds before the first query
         CountDownLatch ended = new CountDownLatch(1);
         router.start();
         if (node != null) {
             node.start();
         }
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            told.countDown();
-            try {
-                ended.await();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        }, "stop"));
+        Runtime.getRuntime()
+                .addShutdownHook(
+                        new Thread(
+                                () -> {
+                                    told.countDown();
+                                    try {
+                                        ended.await();
+                                    } catch (InterruptedException e) {
+                                        Thread.currentThread().interrupt();
+                                    }
+                                },
+                                "stop"));
         Signals.handle("HUP", () -> reload(router));
         System.out.println("listening on " + router.address());
         if (router.httpAddress() != null) {
@@ -75,17 +85,26 @@
         return 0;
     }
 
-    /** One process a state folder: {@code router.pid} has its number, and is locked while it lives. */
+    /**
+     * One process a state folder: {@code router.pid} has its number, and is locked while it lives.
+     */
     private static FileLock lock(Path dir) throws IOException {
         Files.createDirectories(dir);
-        FileChannel pid = FileChannel.open(dir.resolve("router.pid"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        FileChannel pid =
+                FileChannel.open(
+                        dir.resolve("router.pid"),
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE);
         FileLock lock = pid.tryLock();
         if (lock == null) {
             pid.close();
             throw new IOException("another router runs on " + dir);
         }
         pid.truncate(0);
-        pid.write(ByteBuffer.wrap((ProcessHandle.current().pid() + "\n").getBytes(StandardCharsets.US_ASCII)));
+        pid.write(
+                ByteBuffer.wrap(
+                        (ProcessHandle.current().pid() + "\n")
+                                .getBytes(StandardCharsets.US_ASCII)));
         return lock;
     }
 
--- a/cli/src/main/java/ashlink/cli/RouterNode.java
+++ b/cli/src/main/java/ashlink/cli/RouterNode.java
@@ -24,16 +24,26 @@
     }
 
     /**
-     * Makes the node of a router that is not started, with the notices that it knows from before in force; null where the
-     * settings have no control channel.
+     * Makes the node of a router that is not started, with the notices that it knows from before in
+     * force; null where the settings have no control channel.
      */
-    static Node of(RouterConfig config, Router router, Runnable stop) throws IOException, GeneralSecurityException {
+    static Node of(RouterConfig config, Router router, Runnable stop)
+            throws IOException, GeneralSecurityException {
         if (config.control().listen() == null) {
             return null;
         }
-        Node.Spec spec = new Node.Spec(config.name(), config.control().listen(), config.stateDir().resolve("notices"),
-                config.control().peers(), Terms.DEFAULT, config.seed() ^ System.nanoTime());
-        return new Node(spec, new Identity(config.control().keys(), config.name()), new RouterNode(router, stop));
+        Node.Spec spec =
+                new Node.Spec(
+                        config.name(),
+                        config.control().listen(),
+                        config.stateDir().resolve("notices"),
+                        config.control().peers(),
+                        Terms.DEFAULT,
+                        config.seed() ^ System.nanoTime());
+        return new Node(
+                spec,
+                new Identity(config.control().keys(), config.name()),
+                new RouterNode(router, stop));
     }
 
     @Override
@@ -53,8 +63,10 @@
 
     @Override
     public void status(ObjectNode to) {
-        to.put("address", String.valueOf(router.address())).put("openRequests", router.core().openRequests())
-                .put("queued", router.core().queued()).put("upMs", System.currentTimeMillis() - startedMs);
+        to.put("address", String.valueOf(router.address()))
+                .put("openRequests", router.core().openRequests())
+                .put("queued", router.core().queued())
+                .put("upMs", System.currentTimeMillis() - startedMs);
         if (router.httpAddress() != null) {
             to.put("http", String.valueOf(router.httpAddress()));
         }
