--- a/cli/src/main/java/ashlink/cli/SuperviseCommand.java
+++ b/cli/src/main/java/ashlink/cli/SuperviseCommand.java
@@ -12,8 +12,12 @@
 import picocli.CommandLine.Parameters;
 
 /** Keeps a router running. */
-@Command(name = "supervise", mixinStandardHelpOptions = true, description = "Runs a router, and starts it again when it dies: "
-        + "at once after a good while, later and later after short runs. Ends when the router ends as it was told.")
+@Command(
+        name = "supervise",
+        mixinStandardHelpOptions = true,
+        description =
+                "Runs a router, and starts it again when it dies: at once after a good while, later"
+                        + " and later after short runs. Ends when the router ends as it was told.")
 final class SuperviseCommand implements Callable<Integer> {
 
     private static final Logger LOG = LoggerFactory.getLogger(SuperviseCommand.class);
@@ -26,8 +30,13 @@
 
     /** The command line of this program, for a sub-command. */
     static List<String> ownCommand(String... arguments) {
-        List<String> command = new java.util.ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-cp", System.getProperty("java.class.path"), Main.class.getName()));
+        List<String> command =
+                new java.util.ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                Main.class.getName()));
         command.addAll(List.of(arguments));
         return command;
     }
@@ -49,9 +58,17 @@
                     LOG.error("the router does not start with these settings");
                     return 2;
                 }
-                case AGAIN -> LOG.warn("the router died with status {}; it starts again in {} ms", status, d.pauseNs() / 1_000_000);
-                case LOOP -> LOG.error("the router dies again and again, now with status {}; next start in {} s", status,
-                        TimeUnit.NANOSECONDS.toSeconds(d.pauseNs()));
+                case AGAIN ->
+                        LOG.warn(
+                                "the router died with status {}; it starts again in {} ms",
+                                status,
+                                d.pauseNs() / 1_000_000);
+                case LOOP ->
+                        LOG.error(
+                                "the router dies again and again, now with status {}; next start in"
+                                        + " {} s",
+                                status,
+                                TimeUnit.NANOSECONDS.toSeconds(d.pauseNs()));
             }
             TimeUnit.NANOSECONDS.sleep(d.pauseNs());
         }
--- a/cli/src/main/java/ashlink/cli/WhyCommand.java
+++ b/cli/src/main/java/ashlink/cli/WhyCommand.java
@@ -10,14 +10,21 @@
 import picocli.CommandLine.Parameters;
 
 /** The story of one request. */
-@Command(name = "why", mixinStandardHelpOptions = true,
-        description = "Tells the story of a request in a capture: what was known of each engine, its attempts, its end.")
+@Command(
+        name = "why",
+        mixinStandardHelpOptions = true,
+        description =
+                "Tells the story of a request in a capture: what was known of each engine, its"
+                        + " attempts, its end.")
 final class WhyCommand implements Callable<Integer> {
 
     @Parameters(index = "0", paramLabel = "CAPTURE", description = "Folder of the capture.")
     private Path folder;
 
-    @Parameters(index = "1", paramLabel = "REQUEST", description = "Number of the request, as the log names it.")
+    @Parameters(
+            index = "1",
+            paramLabel = "REQUEST",
+            description = "Number of the request, as the log names it.")
     private long request;
 
     @Override
--- a/cli/src/test/java/ashlink/cli/FleetProcessTest.java
+++ b/cli/src/test/java/ashlink/cli/FleetProcessTest.java
@@ -8,7 +8,6 @@
 import ashlink.rig.client.NativeClient;
 import ashlink.rig.fleet.BriefSettings;
 import ashlink.rig.fleet.Engines;
-import ashlink.standin.Ledger;
 import ashlink.standin.StandInEngine;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -32,16 +31,21 @@
 import picocli.CommandLine;
 
 /**
- * Routers as processes of their own, under load, handled by the tool: a drain that reaches half of them, one of which is killed
- * at once; the engines' ledgers tell when the last fresh work came.
+ * Routers as processes of their own, under load, handled by the tool: a drain that reaches half of
+ * them, one of which is killed at once; the engines' ledgers tell when the last fresh work came.
  */
 class FleetProcessTest {
 
     private static final int ROUTERS = Integer.getInteger("ashlink.routers", 4);
     private static final int DRAINS = Integer.getInteger("ashlink.drains", 2);
     private static final long S = 1_000_000_000L;
-    /** The rule is 2 s; where the test runs beside others on a machine that may be starved, it asks for less. */
+
+    /**
+     * The rule is 2 s; where the test runs beside others on a machine that may be starved, it asks
+     * for less.
+     */
     private static final long GRACE_NS = DRAINS > 2 ? 2 * S : 4 * S;
+
     private static final Duration DAY = Duration.ofDays(1);
 
     private final List<Integer> ports = new ArrayList<>();
@@ -76,21 +80,54 @@
             StringBuilder peers = new StringBuilder();
             for (int j = 0; j < routers; j++) {
                 if (j != i) {
-                    peers.append(" (peer r").append(j).append(" (address 127.0.0.1:").append(free[2 * j + 1]).append("))");
+                    peers.append(" (peer r")
+                            .append(j)
+                            .append(" (address 127.0.0.1:")
+                            .append(free[2 * j + 1])
+                            .append("))");
                 }
             }
-            Files.writeString(dir.resolve("r" + i + ".sexp"), BriefSettings.text("r" + i, "halle-1", i, routers, 7 + i, free[2 * i], engines,
-                    "(state-dir \"" + dir.resolve("r" + i) + "\") (control (listen 127.0.0.1:" + free[2 * i + 1] + ") (keys \""
-                    + dir.resolve("keys") + "\")" + peers + ")"));
-            inventory.append("  (router r").append(i).append(" (hall halle-").append(1 + i % 3).append(") (control 127.0.0.1:")
-                    .append(free[2 * i + 1]).append("))\n");
+            Files.writeString(
+                    dir.resolve("r" + i + ".sexp"),
+                    BriefSettings.text(
+                            "r" + i,
+                            "halle-1",
+                            i,
+                            routers,
+                            7 + i,
+                            free[2 * i],
+                            engines,
+                            "(state-dir \""
+                                    + dir.resolve("r" + i)
+                                    + "\") (control (listen 127.0.0.1:"
+                                    + free[2 * i + 1]
+                                    + ") (keys \""
+                                    + dir.resolve("keys")
+                                    + "\")"
+                                    + peers
+                                    + ")"));
+            inventory
+                    .append("  (router r")
+                    .append(i)
+                    .append(" (hall halle-")
+                    .append(1 + i % 3)
+                    .append(") (control 127.0.0.1:")
+                    .append(free[2 * i + 1])
+                    .append("))\n");
         }
         Files.writeString(dir.resolve("fleet.sexp"), inventory.append(")\n").toString());
     }
 
     private Process launch(Path dir, int i) throws IOException {
-        return new ProcessBuilder(SuperviseCommand.ownCommand("--log-level", "ERROR", "route", dir.resolve("r" + i + ".sexp").toString()))
-                .redirectOutput(ProcessBuilder.Redirect.DISCARD).redirectError(ProcessBuilder.Redirect.DISCARD).start();
+        return new ProcessBuilder(
+                        SuperviseCommand.ownCommand(
+                                "--log-level",
+                                "ERROR",
+                                "route",
+                                dir.resolve("r" + i + ".sexp").toString()))
+                .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                .redirectError(ProcessBuilder.Redirect.DISCARD)
+                .start();
     }
 
     private static int fleet(Path dir, String... arguments) {
@@ -101,7 +138,9 @@
         try {
             SAID.reset();
             System.setOut(new PrintStream(SAID));
-            return new CommandLine(new Main()).setCaseInsensitiveEnumValuesAllowed(true).execute(all.toArray(new String[0]));
+            return new CommandLine(new Main())
+                    .setCaseInsensitiveEnumValuesAllowed(true)
+                    .execute(all.toArray(new String[0]));
         } finally {
             System.setOut(out);
         }
@@ -110,8 +149,12 @@
     /** Short queries on all routers, until it is over; connections that break are made again. */
     private void load(int i) {
         while (!over.get()) {
-            try (NativeClient c = NativeClient.connect(new InetSocketAddress("127.0.0.1", ports.get(i)), "portal")) {
-                while (!over.get() && c.query("", "SELECT /* sim tag=load work_ms=10 */ 1", Map.of(), 5 * S).isFinal()) {
+            try (NativeClient c =
+                    NativeClient.connect(
+                            new InetSocketAddress("127.0.0.1", ports.get(i)), "portal")) {
+                while (!over.get()
+                        && c.query("", "SELECT /* sim tag=load work_ms=10 */ 1", Map.of(), 5 * S)
+                                .isFinal()) {
                     Thread.sleep(4);
                 }
             } catch (IOException e) {
@@ -132,8 +175,11 @@
 
     /** When the last fresh work came there: of that router, or of all others. */
     private static long lastFresh(StandInEngine e, String router, boolean of) {
-        return e.ledger().entries().stream().filter(x -> x.tag.equals("load") && x.router.equals("ashlink " + router) == of)
-                .mapToLong(x -> x.beganNs).max().orElse(0);
+        return e.ledger().entries().stream()
+                .filter(x -> x.tag.equals("load") && x.router.equals("ashlink " + router) == of)
+                .mapToLong(x -> x.beganNs)
+                .max()
+                .orElse(0);
     }
 
     /** When the first router had the notice, by the tool's own record. */
@@ -149,7 +195,9 @@
     private void signal(String name, String router) throws IOException, InterruptedException {
         if (!router.isEmpty()) {
             long pid = processes.get(Integer.parseInt(router.substring(1))).pid();
-            assertEquals(0, new ProcessBuilder("kill", "-" + name, Long.toString(pid)).start().waitFor());
+            assertEquals(
+                    0,
+                    new ProcessBuilder("kill", "-" + name, Long.toString(pid)).start().waitFor());
         }
     }
 
@@ -177,7 +225,8 @@
             for (int d = 0; d < DRAINS; d++) {
                 StandInEngine engine = busiest(engines);
                 String name = engine.config().name();
-                List<String> half = new ArrayList<>(List.of("drain", name, "--wait", "0", "--for", "1"));
+                List<String> half =
+                        new ArrayList<>(List.of("drain", name, "--wait", "0", "--for", "1"));
                 for (int i = 0; i < (ROUTERS + 1) / 2; i++) {
                     half.addAll(List.of("--router", "r" + i));
                 }
@@ -199,10 +248,27 @@
                 Thread.sleep(4_500);
                 long last = lastFresh(engine, paused, false);
                 times.add((last - noticeNs) / 1_000_000);
-                assertTrue(last < noticeNs + GRACE_NS, () -> "fresh work at " + name + " after the notice, in ms by router: "
-                        + engine.ledger().entries().stream().filter(x -> x.tag.equals("load") && x.beganNs > noticeNs)
-                                .map(x -> x.router + " " + (x.beganNs - noticeNs) / 1_000_000).toList());
-                assertTrue(lastFresh(engine, paused, true) < toldNs + GRACE_NS, "of the one that stood still");
+                assertTrue(
+                        last < noticeNs + GRACE_NS,
+                        () ->
+                                "fresh work at "
+                                        + name
+                                        + " after the notice, in ms by router: "
+                                        + engine.ledger().entries().stream()
+                                                .filter(
+                                                        x ->
+                                                                x.tag.equals("load")
+                                                                        && x.beganNs > noticeNs)
+                                                .map(
+                                                        x ->
+                                                                x.router
+                                                                        + " "
+                                                                        + (x.beganNs - noticeNs)
+                                                                                / 1_000_000)
+                                                .toList());
+                assertTrue(
+                        lastFresh(engine, paused, true) < toldNs + GRACE_NS,
+                        "of the one that stood still");
                 assertEquals(0, fleet(dir, "undrain", name), "all know that it is over");
             }
             processes.get(1).destroyForcibly().waitFor(20, TimeUnit.SECONDS);
@@ -218,8 +284,11 @@
             }
             engines.forEach(StandInEngine::crash);
         }
-        System.out.printf("%d routers, %d drains that reached half of them, one of these killed at once or one of the others paused for 3 s: last fresh work after the notice, "
-                + "in ms: %s%n", ROUTERS, DRAINS, times);
+        System.out.printf(
+                "%d routers, %d drains that reached half of them, one of these killed at once or"
+                    + " one of the others paused for 3 s: last fresh work after the notice, in ms:"
+                    + " %s%n",
+                ROUTERS, DRAINS, times);
     }
 
     private static long pid(Path dir, String router) throws IOException {
@@ -231,7 +300,8 @@
     void routersAreStartedRolledRevivedAndStopped(@TempDir Path dir) throws Exception {
         List<StandInEngine> engines = Engines.demo();
         setUp(dir, engines, 2);
-        Set<ProcessHandle> before = ProcessHandle.current().descendants().collect(Collectors.toSet());
+        Set<ProcessHandle> before =
+                ProcessHandle.current().descendants().collect(Collectors.toSet());
         try {
             assertEquals(0, fleet(dir, "start", "--wait-timeout", "60"));
             long first = pid(dir, "r0");
@@ -244,7 +314,8 @@
             assertTrue(second > 0);
             ProcessHandle.of(second).orElseThrow().destroyForcibly();
             long until = System.nanoTime() + 60 * S;
-            while ((pid(dir, "r0") == second || fleet(dir, "status") != 0) && System.nanoTime() < until) {
+            while ((pid(dir, "r0") == second || fleet(dir, "status") != 0)
+                    && System.nanoTime() < until) {
                 Thread.sleep(100);
             }
             assertTrue(pid(dir, "r0") != second, "its supervisor started it again");
@@ -256,7 +327,10 @@
             }
             assertEquals(0, left(before), "supervisors end with routers that were told to");
         } finally {
-            ProcessHandle.current().descendants().filter(h -> !before.contains(h)).forEach(ProcessHandle::destroyForcibly);
+            ProcessHandle.current()
+                    .descendants()
+                    .filter(h -> !before.contains(h))
+                    .forEach(ProcessHandle::destroyForcibly);
             engines.forEach(StandInEngine::crash);
         }
     }
@@ -274,7 +348,10 @@
             StandInEngine most = null;
             long count = 20;
             for (StandInEngine e : engines) {
-                long n = e.ledger().entries().stream().filter(x -> x.tag.equals("load") && x.beganNs > since).count();
+                long n =
+                        e.ledger().entries().stream()
+                                .filter(x -> x.tag.equals("load") && x.beganNs > since)
+                                .count();
                 if (n > count) {
                     most = e;
                     count = n;
@@ -283,7 +360,10 @@
             if (most != null) {
                 return most;
             }
-            assertTrue(System.nanoTime() < until, "no engine gets work: " + engines.stream().map(e -> e.ledger().entries().size()).toList());
+            assertTrue(
+                    System.nanoTime() < until,
+                    "no engine gets work: "
+                            + engines.stream().map(e -> e.ledger().entries().size()).toList());
         }
     }
 }
--- a/cli/src/test/java/ashlink/cli/KilledRouterTest.java
+++ b/cli/src/test/java/ashlink/cli/KilledRouterTest.java
@@ -24,7 +24,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A router as a process of its own, killed at moments drawn from a seed: its capture opens and is decided again exactly. */
+/**
+ * A router as a process of its own, killed at moments drawn from a seed: its capture opens and is
+ * decided again exactly.
+ */
 class KilledRouterTest {
 
     private static final int KILLS = 3;
@@ -34,21 +37,48 @@
     void aKilledProcessLeavesACaptureThatReplays(@TempDir Path dir) throws Exception {
         List<StandInEngine> engines = Engines.demo();
         Path config = dir.resolve("r1.sexp");
-        Files.writeString(config, BriefSettings.text("r1", "halle-1", 0, 1, 7, 0, engines,
-                "(state-dir \"" + dir.resolve("state") + "\") (capture (dir \"" + dir.resolve("capture") + "\") (sync 5ms))"));
+        Files.writeString(
+                config,
+                BriefSettings.text(
+                        "r1",
+                        "halle-1",
+                        0,
+                        1,
+                        7,
+                        0,
+                        engines,
+                        "(state-dir \""
+                                + dir.resolve("state")
+                                + "\") (capture (dir \""
+                                + dir.resolve("capture")
+                                + "\") (sync 5ms))"));
         SplittableRandom random = new SplittableRandom(5);
         int answers = 0;
         for (int kill = 0; kill < KILLS; kill++) {
-            Process p = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                    System.getProperty("java.class.path"), "ashlink.cli.Main", "route", config.toString())
-                    .redirectError(ProcessBuilder.Redirect.DISCARD).start();
+            Process p =
+                    new ProcessBuilder(
+                                    Path.of(System.getProperty("java.home"), "bin", "java")
+                                            .toString(),
+                                    "-cp",
+                                    System.getProperty("java.class.path"),
+                                    "ashlink.cli.Main",
+                                    "route",
+                                    config.toString())
+                            .redirectError(ProcessBuilder.Redirect.DISCARD)
+                            .start();
             try {
-                String line = new BufferedReader(new InputStreamReader(p.getInputStream())).readLine();
+                String line =
+                        new BufferedReader(new InputStreamReader(p.getInputStream())).readLine();
                 int port = Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
                 int queries = 20 + random.nextInt(200);
-                try (NativeClient c = NativeClient.connect(new InetSocketAddress("127.0.0.1", port), "portal")) {
+                try (NativeClient c =
+                        NativeClient.connect(new InetSocketAddress("127.0.0.1", port), "portal")) {
                     for (int i = 0; i < queries; i++) {
-                        answers += c.query("", "SELECT /* sim work_ms=1 */ 1", Map.of(), 5 * S).isFinal() ? 1 : 0;
+                        answers +=
+                                c.query("", "SELECT /* sim work_ms=1 */ 1", Map.of(), 5 * S)
+                                                .isFinal()
+                                        ? 1
+                                        : 0;
                     }
                 }
             } finally {
@@ -61,6 +91,8 @@
         new CaptureReader(FolderDisk.reading(dir.resolve("capture"))).read(replay);
         assertEquals(KILLS, replay.starts());
         assertEquals(0, replay.differing(), replay.divergences().toString());
-        assertTrue(answers > 60 && replay.decided() > answers, replay.decided() + " steps for " + answers + " answers");
+        assertTrue(
+                answers > 60 && replay.decided() > answers,
+                replay.decided() + " steps for " + answers + " answers");
     }
 }
--- a/cli/src/test/java/ashlink/cli/KilledStatementsTest.java
+++ b/cli/src/test/java/ashlink/cli/KilledStatementsTest.java
@@ -35,24 +35,33 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A router as a process of its own, killed at moments drawn from a seed while loads come under keys and results fill the spool.
- * {@code -Dashlink.kills=200} is the long run.
+ * A router as a process of its own, killed at moments drawn from a seed while loads come under keys
+ * and results fill the spool. {@code -Dashlink.kills=200} is the long run.
  */
 class KilledStatementsTest {
 
     private static final int KILLS = Integer.getInteger("ashlink.kills", 3);
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(Duration.ofSeconds(5)).build();
+    private final HttpClient http =
+            HttpClient.newBuilder()
+                    .version(HttpClient.Version.HTTP_1_1)
+                    .connectTimeout(Duration.ofSeconds(5))
+                    .build();
     private final Map<String, String> acknowledged = new ConcurrentHashMap<>();
     private final Set<String> posted = ConcurrentHashMap.newKeySet();
     private int port;
 
-    private HttpResponse<String> post(String key, String statement) throws IOException, InterruptedException {
-        HttpRequest.Builder r = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + "/v1/statements?wait=2"))
-                .timeout(Duration.ofSeconds(20)).POST(HttpRequest.BodyPublishers.ofString(statement));
-        return http.send((key == null ? r : r.header("Idempotency-Key", key)).build(), BodyHandlers.ofString());
+    private HttpResponse<String> post(String key, String statement)
+            throws IOException, InterruptedException {
+        HttpRequest.Builder r =
+                HttpRequest.newBuilder(
+                                URI.create("http://127.0.0.1:" + port + "/v1/statements?wait=2"))
+                        .timeout(Duration.ofSeconds(20))
+                        .POST(HttpRequest.BodyPublishers.ofString(statement));
+        return http.send(
+                (key == null ? r : r.header("Idempotency-Key", key)).build(),
+                BodyHandlers.ofString());
     }
 
     private static String load(String key) {
@@ -87,16 +96,40 @@
         }
         Path spool = dir.resolve("spool");
         Path config = dir.resolve("r1.sexp");
-        Files.writeString(config, BriefSettings.text("r1", "halle-1", 0, 1, 7, 0, engines, "(state-dir \"" + dir.resolve("state")
-                + "\") (http (listen 127.0.0.1:" + port + ") (spool \"" + spool + "\") (page 4KiB) (memory 0B))"));
+        Files.writeString(
+                config,
+                BriefSettings.text(
+                        "r1",
+                        "halle-1",
+                        0,
+                        1,
+                        7,
+                        0,
+                        engines,
+                        "(state-dir \""
+                                + dir.resolve("state")
+                                + "\") (http (listen 127.0.0.1:"
+                                + port
+                                + ") (spool \""
+                                + spool
+                                + "\") (page 4KiB) (memory 0B))"));
         SplittableRandom random = new SplittableRandom(11);
         Map<String, Integer> verdicts = new HashMap<>();
         int leftBehind = 0;
         Set<String> asked = new HashSet<>();
         for (int round = 0; round <= KILLS; round++) {
-            Process p = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1",
-                    "-cp", System.getProperty("java.class.path"), "ashlink.cli.Main", "route", config.toString())
-                    .redirectError(ProcessBuilder.Redirect.DISCARD).start();
+            Process p =
+                    new ProcessBuilder(
+                                    Path.of(System.getProperty("java.home"), "bin", "java")
+                                            .toString(),
+                                    "-XX:TieredStopAtLevel=1",
+                                    "-cp",
+                                    System.getProperty("java.class.path"),
+                                    "ashlink.cli.Main",
+                                    "route",
+                                    config.toString())
+                            .redirectError(ProcessBuilder.Redirect.DISCARD)
+                            .start();
             try {
                 new BufferedReader(new InputStreamReader(p.getInputStream())).readLine();
                 Set<String> before = new HashSet<>(posted);
@@ -147,22 +180,38 @@
             e.crash();
         }
         runs.remove("");
-        System.out.printf("%d kills: %d loads posted under keys, %d acknowledged, %d ran, after the kill %s; %d files left behind by "
-                + "kills, 0 after the next start%n", KILLS, posted.size(), acknowledged.size(), runs.size(), verdicts, leftBehind);
-        assertEquals(List.of(), runs.entrySet().stream().filter(e -> e.getValue() > 1 && posted.contains(e.getKey())).toList());
-        assertTrue(leftBehind > 0 && verdicts.getOrDefault("fate-unknown", 0) > 0 && acknowledged.size() > KILLS,
+        System.out.printf(
+                "%d kills: %d loads posted under keys, %d acknowledged, %d ran, after the kill %s;"
+                        + " %d files left behind by kills, 0 after the next start%n",
+                KILLS, posted.size(), acknowledged.size(), runs.size(), verdicts, leftBehind);
+        assertEquals(
+                List.of(),
+                runs.entrySet().stream()
+                        .filter(e -> e.getValue() > 1 && posted.contains(e.getKey()))
+                        .toList());
+        assertTrue(
+                leftBehind > 0
+                        && verdicts.getOrDefault("fate-unknown", 0) > 0
+                        && acknowledged.size() > KILLS,
                 "not at stake: " + verdicts + ", " + leftBehind + " files");
     }
 
-    /** The same load under the same key, after the kill: what was acknowledged is known by its id. */
+    /**
+     * The same load under the same key, after the kill: what was acknowledged is known by its id.
+     */
     private void again(String key, Map<String, Integer> verdicts) throws Exception {
         HttpResponse<String> r = post(key, load(key));
         JsonNode n = JSON.readTree(r.body());
         String id = acknowledged.get(key);
-        String verdict = r.statusCode() < 300 ? "run now" : n.path("type").asText().replace("/problems/", "");
+        String verdict =
+                r.statusCode() < 300
+                        ? "run now"
+                        : n.path("type").asText().replace("/problems/", "");
         verdicts.merge(verdict, 1, Integer::sum);
         if (id != null) {
-            assertTrue(r.statusCode() == 410 || r.statusCode() == 502, key + " was acknowledged, and is answered " + r.body());
+            assertTrue(
+                    r.statusCode() == 410 || r.statusCode() == 502,
+                    key + " was acknowledged, and is answered " + r.body());
             assertEquals(id, n.get("statement").asText());
         }
     }
--- a/client/src/main/java/ashlink/client/Answer.java
+++ b/client/src/main/java/ashlink/client/Answer.java
@@ -9,7 +9,15 @@
  * @param retryAfterMs when to come back, 0 where that was not told
  * @param rows that were given
  */
-public record Answer(Kind kind, int status, String problem, String detail, int code, long retryAfterMs, long rows, long bytes) {
+public record Answer(
+        Kind kind,
+        int status,
+        String problem,
+        String detail,
+        int code,
+        long retryAfterMs,
+        long rows,
+        long bytes) {
 
     /** Kinds of end. */
     public enum Kind {
@@ -27,6 +35,7 @@
 
     /** True where the server said that repeating is harmless. */
     public boolean isRefused() {
-        return kind == Kind.PROBLEM && (status == 503 && problem.equals("refused") || status == 429);
+        return kind == Kind.PROBLEM
+                && (status == 503 && problem.equals("refused") || status == 429);
     }
 }
--- a/client/src/main/java/ashlink/client/StatementClient.java
+++ b/client/src/main/java/ashlink/client/StatementClient.java
@@ -19,7 +19,10 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Posts statements to a router and fetches their answers page by page. Safe for use by many threads. */
+/**
+ * Posts statements to a router and fetches their answers page by page. Safe for use by many
+ * threads.
+ */
 public final class StatementClient {
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -33,15 +36,26 @@
 
     /** A client of that server, such as {@code http://127.0.0.1:8123}. */
     public StatementClient(URI server, String user, String password) {
-        this(HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(Duration.ofSeconds(5))
-                .followRedirects(HttpClient.Redirect.NORMAL).build(), server, user, password);
+        this(
+                HttpClient.newBuilder()
+                        .version(HttpClient.Version.HTTP_1_1)
+                        .connectTimeout(Duration.ofSeconds(5))
+                        .followRedirects(HttpClient.Redirect.NORMAL)
+                        .build(),
+                server,
+                user,
+                password);
     }
 
     /** The same with connections shared with others. */
     public StatementClient(HttpClient http, URI server, String user, String password) {
         this.http = http;
         this.server = server;
-        this.authorization = "Basic " + Base64.getEncoder().encodeToString((user + ":" + password).getBytes(StandardCharsets.UTF_8));
+        this.authorization =
+                "Basic "
+                        + Base64.getEncoder()
+                                .encodeToString(
+                                        (user + ":" + password).getBytes(StandardCharsets.UTF_8));
     }
 
     /**
@@ -51,8 +65,14 @@
      * @param key under which it runs once, or null
      * @param pages is given each page, and what is known while there is none yet
      */
-    public Answer run(String statement, Map<String, String> settings, JsonNode rows, String key, long timeoutNs,
-            Consumer<JsonNode> pages) throws InterruptedException {
+    public Answer run(
+            String statement,
+            Map<String, String> settings,
+            JsonNode rows,
+            String key,
+            long timeoutNs,
+            Consumer<JsonNode> pages)
+            throws InterruptedException {
         long until = System.nanoTime() + timeoutNs;
         ObjectNode body = JSON.createObjectNode().put("statement", statement);
         ObjectNode set = body.putObject("settings");
@@ -64,12 +84,18 @@
         long bytes = 0;
         boolean sent = false;
         try {
-            HttpRequest.Builder first = request("/v1/statements", until).header("Content-Type", "application/json")
-                    .POST(HttpRequest.BodyPublishers.ofByteArray(JSON.writeValueAsBytes(body)));
-            HttpResponse<byte[]> r = send(key == null ? first : first.header("Idempotency-Key", key));
+            HttpRequest.Builder first =
+                    request("/v1/statements", until)
+                            .header("Content-Type", "application/json")
+                            .POST(
+                                    HttpRequest.BodyPublishers.ofByteArray(
+                                            JSON.writeValueAsBytes(body)));
+            HttpResponse<byte[]> r =
+                    send(key == null ? first : first.header("Idempotency-Key", key));
             while (true) {
                 sent = true;
-                JsonNode n = r.body().length == 0 ? JSON.createObjectNode() : JSON.readTree(r.body());
+                JsonNode n =
+                        r.body().length == 0 ? JSON.createObjectNode() : JSON.readTree(r.body());
                 bytes += r.body().length;
                 if (r.statusCode() != 200 && r.statusCode() != NOT_YET) {
                     return problem(r.statusCode(), n, seen, bytes);
@@ -82,7 +108,15 @@
                 r = send(request(n.get("nextUri").asText(), until).GET());
             }
         } catch (HttpConnectTimeoutException | ConnectException e) {
-            return new Answer(sent ? Answer.Kind.LOST : Answer.Kind.NOT_SENT, 0, "", String.valueOf(e), 0, 0, seen, bytes);
+            return new Answer(
+                    sent ? Answer.Kind.LOST : Answer.Kind.NOT_SENT,
+                    0,
+                    "",
+                    String.valueOf(e),
+                    0,
+                    0,
+                    seen,
+                    bytes);
         } catch (HttpTimeoutException e) {
             return new Answer(Answer.Kind.TIMED_OUT, 0, "", "", 0, 0, seen, bytes);
         } catch (IOException e) {
@@ -92,7 +126,9 @@
 
     /** Calls a statement off; false where it was not known. */
     public boolean cancel(String id) throws IOException, InterruptedException {
-        return send(request("/v1/statements/" + id, System.nanoTime() + LONGEST_POLL_NS).DELETE()).statusCode() == 200;
+        return send(request("/v1/statements/" + id, System.nanoTime() + LONGEST_POLL_NS).DELETE())
+                        .statusCode()
+                == 200;
     }
 
     private HttpRequest.Builder request(String path, long until) throws HttpTimeoutException {
@@ -100,19 +136,29 @@
         if (left <= 0) {
             throw new HttpTimeoutException("the client's time is up");
         }
-        String wait = String.format(Locale.ROOT, "?wait=%.3f", Math.min(left, LONGEST_POLL_NS) / 1e9);
-        return HttpRequest.newBuilder(server.resolve(path + wait)).timeout(Duration.ofNanos(left))
+        String wait =
+                String.format(Locale.ROOT, "?wait=%.3f", Math.min(left, LONGEST_POLL_NS) / 1e9);
+        return HttpRequest.newBuilder(server.resolve(path + wait))
+                .timeout(Duration.ofNanos(left))
                 .header("Authorization", authorization);
     }
 
-    private HttpResponse<byte[]> send(HttpRequest.Builder r) throws IOException, InterruptedException {
+    private HttpResponse<byte[]> send(HttpRequest.Builder r)
+            throws IOException, InterruptedException {
         return http.send(r.build(), BodyHandlers.ofByteArray());
     }
 
     private static Answer problem(int status, JsonNode n, long rows, long bytes) {
         String type = n.path("type").asText().replace("/problems/", "");
         Answer.Kind kind = status == 404 ? Answer.Kind.LOST : Answer.Kind.PROBLEM;
-        return new Answer(kind, status, type, n.path("title").asText() + ": " + n.path("detail").asText(), n.path("code").asInt(),
-                n.path("retryAfterMs").asLong(), rows, bytes);
+        return new Answer(
+                kind,
+                status,
+                type,
+                n.path("title").asText() + ": " + n.path("detail").asText(),
+                n.path("code").asInt(),
+                n.path("retryAfterMs").asLong(),
+                rows,
+                bytes);
     }
 }
--- a/config/src/main/java/ashlink/config/DayConfig.java
+++ b/config/src/main/java/ashlink/config/DayConfig.java
@@ -9,16 +9,35 @@
  * @param httpShare of queries that come by the statement API over HTTP, from 0 to 1
  * @param settings further settings of all routers, as text
  */
-public record DayConfig(String name, long durationNs, long seed, List<RouterSpec> routers, Map<String, EngineConfig> engines,
-        double ratePerS, double httpShare, List<LoadClass> load, List<Trouble> troubles, String settings) {
+public record DayConfig(
+        String name,
+        long durationNs,
+        long seed,
+        List<RouterSpec> routers,
+        Map<String, EngineConfig> engines,
+        double ratePerS,
+        double httpShare,
+        List<LoadClass> load,
+        List<Trouble> troubles,
+        String settings) {
 
     /** The same with another seed, share of HTTP, and more settings of all routers. */
     public DayConfig with(long newSeed, double newHttpShare, String more) {
-        return new DayConfig(name, durationNs, newSeed, routers, engines, ratePerS, newHttpShare, load, troubles, settings + more);
+        return new DayConfig(
+                name,
+                durationNs,
+                newSeed,
+                routers,
+                engines,
+                ratePerS,
+                newHttpShare,
+                load,
+                troubles,
+                settings + more);
     }
 
     /** A router of the day. */
-    public record RouterSpec(String name, String zone) { }
+    public record RouterSpec(String name, String zone) {}
 
     /**
      * Queries of one class.
@@ -30,8 +49,21 @@
      * @param keys that queries of the class are spread over; 0: they have none
      * @param groups of tables that they are spread over
      */
-    public record LoadClass(String name, double share, long workNs, double spread, int threads, double io, double memoryMb,
-            long timeoutNs, String user, boolean write, int retries, long waitNs, int keys, int groups) { }
+    public record LoadClass(
+            String name,
+            double share,
+            long workNs,
+            double spread,
+            int threads,
+            double io,
+            double memoryMb,
+            long timeoutNs,
+            String user,
+            boolean write,
+            int retries,
+            long waitNs,
+            int keys,
+            int groups) {}
 
     /** What can go wrong. */
     public enum TroubleKind {
@@ -66,5 +98,5 @@
     }
 
     /** Something that goes wrong; {@code factor} is a speed, a share or a multiple of the load. */
-    public record Trouble(TroubleKind kind, long atNs, long forNs, String target, double factor) { }
+    public record Trouble(TroubleKind kind, long atNs, long forNs, String target, double factor) {}
 }
--- a/config/src/main/java/ashlink/config/DayConfigReader.java
+++ b/config/src/main/java/ashlink/config/DayConfigReader.java
@@ -18,7 +18,7 @@
     private static final long MS = 1_000_000L;
     private static final long S = 1_000 * MS;
 
-    private DayConfigReader() { }
+    private DayConfigReader() {}
 
     /** Reads a file whole; an exception tells all that is wrong with it. */
     public static DayConfig read(Path path) throws ConfigException {
@@ -32,7 +32,8 @@
         return read(file, SExprReader.read(file, text, problems), problems);
     }
 
-    private static DayConfig read(String file, List<Node> nodes, List<Problem> problems) throws ConfigException {
+    private static DayConfig read(String file, List<Node> nodes, List<Problem> problems)
+            throws ConfigException {
         Section top = Section.top(file, nodes, "day", problems);
         DayConfig day = problems.isEmpty() ? day(top) : null;
         if (!problems.isEmpty()) {
@@ -43,29 +44,40 @@
 
     private static DayConfig day(Section top) {
         List<RouterSpec> routers = new ArrayList<>();
-        top.named("router").forEach((name, s) -> {
-            try (s) {
-                routers.add(new RouterSpec(name, s.text("zone", null)));
-            }
-        });
+        top.named("router")
+                .forEach(
+                        (name, s) -> {
+                            try (s) {
+                                routers.add(new RouterSpec(name, s.text("zone", null)));
+                            }
+                        });
         Map<String, EngineConfig> engines = new LinkedHashMap<>();
-        top.named("engine").forEach((name, s) -> engines.put(name, EngineConfigReader.engine(name, s)));
+        top.named("engine")
+                .forEach((name, s) -> engines.put(name, EngineConfigReader.engine(name, s)));
         List<LoadClass> load = new ArrayList<>();
         top.named("load").forEach((name, s) -> load.add(load(name, s)));
-        Set<String> zones = engines.values().stream().map(EngineConfig::zone).collect(Collectors.toSet());
+        Set<String> zones =
+                engines.values().stream().map(EngineConfig::zone).collect(Collectors.toSet());
         Set<String> names = routers.stream().map(RouterSpec::name).collect(Collectors.toSet());
         List<Trouble> troubles = new ArrayList<>();
         for (Section s : top.each("trouble")) {
             try (s) {
-                Trouble t = new Trouble(s.choice("kind", null, TroubleKind.class), s.duration("at", null, 0, 3600 * S),
-                        s.duration("for", null, 0, 3600 * S), s.text("target", ""), s.number("factor", 1.0, 0, 1000));
-                Set<String> targets = switch (t.kind()) {
-                    case BURST, HOT_GROUP, LIST_LATE -> Set.of("");
-                    case HEAVY_TAIL -> load.stream().map(LoadClass::name).collect(Collectors.toSet());
-                    case ROUTER_KILL, HOT_CALLER -> names;
-                    case HALL_LOST -> zones;
-                    default -> engines.keySet();
-                };
+                Trouble t =
+                        new Trouble(
+                                s.choice("kind", null, TroubleKind.class),
+                                s.duration("at", null, 0, 3600 * S),
+                                s.duration("for", null, 0, 3600 * S),
+                                s.text("target", ""),
+                                s.number("factor", 1.0, 0, 1000));
+                Set<String> targets =
+                        switch (t.kind()) {
+                            case BURST, HOT_GROUP, LIST_LATE -> Set.of("");
+                            case HEAVY_TAIL ->
+                                    load.stream().map(LoadClass::name).collect(Collectors.toSet());
+                            case ROUTER_KILL, HOT_CALLER -> names;
+                            case HALL_LOST -> zones;
+                            default -> engines.keySet();
+                        };
                 if (!targets.contains(t.target())) {
                     s.problem("target", "one of " + String.join(", ", targets));
                 }
@@ -75,21 +87,38 @@
         if (routers.isEmpty() || engines.isEmpty() || load.isEmpty()) {
             top.problem("day", "a router, an engine and a load at least");
         }
-        DayConfig day = new DayConfig(top.text("name", null), top.duration("duration", null, 100 * MS, 3600 * S),
-                top.whole("seed", 1L, 0, Long.MAX_VALUE / 2), routers, engines, top.rate("rate", null, 1e6),
-                top.number("http-share", 0.0, 0, 1), load, troubles,
-                top.text("settings", ""));
+        DayConfig day =
+                new DayConfig(
+                        top.text("name", null),
+                        top.duration("duration", null, 100 * MS, 3600 * S),
+                        top.whole("seed", 1L, 0, Long.MAX_VALUE / 2),
+                        routers,
+                        engines,
+                        top.rate("rate", null, 1e6),
+                        top.number("http-share", 0.0, 0, 1),
+                        load,
+                        troubles,
+                        top.text("settings", ""));
         top.close();
         return day;
     }
 
     private static LoadClass load(String name, Section section) {
         try (Section s = section) {
-            return new LoadClass(name, s.number("share", null, 0, 1), s.duration("work", null, 1000, 3600 * S),
-                    s.number("spread", 0.5, 0, 3), (int) s.whole("threads", 1L, 1, 1024), s.number("io", 0.0, 0, 1),
-                    s.size("memory", 1L << 20, 0, 1L << 50) / (double) (1 << 20), s.duration("timeout", null, MS, 3600 * S),
-                    s.text("user", "default"), s.flag("write", false), (int) s.whole("retries", 0L, 0, 10),
-                    s.duration("wait", 0L, 0, 60 * S), (int) s.whole("keys", 0L, 0, 1_000_000),
+            return new LoadClass(
+                    name,
+                    s.number("share", null, 0, 1),
+                    s.duration("work", null, 1000, 3600 * S),
+                    s.number("spread", 0.5, 0, 3),
+                    (int) s.whole("threads", 1L, 1, 1024),
+                    s.number("io", 0.0, 0, 1),
+                    s.size("memory", 1L << 20, 0, 1L << 50) / (double) (1 << 20),
+                    s.duration("timeout", null, MS, 3600 * S),
+                    s.text("user", "default"),
+                    s.flag("write", false),
+                    (int) s.whole("retries", 0L, 0, 10),
+                    s.duration("wait", 0L, 0, 60 * S),
+                    (int) s.whole("keys", 0L, 0, 1_000_000),
                     (int) s.whole("groups", 1L, 1, 1_000_000));
         }
     }
--- a/config/src/main/java/ashlink/config/FleetConfig.java
+++ b/config/src/main/java/ashlink/config/FleetConfig.java
@@ -15,9 +15,13 @@
 public record FleetConfig(Path keys, String operator, Map<String, Member> routers) {
 
     /** A router: its hall, its control address, its settings and the file of its log. */
-    public record Member(String name, String hall, InetSocketAddress control, Path config, Path log) { }
+    public record Member(
+            String name, String hall, InetSocketAddress control, Path config, Path log) {}
 
-    /** Reads {@code (fleet ...)}; paths are relative to the file. An exception tells all that is wrong with it. */
+    /**
+     * Reads {@code (fleet ...)}; paths are relative to the file. An exception tells all that is
+     * wrong with it.
+     */
     public static FleetConfig read(Path file) throws ConfigException {
         List<Problem> problems = new ArrayList<>();
         List<Node> nodes = SExprReader.read(file, problems);
@@ -26,16 +30,31 @@
         if (problems.isEmpty()) {
             Path dir = file.toAbsolutePath().getParent();
             Map<String, Member> routers = new LinkedHashMap<>();
-            top.named("router").forEach((name, s) -> {
-                try (s) {
-                    routers.put(name, new Member(name, s.text("hall", ""), s.address("control", null),
-                            dir.resolve(s.text("config", name + ".sexp")), dir.resolve(s.text("log", name + ".log"))));
-                }
-            });
+            top.named("router")
+                    .forEach(
+                            (name, s) -> {
+                                try (s) {
+                                    routers.put(
+                                            name,
+                                            new Member(
+                                                    name,
+                                                    s.text("hall", ""),
+                                                    s.address("control", null),
+                                                    dir.resolve(s.text("config", name + ".sexp")),
+                                                    dir.resolve(s.text("log", name + ".log"))));
+                                }
+                            });
             if (routers.isEmpty()) {
-                top.problem("router", "a router at least: (router NAME (hall H) (control host:port) (config FILE) (log FILE))");
+                top.problem(
+                        "router",
+                        "a router at least: (router NAME (hall H) (control host:port) (config FILE)"
+                                + " (log FILE))");
             }
-            fleet = new FleetConfig(dir.resolve(top.text("keys", "keys")), top.text("operator", null), routers);
+            fleet =
+                    new FleetConfig(
+                            dir.resolve(top.text("keys", "keys")),
+                            top.text("operator", null),
+                            routers);
             top.close();
         }
         if (!problems.isEmpty()) {
--- a/config/src/main/java/ashlink/config/Node.java
+++ b/config/src/main/java/ashlink/config/Node.java
@@ -10,7 +10,7 @@
     int column();
 
     /** A word, or a text in quotes without them. */
-    record Atom(String text, int line, int column) implements Node { }
+    record Atom(String text, int line, int column) implements Node {}
 
     /** A list; that of a setting starts with its name. */
     record Form(List<Node> items, int line, int column) implements Node {
--- a/config/src/main/java/ashlink/config/Passwords.java
+++ b/config/src/main/java/ashlink/config/Passwords.java
@@ -10,14 +10,18 @@
 
     /** Cost of new hashes: some tens of milliseconds each. */
     public static final int COST = 10;
+
     private static final int SALT_BYTES = 16;
+
     /** Longest password that bcrypt tells apart. */
     private static final int MOST_BYTES = 72;
+
     private static final SecureRandom RANDOM = new SecureRandom();
+
     /** Checked against where the user is unknown, so that the time tells nothing. */
     private static final String NOBODY = hash("nobody", COST);
 
-    private Passwords() { }
+    private Passwords() {}
 
     /** The hash of a password, with a new salt; {@code cost} 4 to 31. */
     public static String hash(String password, int cost) {
@@ -31,7 +35,10 @@
         return text.matches("\\$2[aby]\\$[0-3][0-9]\\$[./A-Za-z0-9]{53}");
     }
 
-    /** Checks a password; {@code hash} null is an unknown user, empty is a user whose password is empty. */
+    /**
+     * Checks a password; {@code hash} null is an unknown user, empty is a user whose password is
+     * empty.
+     */
     public static boolean matches(String password, String hash) {
         if (hash == null) {
             OpenBSDBCrypt.checkPassword(NOBODY, bounded(password));
--- a/config/src/main/java/ashlink/config/RouterConfigReader.java
+++ b/config/src/main/java/ashlink/config/RouterConfigReader.java
@@ -38,22 +38,40 @@
     private static final long MS = 1_000_000L;
     private static final long S = 1_000 * MS;
     private static final long HOUR = 3_600 * S;
+
     /** Kinds of statement, as the SQL reader names them. */
-    private static final Set<String> KINDS = Set.of("read", "write", "load", "ddl", "session", "transaction",
-            "administration", "several", "unknown");
+    private static final Set<String> KINDS =
+            Set.of(
+                    "read",
+                    "write",
+                    "load",
+                    "ddl",
+                    "session",
+                    "transaction",
+                    "administration",
+                    "several",
+                    "unknown");
+
     private static final long MIB = 1 << 20;
     private static final long GIB = 1L << 30;
 
     /** What a class is to the rules of effect, in the words of settings. */
-    private enum Repeat { SAFE, DEDUPLICATED, NEVER }
+    private enum Repeat {
+        SAFE,
+        DEDUPLICATED,
+        NEVER
+    }
 
     /** Phases that a list may give. */
-    private enum Listed { READY, DRAINING }
+    private enum Listed {
+        READY,
+        DRAINING
+    }
 
     private final List<Problem> problems = new ArrayList<>();
     private Section top;
 
-    private RouterConfigReader() { }
+    private RouterConfigReader() {}
 
     /** Reads a file whole; an exception tells all that is wrong with it. */
     public static RouterConfig read(Path path) throws ConfigException {
@@ -98,13 +116,21 @@
         String defaultWrite = top.text("default-write-class", null);
         QueryClass write = classes.get(defaultWrite);
         if (write == null || write.effect() != Effect.AT_MOST_ONCE) {
-            top.problem("default-write-class", "a class with (repeat never): "
-                    + names(classes.values().stream().filter(c -> c.effect() == Effect.AT_MOST_ONCE).toList()));
+            top.problem(
+                    "default-write-class",
+                    "a class with (repeat never): "
+                            + names(
+                                    classes.values().stream()
+                                            .filter(c -> c.effect() == Effect.AT_MOST_ONCE)
+                                            .toList()));
         }
         InetSocketAddress listen;
         InetSocketAddress metrics;
         try (Section s = top.section("listen")) {
-            listen = s.address("native", new InetSocketAddress(InetAddress.getLoopbackAddress(), 9000));
+            listen =
+                    s.address(
+                            "native",
+                            new InetSocketAddress(InetAddress.getLoopbackAddress(), 9000));
             metrics = s.has("metrics") ? s.address("metrics", null) : null;
         }
         EngineLogin login;
@@ -112,22 +138,50 @@
             login = new EngineLogin(s.text("user", "default"), s.text("password", ""));
         }
         Path stateDir = top.has("state-dir") ? Path.of(top.text("state-dir", "")) : null;
-        return new RouterConfig(name, zone, top.whole("seed", 1L, 0, Long.MAX_VALUE / 2), gateways, position, listen,
-                metrics, stateDir, bounds(), kinds, engines, classes, rules, defaultClass, defaultWrite, users, tenants,
-                top.number("over-share-worth", 1.0, 0, 1), allowed(), limits(), gauges(), login, capture(), http(), control());
+        return new RouterConfig(
+                name,
+                zone,
+                top.whole("seed", 1L, 0, Long.MAX_VALUE / 2),
+                gateways,
+                position,
+                listen,
+                metrics,
+                stateDir,
+                bounds(),
+                kinds,
+                engines,
+                classes,
+                rules,
+                defaultClass,
+                defaultWrite,
+                users,
+                tenants,
+                top.number("over-share-worth", 1.0, 0, 1),
+                allowed(),
+                limits(),
+                gauges(),
+                login,
+                capture(),
+                http(),
+                control());
     }
 
     private static String names(Collection<QueryClass> classes) {
-        return classes.isEmpty() ? "none is set" : classes.stream().map(QueryClass::name).collect(Collectors.joining(", "));
+        return classes.isEmpty()
+                ? "none is set"
+                : classes.stream().map(QueryClass::name).collect(Collectors.joining(", "));
     }
 
     private static void oneOf(Section s, String setting, String value, Collection<String> names) {
         if (!value.isEmpty() && !names.contains(value)) {
-            s.problem(setting, names.isEmpty() ? "none is set" : "one of " + String.join(", ", names));
+            s.problem(
+                    setting,
+                    names.isEmpty() ? "none is set" : "one of " + String.join(", ", names));
         }
     }
 
-    private static void allOf(Section s, String setting, Set<String> values, Collection<String> names) {
+    private static void allOf(
+            Section s, String setting, Set<String> values, Collection<String> names) {
         for (String v : values) {
             if (!names.contains(v)) {
                 s.problem(setting, "any of " + String.join(", ", names) + ", not " + v);
@@ -137,56 +191,91 @@
 
     private List<EngineKind> kinds() {
         List<EngineKind> kinds = new ArrayList<>();
-        top.named("kind").forEach((name, s) -> {
-            try (s) {
-                kinds.add(new EngineKind(name, (int) s.whole("cores", null, 1, 4096),
-                        s.size("memory", 0L, 0, 1L << 50) / (double) MIB));
-            }
-        });
+        top.named("kind")
+                .forEach(
+                        (name, s) -> {
+                            try (s) {
+                                kinds.add(
+                                        new EngineKind(
+                                                name,
+                                                (int) s.whole("cores", null, 1, 4096),
+                                                s.size("memory", 0L, 0, 1L << 50) / (double) MIB));
+                            }
+                        });
         return kinds;
     }
 
     private Map<String, EngineSpec> engines(List<EngineKind> kinds, Set<String> zones) {
         Map<String, EngineSpec> engines = new LinkedHashMap<>();
         List<String> names = kinds.stream().map(EngineKind::name).toList();
-        top.named("engine").forEach((name, s) -> {
-            try (s) {
-                EngineSpec e = new EngineSpec(name, s.address("address", null), s.text("zone", ""), s.text("kind", ""),
-                        s.whole("cell", 0L, 0, Integer.MAX_VALUE),
-                        s.choice("phase", Listed.READY, Listed.class) == Listed.READY ? Phase.READY : Phase.DRAINING);
-                oneOf(s, "zone", e.zone(), zones);
-                oneOf(s, "kind", e.kind(), names);
-                engines.put(name, e);
-            }
-        });
+        top.named("engine")
+                .forEach(
+                        (name, s) -> {
+                            try (s) {
+                                EngineSpec e =
+                                        new EngineSpec(
+                                                name,
+                                                s.address("address", null),
+                                                s.text("zone", ""),
+                                                s.text("kind", ""),
+                                                s.whole("cell", 0L, 0, Integer.MAX_VALUE),
+                                                s.choice("phase", Listed.READY, Listed.class)
+                                                                == Listed.READY
+                                                        ? Phase.READY
+                                                        : Phase.DRAINING);
+                                oneOf(s, "zone", e.zone(), zones);
+                                oneOf(s, "kind", e.kind(), names);
+                                engines.put(name, e);
+                            }
+                        });
         return engines;
     }
 
     private Map<String, QueryClass> classes(List<EngineKind> kinds, Set<String> zones) {
         Map<String, QueryClass> classes = new LinkedHashMap<>();
-        top.named("class").forEach((name, s) -> {
-            try (s) {
-                Repeat repeat = s.choice("repeat", null, Repeat.class);
-                Effect effect = switch (repeat) {
-                    case SAFE -> Effect.IDEMPOTENT;
-                    case DEDUPLICATED -> Effect.DEDUPLICATED;
-                    case NEVER -> Effect.AT_MOST_ONCE;
-                };
-                QueryClass c = new QueryClass(name, s.duration("aim", null, 0, HOUR), s.number("aim-stretch", 0.0, 0, 100),
-                        s.duration("deadline", null, MS, 24 * HOUR), effect,
-                        s.choice("repeat-group", RepeatGroup.ALL, RepeatGroup.class),
-                        s.duration("repeat-span", 0L, 0, 24 * HOUR), s.number("worth", 1.0, 0, 1e6),
-                        s.number("late-share", 0.0, 0, 1), s.flag("in-order", false), s.words("only-kinds"),
-                        s.words("only-zones"), (int) s.whole("threads", 1L, 1, 1024), s.flag("holds-tables", false),
-                        s.flag("waits-for-tables", false));
-                allOf(s, "only-kinds", c.kinds(), kinds.stream().map(EngineKind::name).toList());
-                allOf(s, "only-zones", c.zones(), zones);
-                if (name.contains("/")) {
-                    s.problem("class", "a name without a slash");
-                }
-                classes.put(name, c);
-            }
-        });
+        top.named("class")
+                .forEach(
+                        (name, s) -> {
+                            try (s) {
+                                Repeat repeat = s.choice("repeat", null, Repeat.class);
+                                Effect effect =
+                                        switch (repeat) {
+                                            case SAFE -> Effect.IDEMPOTENT;
+                                            case DEDUPLICATED -> Effect.DEDUPLICATED;
+                                            case NEVER -> Effect.AT_MOST_ONCE;
+                                        };
+                                QueryClass c =
+                                        new QueryClass(
+                                                name,
+                                                s.duration("aim", null, 0, HOUR),
+                                                s.number("aim-stretch", 0.0, 0, 100),
+                                                s.duration("deadline", null, MS, 24 * HOUR),
+                                                effect,
+                                                s.choice(
+                                                        "repeat-group",
+                                                        RepeatGroup.ALL,
+                                                        RepeatGroup.class),
+                                                s.duration("repeat-span", 0L, 0, 24 * HOUR),
+                                                s.number("worth", 1.0, 0, 1e6),
+                                                s.number("late-share", 0.0, 0, 1),
+                                                s.flag("in-order", false),
+                                                s.words("only-kinds"),
+                                                s.words("only-zones"),
+                                                (int) s.whole("threads", 1L, 1, 1024),
+                                                s.flag("holds-tables", false),
+                                                s.flag("waits-for-tables", false));
+                                allOf(
+                                        s,
+                                        "only-kinds",
+                                        c.kinds(),
+                                        kinds.stream().map(EngineKind::name).toList());
+                                allOf(s, "only-zones", c.zones(), zones);
+                                if (name.contains("/")) {
+                                    s.problem("class", "a name without a slash");
+                                }
+                                classes.put(name, c);
+                            }
+                        });
         if (classes.isEmpty()) {
             top.problem("class", "one section (class NAME ...) at least");
         }
@@ -195,26 +284,40 @@
 
     private List<Tenant> tenants() {
         List<Tenant> tenants = new ArrayList<>();
-        top.named("tenant").forEach((name, s) -> {
-            try (s) {
-                tenants.add(new Tenant(name, s.rate("quota", 0.0, 1e9)));
-            }
-        });
+        top.named("tenant")
+                .forEach(
+                        (name, s) -> {
+                            try (s) {
+                                tenants.add(new Tenant(name, s.rate("quota", 0.0, 1e9)));
+                            }
+                        });
         return tenants;
     }
 
     private Map<String, UserSpec> users(List<Tenant> tenants) {
         Map<String, UserSpec> users = new LinkedHashMap<>();
-        top.named("user").forEach((name, s) -> {
-            try (s) {
-                UserSpec u = new UserSpec(name, s.text("password-hash", ""), s.text("tenant", ""));
-                oneOf(s, "tenant", u.tenant(), tenants.stream().map(Tenant::name).toList());
-                if (!u.passwordHash().isEmpty() && !Passwords.isHash(u.passwordHash())) {
-                    s.problem("password-hash", "what ./ashlink hash-password prints");
-                }
-                users.put(name, u);
-            }
-        });
+        top.named("user")
+                .forEach(
+                        (name, s) -> {
+                            try (s) {
+                                UserSpec u =
+                                        new UserSpec(
+                                                name,
+                                                s.text("password-hash", ""),
+                                                s.text("tenant", ""));
+                                oneOf(
+                                        s,
+                                        "tenant",
+                                        u.tenant(),
+                                        tenants.stream().map(Tenant::name).toList());
+                                if (!u.passwordHash().isEmpty()
+                                        && !Passwords.isHash(u.passwordHash())) {
+                                    s.problem(
+                                            "password-hash", "what ./ashlink hash-password prints");
+                                }
+                                users.put(name, u);
+                            }
+                        });
         return users;
     }
 
@@ -222,12 +325,24 @@
         List<ClassRule> rules = new ArrayList<>();
         for (Section s : top.each("rule")) {
             try (s) {
-                Set<String> keywords = s.words("keyword").stream().map(k -> k.toUpperCase(Locale.ROOT))
-                        .collect(Collectors.toUnmodifiableSet());
+                Set<String> keywords =
+                        s.words("keyword").stream()
+                                .map(k -> k.toUpperCase(Locale.ROOT))
+                                .collect(Collectors.toUnmodifiableSet());
                 Set<String> prints = s.words("fingerprint");
-                ClassRule rule = new ClassRule(s.text("class", null), s.words("user"), s.words("database"), keywords,
-                        s.words("kind"), s.words("table").stream().map(RouterConfigReader::pattern)
-                                .collect(Collectors.toUnmodifiableSet()), prints, s.text("setting", ""), s.text("value", ""));
+                ClassRule rule =
+                        new ClassRule(
+                                s.text("class", null),
+                                s.words("user"),
+                                s.words("database"),
+                                keywords,
+                                s.words("kind"),
+                                s.words("table").stream()
+                                        .map(RouterConfigReader::pattern)
+                                        .collect(Collectors.toUnmodifiableSet()),
+                                prints,
+                                s.text("setting", ""),
+                                s.text("value", ""));
                 allOf(s, "kind", rule.kinds(), KINDS);
                 if (!prints.stream().allMatch(f -> f.matches("[0-9a-f]{32}"))) {
                     s.problem("fingerprint", "32 digits of hex, as ./ashlink explain prints them");
@@ -242,25 +357,41 @@
 
     /** A table's name in which {@code *} stands for any characters. */
     private static Pattern pattern(String word) {
-        return Pattern.compile(Arrays.stream(word.split("\\*", -1)).map(Pattern::quote).collect(Collectors.joining(".*")));
+        return Pattern.compile(
+                Arrays.stream(word.split("\\*", -1))
+                        .map(Pattern::quote)
+                        .collect(Collectors.joining(".*")));
     }
 
     private Allowed allowed() {
         try (Section s = top.section("allowed")) {
-            return new Allowed(s.flag("probes", true), s.flag("cancels", true), (int) s.whole("attempts", 3L, 1, 100),
-                    s.duration("longest-retry-after", 500 * MS, 0, HOUR), s.flag("grants", false),
-                    s.flag("priorities", false), s.number("largest-grant", 1.0, 0, 1), s.flag("memory-queues", true),
-                    s.duration("note-every", 0L, 0, HOUR), s.flag("cost-in-answers", false),
-                    s.flag("reports-inline", true), false);
+            return new Allowed(
+                    s.flag("probes", true),
+                    s.flag("cancels", true),
+                    (int) s.whole("attempts", 3L, 1, 100),
+                    s.duration("longest-retry-after", 500 * MS, 0, HOUR),
+                    s.flag("grants", false),
+                    s.flag("priorities", false),
+                    s.number("largest-grant", 1.0, 0, 1),
+                    s.flag("memory-queues", true),
+                    s.duration("note-every", 0L, 0, HOUR),
+                    s.flag("cost-in-answers", false),
+                    s.flag("reports-inline", true),
+                    false);
         }
     }
 
     private Limits limits() {
         try (Section s = top.section("limits")) {
-            return new Limits(s.duration("drain-grace", 2 * S, 0, HOUR), s.number("cold-from", 0.0, 0, 1),
-                    s.duration("cold-time", 0L, 0, HOUR), s.number("cold-multiple", 0.0, 0, 100),
-                    s.duration("cold-window", 0L, 0, HOUR), s.duration("key-rest", 0L, 0, HOUR),
-                    s.number("free-resends", 0.0, 0, 1e6), s.number("resends-per-request", 0.0, 0, 100),
+            return new Limits(
+                    s.duration("drain-grace", 2 * S, 0, HOUR),
+                    s.number("cold-from", 0.0, 0, 1),
+                    s.duration("cold-time", 0L, 0, HOUR),
+                    s.number("cold-multiple", 0.0, 0, 100),
+                    s.duration("cold-window", 0L, 0, HOUR),
+                    s.duration("key-rest", 0L, 0, HOUR),
+                    s.number("free-resends", 0.0, 0, 1e6),
+                    s.number("resends-per-request", 0.0, 0, 100),
                     s.duration("resend-span", 0L, 0, HOUR));
         }
     }
@@ -269,14 +400,18 @@
         try (Section s = top.section("control")) {
             InetSocketAddress listen = s.has("listen") ? s.address("listen", null) : null;
             Map<String, InetSocketAddress> peers = new LinkedHashMap<>();
-            s.named("peer").forEach((name, peer) -> {
-                try (peer) {
-                    peers.put(name, peer.address("address", null));
-                }
-            });
+            s.named("peer")
+                    .forEach(
+                            (name, peer) -> {
+                                try (peer) {
+                                    peers.put(name, peer.address("address", null));
+                                }
+                            });
             String keys = s.text("keys", listen == null ? "" : null);
             if (listen != null && !top.has("state-dir")) {
-                s.problem("listen", "a control channel together with a state-dir, which keeps the notices");
+                s.problem(
+                        "listen",
+                        "a control channel together with a state-dir, which keeps the notices");
             }
             return new ControlSpec(listen, Path.of(keys), Map.copyOf(peers));
         }
@@ -285,20 +420,34 @@
     private HttpSpec http() {
         try (Section s = top.section("http")) {
             long page = s.size("page", MIB, 1024, 64 * MIB);
-            HttpSpec http = new HttpSpec(s.has("listen") ? s.address("listen", null) : null,
-                    s.has("spool") ? Path.of(s.text("spool", "")) : null, page, s.size("memory", 64 * 1024L, 0, GIB),
-                    s.size("memory-all", 64 * MIB, MIB, 1024 * GIB), s.size("spool-statement", GIB, 4 * page, 1024 * 1024 * GIB),
-                    s.size("spool-user", 4 * GIB, 4 * page, 1024 * 1024 * GIB),
-                    s.size("spool-all", 16 * GIB, 4 * page, 1024 * 1024 * GIB), (int) s.whole("open", 10_000L, 1, 1_000_000),
-                    (int) s.whole("open-user", 10_000L, 1, 1_000_000), s.duration("unpolled", 30 * S, MS, HOUR),
-                    s.duration("kept", 60 * S, MS, 24 * HOUR), s.duration("linger", 10 * S, 0, HOUR),
-                    (int) s.whole("tombstones", 10_000L, 0, 1_000_000), s.duration("tombstone-time", 300 * S, 0, 24 * HOUR),
-                    s.duration("longest-wait", 30 * S, 0, HOUR), s.size("body", 16 * MIB, 1024, GIB),
-                    (int) s.size("headers", 8 * 1024L, 1024, MIB), (int) s.whole("connections", 10_000L, 1, 1_000_000),
-                    s.duration("header-time", 10 * S, MS, HOUR), s.duration("body-time", 30 * S, MS, HOUR),
-                    s.duration("idle", 60 * S, MS, HOUR), s.size("render", 64 * MIB, MIB, 1024 * GIB),
-                    (int) s.whole("keys", 100_000L, 1, 10_000_000), s.duration("key-time", 24 * HOUR, MS, 24 * 365 * HOUR),
-                    peers(s));
+            HttpSpec http =
+                    new HttpSpec(
+                            s.has("listen") ? s.address("listen", null) : null,
+                            s.has("spool") ? Path.of(s.text("spool", "")) : null,
+                            page,
+                            s.size("memory", 64 * 1024L, 0, GIB),
+                            s.size("memory-all", 64 * MIB, MIB, 1024 * GIB),
+                            s.size("spool-statement", GIB, 4 * page, 1024 * 1024 * GIB),
+                            s.size("spool-user", 4 * GIB, 4 * page, 1024 * 1024 * GIB),
+                            s.size("spool-all", 16 * GIB, 4 * page, 1024 * 1024 * GIB),
+                            (int) s.whole("open", 10_000L, 1, 1_000_000),
+                            (int) s.whole("open-user", 10_000L, 1, 1_000_000),
+                            s.duration("unpolled", 30 * S, MS, HOUR),
+                            s.duration("kept", 60 * S, MS, 24 * HOUR),
+                            s.duration("linger", 10 * S, 0, HOUR),
+                            (int) s.whole("tombstones", 10_000L, 0, 1_000_000),
+                            s.duration("tombstone-time", 300 * S, 0, 24 * HOUR),
+                            s.duration("longest-wait", 30 * S, 0, HOUR),
+                            s.size("body", 16 * MIB, 1024, GIB),
+                            (int) s.size("headers", 8 * 1024L, 1024, MIB),
+                            (int) s.whole("connections", 10_000L, 1, 1_000_000),
+                            s.duration("header-time", 10 * S, MS, HOUR),
+                            s.duration("body-time", 30 * S, MS, HOUR),
+                            s.duration("idle", 60 * S, MS, HOUR),
+                            s.size("render", 64 * MIB, MIB, 1024 * GIB),
+                            (int) s.whole("keys", 100_000L, 1, 10_000_000),
+                            s.duration("key-time", 24 * HOUR, MS, 24 * 365 * HOUR),
+                            peers(s));
             if (http.longestWaitNs() >= http.idleNs()) {
                 s.problem("idle", "a duration over longest-wait");
             }
@@ -308,30 +457,45 @@
 
     private Map<String, String> peers(Section s) {
         Map<String, String> peers = new LinkedHashMap<>();
-        s.named("peer").forEach((name, peer) -> {
-            try (peer) {
-                String url = peer.text("url", null);
-                if (!url.isEmpty() && !url.matches("https?://[^/ ]+")) {
-                    peer.problem("url", "http://host:port or https://host:port, without a path");
-                }
-                peers.put(name, url);
-            }
-        });
+        s.named("peer")
+                .forEach(
+                        (name, peer) -> {
+                            try (peer) {
+                                String url = peer.text("url", null);
+                                if (!url.isEmpty() && !url.matches("https?://[^/ ]+")) {
+                                    peer.problem(
+                                            "url",
+                                            "http://host:port or https://host:port, without a"
+                                                    + " path");
+                                }
+                                peers.put(name, url);
+                            }
+                        });
         return Map.copyOf(peers);
     }
 
     private CaptureSpec capture() {
         try (Section s = top.section("capture")) {
-            return new CaptureSpec(s.has("dir") ? Path.of(s.text("dir", "")) : null, s.size("segment", 64 * MIB, 4096, GIB),
-                    s.size("keep", 4 * GIB, 4096, 1024 * 1024 * GIB), (int) s.whole("queue", 65_536L, 16, 10_000_000),
-                    s.duration("sync", S, MS, HOUR), s.text("key-secret", ""));
+            return new CaptureSpec(
+                    s.has("dir") ? Path.of(s.text("dir", "")) : null,
+                    s.size("segment", 64 * MIB, 4096, GIB),
+                    s.size("keep", 4 * GIB, 4096, 1024 * 1024 * GIB),
+                    (int) s.whole("queue", 65_536L, 16, 10_000_000),
+                    s.duration("sync", S, MS, HOUR),
+                    s.text("key-secret", ""));
         }
     }
 
     private Gauges gauges() {
         try (Section s = top.section("gauges")) {
-            return new Gauges(gauge(s, "waiting"), gauge(s, "cores-busy"), gauge(s, "memory-granted"),
-                    gauge(s, "disks-busy"), gauge(s, "in-hand"), gauge(s, "work-ms"), gauge(s, "memory-mb"),
+            return new Gauges(
+                    gauge(s, "waiting"),
+                    gauge(s, "cores-busy"),
+                    gauge(s, "memory-granted"),
+                    gauge(s, "disks-busy"),
+                    gauge(s, "in-hand"),
+                    gauge(s, "work-ms"),
+                    gauge(s, "memory-mb"),
                     gauge(s, "uptime-s"));
         }
     }
@@ -342,9 +506,15 @@
             int slash = word.indexOf('/');
             String divisor = slash < 0 ? "1" : word.substring(slash + 1);
             if (slash == 0 || !divisor.matches("[0-9]{1,9}") || Integer.parseInt(divisor) == 0) {
-                s.problem(name, "names such as QueriesWaiting, or with a divisor such as CoresBusyPermille/1000");
+                s.problem(
+                        name,
+                        "names such as QueriesWaiting, or with a divisor such as"
+                                + " CoresBusyPermille/1000");
             } else {
-                gauges.add(new Gauge(slash < 0 ? word : word.substring(0, slash), Integer.parseInt(divisor)));
+                gauges.add(
+                        new Gauge(
+                                slash < 0 ? word : word.substring(0, slash),
+                                Integer.parseInt(divisor)));
             }
         }
         return List.copyOf(gauges);
@@ -352,14 +522,22 @@
 
     private Bounds bounds() {
         try (Section s = top.section("bounds")) {
-            return new Bounds((int) s.whole("connections", 20_000L, 1, 1_000_000),
-                    (int) s.whole("open-requests", 10_000L, 1, 1_000_000), (int) s.whole("queue", 65_536L, 16, 10_000_000),
-                    s.size("held-answer", MIB, 0, GIB), s.size("held-answers", 256 * MIB, 0, 1024 * GIB),
-                    s.size("held-insert", 64 * MIB, 0, GIB), s.size("held-inserts", 512 * MIB, 0, 1024 * GIB),
-                    s.size("packet", 256 * MIB, 1024, 2 * GIB - 64), s.duration("login", 5 * S, MS, HOUR),
-                    s.duration("connect", 250 * MS, MS, HOUR), s.duration("idle-engine", 15 * S, MS, 24 * HOUR),
-                    s.duration("idle-client", HOUR, MS, 240 * HOUR), (int) s.whole("engine-connections", 256L, 1, 100_000),
-                    s.duration("stop", 10 * S, 0, HOUR), s.size("stack", 512 * 1024L, 64 * 1024, 64 * MIB),
+            return new Bounds(
+                    (int) s.whole("connections", 20_000L, 1, 1_000_000),
+                    (int) s.whole("open-requests", 10_000L, 1, 1_000_000),
+                    (int) s.whole("queue", 65_536L, 16, 10_000_000),
+                    s.size("held-answer", MIB, 0, GIB),
+                    s.size("held-answers", 256 * MIB, 0, 1024 * GIB),
+                    s.size("held-insert", 64 * MIB, 0, GIB),
+                    s.size("held-inserts", 512 * MIB, 0, 1024 * GIB),
+                    s.size("packet", 256 * MIB, 1024, 2 * GIB - 64),
+                    s.duration("login", 5 * S, MS, HOUR),
+                    s.duration("connect", 250 * MS, MS, HOUR),
+                    s.duration("idle-engine", 15 * S, MS, 24 * HOUR),
+                    s.duration("idle-client", HOUR, MS, 240 * HOUR),
+                    (int) s.whole("engine-connections", 256L, 1, 100_000),
+                    s.duration("stop", 10 * S, 0, HOUR),
+                    s.size("stack", 512 * 1024L, 64 * 1024, 64 * MIB),
                     s.duration("answer-margin", 50 * MS, 0, HOUR));
         }
     }
--- a/config/src/main/java/ashlink/config/SExprReader.java
+++ b/config/src/main/java/ashlink/config/SExprReader.java
@@ -19,6 +19,7 @@
 
     /** Lists within lists; deeper is no setting of ours, and the parser recurses. */
     private static final int DEEPEST = 32;
+
     private static final long MOST_BYTES = 4 << 20;
 
     private final String file;
@@ -33,13 +34,26 @@
     static List<Node> read(Path path, List<Problem> problems) {
         try {
             if (Files.size(path) > MOST_BYTES) {
-                problems.add(new Problem(path.toString(), 1, 1, "", "a file of " + Files.size(path) + " bytes",
-                        "up to " + MOST_BYTES + " bytes"));
+                problems.add(
+                        new Problem(
+                                path.toString(),
+                                1,
+                                1,
+                                "",
+                                "a file of " + Files.size(path) + " bytes",
+                                "up to " + MOST_BYTES + " bytes"));
                 return List.of();
             }
             return read(path.toString(), Files.readString(path), problems);
         } catch (IOException e) {
-            problems.add(new Problem(path.toString(), 1, 1, "", e.toString(), "a file that can be read as UTF-8"));
+            problems.add(
+                    new Problem(
+                            path.toString(),
+                            1,
+                            1,
+                            "",
+                            e.toString(),
+                            "a file that can be read as UTF-8"));
             return List.of();
         }
     }
@@ -50,14 +64,27 @@
     }
 
     private List<Node> read(String text) {
-        BaseErrorListener listener = new BaseErrorListener() {
-            @Override
-            public void syntaxError(Recognizer<?, ?> recognizer, Object symbol, int line, int column, String message,
-                    RecognitionException e) {
-                problems.add(new Problem(file, line, column + 1, "", message, "words, texts in quotes, and lists in "
-                        + "parentheses that are closed"));
-            }
-        };
+        BaseErrorListener listener =
+                new BaseErrorListener() {
+                    @Override
+                    public void syntaxError(
+                            Recognizer<?, ?> recognizer,
+                            Object symbol,
+                            int line,
+                            int column,
+                            String message,
+                            RecognitionException e) {
+                        problems.add(
+                                new Problem(
+                                        file,
+                                        line,
+                                        column + 1,
+                                        "",
+                                        message,
+                                        "words, texts in quotes, and lists in "
+                                                + "parentheses that are closed"));
+                    }
+                };
         SExprLexer lexer = new SExprLexer(CharStreams.fromString(text));
         lexer.removeErrorListeners();
         lexer.addErrorListener(listener);
@@ -67,8 +94,14 @@
         for (Token t : tokens.getTokens()) {
             depth += t.getType() == SExprLexer.OPEN ? 1 : t.getType() == SExprLexer.CLOSE ? -1 : 0;
             if (depth > DEEPEST) {
-                problems.add(new Problem(file, t.getLine(), t.getCharPositionInLine() + 1, "", "a list this deep",
-                        "up to " + DEEPEST + " lists within each other"));
+                problems.add(
+                        new Problem(
+                                file,
+                                t.getLine(),
+                                t.getCharPositionInLine() + 1,
+                                "",
+                                "a list this deep",
+                                "up to " + DEEPEST + " lists within each other"));
                 return List.of();
             }
         }
@@ -88,7 +121,11 @@
             if (f.OPEN() != null) {
                 nodes.add(new Node.Form(nodes(f.form()), at.getLine(), column));
             } else {
-                nodes.add(new Node.Atom(f.TEXT() != null ? unquoted(at.getText()) : at.getText(), at.getLine(), column));
+                nodes.add(
+                        new Node.Atom(
+                                f.TEXT() != null ? unquoted(at.getText()) : at.getText(),
+                                at.getLine(),
+                                column));
             }
         }
         return nodes;
--- a/config/src/main/java/ashlink/config/Section.java
+++ b/config/src/main/java/ashlink/config/Section.java
@@ -13,8 +13,9 @@
 import org.apache.commons.text.similarity.LevenshteinDistance;
 
 /**
- * A list of settings, read by name. A value that is not accepted is noted as a problem and read as its default, so that
- * all problems of a file are found at once; {@link #close} notes settings that nobody asked for.
+ * A list of settings, read by name. A value that is not accepted is noted as a problem and read as
+ * its default, so that all problems of a file are found at once; {@link #close} notes settings that
+ * nobody asked for.
  */
 final class Section implements AutoCloseable {
 
@@ -33,7 +34,8 @@
         this.path = path;
         this.form = form;
         this.problems = problems;
-        for (Node n : form.items().subList(Math.min(from, form.items().size()), form.items().size())) {
+        for (Node n :
+                form.items().subList(Math.min(from, form.items().size()), form.items().size())) {
             if (n instanceof Form f && !f.head().isEmpty()) {
                 settings.computeIfAbsent(f.head(), k -> new ArrayList<>()).add(f);
             } else if (n instanceof Atom a) {
@@ -50,7 +52,9 @@
             return new Section(file, name, f, 1, problems);
         }
         if (problems.isEmpty()) {
-            problems.add(new Problem(file, 1, 1, "", "what the file holds", "one list (" + name + " ...)"));
+            problems.add(
+                    new Problem(
+                            file, 1, 1, "", "what the file holds", "one list (" + name + " ...)"));
         }
         return new Section(file, name, new Form(List.of(), 1, 1), 0, problems);
     }
@@ -62,7 +66,8 @@
 
     void problem(String name, String accepted) {
         Node at = settings.containsKey(name) ? settings.get(name).get(0) : form;
-        Node value = at instanceof Form f && at != form && f.items().size() > 1 ? f.items().get(1) : at;
+        Node value =
+                at instanceof Form f && at != form && f.items().size() > 1 ? f.items().get(1) : at;
         problem(value, path + "." + name, accepted);
     }
 
@@ -92,7 +97,14 @@
 
     private void missing(String name, String accepted) {
         if (!settings.containsKey(name)) {
-            problems.add(new Problem(file, form.line(), form.column(), path + "." + name, "nothing", accepted));
+            problems.add(
+                    new Problem(
+                            file,
+                            form.line(),
+                            form.column(),
+                            path + "." + name,
+                            "nothing",
+                            accepted));
         }
     }
 
@@ -113,8 +125,15 @@
         return a == null ? absent : a.text().equals("yes");
     }
 
-    /** A number with a unit of that kind, between the bounds; {@code absent} null: it must be given. */
-    private double quantity(String name, Double absent, Map<String, Double> units, double least, double most,
+    /**
+     * A number with a unit of that kind, between the bounds; {@code absent} null: it must be given.
+     */
+    private double quantity(
+            String name,
+            Double absent,
+            Map<String, Double> units,
+            double least,
+            double most,
             String accepted) {
         Atom a = atom(name, accepted);
         if (a == null) {
@@ -132,12 +151,25 @@
     }
 
     double number(String name, Double absent, double least, double most) {
-        return quantity(name, absent, Map.of("", 1.0), least, most, "a number from " + shown(least) + " to " + shown(most));
+        return quantity(
+                name,
+                absent,
+                Map.of("", 1.0),
+                least,
+                most,
+                "a number from " + shown(least) + " to " + shown(most));
     }
 
     long whole(String name, Long absent, long least, long most) {
         String accepted = "a whole number from " + least + " to " + most;
-        double value = quantity(name, absent == null ? null : (double) absent, Map.of("", 1.0), least, most, accepted);
+        double value =
+                quantity(
+                        name,
+                        absent == null ? null : (double) absent,
+                        Map.of("", 1.0),
+                        least,
+                        most,
+                        accepted);
         if (value != Math.rint(value)) {
             problem(name, accepted);
         }
@@ -146,19 +178,45 @@
 
     /** A duration in nanoseconds. */
     long duration(String name, Long absentNs, long leastNs, long mostNs) {
-        return (long) quantity(name, absentNs == null ? null : (double) absentNs, Units.DURATION_NS, leastNs, mostNs,
-                "a duration from " + leastNs / 1e9 + "s to " + mostNs / 1e9 + "s, with ns, us, ms, s, m, h or d");
+        return (long)
+                quantity(
+                        name,
+                        absentNs == null ? null : (double) absentNs,
+                        Units.DURATION_NS,
+                        leastNs,
+                        mostNs,
+                        "a duration from "
+                                + leastNs / 1e9
+                                + "s to "
+                                + mostNs / 1e9
+                                + "s, with ns, us, ms, s, m, h or d");
     }
 
     /** A size in bytes. */
     long size(String name, Long absent, long least, long most) {
-        return (long) quantity(name, absent == null ? null : (double) absent, Units.SIZE_BYTES, least, most,
-                "a size from " + least + "B to " + most + "B, with B, KiB, MiB, GiB, kB, MB or GB");
+        return (long)
+                quantity(
+                        name,
+                        absent == null ? null : (double) absent,
+                        Units.SIZE_BYTES,
+                        least,
+                        most,
+                        "a size from "
+                                + least
+                                + "B to "
+                                + most
+                                + "B, with B, KiB, MiB, GiB, kB, MB or GB");
     }
 
     /** A rate a second. */
     double rate(String name, Double absent, double most) {
-        return quantity(name, absent, Units.RATE_PER_S, 0, most, "a rate up to " + shown(most) + "/s, with /s, /m or /h");
+        return quantity(
+                name,
+                absent,
+                Units.RATE_PER_S,
+                0,
+                most,
+                "a rate up to " + shown(most) + "/s, with /s, /m or /h");
     }
 
     /** An address and port; port 0 is any free one. */
@@ -175,7 +233,8 @@
         try {
             int port = Integer.parseInt(a.text().substring(colon + 1));
             if (colon > 0 && port >= 0 && port <= 65535) {
-                return new InetSocketAddress(a.text().substring(0, colon).replaceAll("^\\[|]$", ""), port);
+                return new InetSocketAddress(
+                        a.text().substring(0, colon).replaceAll("^\\[|]$", ""), port);
             }
         } catch (NumberFormatException e) {
             // said below
@@ -185,8 +244,13 @@
     }
 
     <E extends Enum<E>> E choice(String name, E absent, Class<E> type) {
-        String accepted = "one of " + String.join(", ", java.util.Arrays.stream(type.getEnumConstants())
-                .map(Section::word).toList());
+        String accepted =
+                "one of "
+                        + String.join(
+                                ", ",
+                                java.util.Arrays.stream(type.getEnumConstants())
+                                        .map(Section::word)
+                                        .toList());
         Atom a = atom(name, accepted);
         if (a == null) {
             if (absent == null) {
@@ -267,23 +331,35 @@
         for (Atom a : words) {
             problem(a, path, "only lists such as (name value)");
         }
-        settings.forEach((name, forms) -> {
-            if (!known.contains(name)) {
-                for (Form f : forms) {
-                    problems.add(new Problem(file, f.line(), f.column(), path + "." + name, name, nearest(name)));
-                }
-            }
-        });
+        settings.forEach(
+                (name, forms) -> {
+                    if (!known.contains(name)) {
+                        for (Form f : forms) {
+                            problems.add(
+                                    new Problem(
+                                            file,
+                                            f.line(),
+                                            f.column(),
+                                            path + "." + name,
+                                            name,
+                                            nearest(name)));
+                        }
+                    }
+                });
     }
 
     private String nearest(String name) {
         String all = known.isEmpty() ? "no settings here" : String.join(", ", known);
-        return known.stream().filter(k -> DISTANCE.apply(k, name) >= 0)
+        return known.stream()
+                .filter(k -> DISTANCE.apply(k, name) >= 0)
                 .min(java.util.Comparator.comparingInt(k -> DISTANCE.apply(k, name)))
-                .map(k -> k + " (the nearest), or any of: " + all).orElse(all);
+                .map(k -> k + " (the nearest), or any of: " + all)
+                .orElse(all);
     }
 
     private static String shown(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e15 ? Long.toString((long) value) : Double.toString(value);
+        return value == Math.rint(value) && Math.abs(value) < 1e15
+                ? Long.toString((long) value)
+                : Double.toString(value);
     }
 }
--- a/config/src/main/java/ashlink/config/flat/ReportReader.java
+++ b/config/src/main/java/ashlink/config/flat/ReportReader.java
@@ -4,15 +4,18 @@
 import java.util.OptionalDouble;
 import java.util.function.Consumer;
 
-/** Reads an engine's load report, pairs of a name and a number, by the names of the settings; the rest is skipped. */
+/**
+ * Reads an engine's load report, pairs of a name and a number, by the names of the settings; the
+ * rest is skipped.
+ */
 public final class ReportReader {
 
-    private ReportReader() { }
+    private ReportReader() {}
 
     /**
-     * The report of a text whose pairs stand apart by {@code separator}. What is missing is NaN, never 0, and so is a
-     * value below 0 or without end, as late and noisy reports may have; a pair without a number is told to
-     * {@code complain}, which may throw, and is missing.
+     * The report of a text whose pairs stand apart by {@code separator}. What is missing is NaN,
+     * never 0, and so is a value below 0 or without end, as late and noisy reports may have; a pair
+     * without a number is told to {@code complain}, which may throw, and is missing.
      */
     public static Report read(String text, char separator, Consumer<String> complain) {
         double waiting = Double.NaN;
@@ -20,7 +23,7 @@
         double memory = Double.NaN;
         double disks = Double.NaN;
         double inHand = Double.NaN;
-        for (int from = 0; from <= text.length();) {
+        for (int from = 0; from <= text.length(); ) {
             int end = text.indexOf(separator, from);
             String pair = text.substring(from, end < 0 ? text.length() : end);
             from = end < 0 ? text.length() + 1 : end + 1;
@@ -28,7 +31,8 @@
                 continue; // a separator at the end
             }
             int colon = pair.indexOf(':');
-            OptionalDouble told = colon < 0 ? OptionalDouble.empty() : number(pair.substring(colon + 1));
+            OptionalDouble told =
+                    colon < 0 ? OptionalDouble.empty() : number(pair.substring(colon + 1));
             if (told.isEmpty()) {
                 complain.accept(pair);
                 continue;
@@ -40,7 +44,7 @@
                 case "x0" -> memory = value;
                 case "x1" -> disks = value;
                 case "busy_reqs", "inflight" -> inHand = value;
-                default -> { }
+                default -> {}
             }
         }
         return new Report(waiting, cores, memory, disks, inHand);
--- a/config/src/main/java/ashlink/config/flat/SettingsReader.java
+++ b/config/src/main/java/ashlink/config/flat/SettingsReader.java
@@ -13,7 +13,10 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reads the settings with which a router starts; complaints name the setting in the platform's words. */
+/**
+ * Reads the settings with which a router starts; complaints name the setting in the platform's
+ * words.
+ */
 public final class SettingsReader {
 
     private final Fields fields;
@@ -22,7 +25,10 @@
         this.fields = fields;
     }
 
-    /** Returns the settings of a start message, or throws {@link IllegalArgumentException} naming a bad one. */
+    /**
+     * Returns the settings of a start message, or throws {@link IllegalArgumentException} naming a
+     * bad one.
+     */
     public static Settings read(Fields fields) {
         try {
             return new SettingsReader(fields).settings();
@@ -32,9 +38,17 @@
     }
 
     private Settings settings() {
-        return new Settings(fields.whole("nonce64"), (int) fields.whole("balancers"),
-                (int) fields.whole("position", 0), fields.text("zone", ""), classes(), kinds(), allowed(), limits(),
-                tenants(), fields.number("over-share-worth", 1));
+        return new Settings(
+                fields.whole("nonce64"),
+                (int) fields.whole("balancers"),
+                (int) fields.whole("position", 0),
+                fields.text("zone", ""),
+                classes(),
+                kinds(),
+                allowed(),
+                limits(),
+                tenants(),
+                fields.number("over-share-worth", 1));
     }
 
     private List<Tenant> tenants() {
@@ -42,7 +56,8 @@
         long count = fields.whole("parties.count", 0);
         for (int i = 0; i < count; i++) {
             String at = "parties." + i + ".";
-            tenants.add(new Tenant(fields.needed(at + "name"), fields.number(at + "quota-per-s", 0)));
+            tenants.add(
+                    new Tenant(fields.needed(at + "name"), fields.number(at + "quota-per-s", 0)));
         }
         return tenants;
     }
@@ -54,21 +69,34 @@
         List<QueryClass> classes = new ArrayList<>();
         long count = fields.whole("classes.count");
         for (int i = 0; i < count; i++) {
-            classes.add(queryClass("classes." + i + ".", (int) number("extra.width-by-class", threads, i, 1),
-                    i < holds.size() && holds.get(i).equals("true"),
-                    i < waits.size() && waits.get(i).equals("true")));
+            classes.add(
+                    queryClass(
+                            "classes." + i + ".",
+                            (int) number("extra.width-by-class", threads, i, 1),
+                            i < holds.size() && holds.get(i).equals("true"),
+                            i < waits.size() && waits.get(i).equals("true")));
         }
         return classes;
     }
 
     private QueryClass queryClass(String at, int threads, boolean holds, boolean waits) {
         Effect effect = effect(at + "effect");
-        return new QueryClass(fields.needed(at + "name"), fields.whole(at + "promise-ns"),
-                fields.number(at + "aim-stretch", 0), fields.whole(at + "deadline-ns"), effect,
+        return new QueryClass(
+                fields.needed(at + "name"),
+                fields.whole(at + "promise-ns"),
+                fields.number(at + "aim-stretch", 0),
+                fields.whole(at + "deadline-ns"),
+                effect,
                 effect == Effect.DEDUPLICATED ? group(at + "group") : RepeatGroup.ALL,
-                fields.whole(at + "memory-span-ns", 0), fields.number(at + "gain"),
-                fields.number(at + "late-share", 0), fields.flag(at + "one-at-a-time"),
-                set(at + "host-types-allowed"), set(at + "failure-domains-open"), threads, holds, waits);
+                fields.whole(at + "memory-span-ns", 0),
+                fields.number(at + "gain"),
+                fields.number(at + "late-share", 0),
+                fields.flag(at + "one-at-a-time"),
+                set(at + "host-types-allowed"),
+                set(at + "failure-domains-open"),
+                threads,
+                holds,
+                waits);
     }
 
     private Effect effect(String name) {
@@ -90,7 +118,8 @@
     }
 
     private IllegalArgumentException unknown(String name) {
-        return new IllegalArgumentException("setting " + name + " is unknown: " + fields.text(name));
+        return new IllegalArgumentException(
+                "setting " + name + " is unknown: " + fields.text(name));
     }
 
     private List<EngineKind> kinds() {
@@ -99,28 +128,43 @@
         List<String> memory = list("extra.ram-of-kind-mb");
         List<EngineKind> kinds = new ArrayList<>();
         for (int i = 0; i < names.size(); i++) {
-            kinds.add(new EngineKind(names.get(i), (int) number("extra.kind-cores", cores, i, 1),
-                    number("extra.ram-of-kind-mb", memory, i, 0)));
+            kinds.add(
+                    new EngineKind(
+                            names.get(i),
+                            (int) number("extra.kind-cores", cores, i, 1),
+                            number("extra.ram-of-kind-mb", memory, i, 0)));
         }
         return kinds;
     }
 
     private Allowed allowed() {
-        return new Allowed(fields.flag("ceilings.may-probe"), fields.flag("ceilings.cancel"),
+        return new Allowed(
+                fields.flag("ceilings.may-probe"),
+                fields.flag("ceilings.cancel"),
                 (int) fields.whole("ceilings.attempts-cap"),
-                fields.flag("ceilings.retry-after") ? fields.whole("ceilings.max-retry-after-ns", 0) : 0,
-                fields.flag("extra.takes-grants"), fields.flag("extra.lanes-count"),
-                fields.number("extra.largest-share", 1), fields.text("extra.overbooked", "").equals("queue"),
-                fields.whole("extra.progress-pace-ns", 0), fields.flag("extra.cost-in-answers"),
+                fields.flag("ceilings.retry-after")
+                        ? fields.whole("ceilings.max-retry-after-ns", 0)
+                        : 0,
+                fields.flag("extra.takes-grants"),
+                fields.flag("extra.lanes-count"),
+                fields.number("extra.largest-share", 1),
+                fields.text("extra.overbooked", "").equals("queue"),
+                fields.whole("extra.progress-pace-ns", 0),
+                fields.flag("extra.cost-in-answers"),
                 fields.text("stats.via", "off").equals("inline"),
                 fields.text("discovery", "push").equals("ask"));
     }
 
     private Limits limits() {
-        return new Limits(fields.whole("rules.stop-sending-within-ns", 0), fields.number("rules.cold-from", 0),
-                fields.whole("rules.cold-ns", 0), fields.number("rules.overload-factor", 0),
-                fields.whole("rules.fall-ns", 0), fields.whole("rules.turn-gap-ns", 0),
-                fields.number("rules.free-resends", 0), fields.number("rules.extra-per-request", 0),
+        return new Limits(
+                fields.whole("rules.stop-sending-within-ns", 0),
+                fields.number("rules.cold-from", 0),
+                fields.whole("rules.cold-ns", 0),
+                fields.number("rules.overload-factor", 0),
+                fields.whole("rules.fall-ns", 0),
+                fields.whole("rules.turn-gap-ns", 0),
+                fields.number("rules.free-resends", 0),
+                fields.number("rules.extra-per-request", 0),
                 fields.whole("rules.counted-over-ns", 0));
     }
 
@@ -140,7 +184,8 @@
         try {
             return Double.parseDouble(values.get(i));
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("setting " + name + " is not a list of numbers: " + values.get(i), e);
+            throw new IllegalArgumentException(
+                    "setting " + name + " is not a list of numbers: " + values.get(i), e);
         }
     }
 }
--- a/config/src/test/java/ashlink/config/RouterConfigTest.java
+++ b/config/src/test/java/ashlink/config/RouterConfigTest.java
@@ -10,7 +10,8 @@
 
 class RouterConfigTest {
 
-    private static final String GOOD = """
+    private static final String GOOD =
+            """
             (router (name r1) (zones h1 h2) (zone h1) ; a comment
               (kind big (cores 8) (memory 16GiB))
               (engine q1 (address 127.0.0.1:9101) (zone h1) (kind big))
@@ -22,7 +23,8 @@
             """;
 
     private static List<Problem> problems(String text) {
-        return assertThrows(ConfigException.class, () -> RouterConfigReader.read("f.sexp", text)).problems();
+        return assertThrows(ConfigException.class, () -> RouterConfigReader.read("f.sexp", text))
+                .problems();
     }
 
     @Test
@@ -32,19 +34,31 @@
         assertEquals(2_500_000_000L, c.classes().get("look").deadlineNs());
         assertEquals(Effect.AT_MOST_ONCE, c.classes().get("load").effect());
         assertEquals(1.5, c.tenants().get(0).quotaPerS());
-        assertEquals(List.of("load", "look"), c.settings().classes().stream().map(k -> k.name()).sorted().toList());
+        assertEquals(
+                List.of("load", "look"),
+                c.settings().classes().stream().map(k -> k.name()).sorted().toList());
     }
 
     @Test
     void allProblemsAreToldAtOnceWithPlaceValueAndWhatIsAccepted() {
-        List<Problem> found = problems(GOOD.replace("aim 500ms", "aim 5parsecs").replace("16GiB", "lots").replace("(zone h1) (kind big)",
-                "(zone h9) (kind huge)").replace("(worth 1)", "(wroth 1)").replace("9101", "910100"));
+        List<Problem> found =
+                problems(
+                        GOOD.replace("aim 500ms", "aim 5parsecs")
+                                .replace("16GiB", "lots")
+                                .replace("(zone h1) (kind big)", "(zone h9) (kind huge)")
+                                .replace("(worth 1)", "(wroth 1)")
+                                .replace("9101", "910100"));
         assertEquals(6, found.size(), found.toString());
-        Problem aim = found.stream().filter(p -> p.setting().endsWith("look.aim")).findFirst().orElseThrow();
+        Problem aim =
+                found.stream()
+                        .filter(p -> p.setting().endsWith("look.aim"))
+                        .findFirst()
+                        .orElseThrow();
         assertEquals(4, aim.line());
         assertEquals("5parsecs", aim.value());
         assertTrue(aim.accepted().contains("ms"), aim.accepted());
-        Problem typo = found.stream().filter(p -> p.value().equals("wroth")).findFirst().orElseThrow();
+        Problem typo =
+                found.stream().filter(p -> p.value().equals("wroth")).findFirst().orElseThrow();
         assertTrue(typo.accepted().startsWith("worth (the nearest)"), typo.accepted());
         assertTrue(aim.toString().startsWith("f.sexp:4:"), aim.toString());
     }
@@ -60,7 +74,8 @@
 
     @Test
     void writesNeedAClassThatIsNeverRepeated() {
-        List<Problem> found = problems(GOOD.replace("(default-write-class load)", "(default-write-class look)"));
+        List<Problem> found =
+                problems(GOOD.replace("(default-write-class load)", "(default-write-class look)"));
         assertEquals(1, found.size());
         assertTrue(found.get(0).accepted().contains("load"), found.toString());
     }
@@ -68,8 +83,15 @@
     @Test
     void passwordsAreHashedWithSaltAndHashesAreChecked() {
         String a = Passwords.hash("x", 4);
-        assertTrue(!a.equals(Passwords.hash("x", 4)) && Passwords.matches("x", a) && !Passwords.matches("y", a));
-        assertTrue(!Passwords.matches("", null) && Passwords.matches("", "") && !Passwords.matches("x", ""));
-        assertEquals(1, problems(GOOD.replace("(user u", "(user u (password-hash \"plain\")")).size());
+        assertTrue(
+                !a.equals(Passwords.hash("x", 4))
+                        && Passwords.matches("x", a)
+                        && !Passwords.matches("y", a));
+        assertTrue(
+                !Passwords.matches("", null)
+                        && Passwords.matches("", "")
+                        && !Passwords.matches("x", ""));
+        assertEquals(
+                1, problems(GOOD.replace("(user u", "(user u (password-hash \"plain\")")).size());
     }
 }
--- a/control/src/main/java/ashlink/control/channel/ControlClient.java
+++ b/control/src/main/java/ashlink/control/channel/ControlClient.java
@@ -19,14 +19,22 @@
     private final DataOutputStream out;
     private final String peer;
 
-    /** Connects within that time; {@code expected} is the name that the router's certificate must give, or null for any. */
-    public ControlClient(Identity identity, InetSocketAddress to, String expected, int timeoutMs) throws IOException {
+    /**
+     * Connects within that time; {@code expected} is the name that the router's certificate must
+     * give, or null for any.
+     */
+    public ControlClient(Identity identity, InetSocketAddress to, String expected, int timeoutMs)
+            throws IOException {
         Socket plain = new Socket();
         try {
             plain.setTcpNoDelay(true);
             plain.connect(to, timeoutMs);
             plain.setSoTimeout(timeoutMs);
-            socket = (SSLSocket) identity.context().getSocketFactory().createSocket(plain, to.getHostString(), to.getPort(), true);
+            socket =
+                    (SSLSocket)
+                            identity.context()
+                                    .getSocketFactory()
+                                    .createSocket(plain, to.getHostString(), to.getPort(), true);
             socket.startHandshake();
             peer = Identity.name((X509Certificate) socket.getSession().getPeerCertificates()[0]);
             if (expected != null && !peer.equals(expected)) {
--- a/control/src/main/java/ashlink/control/channel/ControlServer.java
+++ b/control/src/main/java/ashlink/control/channel/ControlServer.java
@@ -20,8 +20,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes connections of routers and operators. Each shows a certificate of the fleet; each has its rate, past which its frames
- * are read later; past the number of connections further ones are closed.
+ * Takes connections of routers and operators. Each shows a certificate of the fleet; each has its
+ * rate, past which its frames are read later; past the number of connections further ones are
+ * closed.
  */
 public final class ControlServer implements AutoCloseable {
 
@@ -34,7 +35,7 @@
     private static final long STACK_BYTES = 256 << 10;
 
     /** Who sent a frame, by its certificate. */
-    public record Peer(String name, Set<Role> roles, String address) { }
+    public record Peer(String name, Set<Role> roles, String address) {}
 
     /** Does what a frame asks; the answer goes back, none where it is null. */
     public interface Handler {
@@ -48,8 +49,12 @@
     private final String name;
     private volatile boolean closed;
 
-    /** A server at that address, which shows that identity; it takes connections from {@link #start} on. */
-    public ControlServer(Identity identity, InetSocketAddress at, Handler handler) throws IOException {
+    /**
+     * A server at that address, which shows that identity; it takes connections from {@link #start}
+     * on.
+     */
+    public ControlServer(Identity identity, InetSocketAddress at, Handler handler)
+            throws IOException {
         this.handler = handler;
         this.name = identity.name();
         server = (SSLServerSocket) identity.context().getServerSocketFactory().createServerSocket();
@@ -79,7 +84,9 @@
             try {
                 SSLSocket s = (SSLSocket) server.accept();
                 if (sockets.size() >= MOST_CONNECTIONS) {
-                    LOG.warn("control connection of {} closed: {} are open, which is the limit", s.getRemoteSocketAddress(),
+                    LOG.warn(
+                            "control connection of {} closed: {} are open, which is the limit",
+                            s.getRemoteSocketAddress(),
                             sockets.size());
                     s.close();
                     continue;
@@ -109,12 +116,19 @@
             s.setSoTimeout(HANDSHAKE_MS);
             s.startHandshake();
             X509Certificate c = (X509Certificate) s.getSession().getPeerCertificates()[0];
-            Peer peer = new Peer(Identity.name(c), Identity.roles(c), String.valueOf(s.getRemoteSocketAddress()));
+            Peer peer =
+                    new Peer(
+                            Identity.name(c),
+                            Identity.roles(c),
+                            String.valueOf(s.getRemoteSocketAddress()));
             s.setSoTimeout(IDLE_MS);
             Budget rate = new Budget(FRAMES_BURST, FRAMES_PER_S);
-            DataInputStream in = new DataInputStream(new BufferedInputStream(s.getInputStream(), 16 << 10));
+            DataInputStream in =
+                    new DataInputStream(new BufferedInputStream(s.getInputStream(), 16 << 10));
             DataOutputStream out = new DataOutputStream(s.getOutputStream());
-            for (JsonNode frame = Frames.read(in); frame != null && !closed; frame = Frames.read(in)) {
+            for (JsonNode frame = Frames.read(in);
+                    frame != null && !closed;
+                    frame = Frames.read(in)) {
                 while (!rate.take(1, System.nanoTime())) {
                     pause(rate.waitNs(1, System.nanoTime())); // a flood waits in its own socket
                 }
@@ -124,7 +138,8 @@
                 }
             }
         } catch (IOException e) {
-            LOG.info("control connection of {} ended: {}", s.getRemoteSocketAddress(), e.toString());
+            LOG.info(
+                    "control connection of {} ended: {}", s.getRemoteSocketAddress(), e.toString());
         } finally {
             sockets.remove(s);
         }
--- a/control/src/main/java/ashlink/control/channel/Frames.java
+++ b/control/src/main/java/ashlink/control/channel/Frames.java
@@ -1,26 +1,36 @@
 package ashlink.control.channel;
 
+import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.StreamReadConstraints;
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.json.JsonMapper;
-import com.fasterxml.jackson.core.JsonFactory;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
 import java.io.EOFException;
 import java.io.IOException;
 
-/** Frames: four bytes of length, then JSON. One that is too long or makes no sense ends the connection. */
+/**
+ * Frames: four bytes of length, then JSON. One that is too long or makes no sense ends the
+ * connection.
+ */
 final class Frames {
 
     static final int MOST_BYTES = 256 << 10;
-    static final ObjectMapper JSON = JsonMapper.builder(JsonFactory.builder()
-            .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(16).build()).build())
-            .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS).build();
+    static final ObjectMapper JSON =
+            JsonMapper.builder(
+                            JsonFactory.builder()
+                                    .streamReadConstraints(
+                                            StreamReadConstraints.builder()
+                                                    .maxNestingDepth(16)
+                                                    .build())
+                                    .build())
+                    .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
+                    .build();
 
-    private Frames() { }
+    private Frames() {}
 
     /** The next frame, or null where the peer closed between frames. */
     static JsonNode read(DataInputStream in) throws IOException {
@@ -28,9 +38,14 @@
         if (first < 0) {
             return null;
         }
-        int length = first << 24 | in.readUnsignedByte() << 16 | in.readUnsignedByte() << 8 | in.readUnsignedByte();
+        int length =
+                first << 24
+                        | in.readUnsignedByte() << 16
+                        | in.readUnsignedByte() << 8
+                        | in.readUnsignedByte();
         if (length <= 0 || length > MOST_BYTES) {
-            throw new IOException("a frame says that it has " + length + " bytes; the limit is " + MOST_BYTES);
+            throw new IOException(
+                    "a frame says that it has " + length + " bytes; the limit is " + MOST_BYTES);
         }
         byte[] bytes = new byte[length];
         in.readFully(bytes);
@@ -48,7 +63,8 @@
     static void write(DataOutputStream out, JsonNode n) throws IOException {
         byte[] bytes = JSON.writeValueAsBytes(n);
         if (bytes.length > MOST_BYTES) {
-            throw new IOException("a frame of " + bytes.length + " bytes is over the limit of " + MOST_BYTES);
+            throw new IOException(
+                    "a frame of " + bytes.length + " bytes is over the limit of " + MOST_BYTES);
         }
         byte[] frame = new byte[4 + bytes.length];
         frame[0] = (byte) (bytes.length >>> 24);
--- a/control/src/main/java/ashlink/control/channel/package-info.java
+++ b/control/src/main/java/ashlink/control/channel/package-info.java
@@ -1,2 +1,5 @@
-/** Frames between a router and those who control it, over mutual TLS; bounded in size, number and rate. */
+/**
+ * Frames between a router and those who control it, over mutual TLS; bounded in size, number and
+ * rate.
+ */
 package ashlink.control.channel;
--- a/control/src/main/java/ashlink/control/node/Codec.java
+++ b/control/src/main/java/ashlink/control/node/Codec.java
@@ -25,7 +25,7 @@
     private static final JsonNodeFactory JSON = JsonNodeFactory.instance;
     private static final int MOST = 2_000;
 
-    private Codec() { }
+    private Codec() {}
 
     /** A frame that asks for something. */
     public static ObjectNode op(String name) {
@@ -39,8 +39,14 @@
         ArrayNode all = n.putArray("notices");
         for (Held h : held) {
             Notice x = h.notice();
-            all.addObject().put("subject", x.subject()).put("owner", x.owner()).put("revision", x.revision())
-                    .put("intent", x.intent().name()).put("by", x.by()).put("why", x.why()).put("leftMs", h.leftMs());
+            all.addObject()
+                    .put("subject", x.subject())
+                    .put("owner", x.owner())
+                    .put("revision", x.revision())
+                    .put("intent", x.intent().name())
+                    .put("by", x.by())
+                    .put("why", x.why())
+                    .put("leftMs", h.leftMs());
         }
         return n;
     }
@@ -50,8 +56,16 @@
         List<Held> held = new ArrayList<>();
         for (JsonNode x : list(n, "notices")) {
             try {
-                held.add(new Held(new Notice(text(x, "subject"), text(x, "owner"), x.path("revision").asLong(),
-                        Intent.valueOf(text(x, "intent")), text(x, "by"), text(x, "why")), x.path("leftMs").asLong()));
+                held.add(
+                        new Held(
+                                new Notice(
+                                        text(x, "subject"),
+                                        text(x, "owner"),
+                                        x.path("revision").asLong(),
+                                        Intent.valueOf(text(x, "intent")),
+                                        text(x, "by"),
+                                        text(x, "why")),
+                                x.path("leftMs").asLong()));
             } catch (IllegalArgumentException e) {
                 throw new IOException("a notice makes no sense: " + e.getMessage());
             }
@@ -62,7 +76,12 @@
     static ObjectNode digest(Map<Say, Integer> digest, boolean back) {
         ObjectNode n = op("digest").put("back", back);
         ArrayNode all = n.putArray("digest");
-        digest.forEach((say, hash) -> all.addObject().put("subject", say.subject()).put("owner", say.owner()).put("hash", hash));
+        digest.forEach(
+                (say, hash) ->
+                        all.addObject()
+                                .put("subject", say.subject())
+                                .put("owner", say.owner())
+                                .put("hash", hash));
         return n;
     }
 
@@ -86,7 +105,10 @@
         }
         ArrayNode rumors = n.putArray("rumors");
         for (Rumor r : m.rumors()) {
-            rumors.addObject().put("member", r.member()).put("address", r.address()).put("incarnation", r.incarnation())
+            rumors.addObject()
+                    .put("member", r.member())
+                    .put("address", r.address())
+                    .put("incarnation", r.incarnation())
                     .put("state", r.state().name());
         }
         return n;
@@ -96,8 +118,12 @@
         List<Rumor> rumors = new ArrayList<>();
         try {
             for (JsonNode r : list(n, "rumors")) {
-                rumors.add(new Rumor(text(r, "member"), text(r, "address"), r.path("incarnation").asLong(),
-                        Rumor.State.valueOf(text(r, "state"))));
+                rumors.add(
+                        new Rumor(
+                                text(r, "member"),
+                                text(r, "address"),
+                                r.path("incarnation").asLong(),
+                                Rumor.State.valueOf(text(r, "state"))));
             }
         } catch (IllegalArgumentException e) {
             throw new IOException("a rumor makes no sense: " + e.getMessage());
@@ -107,14 +133,20 @@
             case "ping" -> new Ping(number, rumors);
             case "ping-for" -> new PingFor(number, text(n, "target"), rumors);
             case "ack" -> new Ack(number, text(n, "of"), rumors);
-            default -> throw new IOException("a message of kind " + text(n, "kind") + " is unknown");
+            default ->
+                    throw new IOException("a message of kind " + text(n, "kind") + " is unknown");
         };
     }
 
     static String text(JsonNode n, String field) throws IOException {
         JsonNode v = n.path(field);
         if (!v.isTextual() || v.textValue().length() > Notice.MOST_CHARS) {
-            throw new IOException("field " + field + " is no text of at most " + Notice.MOST_CHARS + " characters");
+            throw new IOException(
+                    "field "
+                            + field
+                            + " is no text of at most "
+                            + Notice.MOST_CHARS
+                            + " characters");
         }
         return v.textValue();
     }
--- a/control/src/main/java/ashlink/control/node/Node.java
+++ b/control/src/main/java/ashlink/control/node/Node.java
@@ -30,8 +30,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A router as a member of its fleet. Notices are synced to disk, then done, then carried on: to all peers at once, and by
- * comparing with one peer a second, whatever is held of it, so that what was lost on the way arrives all the same.
+ * A router as a member of its fleet. Notices are synced to disk, then done, then carried on: to all
+ * peers at once, and by comparing with one peer a second, whatever is held of it, so that what was
+ * lost on the way arrives all the same.
  */
 public final class Node implements AutoCloseable {
 
@@ -44,8 +45,13 @@
     private static final long DAY_MS = 86_400_000L;
 
     /** A node's settings; {@code peers} are the other routers by name. */
-    public record Spec(String name, InetSocketAddress listen, Path state, Map<String, InetSocketAddress> peers, Terms terms,
-            long seed) { }
+    public record Spec(
+            String name,
+            InetSocketAddress listen,
+            Path state,
+            Map<String, InetSocketAddress> peers,
+            Terms terms,
+            long seed) {}
 
     private final Spec spec;
     private final Identity identity;
@@ -74,7 +80,9 @@
         this.controlled = controlled;
         this.carrier = new Carrier(notices, spec.seed());
         this.journal = new NoticeJournal(disk, notices, System.currentTimeMillis());
-        notices.all(nowMs()).stream().filter(h -> h.notice().intent() == Intent.STOP).forEach(h -> obeyed.add(h.notice()));
+        notices.all(nowMs()).stream()
+                .filter(h -> h.notice().intent() == Intent.STOP)
+                .forEach(h -> obeyed.add(h.notice()));
         this.server = new ControlServer(identity, spec.listen(), this::handle);
         this.thread = new Thread(null, this::run, spec.name() + "-gossip", 256 << 10);
         thread.setDaemon(true);
@@ -88,11 +96,19 @@
     /** Starts to listen and to gossip. */
     public synchronized void start() {
         Map<String, String> seeds = new HashMap<>();
-        spec.peers().forEach((peer, at) -> {
-            seeds.put(peer, at.getHostString() + ":" + at.getPort());
-            links.put(peer, new PeerLink(identity, peer, at));
-        });
-        swim = new Swim(spec.name(), address().getHostString() + ":" + address().getPort(), seeds, spec.terms(), spec.seed());
+        spec.peers()
+                .forEach(
+                        (peer, at) -> {
+                            seeds.put(peer, at.getHostString() + ":" + at.getPort());
+                            links.put(peer, new PeerLink(identity, peer, at));
+                        });
+        swim =
+                new Swim(
+                        spec.name(),
+                        address().getHostString() + ":" + address().getPort(),
+                        seeds,
+                        spec.terms(),
+                        spec.seed());
         server.start();
         thread.start();
     }
@@ -126,16 +142,26 @@
     }
 
     private void send(Swim.Send s) {
-        link(s.member(), s.address()).send(Codec.swim(s.message(), address().getHostString() + ":" + address().getPort()));
+        link(s.member(), s.address())
+                .send(
+                        Codec.swim(
+                                s.message(),
+                                address().getHostString() + ":" + address().getPort()));
     }
 
     /** The way to a peer; one that no setting names is reached where it says that it is. */
     private PeerLink link(String peer, String address) {
-        return links.computeIfAbsent(peer, p -> {
-            int colon = address.lastIndexOf(':');
-            return new PeerLink(identity, p, new InetSocketAddress(address.substring(0, colon),
-                    Integer.parseInt(address.substring(colon + 1))));
-        });
+        return links.computeIfAbsent(
+                peer,
+                p -> {
+                    int colon = address.lastIndexOf(':');
+                    return new PeerLink(
+                            identity,
+                            p,
+                            new InetSocketAddress(
+                                    address.substring(0, colon),
+                                    Integer.parseInt(address.substring(colon + 1))));
+                });
     }
 
     private void carry(List<Carrier.Out> all) {
@@ -171,15 +197,17 @@
     }
 
     /**
-     * A disk that fails is no reason to send fresh work to an engine that drains: the notice is in force, told on, and said not
-     * to be safe from a crash, until the disk takes it.
+     * A disk that fails is no reason to send fresh work to an engine that drains: the notice is in
+     * force, told on, and said not to be safe from a crash, until the disk takes it.
      */
     private void save(Held h, long now) {
         try {
             journal.put(h.notice(), h.leftMs(), now);
         } catch (IOException e) {
             if (!unsaved) {
-                LOG.error("notices are not kept: a crash would forget what came since: {}", e.toString());
+                LOG.error(
+                        "notices are not kept: a crash would forget what came since: {}",
+                        e.toString());
             }
             unsaved = true;
         }
@@ -218,8 +246,13 @@
 
     /** A stop is obeyed once: who is started again after it was told to stop stays. */
     private boolean isFresh() {
-        return notices.all(nowMs()).stream().anyMatch(h -> h.notice().subject().equals(Notice.router(spec.name()))
-                && h.notice().intent() == Intent.STOP && h.leftMs() > 0 && !obeyed.contains(h.notice()));
+        return notices.all(nowMs()).stream()
+                .anyMatch(
+                        h ->
+                                h.notice().subject().equals(Notice.router(spec.name()))
+                                        && h.notice().intent() == Intent.STOP
+                                        && h.leftMs() > 0
+                                        && !obeyed.contains(h.notice()));
     }
 
     // ---- Frames
@@ -229,7 +262,12 @@
             case "swim" -> {
                 need(from, Role.ROUTER);
                 synchronized (this) {
-                    swim.receive(from.name(), Codec.text(frame, "address"), Codec.swim(frame), System.nanoTime()).forEach(this::send);
+                    swim.receive(
+                                    from.name(),
+                                    Codec.text(frame, "address"),
+                                    Codec.swim(frame),
+                                    System.nanoTime())
+                            .forEach(this::send);
                 }
                 return null;
             }
@@ -250,13 +288,18 @@
                 need(from, Role.OBSERVE);
                 return status();
             }
-            default -> throw new IOException("op " + op + " is unknown; there are status, put, and those of routers");
+            default ->
+                    throw new IOException(
+                            "op "
+                                    + op
+                                    + " is unknown; there are status, put, and those of routers");
         }
     }
 
     private static void need(Peer from, Role role) throws IOException {
         if (!from.roles().contains(role)) {
-            throw new IOException(from.name() + " has no role " + role.word() + ", only " + from.roles());
+            throw new IOException(
+                    from.name() + " has no role " + role.word() + ", only " + from.roles());
         }
     }
 
@@ -269,17 +312,27 @@
         for (Held h : held) {
             need(from, h.notice().intent() == Intent.STOP ? Role.STOP : Role.DRAIN);
             if (!h.notice().by().equals(from.name())) {
-                throw new IOException("a notice by " + h.notice().by() + " comes from " + from.name());
+                throw new IOException(
+                        "a notice by " + h.notice().by() + " comes from " + from.name());
             }
         }
         List<Held> fresh = take(held, "");
         for (Held h : held) {
-            AUDIT.atInfo().addKeyValue("by", from.name()).addKeyValue("address", from.address()).addKeyValue("subject",
-                    h.notice().subject()).addKeyValue("intent", h.notice().intent()).addKeyValue("owner", h.notice().owner())
-                    .addKeyValue("revision", h.notice().revision()).addKeyValue("why", h.notice().why())
-                    .addKeyValue("fresh", fresh.contains(h)).log("command");
+            AUDIT.atInfo()
+                    .addKeyValue("by", from.name())
+                    .addKeyValue("address", from.address())
+                    .addKeyValue("subject", h.notice().subject())
+                    .addKeyValue("intent", h.notice().intent())
+                    .addKeyValue("owner", h.notice().owner())
+                    .addKeyValue("revision", h.notice().revision())
+                    .addKeyValue("why", h.notice().why())
+                    .addKeyValue("fresh", fresh.contains(h))
+                    .log("command");
         }
-        return Codec.op("known").put("router", spec.name()).put("fresh", fresh.size()).put("durable", isSaved());
+        return Codec.op("known")
+                .put("router", spec.name())
+                .put("fresh", fresh.size())
+                .put("durable", isSaved());
     }
 
     private synchronized boolean isSaved() {
@@ -287,19 +340,28 @@
     }
 
     private synchronized ObjectNode status() {
-        ObjectNode n = Codec.notices("status", notices.all(nowMs())).put("router", spec.name()).put("atMs", nowMs()).put("durable", isSaved())
-                .put("certificateEndsMs", identity.endsMs());
+        ObjectNode n =
+                Codec.notices("status", notices.all(nowMs()))
+                        .put("router", spec.name())
+                        .put("atMs", nowMs())
+                        .put("durable", isSaved())
+                        .put("certificateEndsMs", identity.endsMs());
         for (JsonNode x : n.path("notices")) {
-            learntMs.forEach((notice, at) -> {
-                if (notice.subject().equals(x.path("subject").asText()) && notice.owner().equals(x.path("owner").asText())
-                        && notice.revision() == x.path("revision").asLong()) {
-                    ((ObjectNode) x).put("learntMs", at);
-                }
-            });
+            learntMs.forEach(
+                    (notice, at) -> {
+                        if (notice.subject().equals(x.path("subject").asText())
+                                && notice.owner().equals(x.path("owner").asText())
+                                && notice.revision() == x.path("revision").asLong()) {
+                            ((ObjectNode) x).put("learntMs", at);
+                        }
+                    });
         }
         ArrayNode members = n.putArray("members");
         for (Rumor r : swim.members().values()) {
-            members.addObject().put("member", r.member()).put("state", r.state().name()).put("incarnation", r.incarnation());
+            members.addObject()
+                    .put("member", r.member())
+                    .put("state", r.state().name())
+                    .put("incarnation", r.incarnation());
         }
         controlled.status(n);
         return n;
--- a/control/src/main/java/ashlink/control/node/NoticeJournal.java
+++ b/control/src/main/java/ashlink/control/node/NoticeJournal.java
@@ -16,8 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps a router's notices on disk, in the log of captures: a notice is synced before anything is done upon it, so that what a
- * router has once heard it knows after a crash. Times are kept as of the wall clock of this machine.
+ * Keeps a router's notices on disk, in the log of captures: a notice is synced before anything is
+ * done upon it, so that what a router has once heard it knows after a crash. Times are kept as of
+ * the wall clock of this machine.
  */
 final class NoticeJournal implements AutoCloseable {
 
@@ -32,14 +33,24 @@
     NoticeJournal(Disk disk, NoticeSet set, long nowMs) throws IOException {
         this.set = set;
         this.log = new TableLog(disk, SEGMENT_BYTES, nowMs);
-        for (String damage : log.read(r -> read(new DataInputStream(new ByteArrayInputStream(r)), nowMs))) {
-            LOG.error("the notices are damaged in {}; what followed comes from other routers", damage);
+        for (String damage :
+                log.read(r -> read(new DataInputStream(new ByteArrayInputStream(r)), nowMs))) {
+            LOG.error(
+                    "the notices are damaged in {}; what followed comes from other routers",
+                    damage);
         }
         rewrite(nowMs);
     }
 
     private void read(DataInputStream in, long nowMs) throws IOException {
-        Notice n = new Notice(in.readUTF(), in.readUTF(), in.readLong(), Intent.values()[in.readByte()], in.readUTF(), in.readUTF());
+        Notice n =
+                new Notice(
+                        in.readUTF(),
+                        in.readUTF(),
+                        in.readLong(),
+                        Intent.values()[in.readByte()],
+                        in.readUTF(),
+                        in.readUTF());
         set.add(n, in.readLong() - nowMs, nowMs);
     }
 
--- a/control/src/main/java/ashlink/control/node/PeerLink.java
+++ b/control/src/main/java/ashlink/control/node/PeerLink.java
@@ -10,7 +10,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The way to another router: a connection when there is something to say, and a bounded queue whose oldest goes first. */
+/**
+ * The way to another router: a connection when there is something to say, and a bounded queue whose
+ * oldest goes first.
+ */
 final class PeerLink {
 
     private static final Logger LOG = LoggerFactory.getLogger(PeerLink.class);
--- a/control/src/main/java/ashlink/control/node/package-info.java
+++ b/control/src/main/java/ashlink/control/node/package-info.java
@@ -1,2 +1,5 @@
-/** A router as a member of its fleet: notices kept and carried on, members watched, commands of operators done. */
+/**
+ * A router as a member of its fleet: notices kept and carried on, members watched, commands of
+ * operators done.
+ */
 package ashlink.control.node;
--- a/control/src/main/java/ashlink/control/tls/Authority.java
+++ b/control/src/main/java/ashlink/control/tls/Authority.java
@@ -33,8 +33,8 @@
 import org.bouncycastle.operator.jcajce.JcaContentSignerBuilder;
 
 /**
- * The authority of a fleet, in a folder: {@code ca.crt} has the certificates that are trusted, the newest first, and
- * {@code ca.key} the key of the newest. While it changes over there are two.
+ * The authority of a fleet, in a folder: {@code ca.crt} has the certificates that are trusted, the
+ * newest first, and {@code ca.key} the key of the newest. While it changes over there are two.
  */
 public final class Authority {
 
@@ -60,8 +60,10 @@
     public void renew(Duration lasts) throws IOException, GeneralSecurityException {
         Files.createDirectories(dir);
         KeyPair pair = pair();
-        X500NameBuilder name = new X500NameBuilder(BCStyle.INSTANCE).addRDN(BCStyle.O, "ashlink fleet")
-                .addRDN(BCStyle.CN, "authority " + Instant.now());
+        X500NameBuilder name =
+                new X500NameBuilder(BCStyle.INSTANCE)
+                        .addRDN(BCStyle.O, "ashlink fleet")
+                        .addRDN(BCStyle.CN, "authority " + Instant.now());
         X509Certificate c = certificate(name, name, pair, pair.getPrivate(), lasts, true);
         List<X509Certificate> all = new ArrayList<>(List.of(c));
         if (Files.exists(dir.resolve(CERTIFICATES))) {
@@ -76,50 +78,92 @@
         write(dir.resolve(CERTIFICATES), false, Pem.certificates(dir.resolve(CERTIFICATES)).get(0));
     }
 
-    /** Makes a key and certificate for a router or an operator: {@code NAME.key} and {@code NAME.crt}. */
-    public void issue(String name, Set<Role> roles, Duration lasts) throws IOException, GeneralSecurityException {
+    /**
+     * Makes a key and certificate for a router or an operator: {@code NAME.key} and {@code
+     * NAME.crt}.
+     */
+    public void issue(String name, Set<Role> roles, Duration lasts)
+            throws IOException, GeneralSecurityException {
         if (!name.matches("[A-Za-z0-9._-]{1,64}") || name.equals("ca")) {
-            throw new IOException("the name " + name + " is none of 1 to 64 letters, digits, dots, dashes; ca is taken");
+            throw new IOException(
+                    "the name "
+                            + name
+                            + " is none of 1 to 64 letters, digits, dots, dashes; ca is taken");
         }
         X509Certificate issuer = Pem.certificates(dir.resolve(CERTIFICATES)).get(0);
         PrivateKey key = Pem.key(dir.resolve(KEY));
         KeyPair pair = pair();
-        X500NameBuilder subject = new X500NameBuilder(BCStyle.INSTANCE).addRDN(BCStyle.O, "ashlink fleet");
+        X500NameBuilder subject =
+                new X500NameBuilder(BCStyle.INSTANCE).addRDN(BCStyle.O, "ashlink fleet");
         roles.forEach(r -> subject.addRDN(BCStyle.OU, r.word()));
         subject.addRDN(BCStyle.CN, name);
-        X500NameBuilder by = new X500NameBuilder(BCStyle.INSTANCE).addRDN(BCStyle.O, "ashlink fleet")
-                .addRDN(BCStyle.CN, Identity.name(issuer));
+        X500NameBuilder by =
+                new X500NameBuilder(BCStyle.INSTANCE)
+                        .addRDN(BCStyle.O, "ashlink fleet")
+                        .addRDN(BCStyle.CN, Identity.name(issuer));
         write(dir.resolve(name + ".key"), true, pair.getPrivate());
-        write(dir.resolve(name + ".crt"), false, certificate(by, subject, pair, key, lasts, false), issuer);
+        write(
+                dir.resolve(name + ".crt"),
+                false,
+                certificate(by, subject, pair, key, lasts, false),
+                issuer);
     }
 
-    private static X509Certificate certificate(X500NameBuilder issuer, X500NameBuilder subject, KeyPair pair, PrivateKey signer,
-            Duration lasts, boolean authority) throws IOException, GeneralSecurityException {
+    private static X509Certificate certificate(
+            X500NameBuilder issuer,
+            X500NameBuilder subject,
+            KeyPair pair,
+            PrivateKey signer,
+            Duration lasts,
+            boolean authority)
+            throws IOException, GeneralSecurityException {
         try {
             Instant from = Instant.now().minus(BACKDATED);
-            X509v3CertificateBuilder b = new JcaX509v3CertificateBuilder(issuer.build(), new BigInteger(128, new SecureRandom()),
-                    Date.from(from), Date.from(Instant.now().plus(lasts)), subject.build(), pair.getPublic());
+            X509v3CertificateBuilder b =
+                    new JcaX509v3CertificateBuilder(
+                            issuer.build(),
+                            new BigInteger(128, new SecureRandom()),
+                            Date.from(from),
+                            Date.from(Instant.now().plus(lasts)),
+                            subject.build(),
+                            pair.getPublic());
             b.addExtension(Extension.basicConstraints, true, new BasicConstraints(authority));
-            b.addExtension(Extension.keyUsage, true, new KeyUsage(authority ? KeyUsage.keyCertSign : KeyUsage.digitalSignature));
-            return new JcaX509CertificateConverter().getCertificate(b.build(new JcaContentSignerBuilder(SIGNATURE).build(signer)));
+            b.addExtension(
+                    Extension.keyUsage,
+                    true,
+                    new KeyUsage(authority ? KeyUsage.keyCertSign : KeyUsage.digitalSignature));
+            return new JcaX509CertificateConverter()
+                    .getCertificate(b.build(new JcaContentSignerBuilder(SIGNATURE).build(signer)));
         } catch (OperatorCreationException e) {
             throw new GeneralSecurityException(e);
         }
     }
 
-    /** Writes beside and moves into place: nobody reads half a file. Keys are their owner's only. */
+    /**
+     * Writes beside and moves into place: nobody reads half a file. Keys are their owner's only.
+     */
     private static void write(Path file, boolean secret, Object... things) throws IOException {
         StringWriter text = new StringWriter();
         try (JcaPEMWriter pem = new JcaPEMWriter(text)) {
             for (Object t : things) {
-                pem.writeObject(t instanceof PrivateKey k
-                        ? new org.bouncycastle.util.io.pem.PemObject("PRIVATE KEY", k.getEncoded()) : t);
+                pem.writeObject(
+                        t instanceof PrivateKey k
+                                ? new org.bouncycastle.util.io.pem.PemObject(
+                                        "PRIVATE KEY", k.getEncoded())
+                                : t);
             }
         }
         Path next = file.resolveSibling(file.getFileName() + ".next");
         Files.deleteIfExists(next);
-        Files.createFile(next, PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString(secret ? "rw-------" : "rw-r--r--")));
+        Files.createFile(
+                next,
+                PosixFilePermissions.asFileAttribute(
+                        PosixFilePermissions.fromString(secret ? "rw-------" : "rw-r--r--")));
         Files.writeString(next, text.toString(), StandardOpenOption.WRITE);
-        Files.move(next, file, java.nio.file.StandardCopyOption.ATOMIC_MOVE, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+        Files.move(
+                next,
+                file,
+                java.nio.file.StandardCopyOption.ATOMIC_MOVE,
+                java.nio.file.StandardCopyOption.REPLACE_EXISTING);
     }
 }
--- a/control/src/main/java/ashlink/control/tls/Identity.java
+++ b/control/src/main/java/ashlink/control/tls/Identity.java
@@ -15,7 +15,10 @@
 import javax.net.ssl.SSLContext;
 import javax.net.ssl.TrustManagerFactory;
 
-/** Who a process is in its fleet, and whom it trusts: {@code NAME.key}, {@code NAME.crt} and {@code ca.crt} of a folder. */
+/**
+ * Who a process is in its fleet, and whom it trusts: {@code NAME.key}, {@code NAME.crt} and {@code
+ * ca.crt} of a folder.
+ */
 public final class Identity {
 
     private final String name;
@@ -29,19 +32,26 @@
         List<X509Certificate> trusted = Pem.certificates(dir.resolve("ca.crt"));
         certificate = chain.get(0);
         if (!name(certificate).equals(name)) {
-            throw new GeneralSecurityException(dir.resolve(name + ".crt") + " is the certificate of " + name(certificate));
+            throw new GeneralSecurityException(
+                    dir.resolve(name + ".crt") + " is the certificate of " + name(certificate));
         }
         KeyStore own = KeyStore.getInstance("PKCS12");
         own.load(null, null);
-        own.setKeyEntry(name, Pem.key(dir.resolve(name + ".key")), new char[0], chain.toArray(new X509Certificate[0]));
-        KeyManagerFactory keys = KeyManagerFactory.getInstance(KeyManagerFactory.getDefaultAlgorithm());
+        own.setKeyEntry(
+                name,
+                Pem.key(dir.resolve(name + ".key")),
+                new char[0],
+                chain.toArray(new X509Certificate[0]));
+        KeyManagerFactory keys =
+                KeyManagerFactory.getInstance(KeyManagerFactory.getDefaultAlgorithm());
         keys.init(own, new char[0]);
         KeyStore authorities = KeyStore.getInstance("PKCS12");
         authorities.load(null, null);
         for (int i = 0; i < trusted.size(); i++) {
             authorities.setCertificateEntry("ca" + i, trusted.get(i));
         }
-        TrustManagerFactory trust = TrustManagerFactory.getInstance(TrustManagerFactory.getDefaultAlgorithm());
+        TrustManagerFactory trust =
+                TrustManagerFactory.getInstance(TrustManagerFactory.getDefaultAlgorithm());
         trust.init(authorities);
         context = SSLContext.getInstance("TLSv1.3");
         context.init(keys.getKeyManagers(), trust.getTrustManagers(), null);
@@ -82,8 +92,12 @@
 
     private static List<String> parts(X509Certificate c, String type) {
         try {
-            return new LdapName(c.getSubjectX500Principal().getName()).getRdns().stream()
-                    .filter(r -> r.getType().equalsIgnoreCase(type)).map(Rdn::getValue).map(String::valueOf).toList();
+            return new LdapName(c.getSubjectX500Principal().getName())
+                    .getRdns().stream()
+                            .filter(r -> r.getType().equalsIgnoreCase(type))
+                            .map(Rdn::getValue)
+                            .map(String::valueOf)
+                            .toList();
         } catch (InvalidNameException e) {
             return List.of();
         }
--- a/control/src/main/java/ashlink/control/tls/Pem.java
+++ b/control/src/main/java/ashlink/control/tls/Pem.java
@@ -16,20 +16,25 @@
 /** Reads keys and certificates as text. */
 public final class Pem {
 
-    private Pem() { }
+    private Pem() {}
 
     /** All certificates of a file. */
-    public static List<X509Certificate> certificates(Path file) throws IOException, GeneralSecurityException {
+    public static List<X509Certificate> certificates(Path file)
+            throws IOException, GeneralSecurityException {
         try (InputStream in = Files.newInputStream(file)) {
-            return CertificateFactory.getInstance("X.509").generateCertificates(in).stream().map(c -> (X509Certificate) c).toList();
+            return CertificateFactory.getInstance("X.509").generateCertificates(in).stream()
+                    .map(c -> (X509Certificate) c)
+                    .toList();
         }
     }
 
     /** The private key of a file. */
     public static PrivateKey key(Path file) throws IOException, GeneralSecurityException {
-        String text = Files.readString(file).replaceAll("-----[A-Z ]+-----", "").replaceAll("\\s", "");
+        String text =
+                Files.readString(file).replaceAll("-----[A-Z ]+-----", "").replaceAll("\\s", "");
         try {
-            return KeyFactory.getInstance("EC").generatePrivate(new PKCS8EncodedKeySpec(Base64.getDecoder().decode(text)));
+            return KeyFactory.getInstance("EC")
+                    .generatePrivate(new PKCS8EncodedKeySpec(Base64.getDecoder().decode(text)));
         } catch (IllegalArgumentException e) {
             throw new GeneralSecurityException(file + " is no private key", e);
         }
--- a/control/src/main/java/ashlink/control/tool/FleetTool.java
+++ b/control/src/main/java/ashlink/control/tool/FleetTool.java
@@ -26,7 +26,8 @@
     private static final long POLL_MS = 50;
 
     /**
-     * What came of one router; {@code answer} null where it was not reached, for the reason in {@code error}.
+     * What came of one router; {@code answer} null where it was not reached, for the reason in
+     * {@code error}.
      *
      * @param atMs when that was known, in milliseconds since 1970
      */
@@ -44,15 +45,19 @@
     private final ExecutorService pool;
 
     /** A tool for those routers, by name; each has so long to answer. */
-    public FleetTool(Identity identity, Map<String, InetSocketAddress> routers, int atOnce, int timeoutMs) {
+    public FleetTool(
+            Identity identity, Map<String, InetSocketAddress> routers, int atOnce, int timeoutMs) {
         this.identity = identity;
         this.routers = new LinkedHashMap<>(routers);
         this.timeoutMs = timeoutMs;
-        this.pool = Executors.newFixedThreadPool(Math.max(1, Math.min(atOnce, routers.size())), r -> {
-            Thread t = new Thread(r, "fleet-tool");
-            t.setDaemon(true);
-            return t;
-        });
+        this.pool =
+                Executors.newFixedThreadPool(
+                        Math.max(1, Math.min(atOnce, routers.size())),
+                        r -> {
+                            Thread t = new Thread(r, "fleet-tool");
+                            t.setDaemon(true);
+                            return t;
+                        });
     }
 
     /** Puts a frame to all routers. */
@@ -64,7 +69,13 @@
             try {
                 results.put(e.getKey(), e.getValue().get());
             } catch (ExecutionException x) {
-                results.put(e.getKey(), new Result(e.getKey(), null, String.valueOf(x.getCause()), System.currentTimeMillis()));
+                results.put(
+                        e.getKey(),
+                        new Result(
+                                e.getKey(),
+                                null,
+                                String.valueOf(x.getCause()),
+                                System.currentTimeMillis()));
             }
         }
         return results;
@@ -74,7 +85,8 @@
         try (ControlClient c = new ControlClient(identity, at, name, timeoutMs)) {
             return new Result(name, c.ask(frame), "", System.currentTimeMillis());
         } catch (IOException e) {
-            return new Result(name, null, String.valueOf(e.getMessage()), System.currentTimeMillis());
+            return new Result(
+                    name, null, String.valueOf(e.getMessage()), System.currentTimeMillis());
         }
     }
 
@@ -84,7 +96,9 @@
     }
 
     /** The notice that follows on all that the reached routers know of this say. */
-    public Notice next(String subject, String owner, Intent intent, String why, Map<String, Result> known) throws IOException {
+    public Notice next(
+            String subject, String owner, Intent intent, String why, Map<String, Result> known)
+            throws IOException {
         long revision = 0;
         for (Result r : known.values()) {
             if (r.isReached()) {
@@ -99,12 +113,15 @@
     }
 
     /** Owners who want something of a subject, as the reached routers know it. */
-    public static List<String> owners(String subject, Map<String, Result> known) throws IOException {
+    public static List<String> owners(String subject, Map<String, Result> known)
+            throws IOException {
         List<String> owners = new ArrayList<>();
         for (Result r : known.values()) {
             if (r.isReached()) {
                 for (Held h : Codec.notices(r.answer())) {
-                    if (h.notice().subject().equals(subject) && h.leftMs() > 0 && h.notice().intent() != Intent.NONE
+                    if (h.notice().subject().equals(subject)
+                            && h.leftMs() > 0
+                            && h.notice().intent() != Intent.NONE
                             && !owners.contains(h.notice().owner())) {
                         owners.add(h.notice().owner());
                     }
@@ -122,15 +139,24 @@
     /** True if a router's state has that notice, or a newer one of the same say. */
     public static boolean knows(Result r, Notice n) {
         try {
-            return r.isReached() && Codec.notices(r.answer()).stream().anyMatch(h -> h.notice().subject().equals(n.subject())
-                    && h.notice().owner().equals(n.owner()) && h.notice().compareTo(n) >= 0);
+            return r.isReached()
+                    && Codec.notices(r.answer()).stream()
+                            .anyMatch(
+                                    h ->
+                                            h.notice().subject().equals(n.subject())
+                                                    && h.notice().owner().equals(n.owner())
+                                                    && h.notice().compareTo(n) >= 0);
         } catch (IOException e) {
             return false;
         }
     }
 
-    /** Asks for states until that share of all routers is as wanted, or the time is up; returns the last states. */
-    public Map<String, Result> await(double share, long timeoutNs, Predicate<Result> wanted) throws InterruptedException {
+    /**
+     * Asks for states until that share of all routers is as wanted, or the time is up; returns the
+     * last states.
+     */
+    public Map<String, Result> await(double share, long timeoutNs, Predicate<Result> wanted)
+            throws InterruptedException {
         long until = System.nanoTime() + timeoutNs;
         while (true) {
             Map<String, Result> now = status();
--- a/control/src/test/java/ashlink/control/ControlTest.java
+++ b/control/src/test/java/ashlink/control/ControlTest.java
@@ -20,7 +20,6 @@
 import ashlink.fleet.member.Terms;
 import ashlink.fleet.notice.Intent;
 import ashlink.fleet.notice.Notice;
-import ashlink.fleet.notice.NoticeSet.Held;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
@@ -52,8 +51,7 @@
     private static final Duration DAY = Duration.ofDays(1);
     private static final long HOUR_MS = 3_600_000L;
 
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
     private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
     private final Map<String, Node> nodes = new HashMap<>();
     private final Map<String, Fake> routers = new HashMap<>();
@@ -124,8 +122,18 @@
         Map<String, InetSocketAddress> peers = new HashMap<>(addresses);
         peers.remove(r);
         Fake router = new Fake();
-        Node n = new Node(new Node.Spec(r, addresses.get(r), dir.resolve(r), peers, Terms.DEFAULT, r.hashCode()),
-                new Identity(dir.resolve("keys"), r), router, disk);
+        Node n =
+                new Node(
+                        new Node.Spec(
+                                r,
+                                addresses.get(r),
+                                dir.resolve(r),
+                                peers,
+                                Terms.DEFAULT,
+                                r.hashCode()),
+                        new Identity(dir.resolve("keys"), r),
+                        router,
+                        disk);
         routers.put(r, router);
         nodes.put(r, n);
         n.start();
@@ -162,7 +170,8 @@
     }
 
     private boolean all(boolean drained) {
-        return nodes.keySet().stream().allMatch(r -> routers.get(r).drained.contains("q1") == drained);
+        return nodes.keySet().stream()
+                .allMatch(r -> routers.get(r).drained.contains("q1") == drained);
     }
 
     // ---- Drains
@@ -173,7 +182,9 @@
         kill("r1");
         await("all know it", () -> all(true));
         start("r1");
-        assertTrue(routers.get("r1").drained.contains("q1"), "before its first query, from its own disk");
+        assertTrue(
+                routers.get("r1").drained.contains("q1"),
+                "before its first query, from its own disk");
         tell("ann", Intent.NONE, "r6");
         await("all know that it is over", () -> all(false));
     }
@@ -194,19 +205,24 @@
         Notice again = tell("ann", Intent.DRAIN);
         assertEquals(first.revision() + 1, again.revision());
         tell("ben", Intent.DRAIN, "r2");
-        await("all know both", () -> {
-            try (FleetTool t = tool("ann")) {
-                return t.status().values().stream().allMatch(r -> {
-                    try {
-                        return FleetTool.owners("engine:q1", Map.of("r", r)).equals(List.of("ann", "ben"));
-                    } catch (IOException e) {
-                        return false;
+        await(
+                "all know both",
+                () -> {
+                    try (FleetTool t = tool("ann")) {
+                        return t.status().values().stream()
+                                .allMatch(
+                                        r -> {
+                                            try {
+                                                return FleetTool.owners("engine:q1", Map.of("r", r))
+                                                        .equals(List.of("ann", "ben"));
+                                            } catch (IOException e) {
+                                                return false;
+                                            }
+                                        });
+                    } catch (Exception e) {
+                        throw new IllegalStateException(e);
                     }
                 });
-            } catch (Exception e) {
-                throw new IllegalStateException(e);
-            }
-        });
         tell("ann", Intent.NONE);
         Thread.sleep(300);
         assertTrue(all(true), "ben still wants it");
@@ -266,7 +282,9 @@
             kill("r2");
             start("r2");
             Thread.sleep(1_500);
-            assertFalse(routers.get("r2").stopped || routers.get("r2").refuses, "who is started again stays");
+            assertFalse(
+                    routers.get("r2").stopped || routers.get("r2").refuses,
+                    "who is started again stays");
         }
     }
 
@@ -276,32 +294,47 @@
         fleet(1);
         try (FleetTool t = tool("eve")) {
             assertTrue(t.status().get("r1").isReached());
-            Result r = t.put(new Notice("engine:q1", "eve", 1, Intent.DRAIN, "eve", ""), HOUR_MS).get("r1");
+            Result r =
+                    t.put(new Notice("engine:q1", "eve", 1, Intent.DRAIN, "eve", ""), HOUR_MS)
+                            .get("r1");
             assertTrue(r.error().contains("no role drain"), r.error());
         }
         try (FleetTool t = tool("ben")) {
-            Result r = t.put(new Notice("router:r1", "ben", 1, Intent.STOP, "ben", ""), HOUR_MS).get("r1");
+            Result r =
+                    t.put(new Notice("router:r1", "ben", 1, Intent.STOP, "ben", ""), HOUR_MS)
+                            .get("r1");
             assertTrue(r.error().contains("no role stop"), r.error());
-            r = t.put(new Notice("engine:q1", "ann", 1, Intent.DRAIN, "ann", ""), HOUR_MS).get("r1");
+            r =
+                    t.put(new Notice("engine:q1", "ann", 1, Intent.DRAIN, "ann", ""), HOUR_MS)
+                            .get("r1");
             assertTrue(r.error().contains("by ann comes from ben"), r.error());
         }
         Authority foreign = new Authority(dir.resolve("foreign"));
         foreign.renew(DAY);
         foreign.issue("ann", Set.of(Role.OBSERVE, Role.DRAIN), DAY);
-        Files.copy(dir.resolve("keys/ca.crt"), dir.resolve("foreign/ca.crt"), StandardCopyOption.REPLACE_EXISTING);
+        Files.copy(
+                dir.resolve("keys/ca.crt"),
+                dir.resolve("foreign/ca.crt"),
+                StandardCopyOption.REPLACE_EXISTING);
         Identity stranger = new Identity(dir.resolve("foreign"), "ann");
-        assertThrows(IOException.class, () -> {
-            try (ControlClient c = new ControlClient(stranger, addresses.get("r1"), "r1", 2_000)) {
-                c.ask(Codec.op("status"));
-            }
-        });
+        assertThrows(
+                IOException.class,
+                () -> {
+                    try (ControlClient c =
+                            new ControlClient(stranger, addresses.get("r1"), "r1", 2_000)) {
+                        c.ask(Codec.op("status"));
+                    }
+                });
         authority.issue("old", Set.of(Role.OBSERVE), Duration.ofMinutes(-10));
         Identity expired = new Identity(dir.resolve("keys"), "old");
-        assertThrows(IOException.class, () -> {
-            try (ControlClient c = new ControlClient(expired, addresses.get("r1"), "r1", 2_000)) {
-                c.ask(Codec.op("status"));
-            }
-        });
+        assertThrows(
+                IOException.class,
+                () -> {
+                    try (ControlClient c =
+                            new ControlClient(expired, addresses.get("r1"), "r1", 2_000)) {
+                        c.ask(Codec.op("status"));
+                    }
+                });
         assertTrue(routers.get("r1").drained.isEmpty());
     }
 
@@ -315,21 +348,39 @@
         authority.issue("ann", Set.of(Role.OBSERVE), DAY);
         kill("r1");
         start("r1"); // shows its old certificate, and trusts both authorities
-        try (ControlClient c = new ControlClient(new Identity(dir.resolve("keys"), "ann"), addresses.get("r1"), "r1", 2_000)) {
+        try (ControlClient c =
+                new ControlClient(
+                        new Identity(dir.resolve("keys"), "ann"),
+                        addresses.get("r1"),
+                        "r1",
+                        2_000)) {
             assertEquals("r1", c.ask(Codec.op("status")).get("router").asText(), "a new operator");
         }
-        try (ControlClient c = new ControlClient(new Identity(dir.resolve("before"), "eve"), addresses.get("r1"), "r1", 2_000)) {
+        try (ControlClient c =
+                new ControlClient(
+                        new Identity(dir.resolve("before"), "eve"),
+                        addresses.get("r1"),
+                        "r1",
+                        2_000)) {
             assertEquals("r1", c.ask(Codec.op("status")).get("router").asText(), "an old one");
         }
         authority.retire();
         authority.issue("r1", Set.of(Role.ROUTER), DAY);
         kill("r1");
         start("r1");
-        assertThrows(IOException.class, () -> {
-            try (ControlClient c = new ControlClient(new Identity(dir.resolve("before"), "eve"), addresses.get("r1"), "r1", 2_000)) {
-                c.ask(Codec.op("status"));
-            }
-        }, "the old authority is not trusted any more");
+        assertThrows(
+                IOException.class,
+                () -> {
+                    try (ControlClient c =
+                            new ControlClient(
+                                    new Identity(dir.resolve("before"), "eve"),
+                                    addresses.get("r1"),
+                                    "r1",
+                                    2_000)) {
+                        c.ask(Codec.op("status"));
+                    }
+                },
+                "the old authority is not trusted any more");
     }
 
     @Test
@@ -343,8 +394,18 @@
             }
         }
         Identity ann = new Identity(dir.resolve("keys"), "ann");
-        for (byte[] bytes : new byte[][] {{0x7f, 0, 0, 0}, {0, 0, 0, 2, '[', ']'}, {0, 0, 0, 3, '{', '{', '{'}, {-1, -1, -1, -1}}) {
-            try (SSLSocket s = (SSLSocket) ann.context().getSocketFactory().createSocket("127.0.0.1", addresses.get("r1").getPort())) {
+        for (byte[] bytes :
+                new byte[][] {
+                    {0x7f, 0, 0, 0},
+                    {0, 0, 0, 2, '[', ']'},
+                    {0, 0, 0, 3, '{', '{', '{'},
+                    {-1, -1, -1, -1}
+                }) {
+            try (SSLSocket s =
+                    (SSLSocket)
+                            ann.context()
+                                    .getSocketFactory()
+                                    .createSocket("127.0.0.1", addresses.get("r1").getPort())) {
                 s.setSoTimeout(10_000);
                 OutputStream out = s.getOutputStream();
                 out.write(bytes);
@@ -354,15 +415,18 @@
         }
         List<Thread> flood = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            Thread t = new Thread(() -> {
-                try (ControlClient c = new ControlClient(ann, addresses.get("r1"), "r1", 5_000)) {
-                    for (int n = 0; n < 2_000; n++) {
-                        c.send(Codec.op("nonsense"));
-                    }
-                } catch (IOException e) {
-                    // cut off
-                }
-            });
+            Thread t =
+                    new Thread(
+                            () -> {
+                                try (ControlClient c =
+                                        new ControlClient(ann, addresses.get("r1"), "r1", 5_000)) {
+                                    for (int n = 0; n < 2_000; n++) {
+                                        c.send(Codec.op("nonsense"));
+                                    }
+                                } catch (IOException e) {
+                                    // cut off
+                                }
+                            });
             t.start();
             flood.add(t);
         }
@@ -383,10 +447,16 @@
         Notice n = new Notice("engine:q1", "ann", 1, Intent.DRAIN, "ann", "");
         try (FleetTool t = tool("ann", "r1")) {
             JsonNode known = t.put(n, HOUR_MS).get("r1").answer();
-            assertFalse(known.get("durable").asBoolean(), "and the operator is told that it is not safe");
+            assertFalse(
+                    known.get("durable").asBoolean(),
+                    "and the operator is told that it is not safe");
             await("both drain", () -> all(true));
             disk.full(false);
-            Map<String, Result> later = t.await(1, 20_000_000_000L, r -> r.isReached() && r.answer().get("durable").asBoolean());
+            Map<String, Result> later =
+                    t.await(
+                            1,
+                            20_000_000_000L,
+                            r -> r.isReached() && r.answer().get("durable").asBoolean());
             assertTrue(later.get("r1").answer().get("durable").asBoolean());
         }
         kill("r2"); // so that nobody else tells it
--- a/control/src/test/java/ashlink/control/node/StoredDataRecorder.java
+++ b/control/src/test/java/ashlink/control/node/StoredDataRecorder.java
@@ -53,8 +53,15 @@
         router.journal.close();
     }
 
-    private void put(String subject, String owner, long revision, Intent intent, String by,
-            String why, long leftMs) throws IOException {
+    private void put(
+            String subject,
+            String owner,
+            long revision,
+            Intent intent,
+            String by,
+            String why,
+            long leftMs)
+            throws IOException {
         Notice notice = new Notice(subject, owner, revision, intent, by, why);
         set.add(notice, leftMs, ++nowMs);
         journal.put(notice, leftMs, nowMs);
--- a/control/src/test/java/ashlink/control/node/StoredNoticesTest.java
+++ b/control/src/test/java/ashlink/control/node/StoredNoticesTest.java
@@ -27,25 +27,26 @@
     private static final long NOW_MS = StoredDataRecorder.START_MS + 3 * StoredDataRecorder.HOUR_MS;
 
     /** Subject, owner, revision, number of the intent, by, why, milliseconds left. */
-    private static final List<String> EXPECTED = List.of(
-            "engine:q1|ann|2|0|root|done|75600003",
-            "engine:q1|böb|1|2|böb|Größe|2581200002",
-            "engine:q3|ann|1|1|ann|short|-7199995",
-            "engine:q4|ann|3|2|ann|stronger|169200002",
-            "engine:q5|ann|2|1|ann|memory|169200003",
-            "router:r2|ann|9223372036854775807|2|ann||853200004");
+    private static final List<String> EXPECTED =
+            List.of(
+                    "engine:q1|ann|2|0|root|done|75600003",
+                    "engine:q1|böb|1|2|böb|Größe|2581200002",
+                    "engine:q3|ann|1|1|ann|short|-7199995",
+                    "engine:q4|ann|3|2|ann|stronger|169200002",
+                    "engine:q5|ann|2|1|ann|memory|169200003",
+                    "router:r2|ann|9223372036854775807|2|ann||853200004");
 
     /** Subject, owner, digest. */
-    private static final List<String> DIGESTS = List.of(
-            "engine:q1|ann|2020926760",
-            "engine:q1|böb|-1838468933",
-            "engine:q3|ann|2078780835",
-            "engine:q4|ann|-496359479",
-            "engine:q5|ann|948898757",
-            "router:r2|ann|1372111154");
+    private static final List<String> DIGESTS =
+            List.of(
+                    "engine:q1|ann|2020926760",
+                    "engine:q1|böb|-1838468933",
+                    "engine:q3|ann|2078780835",
+                    "engine:q4|ann|-496359479",
+                    "engine:q5|ann|948898757",
+                    "router:r2|ann|1372111154");
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     @BeforeEach
     void copy() throws Exception {
@@ -68,8 +69,15 @@
     }
 
     private static String line(Notice n, long leftMs) {
-        return String.join("|", n.subject(), n.owner(), "" + n.revision(),
-                "" + n.intent().ordinal(), n.by(), n.why(), "" + leftMs);
+        return String.join(
+                "|",
+                n.subject(),
+                n.owner(),
+                "" + n.revision(),
+                "" + n.intent().ordinal(),
+                n.by(),
+                n.why(),
+                "" + leftMs);
     }
 
     @Test
@@ -85,16 +93,27 @@
 
     @Test
     void theStrongestThatStillHoldsIsWantedOfEachSubject() throws Exception {
-        assertEquals(Map.of("engine:q1", Intent.STOP, "engine:q4", Intent.STOP, "engine:q5",
-                Intent.DRAIN, "router:r2", Intent.STOP), open().intents(NOW_MS));
+        assertEquals(
+                Map.of(
+                        "engine:q1",
+                        Intent.STOP,
+                        "engine:q4",
+                        Intent.STOP,
+                        "engine:q5",
+                        Intent.DRAIN,
+                        "router:r2",
+                        Intent.STOP),
+                open().intents(NOW_MS));
     }
 
     /** Routers of different builds compare these numbers. */
     @Test
     void digestsOfNoticesAreThoseOfTheEarlierBuild() throws Exception {
         List<String> digests = new ArrayList<>();
-        open().digest().forEach((say, digest) ->
-                digests.add(say.subject() + "|" + say.owner() + "|" + digest));
+        open().digest()
+                .forEach(
+                        (say, digest) ->
+                                digests.add(say.subject() + "|" + say.owner() + "|" + digest));
         assertEquals(DIGESTS, digests);
     }
 
--- a/control/src/test/java/ashlink/control/tls/CertificateText.java
+++ b/control/src/test/java/ashlink/control/tls/CertificateText.java
@@ -13,7 +13,7 @@
 
     private static final List<String> FILES = List.of("ca.crt", "old.crt", "r1.crt", "ann.crt");
 
-    private CertificateText() { }
+    private CertificateText() {}
 
     /** The text of all certificates in the files of a folder. */
     static String of(Path folder) throws IOException, GeneralSecurityException {
--- a/control/src/test/java/ashlink/control/tls/StoredDataRecorder.java
+++ b/control/src/test/java/ashlink/control/tls/StoredDataRecorder.java
@@ -16,7 +16,7 @@
 
     private static final Duration CENTURY = Duration.ofDays(36_525);
 
-    private StoredDataRecorder() { }
+    private StoredDataRecorder() {}
 
     /** Writes the folder {@code keys} and the text of it into the folder that is named. */
     public static void main(String[] arguments) throws IOException, GeneralSecurityException {
--- a/control/src/test/java/ashlink/control/tls/StoredKeysAndCertificatesTest.java
+++ b/control/src/test/java/ashlink/control/tls/StoredKeysAndCertificatesTest.java
@@ -32,8 +32,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Keys and certificates that an earlier build made are read as they were made. They are in
- * {@code src/test/resources/stored/keys}; the README beside tells how they were made.
+ * Keys and certificates that an earlier build made are read as they were made. They are in {@code
+ * src/test/resources/stored/keys}; the README beside tells how they were made.
  *
  * <p>No test looks at this machine's clock: chains are checked as of a fixed time, and of what is
  * issued anew only the signature.
@@ -71,8 +71,9 @@
         PKIXParameters parameters = new PKIXParameters(anchors);
         parameters.setRevocationEnabled(false);
         parameters.setDate(CHECKED);
-        CertPath path = CertificateFactory.getInstance("X.509")
-                .generateCertPath(List.of(certificate(folder, name)));
+        CertPath path =
+                CertificateFactory.getInstance("X.509")
+                        .generateCertPath(List.of(certificate(folder, name)));
         CertPathValidator.getInstance("PKIX").validate(path, parameters);
     }
 
@@ -93,14 +94,17 @@
     @Test
     void rolesAreReadFromTheWordsInCertificates() throws Exception {
         assertEquals(Set.of(Role.ROUTER), Identity.roles(certificate(stored("keys"), "r1")));
-        assertEquals(EnumSet.of(Role.OBSERVE, Role.DRAIN, Role.STOP),
+        assertEquals(
+                EnumSet.of(Role.OBSERVE, Role.DRAIN, Role.STOP),
                 Identity.roles(certificate(stored("keys"), "ann")));
     }
 
     @Test
     void theWordsOfRolesAreThoseOfTheEarlierBuild() {
-        assertEquals(List.of("router", "observe", "drain", "stop"),
-                Stream.of(Role.ROUTER, Role.OBSERVE, Role.DRAIN, Role.STOP).map(Role::word)
+        assertEquals(
+                List.of("router", "observe", "drain", "stop"),
+                Stream.of(Role.ROUTER, Role.OBSERVE, Role.DRAIN, Role.STOP)
+                        .map(Role::word)
                         .toList());
     }
 
