--- a/decisions/src/main/java/ashlink/Rules.java
+++ b/decisions/src/main/java/ashlink/Rules.java
@@ -1,4 +1,5 @@
-// Interface: Gateway.java, next to this file, declares settings, events and actions. All decisions are here.
+// Interface: Gateway.java, next to this file, declares settings, events and actions. All decisions
+// are here.
 package ashlink;
 
 import ashlink.State.Bound;
@@ -22,107 +23,215 @@
 import java.util.function.Predicate;
 
 /**
- * The decisions of one gateway, in the order in which a query meets them: taken, held, released to the
- * lighter of two random engines within a bound on threads, watched, ended; then the feedback that moves the
- * bounds, and what is believed of the engines. docs/design.md tells why.
+ * The decisions of one gateway, in the order in which a query meets them: taken, held, released to
+ * the lighter of two random engines within a bound on threads, watched, ended; then the feedback
+ * that moves the bounds, and what is believed of the engines. docs/design.md tells why.
  */
 public final class Rules implements Gateway {
 
     // ---- Constants: unit and reason
     private static final long MS = 1_000_000L;
-    /** Threads a core that seed an engine's bound: a little work overlaps with waits for the disks. */
+
+    /**
+     * Threads a core that seed an engine's bound: a little work overlaps with waits for the disks.
+     */
     private static final double SEED_THREADS = 1.5;
+
     /** Step of the bound as a share of its seed, one thread at least: a wrong step costs little. */
     private static final double STEP_SHARE = 0.25;
-    /** Gain in throughput that keeps a step up, and rise in response time that is a loss (the paper's 5%). */
+
+    /**
+     * Gain in throughput that keeps a step up, and rise in response time that is a loss (the
+     * paper's 5%).
+     */
     private static final double THRESHOLD = 0.05;
+
     /** Completions that close a period: the paper's number for stable means. */
     private static final int PERIOD_COMPLETIONS = 100;
-    /** Nanoseconds after which a period closes while queries are held: feedback must not wait for ever. */
+
+    /**
+     * Nanoseconds after which a period closes while queries are held: feedback must not wait for
+     * ever.
+     */
     private static final long PERIOD_NS = 2_000 * MS;
+
     /** Completions that such a period needs: one or two are no measurement. */
     private static final int LEAST_COMPLETIONS = 10;
-    /** Log of a time over the usual one from which an engine is pressed, or a query overdue (2.5 times). */
+
+    /**
+     * Log of a time over the usual one from which an engine is pressed, or a query overdue (2.5
+     * times).
+     */
     private static final double PRESSED_LOG = Math.log(2.5);
+
     /** Share of busy cores, or of granted memory, from which a report says busy. */
     private static final double BUSY = 0.95;
+
     /** Share of the engines on which a group of tables is loaded: readers get the other half. */
     private static final double LOAD_HOMES = 0.5;
+
     /** Nanoseconds for which a refusal by an engine counts as full, and a report as news. */
     private static final long FRESH_NS = 2_000 * MS;
-    /** Times its bound up to which an engine without pressure is filled: news of pressure comes late. */
+
+    /**
+     * Times its bound up to which an engine without pressure is filled: news of pressure comes
+     * late.
+     */
     private static final double FLOOD = 2;
+
     /** Work of ours a core, in milliseconds, that weighs as much as a busy core in a report. */
     private static final double OWN_WORK_MS = 1_000;
+
     /** Share of the engines with fresh news up to which those under pressure are few. */
     private static final double CALM = 0.3;
+
     /** Weight for free classes of engines of the kinds that bound classes need. */
     private static final double WANTED = 1.5;
-    /** Share of the longest class's work that makes a query brief, and its further room in seeds. */
+
+    /**
+     * Share of the longest class's work that makes a query brief, and its further room in seeds.
+     */
     private static final double BRIEF_SHARE = 0.2;
+
     private static final double BRIEF_LANE = 1.0;
-    /** Nanoseconds for which an engine that refused gets nothing more: a resend at once is refused again. */
+
+    /**
+     * Nanoseconds for which an engine that refused gets nothing more: a resend at once is refused
+     * again.
+     */
     private static final long FULL_PAUSE_NS = 200 * MS;
-    /** Queries waiting for memory, a core, from which an engine counts as full: more lengthen its line. */
+
+    /**
+     * Queries waiting for memory, a core, from which an engine counts as full: more lengthen its
+     * line.
+     */
     private static final double LINE_A_CORE = 0.25;
-    /** Nanoseconds in which what answers told of an engine fades, and the most answers that count. */
+
+    /**
+     * Nanoseconds in which what answers told of an engine fades, and the most answers that count.
+     */
     private static final long SLOW_FADE_NS = 10_000 * MS;
+
     private static final double SLOW_ANSWERS = 10;
-    /** Share of the time already run for which a given-up attempt that nothing stops is counted further. */
+
+    /**
+     * Share of the time already run for which a given-up attempt that nothing stops is counted
+     * further.
+     */
     private static final double GHOST_SHARE = 0.5;
-    /** Weights of news in means of response times, our share and estimates; estimates that are few. */
+
+    /**
+     * Weights of news in means of response times, our share and estimates; estimates that are few.
+     */
     private static final double MEAN_WEIGHT = 0.1;
+
     private static final double SHARE_WEIGHT = 0.02;
     private static final double CLASS_WEIGHT = 0.02;
     private static final int FEW = 10;
-    /** Quantile of a class's response times taken as its usual one, and the step of its tracker in logs. */
+
+    /**
+     * Quantile of a class's response times taken as its usual one, and the step of its tracker in
+     * logs.
+     */
     private static final double USUAL_QUANTILE = 0.25;
+
     private static final double USUAL_STEP = 0.05;
+
     /** Log of the upper quartile over the usual one up to which times are even (2 times). */
     private static final double SPREAD_LOG = Math.log(2);
-    /** Nanoseconds in which what a tenant sent fades: shorter spans hold too few queries of one gateway. */
+
+    /**
+     * Nanoseconds in which what a tenant sent fades: shorter spans hold too few queries of one
+     * gateway.
+     */
     private static final long TENANT_FADE_NS = 5_000 * MS;
+
     /** Share of the cold budget that is used: estimates lie, and other gateways round up too. */
     private static final double COLD_MARGIN = 0.6;
-    /** Share of a cold window that may be saved up; queries that the engine must bear for one by chance. */
+
+    /**
+     * Share of a cold window that may be saved up; queries that the engine must bear for one by
+     * chance.
+     */
     private static final double COLD_BURST = 0.5;
+
     private static final double COLD_PARTS = 20;
+
     /** Share of its cores that an engine's capacity is counted at. */
     private static final double CAPACITY = 0.85;
-    /** Nanoseconds before the deadline by which a held query gets its answer, and an attempt is cut off. */
+
+    /**
+     * Nanoseconds before the deadline by which a held query gets its answer, and an attempt is cut
+     * off.
+     */
     private static final long ANSWER_NS = 60 * MS;
+
     private static final long CUT_NS = 10 * MS;
+
     /** Nanoseconds between rounds of house-keeping. */
     private static final long TICK_NS = 50 * MS;
-    /** Nanoseconds after which news of an engine is stale, and for which a query waits for fresh news. */
+
+    /**
+     * Nanoseconds after which news of an engine is stale, and for which a query waits for fresh
+     * news.
+     */
     private static final long STALE_NS = 500 * MS;
+
     private static final long SCOUT_NS = 20 * MS;
-    /** Probes earned by a query taken, and the most saved up: probes must not outgrow the queries. */
+
+    /**
+     * Probes earned by a query taken, and the most saved up: probes must not outgrow the queries.
+     */
     private static final double PROBES_PER_QUERY = 1;
+
     private static final double PROBES_A_TICK = 0.05;
     private static final double PROBES_SAVED = 20;
-    /** Periods of notes, or usual times where none come, without a sign of an engine that make it silent. */
+
+    /**
+     * Periods of notes, or usual times where none come, without a sign of an engine that make it
+     * silent.
+     */
     private static final double SILENT_NOTES = 1.6;
+
     private static final double SILENT_LOG = Math.log(8);
     private static final long SILENT_NS = 700 * MS;
-    /** Nanoseconds an engine is left alone after a failed connection or a reset; doubled up to the second. */
+
+    /**
+     * Nanoseconds an engine is left alone after a failed connection or a reset; doubled up to the
+     * second.
+     */
     private static final long AVOID_NS = 500 * MS;
+
     private static final long AVOID_MOST_NS = 4_000 * MS;
-    /** Weight of an answer in an engine's share of errors, and the share from which it is left alone. */
+
+    /**
+     * Weight of an answer in an engine's share of errors, and the share from which it is left
+     * alone.
+     */
     private static final double ERROR_WEIGHT = 0.25;
+
     private static final double ERRORS = 0.5;
+
     /** Times its expected time from which a query has a bad plan, and restarts of one query. */
     private static final double BAD_PLAN = 4;
+
     private static final int BAD_PLAN_RESTARTS = 2;
+
     /** Memory granted over the estimate, and how fast the learnt correction follows. */
     private static final double GRANT_MARGIN = 1.1;
+
     private static final double GRANT_LEARN = 0.1;
     private static final double GRANT_QUANTILE = 0.75;
-    /** Times its grant that a spilling query must lack, and share of its time run, to start again. */
+
+    /**
+     * Times its grant that a spilling query must lack, and share of its time run, to start again.
+     */
     private static final double SHORT_GRANT = 1.3;
+
     private static final double EARLY = 0.2;
     private static final long TICK_LABEL = 1;
     private static final long SCOUT_LABEL = 2;
+
     /** Outcomes after which the engine may still work on the attempt. */
     private static final Set<Outcome> MAY_STILL_RUN =
             Set.of(Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED);
@@ -143,15 +252,15 @@
     private List<Action> out = new ArrayList<>();
     private final Bound pool = new Bound();
     private final Set<String> boundKinds = new HashSet<>();
-    private final boolean apart;         // loads and readers of a group keep to different engines
-    private double slowLog;              // as an engine's, over all of them
-    private double crowd;                // threads a core of all gateways, over the engines with fresh news
-    private double runTicks;             // ticks that our queries ran in engines, and the same by threads
+    private final boolean apart; // loads and readers of a group keep to different engines
+    private double slowLog; // as an engine's, over all of them
+    private double crowd; // threads a core of all gateways, over the engines with fresh news
+    private double runTicks; // ticks that our queries ran in engines, and the same by threads
     private double runThreadTicks;
-    private double luck;                 // drawn each tick: who may let one in where its bound has no room
-    private double share;                // learnt share of what keeps the engines busy
+    private double luck; // drawn each tick: who may let one in where its bound has no room
+    private double share; // learnt share of what keeps the engines busy
     private double probes = PROBES_SAVED;
-    private boolean calm = true;         // few engines are under pressure
+    private boolean calm = true; // few engines are under pressure
     private boolean ticking;
     private long sequence;
     private long now;
@@ -162,9 +271,11 @@
         this.limits = settings.limits();
         this.allowed = settings.allowed();
         this.random = new SplittableRandom(settings.seed());
-        this.apart = settings.classes().stream().anyMatch(QueryClass::holdsTables)
-                && settings.classes().stream().anyMatch(QueryClass::waitsForTables);
-        settings.tenants().stream().filter(t -> t.quotaPerS() > 0)
+        this.apart =
+                settings.classes().stream().anyMatch(QueryClass::holdsTables)
+                        && settings.classes().stream().anyMatch(QueryClass::waitsForTables);
+        settings.tenants().stream()
+                .filter(t -> t.quotaPerS() > 0)
                 .forEach(t -> tenants.put(t.name(), new TenantFacts(t.quotaPerS())));
         for (QueryClass c : settings.classes()) {
             classes.put(c.name(), new ClassFacts(c));
@@ -232,29 +343,43 @@
         answerIfDue(q);
     }
 
-    /** Guards tenants within their share against one beyond it, by our part of the quota: it leaves later. */
+    /**
+     * Guards tenants within their share against one beyond it, by our part of the quota: it leaves
+     * later.
+     */
     private double worthOf(TenantFacts t) {
         t.count = 1 + t.count * Math.exp(-(now - t.lastNs) / (double) TENANT_FADE_NS);
         t.lastNs = now;
-        double quota = t.quotaPerS * (share + 1.0 / settings.gateways()) / 2 * TENANT_FADE_NS / (1_000 * MS);
+        double quota =
+                t.quotaPerS
+                        * (share + 1.0 / settings.gateways())
+                        / 2
+                        * TENANT_FADE_NS
+                        / (1_000 * MS);
         double within = Math.min(1, quota / t.count);
         return within + (1 - within) * settings.overShareWorth();
     }
 
-    /** Mean work of a class, on the safe side: estimated, or told by answers where none are given. */
+    /**
+     * Mean work of a class, on the safe side: estimated, or told by answers where none are given.
+     */
     private static double usualMs(ClassFacts c) {
         double estimated = c.meanEstimateMs * Math.max(1, Math.exp(c.usualLog));
         return c.estimates + c.told == 0 ? priorMs(c) : Math.max(estimated, c.meanToldMs);
     }
 
-    /** Work of a class of which nothing was seen yet, on the safe side: with more, all would be late. */
+    /**
+     * Work of a class of which nothing was seen yet, on the safe side: with more, all would be
+     * late.
+     */
     private static double priorMs(ClassFacts c) {
         return (double) c.spec.aimNs() / MS * c.spec.threads();
     }
 
     /**
-     * Highest worth first; among equals the one with least work, which lets most of them be in time. By the
-     * estimate: its correction moves with each answer, and by it later ones would pass earlier ones alike.
+     * Highest worth first; among equals the one with least work, which lets most of them be in
+     * time. By the estimate: its correction moves with each answer, and by it later ones would pass
+     * earlier ones alike.
      */
     private static int releaseOrder(Query a, Query b) {
         int byWorth = Double.compare(b.worth, a.worth);
@@ -262,7 +387,10 @@
         return byWorth != 0 ? byWorth : byWork != 0 ? byWork : Long.compare(a.seq, b.seq);
     }
 
-    /** Releases held queries in order; a class that found no room is not tried further in this round. */
+    /**
+     * Releases held queries in order; a class that found no room is not tried further in this
+     * round.
+     */
     private void release() {
         List<ClassFacts> full = new ArrayList<>();
         for (Query q : List.copyOf(held)) {
@@ -283,7 +411,9 @@
     // ---- The choice of engine
     /** The lighter of two random engines that rules, health and bounds leave open, or null. */
     private Engine choose(Query q) {
-        if (!q.scouted.isEmpty() && now < q.scoutUntilNs && q.scouted.stream().anyMatch(e -> e.probing)) {
+        if (!q.scouted.isEmpty()
+                && now < q.scoutUntilNs
+                && q.scouted.stream().anyMatch(e -> e.probing)) {
             return null;
         }
         List<Engine> open = new ArrayList<>(engines.values());
@@ -316,7 +446,10 @@
         return load(second, q) < load(first, q) ? second : first;
     }
 
-    /** Guards against a blind choice where little of ours runs: asks both candidates whose news is stale. */
+    /**
+     * Guards against a blind choice where little of ours runs: asks both candidates whose news is
+     * stale.
+     */
     private boolean scout(Query q, List<Engine> pair) {
         if (!allowed.probes() || pair.stream().noneMatch(this::stale)) {
             return false;
@@ -346,7 +479,9 @@
         out.add(new Probe(e.name));
     }
 
-    /** Narrows the candidates to those that keep loads and readers apart, where any of them is left. */
+    /**
+     * Narrows the candidates to those that keep loads and readers apart, where any of them is left.
+     */
     private void prefer(Query q, List<Engine> candidates) {
         if (apart && (q.cls.spec.holdsTables() || q.cls.spec.waitsForTables())) {
             List<Engine> homes = homesOf.computeIfAbsent(q.tables, this::homes);
@@ -357,30 +492,49 @@
         }
     }
 
-    /** Guards readers from standing behind loads: all gateways load a group on one half of the engines. */
+    /**
+     * Guards readers from standing behind loads: all gateways load a group on one half of the
+     * engines.
+     */
     private List<Engine> homes(long tables) {
         List<Engine> ready = ready();
-        ready.sort(Comparator.comparingLong((Engine e) -> new SplittableRandom(
-                31L * e.name.hashCode() + tables).nextLong()).thenComparing(e -> e.name));
+        ready.sort(
+                Comparator.comparingLong(
+                                (Engine e) ->
+                                        new SplittableRandom(31L * e.name.hashCode() + tables)
+                                                .nextLong())
+                        .thenComparing(e -> e.name));
         return ready.subList(0, (int) Math.ceil(LOAD_HOMES * ready.size()));
     }
 
-    /** Estimated work of ours that runs there, with this query, by core; and what fresh reports tell. */
+    /**
+     * Estimated work of ours that runs there, with this query, by core; and what fresh reports
+     * tell.
+     */
     private double load(Engine e, Query q) {
         double own = (e.workMs + q.workMs) / e.cores / OWN_WORK_MS;
         Report r = e.report;
-        for (double told : List.of(r.coresBusy(), r.memoryGranted(), r.waiting() / e.cores, r.disksBusy(),
-                threadsACore(e))) {
+        for (double told :
+                List.of(
+                        r.coresBusy(),
+                        r.memoryGranted(),
+                        r.waiting() / e.cores,
+                        r.disksBusy(),
+                        threadsACore(e))) {
             own += fresh(e) && told > 0 ? told : 0;
         }
-        own *= !calm && q.cls.spec.kinds().isEmpty() && boundKinds.contains(e.entry.kind()) ? WANTED : 1;
+        own *=
+                !calm && q.cls.spec.kinds().isEmpty() && boundKinds.contains(e.entry.kind())
+                        ? WANTED
+                        : 1;
         return own * Math.exp(Math.max(0, slowness(e)));
     }
 
     /**
-     * The bound on threads binds only under pressure, and never where none of ours runs. Guards against
-     * floods: gateways that hold queries see the same dip and would all fill one engine at once. In a crowd
-     * the limit shrinks in proportion: what floors and late news let in too much, all must make up for.
+     * The bound on threads binds only under pressure, and never where none of ours runs. Guards
+     * against floods: gateways that hold queries see the same dip and would all fill one engine at
+     * once. In a crowd the limit shrinks in proportion: what floors and late news let in too much,
+     * all must make up for.
      */
     private boolean hasRoom(Query q, Engine e) {
         Bound b = e.bound;
@@ -390,35 +544,52 @@
         }
         limit /= b == pool ? Math.max(1, crowd / SEED_THREADS) : 1;
         boolean line = !stale(e) && e.report.waiting() > LINE_A_CORE * e.cores && !brief(q);
-        boolean fits = b == pool && crowded() ? fits(q, limit) : b.threads == 0 || b.threads < limit;
-        boolean room = now - e.fullNs >= FULL_PAUSE_NS && !line && (fits || b == pool && (brief(q)
-                && allowed.priorities() && !crowded() || calm && fresh(e) && !pressed(e)));
+        boolean fits =
+                b == pool && crowded() ? fits(q, limit) : b.threads == 0 || b.threads < limit;
+        boolean room =
+                now - e.fullNs >= FULL_PAUSE_NS
+                        && !line
+                        && (fits
+                                || b == pool
+                                        && (brief(q) && allowed.priorities() && !crowded()
+                                                || calm && fresh(e) && !pressed(e)));
         b.periodHeld |= !room;
         return room;
     }
 
     /**
-     * Guards a crowd against one query of each gateway: a query must fit with its own threads. One that never
-     * could gets in by chance, so seldom that it fits on average; brief ones fit a lane of their own threads.
+     * Guards a crowd against one query of each gateway: a query must fit with its own threads. One
+     * that never could gets in by chance, so seldom that it fits on average; brief ones fit a lane
+     * of their own threads.
      */
     private boolean fits(Query q, double limit) {
         int threads = q.cls.spec.threads();
         if (pool.threads + threads <= limit
-                || pool.threads == 0 && luck < limit / threads * TICK_NS / Math.max(TICK_NS, q.usualNs())) {
+                || pool.threads == 0
+                        && luck < limit / threads * TICK_NS / Math.max(TICK_NS, q.usualNs())) {
             return true;
         }
-        int lane = !brief(q) ? 0 : queries.values().stream().filter(o -> o.out != null && brief(o))
-                .mapToInt(o -> o.cls.spec.threads()).sum();
+        int lane =
+                !brief(q)
+                        ? 0
+                        : queries.values().stream()
+                                .filter(o -> o.out != null && brief(o))
+                                .mapToInt(o -> o.cls.spec.threads())
+                                .sum();
         return brief(q) && lane + threads <= Math.max(1, BRIEF_LANE * seed(pool));
     }
 
     private double seed(Bound b) {
         double equal = 1.0 / settings.gateways();
-        double part = crowd > 0 ? (share + equal) / 2 : Math.max(share, equal); // adds up to 1 over all
+        double part =
+                crowd > 0 ? (share + equal) / 2 : Math.max(share, equal); // adds up to 1 over all
         return Math.max(1, SEED_THREADS * b.cores * part);
     }
 
-    /** Guards against many gateways whose floors of one thread an engine add up: then one bound over all. */
+    /**
+     * Guards against many gateways whose floors of one thread an engine add up: then one bound over
+     * all.
+     */
     private void allotBounds() {
         List<Engine> ready = ready();
         pool.cores = ready.stream().mapToInt(e -> e.cores).sum();
@@ -436,37 +607,56 @@
         }
     }
 
-    /** Guards a busy gateway against an equal share: its threads' part in what reports tell is its share. */
+    /**
+     * Guards a busy gateway against an equal share: its threads' part in what reports tell is its
+     * share.
+     */
     private void learnShare() {
         double own = 0;
         double busy = 0;
         for (Engine e : engines.values()) {
             runTicks += e.running.size();
             e.running.forEach(q -> runThreadTicks += q.cls.spec.threads());
-            double told = e.report.inHand() > 0 ? threadsACore(e) : e.report.coresBusy() * SEED_THREADS;
+            double told =
+                    e.report.inHand() > 0 ? threadsACore(e) : e.report.coresBusy() * SEED_THREADS;
             if (e.entry != null && fresh(e) && told > 0) {
                 own += e.threads;
                 busy += told * e.cores;
             }
         }
         share += SHARE_WEIGHT * ((busy > 0 ? Math.min(1, own / busy) : 0) - share);
-        crowd = engines.values().stream().filter(e -> fresh(e) && e.report.inHand() >= 0)
-                .mapToDouble(this::threadsACore).average().orElse(0);
+        crowd =
+                engines.values().stream()
+                        .filter(e -> fresh(e) && e.report.inHand() >= 0)
+                        .mapToDouble(this::threadsACore)
+                        .average()
+                        .orElse(0);
         long known = engines.values().stream().filter(this::fresh).count();
-        calm = engines.values().stream().filter(e -> fresh(e) && pressed(e)).count() <= CALM * known;
+        calm =
+                engines.values().stream().filter(e -> fresh(e) && pressed(e)).count()
+                        <= CALM * known;
     }
 
-    /** Guards brief queries against waiting for room behind long ones: the paper's case for more room. */
+    /**
+     * Guards brief queries against waiting for room behind long ones: the paper's case for more
+     * room.
+     */
     private boolean brief(Query q) {
         double longest = classes.values().stream().mapToDouble(Rules::usualMs).max().orElse(0);
         return (q.estimated ? q.workMs : usualMs(q.cls)) < BRIEF_SHARE * longest;
     }
 
-    /** Pressure: response times far above the usual, a report that says busy, or a refusal just now. */
+    /**
+     * Pressure: response times far above the usual, a report that says busy, or a refusal just now.
+     */
     private boolean pressed(Engine e) {
-        boolean busy = fresh(e) && (e.report.waiting() >= 1 || e.report.coresBusy() >= BUSY
-                || e.report.memoryGranted() >= BUSY || e.report.disksBusy() >= BUSY
-                || threadsACore(e) >= SEED_THREADS);
+        boolean busy =
+                fresh(e)
+                        && (e.report.waiting() >= 1
+                                || e.report.coresBusy() >= BUSY
+                                || e.report.memoryGranted() >= BUSY
+                                || e.report.disksBusy() >= BUSY
+                                || threadsACore(e) >= SEED_THREADS);
         return busy || now - e.fullNs < FRESH_NS || slowness(e) > PRESSED_LOG;
     }
 
@@ -475,7 +665,10 @@
         return crowd > SEED_THREADS;
     }
 
-    /** Threads of the queries in hand, taken to be like our running ones: those with bad plans never end. */
+    /**
+     * Threads of the queries in hand, taken to be like our running ones: those with bad plans never
+     * end.
+     */
     private double threadsACore(Engine e) {
         return e.report.inHand() * (runTicks > 0 ? runThreadTicks / runTicks : 1) / e.cores;
     }
@@ -485,8 +678,9 @@
     }
 
     /**
-     * Log of how much slower than usual the engine is, by its answers, which fade, and what is overdue there.
-     * Guards against jammed, slowed, ageing and silent engines; one odd query among many moves it little.
+     * Log of how much slower than usual the engine is, by its answers, which fade, and what is
+     * overdue there. Guards against jammed, slowed, ageing and silent engines; one odd query among
+     * many moves it little.
      */
     private double slowness(Engine e) {
         double weight = e.slowWeight * Math.exp(-(now - e.slowNs) / (double) SLOW_FADE_NS);
@@ -501,7 +695,10 @@
         return sum / (weight + 1);
     }
 
-    /** A time far over the usual tells less where times scatter, unless slow engines may be the cause. */
+    /**
+     * A time far over the usual tells less where times scatter, unless slow engines may be the
+     * cause.
+     */
     private static double evenness(ClassFacts c) {
         boolean untold = c.estimates > 0 && c.told == 0;
         return untold ? 1 : Math.min(1, SPREAD_LOG / Math.max(1e-3, c.spreadLog));
@@ -509,10 +706,16 @@
 
     // ---- The one send path: the rules are kept here
     private boolean maySend(Query q, Engine e) {
-        return ready(e) && !q.over && q.out == null && q.attempts < allowed.attempts()
+        return ready(e)
+                && !q.over
+                && q.out == null
+                && q.attempts < allowed.attempts()
                 && (q.cls.spec.kinds().isEmpty() || q.cls.spec.kinds().contains(e.entry.kind()))
                 && (q.cls.spec.zones().isEmpty() || q.cls.spec.zones().contains(e.entry.zone()))
-                && hasTurn(q) && effectAllows(q, e) && withinColdBudget(q, e) && withinResendBudget(q);
+                && hasTurn(q)
+                && effectAllows(q, e)
+                && withinColdBudget(q, e)
+                && withinResendBudget(q);
     }
 
     private static boolean ready(Engine e) {
@@ -528,23 +731,28 @@
                 || q.line.waiting.peek() == q && (q.attempts > 0 || now >= q.line.restUntilNs);
     }
 
-    /** An unsafe query that may have run stays; a deduplicated one goes where repeats are dropped. */
+    /**
+     * An unsafe query that may have run stays; a deduplicated one goes where repeats are dropped.
+     */
     private boolean effectAllows(Query q, Engine e) {
         if (q.mayHaveRunOn == null || q.cls.spec.effect() == Effect.IDEMPOTENT) {
             return true;
         }
-        boolean group = switch (q.cls.spec.repeatGroup()) {
-            case ALL -> true;
-            case ZONE -> e.entry.zone().equals(q.mayHaveRunOn.zone());
-            case CELL -> e.entry.cell() == q.mayHaveRunOn.cell();
-        };
-        return q.cls.spec.effect() == Effect.DEDUPLICATED && group
+        boolean group =
+                switch (q.cls.spec.repeatGroup()) {
+                    case ALL -> true;
+                    case ZONE -> e.entry.zone().equals(q.mayHaveRunOn.zone());
+                    case CELL -> e.entry.cell() == q.mayHaveRunOn.cell();
+                };
+        return q.cls.spec.effect() == Effect.DEDUPLICATED
+                && group
                 && now - q.mayHaveRunNs < q.cls.spec.repeatSpanNs() - TICK_NS;
     }
 
     /**
-     * Guards a cold engine: what all gateways send it in a window stays under what it bears. Where our share
-     * holds no query, one of a class of which it bears many gets in by chance, and a chance not taken lapses.
+     * Guards a cold engine: what all gateways send it in a window stays under what it bears. Where
+     * our share holds no query, one of a class of which it bears many gets in by chance, and a
+     * chance not taken lapses.
      */
     private boolean withinColdBudget(Query q, Engine e) {
         if (!cold(e)) {
@@ -565,9 +773,14 @@
         return now >= e.coldNextNs;
     }
 
-    /** Time in which our share of what the engine bears while cold adds up to one query of the class. */
+    /**
+     * Time in which our share of what the engine bears while cold adds up to one query of the
+     * class.
+     */
     private double coldGapNs(Query q, Engine e) {
-        return heavyMs(q.cls) * MS * settings.gateways()
+        return heavyMs(q.cls)
+                * MS
+                * settings.gateways()
                 / (COLD_MARGIN * limits.coldMultiple() * limits.coldFrom() * e.cores * CAPACITY);
     }
 
@@ -578,17 +791,23 @@
     }
 
     private boolean cold(Engine e) {
-        return e.entry.startedNs() > 0 && limits.coldMultiple() > 0
+        return e.entry.startedNs() > 0
+                && limits.coldMultiple() > 0
                 && now < e.entry.startedNs() + limits.coldNs();
     }
 
     private boolean withinResendBudget(Query q) {
         forgetBefore(now - limits.budgetSpanNs());
-        return limits.budgetSpanNs() <= 0 || q.attempts == 0
-                || resent.size() + 1 <= limits.freeResends() + limits.resendsPerRequest() * taken.size();
+        return limits.budgetSpanNs() <= 0
+                || q.attempts == 0
+                || resent.size() + 1
+                        <= limits.freeResends() + limits.resendsPerRequest() * taken.size();
     }
 
-    /** On the safe side: what is exactly as old as the span counts where it costs and not where it earns. */
+    /**
+     * On the safe side: what is exactly as old as the span counts where it costs and not where it
+     * earns.
+     */
     private void forgetBefore(long from) {
         while (!taken.isEmpty() && taken.peek() <= from) {
             taken.poll();
@@ -637,7 +856,10 @@
         return Math.max(1, Math.round(Math.min(most, need * GRANT_MARGIN)));
     }
 
-    /** Brief queries go first where cores are short: they delay long ones little. What is late goes last. */
+    /**
+     * Brief queries go first where cores are short: they delay long ones little. What is late goes
+     * last.
+     */
     private int priority(Query q) {
         return !allowed.priorities() ? 1 : now >= q.aimNs() ? 0 : brief(q) ? 3 : 1;
     }
@@ -659,19 +881,25 @@
         }
     }
 
-    /** Guards against estimates of memory that lie: one that has hardly begun starts again with its need. */
+    /**
+     * Guards against estimates of memory that lie: one that has hardly begun starts again with its
+     * need.
+     */
     private void regrant(Query q, double needMb) {
         if (q.needMb == 0 && q.grantMb > 0) {
             learnGrant(q, needMb);
         }
         q.needMb = Math.max(q.needMb, needMb);
-        if (movable(q) && grant(q, q.out) > SHORT_GRANT * q.grantMb
+        if (movable(q)
+                && grant(q, q.out) > SHORT_GRANT * q.grantMb
                 && now - q.workingFromNs < EARLY * q.usualNs()) {
             cancel(q);
         }
     }
 
-    /** Guards against bad plans: what still lies ahead is far more than a fresh start would take. */
+    /**
+     * Guards against bad plans: what still lies ahead is far more than a fresh start would take.
+     */
     private void restartBadPlan(Query q, double share) {
         long ran = now - q.workingFromNs;
         double ahead = ran * (1 - share) / share;
@@ -681,10 +909,14 @@
         }
     }
 
-    /** Where no notes come time must tell: far over the usual at the day's spread, and late already. */
+    /**
+     * Where no notes come time must tell: far over the usual at the day's spread, and late already.
+     */
     private void restartLongRunner(Query q) {
         double far = (Math.log(BAD_PLAN) + Math.max(0, slowLog - PRESSED_LOG)) / evenness(q.cls);
-        if (allowed.noteEveryNs() == 0 && !brief(q) && now > q.aimNs()
+        if (allowed.noteEveryNs() == 0
+                && !brief(q)
+                && now > q.aimNs()
                 && now - q.sentNs > q.usualNs() * Math.exp(far)) {
             restart(q);
         }
@@ -759,18 +991,26 @@
         }
     }
 
-    /** Guards against answers after the client's time, also for a query whose time is short on arrival. */
+    /**
+     * Guards against answers after the client's time, also for a query whose time is short on
+     * arrival.
+     */
     private void answerIfDue(Query q) {
         if (held.contains(q) && now + ANSWER_NS >= q.deadlineNs) {
             answer(q);
         }
     }
 
-    /** The one finish path: refuses where that is harmless, else fails; at once, with retry advice. */
+    /**
+     * The one finish path: refuses where that is harmless, else fails; at once, with retry advice.
+     */
     private void answer(Query q) {
         q.over = true;
-        boolean harmless = q.mayHaveRunOn == null || q.cls.spec.effect() == Effect.IDEMPOTENT
-                || q.cls.spec.effect() == Effect.DEDUPLICATED && q.cls.spec.repeatGroup() == RepeatGroup.ALL;
+        boolean harmless =
+                q.mayHaveRunOn == null
+                        || q.cls.spec.effect() == Effect.IDEMPOTENT
+                        || q.cls.spec.effect() == Effect.DEDUPLICATED
+                                && q.cls.spec.repeatGroup() == RepeatGroup.ALL;
         out.add(harmless ? new Refuse(q.id, allowed.longestRetryAfterNs()) : new Fail(q.id));
         forget(q);
     }
@@ -801,12 +1041,19 @@
 
     // ---- Feedback: what answers teach, and the steps of the bound
     private void learn(Query q, Engine e, Ended end) {
-        double stretch = Math.log(Math.max(1e-3,
-                end.tookNs() / (double) MS * q.cls.spec.threads() / Math.max(1e-3, q.estimateMs)));
+        double stretch =
+                Math.log(
+                        Math.max(
+                                1e-3,
+                                end.tookNs()
+                                        / (double) MS
+                                        * q.cls.spec.threads()
+                                        / Math.max(1e-3, q.estimateMs)));
         if (!pressed(e)) { // a jam must not become the usual, nor the lucky ones that pass it
             double step = q.estimated ? USUAL_STEP : Math.max(USUAL_STEP, 1.0 / ++q.cls.lessons);
             double upper = q.cls.usualLog + q.cls.spreadLog;
-            q.cls.usualLog += step * (stretch < q.cls.usualLog ? USUAL_QUANTILE - 1 : USUAL_QUANTILE);
+            q.cls.usualLog +=
+                    step * (stretch < q.cls.usualLog ? USUAL_QUANTILE - 1 : USUAL_QUANTILE);
             upper += step * (stretch < upper ? -USUAL_QUANTILE : 1 - USUAL_QUANTILE);
             q.cls.spreadLog = Math.max(0, upper - q.cls.usualLog);
         }
@@ -845,7 +1092,10 @@
         b.startPeriod(throughput, response, now);
     }
 
-    /** While queries are held: a step up stays only if throughput gained; else the bound drifts down. */
+    /**
+     * While queries are held: a step up stays only if throughput gained; else the bound drifts
+     * down.
+     */
     private void step(Bound b, double throughput, double response) {
         double size = Math.max(1, STEP_SHARE * seed(b));
         boolean outwait = held.stream().anyMatch(q -> now >= q.aimNs());
@@ -853,7 +1103,11 @@
         boolean mayFall = !outwait && !slower && (b.moved >= size || b.fullNs >= b.periodStartNs);
         if (b.periodHeld) {
             boolean gained = throughput > b.lastThroughput * (1 + THRESHOLD);
-            move(b, !crowded() && b.lastStep <= 0 || gained ? size : mayFall || crowded() ? -size : 0);
+            move(
+                    b,
+                    !crowded() && b.lastStep <= 0 || gained
+                            ? size
+                            : mayFall || crowded() ? -size : 0);
         } else {
             boolean lost = throughput < b.lastThroughput * (1 - THRESHOLD);
             move(b, lost && b.lastStep < 0 ? size : mayFall ? -size : 0);
@@ -870,7 +1124,8 @@
         boolean sign = Set.of(Outcome.SERVED, Outcome.ERROR, Outcome.TURNED_AWAY).contains(outcome);
         e.heardNs = sign ? now : e.heardNs;
         if (outcome == Outcome.SERVED || outcome == Outcome.ERROR) {
-            // Guards against an engine whose answers are errors: they are so fast that it looks lightest.
+            // Guards against an engine whose answers are errors: they are so fast that it looks
+            // lightest.
             e.errors += ERROR_WEIGHT * ((outcome == Outcome.ERROR ? 1 : 0) - e.errors);
             if (e.errors < ERRORS) {
                 e.avoidNs = 0;
@@ -906,9 +1161,12 @@
     /** An engine that takes work and gives no sign of it, though its probes are answered. */
     private boolean silent(Engine e) {
         for (Query q : e.running) {
-            double patience = allowed.noteEveryNs() > 0
-                    ? SILENT_NOTES * allowed.noteEveryNs()
-                    : q.usualNs() * Math.exp((SILENT_LOG + Math.max(0, slowLog)) / evenness(q.cls));
+            double patience =
+                    allowed.noteEveryNs() > 0
+                            ? SILENT_NOTES * allowed.noteEveryNs()
+                            : q.usualNs()
+                                    * Math.exp(
+                                            (SILENT_LOG + Math.max(0, slowLog)) / evenness(q.cls));
             if (now - Math.max(q.sentNs, e.heardNs) > Math.max(SILENT_NS, patience)) {
                 return true;
             }
@@ -961,8 +1219,13 @@
         learnShare();
         luck = random.nextDouble();
         probes = Math.min(PROBES_SAVED, probes + PROBES_A_TICK);
-        boolean contended = held.stream().anyMatch(q -> // some that can still be in time wait for room
-                now - q.takenNs > TICK_NS && now + q.usualNs() < q.aimNs() && hasTurn(q));
+        boolean contended =
+                held.stream()
+                        .anyMatch(
+                                q -> // some that can still be in time wait for room
+                                now - q.takenNs > TICK_NS
+                                                && now + q.usualNs() < q.aimNs()
+                                                && hasTurn(q));
         for (Query q : List.copyOf(held)) {
             answerIfDue(q);
             boolean late = now + q.usualNs() >= q.aimNs();
@@ -975,9 +1238,13 @@
             }
         }
         keys.values().removeIf(k -> k.waiting.isEmpty() && now >= k.restUntilNs);
-        engines.values().removeIf(e -> e.entry == null && e.running.isEmpty() && e.ghosts.isEmpty());
+        engines.values()
+                .removeIf(e -> e.entry == null && e.running.isEmpty() && e.ghosts.isEmpty());
         for (Engine e : engines.values()) {
-            if (allowed.probes() && ready(e) && !e.probing && probes >= PROBES_SAVED / 2
+            if (allowed.probes()
+                    && ready(e)
+                    && !e.probing
+                    && probes >= PROBES_SAVED / 2
                     && now - e.probedNs >= STALE_NS) {
                 probe(e);
             }
@@ -986,15 +1253,24 @@
             e.running.forEach(this::restartLongRunner);
             if (now >= e.avoidUntilNs && silent(e)) {
                 avoid(e);
-                out.add(new Log("avoiding " + e.name + ": it takes queries and gives no sign of them"));
-                e.running.stream().filter(this::movable).forEach(this::cancel); // freed, they go elsewhere
+                out.add(
+                        new Log(
+                                "avoiding "
+                                        + e.name
+                                        + ": it takes queries and gives no sign of them"));
+                e.running.stream()
+                        .filter(this::movable)
+                        .forEach(this::cancel); // freed, they go elsewhere
             }
         }
         release();
     }
 
     private boolean movable(Query q) {
-        return allowed.cancels() && q.cls.spec.effect() == Effect.IDEMPOTENT && !q.over && !q.cancelled
+        return allowed.cancels()
+                && q.cls.spec.effect() == Effect.IDEMPOTENT
+                && !q.over
+                && !q.cancelled
                 && q.attempts < allowed.attempts();
     }
 }
--- a/decisions/src/main/java/ashlink/State.java
+++ b/decisions/src/main/java/ashlink/State.java
@@ -8,29 +8,39 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What a gateway remembers: plain records of what it was told, did and learnt. {@link Rules} decides on them. */
+/**
+ * What a gateway remembers: plain records of what it was told, did and learnt. {@link Rules}
+ * decides on them.
+ */
 final class State {
 
     /** A time long before all others. */
     static final long NEVER = Long.MIN_VALUE / 2;
 
-    private State() { }
+    private State() {}
 
     /** What was learnt of a class. */
     static final class ClassFacts {
         final QueryClass spec;
+
         /** Log of the usual response time x threads over the estimate. */
         double usualLog;
+
         /** Log of the upper quartile over the usual one. */
         double spreadLog;
+
         int lessons;
         double meanEstimateMs;
         int estimates;
+
         /** Mean work that answers told, and the answers in it. */
         double meanToldMs;
+
         int told;
+
         /** Learnt need of memory over the estimate, and the lessons in it. */
         double memoryBias = 1;
+
         int memoryLessons;
 
         ClassFacts(QueryClass spec) {
@@ -48,34 +58,55 @@
         final long takenNs;
         final long deadlineNs;
         final double estimateMs;
+
         /** Estimate, corrected by what its class taught. */
         final double workMs;
+
         final double memoryMb;
         final boolean estimated;
+
         /** What it earns in time, and what it may still earn now. */
         final double fullWorth;
+
         double worth;
         boolean over;
+
         /** Engine of the attempt that is out, and what the list said of it when it was sent. */
         Engine out;
+
         ListEntry sentTo;
         long sentNs;
+
         /** When it was sent or last seen to wait. */
         long workingFromNs;
+
         int attempts;
         long grantMb;
+
         /** Memory that it needs, as its spill told; 0 while untold. */
         double needMb;
+
         boolean cancelled;
         int restarts;
+
         /** Candidates whose news it waits for. */
         List<Engine> scouted = List.of();
+
         long scoutUntilNs;
+
         /** Where and since when an earlier attempt may have run. */
         ListEntry mayHaveRunOn;
+
         long mayHaveRunNs;
 
-        Query(Request r, ClassFacts cls, KeyLine line, long seq, double estimateMs, double workMs, double worth,
+        Query(
+                Request r,
+                ClassFacts cls,
+                KeyLine line,
+                long seq,
+                double estimateMs,
+                double workMs,
+                double worth,
                 long now) {
             this.id = r.id();
             this.cls = cls;
@@ -110,7 +141,7 @@
     }
 
     /** An attempt that was given up and may run on. */
-    record Ghost(long untilNs, Query of) { }
+    record Ghost(long untilNs, Query of) {}
 
     /** What a tenant sent lately: a count that fades, and when it was the last. */
     static final class TenantFacts {
@@ -127,8 +158,10 @@
     static final class Bound {
         int cores;
         int threads;
+
         /** Threads by which feedback moved the bound from its seed, and the last step. */
         double moved;
+
         double lastStep;
         long periodStartNs;
         int completions;
@@ -151,19 +184,27 @@
     /** An engine that the list has named. */
     static final class Engine {
         final String name;
+
         /** What the list says of it; null when it has left the list. */
         ListEntry entry;
+
         int cores = 1;
         double memoryMb;
+
         /** When, by our share of what it bears while cold, all that was sent is worked off. */
         double coldNextNs = Double.NaN;
+
         final List<Query> running = new ArrayList<>();
         final ArrayDeque<Ghost> ghosts = new ArrayDeque<>();
         Bound bound = new Bound();
         int threads;
         double workMs;
-        /** Mean log of response times over the usual, the answers in it and when it was the last. */
+
+        /**
+         * Mean log of response times over the usual, the answers in it and when it was the last.
+         */
         double slowLog;
+
         double slowWeight;
         long slowNs;
         long fullNs = NEVER;
@@ -173,8 +214,10 @@
         long probedNs = NEVER;
         boolean probing;
         long avoidNs;
+
         /** Share of its late answers that were errors. */
         double errors;
+
         long avoidUntilNs = NEVER;
 
         Engine(String name) {
--- a/decisions/src/test/java/ashlink/AuditTest.java
+++ b/decisions/src/test/java/ashlink/AuditTest.java
@@ -30,13 +30,21 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** A seeded stream of random events, with every action held against the rules; and what is true of the module's text. */
+/**
+ * A seeded stream of random events, with every action held against the rules; and what is true of
+ * the module's text.
+ */
 class AuditTest {
 
     private static final Outcome[] OUTCOMES = Outcome.values();
 
     private static Settings settings() {
-        return Router.settings(2, ALLOWED, LIMITS, Router.look("look"), Router.report(Set.of("big"), Set.of()),
+        return Router.settings(
+                2,
+                ALLOWED,
+                LIMITS,
+                Router.look("look"),
+                Router.report(Set.of("big"), Set.of()),
                 Router.load(Effect.AT_MOST_ONCE, RepeatGroup.ALL, true));
     }
 
@@ -53,7 +61,10 @@
         Set<Long> answered = new HashSet<>();
         Set<String> closed = new HashSet<>();
         String[] names = {"a", "b", "c", "d"};
-        r.list(ListForm.REMEMBERED, Router.ready("a"), Router.ready("b"),
+        r.list(
+                ListForm.REMEMBERED,
+                Router.ready("a"),
+                Router.ready("b"),
                 Router.entry("c", "z1", "small", Phase.READY, 0));
         int checked = 0;
         for (long id = 0; id < 3_000; id++) {
@@ -61,11 +72,22 @@
             if (kind < 4) {
                 String c = List.of("look", "report", "load").get(random.nextInt(3));
                 deadlines.put(id, r.now + 3_000 * MS);
-                (c.equals("load") ? loads : c.equals("report") ? reports : new HashSet<Long>()).add(id);
-                r.ask(id, c, c.equals("load") ? "k" + random.nextInt(3) : null, random.nextInt(5),
-                        random.nextInt(2_000), 3_000);
+                (c.equals("load") ? loads : c.equals("report") ? reports : new HashSet<Long>())
+                        .add(id);
+                r.ask(
+                        id,
+                        c,
+                        c.equals("load") ? "k" + random.nextInt(3) : null,
+                        random.nextInt(5),
+                        random.nextInt(2_000),
+                        3_000);
             } else if (kind < 8 && !out.isEmpty()) {
-                long which = out.keySet().stream().sorted().skip(random.nextInt(out.size())).findFirst().orElseThrow();
+                long which =
+                        out.keySet().stream()
+                                .sorted()
+                                .skip(random.nextInt(out.size()))
+                                .findFirst()
+                                .orElseThrow();
                 Outcome o = OUTCOMES[random.nextInt(OUTCOMES.length)];
                 Send s = out.remove(which);
                 if (o.mayHaveRun()) {
@@ -83,10 +105,20 @@
                 } else {
                     closed.add(name);
                 }
-                r.list(ListForm.CHANGES, Router.entry(name, "z1", name.equals("c") ? "small" : "big", phase, 0));
+                r.list(
+                        ListForm.CHANGES,
+                        Router.entry(name, "z1", name.equals("c") ? "small" : "big", phase, 0));
             } else {
-                r.on(new Probed(names[random.nextInt(3)], OUTCOMES[random.nextInt(OUTCOMES.length)], MS,
-                        new Report(random.nextInt(3), random.nextDouble(), Double.NaN, Double.NaN)));
+                r.on(
+                        new Probed(
+                                names[random.nextInt(3)],
+                                OUTCOMES[random.nextInt(OUTCOMES.length)],
+                                MS,
+                                new Report(
+                                        random.nextInt(3),
+                                        random.nextDouble(),
+                                        Double.NaN,
+                                        Double.NaN)));
             }
             checked = audit(r, checked, out, sent, loads, reports, ran, answered, closed);
             timeOut(r, out, sent, deadlines, ran);
@@ -104,7 +136,11 @@
         return r.actions.toString();
     }
 
-    private static void timeOut(Router r, Map<Long, Send> out, Map<Long, Integer> sent, Map<Long, Long> deadlines,
+    private static void timeOut(
+            Router r,
+            Map<Long, Send> out,
+            Map<Long, Integer> sent,
+            Map<Long, Long> deadlines,
             Set<Long> ran) {
         for (long id : out.keySet().stream().sorted().toList()) {
             if (r.now >= deadlines.get(id)) {
@@ -114,18 +150,34 @@
         }
     }
 
-    private static int audit(Router r, int from, Map<Long, Send> out, Map<Long, Integer> sent, Set<Long> loads,
-            Set<Long> reports, Set<Long> ran, Set<Long> answered, Set<String> closed) {
+    private static int audit(
+            Router r,
+            int from,
+            Map<Long, Send> out,
+            Map<Long, Integer> sent,
+            Set<Long> loads,
+            Set<Long> reports,
+            Set<Long> ran,
+            Set<Long> answered,
+            Set<String> closed) {
         for (Action a : r.actions.subList(from, r.actions.size())) {
             if (a instanceof Send s) {
                 assertTrue(!answered.contains(s.id()), "sent after its answer");
                 assertTrue(out.put(s.id(), s) == null, "two attempts out");
                 assertTrue(!closed.contains(s.engine()), "sent to a draining engine");
-                assertTrue(!loads.contains(s.id()) || !ran.contains(s.id()), "an unsafe query sent again");
-                assertTrue(!reports.contains(s.id()) || !s.engine().equals("c"), "sent to a wrong kind");
-                assertTrue(sent.merge(s.id(), 1, Integer::sum) <= ALLOWED.attempts(), "too many attempts");
+                assertTrue(
+                        !loads.contains(s.id()) || !ran.contains(s.id()),
+                        "an unsafe query sent again");
+                assertTrue(
+                        !reports.contains(s.id()) || !s.engine().equals("c"),
+                        "sent to a wrong kind");
+                assertTrue(
+                        sent.merge(s.id(), 1, Integer::sum) <= ALLOWED.attempts(),
+                        "too many attempts");
             } else if (a instanceof Refuse f) {
-                assertTrue(!loads.contains(f.id()) || !ran.contains(f.id()), "refused though it may have run");
+                assertTrue(
+                        !loads.contains(f.id()) || !ran.contains(f.id()),
+                        "refused though it may have run");
                 assertTrue(answered.add(f.id()), "answered twice");
             } else if (a instanceof Fail f) {
                 assertTrue(answered.add(f.id()), "answered twice");
--- a/decisions/src/test/java/ashlink/CrowdTest.java
+++ b/decisions/src/test/java/ashlink/CrowdTest.java
@@ -31,9 +31,11 @@
 class CrowdTest {
 
     private static final int GATEWAYS = 200;
+
     /** Cancels heeded, no notes of progress, cost told in answers. */
     private static final Allowed NO_NOTES =
             new Allowed(true, true, 4, 500 * MS, true, true, 0.4, false, 0, true, true, false);
+
     private static final Limits RATION = new Limits(0, 0, 0, 0, 0, 0, 0, 0.1, 10_000 * MS);
 
     private static Report inHand(double queries) {
@@ -41,9 +43,17 @@
     }
 
     private static Router router(int position, Limits limits, double queriesInHand) {
-        Router r = new Router(new Settings(7 + position, GATEWAYS, position, "z1",
-                List.of(look("look"), report(Set.of(), Set.of())), List.of(new Gateway.EngineKind("big", 8, 8_000)),
-                NO_NOTES, limits));
+        Router r =
+                new Router(
+                        new Settings(
+                                7 + position,
+                                GATEWAYS,
+                                position,
+                                "z1",
+                                List.of(look("look"), report(Set.of(), Set.of())),
+                                List.of(new Gateway.EngineKind("big", 8, 8_000)),
+                                NO_NOTES,
+                                limits));
         r.engines("a", "b");
         tell(r, queriesInHand);
         return r;
@@ -85,7 +95,8 @@
         r.ask(2, "look", null, 20);
         assertEquals(List.of(1L, 2L), r.sends().stream().map(Send::id).toList());
         r.ask(3, "look", null, 20);
-        assertEquals(2, r.sends().size(), "the lane holds this gateway's part, not all its look-ups");
+        assertEquals(
+                2, r.sends().size(), "the lane holds this gateway's part, not all its look-ups");
     }
 
     @Test
@@ -105,7 +116,11 @@
 
     @Test
     void busyDisksAndManyQueriesInHandArePressure() {
-        for (Report busy : List.of(new Report(Double.NaN, Double.NaN, Double.NaN, 0.99, 1), inHand(12), inHand(1))) {
+        for (Report busy :
+                List.of(
+                        new Report(Double.NaN, Double.NaN, Double.NaN, 0.99, 1),
+                        inHand(12),
+                        inHand(1))) {
             Router r = router(0, LIMITS, 1);
             for (String e : List.of("a", "b")) {
                 r.reports.put(e, busy);
@@ -147,9 +162,22 @@
 
     @Test
     void whatATenantSendsBeyondItsShareLeavesLater() {
-        Router r = new Router(new Settings(7, 1, 0, "z1", List.of(report(Set.of(), Set.of())),
-                List.of(new Gateway.EngineKind("big", 8, 8_000)), NO_NOTES, LIMITS,
-                List.of(new Gateway.Tenant("loud", 2), new Gateway.Tenant("calm", 2)), 0.2)).engines();
+        Router r =
+                new Router(
+                                new Settings(
+                                        7,
+                                        1,
+                                        0,
+                                        "z1",
+                                        List.of(report(Set.of(), Set.of())),
+                                        List.of(new Gateway.EngineKind("big", 8, 8_000)),
+                                        NO_NOTES,
+                                        LIMITS,
+                                        List.of(
+                                                new Gateway.Tenant("loud", 2),
+                                                new Gateway.Tenant("calm", 2)),
+                                        0.2))
+                        .engines();
         for (int i = 0; i < 60; i++) {
             r.on(new Request(i, "report", null, 1, r.now + 20_000 * MS, 1_000 * MS, 100, "loud"));
         }
@@ -164,8 +192,18 @@
 
     @Test
     void withoutEstimatesTheWorkIsLearntFromAnswers() {
-        Router r = new Router(new Settings(7, 4, 0, "z1", List.of(look("look"), report(Set.of(), Set.of())),
-                List.of(new Gateway.EngineKind("big", 8, 8_000)), NO_NOTES, LIMITS)).engines("a");
+        Router r =
+                new Router(
+                                new Settings(
+                                        7,
+                                        4,
+                                        0,
+                                        "z1",
+                                        List.of(look("look"), report(Set.of(), Set.of())),
+                                        List.of(new Gateway.EngineKind("big", 8, 8_000)),
+                                        NO_NOTES,
+                                        LIMITS))
+                        .engines("a");
         long id = 0;
         for (; id < 200; id++) {
             r.on(new Request(id, "look", null, 1, r.now + 3_000 * MS, 0, 0));
@@ -185,14 +223,24 @@
         Router r = router(0, LIMITS, 1);
         for (int i = 0; i < 300; i++) {
             r.ask(i, "look", null, 100);
-            r.on(new Ended(i, 0, r.sends().get(i).engine(), Outcome.SERVED, (i % 2 == 0 ? 60 : 600) * MS, true, 100, 40,
-                    inHand(1)));
+            r.on(
+                    new Ended(
+                            i,
+                            0,
+                            r.sends().get(i).engine(),
+                            Outcome.SERVED,
+                            (i % 2 == 0 ? 60 : 600) * MS,
+                            true,
+                            100,
+                            40,
+                            inHand(1)));
             r.pass(200);
         }
         r.ask(1_000, "report", null, 1_000);
         r.pass(300);
         r.ask(1_001, "report", null, 1_000);
-        assertEquals(2, r.sends().size() - 300, "the bound does not bind while no engine is pressed");
+        assertEquals(
+                2, r.sends().size() - 300, "the bound does not bind while no engine is pressed");
         assertFalse(enginesOf(r.actions).isEmpty());
     }
 }
--- a/decisions/src/test/java/ashlink/ManyGatewaysTest.java
+++ b/decisions/src/test/java/ashlink/ManyGatewaysTest.java
@@ -1,6 +1,5 @@
 package ashlink;
 
-import static ashlink.Router.ALLOWED;
 import static ashlink.Router.LIMITS;
 import static ashlink.Router.MS;
 import static ashlink.Router.enginesOf;
@@ -32,17 +31,38 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What holds where a gateway sees little: a few queries a second, a fraction of a thread an engine. */
+/**
+ * What holds where a gateway sees little: a few queries a second, a fraction of a thread an engine.
+ */
 class ManyGatewaysTest {
 
     private static final int GATEWAYS = 200;
     private static final Report BUSY = new Report(1, 1, 1, 1);
-    private static final Allowed NO_PRIORITIES = new Allowed(true, true, 4, 500 * MS, true, false, 0.4, true,
-            1_000 * MS, false, false, false);
+    private static final Allowed NO_PRIORITIES =
+            new Allowed(
+                    true,
+                    true,
+                    4,
+                    500 * MS,
+                    true,
+                    false,
+                    0.4,
+                    true,
+                    1_000 * MS,
+                    false,
+                    false,
+                    false);
 
     private static Settings settings(int gateways, int position, Allowed allowed, Limits limits) {
-        return new Settings(7 + position, gateways, position, "z1", List.of(look("look"), report(Set.of(), Set.of())),
-                List.of(new Gateway.EngineKind("big", 8, 8_000)), allowed, limits);
+        return new Settings(
+                7 + position,
+                gateways,
+                position,
+                "z1",
+                List.of(look("look"), report(Set.of(), Set.of())),
+                List.of(new Gateway.EngineKind("big", 8, 8_000)),
+                allowed,
+                limits);
     }
 
     private static String[] fleet(int engines) {
@@ -54,7 +74,8 @@
     }
 
     private static Router router(int gateways, int position, int engines) {
-        return new Router(settings(gateways, position, NO_PRIORITIES, LIMITS)).engines(fleet(engines));
+        return new Router(settings(gateways, position, NO_PRIORITIES, LIMITS))
+                .engines(fleet(engines));
     }
 
     @Test
@@ -72,7 +93,8 @@
             threads += 2 * r.outstanding.size();
             assertFalse(r.outstanding.isEmpty(), "a gateway that runs nothing gets one query in");
         }
-        // Four engines of eight cores at 1.5 threads are 48; the floor is one query a gateway, not one an engine.
+        // Four engines of eight cores at 1.5 threads are 48; the floor is one query a gateway, not
+        // one an engine.
         assertEquals(2 * GATEWAYS, threads);
     }
 
@@ -86,7 +108,10 @@
             r.ask(i, "report", null, 1_000);
         }
         r.pass(2_000); // probes are earned
-        assertEquals(12, r.outstanding.size()); // 1.5 threads x 8 cores on each of two engines, two threads each
+        assertEquals(
+                12,
+                r.outstanding
+                        .size()); // 1.5 threads x 8 cores on each of two engines, two threads each
     }
 
     @Test
@@ -134,7 +159,9 @@
             r.serve(1, 50);
         }
         int probes = only(Probe.class, r.actions).size();
-        assertTrue(probes > 20 && probes <= 20 + 200 + 60, probes + " probes"); // saved, by query, by second
+        assertTrue(
+                probes > 20 && probes <= 20 + 200 + 60,
+                probes + " probes"); // saved, by query, by second
         assertEquals(200, r.sends().size());
     }
 
@@ -160,7 +187,13 @@
             r.list(ListForm.CHANGES, entry("e0", "z1", "big", Phase.READY, start));
             for (int i = 0; i < 30; i++) { // three queries a second, one in five of them long
                 boolean brief = i % 5 != 0;
-                r.ask(i, brief ? "look" : "report", null, 1, brief ? 100 : 3_000, brief ? 2_500 : 20_000);
+                r.ask(
+                        i,
+                        brief ? "look" : "report",
+                        null,
+                        1,
+                        brief ? 100 : 3_000,
+                        brief ? 2_500 : 20_000);
                 for (Send s : List.copyOf(r.outstanding.values())) {
                     if (s.engine().equals("e0")) {
                         sends.add(new long[] {r.now, s.id() % 5 != 0 ? 100 : 3_000});
@@ -172,14 +205,17 @@
         }
         double bears = 3 * 0.3 * 8 * 0.85 * 2_000;
         assertTrue(sends.size() > 50, sends.size() + " sent to it while cold");
-        assertTrue(worstWindow(sends, 2_000 * MS) < bears, worstWindow(sends, 2_000 * MS) + " of " + bears);
+        assertTrue(
+                worstWindow(sends, 2_000 * MS) < bears,
+                worstWindow(sends, 2_000 * MS) + " of " + bears);
         assertTrue(sends.stream().allMatch(s -> s[1] == 100), "a long query got in by chance");
     }
 
     /**
-     * Work that fleets of that size send one cold engine in its worst window, in queries of mean work: one gateway in ten
-     * has four times the mean of the traffic, one in three restarts in the middle and has forgotten what it sent, every
-     * second hears of the start late, and one attempt in twenty ends unanswered and is made again.
+     * Work that fleets of that size send one cold engine in its worst window, in queries of mean
+     * work: one gateway in ten has four times the mean of the traffic, one in three restarts in the
+     * middle and has forgotten what it sent, every second hears of the start late, and one attempt
+     * in twenty ends unanswered and is made again.
      */
     private static double coldFleet(int gateways, double[] sentWhileCold) {
         List<long[]> sends = new ArrayList<>();
@@ -197,12 +233,22 @@
                     long now = r.now;
                     r = new Router(settings(gateways, g, NO_PRIORITIES, LIMITS));
                     r.now = now;
-                    r.list(ListForm.WHOLE, entry("e0", "z1", "big", Phase.READY, start), Router.ready("e1"), Router.ready("e2"));
+                    r.list(
+                            ListForm.WHOLE,
+                            entry("e0", "z1", "big", Phase.READY, start),
+                            Router.ready("e1"),
+                            Router.ready("e2"));
                 }
                 boolean brief = i % 5 != 0;
                 work += brief ? 100 : 3_000;
                 asked++;
-                r.ask(i, brief ? "look" : "report", null, 1, brief ? 100 : 3_000, brief ? 2_500 : 20_000);
+                r.ask(
+                        i,
+                        brief ? "look" : "report",
+                        null,
+                        1,
+                        brief ? 100 : 3_000,
+                        brief ? 2_500 : 20_000);
                 for (Send s : List.copyOf(r.outstanding.values())) {
                     if (s.engine().equals("e0")) {
                         sends.add(new long[] {r.now, s.id() % 5 != 0 ? 100 : 3_000});
@@ -226,7 +272,9 @@
             double worst = coldFleet(gateways, sent);
             double bears = 3 * 0.3 * 8 * 0.85 * 2_000 / (0.8 * 100 + 0.2 * 3_000);
             assertTrue(sent[0] > 10, gateways + " gateways sent it " + sent[0] + " while cold");
-            assertTrue(worst <= bears + 2 * Math.sqrt(bears) + 2, gateways + " gateways: " + worst + ", it bears " + bears);
+            assertTrue(
+                    worst <= bears + 2 * Math.sqrt(bears) + 2,
+                    gateways + " gateways: " + worst + ", it bears " + bears);
         }
     }
 
@@ -248,18 +296,25 @@
         List<Gateway.Action> decided = r.on(new Progress(1, 0, engine, NoteKind.SPILLS_MB, 900));
         assertEquals(List.of(new Cancel(1, 0)), only(Cancel.class, decided));
         long first = only(Terms.class, r.actions).get(0).memoryMb();
-        long second = only(Terms.class, r.end(1, 0, engine, Outcome.CANCELLED, 10)).get(0).memoryMb();
+        long second =
+                only(Terms.class, r.end(1, 0, engine, Outcome.CANCELLED, 10)).get(0).memoryMb();
         assertTrue(second >= first + 900, second + " MB");
-        assertTrue(only(Terms.class, r.ask(2, "report", null, 1_000)).get(0).memoryMb() >= first + 900);
+        assertTrue(
+                only(Terms.class, r.ask(2, "report", null, 1_000)).get(0).memoryMb()
+                        >= first + 900);
     }
 
     @Test
     void aSmallSpillOrALateOneIsLeftAlone() {
         Router r = router(1, 0, 2);
         String engine = enginesOf(r.ask(1, "report", null, 1_000)).get(0);
-        assertTrue(only(Cancel.class, r.on(new Progress(1, 0, engine, NoteKind.SPILLS_MB, 10))).isEmpty());
+        assertTrue(
+                only(Cancel.class, r.on(new Progress(1, 0, engine, NoteKind.SPILLS_MB, 10)))
+                        .isEmpty());
         r.pass(500);
-        assertTrue(only(Cancel.class, r.on(new Progress(1, 0, engine, NoteKind.SPILLS_MB, 900))).isEmpty());
+        assertTrue(
+                only(Cancel.class, r.on(new Progress(1, 0, engine, NoteKind.SPILLS_MB, 900)))
+                        .isEmpty());
     }
 
     @Test
@@ -271,7 +326,9 @@
             r.on(new Progress(1, 0, engine, NoteKind.WAITS, 1));
         }
         r.pass(200);
-        assertTrue(only(Cancel.class, r.on(new Progress(1, 0, engine, NoteKind.SHARE_DONE, 0.2))).isEmpty());
+        assertTrue(
+                only(Cancel.class, r.on(new Progress(1, 0, engine, NoteKind.SHARE_DONE, 0.2)))
+                        .isEmpty());
     }
 
     @Test
--- a/decisions/src/test/java/ashlink/MechanismTest.java
+++ b/decisions/src/test/java/ashlink/MechanismTest.java
@@ -9,7 +9,6 @@
 import static ashlink.Router.only;
 import static ashlink.Router.report;
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -18,7 +17,6 @@
 import ashlink.Gateway.Effect;
 import ashlink.Gateway.NoteKind;
 import ashlink.Gateway.Outcome;
-import ashlink.Gateway.Probe;
 import ashlink.Gateway.Probed;
 import ashlink.Gateway.Progress;
 import ashlink.Gateway.Refuse;
@@ -59,7 +57,9 @@
 
     @Test
     void anEngineThatRunsNoneOfOursIsOpenUnderPressure() {
-        Router r = new Router(Router.settings(6, ALLOWED, LIMITS, report(Set.of(), Set.of()))).engines("a", "b");
+        Router r =
+                new Router(Router.settings(6, ALLOWED, LIMITS, report(Set.of(), Set.of())))
+                        .engines("a", "b");
         busy(r, "a", "b");
         for (int i = 0; i < 5; i++) {
             r.ask(i, "report", null, 1_000);
@@ -68,7 +68,10 @@
         assertEquals(2, r.sends().size());
     }
 
-    /** Lookups one after the other; those named answer with an error at once. Returns the sends to {@code a}. */
+    /**
+     * Lookups one after the other; those named answer with an error at once. Returns the sends to
+     * {@code a}.
+     */
     private static long sendsToA(int lookups, Set<String> bad) {
         Router r = Router.with(look("look")).engines("a", "b", "c");
         for (int i = 0; i < lookups; i++) {
@@ -76,7 +79,12 @@
             for (int shot = 0; r.outstanding.containsKey((long) i); shot++) {
                 String e = r.outstanding.get((long) i).engine();
                 r.pass(bad.contains(e) ? 3 : 20);
-                r.end(i, shot, e, bad.contains(e) ? Outcome.ERROR : Outcome.SERVED, bad.contains(e) ? 3 : 20);
+                r.end(
+                        i,
+                        shot,
+                        e,
+                        bad.contains(e) ? Outcome.ERROR : Outcome.SERVED,
+                        bad.contains(e) ? 3 : 20);
             }
         }
         return enginesOf(r.actions).stream().filter("a"::equals).count();
@@ -90,7 +98,12 @@
 
     @Test
     void aFurtherAttemptGoesElsewhereIfItCan() {
-        for (Outcome outcome : List.of(Outcome.ERROR, Outcome.TURNED_AWAY, Outcome.TIMED_OUT, Outcome.NEVER_SENT)) {
+        for (Outcome outcome :
+                List.of(
+                        Outcome.ERROR,
+                        Outcome.TURNED_AWAY,
+                        Outcome.TIMED_OUT,
+                        Outcome.NEVER_SENT)) {
             Router r = Router.with(look("look")).engines("a", "b", "c");
             for (int i = 0; i < 20; i++) {
                 r.ask(i, "look", null, 20);
@@ -125,8 +138,12 @@
 
     @Test
     void heldQueriesLeaveHighestWorthFirst() {
-        Router r = Router.with(look("plain"), report(Set.of(), Set.of()),
-                load(Effect.AT_MOST_ONCE, RepeatGroup.ALL, false)).engines();
+        Router r =
+                Router.with(
+                                look("plain"),
+                                report(Set.of(), Set.of()),
+                                load(Effect.AT_MOST_ONCE, RepeatGroup.ALL, false))
+                        .engines();
         r.ask(1, "plain", null, 1_000);
         r.ask(2, "load", null, 1_000);
         r.ask(3, "report", null, 1_000);
@@ -173,7 +190,10 @@
         }
     }
 
-    /** Plays that many rounds of that length in each of which one query is served and its place is taken. */
+    /**
+     * Plays that many rounds of that length in each of which one query is served and its place is
+     * taken.
+     */
     private static void play(Router r, int rounds, long ms) {
         for (int i = 0; i < rounds; i++) {
             r.pass(ms);
@@ -252,8 +272,11 @@
 
     @Test
     void whatWasGivenUpButRunsOnStillCounts() {
-        Allowed noCancel = new Allowed(true, false, 4, 0, false, false, 1, false, 0, false, true, false);
-        Router r = new Router(Router.settings(6, noCancel, LIMITS, report(Set.of(), Set.of()))).engines("a");
+        Allowed noCancel =
+                new Allowed(true, false, 4, 0, false, false, 1, false, 0, false, true, false);
+        Router r =
+                new Router(Router.settings(6, noCancel, LIMITS, report(Set.of(), Set.of())))
+                        .engines("a");
         busy(r, "a");
         r.ask(1, "report", null, 1_000);
         r.pass(1_000);
@@ -278,7 +301,9 @@
         Router r = reports("a", "b", "c");
         String silent = enginesOf(r.ask(1, "report", null, 5_000)).get(0);
         r.pass(1_000);
-        assertTrue(only(Cancel.class, r.on(new Progress(1, 0, silent, NoteKind.SHARE_DONE, 0.2))).isEmpty());
+        assertTrue(
+                only(Cancel.class, r.on(new Progress(1, 0, silent, NoteKind.SHARE_DONE, 0.2)))
+                        .isEmpty());
         assertTrue(only(Cancel.class, r.pass(1_500)).isEmpty());
         assertEquals(List.of(new Cancel(1, 0)), only(Cancel.class, r.pass(200)));
         List<Gateway.Log> lines = only(Gateway.Log.class, r.actions);
@@ -313,13 +338,18 @@
         Router r = reports("a", "b");
         String engine = enginesOf(r.ask(1, "report", null, 1_000)).get(0);
         r.pass(1_000);
-        assertTrue(only(Cancel.class, r.on(new Progress(1, 0, engine, NoteKind.SHARE_DONE, 0.8))).isEmpty());
+        assertTrue(
+                only(Cancel.class, r.on(new Progress(1, 0, engine, NoteKind.SHARE_DONE, 0.8)))
+                        .isEmpty());
     }
 
     @Test
     void loadsAndReadersOfAGroupKeepToDifferentEngines() {
-        Router r = Router.with(report(Set.of(), Set.of()), load(Effect.AT_MOST_ONCE, RepeatGroup.ALL, false))
-                .engines("a", "b", "c", "d");
+        Router r =
+                Router.with(
+                                report(Set.of(), Set.of()),
+                                load(Effect.AT_MOST_ONCE, RepeatGroup.ALL, false))
+                        .engines("a", "b", "c", "d");
         Set<String> loads = new HashSet<>();
         Set<String> readers = new HashSet<>();
         for (int i = 0; i < 40; i += 2) {
@@ -336,7 +366,9 @@
     @Test
     void underPressureFreeClassesLeaveTheKindsThatBoundClassesNeed() {
         Router r = Router.with(look("look"), report(Set.of("big"), Set.of()));
-        r.list(Gateway.ListForm.WHOLE, Router.ready("a"),
+        r.list(
+                Gateway.ListForm.WHOLE,
+                Router.ready("a"),
                 Router.entry("b", "z1", "small", Gateway.Phase.READY, 0),
                 Router.entry("drains", "z1", "small", Gateway.Phase.DRAINING, 0));
         r.reports.put("a", new Report(0, 0.5, Double.NaN, Double.NaN));
@@ -361,7 +393,8 @@
         r.ask(1, "look", null, 50);
         r.pass(400);
         r.ask(2, "report", null, 50);
-        assertEquals(List.of(1L), only(Refuse.class, r.pass(300)).stream().map(Refuse::id).toList());
+        assertEquals(
+                List.of(1L), only(Refuse.class, r.pass(300)).stream().map(Refuse::id).toList());
     }
 
     @Test
@@ -380,7 +413,9 @@
 
     @Test
     void aGatewayThatKeepsTheEnginesBusyAloneGetsMoreThanAnEqualShare() {
-        Router r = new Router(Router.settings(6, ALLOWED, LIMITS, report(Set.of(), Set.of()))).engines("a");
+        Router r =
+                new Router(Router.settings(6, ALLOWED, LIMITS, report(Set.of(), Set.of())))
+                        .engines("a");
         Report half = new Report(0, 0.5, 0.5, Double.NaN);
         r.on(new Probed("a", Outcome.SERVED, MS, half));
         r.ask(1, "report", null, 20_000);
@@ -391,6 +426,8 @@
         for (int i = 2; i < 20; i++) {
             r.ask(i, "report", null, 20_000);
         }
-        assertTrue(r.sends().size() > 3, r.sends().size() + " sent"); // an equal share floods up to two threads
+        assertTrue(
+                r.sends().size() > 3,
+                r.sends().size() + " sent"); // an equal share floods up to two threads
     }
 }
--- a/decisions/src/test/java/ashlink/Router.java
+++ b/decisions/src/test/java/ashlink/Router.java
@@ -34,51 +34,118 @@
 import java.util.Set;
 
 /**
- * A router for tests: hands events to a gateway at a time set by the test, answers its probes with the report
- * set for the engine, and keeps what it decided.
+ * A router for tests: hands events to a gateway at a time set by the test, answers its probes with
+ * the report set for the engine, and keeps what it decided.
  */
 final class Router {
 
     static final long MS = 1_000_000L;
-    static final Allowed ALLOWED = new Allowed(true, true, 4, 500 * MS, true, true, 0.4, true, 1_000 * MS, false,
-            false, false);
+    static final Allowed ALLOWED =
+            new Allowed(
+                    true,
+                    true,
+                    4,
+                    500 * MS,
+                    true,
+                    true,
+                    0.4,
+                    true,
+                    1_000 * MS,
+                    false,
+                    false,
+                    false);
     static final Report HALF = new Report(0, 0.5, 0.5, Double.NaN);
-    static final Limits LIMITS = new Limits(1_000 * MS, 0.3, 10_000 * MS, 3, 2_000 * MS, 300 * MS, 0, 0, 0);
+    static final Limits LIMITS =
+            new Limits(1_000 * MS, 0.3, 10_000 * MS, 3, 2_000 * MS, 300 * MS, 0, 0, 0);
 
     final Gateway gateway;
     final List<Action> actions = new ArrayList<>();
+
     /** What probes of an engine tell; one that is not named here is half busy. */
     final Map<String, Report> reports = new HashMap<>();
+
     /** Engines whose probes are left without an answer. */
     final Set<String> mute = new HashSet<>();
+
     /** Attempts that are out, by query. */
     final Map<Long, Send> outstanding = new LinkedHashMap<>();
+
     long now = 100_000 * MS;
     private final Map<Long, Integer> attempts = new HashMap<>();
-    private final PriorityQueue<SetAlarm> alarms = new PriorityQueue<>(Comparator.comparingLong(SetAlarm::timeNs));
+    private final PriorityQueue<SetAlarm> alarms =
+            new PriorityQueue<>(Comparator.comparingLong(SetAlarm::timeNs));
 
     Router(Settings settings) {
         gateway = new Rules(settings);
     }
 
     static QueryClass look(String name) {
-        return new QueryClass(name, 500 * MS, 1, 3_000 * MS, Effect.IDEMPOTENT, RepeatGroup.ALL, 0, 1, 0.1, false,
-                Set.of(), Set.of(), 1, false, false);
+        return new QueryClass(
+                name,
+                500 * MS,
+                1,
+                3_000 * MS,
+                Effect.IDEMPOTENT,
+                RepeatGroup.ALL,
+                0,
+                1,
+                0.1,
+                false,
+                Set.of(),
+                Set.of(),
+                1,
+                false,
+                false);
     }
 
     static QueryClass report(Set<String> kinds, Set<String> zones) {
-        return new QueryClass("report", 5_000 * MS, 1, 20_000 * MS, Effect.IDEMPOTENT, RepeatGroup.ALL, 0, 8, 0.4,
-                false, kinds, zones, 2, false, true);
+        return new QueryClass(
+                "report",
+                5_000 * MS,
+                1,
+                20_000 * MS,
+                Effect.IDEMPOTENT,
+                RepeatGroup.ALL,
+                0,
+                8,
+                0.4,
+                false,
+                kinds,
+                zones,
+                2,
+                false,
+                true);
     }
 
     static QueryClass load(Effect effect, RepeatGroup group, boolean inOrder) {
-        return new QueryClass("load", 5_000 * MS, 1, 20_000 * MS, effect, group, 2_000 * MS, 7, 0.5, inOrder,
-                Set.of(), Set.of(), 2, true, false);
+        return new QueryClass(
+                "load",
+                5_000 * MS,
+                1,
+                20_000 * MS,
+                effect,
+                group,
+                2_000 * MS,
+                7,
+                0.5,
+                inOrder,
+                Set.of(),
+                Set.of(),
+                2,
+                true,
+                false);
     }
 
     static Settings settings(int gateways, Allowed allowed, Limits limits, QueryClass... classes) {
-        return new Settings(7, gateways, 0, "z1", List.of(classes),
-                List.of(new EngineKind("big", 4, 8_000), new EngineKind("small", 4, 8_000)), allowed, limits);
+        return new Settings(
+                7,
+                gateways,
+                0,
+                "z1",
+                List.of(classes),
+                List.of(new EngineKind("big", 4, 8_000), new EngineKind("small", 4, 8_000)),
+                allowed,
+                limits);
     }
 
     static Router with(QueryClass... classes) {
@@ -99,7 +166,8 @@
     }
 
     Router engines(String... names) {
-        return list(ListForm.WHOLE, Arrays.stream(names).map(Router::ready).toArray(ListEntry[]::new));
+        return list(
+                ListForm.WHOLE, Arrays.stream(names).map(Router::ready).toArray(ListEntry[]::new));
     }
 
     List<Action> on(Event event) {
@@ -116,7 +184,13 @@
                 outstanding.put(s.id(), s);
                 attempts.merge(s.id(), 1, Integer::sum);
             } else if (a instanceof Probe p && !mute.contains(p.engine())) {
-                all.addAll(on(new Probed(p.engine(), Outcome.SERVED, MS, reports.getOrDefault(p.engine(), HALF))));
+                all.addAll(
+                        on(
+                                new Probed(
+                                        p.engine(),
+                                        Outcome.SERVED,
+                                        MS,
+                                        reports.getOrDefault(p.engine(), HALF))));
             }
         }
         return all;
@@ -126,7 +200,8 @@
         return ask(id, queryClass, key, 1, workMs, 20_000);
     }
 
-    List<Action> ask(long id, String queryClass, String key, long tables, long workMs, long withinMs) {
+    List<Action> ask(
+            long id, String queryClass, String key, long tables, long workMs, long withinMs) {
         return on(new Request(id, queryClass, key, tables, now + withinMs * MS, workMs * MS, 100));
     }
 
@@ -134,13 +209,28 @@
         return end(id, attempt, engine, outcome, tookMs, Report.NONE);
     }
 
-    List<Action> end(long id, int attempt, String engine, Outcome outcome, long tookMs, Report report) {
-        return on(new Ended(id, attempt, engine, outcome, tookMs * MS, outcome == Outcome.SERVED, 0, 0, report));
+    List<Action> end(
+            long id, int attempt, String engine, Outcome outcome, long tookMs, Report report) {
+        return on(
+                new Ended(
+                        id,
+                        attempt,
+                        engine,
+                        outcome,
+                        tookMs * MS,
+                        outcome == Outcome.SERVED,
+                        0,
+                        0,
+                        report));
     }
 
-    /** Has the attempts that are out now served, the oldest {@code most} of them, after that time each. */
+    /**
+     * Has the attempts that are out now served, the oldest {@code most} of them, after that time
+     * each.
+     */
     void serve(int most, long tookMs) {
-        for (Send s : List.copyOf(outstanding.values()).subList(0, Math.min(most, outstanding.size()))) {
+        for (Send s :
+                List.copyOf(outstanding.values()).subList(0, Math.min(most, outstanding.size()))) {
             end(s.id(), attempts.get(s.id()) - 1, s.engine(), Outcome.SERVED, tookMs);
         }
     }
--- a/decisions/src/test/java/ashlink/RulesKeptTest.java
+++ b/decisions/src/test/java/ashlink/RulesKeptTest.java
@@ -53,10 +53,14 @@
 
     @Test
     void anUnsafeQueryThatMayHaveRunIsFailedAndNotSentAgain() {
-        for (Outcome o : List.of(Outcome.TIMED_OUT, Outcome.RESET, Outcome.ERROR, Outcome.CANCELLED)) {
-            Router r = Router.with(load(Effect.AT_MOST_ONCE, RepeatGroup.ALL, false)).engines("a", "b");
+        for (Outcome o :
+                List.of(Outcome.TIMED_OUT, Outcome.RESET, Outcome.ERROR, Outcome.CANCELLED)) {
+            Router r =
+                    Router.with(load(Effect.AT_MOST_ONCE, RepeatGroup.ALL, false))
+                            .engines("a", "b");
             String engine = enginesOf(r.ask(1, "load", null, 100)).get(0);
-            assertEquals(List.of(new Fail(1)), only(Fail.class, r.end(1, 0, engine, o, 100)), o.name());
+            assertEquals(
+                    List.of(new Fail(1)), only(Fail.class, r.end(1, 0, engine, o, 100)), o.name());
             assertTrue(only(Send.class, r.pass(3_000)).isEmpty());
         }
     }
@@ -76,7 +80,10 @@
         Router r = Router.with(load(Effect.DEDUPLICATED, RepeatGroup.ZONE, false));
         r.list(ListForm.WHOLE, Router.ready("a"), entry("far", "z2", "big", Phase.DRAINING, 0));
         r.ask(1, "load", null, 100);
-        r.list(ListForm.CHANGES, entry("a", "z1", "big", Phase.DRAINING, 0), entry("far", "z2", "big", Phase.READY, 0),
+        r.list(
+                ListForm.CHANGES,
+                entry("a", "z1", "big", Phase.DRAINING, 0),
+                entry("far", "z2", "big", Phase.READY, 0),
                 entry("near", "z1", "big", Phase.DRAINING, 0));
         r.end(1, 0, "a", Outcome.ERROR, 10);
         r.pass(500);
@@ -102,7 +109,10 @@
     @Test
     void nothingGoesToAnEngineThatDrainsIsGoneOrHasLeftAWholeList() {
         Router r = Router.with(look("look")).engines("a", "b", "c", "d");
-        r.list(ListForm.CHANGES, entry("a", "z1", "big", Phase.DRAINING, 0), entry("b", "z1", "big", Phase.GONE, 0));
+        r.list(
+                ListForm.CHANGES,
+                entry("a", "z1", "big", Phase.DRAINING, 0),
+                entry("b", "z1", "big", Phase.GONE, 0));
         r.list(ListForm.WHOLE, entry("a", "z1", "big", Phase.DRAINING, 0), Router.ready("c"));
         for (int i = 0; i < 30; i++) {
             assertEquals(List.of("c"), enginesOf(r.ask(i, "look", null, 10)));
@@ -135,7 +145,9 @@
 
     @Test
     void queriesOfAKeyRunOneAtATimeInOrder() {
-        Router r = Router.with(load(Effect.AT_MOST_ONCE, RepeatGroup.ALL, true)).engines("a", "b", "c");
+        Router r =
+                Router.with(load(Effect.AT_MOST_ONCE, RepeatGroup.ALL, true))
+                        .engines("a", "b", "c");
         r.ask(1, "load", "k", 100);
         r.ask(2, "load", "k", 100);
         r.ask(3, "load", "other", 100);
@@ -146,7 +158,9 @@
 
     @Test
     void aKeyRestsAfterAnAttemptThatMayStillRun() {
-        Router r = Router.with(load(Effect.AT_MOST_ONCE, RepeatGroup.ALL, true)).engines("a", "b", "c");
+        Router r =
+                Router.with(load(Effect.AT_MOST_ONCE, RepeatGroup.ALL, true))
+                        .engines("a", "b", "c");
         r.ask(1, "load", "k", 100);
         r.ask(2, "load", "k", 100);
         r.end(1, 0, r.sends().get(0).engine(), Outcome.TIMED_OUT, 10);
@@ -158,7 +172,9 @@
 
     @Test
     void aKeyWaitsForAnAttemptWhoseClientIsGone() {
-        Router r = Router.with(load(Effect.AT_MOST_ONCE, RepeatGroup.ALL, true)).engines("a", "b", "c");
+        Router r =
+                Router.with(load(Effect.AT_MOST_ONCE, RepeatGroup.ALL, true))
+                        .engines("a", "b", "c");
         r.ask(1, "load", "k", 100);
         r.ask(2, "load", "k", 100);
         r.on(new Gateway.ClientGone(1));
@@ -171,7 +187,10 @@
     @Test
     void aBoundClassIsHeldRatherThanSentElsewhere() {
         Router r = Router.with(report(Set.of("small"), Set.of("z2")));
-        r.list(ListForm.WHOLE, Router.ready("a"), entry("b", "z1", "small", Phase.READY, 0),
+        r.list(
+                ListForm.WHOLE,
+                Router.ready("a"),
+                entry("b", "z1", "small", Phase.READY, 0),
                 entry("c", "z2", "big", Phase.READY, 0));
         assertTrue(enginesOf(r.ask(1, "report", null, 100)).isEmpty());
         r.list(ListForm.CHANGES, entry("d", "z2", "small", Phase.READY, 0));
@@ -181,7 +200,9 @@
     @Test
     void furtherAttemptsStayWithinTheBudget() {
         Limits budget = new Limits(0, 0, 0, 0, 0, 0, 1, 0.1, 60_000 * MS);
-        Router r = new Router(Router.settings(1, ALLOWED, budget, look("look"))).engines("a", "b", "c");
+        Router r =
+                new Router(Router.settings(1, ALLOWED, budget, look("look")))
+                        .engines("a", "b", "c");
         for (int i = 0; i < 20; i++) {
             r.ask(i, "look", null, 10);
             r.end(i, 0, r.sends().get(r.sends().size() - 1).engine(), Outcome.ERROR, 1);
@@ -196,7 +217,10 @@
         Router r = new Router(Router.settings(1, two, LIMITS, look("look"))).engines("a", "b");
         r.ask(1, "look", null, 10);
         r.end(1, 0, r.sends().get(0).engine(), Outcome.ERROR, 1);
-        assertEquals(1, only(Refuse.class, r.end(1, 1, r.sends().get(1).engine(), Outcome.ERROR, 1)).size());
+        assertEquals(
+                1,
+                only(Refuse.class, r.end(1, 1, r.sends().get(1).engine(), Outcome.ERROR, 1))
+                        .size());
         r.pass(2_000);
         assertEquals(2, r.sends().size());
     }
@@ -204,7 +228,12 @@
     @Test
     void aRefusedListKeepsTheOldOneAndAsksAgain() {
         Router r = Router.with(look("look")).engines("a");
-        assertEquals(1, only(Gateway.Subscribe.class, r.on(new Gateway.ListNews(ListForm.REFUSED, List.of()))).size());
+        assertEquals(
+                1,
+                only(
+                                Gateway.Subscribe.class,
+                                r.on(new Gateway.ListNews(ListForm.REFUSED, List.of())))
+                        .size());
         assertEquals(List.of("a"), enginesOf(r.ask(1, "look", null, 10)));
     }
 
@@ -220,11 +249,15 @@
 
     @Test
     void aFurtherAttemptOfTheFirstOfALineNeedNotRest() {
-        Router r = Router.with(load(Effect.DEDUPLICATED, RepeatGroup.ALL, true)).engines("a", "b", "c");
+        Router r =
+                Router.with(load(Effect.DEDUPLICATED, RepeatGroup.ALL, true))
+                        .engines("a", "b", "c");
         r.ask(1, "load", "k", 100);
         r.ask(2, "load", "k", 100);
         r.end(1, 0, r.sends().get(0).engine(), Outcome.RESET, 10);
-        assertEquals(List.of(1L, 1L), r.sends().stream().map(Send::id).toList()); // the rest is for later ones
+        assertEquals(
+                List.of(1L, 1L),
+                r.sends().stream().map(Send::id).toList()); // the rest is for later ones
         r.end(1, 1, r.sends().get(1).engine(), Outcome.SERVED, 10);
         assertEquals(2, r.sends().size());
         r.pass(360);
--- a/drill/src/main/java/ashlink/drill/Codec.java
+++ b/drill/src/main/java/ashlink/drill/Codec.java
@@ -34,12 +34,17 @@
     private static final int NOTE_WORK_UNIT = 4096;
     private static final int NOTE_MEMORY_MB = 4;
 
-    private Codec() { }
+    private Codec() {}
 
     /** Reads an {@code M} line. */
     static ListEntry entry(Fields f) {
-        return new ListEntry(f.needed("engine"), phase(f.needed("phase")), f.text("zone", ""),
-                f.text("sku", ""), f.whole("stripe", 0), f.whole("came-up-ns", 0));
+        return new ListEntry(
+                f.needed("engine"),
+                phase(f.needed("phase")),
+                f.text("zone", ""),
+                f.text("sku", ""),
+                f.whole("stripe", 0),
+                f.whole("came-up-ns", 0));
     }
 
     private static Phase phase(String text) {
@@ -62,28 +67,54 @@
         };
     }
 
-    /** Reads any other event line for an instance; null for a message that is none of this gateway's concern. */
+    /**
+     * Reads any other event line for an instance; null for a message that is none of this gateway's
+     * concern.
+     */
     static Event event(String name, Fields f, boolean costInAnswers) {
         return switch (name) {
-            case "INGRESS" -> new Request(f.whole("op-id"), f.needed("class"), f.text("relation"),
-                    f.whole("data-group", 0), f.whole("drop-dead-ns"), f.whole("guess-ns", 0),
-                    f.number("want-mb", 0), f.text("tenant", ""));
+            case "INGRESS" ->
+                    new Request(
+                            f.whole("op-id"),
+                            f.needed("class"),
+                            f.text("relation"),
+                            f.whole("data-group", 0),
+                            f.whole("drop-dead-ns"),
+                            f.whole("guess-ns", 0),
+                            f.number("want-mb", 0),
+                            f.text("tenant", ""));
             case "CLIENT_GONE" -> new ClientGone(f.whole("op-id"));
-            case "UPDATE_OF" -> new Progress(f.whole("op-id"), (int) f.whole("shot", 0), f.needed("engine"),
-                    noteKind(f.whole("sort")), f.number("amount", 0));
+            case "UPDATE_OF" ->
+                    new Progress(
+                            f.whole("op-id"),
+                            (int) f.whole("shot", 0),
+                            f.needed("engine"),
+                            noteKind(f.whole("sort")),
+                            f.number("amount", 0));
             case "FIRED" -> new Alarm(f.whole("label"));
             case "RESOLVED" -> ended(f, costInAnswers);
-            case "PONG" -> new Probed(f.needed("engine"), outcome(f.needed("verdict")), f.whole("lag-ns", 0),
-                    report(f.text("gauge")));
+            case "PONG" ->
+                    new Probed(
+                            f.needed("engine"),
+                            outcome(f.needed("verdict")),
+                            f.whole("lag-ns", 0),
+                            report(f.text("gauge")));
             default -> null;
         };
     }
 
     private static Ended ended(Fields f, boolean costInAnswers) {
         long note = costInAnswers ? f.whole("note", 0) : 0;
-        return new Ended(f.whole("op-id"), (int) f.whole("shot", 0), f.needed("engine"),
-                outcome(f.needed("verdict")), f.whole("lag-ns", 0), f.flag("complete"),
-                note / NOTE_WORK_UNIT, (double) (note % NOTE_WORK_UNIT) * NOTE_MEMORY_MB, report(f.text("gauge")));
+        return new Ended(
+                f.whole("op-id"),
+                (int) f.whole("shot", 0),
+                f.needed("engine"),
+                outcome(f.needed("verdict")),
+                f.whole("lag-ns", 0),
+                f.flag("complete"),
+                note / NOTE_WORK_UNIT,
+                (double) (note % NOTE_WORK_UNIT) * NOTE_MEMORY_MB,
+                report(f.text("gauge")));
     }
 
     private static NoteKind noteKind(long sort) {
@@ -114,30 +145,54 @@
         if (text == null || text.isEmpty() || text.equals("-")) {
             return Report.NONE;
         }
-        return ReportReader.read(text, ',', pair -> {
-            throw new WireException("gauge: '" + pair + "' is no name:value pair with a number");
-        });
+        return ReportReader.read(
+                text,
+                ',',
+                pair -> {
+                    throw new WireException(
+                            "gauge: '" + pair + "' is no name:value pair with a number");
+                });
     }
 
     /** Appends the line of an action of that instance. */
     static void write(long instance, Action action, StringBuilder out) {
         if (action instanceof Send a) {
-            line("FORWARD", instance, out).append(" op-id=").append(a.id()).append(" timeout-ns=")
-                    .append(a.timeoutNs()).append(" engine=").append(a.engine());
+            line("FORWARD", instance, out)
+                    .append(" op-id=")
+                    .append(a.id())
+                    .append(" timeout-ns=")
+                    .append(a.timeoutNs())
+                    .append(" engine=")
+                    .append(a.engine());
         } else if (action instanceof Terms a) {
-            line("LIMITS_FOR", instance, out).append(" op-id=").append(a.id()).append(" prio=")
-                    .append(a.priority()).append(" mem-mb=").append(a.memoryMb());
+            line("LIMITS_FOR", instance, out)
+                    .append(" op-id=")
+                    .append(a.id())
+                    .append(" prio=")
+                    .append(a.priority())
+                    .append(" mem-mb=")
+                    .append(a.memoryMb());
         } else if (action instanceof Refuse a) {
-            line("REFUSE", instance, out).append(" op-id=").append(a.id()).append(" hold-off-ns=")
+            line("REFUSE", instance, out)
+                    .append(" op-id=")
+                    .append(a.id())
+                    .append(" hold-off-ns=")
                     .append(a.retryAfterNs());
         } else if (action instanceof Fail a) {
             line("REPORT_FAILURE", instance, out).append(" op-id=").append(a.id());
         } else if (action instanceof Cancel a) {
-            line("CALL_OFF", instance, out).append(" op-id=").append(a.id()).append(" shot=").append(a.attempt());
+            line("CALL_OFF", instance, out)
+                    .append(" op-id=")
+                    .append(a.id())
+                    .append(" shot=")
+                    .append(a.attempt());
         } else if (action instanceof Probe a) {
             line("PING", instance, out).append(" engine=").append(a.engine());
         } else if (action instanceof SetAlarm a) {
-            line("SET_ALARM", instance, out).append(" label=").append(a.label()).append(" time-ns=")
+            line("SET_ALARM", instance, out)
+                    .append(" label=")
+                    .append(a.label())
+                    .append(" time-ns=")
                     .append(a.timeNs());
         } else if (action instanceof Subscribe) {
             line("TAIL", instance, out).append(" enable=1");
--- a/drill/src/main/java/ashlink/drill/Drill.java
+++ b/drill/src/main/java/ashlink/drill/Drill.java
@@ -17,10 +17,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** Plays the simulator's wire: reads batches, hands each event to its instance, writes one reply a batch. */
+/**
+ * Plays the simulator's wire: reads batches, hands each event to its instance, writes one reply a
+ * batch.
+ */
 final class Drill {
 
-    private record Instance(Gateway gateway, Settings settings) { }
+    private record Instance(Gateway gateway, Settings settings) {}
 
     private final Map<Long, Instance> instances = new HashMap<>();
     private final Map<Long, List<ListEntry>> lists = new HashMap<>();
@@ -28,7 +31,10 @@
     private long lineNumber;
     private long now;
 
-    /** Reads batches until the input ends; throws {@link WireException} for a line that cannot be read. */
+    /**
+     * Reads batches until the input ends; throws {@link WireException} for a line that cannot be
+     * read.
+     */
     void run(BufferedReader in, Writer out) throws IOException {
         try {
             while (readBatch(in)) {
@@ -114,9 +120,10 @@
         if (instance == null) {
             return;
         }
-        Event event = name.equals("ANNOUNCE")
-                ? Codec.news(f, lists.getOrDefault(f.whole("list", -1), List.of()))
-                : Codec.event(name, f, instance.settings().allowed().costInAnswers());
+        Event event =
+                name.equals("ANNOUNCE")
+                        ? Codec.news(f, lists.getOrDefault(f.whole("list", -1), List.of()))
+                        : Codec.event(name, f, instance.settings().allowed().costInAnswers());
         if (event != null) {
             for (Action action : instance.gateway().on(event, now)) {
                 Codec.write(id, action, reply);
--- a/drill/src/main/java/ashlink/drill/LineFields.java
+++ b/drill/src/main/java/ashlink/drill/LineFields.java
@@ -7,7 +7,7 @@
 /** Takes the name=value pairs of a line apart. */
 final class LineFields {
 
-    private LineFields() { }
+    private LineFields() {}
 
     /** Reads the pairs of a line behind its first word. */
     static Fields of(String line) {
@@ -20,7 +20,8 @@
             int stop = space < 0 ? line.length() : space;
             int equals = line.indexOf('=', start);
             if (equals < 0 || equals >= stop) {
-                throw new WireException(what + ": '" + line.substring(start, stop) + "' is no name=value pair");
+                throw new WireException(
+                        what + ": '" + line.substring(start, stop) + "' is no name=value pair");
             }
             values.put(line.substring(start, equals), line.substring(equals + 1, stop));
             start = stop + 1;
--- a/drill/src/test/java/ashlink/drill/CodecTest.java
+++ b/drill/src/test/java/ashlink/drill/CodecTest.java
@@ -18,22 +18,25 @@
 import ashlink.Gateway.SetAlarm;
 import ashlink.Gateway.Subscribe;
 import ashlink.Gateway.Terms;
+import ashlink.config.flat.FieldException;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.StringReader;
 import java.io.StringWriter;
-import ashlink.config.flat.FieldException;
 import org.junit.jupiter.api.Test;
 
 /** The wire's lines in both directions, and what the adapter makes of whole batches. */
 class CodecTest {
 
-    private static final String START = "NEW_INSTANCE router-id=1 nonce64=9 balancers=2 position=0 zone=z "
-            + "classes.count=1 classes.0.name=q classes.0.promise-ns=500000000 classes.0.deadline-ns=3000000000 "
-            + "classes.0.effect=idempotent classes.0.gain=1 host-types=m extra.kind-cores=4 "
-            + "extra.ram-of-kind-mb=4096 ceilings.attempts-cap=3 some.new-setting=7";
-    private static final String LIST = "LIST list=2 lines=1\nM stripe=0 share=1 engine=h:1 phase=ready zone=z sku=m\n"
-            + "ANNOUNCE router-id=1 stamp=1 form=remembered list=2\n";
+    private static final String START =
+            "NEW_INSTANCE router-id=1 nonce64=9 balancers=2 position=0 zone=z classes.count=1"
+                + " classes.0.name=q classes.0.promise-ns=500000000"
+                + " classes.0.deadline-ns=3000000000 classes.0.effect=idempotent classes.0.gain=1"
+                + " host-types=m extra.kind-cores=4 extra.ram-of-kind-mb=4096"
+                + " ceilings.attempts-cap=3 some.new-setting=7";
+    private static final String LIST =
+            "LIST list=2 lines=1\nM stripe=0 share=1 engine=h:1 phase=ready zone=z sku=m\n"
+                    + "ANNOUNCE router-id=1 stamp=1 form=remembered list=2\n";
 
     private static String play(String input) throws IOException {
         StringWriter out = new StringWriter();
@@ -47,41 +50,72 @@
 
     @Test
     void readsARequest() {
-        assertEquals(new Request(5, "q", "k.1", 3, 900, 700, 12.5), event("INGRESS router-id=1 op-id=5 class=q "
-                + "relation=k.1 data-group=3 drop-dead-ns=900 guess-ns=700 want-mb=12.5 unheard-of=1"));
+        assertEquals(
+                new Request(5, "q", "k.1", 3, 900, 700, 12.5),
+                event(
+                        "INGRESS router-id=1 op-id=5 class=q relation=k.1 data-group=3"
+                                + " drop-dead-ns=900 guess-ns=700 want-mb=12.5 unheard-of=1"));
     }
 
     @Test
     void readsTenantsAndNamesANegativeQuota() throws IOException {
-        assertEquals("gold", ((Request) event("INGRESS router-id=1 op-id=5 class=q drop-dead-ns=900 tenant=gold")).tenant());
-        assertTrue(play("SYNC moment-ns=1\n" + START + " parties.count=1 parties.0.name=gold "
-                + "parties.0.quota-per-s=-2\nEND\n").contains("gold.quotaPerS"));
+        assertEquals(
+                "gold",
+                ((Request)
+                                event(
+                                        "INGRESS router-id=1 op-id=5 class=q drop-dead-ns=900"
+                                                + " tenant=gold"))
+                        .tenant());
+        assertTrue(
+                play("SYNC moment-ns=1\n"
+                                + START
+                                + " parties.count=1 parties.0.name=gold "
+                                + "parties.0.quota-per-s=-2\nEND\n")
+                        .contains("gold.quotaPerS"));
     }
 
     @Test
     void readsTheQueriesInHandAndBusyDisks() {
-        assertEquals(new Report(Double.NaN, Double.NaN, Double.NaN, 0.7, 12), Codec.report("busy_reqs:12,x1:0.7"));
+        assertEquals(
+                new Report(Double.NaN, Double.NaN, Double.NaN, 0.7, 12),
+                Codec.report("busy_reqs:12,x1:0.7"));
     }
 
     @Test
     void aNoisyReportIsReadAndABrokenOneRefused() {
-        assertEquals(new Report(Double.NaN, 0.5, Double.NaN, Double.NaN, 3), Codec.report("pending:-0.1,cpu_share:0.5,x0:NaN,busy_reqs:3,"));
+        assertEquals(
+                new Report(Double.NaN, 0.5, Double.NaN, Double.NaN, 3),
+                Codec.report("pending:-0.1,cpu_share:0.5,x0:NaN,busy_reqs:3,"));
         assertThrows(WireException.class, () -> Codec.report("pending:many"));
         assertThrows(WireException.class, () -> Codec.report("pending"));
     }
 
     @Test
     void readsAnOutcomeWithItsNoteAndReport() {
-        assertEquals(new Ended(5, 2, "h:1", Outcome.SERVED, 40, true, 17, 8, new Report(3, Double.NaN, 0.5, Double.NaN)),
-                event("RESOLVED op-id=5 shot=2 note=" + (17 * 4096 + 2) + " engine=h:1 verdict=delivered lag-ns=40 "
-                        + "complete=1 gauge=pending:3,x0:0.5,novel:9"));
+        assertEquals(
+                new Ended(
+                        5,
+                        2,
+                        "h:1",
+                        Outcome.SERVED,
+                        40,
+                        true,
+                        17,
+                        8,
+                        new Report(3, Double.NaN, 0.5, Double.NaN)),
+                event(
+                        "RESOLVED op-id=5 shot=2 note="
+                                + (17 * 4096 + 2)
+                                + " engine=h:1 verdict=delivered lag-ns=40 "
+                                + "complete=1 gauge=pending:3,x0:0.5,novel:9"));
     }
 
     @Test
     void skipsMessagesThatConcernOthersAndRefusesBrokenOnes() {
         assertNull(event("WHISPER router-id=1 neighbour=2 body=00"));
         assertThrows(FieldException.class, () -> event("FIRED router-id=1 label=soon"));
-        assertThrows(WireException.class, () -> event("PONG router-id=1 engine=h:1 verdict=perhaps"));
+        assertThrows(
+                WireException.class, () -> event("PONG router-id=1 engine=h:1 verdict=perhaps"));
         assertThrows(WireException.class, () -> event("FIRED label"));
     }
 
@@ -97,7 +131,8 @@
         Codec.write(4, new SetAlarm(7, 99), out);
         Codec.write(4, new Subscribe(), out);
         Codec.write(4, new Log("two engines"), out);
-        assertEquals("""
+        assertEquals(
+                """
                 FORWARD router-id=4 op-id=1 timeout-ns=80 engine=h:1
                 LIMITS_FOR router-id=4 op-id=1 prio=2 mem-mb=640
                 REFUSE router-id=4 op-id=1 hold-off-ns=250
@@ -107,13 +142,20 @@
                 SET_ALARM router-id=4 label=7 time-ns=99
                 TAIL router-id=4 enable=1
                 REMARK router-id=4 reason-text=two engines
-                """, out.toString());
+                """,
+                out.toString());
     }
 
     @Test
     void answersABatch() throws IOException {
-        String reply = play("SYNC moment-ns=0\nEND\n\nSYNC moment-ns=5000000\n" + START + "\n" + LIST
-                + "INGRESS router-id=1 op-id=5 class=q drop-dead-ns=3000000000\nEND\n");
+        String reply =
+                play(
+                        "SYNC moment-ns=0\nEND\n\nSYNC moment-ns=5000000\n"
+                                + START
+                                + "\n"
+                                + LIST
+                                + "INGRESS router-id=1 op-id=5 class=q drop-dead-ns=3000000000\n"
+                                + "END\n");
         assertTrue(reply.startsWith("OK\nSET_ALARM router-id=1"));
         assertTrue(reply.contains("FORWARD router-id=1 op-id=5"));
         assertTrue(reply.endsWith("engine=h:1\nOK\n"));
@@ -122,23 +164,34 @@
     @Test
     void namesABadSetting() throws IOException {
         String noWorth = START.replace("classes.0.gain=1 ", "");
-        assertTrue(play("SYNC moment-ns=0\n" + noWorth + "\nEND\n").startsWith("BAIL_OUT router-id=1 reason-text="));
+        assertTrue(
+                play("SYNC moment-ns=0\n" + noWorth + "\nEND\n")
+                        .startsWith("BAIL_OUT router-id=1 reason-text="));
         assertTrue(play("SYNC moment-ns=0\n" + noWorth + "\nEND\n").contains("classes.0.gain"));
-        assertTrue(play("SYNC moment-ns=0\n" + START.replace("balancers=2", "balancers=0") + "\nEND\n")
-                .contains("gateways"));
+        assertTrue(
+                play("SYNC moment-ns=0\n" + START.replace("balancers=2", "balancers=0") + "\nEND\n")
+                        .contains("gateways"));
     }
 
     @Test
     void namesTheLineThatCannotBeRead() {
-        WireException e = assertThrows(WireException.class, () -> play("SYNC moment-ns=0\nEND\nHELLO\n"));
+        WireException e =
+                assertThrows(WireException.class, () -> play("SYNC moment-ns=0\nEND\nHELLO\n"));
         assertTrue(e.getMessage().startsWith("line 3: "));
         assertThrows(WireException.class, () -> play("SYNC moment-ns=0\n"));
     }
 
     @Test
     void forgetsARetiredInstance() throws IOException {
-        String reply = play("SYNC moment-ns=5000000\n" + START + "\n" + LIST + "RETIRE router-id=1\n"
-                + "INGRESS router-id=1 op-id=5 class=q drop-dead-ns=3000000000\nEND\n");
+        String reply =
+                play(
+                        "SYNC moment-ns=5000000\n"
+                                + START
+                                + "\n"
+                                + LIST
+                                + "RETIRE router-id=1\n"
+                                + "INGRESS router-id=1 op-id=5 class=q drop-dead-ns=3000000000\n"
+                                + "END\n");
         assertTrue(!reply.contains("FORWARD"));
     }
 }
--- a/drill/src/test/java/ashlink/drill/DecisionTranscriptTest.java
+++ b/drill/src/test/java/ashlink/drill/DecisionTranscriptTest.java
@@ -32,25 +32,30 @@
     private static final int LEAST_ACTIONS = 1_000;
 
     /** A line of a reply: its place in the file and the virtual time of its batch. */
-    private record Expected(int fileLine, String timeNs, String text) { }
+    private record Expected(int fileLine, String timeNs, String text) {}
 
     /** The recorded files, each under its name. */
     static Stream<Named<Path>> transcripts() throws Exception {
         var folder = DecisionTranscriptTest.class.getResource("/transcripts");
         assertTrue(folder != null, "no folder transcripts among the test resources");
         try (Stream<Path> files = Files.list(Path.of(folder.toURI()))) {
-            return files.sorted().map(file -> Named.of(file.getFileName().toString(), file))
-                    .toList().stream();
+            return files
+                    .sorted()
+                    .map(file -> Named.of(file.getFileName().toString(), file))
+                    .toList()
+                    .stream();
         }
     }
 
     /** Each scenario of the recorder has its transcript, and there is none beyond. */
     @Test
     void everyScenarioIsRecorded() throws Exception {
-        var recorded = transcripts().map(Named::getName)
-                .collect(Collectors.toCollection(TreeSet::new));
-        var wanted = Scenarios.all().stream().map(scenario -> scenario.name() + Transcript.SUFFIX)
-                .collect(Collectors.toCollection(TreeSet::new));
+        var recorded =
+                transcripts().map(Named::getName).collect(Collectors.toCollection(TreeSet::new));
+        var wanted =
+                Scenarios.all().stream()
+                        .map(scenario -> scenario.name() + Transcript.SUFFIX)
+                        .collect(Collectors.toCollection(TreeSet::new));
         assertEquals(wanted, recorded);
     }
 
@@ -83,9 +88,11 @@
     }
 
     private static List<String> play(List<String> lines) throws IOException {
-        String input = lines.stream().filter(line -> line.startsWith(Transcript.IN))
-                .map(line -> line.substring(Transcript.IN.length()) + "\n")
-                .collect(Collectors.joining());
+        String input =
+                lines.stream()
+                        .filter(line -> line.startsWith(Transcript.IN))
+                        .map(line -> line.substring(Transcript.IN.length()) + "\n")
+                        .collect(Collectors.joining());
         StringWriter replies = new StringWriter();
         new Drill().run(new BufferedReader(new StringReader(input)), replies);
         return replies.toString().lines().toList();
@@ -97,8 +104,17 @@
             Expected want = i < expected.size() ? expected.get(i) : end;
             String got = i < actual.size() ? actual.get(i) : null;
             if (!Objects.equals(want.text(), got)) {
-                fail(file + " line " + want.fileLine() + ", at " + want.timeNs() + " ns\n"
-                        + " expected: " + want.text() + "\n actual:   " + got);
+                fail(
+                        file
+                                + " line "
+                                + want.fileLine()
+                                + ", at "
+                                + want.timeNs()
+                                + " ns\n"
+                                + " expected: "
+                                + want.text()
+                                + "\n actual:   "
+                                + got);
             }
         }
     }
--- a/drill/src/test/java/ashlink/drill/MainTest.java
+++ b/drill/src/test/java/ashlink/drill/MainTest.java
@@ -13,12 +13,16 @@
 /** The adapter as a process: its calls, its exit status and what it prints. */
 class MainTest {
 
-    private record Run(int status, String out, String err) { }
+    private record Run(int status, String out, String err) {}
 
     private static Run run(String input, String... args) throws IOException, InterruptedException {
-        List<String> command = new ArrayList<>(List.of(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-cp", System.getProperty("java.class.path"), "ashlink.drill.Main"));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                "ashlink.drill.Main"));
         command.addAll(List.of(args));
         Process process = new ProcessBuilder(command).start();
         try (var in = process.getOutputStream()) {
--- a/drill/src/test/java/ashlink/drill/Scenario.java
+++ b/drill/src/test/java/ashlink/drill/Scenario.java
@@ -19,8 +19,18 @@
  * @param workMs mean work of each class in milliseconds
  * @param settings settings of the gateways, pairs of the wire
  */
-record Scenario(String name, long seed, int events, int instances, int engines, double perSecond,
-        double troubles, double news, double foreign, double estimated, List<Double> workMs,
+record Scenario(
+        String name,
+        long seed,
+        int events,
+        int instances,
+        int engines,
+        double perSecond,
+        double troubles,
+        double news,
+        double foreign,
+        double estimated,
+        List<Double> workMs,
         String settings) {
 
     /** The settings on one line. */
--- a/drill/src/test/java/ashlink/drill/Scenarios.java
+++ b/drill/src/test/java/ashlink/drill/Scenarios.java
@@ -5,18 +5,40 @@
 /** The recorded scenarios; together they reach the branches of the decisions. */
 final class Scenarios {
 
-    private Scenarios() { }
+    private Scenarios() {}
 
     /** All of them, in the order of recording. */
     static List<Scenario> all() {
-        return List.of(plainPush(), askedList(), repeatGroups(), tenantsAndKeys(), coldEngines(),
-                crowd(), smallCrowd(), tableLoads(), notesWithoutCancels(), blindWithCancels(),
-                lateWork(), resendBudget(), orderedKeys());
+        return List.of(
+                plainPush(),
+                askedList(),
+                repeatGroups(),
+                tenantsAndKeys(),
+                coldEngines(),
+                crowd(),
+                smallCrowd(),
+                tableLoads(),
+                notesWithoutCancels(),
+                blindWithCancels(),
+                lateWork(),
+                resendBudget(),
+                orderedKeys());
     }
 
     private static Scenario plainPush() {
-        return new Scenario("plain-push", 11, 6_000, 1, 6, 60, 0.5, 0.3, 0.2, 0.8,
-                List.of(30.0, 250.0, 1_500.0), """
+        return new Scenario(
+                "plain-push",
+                11,
+                6_000,
+                1,
+                6,
+                60,
+                0.5,
+                0.3,
+                0.2,
+                0.8,
+                List.of(30.0, 250.0, 1_500.0),
+                """
                 balancers=2 zone=zone-0 classes.count=3
                 classes.0.name=brief classes.0.promise-ns=200000000 classes.0.deadline-ns=2000000000
                 classes.0.effect=idempotent classes.0.gain=2
@@ -36,8 +58,19 @@
     }
 
     private static Scenario askedList() {
-        return new Scenario("asked-list", 12, 4_500, 2, 5, 18, 0.8, 1.2, 0.1, 0.4,
-                List.of(60.0, 400.0), """
+        return new Scenario(
+                "asked-list",
+                12,
+                4_500,
+                2,
+                5,
+                18,
+                0.8,
+                1.2,
+                0.1,
+                0.4,
+                List.of(60.0, 400.0),
+                """
                 balancers=2 discovery=ask classes.count=2
                 classes.0.name=bound classes.0.promise-ns=400000000 classes.0.deadline-ns=2500000000
                 classes.0.effect=idempotent classes.0.gain=2 classes.0.host-types-allowed=small,huge
@@ -51,8 +84,19 @@
     }
 
     private static Scenario repeatGroups() {
-        return new Scenario("repeat-groups", 13, 5_000, 1, 7, 40, 1.5, 0.8, 0.3, 0.7,
-                List.of(80.0, 80.0, 120.0, 100.0, 60.0), """
+        return new Scenario(
+                "repeat-groups",
+                13,
+                5_000,
+                1,
+                7,
+                40,
+                1.5,
+                0.8,
+                0.3,
+                0.7,
+                List.of(80.0, 80.0, 120.0, 100.0, 60.0),
+                """
                 balancers=3 classes.count=5
                 classes.0.name=all classes.0.promise-ns=700000000 classes.0.deadline-ns=4000000000
                 classes.0.effect=deduplicated classes.0.group=all
@@ -74,8 +118,19 @@
     }
 
     private static Scenario tenantsAndKeys() {
-        return new Scenario("tenants-and-keys", 14, 5_000, 2, 4, 25, 0.4, 0.2, 0.3, 0.9,
-                List.of(50.0, 200.0), """
+        return new Scenario(
+                "tenants-and-keys",
+                14,
+                5_000,
+                2,
+                4,
+                25,
+                0.4,
+                0.2,
+                0.3,
+                0.9,
+                List.of(50.0, 200.0),
+                """
                 balancers=3 classes.count=2 over-share-worth=0.25 parties.count=4
                 parties.0.name=gold parties.0.quota-per-s=30 parties.1.name=silver
                 parties.1.quota-per-s=8 parties.2.name=free parties.2.quota-per-s=0
@@ -93,8 +148,19 @@
     }
 
     private static Scenario coldEngines() {
-        return new Scenario("cold-engines", 15, 5_000, 1, 8, 50, 0.3, 1.0, 0.4, 0.6,
-                List.of(20.0, 150.0, 1_200.0), """
+        return new Scenario(
+                "cold-engines",
+                15,
+                5_000,
+                1,
+                8,
+                50,
+                0.3,
+                1.0,
+                0.4,
+                0.6,
+                List.of(20.0, 150.0, 1_200.0),
+                """
                 balancers=4 classes.count=3
                 classes.0.name=brief classes.0.promise-ns=150000000 classes.0.deadline-ns=2000000000
                 classes.0.effect=idempotent classes.0.gain=1
@@ -111,8 +177,19 @@
     }
 
     private static Scenario crowd() {
-        return new Scenario("crowd", 16, 6_000, 3, 6, 6, 0.3, 0.15, 2.0, 0.8,
-                List.of(40.0, 300.0, 1_500.0), """
+        return new Scenario(
+                "crowd",
+                16,
+                6_000,
+                3,
+                6,
+                6,
+                0.3,
+                0.15,
+                2.0,
+                0.8,
+                List.of(40.0, 300.0, 1_500.0),
+                """
                 balancers=200 classes.count=3
                 classes.0.name=brief classes.0.promise-ns=400000000 classes.0.deadline-ns=2000000000
                 classes.0.effect=idempotent classes.0.gain=2
@@ -132,8 +209,19 @@
     }
 
     private static Scenario smallCrowd() {
-        return new Scenario("small-crowd", 17, 5_000, 1, 8, 35, 0.4, 0.2, 1.6, 0.9,
-                List.of(30.0, 200.0, 900.0), """
+        return new Scenario(
+                "small-crowd",
+                17,
+                5_000,
+                1,
+                8,
+                35,
+                0.4,
+                0.2,
+                1.6,
+                0.9,
+                List.of(30.0, 200.0, 900.0),
+                """
                 balancers=12 classes.count=3
                 classes.0.name=brief classes.0.promise-ns=300000000 classes.0.deadline-ns=2000000000
                 classes.0.effect=idempotent classes.0.gain=2
@@ -150,8 +238,19 @@
     }
 
     private static Scenario tableLoads() {
-        return new Scenario("table-loads", 18, 4_500, 2, 6, 20, 0.3, 0.3, 0.2, 0.7,
-                List.of(300.0, 60.0, 40.0), """
+        return new Scenario(
+                "table-loads",
+                18,
+                4_500,
+                2,
+                6,
+                20,
+                0.3,
+                0.3,
+                0.2,
+                0.7,
+                List.of(300.0, 60.0, 40.0),
+                """
                 balancers=2 classes.count=3
                 classes.0.name=load classes.0.promise-ns=2500000000 classes.0.deadline-ns=8000000000
                 classes.0.effect=deduplicated classes.0.group=all
@@ -170,8 +269,19 @@
     }
 
     private static Scenario notesWithoutCancels() {
-        return new Scenario("no-cancels", 19, 4_500, 1, 5, 35, 1.0, 0.4, 0.3, 0.3,
-                List.of(100.0, 700.0), """
+        return new Scenario(
+                "no-cancels",
+                19,
+                4_500,
+                1,
+                5,
+                35,
+                1.0,
+                0.4,
+                0.3,
+                0.3,
+                List.of(100.0, 700.0),
+                """
                 balancers=1 classes.count=2
                 classes.0.name=usual classes.0.promise-ns=500000000 classes.0.deadline-ns=1500000000
                 classes.0.effect=idempotent classes.0.gain=2 classes.0.late-share=0.3
@@ -185,8 +295,19 @@
     }
 
     private static Scenario blindWithCancels() {
-        return new Scenario("blind-with-cancels", 20, 5_000, 1, 6, 45, 0.8, 0.2, 0, 0.5,
-                List.of(25.0, 150.0, 500.0), """
+        return new Scenario(
+                "blind-with-cancels",
+                20,
+                5_000,
+                1,
+                6,
+                45,
+                0.8,
+                0.2,
+                0,
+                0.5,
+                List.of(25.0, 150.0, 500.0),
+                """
                 balancers=1 classes.count=3
                 classes.0.name=brief classes.0.promise-ns=150000000 classes.0.deadline-ns=2000000000
                 classes.0.effect=idempotent classes.0.gain=2
@@ -203,8 +324,19 @@
     }
 
     private static Scenario lateWork() {
-        return new Scenario("late-work", 21, 5_000, 1, 3, 50, 0.2, 0.1, 0.5, 1.0,
-                List.of(60.0, 250.0), """
+        return new Scenario(
+                "late-work",
+                21,
+                5_000,
+                1,
+                3,
+                50,
+                0.2,
+                0.1,
+                0.5,
+                1.0,
+                List.of(60.0, 250.0),
+                """
                 balancers=2 classes.count=2
                 classes.0.name=strict classes.0.promise-ns=400000000
                 classes.0.deadline-ns=1200000000 classes.0.effect=idempotent classes.0.gain=2
@@ -219,8 +351,19 @@
     }
 
     private static Scenario resendBudget() {
-        return new Scenario("resend-budget", 22, 4_000, 2, 6, 20, 3.0, 0.3, 0.1, 0.8,
-                List.of(60.0, 200.0), """
+        return new Scenario(
+                "resend-budget",
+                22,
+                4_000,
+                2,
+                6,
+                20,
+                3.0,
+                0.3,
+                0.1,
+                0.8,
+                List.of(60.0, 200.0),
+                """
                 balancers=2 classes.count=2
                 classes.0.name=usual classes.0.promise-ns=600000000 classes.0.deadline-ns=3000000000
                 classes.0.effect=idempotent classes.0.gain=2 classes.0.late-share=0.4
@@ -233,8 +376,19 @@
     }
 
     private static Scenario orderedKeys() {
-        return new Scenario("ordered-keys", 23, 3_000, 1, 3, 30, 1.5, 0.2, 0, 0.8,
-                List.of(60.0), """
+        return new Scenario(
+                "ordered-keys",
+                23,
+                3_000,
+                1,
+                3,
+                30,
+                1.5,
+                0.2,
+                0,
+                0.8,
+                List.of(60.0),
+                """
                 balancers=1 classes.count=1
                 classes.0.name=ordered classes.0.promise-ns=900000000
                 classes.0.deadline-ns=3000000000 classes.0.effect=at_most_once classes.0.gain=2
--- a/drill/src/test/java/ashlink/drill/ScriptedWorld.java
+++ b/drill/src/test/java/ashlink/drill/ScriptedWorld.java
@@ -24,18 +24,29 @@
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
     private static final long START_NS = 5 * SECOND;
+
     /** Times are rounded to this, so that some events share a batch. */
     private static final long GRAIN_NS = MS / 5;
+
     /** Swings of the rate of queries, three seconds each. */
     private static final double[] SWINGS = {1, 0.4, 3, 0.1, 1.6, 5, 0.7};
+
     private static final int KEYS = 6;
     private static final int TABLE_GROUPS = 4;
 
     /** What ails an engine. */
-    private enum Trouble { NONE, SLOW, SILENT, SHEDS, UNREACHABLE, RESETS, FAILS }
+    private enum Trouble {
+        NONE,
+        SLOW,
+        SILENT,
+        SHEDS,
+        UNREACHABLE,
+        RESETS,
+        FAILS
+    }
 
     /** Something that happens at a time; {@code order} keeps those of one time in order. */
-    private record Happening(long timeNs, long order, Runnable deed) { }
+    private record Happening(long timeNs, long order, Runnable deed) {}
 
     /** A gateway from its start to its retirement. */
     private static final class Instance {
@@ -117,8 +128,10 @@
     private final SplittableRandom random;
     private final Drill drill = new Drill();
     private final List<String> transcript = new ArrayList<>();
-    private final PriorityQueue<Happening> agenda = new PriorityQueue<>(
-            Comparator.comparingLong(Happening::timeNs).thenComparingLong(Happening::order));
+    private final PriorityQueue<Happening> agenda =
+            new PriorityQueue<>(
+                    Comparator.comparingLong(Happening::timeNs)
+                            .thenComparingLong(Happening::order));
     private final StringBuilder batch = new StringBuilder();
     private final Map<Long, Instance> instances = new LinkedHashMap<>();
     private final Map<String, Engine> engines = new LinkedHashMap<>();
@@ -148,9 +161,13 @@
     private void addEngine(int index) {
         String[] kinds = settings.needed("host-types").split(",");
         int kind = index % kinds.length;
-        Engine engine = new Engine(index, kinds[kind],
-                Integer.parseInt(settings.needed("extra.kind-cores").split(",")[kind]),
-                Double.parseDouble(settings.needed("extra.ram-of-kind-mb").split(",")[kind]));
+        Engine engine =
+                new Engine(
+                        index,
+                        kinds[kind],
+                        Integer.parseInt(settings.needed("extra.kind-cores").split(",")[kind]),
+                        Double.parseDouble(
+                                settings.needed("extra.ram-of-kind-mb").split(",")[kind]));
         engine.cameUpNs = index % 4 == 3 ? START_NS - SECOND : 0;
         engines.put(engine.name, engine);
     }
@@ -189,10 +206,12 @@
 
     private void repeat(double perSecond, Runnable deed) {
         if (perSecond > 0) {
-            in(gapNs(perSecond), () -> {
-                deed.run();
-                repeat(perSecond, deed);
-            });
+            in(
+                    gapNs(perSecond),
+                    () -> {
+                        deed.run();
+                        repeat(perSecond, deed);
+                    });
         }
     }
 
@@ -237,12 +256,16 @@
             case "LIMITS_FOR" ->
                     queries.get(fields.whole("op-id")).grantMb = fields.whole("mem-mb");
             case "CALL_OFF" -> callOff(instance, fields.whole("op-id"), fields.whole("shot"));
-            case "PING" -> in(random.nextDouble(0.3, 4) * MS,
-                    () -> pong(instance, fields.needed("engine")));
-            case "SET_ALARM" -> at(fields.whole("time-ns"),
-                    () -> tell(instance, "FIRED", "label=" + fields.whole("label")));
+            case "PING" ->
+                    in(
+                            random.nextDouble(0.3, 4) * MS,
+                            () -> pong(instance, fields.needed("engine")));
+            case "SET_ALARM" ->
+                    at(
+                            fields.whole("time-ns"),
+                            () -> tell(instance, "FIRED", "label=" + fields.whole("label")));
             case "TAIL" -> in(5 * MS, () -> answerTail(instance));
-            default -> { }
+            default -> {}
         }
     }
 
@@ -250,8 +273,15 @@
     private void start(long id) {
         Instance instance = new Instance(id);
         instances.put(id, instance);
-        tell("NEW_INSTANCE router-id=" + id + " nonce64=" + (scenario.seed() * 31 + id)
-                + " position=" + id + " " + scenario.settingsLine());
+        tell(
+                "NEW_INSTANCE router-id="
+                        + id
+                        + " nonce64="
+                        + (scenario.seed() * 31 + id)
+                        + " position="
+                        + id
+                        + " "
+                        + scenario.settingsLine());
         if (asks) {
             in(50 * MS, () -> tell(instance, "FIRED", "label=2"));
         } else {
@@ -293,9 +323,19 @@
     private void list(List<Engine> entries) {
         tell("LIST list=" + ++lastList + " lines=" + entries.size());
         for (Engine engine : entries) {
-            tell("M stripe=" + engine.index % 2 + " share=1 engine=" + engine.name
-                    + " phase=" + engine.phase + " zone=" + engine.zone + " sku=" + engine.kind
-                    + " came-up-ns=" + engine.cameUpNs);
+            tell(
+                    "M stripe="
+                            + engine.index % 2
+                            + " share=1 engine="
+                            + engine.name
+                            + " phase="
+                            + engine.phase
+                            + " zone="
+                            + engine.zone
+                            + " sku="
+                            + engine.kind
+                            + " came-up-ns="
+                            + engine.cameUpNs);
         }
     }
 
@@ -308,10 +348,12 @@
             default -> restart(engine);
         }
         if (!engine.phase.equals("ready")) {
-            in(random.nextDouble(0.5, 3) * SECOND, () -> {
-                restart(engine);
-                announceToAll(engine);
-            });
+            in(
+                    random.nextDouble(0.5, 3) * SECOND,
+                    () -> {
+                        restart(engine);
+                        announceToAll(engine);
+                    });
         }
         announceToAll(engine);
     }
@@ -364,9 +406,16 @@
         String at = "classes." + query.cls + ".";
         String name = chance(0.004) ? "unheard-of" : settings.needed(at + "name");
         long deadlineNs = chance(0.01) ? 50 * MS : settings.whole(at + "deadline-ns");
-        StringBuilder pairs = new StringBuilder("op-id=" + query.id + " class=" + name
-                + " data-group=" + random.nextInt(TABLE_GROUPS)
-                + " drop-dead-ns=" + (now + deadlineNs));
+        StringBuilder pairs =
+                new StringBuilder(
+                        "op-id="
+                                + query.id
+                                + " class="
+                                + name
+                                + " data-group="
+                                + random.nextInt(TABLE_GROUPS)
+                                + " drop-dead-ns="
+                                + (now + deadlineNs));
         if (chance(scenario.estimated())) {
             double guessMs = query.workMs * Math.exp(0.4 * gaussian());
             pairs.append(" guess-ns=").append((long) (guessMs * MS));
@@ -382,7 +431,8 @@
             tell(instance, "INGRESS", pairs.toString());
         }
         if (chance(0.03)) {
-            in(random.nextDouble() * deadlineNs / 4,
+            in(
+                    random.nextDouble() * deadlineNs / 4,
                     () -> tell(instance, "CLIENT_GONE", "op-id=" + query.id));
         }
     }
@@ -403,8 +453,11 @@
     private String tenant() {
         int count = (int) settings.whole("parties.count", 0);
         int drawn = count == 0 ? 0 : (int) ((count + 1) * Math.pow(random.nextDouble(), 2));
-        return count == 0 ? "" : drawn == count ? " tenant=unlisted"
-                : " tenant=" + settings.needed("parties." + drawn + ".name");
+        return count == 0
+                ? ""
+                : drawn == count
+                        ? " tenant=unlisted"
+                        : " tenant=" + settings.needed("parties." + drawn + ".name");
     }
 
     private double gaussian() {
@@ -428,13 +481,15 @@
             in(MS, () -> end(attempt, "unused"));
         }
         switch (engine.trouble) {
-            case SILENT -> { }
+            case SILENT -> {}
             case SHEDS -> in(MS, () -> end(attempt, chance(0.8) ? "shed" : "app_error"));
             case UNREACHABLE -> in(2 * MS, () -> end(attempt, "dial_failed"));
             case RESETS -> in(attempt.lastsNs / 2.0, () -> end(attempt, "dropped"));
             case FAILS -> in(3 * MS, () -> end(attempt, "app_error"));
-            default -> in(attempt.lastsNs,
-                    () -> end(attempt, chance(0.01) ? "app_error" : "delivered"));
+            default ->
+                    in(
+                            attempt.lastsNs,
+                            () -> end(attempt, chance(0.01) ? "app_error" : "delivered"));
         }
         if (noteEveryNs > 0 && engine.trouble != Trouble.SILENT) {
             in(noteEveryNs, () -> note(attempt));
@@ -448,8 +503,15 @@
         double slow = engine.trouble == Trouble.SLOW ? 6 : 1;
         double plan = query.badPlan && attempt.number == 0 ? 12 : 1;
         double spill = query.grantMb > 0 && query.grantMb < query.memoryMb ? 1.5 : 1;
-        return (long) (query.workMs / query.threads * crowding * slow * plan * spill
-                * Math.exp(0.2 * gaussian()) * MS);
+        return (long)
+                (query.workMs
+                        / query.threads
+                        * crowding
+                        * slow
+                        * plan
+                        * spill
+                        * Math.exp(0.2 * gaussian())
+                        * MS);
     }
 
     private double threads(Engine engine) {
@@ -461,7 +523,8 @@
     private void callOff(Instance instance, long id, long number) {
         for (Engine engine : engines.values()) {
             for (Attempt attempt : List.copyOf(engine.running)) {
-                if (attempt.instance == instance && attempt.query.id == id
+                if (attempt.instance == instance
+                        && attempt.query.id == id
                         && attempt.number == number) {
                     in(MS, () -> end(attempt, "revoked"));
                 }
@@ -475,14 +538,22 @@
         }
         attempt.ended = true;
         attempt.engine.running.remove(attempt);
-        double complete = switch (verdict) {
-            case "delivered" -> 0.98;
-            case "app_error" -> 0.3;
-            default -> 0.02;
-        };
-        String pairs = of(attempt) + " verdict=" + verdict + " lag-ns=" + (now - attempt.sentNs)
-                + " complete=" + (chance(complete) ? 1 : 0) + cost(attempt.query)
-                + (inline && chance(0.9) ? " gauge=" + gauge(attempt.engine) : "");
+        double complete =
+                switch (verdict) {
+                    case "delivered" -> 0.98;
+                    case "app_error" -> 0.3;
+                    default -> 0.02;
+                };
+        String pairs =
+                of(attempt)
+                        + " verdict="
+                        + verdict
+                        + " lag-ns="
+                        + (now - attempt.sentNs)
+                        + " complete="
+                        + (chance(complete) ? 1 : 0)
+                        + cost(attempt.query)
+                        + (inline && chance(0.9) ? " gauge=" + gauge(attempt.engine) : "");
         tell(attempt.instance, "RESOLVED", pairs);
         if (chance(0.003)) {
             tell(attempt.instance, "RESOLVED", pairs);
@@ -533,8 +604,16 @@
     private void pong(Instance instance, String name) {
         Engine engine = engines.get(name);
         boolean reached = engine.trouble != Trouble.UNREACHABLE;
-        tell(instance, "PONG", "engine=" + name + " lag-ns=" + MS
-                + (reached ? " verdict=delivered gauge=" + gauge(engine) : " verdict=dial_failed"));
+        tell(
+                instance,
+                "PONG",
+                "engine="
+                        + name
+                        + " lag-ns="
+                        + MS
+                        + (reached
+                                ? " verdict=delivered gauge=" + gauge(engine)
+                                : " verdict=dial_failed"));
     }
 
     /** A load report: some values noisy, some missing, some impossible. */
@@ -543,8 +622,8 @@
             return "-";
         }
         double threads = threads(engine);
-        double granted = engine.running.stream()
-                .mapToDouble(attempt -> attempt.query.grantMb).sum();
+        double granted =
+                engine.running.stream().mapToDouble(attempt -> attempt.query.grantMb).sum();
         StringBuilder pairs = new StringBuilder();
         value(pairs, "pending", Math.max(0, threads / engine.cores - 1.5) * engine.cores / 3);
         value(pairs, "cpu_share", Math.min(1, threads / engine.cores));
--- a/drill/src/test/java/ashlink/drill/Transcript.java
+++ b/drill/src/test/java/ashlink/drill/Transcript.java
@@ -14,13 +14,16 @@
 
     /** Ending of the name of a transcript's file. */
     static final String SUFFIX = ".txt.gz";
+
     /** Mark of a line that went in. */
     static final String IN = "> ";
+
     /** Mark of a line that came out. */
     static final String OUT = "< ";
+
     private static final Set<String> FRAME = Set.of("SYNC", "END", "LIST", "M");
 
-    private Transcript() { }
+    private Transcript() {}
 
     /** The marked lines of a file. */
     static List<String> read(Path file) throws IOException {
--- a/drill/src/test/java/ashlink/drill/TranscriptRecorder.java
+++ b/drill/src/test/java/ashlink/drill/TranscriptRecorder.java
@@ -11,7 +11,7 @@
  */
 final class TranscriptRecorder {
 
-    private TranscriptRecorder() { }
+    private TranscriptRecorder() {}
 
     /** Records every scenario into the folder {@code outDir[0]}, and tells the events of each. */
     public static void main(String[] outDir) throws IOException {
@@ -21,8 +21,15 @@
             Path file = folder.resolve(scenario.name() + Transcript.SUFFIX);
             Transcript.write(file, lines);
             long events = lines.stream().filter(Transcript::isEvent).count();
-            System.out.println(scenario.name() + ": " + events + " events, " + lines.size()
-                    + " lines, " + Files.size(file) + " bytes");
+            System.out.println(
+                    scenario.name()
+                            + ": "
+                            + events
+                            + " events, "
+                            + lines.size()
+                            + " lines, "
+                            + Files.size(file)
+                            + " bytes");
         }
     }
 }
--- a/fleet/src/main/java/ashlink/fleet/member/Rumor.java
+++ b/fleet/src/main/java/ashlink/fleet/member/Rumor.java
@@ -13,7 +13,10 @@
         GONE
     }
 
-    /** True if this is to be believed where that other is known (the order of the paper; one that is gone may come back). */
+    /**
+     * True if this is to be believed where that other is known (the order of the paper; one that is
+     * gone may come back).
+     */
     boolean overrides(Rumor known) {
         if (incarnation != known.incarnation) {
             return incarnation > known.incarnation;
--- a/fleet/src/main/java/ashlink/fleet/member/Swim.java
+++ b/fleet/src/main/java/ashlink/fleet/member/Swim.java
@@ -13,13 +13,13 @@
 import java.util.TreeMap;
 
 /**
- * One member's part of the protocol. Told the time and what was received, it says what to send; the same story gives the
- * same answers.
+ * One member's part of the protocol. Told the time and what was received, it says what to send; the
+ * same story gives the same answers.
  */
 public final class Swim {
 
     /** A message to a member at an address. */
-    public record Send(String member, String address, Message message) { }
+    public record Send(String member, String address, Message message) {}
 
     private static final class Known {
         Rumor rumor;
@@ -40,7 +40,7 @@
     }
 
     /** A ping on behalf of another. */
-    private record Relayed(String asker, String askerAddress, long theirNumber, String target) { }
+    private record Relayed(String asker, String askerAddress, long theirNumber, String target) {}
 
     private final Terms terms;
     private final SplittableRandom random;
@@ -65,11 +65,12 @@
         this.terms = terms;
         this.random = new SplittableRandom(seed);
         this.self = new Rumor(name, address, 0, State.ALIVE);
-        seeds.forEach((member, at) -> {
-            if (!member.equals(name)) {
-                members.put(member, new Known(new Rumor(member, at, 0, State.ALIVE)));
-            }
-        });
+        seeds.forEach(
+                (member, at) -> {
+                    if (!member.equals(name)) {
+                        members.put(member, new Known(new Rumor(member, at, 0, State.ALIVE)));
+                    }
+                });
         tell(self);
     }
 
@@ -104,8 +105,8 @@
     }
 
     /**
-     * This member stood still itself: answers may have come and gone unread, and nobody is to be blamed. The pending ask is
-     * dropped, and suspicions get the time that was slept.
+     * This member stood still itself: answers may have come and gone unread, and nobody is to be
+     * blamed. The pending ask is dropped, and suspicions get the time that was slept.
      */
     private void awake(long slept, long now) {
         asked = null;
@@ -127,26 +128,34 @@
             out.add(to(next, new Ping(askedNumber, gossip())));
         }
         if (periods % terms.regainPeriods() == 0) {
-            List<String> gone = members.entrySet().stream().filter(e -> e.getValue().rumor.state() == State.GONE)
-                    .map(Map.Entry::getKey).toList();
+            List<String> gone =
+                    members.entrySet().stream()
+                            .filter(e -> e.getValue().rumor.state() == State.GONE)
+                            .map(Map.Entry::getKey)
+                            .toList();
             if (!gone.isEmpty()) {
                 String one = gone.get(random.nextInt(gone.size()));
                 List<Rumor> with = new ArrayList<>(gossip());
-                with.add(members.get(one).rumor); // it learns what is said of it, and can refute that
+                with.add(
+                        members.get(one)
+                                .rumor); // it learns what is said of it, and can refute that
                 out.add(to(one, new Ping(++numbers, with)));
             }
         }
     }
 
-    /** The next in a random order that has each member once: the time until one is asked is bounded. */
+    /**
+     * The next in a random order that has each member once: the time until one is asked is bounded.
+     */
     private String next() {
         while (true) {
             if (order.isEmpty()) {
-                members.forEach((m, k) -> {
-                    if (k.rumor.state() != State.GONE) {
-                        order.add(random.nextInt(order.size() + 1), m);
-                    }
-                });
+                members.forEach(
+                        (m, k) -> {
+                            if (k.rumor.state() != State.GONE) {
+                                order.add(random.nextInt(order.size() + 1), m);
+                            }
+                        });
                 if (order.isEmpty()) {
                     return null;
                 }
@@ -159,8 +168,15 @@
     }
 
     private List<String> some(int count, String but) {
-        List<String> from = new ArrayList<>(members.entrySet().stream().filter(e -> e.getValue().rumor.state() == State.ALIVE
-                && !e.getKey().equals(but)).map(Map.Entry::getKey).toList());
+        List<String> from =
+                new ArrayList<>(
+                        members.entrySet().stream()
+                                .filter(
+                                        e ->
+                                                e.getValue().rumor.state() == State.ALIVE
+                                                        && !e.getKey().equals(but))
+                                .map(Map.Entry::getKey)
+                                .toList());
         List<String> chosen = new ArrayList<>();
         while (chosen.size() < count && !from.isEmpty()) {
             chosen.add(from.remove(random.nextInt(from.size())));
@@ -194,7 +210,9 @@
         } else if (m instanceof Ack a) {
             Relayed r = relayed.remove(a.number());
             if (r != null && r.target.equals(a.of())) {
-                out.add(new Send(r.asker, r.askerAddress, new Ack(r.theirNumber, a.of(), gossip())));
+                out.add(
+                        new Send(
+                                r.asker, r.askerAddress, new Ack(r.theirNumber, a.of(), gossip())));
             } else if (a.number() == askedNumber && a.of().equals(asked)) {
                 asked = null;
             }
@@ -206,10 +224,20 @@
         if (r.member().equals(self.member())) {
             if (r.incarnation() >= self.incarnation() && r.state() != State.ALIVE) {
                 falseAlarms++;
-                self = new Rumor(self.member(), self.address(), r.incarnation() + 1, State.ALIVE); // refutes it
+                self =
+                        new Rumor(
+                                self.member(),
+                                self.address(),
+                                r.incarnation() + 1,
+                                State.ALIVE); // refutes it
                 tell(self);
             } else if (r.incarnation() > self.incarnation()) {
-                self = new Rumor(self.member(), self.address(), r.incarnation() + 1, State.ALIVE); // of an earlier life
+                self =
+                        new Rumor(
+                                self.member(),
+                                self.address(),
+                                r.incarnation() + 1,
+                                State.ALIVE); // of an earlier life
                 tell(self);
             }
             return;
@@ -242,7 +270,12 @@
     private void suspicionsOver(long now) {
         for (Known k : members.values()) {
             if (k.rumor.state() == State.SUSPECT && now >= k.suspectUntilNs) {
-                k.rumor = new Rumor(k.rumor.member(), k.rumor.address(), k.rumor.incarnation(), State.GONE);
+                k.rumor =
+                        new Rumor(
+                                k.rumor.member(),
+                                k.rumor.address(),
+                                k.rumor.incarnation(),
+                                State.GONE);
                 tell(k.rumor);
             }
         }
@@ -264,8 +297,13 @@
     /** The rumors told least often so far, each as often as the paper has it. */
     private List<Rumor> gossip() {
         int most = (int) Math.ceil(terms.spread() * logOfMembers());
-        List<Told> chosen = rumors.values().stream().sorted(Comparator.comparingInt((Told t) -> t.times)
-                .thenComparing(t -> t.rumor.member())).limit(terms.rumors()).toList();
+        List<Told> chosen =
+                rumors.values().stream()
+                        .sorted(
+                                Comparator.comparingInt((Told t) -> t.times)
+                                        .thenComparing(t -> t.rumor.member()))
+                        .limit(terms.rumors())
+                        .toList();
         List<Rumor> out = new ArrayList<>();
         for (Told t : chosen) {
             out.add(t.rumor);
--- a/fleet/src/main/java/ashlink/fleet/member/Terms.java
+++ b/fleet/src/main/java/ashlink/fleet/member/Terms.java
@@ -8,10 +8,18 @@
  * @param indirect members that are asked to ask (k of the paper)
  * @param suspicion periods of suspicion, times the logarithm of the number of members
  * @param rumors that ride along at most
- * @param spread times that a rumor is told on, times the logarithm of the number of members (lambda)
+ * @param spread times that a rumor is told on, times the logarithm of the number of members
+ *     (lambda)
  * @param regainPeriods periods between two pings of a member that is gone: how a cut heals
  */
-public record Terms(long periodNs, long ackNs, int indirect, double suspicion, int rumors, double spread, int regainPeriods) {
+public record Terms(
+        long periodNs,
+        long ackNs,
+        int indirect,
+        double suspicion,
+        int rumors,
+        double spread,
+        int regainPeriods) {
 
     /** A member asked each 250 ms. */
     public static final Terms DEFAULT = new Terms(250_000_000L, 80_000_000L, 3, 3, 12, 3, 8);
--- a/fleet/src/main/java/ashlink/fleet/notice/Carrier.java
+++ b/fleet/src/main/java/ashlink/fleet/notice/Carrier.java
@@ -9,14 +9,16 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides to whom a router carries notices: what is new to it goes to all peers at once, or to a sample where there are many,
- * each of whom does the same; and from time to time it compares all that it knows with one peer, whatever is held of that
- * peer, so that what was lost on the way arrives all the same.
+ * Decides to whom a router carries notices: what is new to it goes to all peers at once, or to a
+ * sample where there are many, each of whom does the same; and from time to time it compares all
+ * that it knows with one peer, whatever is held of that peer, so that what was lost on the way
+ * arrives all the same.
  */
 public final class Carrier {
 
     /** Peers that are told at once. */
     private static final int ALL = 32;
+
     private static final int SAMPLE = 6;
     private static final int CHUNK = 200;
 
@@ -27,10 +29,13 @@
         String peer();
 
         /** These notices. */
-        record Tell(String peer, List<Held> notices) implements Out { }
+        record Tell(String peer, List<Held> notices) implements Out {}
 
-        /** What is known, for the peer to send what is lacked; {@code back}: an answer to a comparison, which is not answered. */
-        record Compare(String peer, Map<Say, Integer> digest, boolean back) implements Out { }
+        /**
+         * What is known, for the peer to send what is lacked; {@code back}: an answer to a
+         * comparison, which is not answered.
+         */
+        record Compare(String peer, Map<Say, Integer> digest, boolean back) implements Out {}
     }
 
     private final NoticeSet set;
@@ -50,7 +55,9 @@
         while (many && to.size() > SAMPLE) {
             to.remove(random.nextInt(to.size()));
         }
-        return fresh.isEmpty() ? List.of() : to.stream().map(p -> (Out) new Out.Tell(p, fresh)).toList();
+        return fresh.isEmpty()
+                ? List.of()
+                : to.stream().map(p -> (Out) new Out.Tell(p, fresh)).toList();
     }
 
     /** It is time to compare with somebody. */
@@ -67,7 +74,10 @@
         List<Out> out = new ArrayList<>();
         List<Held> lacked = set.lackedBy(theirs, nowMs);
         for (int i = 0; i < lacked.size(); i += CHUNK) {
-            out.add(new Out.Tell(peer, List.copyOf(lacked.subList(i, Math.min(lacked.size(), i + CHUNK)))));
+            out.add(
+                    new Out.Tell(
+                            peer,
+                            List.copyOf(lacked.subList(i, Math.min(lacked.size(), i + CHUNK)))));
         }
         if (!back && !theirs.equals(set.digest())) {
             out.add(new Out.Compare(peer, set.digest(), true));
--- a/fleet/src/main/java/ashlink/fleet/notice/Notice.java
+++ b/fleet/src/main/java/ashlink/fleet/notice/Notice.java
@@ -4,33 +4,40 @@
 import java.util.Objects;
 
 /**
- * What one operator wants of one subject. Each owner has a say of its own on each subject; of an owner's notices on a subject
- * the one of the highest revision holds. A revision is one more than the highest that its issuer knew of: it is no time, so
- * clocks may be apart. Two of the same revision were issued on different sides of a cut: then the stronger intent holds, on
- * every router the same.
+ * What one operator wants of one subject. Each owner has a say of its own on each subject; of an
+ * owner's notices on a subject the one of the highest revision holds. A revision is one more than
+ * the highest that its issuer knew of: it is no time, so clocks may be apart. Two of the same
+ * revision were issued on different sides of a cut: then the stronger intent holds, on every router
+ * the same.
  *
  * @param subject {@code engine:NAME} or {@code router:NAME}
  * @param owner whose say it is
  * @param by who issued it: the owner, or who overruled it
  * @param why for people
  */
-public record Notice(String subject, String owner, long revision, Intent intent, String by, String why)
+public record Notice(
+        String subject, String owner, long revision, Intent intent, String by, String why)
         implements Comparable<Notice> {
 
     /** Longest text of any part. */
     public static final int MOST_CHARS = 256;
 
-    private static final Comparator<Notice> ORDER = Comparator.comparingLong(Notice::revision).thenComparing(Notice::intent)
-            .thenComparing(Notice::by).thenComparing(Notice::why);
+    private static final Comparator<Notice> ORDER =
+            Comparator.comparingLong(Notice::revision)
+                    .thenComparing(Notice::intent)
+                    .thenComparing(Notice::by)
+                    .thenComparing(Notice::why);
 
     /** Checks the form. */
     public Notice {
         if (!subject.matches("(engine|router):.+") || owner.isEmpty() || revision < 1) {
-            throw new IllegalArgumentException("a notice on " + subject + " of " + owner + ", revision " + revision);
+            throw new IllegalArgumentException(
+                    "a notice on " + subject + " of " + owner + ", revision " + revision);
         }
         for (String text : new String[] {subject, owner, by, why}) {
             if (text.length() > MOST_CHARS) {
-                throw new IllegalArgumentException("a notice with " + text.length() + " characters in one part");
+                throw new IllegalArgumentException(
+                        "a notice with " + text.length() + " characters in one part");
             }
         }
     }
@@ -45,7 +52,10 @@
         return "router:" + name;
     }
 
-    /** A hash for who compares: the same in every process, which that of a record with an enumeration is not. */
+    /**
+     * A hash for who compares: the same in every process, which that of a record with an
+     * enumeration is not.
+     */
     int digest() {
         return Objects.hash(subject, owner, revision, intent.ordinal(), by, why);
     }
--- a/fleet/src/main/java/ashlink/fleet/notice/NoticeSet.java
+++ b/fleet/src/main/java/ashlink/fleet/notice/NoticeSet.java
@@ -6,16 +6,18 @@
 import java.util.TreeMap;
 
 /**
- * The notices that a router knows. Adding is commutative, associative and idempotent: the same notices in any order, any
- * number of times, give the same set. So what reaches a router late, twice, or from a backup never undoes what is newer.
+ * The notices that a router knows. Adding is commutative, associative and idempotent: the same
+ * notices in any order, any number of times, give the same set. So what reaches a router late,
+ * twice, or from a backup never undoes what is newer.
  *
- * <p>A notice ends by its time; it is remembered beyond that, so that an older one does not come to life again. Times are of
- * the router's own clock, in milliseconds: what travels is how long a notice still has, not when it ends.
+ * <p>A notice ends by its time; it is remembered beyond that, so that an older one does not come to
+ * life again. Times are of the router's own clock, in milliseconds: what travels is how long a
+ * notice still has, not when it ends.
  */
 public final class NoticeSet {
 
     /** A notice and how long it still holds, in milliseconds; 0 or less is over. */
-    public record Held(Notice notice, long leftMs) { }
+    public record Held(Notice notice, long leftMs) {}
 
     /** Names a say: that of an owner on a subject. */
     public record Say(String subject, String owner) implements Comparable<Say> {
@@ -26,7 +28,7 @@
         }
     }
 
-    private record Entry(Notice notice, long untilMs) { }
+    private record Entry(Notice notice, long untilMs) {}
 
     private final int most;
     private final long longestMs;
@@ -38,12 +40,17 @@
      *
      * @param most says that are known at most; a new one past it is not taken
      * @param longestMs longest time that a notice may hold
-     * @param rememberedMs time for which one that is over is remembered; at least {@code longestMs}, so that whoever still
-     *     has an older one has it no longer than the newer is remembered
+     * @param rememberedMs time for which one that is over is remembered; at least {@code
+     *     longestMs}, so that whoever still has an older one has it no longer than the newer is
+     *     remembered
      */
     public NoticeSet(int most, long longestMs, long rememberedMs) {
         if (rememberedMs < longestMs) {
-            throw new IllegalArgumentException("remembered for " + rememberedMs + " ms, less than the longest of " + longestMs);
+            throw new IllegalArgumentException(
+                    "remembered for "
+                            + rememberedMs
+                            + " ms, less than the longest of "
+                            + longestMs);
         }
         this.most = most;
         this.longestMs = longestMs;
@@ -76,7 +83,9 @@
     public Intent intent(String subject, long nowMs) {
         Intent strongest = Intent.NONE;
         for (Entry e : entries.values()) {
-            if (e.notice.subject().equals(subject) && e.untilMs > nowMs && e.notice.intent().compareTo(strongest) > 0) {
+            if (e.notice.subject().equals(subject)
+                    && e.untilMs > nowMs
+                    && e.notice.intent().compareTo(strongest) > 0) {
                 strongest = e.notice.intent();
             }
         }
@@ -88,7 +97,10 @@
         Map<String, Intent> all = new TreeMap<>();
         for (Entry e : entries.values()) {
             if (e.untilMs > nowMs && e.notice.intent() != Intent.NONE) {
-                all.merge(e.notice.subject(), e.notice.intent(), (a, b) -> a.compareTo(b) > 0 ? a : b);
+                all.merge(
+                        e.notice.subject(),
+                        e.notice.intent(),
+                        (a, b) -> a.compareTo(b) > 0 ? a : b);
             }
         }
         return all;
@@ -102,8 +114,14 @@
 
     /** Owners who want something of a subject now. */
     public List<String> owners(String subject, long nowMs) {
-        return entries.values().stream().filter(e -> e.notice.subject().equals(subject) && e.untilMs > nowMs
-                && e.notice.intent() != Intent.NONE).map(e -> e.notice.owner()).toList();
+        return entries.values().stream()
+                .filter(
+                        e ->
+                                e.notice.subject().equals(subject)
+                                        && e.untilMs > nowMs
+                                        && e.notice.intent() != Intent.NONE)
+                .map(e -> e.notice.owner())
+                .toList();
     }
 
     /** All notices, also those that are over and remembered. */
@@ -114,12 +132,13 @@
     /** What the holder of that digest lacks. */
     public List<Held> lackedBy(Map<Say, Integer> digest, long nowMs) {
         List<Held> lacked = new ArrayList<>();
-        entries.forEach((say, e) -> {
-            Integer theirs = digest.get(say);
-            if (theirs == null || theirs != e.notice.digest()) {
-                lacked.add(new Held(e.notice, e.untilMs - nowMs));
-            }
-        });
+        entries.forEach(
+                (say, e) -> {
+                    Integer theirs = digest.get(say);
+                    if (theirs == null || theirs != e.notice.digest()) {
+                        lacked.add(new Held(e.notice, e.untilMs - nowMs));
+                    }
+                });
         return lacked;
     }
 
--- a/fleet/src/main/java/ashlink/fleet/supervise/Restarts.java
+++ b/fleet/src/main/java/ashlink/fleet/supervise/Restarts.java
@@ -3,8 +3,9 @@
 import java.util.ArrayDeque;
 
 /**
- * When a process that ended is started again: at once after a good while, later and later after short ones. Many short runs
- * within a while are a loop: it goes on at the longest pause, and is said to be one.
+ * When a process that ended is started again: at once after a good while, later and later after
+ * short ones. Many short runs within a while are a loop: it goes on at the longest pause, and is
+ * said to be one.
  */
 public final class Restarts {
 
@@ -21,7 +22,7 @@
     }
 
     /** A decision; {@code pauseNs} before the next start. */
-    public record Decision(What what, long pauseNs) { }
+    public record Decision(What what, long pauseNs) {}
 
     /**
      * Terms of restarts, in nanoseconds.
@@ -31,8 +32,11 @@
      */
     public record Terms(long firstNs, long longestNs, long goodNs, int loopRuns, long loopNs) {
 
-        /** Half a second to half a minute; a minute is good; five within five minutes are a loop. */
-        public static final Terms DEFAULT = new Terms(500_000_000L, 30_000_000_000L, 60_000_000_000L, 5, 300_000_000_000L);
+        /**
+         * Half a second to half a minute; a minute is good; five within five minutes are a loop.
+         */
+        public static final Terms DEFAULT =
+                new Terms(500_000_000L, 30_000_000_000L, 60_000_000_000L, 5, 300_000_000_000L);
     }
 
     private static final int BAD_SETTINGS = 2;
@@ -64,7 +68,8 @@
             shortEnds.remove();
         }
         long pause = Math.min(terms.longestNs(), terms.firstNs() << Math.min(inARow++, 30));
-        return shortEnds.size() >= terms.loopRuns() ? new Decision(What.LOOP, terms.longestNs())
+        return shortEnds.size() >= terms.loopRuns()
+                ? new Decision(What.LOOP, terms.longestNs())
                 : new Decision(What.AGAIN, pause < 0 ? terms.longestNs() : pause);
     }
 }
--- a/fleet/src/test/java/ashlink/fleet/member/FleetSim.java
+++ b/fleet/src/test/java/ashlink/fleet/member/FleetSim.java
@@ -9,7 +9,10 @@
 import java.util.SplittableRandom;
 import java.util.function.BiPredicate;
 
-/** Many members in simulated time: messages that take their time, get lost, or do not pass. From a seed. */
+/**
+ * Many members in simulated time: messages that take their time, get lost, or do not pass. From a
+ * seed.
+ */
 final class FleetSim {
 
     static final long MS = 1_000_000L;
@@ -84,7 +87,9 @@
             at(50 * MS, () -> deliver(from, s)); // in its socket until it goes on
             return;
         }
-        members.get(s.member()).receive(from, "at-" + from, s.message(), now).forEach(x -> send(s.member(), x));
+        members.get(s.member())
+                .receive(from, "at-" + from, s.message(), now)
+                .forEach(x -> send(s.member(), x));
     }
 
     void until(long end) {
@@ -102,8 +107,13 @@
 
     /** Members alive that hold that one for this state. */
     long holding(String of, State state) {
-        return members.entrySet().stream().filter(e -> !e.getKey().equals(of) && !dead.contains(e.getKey())
-                && e.getValue().held(of) == state).count();
+        return members.entrySet().stream()
+                .filter(
+                        e ->
+                                !e.getKey().equals(of)
+                                        && !dead.contains(e.getKey())
+                                        && e.getValue().held(of) == state)
+                .count();
     }
 
     /** Pairs of members alive of which the first holds the second for gone. */
@@ -111,8 +121,10 @@
         long wrong = 0;
         for (Map.Entry<String, Swim> e : members.entrySet()) {
             if (!dead.contains(e.getKey())) {
-                wrong += e.getValue().members().values().stream().filter(r -> r.state() == State.GONE
-                        && !dead.contains(r.member())).count();
+                wrong +=
+                        e.getValue().members().values().stream()
+                                .filter(r -> r.state() == State.GONE && !dead.contains(r.member()))
+                                .count();
             }
         }
         return wrong;
--- a/fleet/src/test/java/ashlink/fleet/member/SwimRun.java
+++ b/fleet/src/test/java/ashlink/fleet/member/SwimRun.java
@@ -3,7 +3,10 @@
 import ashlink.fleet.member.Rumor.State;
 import org.junit.jupiter.api.Test;
 
-/** 1,000 routers in simulated time; not part of CI: {@code mvn -pl fleet -am test -Dtest=SwimRun -Dsurefire.failIfNoSpecifiedTests=false}. */
+/**
+ * 1,000 routers in simulated time; not part of CI: {@code mvn -pl fleet -am test -Dtest=SwimRun
+ * -Dsurefire.failIfNoSpecifiedTests=false}.
+ */
 class SwimRun {
 
     private static final long S = FleetSim.S;
@@ -25,14 +28,29 @@
             double half = 0;
             while (sim.holding("r0500", State.GONE) < n - 1 && sim.now - from < 120 * S) {
                 sim.run(S / 10);
-                long suspects = sim.holding("r0500", State.SUSPECT) + sim.holding("r0500", State.GONE);
+                long suspects =
+                        sim.holding("r0500", State.SUSPECT) + sim.holding("r0500", State.GONE);
                 first = first == 0 && suspects > 0 ? (sim.now - from) / 1e9 : first;
-                half = half == 0 && sim.holding("r0500", State.GONE) > n / 2 ? (sim.now - from) / 1e9 : half;
+                half =
+                        half == 0 && sim.holding("r0500", State.GONE) > n / 2
+                                ? (sim.now - from) / 1e9
+                                : half;
             }
-            System.out.printf("%d routers, %.0f%% loss: %.1f messages a router a second; in 30 s %d suspicions refuted, %d wrongly held for "
-                    + "gone; one dies: first suspected after %.1f s (paper: mean e/(e-1) periods = %.2f s), gone for half after %.1f s, for "
-                    + "all after %.1f s; at most %d rumors a message%n", n, loss * 100, each, alarms, wrong, first,
-                    Math.E / (Math.E - 1) * Terms.DEFAULT.periodNs() / 1e9, half, (sim.now - from) / 1e9, sim.mostRumors);
+            System.out.printf(
+                    "%d routers, %.0f%% loss: %.1f messages a router a second; in 30 s %d"
+                        + " suspicions refuted, %d wrongly held for gone; one dies: first suspected"
+                        + " after %.1f s (paper: mean e/(e-1) periods = %.2f s), gone for half"
+                        + " after %.1f s, for all after %.1f s; at most %d rumors a message%n",
+                    n,
+                    loss * 100,
+                    each,
+                    alarms,
+                    wrong,
+                    first,
+                    Math.E / (Math.E - 1) * Terms.DEFAULT.periodNs() / 1e9,
+                    half,
+                    (sim.now - from) / 1e9,
+                    sim.mostRumors);
         }
     }
 }
--- a/fleet/src/test/java/ashlink/fleet/member/SwimTest.java
+++ b/fleet/src/test/java/ashlink/fleet/member/SwimTest.java
@@ -36,7 +36,10 @@
     void aCutBetweenHallsHealsInBothDirections() {
         FleetSim sim = new FleetSim(24, 0.01, 2);
         sim.run(5 * S);
-        sim.passes = (from, to) -> (Integer.parseInt(from.substring(1)) < 12) == (Integer.parseInt(to.substring(1)) < 12);
+        sim.passes =
+                (from, to) ->
+                        (Integer.parseInt(from.substring(1)) < 12)
+                                == (Integer.parseInt(to.substring(1)) < 12);
         sim.run(60 * S);
         assertEquals(2 * 12 * 12, sim.wronglyGone(), "each side holds the other for gone");
         sim.passes = (from, to) -> true;
@@ -61,7 +64,11 @@
         assertEquals(23, sim.holding("r0003", State.GONE));
         sim.paused.remove("r0003");
         sim.run(S);
-        assertEquals(0, sim.members.get("r0003").members().values().stream().filter(r -> r.state() == State.GONE).count());
+        assertEquals(
+                0,
+                sim.members.get("r0003").members().values().stream()
+                        .filter(r -> r.state() == State.GONE)
+                        .count());
         sim.run(30 * S);
         assertEquals(0, sim.wronglyGone());
     }
--- a/fleet/src/test/java/ashlink/fleet/notice/ModelCheckTest.java
+++ b/fleet/src/test/java/ashlink/fleet/notice/ModelCheckTest.java
@@ -12,8 +12,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All states that three routers reach with two notices of one owner (a drain, then its withdrawal), messages between them
- * that are lost, late and out of order, and a crash: no router that has seen the newer acts on the older.
+ * All states that three routers reach with two notices of one owner (a drain, then its withdrawal),
+ * messages between them that are lost, late and out of order, and a crash: no router that has seen
+ * the newer acts on the older.
  */
 class ModelCheckTest {
 
@@ -30,10 +31,18 @@
         }
     }
 
-    /** What each router has in memory, on its disk, and has ever seen; what is under way; crashes so far. */
-    private record State(List<Integer> memory, List<Integer> disk, List<Integer> seen, TreeSet<Message> messages, int crashes) { }
+    /**
+     * What each router has in memory, on its disk, and has ever seen; what is under way; crashes so
+     * far.
+     */
+    private record State(
+            List<Integer> memory,
+            List<Integer> disk,
+            List<Integer> seen,
+            TreeSet<Message> messages,
+            int crashes) {}
 
-    private record Found(int states, int wrong) { }
+    private record Found(int states, int wrong) {}
 
     private static NoticeSet set(int notices) {
         NoticeSet s = new NoticeSet(10, 1_000, 1_000);
@@ -53,7 +62,8 @@
     }
 
     private static Found explore(boolean diskFirst) {
-        State first = new State(List.of(0, 0, 0), List.of(0, 0, 0), List.of(0, 0, 0), new TreeSet<>(), 0);
+        State first =
+                new State(List.of(0, 0, 0), List.of(0, 0, 0), List.of(0, 0, 0), new TreeSet<>(), 0);
         Set<State> known = new HashSet<>(Set.of(first));
         ArrayDeque<State> todo = new ArrayDeque<>(known);
         int wrong = 0;
@@ -74,10 +84,15 @@
         return new Found(known.size(), wrong);
     }
 
-    private static State learn(State s, int r, int notices, boolean diskFirst, TreeSet<Message> messages) {
+    private static State learn(
+            State s, int r, int notices, boolean diskFirst, TreeSet<Message> messages) {
         int all = s.memory.get(r) | notices;
-        return new State(with(s.memory, r, all), diskFirst ? with(s.disk, r, s.disk.get(r) | notices) : s.disk,
-                with(s.seen, r, s.seen.get(r) | notices), messages, s.crashes);
+        return new State(
+                with(s.memory, r, all),
+                diskFirst ? with(s.disk, r, s.disk.get(r) | notices) : s.disk,
+                with(s.seen, r, s.seen.get(r) | notices),
+                messages,
+                s.crashes);
     }
 
     private static List<State> next(State s, boolean diskFirst) {
@@ -87,10 +102,22 @@
                 out.add(learn(s, r, notice, diskFirst, s.messages)); // the tool reaches it
             }
             if (!diskFirst) {
-                out.add(new State(s.memory, with(s.disk, r, s.disk.get(r) | s.memory.get(r)), s.seen, s.messages, s.crashes));
+                out.add(
+                        new State(
+                                s.memory,
+                                with(s.disk, r, s.disk.get(r) | s.memory.get(r)),
+                                s.seen,
+                                s.messages,
+                                s.crashes));
             }
             if (s.crashes < 1) {
-                out.add(new State(with(s.memory, r, s.disk.get(r)), s.disk, s.seen, s.messages, s.crashes + 1));
+                out.add(
+                        new State(
+                                with(s.memory, r, s.disk.get(r)),
+                                s.disk,
+                                s.seen,
+                                s.messages,
+                                s.crashes + 1));
             }
             for (int to = 0; to < ROUTERS; to++) {
                 if (to != r && s.memory.get(r) != 0 && s.messages.size() < MOST_IN_FLIGHT) {
@@ -119,6 +146,8 @@
 
     @Test
     void withoutTheDiskBeforeTheActTheCheckFindsWhatGoesWrong() {
-        assertTrue(explore(false).wrong > 0, "a crash forgets the newer, and a late message brings the older");
+        assertTrue(
+                explore(false).wrong > 0,
+                "a crash forgets the newer, and a late message brings the older");
     }
 }
--- a/fleet/src/test/java/ashlink/fleet/notice/NoticeProperties.java
+++ b/fleet/src/test/java/ashlink/fleet/notice/NoticeProperties.java
@@ -16,6 +16,7 @@
 class NoticeProperties {
 
     private static final long DAY = 86_400_000L;
+
     /** Worked out apart from the code, by the definitions of Objects.hash and String.hashCode. */
     private static final int DIGEST = 1912168615;
 
@@ -31,8 +32,12 @@
     private static List<Notice> some(SplittableRandom random, int count) {
         List<Notice> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            all.add(notice("engine:q" + random.nextInt(3), "op" + random.nextInt(2), 1 + random.nextInt(3),
-                    Intent.values()[random.nextInt(3)]));
+            all.add(
+                    notice(
+                            "engine:q" + random.nextInt(3),
+                            "op" + random.nextInt(2),
+                            1 + random.nextInt(3),
+                            Intent.values()[random.nextInt(3)]));
         }
         return all;
     }
@@ -74,7 +79,12 @@
         List<NoticeSet.Held> before = s.all(0);
         for (NoticeSet.Held h : before) {
             if (h.notice().revision() > 1) {
-                Notice old = notice(h.notice().subject(), h.notice().owner(), h.notice().revision() - 1, Intent.STOP);
+                Notice old =
+                        notice(
+                                h.notice().subject(),
+                                h.notice().owner(),
+                                h.notice().revision() - 1,
+                                Intent.STOP);
                 assertFalse(s.add(old, 7 * DAY, 0));
             }
         }
@@ -94,7 +104,16 @@
         s.add(notice("engine:q1", "ann", 2, Intent.NONE), DAY, 0);
         assertEquals(Intent.DRAIN, s.intent("engine:q1", 1), "ben still wants it");
         assertEquals(List.of("ben"), s.owners("engine:q1", 1));
-        s.add(new Notice("engine:q1", "ben", s.nextRevision("engine:q1", "ben"), Intent.NONE, "ann", "overruled"), DAY, 0);
+        s.add(
+                new Notice(
+                        "engine:q1",
+                        "ben",
+                        s.nextRevision("engine:q1", "ben"),
+                        Intent.NONE,
+                        "ann",
+                        "overruled"),
+                DAY,
+                0);
         assertEquals(Intent.NONE, s.intent("engine:q1", 1));
     }
 
@@ -111,7 +130,10 @@
         s.forget(15 * DAY);
         assertEquals(0, s.size());
         s.add(notice("engine:q1", "ann", 1, Intent.DRAIN), 1000 * DAY, 0);
-        assertEquals(Intent.NONE, s.intent("engine:q1", 8 * DAY), "no notice holds for longer than the longest");
+        assertEquals(
+                Intent.NONE,
+                s.intent("engine:q1", 8 * DAY),
+                "no notice holds for longer than the longest");
     }
 
     @Example
@@ -121,6 +143,8 @@
         assertTrue(s.add(notice("engine:b", "o", 1, Intent.DRAIN), DAY, 0));
         assertFalse(s.add(notice("engine:c", "o", 1, Intent.DRAIN), DAY, 0));
         assertTrue(s.add(notice("engine:a", "o", 2, Intent.NONE), DAY, 0));
-        assertTrue(s.add(notice("engine:c", "o", 1, Intent.DRAIN), DAY, 3 * DAY), "those that are over made room");
+        assertTrue(
+                s.add(notice("engine:c", "o", 1, Intent.DRAIN), DAY, 3 * DAY),
+                "those that are over made room");
     }
 }
--- a/fleet/src/test/java/ashlink/fleet/notice/NoticeSim.java
+++ b/fleet/src/test/java/ashlink/fleet/notice/NoticeSim.java
@@ -17,7 +17,7 @@
 
     private static final long DAY = 86_400_000L;
 
-    private record Event(long atMs, long number, Runnable what) { }
+    private record Event(long atMs, long number, Runnable what) {}
 
     private static final class Router {
         final NoticeSet set = new NoticeSet(1_000, 30 * DAY, 60 * DAY);
@@ -39,8 +39,10 @@
     long nowMs = 1L << 40;
     long messages;
     private long numbers;
-    private final PriorityQueue<Event> events = new PriorityQueue<>(java.util.Comparator.comparingLong(Event::atMs)
-            .thenComparingLong(Event::number));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(
+                    java.util.Comparator.comparingLong(Event::atMs)
+                            .thenComparingLong(Event::number));
 
     NoticeSim(int count, double loss, long seed) {
         this.random = new SplittableRandom(seed);
@@ -124,12 +126,18 @@
 
     /** Time at which the last router alive learnt anything new. */
     long lastLearntMs() {
-        return routers.entrySet().stream().filter(e -> !dead.contains(e.getKey())).mapToLong(e -> e.getValue().learntMs).max().orElse(0);
+        return routers.entrySet().stream()
+                .filter(e -> !dead.contains(e.getKey()))
+                .mapToLong(e -> e.getValue().learntMs)
+                .max()
+                .orElse(0);
     }
 
     Map<String, Long> holding(String subject) {
         Map<String, Long> by = new HashMap<>();
-        routers.keySet().stream().filter(r -> !dead.contains(r)).forEach(r -> by.merge(intent(r, subject).name(), 1L, Long::sum));
+        routers.keySet().stream()
+                .filter(r -> !dead.contains(r))
+                .forEach(r -> by.merge(intent(r, subject).name(), 1L, Long::sum));
         return by;
     }
 }
--- a/fleet/src/test/java/ashlink/fleet/supervise/RestartsTest.java
+++ b/fleet/src/test/java/ashlink/fleet/supervise/RestartsTest.java
@@ -22,7 +22,10 @@
             assertEquals(What.AGAIN, r.ended(90 * S + i, 91 * S + i, 137, false).what());
         }
         assertEquals(new Decision(What.LOOP, 30 * S), r.ended(100 * S, 101 * S, 137, false));
-        assertEquals(What.AGAIN, r.ended(1_000 * S, 1_001 * S, 137, false).what(), "long after, it is none any more");
+        assertEquals(
+                What.AGAIN,
+                r.ended(1_000 * S, 1_001 * S, 137, false).what(),
+                "long after, it is none any more");
     }
 
     @Test
--- a/report/src/main/java/ashlink/report/CaptureReport.java
+++ b/report/src/main/java/ashlink/report/CaptureReport.java
@@ -18,14 +18,17 @@
 import org.knowm.xchart.style.Styler.LegendPosition;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** One page of a capture: requests by class and end, attempts by engine and outcome, and plots by second. */
+/**
+ * One page of a capture: requests by class and end, attempts by engine and outcome, and plots by
+ * second.
+ */
 public final class CaptureReport {
 
     private static final int WIDTH = 900;
     private static final int HEIGHT = 300;
     private static final String TEMPLATE = "capture.ftlh";
 
-    private CaptureReport() { }
+    private CaptureReport() {}
 
     /** Writes the page. */
     public static void write(CaptureSummary summary, String title, Writer out) throws IOException {
@@ -33,8 +36,16 @@
         config.setClassForTemplateLoading(CaptureReport.class, "/ashlink/report");
         config.setDefaultEncoding("UTF-8");
         config.setTemplateExceptionHandler(TemplateExceptionHandler.RETHROW_HANDLER);
-        Map<String, Object> model = Map.of("title", title, "summary", summary, "outcomes", outcomes(summary),
-                "plots", List.of(plot(load(summary)), plot(out(summary))));
+        Map<String, Object> model =
+                Map.of(
+                        "title",
+                        title,
+                        "summary",
+                        summary,
+                        "outcomes",
+                        outcomes(summary),
+                        "plots",
+                        List.of(plot(load(summary)), plot(out(summary))));
         try {
             config.getTemplate(TEMPLATE).process(model, out);
         } catch (TemplateException e) {
@@ -49,16 +60,31 @@
     }
 
     private static String plot(XYChart chart) throws IOException {
-        return Base64.getEncoder().encodeToString(BitmapEncoder.getBitmapBytes(chart, BitmapEncoder.BitmapFormat.PNG));
+        return Base64.getEncoder()
+                .encodeToString(
+                        BitmapEncoder.getBitmapBytes(chart, BitmapEncoder.BitmapFormat.PNG));
     }
 
     private static XYChart chart(String title, String y) {
-        XYChart c = new XYChartBuilder().width(WIDTH).height(HEIGHT).title(title).xAxisTitle("seconds").yAxisTitle(y).build();
-        c.getStyler().setLegendPosition(LegendPosition.OutsideE).setChartBackgroundColor(java.awt.Color.WHITE);
+        XYChart c =
+                new XYChartBuilder()
+                        .width(WIDTH)
+                        .height(HEIGHT)
+                        .title(title)
+                        .xAxisTitle("seconds")
+                        .yAxisTitle(y)
+                        .build();
+        c.getStyler()
+                .setLegendPosition(LegendPosition.OutsideE)
+                .setChartBackgroundColor(java.awt.Color.WHITE);
         return c;
     }
 
-    private static void series(XYChart chart, String name, CaptureSummary s, ToDoubleFunction<CaptureSummary.Second> value) {
+    private static void series(
+            XYChart chart,
+            String name,
+            CaptureSummary s,
+            ToDoubleFunction<CaptureSummary.Second> value) {
         List<Integer> x = new ArrayList<>(s.getSeconds().keySet());
         List<Double> y = new ArrayList<>();
         s.getSeconds().values().forEach(v -> y.add(value.applyAsDouble(v)));
--- a/rig/src/main/java/ashlink/rig/baseline/Baseline.java
+++ b/rig/src/main/java/ashlink/rig/baseline/Baseline.java
@@ -9,8 +9,9 @@
 import java.util.Map;
 
 /**
- * A plain balancer: queries wait in turn until the policy names an engine. It repeats what its class allows up to the
- * limit of attempts and answers what is out of time; it knows no health, no worth and no cold engines.
+ * A plain balancer: queries wait in turn until the policy names an engine. It repeats what its
+ * class allows up to the limit of attempts and answers what is out of time; it knows no health, no
+ * worth and no cold engines.
  */
 public final class Baseline implements Gateway {
 
@@ -109,7 +110,11 @@
                 q.out = engine;
                 q.attempts++;
                 running.merge(engine, q.cls.threads(), Integer::sum);
-                out.add(new Send(q.request.id(), engine, Math.max(MS, q.request.deadlineNs() - now - CUT_NS)));
+                out.add(
+                        new Send(
+                                q.request.id(),
+                                engine,
+                                Math.max(MS, q.request.deadlineNs() - now - CUT_NS)));
             }
         }
     }
@@ -117,9 +122,13 @@
     private String choose(QueryClass c) {
         List<String> open = new ArrayList<>();
         for (ListEntry e : engines.values()) {
-            boolean allowed = e.phase() == Phase.READY && (c.kinds().isEmpty() || c.kinds().contains(e.kind()))
-                    && (c.zones().isEmpty() || c.zones().contains(e.zone()));
-            if (allowed && (policy == Policy.ROUND_ROBIN || running.getOrDefault(e.engine(), 0) < most(e))) {
+            boolean allowed =
+                    e.phase() == Phase.READY
+                            && (c.kinds().isEmpty() || c.kinds().contains(e.kind()))
+                            && (c.zones().isEmpty() || c.zones().contains(e.zone()));
+            if (allowed
+                    && (policy == Policy.ROUND_ROBIN
+                            || running.getOrDefault(e.engine(), 0) < most(e))) {
                 open.add(e.engine());
             }
         }
@@ -129,12 +138,18 @@
         if (policy == Policy.ROUND_ROBIN) {
             return open.get(Math.floorMod(turn++, open.size()));
         }
-        return open.stream().min(java.util.Comparator.comparingInt(e -> running.getOrDefault(e, 0))).orElseThrow();
+        return open.stream()
+                .min(java.util.Comparator.comparingInt(e -> running.getOrDefault(e, 0)))
+                .orElseThrow();
     }
 
     private int most(ListEntry e) {
-        int cores = settings.kinds().stream().filter(k -> k.name().equals(e.kind())).mapToInt(EngineKind::cores)
-                .findFirst().orElse(1);
+        int cores =
+                settings.kinds().stream()
+                        .filter(k -> k.name().equals(e.kind()))
+                        .mapToInt(EngineKind::cores)
+                        .findFirst()
+                        .orElse(1);
         return Math.max(1, MOST_A_CORE * cores / settings.gateways());
     }
 
@@ -149,7 +164,8 @@
         if (e.over() || q.over) {
             over(q);
         } else if ((!q.mayHaveRun || q.cls.effect() == Effect.IDEMPOTENT)
-                && q.attempts < settings.allowed().attempts() && now + ANSWER_NS < q.request.deadlineNs()) {
+                && q.attempts < settings.allowed().attempts()
+                && now + ANSWER_NS < q.request.deadlineNs()) {
             held.addLast(q);
         } else {
             answer(q);
@@ -158,8 +174,10 @@
 
     private void answer(Query q) {
         boolean harmless = !q.mayHaveRun || q.cls.effect() == Effect.IDEMPOTENT;
-        out.add(harmless ? new Refuse(q.request.id(), settings.allowed().longestRetryAfterNs())
-                : new Fail(q.request.id()));
+        out.add(
+                harmless
+                        ? new Refuse(q.request.id(), settings.allowed().longestRetryAfterNs())
+                        : new Fail(q.request.id()));
         over(q);
     }
 
--- a/rig/src/main/java/ashlink/rig/bench/BackgroundBench.java
+++ b/rig/src/main/java/ashlink/rig/bench/BackgroundBench.java
@@ -11,7 +11,9 @@
 import java.util.List;
 import java.util.zip.CRC32C;
 
-/** Short queries with background work that takes all that its budgets give, and without, in turns. */
+/**
+ * Short queries with background work that takes all that its budgets give, and without, in turns.
+ */
 public final class BackgroundBench {
 
     private static final long S = 1_000_000_000L;
@@ -31,7 +33,17 @@
     /** Runs it. */
     public void run() throws IOException, InterruptedException {
         StandInEngine engine = Figures.engine("q1");
-        Router router = new Router(BriefSettings.of("r1", "halle-1", 0, 1, 1, 0, List.of(engine), "(limits (drain-grace 2s))"));
+        Router router =
+                new Router(
+                        BriefSettings.of(
+                                "r1",
+                                "halle-1",
+                                0,
+                                1,
+                                1,
+                                0,
+                                List.of(engine),
+                                "(limits (drain-grace 2s))"));
         router.start();
         Loads.closed(router.address(), CONNECTIONS, n -> SHORT, 3 * roundNs);
         double[] ratio = new double[ROUNDS];
@@ -48,17 +60,31 @@
             ratio[i] = with[i] / without[i];
             rate[i] = busy.perSecond() / idle.perSecond();
         }
-        out.printf("short queries, %d connections, %d rounds of %.1f s each way: 99%% %.0f us without background work, %.0f us with "
-                + "its budgets spent; ratio %.2f [%.2f..%.2f], throughput %.2f [%.2f..%.2f]%n", CONNECTIONS, ROUNDS, roundNs / 1e9,
-                Figures.median(without), Figures.median(with), Figures.median(ratio), Figures.least(ratio), Figures.most(ratio),
-                Figures.median(rate), Figures.least(rate), Figures.most(rate));
+        out.printf(
+                "short queries, %d connections, %d rounds of %.1f s each way: 99%% %.0f us without"
+                    + " background work, %.0f us with its budgets spent; ratio %.2f [%.2f..%.2f],"
+                    + " throughput %.2f [%.2f..%.2f]%n",
+                CONNECTIONS,
+                ROUNDS,
+                roundNs / 1e9,
+                Figures.median(without),
+                Figures.median(with),
+                Figures.median(ratio),
+                Figures.least(ratio),
+                Figures.most(ratio),
+                Figures.median(rate),
+                Figures.least(rate),
+                Figures.most(rate));
         router.kill();
         engine.crash();
     }
 
     private Loads.Seen busy(Router router) throws IOException, InterruptedException {
         for (int i = 0; i < 4; i++) {
-            router.background().add(TaskSpec.once("burn" + i, Priority.NORMAL, 100 * S, 100 * S), BackgroundBench::burn);
+            router.background()
+                    .add(
+                            TaskSpec.once("burn" + i, Priority.NORMAL, 100 * S, 100 * S),
+                            BackgroundBench::burn);
         }
         Loads.Seen seen = Loads.closed(router.address(), CONNECTIONS, n -> SHORT, roundNs);
         for (int i = 0; i < 4; i++) {
--- a/rig/src/main/java/ashlink/rig/bench/CodecBench.java
+++ b/rig/src/main/java/ashlink/rig/bench/CodecBench.java
@@ -55,9 +55,16 @@
             floats.add(i * 0.25);
         }
         ByteBuf to = new ByteBuf();
-        Block.of(new Block.Column("id", "UInt64", numbers), new Block.Column("name", "String", texts),
-                new Block.Column("value", "Float64", floats)).write(compression.equals("plain") ? null
-                        : Compression.valueOf(compression.toUpperCase(java.util.Locale.ROOT)), to);
+        Block.of(
+                        new Block.Column("id", "UInt64", numbers),
+                        new Block.Column("name", "String", texts),
+                        new Block.Column("value", "Float64", floats))
+                .write(
+                        compression.equals("plain")
+                                ? null
+                                : Compression.valueOf(
+                                        compression.toUpperCase(java.util.Locale.ROOT)),
+                        to);
         bytes = java.util.Arrays.copyOf(to.array(), to.size());
     }
 
@@ -81,6 +88,7 @@
     /** A nested type. */
     @Benchmark
     public Object parseType() throws IOException {
-        return TypeParser.parse("Map(String, Array(Tuple(a Nullable(Decimal(18, 4)), b LowCardinality(String))))");
+        return TypeParser.parse(
+                "Map(String, Array(Tuple(a Nullable(Decimal(18, 4)), b LowCardinality(String))))");
     }
 }
