--- a/rig/src/main/java/ashlink/rig/bench/Figures.java
+++ b/rig/src/main/java/ashlink/rig/bench/Figures.java
@@ -10,12 +10,33 @@
 /** What benchmarks share: an engine that costs nothing, and figures of this process. */
 final class Figures {
 
-    private Figures() { }
+    private Figures() {}
 
     static StandInEngine engine(String name) throws IOException {
         // Cores without number: what is measured is the way to the engine, not the engine.
-        StandInEngine e = new StandInEngine(new EngineConfig(name, new InetSocketAddress("127.0.0.1", 0), "halle-1", "typ-a",
-                4096, 1 << 30, 1, 1.7, 0.35, 2, false, 10, 1, 0, 0, 1_000_000_000L, true, 100_000, 1, null));
+        StandInEngine e =
+                new StandInEngine(
+                        new EngineConfig(
+                                name,
+                                new InetSocketAddress("127.0.0.1", 0),
+                                "halle-1",
+                                "typ-a",
+                                4096,
+                                1 << 30,
+                                1,
+                                1.7,
+                                0.35,
+                                2,
+                                false,
+                                10,
+                                1,
+                                0,
+                                0,
+                                1_000_000_000L,
+                                true,
+                                100_000,
+                                1,
+                                null));
         e.start();
         return e;
     }
@@ -26,7 +47,8 @@
 
     static long resident() {
         try {
-            for (String line : java.nio.file.Files.readAllLines(java.nio.file.Path.of("/proc/self/status"))) {
+            for (String line :
+                    java.nio.file.Files.readAllLines(java.nio.file.Path.of("/proc/self/status"))) {
                 if (line.startsWith("VmRSS:")) {
                     return Long.parseLong(line.replaceAll("[^0-9]", "")) << 10;
                 }
@@ -38,7 +60,9 @@
     }
 
     static long cpuNs() {
-        return ((com.sun.management.OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean()).getProcessCpuTime();
+        return ((com.sun.management.OperatingSystemMXBean)
+                        ManagementFactory.getOperatingSystemMXBean())
+                .getProcessCpuTime();
     }
 
     static double median(double[] values) {
--- a/rig/src/main/java/ashlink/rig/bench/HttpBench.java
+++ b/rig/src/main/java/ashlink/rig/bench/HttpBench.java
@@ -36,7 +36,8 @@
     private static final int POLLS = 5_000;
     private static final int WAITING = 2_000;
     private static final String SHORT = "SELECT /* sim work_ms=0.001 */ 1";
-    private static final String LARGE = "SELECT /* sim work_ms=0.001 rows=1000 width=1035 blocks=1024 */ 1";
+    private static final String LARGE =
+            "SELECT /* sim work_ms=0.001 rows=1000 width=1035 blocks=1024 */ 1";
 
     private final PrintStream out;
     private final long roundNs;
@@ -51,8 +52,20 @@
     public void run() throws IOException, InterruptedException {
         StandInEngine engine = Figures.engine("q1");
         Path spool = Files.createTempDirectory("ashlink-bench");
-        Router router = new Router(BriefSettings.of("r1", "halle-1", 0, 1, 1, 0, List.of(engine), "(limits (drain-grace 2s))"
-                + "(http (listen 127.0.0.1:0) (spool \"" + spool + "\") (unpolled 10m) (idle 10m) (longest-wait 9m))"));
+        Router router =
+                new Router(
+                        BriefSettings.of(
+                                "r1",
+                                "halle-1",
+                                0,
+                                1,
+                                1,
+                                0,
+                                List.of(engine),
+                                "(limits (drain-grace 2s))"
+                                        + "(http (listen 127.0.0.1:0) (spool \""
+                                        + spool
+                                        + "\") (unpolled 10m) (idle 10m) (longest-wait 9m))"));
         router.start();
         URI server = URI.create("http://127.0.0.1:" + router.httpAddress().getPort());
         closed(router, server, 1);
@@ -70,7 +83,8 @@
         }
     }
 
-    private void closed(Router router, URI server, int connections) throws IOException, InterruptedException {
+    private void closed(Router router, URI server, int connections)
+            throws IOException, InterruptedException {
         double[] natives = new double[ROUNDS];
         double[] https = new double[ROUNDS];
         double[] nativeMedian = new double[ROUNDS];
@@ -88,35 +102,56 @@
                 httpMedian[i] = times.getValueAtPercentile(50) / 1e3;
             }
         }
-        out.printf("closed load, %d connections, short query: native %.0f/s median %.0f us, HTTP %.0f/s median %.0f us; HTTP over "
-                + "native %.2f [%.2f..%.2f]%n", connections, Figures.median(natives), Figures.median(nativeMedian),
-                Figures.median(https), Figures.median(httpMedian), Figures.median(ratio), Figures.least(ratio), Figures.most(ratio));
+        out.printf(
+                "closed load, %d connections, short query: native %.0f/s median %.0f us, HTTP"
+                        + " %.0f/s median %.0f us; HTTP over native %.2f [%.2f..%.2f]%n",
+                connections,
+                Figures.median(natives),
+                Figures.median(nativeMedian),
+                Figures.median(https),
+                Figures.median(httpMedian),
+                Figures.median(ratio),
+                Figures.least(ratio),
+                Figures.most(ratio));
     }
 
-    /** Plain sockets: the JDK's client costs several times what the front does, which is what is measured. */
+    /**
+     * Plain sockets: the JDK's client costs several times what the front does, which is what is
+     * measured.
+     */
     private double http(URI server, int connections, Histogram times) throws InterruptedException {
-        byte[] request = ("POST /v1/statements?wait=10 HTTP/1.1\r\nHost: a\r\nContent-Type: text/plain\r\nContent-Length: "
-                + SHORT.length() + "\r\n\r\n" + SHORT).getBytes(StandardCharsets.US_ASCII);
+        byte[] request =
+                ("POST /v1/statements?wait=10 HTTP/1.1\r\n"
+                                + "Host: a\r\n"
+                                + "Content-Type: text/plain\r\n"
+                                + "Content-Length: "
+                                + SHORT.length()
+                                + "\r\n\r\n"
+                                + SHORT)
+                        .getBytes(StandardCharsets.US_ASCII);
         CountDownLatch done = new CountDownLatch(connections);
         long from = System.nanoTime();
         for (int i = 0; i < connections; i++) {
-            Thread t = new Thread(() -> {
-                try (Socket s = new Socket("127.0.0.1", server.getPort())) {
-                    s.setTcpNoDelay(true);
-                    InputStream in = new BufferedInputStream(s.getInputStream());
-                    while (System.nanoTime() - from < roundNs) {
-                        long at = System.nanoTime();
-                        s.getOutputStream().write(request);
-                        if (answer(in)) {
-                            times.recordValue(System.nanoTime() - at);
-                        }
-                    }
-                } catch (IOException e) {
-                    out.println("  a connection broke: " + e);
-                } finally {
-                    done.countDown();
-                }
-            }, "http-load");
+            Thread t =
+                    new Thread(
+                            () -> {
+                                try (Socket s = new Socket("127.0.0.1", server.getPort())) {
+                                    s.setTcpNoDelay(true);
+                                    InputStream in = new BufferedInputStream(s.getInputStream());
+                                    while (System.nanoTime() - from < roundNs) {
+                                        long at = System.nanoTime();
+                                        s.getOutputStream().write(request);
+                                        if (answer(in)) {
+                                            times.recordValue(System.nanoTime() - at);
+                                        }
+                                    }
+                                } catch (IOException e) {
+                                    out.println("  a connection broke: " + e);
+                                } finally {
+                                    done.countDown();
+                                }
+                            },
+                            "http-load");
             t.setDaemon(true);
             t.start();
         }
@@ -165,24 +200,42 @@
             long from = System.nanoTime();
             long bytes = 0;
             count = 0;
-            HttpRequest.Builder next = HttpRequest.newBuilder(server.resolve("/v1/statements?wait=60&max_execution_time=60"
-                    + "&ashlink_class=bericht")).POST(HttpRequest.BodyPublishers.ofString(LARGE));
+            HttpRequest.Builder next =
+                    HttpRequest.newBuilder(
+                                    server.resolve(
+                                            "/v1/statements?wait=60&max_execution_time=60"
+                                                    + "&ashlink_class=bericht"))
+                            .POST(HttpRequest.BodyPublishers.ofString(LARGE));
             while (next != null) {
-                HttpResponse<byte[]> r = client.send(next.header("Accept", "text/csv").build(), BodyHandlers.ofByteArray());
+                HttpResponse<byte[]> r =
+                        client.send(
+                                next.header("Accept", "text/csv").build(),
+                                BodyHandlers.ofByteArray());
                 if (r.statusCode() != 200) {
-                    throw new IOException(r.statusCode() + " " + new String(r.body(), StandardCharsets.UTF_8));
+                    throw new IOException(
+                            r.statusCode() + " " + new String(r.body(), StandardCharsets.UTF_8));
                 }
                 bytes += r.body().length;
                 count++;
                 most = Math.max(most, router.http().spooled());
                 String link = r.headers().firstValue("Link").orElse("");
-                next = link.isEmpty() ? null : HttpRequest.newBuilder(server.resolve(
-                        link.substring(1, link.indexOf('>')) + "?wait=60"));
+                next =
+                        link.isEmpty()
+                                ? null
+                                : HttpRequest.newBuilder(
+                                        server.resolve(
+                                                link.substring(1, link.indexOf('>')) + "?wait=60"));
             }
             pages[i] = bytes / (double) (1 << 20) / ((System.nanoTime() - from) / 1e9);
         }
-        out.printf("result of 1 GiB: native %.0f MiB/s, %d pages of CSV %.0f MiB/s, %.2f of it; %d MiB on the spool at most%n",
-                Figures.median(natives), count, Figures.median(pages), Figures.median(pages) / Figures.median(natives), most >> 20);
+        out.printf(
+                "result of 1 GiB: native %.0f MiB/s, %d pages of CSV %.0f MiB/s, %.2f of it; %d MiB"
+                        + " on the spool at most%n",
+                Figures.median(natives),
+                count,
+                Figures.median(pages),
+                Figures.median(pages) / Figures.median(natives),
+                most >> 20);
     }
 
     /** Memory of statements under way that nobody waits for. */
@@ -191,26 +244,45 @@
         System.gc();
         long heap = Figures.used();
         for (int i = 0; i < WAITING; i++) {
-            client.send(HttpRequest.newBuilder(server.resolve("/v1/statements?ashlink_class=bericht"))
-                    .POST(HttpRequest.BodyPublishers.ofString(SHORT)).build(), BodyHandlers.discarding());
+            client.send(
+                    HttpRequest.newBuilder(server.resolve("/v1/statements?ashlink_class=bericht"))
+                            .POST(HttpRequest.BodyPublishers.ofString(SHORT))
+                            .build(),
+                    BodyHandlers.discarding());
         }
         System.gc();
-        out.printf("%d statements that wait: heap %.1f KiB each%n", router.http().open(), (Figures.used() - heap) / 1024.0 / WAITING);
+        out.printf(
+                "%d statements that wait: heap %.1f KiB each%n",
+                router.http().open(), (Figures.used() - heap) / 1024.0 / WAITING);
     }
 
-    /** Long polls of one statement on connections of their own: what they cost while they wait, and how long all take to wake. */
+    /**
+     * Long polls of one statement on connections of their own: what they cost while they wait, and
+     * how long all take to wake.
+     */
     private void polls(Router router, URI server) throws IOException, InterruptedException {
         HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-        String body = client.send(HttpRequest.newBuilder(server.resolve("/v1/statements?ashlink_class=bericht"))
-                .POST(HttpRequest.BodyPublishers.ofString(SHORT)).build(), BodyHandlers.ofString()).body();
+        String body =
+                client.send(
+                                HttpRequest.newBuilder(
+                                                server.resolve(
+                                                        "/v1/statements?ashlink_class=bericht"))
+                                        .POST(HttpRequest.BodyPublishers.ofString(SHORT))
+                                        .build(),
+                                BodyHandlers.ofString())
+                        .body();
         String id = body.replaceAll(".*\"id\":\"([^\"]+)\".*", "$1");
         int threads = Thread.activeCount();
         List<Socket> sockets = new ArrayList<>();
         for (int i = 0; i < POLLS; i++) {
             Socket s = new Socket();
             s.connect(new InetSocketAddress("127.0.0.1", server.getPort()));
-            s.getOutputStream().write(("GET /v1/statements/" + id + "/pages/0?wait=500 HTTP/1.1\r\nHost: a\r\n\r\n")
-                    .getBytes(StandardCharsets.US_ASCII));
+            s.getOutputStream()
+                    .write(
+                            ("GET /v1/statements/"
+                                            + id
+                                            + "/pages/0?wait=500 HTTP/1.1\r\nHost: a\r\n\r\n")
+                                    .getBytes(StandardCharsets.US_ASCII));
             sockets.add(s);
         }
         Thread.sleep(1_000);
@@ -220,15 +292,28 @@
         double share = (Figures.cpuNs() - cpu) / 5e9;
         cpu = Figures.cpuNs();
         long from = System.nanoTime();
-        client.send(HttpRequest.newBuilder(server.resolve("/v1/statements/" + id)).DELETE().build(), BodyHandlers.discarding());
+        client.send(
+                HttpRequest.newBuilder(server.resolve("/v1/statements/" + id)).DELETE().build(),
+                BodyHandlers.discarding());
         int answered = 0;
         for (Socket s : sockets) {
             InputStream in = s.getInputStream();
-            answered += new String(in.readNBytes(12), StandardCharsets.US_ASCII).equals("HTTP/1.1 409") ? 1 : 0;
+            answered +=
+                    new String(in.readNBytes(12), StandardCharsets.US_ASCII).equals("HTTP/1.1 409")
+                            ? 1
+                            : 0;
         }
-        out.printf("%d long polls of one statement: %d more threads, %.1f%% of a core while they wait (with %d statements under way); "
-                + "%d answered %.0f ms after its end, for %.0f ms of CPU%n", POLLS, more, share * 100, router.http().open(), answered,
-                (System.nanoTime() - from) / 1e6, (Figures.cpuNs() - cpu) / 1e6);
+        out.printf(
+                "%d long polls of one statement: %d more threads, %.1f%% of a core while they wait"
+                    + " (with %d statements under way); %d answered %.0f ms after its end, for %.0f"
+                    + " ms of CPU%n",
+                POLLS,
+                more,
+                share * 100,
+                router.http().open(),
+                answered,
+                (System.nanoTime() - from) / 1e6,
+                (Figures.cpuNs() - cpu) / 1e6);
         for (Socket s : sockets) {
             s.close();
         }
--- a/rig/src/main/java/ashlink/rig/bench/Loads.java
+++ b/rig/src/main/java/ashlink/rig/bench/Loads.java
@@ -18,26 +18,33 @@
 final class Loads {
 
     /** What a load saw; times in nanoseconds. */
-    record Seen(double perSecond, Histogram times, long failed, String failure) { }
+    record Seen(double perSecond, Histogram times, long failed, String failure) {}
 
     private static final long S = 1_000_000_000L;
     private static final long LONGEST_NS = 60 * S;
 
-    private Loads() { }
+    private Loads() {}
 
     /** Each of the connections sends the next statement as soon as the last has its answer. */
-    static Seen closed(InetSocketAddress to, int connections, LongFunction<String> statements, long forNs)
+    static Seen closed(
+            InetSocketAddress to, int connections, LongFunction<String> statements, long forNs)
             throws IOException, InterruptedException {
         return run(List.of(to), connections, statements, forNs, 0);
     }
 
     /** Statements at a fixed rate over all connections; times count from when each was due. */
-    static Seen open(List<InetSocketAddress> to, int connections, String statement, long forNs, double rate)
+    static Seen open(
+            List<InetSocketAddress> to, int connections, String statement, long forNs, double rate)
             throws IOException, InterruptedException {
         return run(to, connections, n -> statement, forNs, rate);
     }
 
-    private static Seen run(List<InetSocketAddress> to, int connections, LongFunction<String> statements, long forNs, double rate)
+    private static Seen run(
+            List<InetSocketAddress> to,
+            int connections,
+            LongFunction<String> statements,
+            long forNs,
+            double rate)
             throws IOException, InterruptedException {
         Histogram times = new ConcurrentHistogram(LONGEST_NS, 3);
         AtomicLong failed = new AtomicLong();
@@ -51,31 +58,54 @@
         }
         long from = System.nanoTime();
         for (NativeClient c : clients) {
-            Thread t = new Thread(null, () -> {
-                try (c) {
-                    while (true) {
-                        long at = rate > 0 ? from + (long) (due.getAndIncrement() / rate * S) : System.nanoTime();
-                        if (at - from >= forNs) {
-                            return;
-                        }
-                        pause(at);
-                        Reply r = c.query("", statements.apply(sent.getAndIncrement()), Map.of(), 30 * S);
-                        if (r.kind() == Reply.Kind.SERVED) {
-                            times.recordValue(Math.min(LONGEST_NS, Math.max(1, r.endNs() - at)));
-                        } else {
-                            failed.incrementAndGet();
-                            failure.set(r.kind() + " " + r.message());
-                        }
-                    }
-                } finally {
-                    done.countDown();
-                }
-            }, "load", 256 << 10);
+            Thread t =
+                    new Thread(
+                            null,
+                            () -> {
+                                try (c) {
+                                    while (true) {
+                                        long at =
+                                                rate > 0
+                                                        ? from
+                                                                + (long)
+                                                                        (due.getAndIncrement()
+                                                                                / rate
+                                                                                * S)
+                                                        : System.nanoTime();
+                                        if (at - from >= forNs) {
+                                            return;
+                                        }
+                                        pause(at);
+                                        Reply r =
+                                                c.query(
+                                                        "",
+                                                        statements.apply(sent.getAndIncrement()),
+                                                        Map.of(),
+                                                        30 * S);
+                                        if (r.kind() == Reply.Kind.SERVED) {
+                                            times.recordValue(
+                                                    Math.min(
+                                                            LONGEST_NS,
+                                                            Math.max(1, r.endNs() - at)));
+                                        } else {
+                                            failed.incrementAndGet();
+                                            failure.set(r.kind() + " " + r.message());
+                                        }
+                                    }
+                                } finally {
+                                    done.countDown();
+                                }
+                            },
+                            "load",
+                            256 << 10);
             t.setDaemon(true);
             t.start();
         }
         done.await();
-        return new Seen(times.getTotalCount() * (double) S / (System.nanoTime() - from), times, failed.get(),
+        return new Seen(
+                times.getTotalCount() * (double) S / (System.nanoTime() - from),
+                times,
+                failed.get(),
                 failure.get());
     }
 
--- a/rig/src/main/java/ashlink/rig/bench/Relay.java
+++ b/rig/src/main/java/ashlink/rig/bench/Relay.java
@@ -8,7 +8,9 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 
-/** A plain relay of bytes with the router's thread model: what any hop costs, whatever it decides. */
+/**
+ * A plain relay of bytes with the router's thread model: what any hop costs, whatever it decides.
+ */
 final class Relay implements AutoCloseable {
 
     private static final int BUFFER_BYTES = 128 << 10;
@@ -50,7 +52,8 @@
 
     private static void copy(Socket from, Socket to) {
         byte[] buffer = new byte[BUFFER_BYTES];
-        try (from; to) {
+        try (from;
+                to) {
             InputStream in = from.getInputStream();
             OutputStream out = to.getOutputStream();
             for (int n = in.read(buffer); n >= 0; n = in.read(buffer)) {
--- a/rig/src/main/java/ashlink/rig/bench/RouterBench.java
+++ b/rig/src/main/java/ashlink/rig/bench/RouterBench.java
@@ -19,8 +19,9 @@
 import java.util.stream.Stream;
 
 /**
- * The same loads through a direct connection, a plain relay and the router, taken in turns in one run, so that ratios
- * hold on a noisy machine. Engines, clients and router share one process: figures a second are of this machine only.
+ * The same loads through a direct connection, a plain relay and the router, taken in turns in one
+ * run, so that ratios hold on a noisy machine. Engines, clients and router share one process:
+ * figures a second are of this machine only.
  */
 public final class RouterBench {
 
@@ -38,18 +39,29 @@
         this.roundNs = roundNs;
     }
 
-    private Router router(String name, int position, int gateways, List<StandInEngine> engines, String more)
+    private Router router(
+            String name, int position, int gateways, List<StandInEngine> engines, String more)
             throws IOException {
-        Router r = new Router(BriefSettings.of(name, "halle-1", position, gateways, 1, 0, engines,
-                "(limits (drain-grace 2s))" + more), s -> {
-                    Rules rules = new Rules(s);
-                    return (event, now) -> {
-                        long from = System.nanoTime();
-                        List<Action> actions = rules.on(event, now);
-                        decidingNs.addAndGet(System.nanoTime() - from);
-                        return actions;
-                    };
-                });
+        Router r =
+                new Router(
+                        BriefSettings.of(
+                                name,
+                                "halle-1",
+                                position,
+                                gateways,
+                                1,
+                                0,
+                                engines,
+                                "(limits (drain-grace 2s))" + more),
+                        s -> {
+                            Rules rules = new Rules(s);
+                            return (event, now) -> {
+                                long from = System.nanoTime();
+                                List<Action> actions = rules.on(event, now);
+                                decidingNs.addAndGet(System.nanoTime() - from);
+                                return actions;
+                            };
+                        });
         r.start();
         return r;
     }
@@ -60,7 +72,8 @@
         try (Relay relay = new Relay(engine.address())) {
             Router router = router("r1", 0, 1, List.of(engine), "");
             Path folder = Files.createTempDirectory("ashlink-bench");
-            Router captured = router("r2", 0, 1, List.of(engine), "(capture (dir \"" + folder + "\"))");
+            Router captured =
+                    router("r2", 0, 1, List.of(engine), "(capture (dir \"" + folder + "\"))");
             Map<String, InetSocketAddress> ways = new java.util.LinkedHashMap<>();
             ways.put("direct", engine.address());
             ways.put("relay", relay.address());
@@ -87,24 +100,37 @@
         three();
     }
 
-    private void closed(Map<String, InetSocketAddress> ways, int connections) throws IOException, InterruptedException {
+    private void closed(Map<String, InetSocketAddress> ways, int connections)
+            throws IOException, InterruptedException {
         Map<String, double[]> rates = new java.util.LinkedHashMap<>();
         Map<String, double[]> medians = new java.util.LinkedHashMap<>();
         for (int round = 0; round < ROUNDS; round++) {
             for (Map.Entry<String, InetSocketAddress> w : ways.entrySet()) {
                 Loads.Seen seen = Loads.closed(w.getValue(), connections, n -> SHORT, roundNs);
-                rates.computeIfAbsent(w.getKey(), k -> new double[ROUNDS])[round] = seen.perSecond();
+                rates.computeIfAbsent(w.getKey(), k -> new double[ROUNDS])[round] =
+                        seen.perSecond();
                 medians.computeIfAbsent(w.getKey(), k -> new double[ROUNDS])[round] =
                         seen.times().getValueAtPercentile(50) / 1e3;
                 if (seen.failed() > 0) {
-                    out.printf("  %s: %d failed, such as: %s%n", w.getKey(), seen.failed(), seen.failure());
+                    out.printf(
+                            "  %s: %d failed, such as: %s%n",
+                            w.getKey(), seen.failed(), seen.failure());
                 }
             }
         }
-        out.printf("closed load, %d connections, short query, %d rounds of %.1f s each way:%n", connections, ROUNDS,
-                roundNs / 1e9);
-        ways.keySet().forEach(w -> out.printf("  %-8s %8.0f/s [%.0f..%.0f]  median %7.1f us%n", w, Figures.median(rates.get(w)),
-                Figures.least(rates.get(w)), Figures.most(rates.get(w)), Figures.median(medians.get(w))));
+        out.printf(
+                "closed load, %d connections, short query, %d rounds of %.1f s each way:%n",
+                connections, ROUNDS, roundNs / 1e9);
+        ways.keySet()
+                .forEach(
+                        w ->
+                                out.printf(
+                                        "  %-8s %8.0f/s [%.0f..%.0f]  median %7.1f us%n",
+                                        w,
+                                        Figures.median(rates.get(w)),
+                                        Figures.least(rates.get(w)),
+                                        Figures.most(rates.get(w)),
+                                        Figures.median(medians.get(w))));
         double[] ratio = new double[ROUNDS];
         double[] added = new double[ROUNDS];
         double[] captured = new double[ROUNDS];
@@ -113,26 +139,60 @@
             added[i] = medians.get("router")[i] - medians.get("relay")[i];
             captured[i] = rates.get("captured")[i] / rates.get("router")[i];
         }
-        out.printf("  router over relay: throughput %.2f [%.2f..%.2f], added median %.0f us [%.0f..%.0f]%n", Figures.median(ratio),
-                Figures.least(ratio), Figures.most(ratio), Figures.median(added), Figures.least(added), Figures.most(added));
-        out.printf("  with capture over without: throughput %.2f [%.2f..%.2f]%n", Figures.median(captured), Figures.least(captured), Figures.most(captured));
+        out.printf(
+                "  router over relay: throughput %.2f [%.2f..%.2f], added median %.0f us"
+                        + " [%.0f..%.0f]%n",
+                Figures.median(ratio),
+                Figures.least(ratio),
+                Figures.most(ratio),
+                Figures.median(added),
+                Figures.least(added),
+                Figures.most(added));
+        out.printf(
+                "  with capture over without: throughput %.2f [%.2f..%.2f]%n",
+                Figures.median(captured), Figures.least(captured), Figures.most(captured));
     }
 
-    /** The same text each time, which is remembered, against texts that are all new and read each time. */
+    /**
+     * The same text each time, which is remembered, against texts that are all new and read each
+     * time.
+     */
     private void reading(InetSocketAddress router) throws IOException, InterruptedException {
-        String text = "SELECT /* sim work_ms=0.001 */ meter, sum(value) AS total, max(ts) FROM readings WHERE meter IN (4711, 4712,"
-                + " 4713) AND ts >= '2026-01-01 00:00:00' AND kind = 'heat' AND id = %d GROUP BY meter ORDER BY total DESC";
+        String text =
+                "SELECT /* sim work_ms=0.001 */ meter, sum(value) AS total, max(ts) FROM readings"
+                    + " WHERE meter IN (4711, 4712, 4713) AND ts >= '2026-01-01 00:00:00' AND kind"
+                    + " = 'heat' AND id = %d GROUP BY meter ORDER BY total DESC";
         double[] known = new double[ROUNDS];
         double[] fresh = new double[ROUNDS];
         AtomicLong number = new AtomicLong();
         for (int i = 0; i < ROUNDS; i++) {
-            known[i] = Loads.closed(router, 1, n -> text.replace("%d", "1"), roundNs).times().getValueAtPercentile(50) / 1e3;
-            fresh[i] = Loads.closed(router, 1, n -> text.replace("%d", Long.toString(number.incrementAndGet())), roundNs)
-                    .times().getValueAtPercentile(50) / 1e3;
+            known[i] =
+                    Loads.closed(router, 1, n -> text.replace("%d", "1"), roundNs)
+                                    .times()
+                                    .getValueAtPercentile(50)
+                            / 1e3;
+            fresh[i] =
+                    Loads.closed(
+                                            router,
+                                            1,
+                                            n ->
+                                                    text.replace(
+                                                            "%d",
+                                                            Long.toString(
+                                                                    number.incrementAndGet())),
+                                            roundNs)
+                                    .times()
+                                    .getValueAtPercentile(50)
+                            / 1e3;
         }
-        out.printf("statement of 200 characters, 1 connection: median %.1f us where its reading is remembered, %.1f us where it is "
-                + "read anew: %.1f us added [%.1f..%.1f]%n", Figures.median(known), Figures.median(fresh), Figures.median(fresh) - Figures.median(known),
-                Figures.least(fresh) - Figures.least(known), Figures.most(fresh) - Figures.most(known));
+        out.printf(
+                "statement of 200 characters, 1 connection: median %.1f us where its reading is"
+                    + " remembered, %.1f us where it is read anew: %.1f us added [%.1f..%.1f]%n",
+                Figures.median(known),
+                Figures.median(fresh),
+                Figures.median(fresh) - Figures.median(known),
+                Figures.least(fresh) - Figures.least(known),
+                Figures.most(fresh) - Figures.most(known));
     }
 
     /** A result of 1 GiB: 1,024 blocks of 1 MiB. */
@@ -158,9 +218,14 @@
                 peak = Math.max(peak, Figures.used() - before);
             }
         }
-        out.printf("result of 1 GiB: direct %.0f, relay %.0f, router %.0f MiB/s; router over relay %.2f; memory left over after "
-                + "it %d KiB at most%n", Figures.median(rates.get("direct")), Figures.median(rates.get("relay")), Figures.median(rates.get("router")),
-                Figures.median(rates.get("router")) / Figures.median(rates.get("relay")), peak >> 10);
+        out.printf(
+                "result of 1 GiB: direct %.0f, relay %.0f, router %.0f MiB/s; router over relay"
+                        + " %.2f; memory left over after it %d KiB at most%n",
+                Figures.median(rates.get("direct")),
+                Figures.median(rates.get("relay")),
+                Figures.median(rates.get("router")),
+                Figures.median(rates.get("router")) / Figures.median(rates.get("relay")),
+                peak >> 10);
     }
 
     /** Memory of idle connections, both their ends in this process. */
@@ -174,8 +239,11 @@
             clients.add(NativeClient.connect(router.address(), "portal"));
         }
         System.gc();
-        out.printf("%d idle connections: heap %.1f KiB each for both ends, resident %.1f KiB each%n", n,
-                (Figures.used() - heap) / 1024.0 / n, (Figures.resident() - resident) / 1024.0 / n);
+        out.printf(
+                "%d idle connections: heap %.1f KiB each for both ends, resident %.1f KiB each%n",
+                n,
+                (Figures.used() - heap) / 1024.0 / n,
+                (Figures.resident() - resident) / 1024.0 / n);
         clients.forEach(NativeClient::close);
     }
 
@@ -195,10 +263,15 @@
         long deciding = decidingNs.get();
         Loads.Seen seen = Loads.open(addresses, 60, SHORT, 5 * roundNs, 660);
         double each = (Figures.cpuNs() - cpu) / 1e3 / seen.times().getTotalCount();
-        out.printf("open load of 660/s over three routers: %.0f/s served, %d failed, median %.0f us, 99%% %.0f us; CPU a query "
-                + "%.0f us for clients, routers and engines together, of which the module's decisions %.0f us%n",
-                seen.perSecond(), seen.failed(), seen.times().getValueAtPercentile(50) / 1e3,
-                seen.times().getValueAtPercentile(99) / 1e3, each,
+        out.printf(
+                "open load of 660/s over three routers: %.0f/s served, %d failed, median %.0f us,"
+                        + " 99%% %.0f us; CPU a query %.0f us for clients, routers and engines"
+                        + " together, of which the module's decisions %.0f us%n",
+                seen.perSecond(),
+                seen.failed(),
+                seen.times().getValueAtPercentile(50) / 1e3,
+                seen.times().getValueAtPercentile(99) / 1e3,
+                each,
                 (decidingNs.get() - deciding) / 1e3 / seen.times().getTotalCount());
         routers.forEach(Router::kill);
         engines.forEach(StandInEngine::crash);
--- a/rig/src/main/java/ashlink/rig/check/Checker.java
+++ b/rig/src/main/java/ashlink/rig/check/Checker.java
@@ -20,10 +20,13 @@
 public final class Checker {
 
     private static final long MS = 1_000_000L;
+
     /** Two clocks of one machine, a thread that was late, a look every 10 ms at the stand-in. */
     private static final long SKEW_NS = 60 * MS;
+
     /** Time between two sends of a client by which the router took them in that order. */
     private static final long PLAIN_ORDER_NS = 100 * MS;
+
     /** Time before a drain in which the engine was in use by that router. */
     private static final long IN_USE_NS = 2_000 * MS;
 
@@ -41,7 +44,14 @@
 
     /** A verdict for each rule, in the order of the brief. */
     public List<Verdict> verdicts() {
-        return List.of(oneAnswer(), noEffectTwice(), drainsKept(), coldEngines(), order(), placement(), budget());
+        return List.of(
+                oneAnswer(),
+                noEffectTwice(),
+                drainsKept(),
+                coldEngines(),
+                order(),
+                placement(),
+                budget());
     }
 
     private QueryClass cls(Try t) {
@@ -49,12 +59,18 @@
     }
 
     private boolean routerDied(Try t) {
-        return facts.routerKills().stream().anyMatch(k -> k.name().equals(t.router())
-                && k.touches(t.sentNs(), t.reply().endNs()));
+        return facts.routerKills().stream()
+                .anyMatch(
+                        k ->
+                                k.name().equals(t.router())
+                                        && k.touches(t.sentNs(), t.reply().endNs()));
     }
 
     // ---- 1
-    /** At stake where not all went well at once: another attempt, no plain success, or a router under way to its end. */
+    /**
+     * At stake where not all went well at once: another attempt, no plain success, or a router
+     * under way to its end.
+     */
     private Verdict oneAnswer() {
         List<String> broken = new ArrayList<>();
         int stake = 0;
@@ -62,12 +78,26 @@
             if (!t.sent() || routerDied(t)) {
                 continue;
             }
-            boolean plain = t.reply().kind() == Reply.Kind.SERVED && byTag.getOrDefault(t.tag(), List.of()).size() == 1;
+            boolean plain =
+                    t.reply().kind() == Reply.Kind.SERVED
+                            && byTag.getOrDefault(t.tag(), List.of()).size() == 1;
             stake += plain ? 0 : 1;
             if (!t.reply().isFinal()) {
-                broken.add(t.tag() + " " + t.queryClass() + " at " + t.router() + ": " + t.reply().kind() + " "
-                        + t.reply().message() + " after " + (t.reply().endNs() - t.sentNs()) / MS + " of "
-                        + (t.deadlineNs() - t.sentNs()) / MS + " ms");
+                broken.add(
+                        t.tag()
+                                + " "
+                                + t.queryClass()
+                                + " at "
+                                + t.router()
+                                + ": "
+                                + t.reply().kind()
+                                + " "
+                                + t.reply().message()
+                                + " after "
+                                + (t.reply().endNs() - t.sentNs()) / MS
+                                + " of "
+                                + (t.deadlineNs() - t.sentNs()) / MS
+                                + " ms");
             } else if (t.stray()) {
                 broken.add(t.tag() + ": something followed its final answer");
             }
@@ -76,7 +106,10 @@
     }
 
     // ---- 2
-    /** At stake where an attempt at an unsafe statement did not end in an answer, or a query had two attempts. */
+    /**
+     * At stake where an attempt at an unsafe statement did not end in an answer, or a query had two
+     * attempts.
+     */
     private Verdict noEffectTwice() {
         List<String> broken = new ArrayList<>();
         int stake = 0;
@@ -84,12 +117,24 @@
         for (Try t : facts.tries()) {
             List<Sent> entries = byTag.getOrDefault(t.tag(), List.of());
             boolean unsafe = cls(t).effect() == Effect.AT_MOST_ONCE;
-            long runs = entries.stream().filter(e -> e.ranNs() > 0 && e.how() != How.TURNED_AWAY).count();
+            long runs =
+                    entries.stream()
+                            .filter(e -> e.ranNs() > 0 && e.how() != How.TURNED_AWAY)
+                            .count();
             if (unsafe) {
-                stake += entries.stream().anyMatch(e -> e.how() != How.ANSWERED) || t.reply().kind() != Reply.Kind.SERVED
-                        ? 1 : 0;
+                stake +=
+                        entries.stream().anyMatch(e -> e.how() != How.ANSWERED)
+                                        || t.reply().kind() != Reply.Kind.SERVED
+                                ? 1
+                                : 0;
                 if (ran.merge(t.request(), (int) runs, Integer::sum) > 1) {
-                    broken.add(t.tag() + " " + t.queryClass() + " ran " + ran.get(t.request()) + " times");
+                    broken.add(
+                            t.tag()
+                                    + " "
+                                    + t.queryClass()
+                                    + " ran "
+                                    + ran.get(t.request())
+                                    + " times");
                 }
                 if (t.isRefused() && runs > 0) {
                     broken.add(t.tag() + " was refused as harmless, and ran");
@@ -98,8 +143,12 @@
             for (int i = 1; i < entries.size(); i++) {
                 stake++;
                 if (entries.get(i).beganNs() + SKEW_NS < entries.get(i - 1).outUntilNs()) {
-                    broken.add(t.tag() + " had an attempt at " + entries.get(i).engine() + " while one was out at "
-                            + entries.get(i - 1).engine());
+                    broken.add(
+                            t.tag()
+                                    + " had an attempt at "
+                                    + entries.get(i).engine()
+                                    + " while one was out at "
+                                    + entries.get(i - 1).engine());
                 }
             }
         }
@@ -117,8 +166,15 @@
                 if (e.engine().equals(d.engine()) && e.router().equals(d.router())) {
                     used |= e.beganNs() > d.toldNs() - IN_USE_NS && e.beganNs() < d.toldNs();
                     if (e.beganNs() > d.toldNs() + grace && e.beganNs() < d.untilNs()) {
-                        broken.add(e.tag() + " began at " + e.engine() + " " + (e.beganNs() - d.toldNs()) / MS + " ms after "
-                                + d.router() + " was told of its drain");
+                        broken.add(
+                                e.tag()
+                                        + " began at "
+                                        + e.engine()
+                                        + " "
+                                        + (e.beganNs() - d.toldNs()) / MS
+                                        + " ms after "
+                                        + d.router()
+                                        + " was told of its drain");
                     }
                 }
             }
@@ -128,26 +184,51 @@
     }
 
     // ---- 4
-    /** What all routers together sent in any window stays under the multiple of what the engine could do then. */
+    /**
+     * What all routers together sent in any window stays under the multiple of what the engine
+     * could do then.
+     */
     private Verdict coldEngines() {
-        List<String> broken = new ArrayList<>(facts.fallen().stream().map(e -> e + " fell over").toList());
+        List<String> broken =
+                new ArrayList<>(facts.fallen().stream().map(e -> e + " fell over").toList());
         int stake = 0;
         var limits = facts.settings().limits();
         for (Span down : facts.engineDowns()) {
             EngineConfig c = facts.day().engines().get(down.name());
-            List<Sent> sent = facts.ledger().stream().filter(e -> e.engine().equals(down.name())
-                    && e.beganNs() >= down.untilNs() && e.beganNs() < down.untilNs() + limits.coldNs())
-                    .sorted(Comparator.comparingLong(e -> e.beganNs())).toList();
+            List<Sent> sent =
+                    facts.ledger().stream()
+                            .filter(
+                                    e ->
+                                            e.engine().equals(down.name())
+                                                    && e.beganNs() >= down.untilNs()
+                                                    && e.beganNs()
+                                                            < down.untilNs() + limits.coldNs())
+                            .sorted(Comparator.comparingLong(e -> e.beganNs()))
+                            .toList();
             stake += sent.size();
             double windowMs = limits.coldWindowNs() / (double) MS;
             for (Sent last : sent) {
-                double work = sent.stream().filter(e -> e.beganNs() <= last.beganNs()
-                        && e.beganNs() > last.beganNs() - limits.coldWindowNs()).mapToDouble(e -> e.workMs()).sum();
+                double work =
+                        sent.stream()
+                                .filter(
+                                        e ->
+                                                e.beganNs() <= last.beganNs()
+                                                        && e.beganNs()
+                                                                > last.beganNs()
+                                                                        - limits.coldWindowNs())
+                                .mapToDouble(e -> e.workMs())
+                                .sum();
                 double warm = Math.min(1, (last.beganNs() - down.untilNs()) / (double) c.coldNs());
                 double can = c.cores() * c.speed() * (c.coldFrom() + (1 - c.coldFrom()) * warm);
                 if (work > limits.coldMultiple() * can * windowMs) {
-                    broken.add(last.tag() + ": " + Math.round(work) + " ms of work in a window at " + down.name()
-                            + ", which can do " + Math.round(can * windowMs));
+                    broken.add(
+                            last.tag()
+                                    + ": "
+                                    + Math.round(work)
+                                    + " ms of work in a window at "
+                                    + down.name()
+                                    + ", which can do "
+                                    + Math.round(can * windowMs));
                 }
             }
         }
@@ -168,7 +249,9 @@
         for (List<Try> line : lines.values()) {
             line.sort(Comparator.comparingLong(Try::sentNs));
             for (int i = 0; i < line.size(); i++) {
-                for (int j = i + 1; j < line.size() && line.get(j).sentNs() < line.get(i).reply().endNs(); j++) {
+                for (int j = i + 1;
+                        j < line.size() && line.get(j).sentNs() < line.get(i).reply().endNs();
+                        j++) {
                     if (!routerDied(line.get(i)) && !routerDied(line.get(j))) {
                         stake++;
                         compare(line.get(i), line.get(j), broken);
@@ -182,17 +265,33 @@
     private void compare(Try first, Try second, List<String> broken) {
         for (Sent a : byTag.getOrDefault(first.tag(), List.of())) {
             for (Sent b : byTag.getOrDefault(second.tag(), List.of())) {
-                if (a.beganNs() <= b.beganNs() ? b.beganNs() + SKEW_NS < a.outUntilNs() : a.beganNs() + SKEW_NS < b.outUntilNs()) {
-                    broken.add(first.tag() + " and " + second.tag() + " of key " + first.key() + " were out together");
-                } else if (b.beganNs() < a.beganNs() && second.sentNs() - first.sentNs() > PLAIN_ORDER_NS) {
-                    broken.add(second.tag() + " of key " + first.key() + " went before " + first.tag());
+                if (a.beganNs() <= b.beganNs()
+                        ? b.beganNs() + SKEW_NS < a.outUntilNs()
+                        : a.beganNs() + SKEW_NS < b.outUntilNs()) {
+                    broken.add(
+                            first.tag()
+                                    + " and "
+                                    + second.tag()
+                                    + " of key "
+                                    + first.key()
+                                    + " were out together");
+                } else if (b.beganNs() < a.beganNs()
+                        && second.sentNs() - first.sentNs() > PLAIN_ORDER_NS) {
+                    broken.add(
+                            second.tag()
+                                    + " of key "
+                                    + first.key()
+                                    + " went before "
+                                    + first.tag());
                 }
             }
         }
     }
 
     // ---- 6
-    /** At stake in each attempt at a bound class while an engine that it may go to was sick or down. */
+    /**
+     * At stake in each attempt at a bound class while an engine that it may go to was sick or down.
+     */
     private Verdict placement() {
         List<String> broken = new ArrayList<>();
         int stake = 0;
@@ -202,13 +301,32 @@
                 continue;
             }
             for (Sent e : byTag.getOrDefault(t.tag(), List.of())) {
-                boolean pressed = facts.sick().stream().anyMatch(s -> s.touches(e.beganNs(), e.beganNs())
-                        && c.kinds().contains(facts.day().engines().get(s.name()).kind()))
-                        || facts.engineDowns().stream().anyMatch(s -> s.touches(e.beganNs(), e.beganNs()));
+                boolean pressed =
+                        facts.sick().stream()
+                                        .anyMatch(
+                                                s ->
+                                                        s.touches(e.beganNs(), e.beganNs())
+                                                                && c.kinds()
+                                                                        .contains(
+                                                                                facts.day()
+                                                                                        .engines()
+                                                                                        .get(
+                                                                                                s
+                                                                                                        .name())
+                                                                                        .kind()))
+                                || facts.engineDowns().stream()
+                                        .anyMatch(s -> s.touches(e.beganNs(), e.beganNs()));
                 stake += pressed ? 1 : 0;
-                if (!c.kinds().isEmpty() && !c.kinds().contains(e.kind()) || !c.zones().isEmpty()
-                        && !c.zones().contains(e.zone())) {
-                    broken.add(t.tag() + " " + t.queryClass() + " went to " + e.engine() + " of kind " + e.kind());
+                if (!c.kinds().isEmpty() && !c.kinds().contains(e.kind())
+                        || !c.zones().isEmpty() && !c.zones().contains(e.zone())) {
+                    broken.add(
+                            t.tag()
+                                    + " "
+                                    + t.queryClass()
+                                    + " went to "
+                                    + e.engine()
+                                    + " of kind "
+                                    + e.kind());
                 }
             }
         }
@@ -216,7 +334,10 @@
     }
 
     // ---- 7
-    /** In any window further attempts stay within the budget of the router, and those of a query within their number. */
+    /**
+     * In any window further attempts stay within the budget of the router, and those of a query
+     * within their number.
+     */
     private Verdict budget() {
         List<String> broken = new ArrayList<>();
         int stake = 0;
@@ -233,18 +354,31 @@
             }
         }
         if (limits.budgetSpanNs() > 0) {
-            further.forEach((router, times) -> {
-                List<Long> taken = facts.tries().stream().filter(t -> t.router().equals(router) && t.sent())
-                        .map(Try::sentNs).toList();
-                for (long last : times) {
-                    long from = last - limits.budgetSpanNs();
-                    long used = times.stream().filter(x -> x > from && x <= last).count();
-                    long had = taken.stream().filter(x -> x > from - SKEW_NS && x <= last).count();
-                    if (used > limits.freeResends() + limits.resendsPerRequest() * had) {
-                        broken.add(router + " made " + used + " further attempts in a window with " + had + " requests");
-                    }
-                }
-            });
+            further.forEach(
+                    (router, times) -> {
+                        List<Long> taken =
+                                facts.tries().stream()
+                                        .filter(t -> t.router().equals(router) && t.sent())
+                                        .map(Try::sentNs)
+                                        .toList();
+                        for (long last : times) {
+                            long from = last - limits.budgetSpanNs();
+                            long used = times.stream().filter(x -> x > from && x <= last).count();
+                            long had =
+                                    taken.stream()
+                                            .filter(x -> x > from - SKEW_NS && x <= last)
+                                            .count();
+                            if (used > limits.freeResends() + limits.resendsPerRequest() * had) {
+                                broken.add(
+                                        router
+                                                + " made "
+                                                + used
+                                                + " further attempts in a window with "
+                                                + had
+                                                + " requests");
+                            }
+                        }
+                    });
         }
         return new Verdict("7 attempts within budget", stake, broken);
     }
--- a/rig/src/main/java/ashlink/rig/check/Service.java
+++ b/rig/src/main/java/ashlink/rig/check/Service.java
@@ -13,21 +13,30 @@
 import java.util.TreeMap;
 
 /**
- * Service as the brief counts it: worth answered within the wanted time over worth asked for. A client's retries belong to
- * its first try.
+ * Service as the brief counts it: worth answered within the wanted time over worth asked for. A
+ * client's retries belong to its first try.
  */
-public record Service(double whole, double worstTenSeconds, Map<String, Double> byClass, Map<String, Double> byFront, long asked, long served,
-        long refused, long failed) {
+public record Service(
+        double whole,
+        double worstTenSeconds,
+        Map<String, Double> byClass,
+        Map<String, Double> byFront,
+        long asked,
+        long served,
+        long refused,
+        long failed) {
 
     private static final long WINDOW_NS = 10_000_000_000L;
     private static final long STEP_NS = 1_000_000_000L;
 
-    private record Earned(String queryClass, String front, long atNs, double asked, double earned) { }
+    private record Earned(
+            String queryClass, String front, long atNs, double asked, double earned) {}
 
     /** The service of a day. */
     public static Service of(DayFacts facts) {
         Map<Long, List<Try>> requests = new HashMap<>();
-        facts.tries().forEach(t -> requests.computeIfAbsent(t.request(), k -> new ArrayList<>()).add(t));
+        facts.tries()
+                .forEach(t -> requests.computeIfAbsent(t.request(), k -> new ArrayList<>()).add(t));
         List<Earned> all = new ArrayList<>();
         long served = 0;
         long refused = 0;
@@ -42,20 +51,56 @@
             failed += !good && !last.isRefused() ? 1 : 0;
             double aim = c.aimNs() + c.aimStretch() * last.workMs() / last.threads() * 1e6;
             boolean inTime = last.reply().endNs() - last.firstNs() <= aim;
-            all.add(new Earned(c.name(), last.front(), last.firstNs(), c.worth(), good ? c.worth() * (inTime ? 1 : c.lateShare()) : 0));
+            all.add(
+                    new Earned(
+                            c.name(),
+                            last.front(),
+                            last.firstNs(),
+                            c.worth(),
+                            good ? c.worth() * (inTime ? 1 : c.lateShare()) : 0));
         }
         Map<String, Double> byClass = new LinkedHashMap<>();
-        facts.settings().classes().keySet().forEach(c -> byClass.put(c, share(all.stream()
-                .filter(e -> e.queryClass().equals(c)).toList())));
+        facts.settings()
+                .classes()
+                .keySet()
+                .forEach(
+                        c ->
+                                byClass.put(
+                                        c,
+                                        share(
+                                                all.stream()
+                                                        .filter(e -> e.queryClass().equals(c))
+                                                        .toList())));
         Map<String, Double> byFront = new TreeMap<>();
-        all.stream().map(Earned::front).distinct().forEach(f -> byFront.put(f, share(all.stream()
-                .filter(e -> e.front().equals(f)).toList())));
+        all.stream()
+                .map(Earned::front)
+                .distinct()
+                .forEach(
+                        f ->
+                                byFront.put(
+                                        f,
+                                        share(
+                                                all.stream()
+                                                        .filter(e -> e.front().equals(f))
+                                                        .toList())));
         double worst = 1;
-        for (long at = facts.fromNs(); at + WINDOW_NS <= facts.fromNs() + facts.day().durationNs(); at += STEP_NS) {
+        for (long at = facts.fromNs();
+                at + WINDOW_NS <= facts.fromNs() + facts.day().durationNs();
+                at += STEP_NS) {
             long from = at;
-            worst = Math.min(worst, share(all.stream().filter(e -> e.atNs() >= from && e.atNs() < from + WINDOW_NS).toList()));
+            worst =
+                    Math.min(
+                            worst,
+                            share(
+                                    all.stream()
+                                            .filter(
+                                                    e ->
+                                                            e.atNs() >= from
+                                                                    && e.atNs() < from + WINDOW_NS)
+                                            .toList()));
         }
-        return new Service(share(all), worst, byClass, byFront, all.size(), served, refused, failed);
+        return new Service(
+                share(all), worst, byClass, byFront, all.size(), served, refused, failed);
     }
 
     private static double share(List<Earned> of) {
--- a/rig/src/main/java/ashlink/rig/check/package-info.java
+++ b/rig/src/main/java/ashlink/rig/check/package-info.java
@@ -1,2 +1,5 @@
-/** Checks the seven rules, and counts service, by what crossed the sockets: clients' notes and engines' ledgers. */
+/**
+ * Checks the seven rules, and counts service, by what crossed the sockets: clients' notes and
+ * engines' ledgers.
+ */
 package ashlink.rig.check;
--- a/rig/src/main/java/ashlink/rig/client/NativeClient.java
+++ b/rig/src/main/java/ashlink/rig/client/NativeClient.java
@@ -40,6 +40,7 @@
     private OutputStream out;
     private int revision;
     private String serverName = "";
+
     /** Blocks of the last result, where they are kept. */
     private List<Block> kept;
 
@@ -58,7 +59,8 @@
     }
 
     /** Connects and logs in. */
-    public void open(InetSocketAddress address, String user, String password, String database, int timeoutMs)
+    public void open(
+            InetSocketAddress address, String user, String password, String database, int timeoutMs)
             throws IOException {
         try {
             socket.setTcpNoDelay(true);
@@ -106,12 +108,19 @@
     }
 
     /** Writes a Query packet and the end of external tables. */
-    public void sendQuery(String id, String statement, Map<String, String> settings) throws IOException {
+    public void sendQuery(String id, String statement, Map<String, String> settings)
+            throws IOException {
         ByteBuf packet = new ByteBuf();
         List<Setting> list = new ArrayList<>();
         settings.forEach((k, v) -> list.add(new Setting(k, 0, v)));
-        new QueryPacket(id, new ClientInfo("", id, "", "", "", "rig", 1, 0, revision, 0, ""), list, QueryPacket.COMPLETE,
-                compression != null, statement).write(revision, packet);
+        new QueryPacket(
+                        id,
+                        new ClientInfo("", id, "", "", "", "rig", 1, 0, revision, 0, ""),
+                        list,
+                        QueryPacket.COMPLETE,
+                        compression != null,
+                        statement)
+                .write(revision, packet);
         data(Block.END, packet);
         packet.writeTo(out);
     }
@@ -139,7 +148,12 @@
     }
 
     /** Runs a statement; where the server asks for data it gets those blocks and the end. */
-    public Reply insert(String id, String statement, Map<String, String> settings, List<Block> rows, long timeoutNs) {
+    public Reply insert(
+            String id,
+            String statement,
+            Map<String, String> settings,
+            List<Block> rows,
+            long timeoutNs) {
         long until = System.nanoTime() + timeoutNs;
         try {
             socket.setSoTimeout(leftMs(until));
@@ -159,9 +173,13 @@
     }
 
     private static Reply lost(IOException e, long rows, long bytes) {
-        Reply.Kind kind = e instanceof SocketTimeoutException ? Reply.Kind.TIMED_OUT
-                : e instanceof WireException w && w.reason() != WireException.Reason.TRUNCATED ? Reply.Kind.GARBLED
-                : Reply.Kind.LOST;
+        Reply.Kind kind =
+                e instanceof SocketTimeoutException
+                        ? Reply.Kind.TIMED_OUT
+                        : e instanceof WireException w
+                                        && w.reason() != WireException.Reason.TRUNCATED
+                                ? Reply.Kind.GARBLED
+                                : Reply.Kind.LOST;
         return new Reply(kind, 0, String.valueOf(e.getMessage()), rows, bytes, System.nanoTime());
     }
 
@@ -183,14 +201,26 @@
                 ServerPacket kind = ServerPacket.of(first);
                 switch (kind) {
                     case END_OF_STREAM -> {
-                        return new Reply(Reply.Kind.SERVED, 0, "", rows, in.consumed() - from, System.nanoTime());
+                        return new Reply(
+                                Reply.Kind.SERVED,
+                                0,
+                                "",
+                                rows,
+                                in.consumed() - from,
+                                System.nanoTime());
                     }
                     case EXCEPTION -> {
                         ServerError e = ServerError.read(in, limits);
-                        return new Reply(Reply.Kind.EXCEPTION, e.code(), e.message(), rows, in.consumed() - from,
+                        return new Reply(
+                                Reply.Kind.EXCEPTION,
+                                e.code(),
+                                e.message(),
+                                rows,
+                                in.consumed() - from,
                                 System.nanoTime());
                     }
-                    case PROGRESS, PROFILE_INFO, TABLE_COLUMNS, PONG -> PlainPackets.skip(kind, in, revision, limits);
+                    case PROGRESS, PROFILE_INFO, TABLE_COLUMNS, PONG ->
+                            PlainPackets.skip(kind, in, revision, limits);
                     default -> {
                         in.readString("table", limits.nameBytes());
                         boolean compressed = kind.isCompressible() && compression != null;
--- a/rig/src/main/java/ashlink/rig/client/Reply.java
+++ b/rig/src/main/java/ashlink/rig/client/Reply.java
@@ -9,7 +9,13 @@
 public record Reply(Kind kind, int code, String message, long rows, long bytes, long endNs) {
 
     /** Kinds of end. */
-    public enum Kind { SERVED, EXCEPTION, LOST, TIMED_OUT, GARBLED }
+    public enum Kind {
+        SERVED,
+        EXCEPTION,
+        LOST,
+        TIMED_OUT,
+        GARBLED
+    }
 
     /** True for a final answer: the client knows where it stands. */
     public boolean isFinal() {
--- a/rig/src/main/java/ashlink/rig/day/DayRun.java
+++ b/rig/src/main/java/ashlink/rig/day/DayRun.java
@@ -30,7 +30,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Plays a day: engines and routers in this process, on loopback; each router is killed and started like a process. */
+/**
+ * Plays a day: engines and routers in this process, on loopback; each router is killed and started
+ * like a process.
+ */
 public final class DayRun {
 
     private static final Logger LOG = LoggerFactory.getLogger(DayRun.class);
@@ -47,11 +50,14 @@
     private final List<Span> downs = new ArrayList<>();
     private final List<Span> sick = new ArrayList<>();
     private final Map<String, Integer> downCount = new LinkedHashMap<>();
-    private final ScheduledExecutorService script = Executors.newScheduledThreadPool(2, r -> {
-        Thread t = new Thread(r, "script");
-        t.setDaemon(true);
-        return t;
-    });
+    private final ScheduledExecutorService script =
+            Executors.newScheduledThreadPool(
+                    2,
+                    r -> {
+                        Thread t = new Thread(r, "script");
+                        t.setDaemon(true);
+                        return t;
+                    });
     private volatile long listLagNs;
     private final LoadConditions conditions = new LoadConditions();
 
@@ -80,26 +86,48 @@
         for (Router r : routers.values()) {
             r.kill();
         }
-        List<String> fallen = engines.values().stream().filter(StandInEngine::hasFallen).map(e -> e.config().name()).toList();
+        List<String> fallen =
+                engines.values().stream()
+                        .filter(StandInEngine::hasFallen)
+                        .map(e -> e.config().name())
+                        .toList();
         List<Sent> ledger = new ArrayList<>();
         for (StandInEngine e : engines.values()) {
             e.crash();
             e.ledger().entries().forEach(x -> ledger.add(Sent.of(x)));
         }
         synchronized (this) {
-            return new DayFacts(day, settings(day.routers().get(0), 0, 0), from, tries, ledger, List.copyOf(drains),
-                    List.copyOf(kills), List.copyOf(downs), List.copyOf(sick), fallen);
+            return new DayFacts(
+                    day,
+                    settings(day.routers().get(0), 0, 0),
+                    from,
+                    tries,
+                    ledger,
+                    List.copyOf(drains),
+                    List.copyOf(kills),
+                    List.copyOf(downs),
+                    List.copyOf(sick),
+                    fallen);
         }
     }
 
     private RouterConfig settings(RouterSpec r, int position, int port) {
-        return BriefSettings.of(r.name(), r.zone(), position, day.routers().size(), day.seed() * 1000 + position, port,
-                engines.values(), day.settings().replace("{router}", r.name()) + http(r.name()));
+        return BriefSettings.of(
+                r.name(),
+                r.zone(),
+                position,
+                day.routers().size(),
+                day.seed() * 1000 + position,
+                port,
+                engines.values(),
+                day.settings().replace("{router}", r.name()) + http(r.name()));
     }
 
     private String http(String router) {
         InetSocketAddress before = httpAddresses.get(router);
-        return day.httpShare() == 0 ? "" : "(http (listen 127.0.0.1:" + (before == null ? 0 : before.getPort()) + "))";
+        return day.httpShare() == 0
+                ? ""
+                : "(http (listen 127.0.0.1:" + (before == null ? 0 : before.getPort()) + "))";
     }
 
     private void startRouter(RouterSpec spec, int position, int port) throws IOException {
@@ -137,13 +165,16 @@
     }
 
     private void at(long ns, Step step) {
-        script.schedule(() -> {
-            try {
-                step.run();
-            } catch (Exception e) {
-                LOG.error("the script's step at {} ms failed", ns / 1_000_000, e);
-            }
-        }, ns, TimeUnit.NANOSECONDS);
+        script.schedule(
+                () -> {
+                    try {
+                        step.run();
+                    } catch (Exception e) {
+                        LOG.error("the script's step at {} ms failed", ns / 1_000_000, e);
+                    }
+                },
+                ns,
+                TimeUnit.NANOSECONDS);
     }
 
     private synchronized void begin(Trouble t) throws InterruptedException {
@@ -153,13 +184,21 @@
         switch (t.kind()) {
             case HANG -> e.hang(true);
             case SLOW -> e.speed(t.factor());
-            case AGE, REFUSE -> { }
+            case AGE, REFUSE -> {}
             case LOST_ANSWERS -> e.faults().loseAnswers(t.factor());
             case CRASH -> crash(t.target(), now + t.forNs());
-            case HALL_LOST -> engines.values().stream().filter(x -> x.config().zone().equals(t.target()))
-                    .forEach(x -> crash(x.config().name(), now + t.forNs()));
-            case DRAIN -> routers.keySet().forEach(r -> script.schedule(() -> tellDrain(r, t.target(), now + t.forNs()),
-                    listLagNs, TimeUnit.NANOSECONDS));
+            case HALL_LOST ->
+                    engines.values().stream()
+                            .filter(x -> x.config().zone().equals(t.target()))
+                            .forEach(x -> crash(x.config().name(), now + t.forNs()));
+            case DRAIN ->
+                    routers.keySet()
+                            .forEach(
+                                    r ->
+                                            script.schedule(
+                                                    () -> tellDrain(r, t.target(), now + t.forNs()),
+                                                    listLagNs,
+                                                    TimeUnit.NANOSECONDS));
             case LIST_LATE -> listLagNs = (long) (t.factor() * 1e9);
             case ROUTER_KILL -> {
                 kills.add(new Span(t.target(), now, now + t.forNs()));
@@ -171,7 +210,11 @@
             case HOT_CALLER -> conditions.hotRouter(t.target(), t.factor());
         }
         if (t.kind() == DayConfig.TroubleKind.REFUSE) {
-            e.faults().breakAt(ashlink.standin.Faults.Place.ACCEPT, ashlink.standin.Faults.Break.CLOSE, Integer.MAX_VALUE);
+            e.faults()
+                    .breakAt(
+                            ashlink.standin.Faults.Place.ACCEPT,
+                            ashlink.standin.Faults.Break.CLOSE,
+                            Integer.MAX_VALUE);
         }
         if (e != null) {
             sick.add(new Span(t.target(), now, now + t.forNs()));
@@ -193,8 +236,11 @@
                     }
                 }
             }
-            case DRAIN -> script.schedule(() -> routers.forEach((name, r) -> r.phase(t.target(), Phase.READY)), listLagNs,
-                    TimeUnit.NANOSECONDS);
+            case DRAIN ->
+                    script.schedule(
+                            () -> routers.forEach((name, r) -> r.phase(t.target(), Phase.READY)),
+                            listLagNs,
+                            TimeUnit.NANOSECONDS);
             case LIST_LATE -> listLagNs = 0;
             case ROUTER_KILL -> restartRouter(t.target());
             case BURST -> conditions.rate(1);
--- a/rig/src/main/java/ashlink/rig/day/Sent.java
+++ b/rig/src/main/java/ashlink/rig/day/Sent.java
@@ -10,8 +10,17 @@
  * @param ranNs when the engine had all it needs to run it, 0 if it never had
  * @param outUntilNs when it was over, or its router through with it, as the engine saw it
  */
-public record Sent(String engine, String kind, String zone, String router, String tag, double workMs, long beganNs,
-        long ranNs, long outUntilNs, Ledger.How how) {
+public record Sent(
+        String engine,
+        String kind,
+        String zone,
+        String router,
+        String tag,
+        double workMs,
+        long beganNs,
+        long ranNs,
+        long outUntilNs,
+        Ledger.How how) {
 
     private static final String ROUTER_PREFIX = "ashlink ";
 
@@ -19,7 +28,12 @@
     public static Sent of(Ledger.Entry e) {
         long until = e.endedNs() > 0 ? e.endedNs() : Long.MAX_VALUE;
         until = e.releasedNs() > 0 ? Math.min(until, e.releasedNs()) : until;
-        String router = e.router.startsWith(ROUTER_PREFIX) ? e.router.substring(ROUTER_PREFIX.length()) : e.router;
-        return new Sent(e.engine, e.kind, e.zone, router, e.tag, e.workMs, e.beganNs, e.ranNs(), until, e.how());
+        String router =
+                e.router.startsWith(ROUTER_PREFIX)
+                        ? e.router.substring(ROUTER_PREFIX.length())
+                        : e.router;
+        return new Sent(
+                e.engine, e.kind, e.zone, router, e.tag, e.workMs, e.beganNs, e.ranNs(), until,
+                e.how());
     }
 }
--- a/rig/src/main/java/ashlink/rig/day/Troubles.java
+++ b/rig/src/main/java/ashlink/rig/day/Troubles.java
@@ -10,17 +10,36 @@
 public final class Troubles {
 
     /** Their names. */
-    public static final List<String> NAMES = List.of("crash", "hang", "slow", "ageing", "shared-slow",
-             "hall-lost", "router-crash", "rolling-restart", "deploy", "preempt", "burst", "hot-group",
-             "hot-caller", "heavy-tail", "neighbour", "lost-answers", "refused-connects",
-            "shift", "list-late");
+    public static final List<String> NAMES =
+            List.of(
+                    "crash",
+                    "hang",
+                    "slow",
+                    "ageing",
+                    "shared-slow",
+                    "hall-lost",
+                    "router-crash",
+                    "rolling-restart",
+                    "deploy",
+                    "preempt",
+                    "burst",
+                    "hot-group",
+                    "hot-caller",
+                    "heavy-tail",
+                    "neighbour",
+                    "lost-answers",
+                    "refused-connects",
+                    "shift",
+                    "list-late");
 
-    private Troubles() { }
+    private Troubles() {}
 
     /** The day of that name; {@code more} is further settings of its routers. */
     public static DayConfig day(String name, String more) throws ConfigException {
-        String text = BriefSettings.resource("troubles/base.sexp").replace("NAME", name)
-                .replace("TROUBLES", BriefSettings.resource("troubles/" + name + ".sexp"));
+        String text =
+                BriefSettings.resource("troubles/base.sexp")
+                        .replace("NAME", name)
+                        .replace("TROUBLES", BriefSettings.resource("troubles/" + name + ".sexp"));
         DayConfig d = DayConfigReader.read(name, text);
         return d.with(d.seed(), d.httpShare(), more);
     }
--- a/rig/src/main/java/ashlink/rig/fleet/BriefSettings.java
+++ b/rig/src/main/java/ashlink/rig/fleet/BriefSettings.java
@@ -14,7 +14,7 @@
 
     private static final String FOLDER = "/ashlink/rig/";
 
-    private BriefSettings() { }
+    private BriefSettings() {}
 
     /** A text that comes with the rig. */
     public static String resource(String name) {
@@ -26,24 +26,59 @@
     }
 
     /** The text of a router's settings; {@code extra} is further settings. */
-    public static String text(String name, String zone, int position, int gateways, long seed, int port,
-            Collection<StandInEngine> engines, String extra) {
-        StringBuilder text = new StringBuilder("(router\n  (name " + name + ") (zone " + zone + ") (gateways " + gateways
-                + ") (position " + position + ") (seed " + seed + ")\n  (listen (native 127.0.0.1:" + port + "))\n"
-                + resource("brief.sexp") + (extra.contains("(limits") ? "" : resource("brief-limits.sexp")));
+    public static String text(
+            String name,
+            String zone,
+            int position,
+            int gateways,
+            long seed,
+            int port,
+            Collection<StandInEngine> engines,
+            String extra) {
+        StringBuilder text =
+                new StringBuilder(
+                        "(router\n  (name "
+                                + name
+                                + ") (zone "
+                                + zone
+                                + ") (gateways "
+                                + gateways
+                                + ") (position "
+                                + position
+                                + ") (seed "
+                                + seed
+                                + ")\n  (listen (native 127.0.0.1:"
+                                + port
+                                + "))\n"
+                                + resource("brief.sexp")
+                                + (extra.contains("(limits") ? "" : resource("brief-limits.sexp")));
         for (StandInEngine e : engines) {
-            text.append("  (engine ").append(e.config().name()).append(" (address 127.0.0.1:")
-                    .append(e.address().getPort()).append(") (zone ").append(e.config().zone()).append(") (kind ")
-                    .append(e.config().kind()).append("))\n");
+            text.append("  (engine ")
+                    .append(e.config().name())
+                    .append(" (address 127.0.0.1:")
+                    .append(e.address().getPort())
+                    .append(") (zone ")
+                    .append(e.config().zone())
+                    .append(") (kind ")
+                    .append(e.config().kind())
+                    .append("))\n");
         }
         return text.append(extra).append(")\n").toString();
     }
 
     /** The settings of a router. */
-    public static RouterConfig of(String name, String zone, int position, int gateways, long seed, int port,
-            Collection<StandInEngine> engines, String extra) {
+    public static RouterConfig of(
+            String name,
+            String zone,
+            int position,
+            int gateways,
+            long seed,
+            int port,
+            Collection<StandInEngine> engines,
+            String extra) {
         try {
-            return RouterConfigReader.read(name + ".sexp",
+            return RouterConfigReader.read(
+                    name + ".sexp",
                     text(name, zone, position, gateways, seed, port, engines, extra));
         } catch (ConfigException e) {
             throw new IllegalStateException(e.getMessage(), e);
--- a/rig/src/main/java/ashlink/rig/fleet/Engines.java
+++ b/rig/src/main/java/ashlink/rig/fleet/Engines.java
@@ -12,12 +12,34 @@
 
     private static final long S = 1_000_000_000L;
 
-    private Engines() { }
+    private Engines() {}
 
     /** An engine as the brief tells of them, started and warm. */
-    public static StandInEngine start(String name, String zone, String kind, int cores, long seed) throws IOException {
-        StandInEngine e = new StandInEngine(new EngineConfig(name, new InetSocketAddress("127.0.0.1", 0), zone, kind, cores,
-                16 << 10, 1, 1.7, 0.35, 2, false, 0.6, 0.35, 14 * S, 2.5, 3 * S, false, 8 * cores, seed, null));
+    public static StandInEngine start(String name, String zone, String kind, int cores, long seed)
+            throws IOException {
+        StandInEngine e =
+                new StandInEngine(
+                        new EngineConfig(
+                                name,
+                                new InetSocketAddress("127.0.0.1", 0),
+                                zone,
+                                kind,
+                                cores,
+                                16 << 10,
+                                1,
+                                1.7,
+                                0.35,
+                                2,
+                                false,
+                                0.6,
+                                0.35,
+                                14 * S,
+                                2.5,
+                                3 * S,
+                                false,
+                                8 * cores,
+                                seed,
+                                null));
         e.start();
         return e;
     }
--- a/rig/src/main/java/ashlink/rig/load/HttpLoad.java
+++ b/rig/src/main/java/ashlink/rig/load/HttpLoad.java
@@ -17,43 +17,82 @@
 /** Queries of a load that come over HTTP, noted as those of the native protocol are. */
 final class HttpLoad {
 
-    private static final JsonNode ROWS = JsonNodeFactory.instance.arrayNode()
-            .add(JsonNodeFactory.instance.arrayNode().add("1").add("a")).add(JsonNodeFactory.instance.arrayNode().add("2").add("b"));
+    private static final JsonNode ROWS =
+            JsonNodeFactory.instance
+                    .arrayNode()
+                    .add(JsonNodeFactory.instance.arrayNode().add("1").add("a"))
+                    .add(JsonNodeFactory.instance.arrayNode().add("2").add("b"));
     private static final int REFUSED = 202;
     private static final int FAILED = 210;
 
     /** What a client saw; {@code sent} false where nothing can have reached the router. */
-    record Seen(Reply reply, boolean sent) { }
+    record Seen(Reply reply, boolean sent) {}
 
     private final Function<String, InetSocketAddress> addresses;
-    private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(Duration.ofSeconds(1)).build();
+    private final HttpClient http =
+            HttpClient.newBuilder()
+                    .version(HttpClient.Version.HTTP_1_1)
+                    .connectTimeout(Duration.ofSeconds(1))
+                    .build();
     private final Map<String, StatementClient> clients = new ConcurrentHashMap<>();
 
     HttpLoad(Function<String, InetSocketAddress> addresses) {
         this.addresses = addresses;
     }
 
-    Seen run(String router, LoadClass c, String statement, Map<String, String> settings, String key, long patience) {
-        StatementClient client = clients.computeIfAbsent(router + "/" + c.user(), k -> new StatementClient(http,
-                URI.create("http://127.0.0.1:" + addresses.apply(router).getPort()), c.user(), ""));
+    Seen run(
+            String router,
+            LoadClass c,
+            String statement,
+            Map<String, String> settings,
+            String key,
+            long patience) {
+        StatementClient client =
+                clients.computeIfAbsent(
+                        router + "/" + c.user(),
+                        k ->
+                                new StatementClient(
+                                        http,
+                                        URI.create(
+                                                "http://127.0.0.1:"
+                                                        + addresses.apply(router).getPort()),
+                                        c.user(),
+                                        ""));
         try {
-            Answer a = client.run(statement, settings, c.write() ? ROWS : null, c.write() ? key : null, patience, page -> { });
+            Answer a =
+                    client.run(
+                            statement,
+                            settings,
+                            c.write() ? ROWS : null,
+                            c.write() ? key : null,
+                            patience,
+                            page -> {});
             return new Seen(reply(a), a.kind() != Answer.Kind.NOT_SENT);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return new Seen(new Reply(Reply.Kind.LOST, 0, "interrupted", 0, 0, System.nanoTime()), true);
+            return new Seen(
+                    new Reply(Reply.Kind.LOST, 0, "interrupted", 0, 0, System.nanoTime()), true);
         }
     }
 
     private static Reply reply(Answer a) {
-        Reply.Kind kind = switch (a.kind()) {
-            case SERVED -> Reply.Kind.SERVED;
-            case PROBLEM -> Reply.Kind.EXCEPTION;
-            case TIMED_OUT -> Reply.Kind.TIMED_OUT;
-            case NOT_SENT, LOST -> Reply.Kind.LOST;
-        };
-        int code = a.kind() != Answer.Kind.PROBLEM ? 0 : a.isRefused() ? REFUSED : a.code() != 0 ? a.code() : FAILED;
-        return new Reply(kind, code, a.status() + " " + a.problem() + " " + a.detail(), a.rows(), a.bytes(), System.nanoTime());
+        Reply.Kind kind =
+                switch (a.kind()) {
+                    case SERVED -> Reply.Kind.SERVED;
+                    case PROBLEM -> Reply.Kind.EXCEPTION;
+                    case TIMED_OUT -> Reply.Kind.TIMED_OUT;
+                    case NOT_SENT, LOST -> Reply.Kind.LOST;
+                };
+        int code =
+                a.kind() != Answer.Kind.PROBLEM
+                        ? 0
+                        : a.isRefused() ? REFUSED : a.code() != 0 ? a.code() : FAILED;
+        return new Reply(
+                kind,
+                code,
+                a.status() + " " + a.problem() + " " + a.detail(),
+                a.rows(),
+                a.bytes(),
+                System.nanoTime());
     }
 }
--- a/rig/src/main/java/ashlink/rig/load/LoadRun.java
+++ b/rig/src/main/java/ashlink/rig/load/LoadRun.java
@@ -23,19 +23,29 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * An open load: queries arrive by chance at the given rate whatever becomes of earlier ones, and their clients retry as
- * the script says. All that is drawn is drawn ahead from the seed.
+ * An open load: queries arrive by chance at the given rate whatever becomes of earlier ones, and
+ * their clients retry as the script says. All that is drawn is drawn ahead from the seed.
  */
 public final class LoadRun {
 
     private static final long MS = 1_000_000L;
     private static final double SHORTEST_PATIENCE = 0.8;
     private static final int CONNECT_MS = 1_000;
-    private static final Block ROWS = Block.of(new Block.Column("id", "UInt64", List.of(1L, 2L)),
-            new Block.Column("value", "String", List.of("a", "b")));
+    private static final Block ROWS =
+            Block.of(
+                    new Block.Column("id", "UInt64", List.of(1L, 2L)),
+                    new Block.Column("value", "String", List.of("a", "b")));
 
-    private record Arrival(long request, long atNs, LoadClass cls, double workMs, double patience, int router, String key,
-            long group, boolean http) { }
+    private record Arrival(
+            long request,
+            long atNs,
+            LoadClass cls,
+            double workMs,
+            double patience,
+            int router,
+            String key,
+            long group,
+            boolean http) {}
 
     private final DayConfig day;
     private final List<String> routers;
@@ -47,18 +57,23 @@
     private final ExecutorService clients;
 
     /** A load on the routers of a day, under conditions that change meanwhile. */
-    public LoadRun(DayConfig day, Function<String, InetSocketAddress> addresses,
-            Function<String, InetSocketAddress> httpAddresses, LoadConditions conditions) {
+    public LoadRun(
+            DayConfig day,
+            Function<String, InetSocketAddress> addresses,
+            Function<String, InetSocketAddress> httpAddresses,
+            LoadConditions conditions) {
         this.day = day;
         this.routers = day.routers().stream().map(DayConfig.RouterSpec::name).toList();
         this.addresses = addresses;
         this.http = new HttpLoad(httpAddresses);
         this.conditions = conditions;
-        this.clients = Executors.newCachedThreadPool(r -> {
-            Thread t = new Thread(null, r, "rig-client", 256 << 10);
-            t.setDaemon(true);
-            return t;
-        });
+        this.clients =
+                Executors.newCachedThreadPool(
+                        r -> {
+                            Thread t = new Thread(null, r, "rig-client", 256 << 10);
+                            t.setDaemon(true);
+                            return t;
+                        });
     }
 
     /** Runs until the day is over and every client has its end; returns what they noted. */
@@ -80,7 +95,11 @@
             clients.execute(() -> client(a));
         }
         clients.shutdown();
-        long longest = day.load().stream().mapToLong(c -> (c.timeoutNs() + c.waitNs()) * (c.retries() + 1)).max().orElse(0);
+        long longest =
+                day.load().stream()
+                        .mapToLong(c -> (c.timeoutNs() + c.waitNs()) * (c.retries() + 1))
+                        .max()
+                        .orElse(0);
         clients.awaitTermination(longest + 5_000 * MS, TimeUnit.NANOSECONDS);
         idle.values().forEach(q -> q.forEach(NativeClient::close));
         synchronized (tries) {
@@ -88,7 +107,11 @@
         }
     }
 
-    private Arrival draw(long request, long atNs, UniformRandomProvider random, ZigguratSampler.NormalizedGaussian gauss) {
+    private Arrival draw(
+            long request,
+            long atNs,
+            UniformRandomProvider random,
+            ZigguratSampler.NormalizedGaussian gauss) {
         double which = random.nextDouble();
         LoadClass cls = day.load().get(day.load().size() - 1);
         for (LoadClass c : day.load()) {
@@ -98,7 +121,11 @@
                 break;
             }
         }
-        double work = conditions.work(cls.name()) * cls.workNs() / (double) MS * Math.exp(cls.spread() * gauss.sample() - cls.spread() * cls.spread() / 2);
+        double work =
+                conditions.work(cls.name())
+                        * cls.workNs()
+                        / (double) MS
+                        * Math.exp(cls.spread() * gauss.sample() - cls.spread() * cls.spread() / 2);
         int key = cls.keys() > 0 ? random.nextInt(cls.keys()) : -1;
         // Those of one key come to one gateway; the others are spread by a plain front layer.
         int router = key >= 0 ? key % routers.size() : random.nextInt(routers.size());
@@ -109,8 +136,16 @@
         router = key < 0 && hot >= 0 && toHotRouter ? hot : router;
         double patience = SHORTEST_PATIENCE + (1 - SHORTEST_PATIENCE) * random.nextDouble();
         boolean overHttp = day.httpShare() > 0 && random.nextDouble() < day.httpShare();
-        return new Arrival(request, atNs, cls, work, patience, router, key < 0 ? null : "k" + key,
-                toHotGroup ? 0 : group, overHttp);
+        return new Arrival(
+                request,
+                atNs,
+                cls,
+                work,
+                patience,
+                router,
+                key < 0 ? null : "k" + key,
+                toHotGroup ? 0 : group,
+                overHttp);
     }
 
     private void client(Arrival a) {
@@ -136,7 +171,9 @@
     private Try attempt(Arrival a, int n, String router, long firstNs) {
         String tag = a.request() + "." + n;
         long patience = (long) (a.cls().timeoutNs() * a.patience());
-        return a.http() ? overHttp(a, n, tag, router, firstNs, patience) : overNative(a, n, tag, router, firstNs, patience);
+        return a.http()
+                ? overHttp(a, n, tag, router, firstNs, patience)
+                : overNative(a, n, tag, router, firstNs, patience);
     }
 
     private static Map<String, String> settings(Arrival a, long patience) {
@@ -153,12 +190,34 @@
 
     private Try overHttp(Arrival a, int n, String tag, String router, long firstNs, long patience) {
         long from = System.nanoTime();
-        HttpLoad.Seen seen = http.run(router, a.cls(), statement(a, tag), settings(a, patience), "request-" + a.request(), patience);
-        return new Try(a.request(), tag, n, a.cls().name(), a.key(), router, a.workMs(), a.cls().threads(), firstNs, from,
-                from + patience, seen.sent(), seen.reply(), false, "http");
+        HttpLoad.Seen seen =
+                http.run(
+                        router,
+                        a.cls(),
+                        statement(a, tag),
+                        settings(a, patience),
+                        "request-" + a.request(),
+                        patience);
+        return new Try(
+                a.request(),
+                tag,
+                n,
+                a.cls().name(),
+                a.key(),
+                router,
+                a.workMs(),
+                a.cls().threads(),
+                firstNs,
+                from,
+                from + patience,
+                seen.sent(),
+                seen.reply(),
+                false,
+                "http");
     }
 
-    private Try overNative(Arrival a, int n, String tag, String router, long firstNs, long patience) {
+    private Try overNative(
+            Arrival a, int n, String tag, String router, long firstNs, long patience) {
         LoadClass c = a.cls();
         NativeClient client = null;
         long from = System.nanoTime();
@@ -173,7 +232,14 @@
             reply = client.await(c.write() ? List.of(ROWS) : List.of(), from + patience);
             stray = reply.isFinal() && client.hasStray();
         } catch (IOException e) {
-            reply = new Reply(Reply.Kind.LOST, 0, String.valueOf(e.getMessage()), 0, 0, System.nanoTime());
+            reply =
+                    new Reply(
+                            Reply.Kind.LOST,
+                            0,
+                            String.valueOf(e.getMessage()),
+                            0,
+                            0,
+                            System.nanoTime());
         }
         if (client != null && reply.isFinal() && !stray) {
             idle.computeIfAbsent(router + "/" + c.user(), k -> new ArrayDeque<>());
@@ -183,8 +249,22 @@
         } else if (client != null) {
             client.close();
         }
-        return new Try(a.request(), tag, n, c.name(), a.key(), router, a.workMs(), c.threads(), firstNs, from,
-                from + patience, sent, reply, stray, "native");
+        return new Try(
+                a.request(),
+                tag,
+                n,
+                c.name(),
+                a.key(),
+                router,
+                a.workMs(),
+                c.threads(),
+                firstNs,
+                from,
+                from + patience,
+                sent,
+                reply,
+                stray,
+                "native");
     }
 
     /** An idle connection that is still good, else a new one. */
@@ -209,10 +289,22 @@
 
     private static String statement(Arrival a, String tag) {
         LoadClass c = a.cls();
-        String sim = String.format(Locale.ROOT,
-                "/* sim tag=%s work_ms=%.1f threads=%d io=%.2f memory_mb=%.0f tables=%d holds=%d waits=%d%s */", tag,
-                a.workMs(), c.threads(), c.io(), c.memoryMb(), a.group(), c.write() ? 1 : 0, c.write() ? 0 : 1,
-                a.key() == null ? "" : " key=" + a.key());
-        return c.write() ? "INSERT " + sim + " INTO readings VALUES" : "SELECT " + sim + " value FROM readings";
+        String sim =
+                String.format(
+                        Locale.ROOT,
+                        "/* sim tag=%s work_ms=%.1f threads=%d io=%.2f memory_mb=%.0f tables=%d"
+                                + " holds=%d waits=%d%s */",
+                        tag,
+                        a.workMs(),
+                        c.threads(),
+                        c.io(),
+                        c.memoryMb(),
+                        a.group(),
+                        c.write() ? 1 : 0,
+                        c.write() ? 0 : 1,
+                        a.key() == null ? "" : " key=" + a.key());
+        return c.write()
+                ? "INSERT " + sim + " INTO readings VALUES"
+                : "SELECT " + sim + " value FROM readings";
     }
 }
--- a/rig/src/main/java/ashlink/rig/load/Try.java
+++ b/rig/src/main/java/ashlink/rig/load/Try.java
@@ -11,8 +11,22 @@
  * @param front by which it came: native or http
  * @param stray true if the router sent more after its final answer
  */
-public record Try(long request, String tag, int number, String queryClass, String key, String router, double workMs,
-        int threads, long firstNs, long sentNs, long deadlineNs, boolean sent, Reply reply, boolean stray, String front) {
+public record Try(
+        long request,
+        String tag,
+        int number,
+        String queryClass,
+        String key,
+        String router,
+        double workMs,
+        int threads,
+        long firstNs,
+        long sentNs,
+        long deadlineNs,
+        boolean sent,
+        Reply reply,
+        boolean stray,
+        String front) {
 
     /** True for an answer that says that trying again is harmless. */
     public boolean isRefused() {
--- a/rig/src/main/java/ashlink/rig/package-info.java
+++ b/rig/src/main/java/ashlink/rig/package-info.java
@@ -1,2 +1,5 @@
-/** The rig: fleets in one process, load, scripted days, the checker of the rules, baselines and benchmarks. */
+/**
+ * The rig: fleets in one process, load, scripted days, the checker of the rules, baselines and
+ * benchmarks.
+ */
 package ashlink.rig;
--- a/rig/src/test/java/ashlink/rig/AnswersTest.java
+++ b/rig/src/test/java/ashlink/rig/AnswersTest.java
@@ -22,29 +22,44 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** When does the client own an answer, what differs between refusal and failure, and one final answer in all cases. */
+/**
+ * When does the client own an answer, what differs between refusal and failure, and one final
+ * answer in all cases.
+ */
 class AnswersTest {
 
     private static final long S = Fleet.S;
+
     /** Wide, so that a busy machine does not decide the verdict. */
     private static final String MARGIN = "(bounds (answer-margin 700ms))";
+
     /** Rows over the limit of what is held back, and under it. */
     private static final String LARGE = "rows=1000 width=1000 blocks=40";
+
     private static final String SMALL = "rows=10 blocks=4";
 
     @ParameterizedTest
-    @EnumSource(value = Break.class, names = {"CLOSE", "GARBAGE", "HALF_PACKET"})
+    @EnumSource(
+            value = Break.class,
+            names = {"CLOSE", "GARBAGE", "HALF_PACKET"})
     void anAnswerThatBreaksWhileItIsHeldBackIsReplacedByAnotherEngines(Break how) throws Exception {
         try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
             f.engine("q1").faults().breakAt(Place.ANSWER, how, 100);
             for (int i = 0; i < 6; i++) {
                 NativeClient c = f.client("portal").keepBlocks();
-                Reply r = c.query("", "SELECT /* sim tag=t" + i + " " + SMALL + " */ 2", Map.of(), 10 * S);
+                Reply r =
+                        c.query(
+                                "",
+                                "SELECT /* sim tag=t" + i + " " + SMALL + " */ 2",
+                                Map.of(),
+                                10 * S);
                 assertEquals(Kind.SERVED, r.kind(), r.message());
                 assertEquals(40, r.rows());
                 assertEquals(Set.of("q2"), values(c.blocks()));
             }
-            assertTrue(f.ledger().stream().anyMatch(e -> e.engine.equals("q1")), "the broken engine was never tried");
+            assertTrue(
+                    f.ledger().stream().anyMatch(e -> e.engine.equals("q1")),
+                    "the broken engine was never tried");
         }
     }
 
@@ -55,8 +70,11 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Break.class, names = {"CLOSE", "GARBAGE", "HALF_PACKET"})
-    void anAnswerThatBreaksAfterItsFirstPartEndsInOneExceptionAndIsNotRunAgain(Break how) throws Exception {
+    @EnumSource(
+            value = Break.class,
+            names = {"CLOSE", "GARBAGE", "HALF_PACKET"})
+    void anAnswerThatBreaksAfterItsFirstPartEndsInOneExceptionAndIsNotRunAgain(Break how)
+            throws Exception {
         try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
             f.engines.values().forEach(e -> e.faults().breakAt(Place.ANSWER, how, 100));
             NativeClient c = f.client("portal");
@@ -66,7 +84,10 @@
             assertTrue(r.rows() > 0, "the answer had not begun");
             assertEquals(1, f.ledger().stream().filter(e -> e.tag.equals("t")).count());
             f.engines.values().forEach(e -> e.faults().heal());
-            assertEquals(Kind.SERVED, c.query("", "SELECT 1", Map.of(), 10 * S).kind(), "the connection is out of step");
+            assertEquals(
+                    Kind.SERVED,
+                    c.query("", "SELECT 1", Map.of(), 10 * S).kind(),
+                    "the connection is out of step");
         }
     }
 
@@ -78,10 +99,17 @@
                 NativeClient c = new NativeClient(Compression.LZ4, Revision.HIGHEST);
                 c.open(f.router.address(), "portal", "", "default", 5_000);
                 f.clients.add(c);
-                Reply r = c.query("", "SELECT /* sim tag=t" + i + " " + SMALL + " */ 2", Map.of(), 10 * S);
+                Reply r =
+                        c.query(
+                                "",
+                                "SELECT /* sim tag=t" + i + " " + SMALL + " */ 2",
+                                Map.of(),
+                                10 * S);
                 assertEquals(Kind.SERVED, r.kind(), r.message());
             }
-            assertTrue(f.ledger().stream().anyMatch(e -> e.engine.equals("q1")), "the corrupting engine was never tried");
+            assertTrue(
+                    f.ledger().stream().anyMatch(e -> e.engine.equals("q1")),
+                    "the corrupting engine was never tried");
         }
     }
 
@@ -111,9 +139,13 @@
         try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
             f.engines.values().forEach(e -> e.faults().breakAt(Place.RUN, Break.CLOSE, 100));
             int n = 0;
-            for (String s : List.of("ALTER /* sim tag=%s */ TABLE t DELETE WHERE 1", "/* SELECT */ DROP /* sim tag=%s */ TABLE t",
-                    "SELECT 1; INSERT /* sim tag=%s */ INTO t SELECT 2", "-- SELECT\nTRUNCATE /* sim tag=%s */ t",
-                    "WITH 1 AS x INSERT /* sim tag=%s */ INTO t SELECT x")) {
+            for (String s :
+                    List.of(
+                            "ALTER /* sim tag=%s */ TABLE t DELETE WHERE 1",
+                            "/* SELECT */ DROP /* sim tag=%s */ TABLE t",
+                            "SELECT 1; INSERT /* sim tag=%s */ INTO t SELECT 2",
+                            "-- SELECT\nTRUNCATE /* sim tag=%s */ t",
+                            "WITH 1 AS x INSERT /* sim tag=%s */ INTO t SELECT x")) {
                 Reply r = f.query("portal", String.format(s, "w" + n));
                 assertEquals(210, r.code(), s + ": " + r.message());
                 assertEquals(1, f.runs("w" + n++), s);
@@ -126,9 +158,16 @@
         try (Fleet f = Fleet.of("a1:typ-a", "b1:typ-b").start()) {
             assertEquals(Kind.SERVED, f.query("billing", "SELECT /* sim tag=up */ 2").kind());
             f.engine("a1").crash();
-            Reply r = f.client("billing").query("", "SELECT /* sim tag=down */ 2", Map.of("max_execution_time", "2"), 5 * S);
+            Reply r =
+                    f.client("billing")
+                            .query(
+                                    "",
+                                    "SELECT /* sim tag=down */ 2",
+                                    Map.of("max_execution_time", "2"),
+                                    5 * S);
             assertEquals(202, r.code(), r.message());
-            assertEquals(List.of(), f.ledger().stream().filter(e -> e.engine.equals("b1")).toList());
+            assertEquals(
+                    List.of(), f.ledger().stream().filter(e -> e.engine.equals("b1")).toList());
             assertEquals(Kind.SERVED, f.query("portal", "SELECT /* sim tag=other */ 2").kind());
         }
     }
@@ -137,9 +176,13 @@
     void aRefusalSaysThatTryingAgainIsHarmlessAndWhen() throws Exception {
         try (Fleet f = Fleet.of("q1:typ-a").start()) {
             f.engine("q1").crash();
-            Reply r = f.client("portal").query("", "SELECT 1", Map.of("max_execution_time", "1"), 5 * S);
+            Reply r =
+                    f.client("portal")
+                            .query("", "SELECT 1", Map.of("max_execution_time", "1"), 5 * S);
             assertEquals(202, r.code());
-            assertTrue(r.message().contains("harmless") && r.message().contains("come back in 500 ms"), r.message());
+            assertTrue(
+                    r.message().contains("harmless") && r.message().contains("come back in 500 ms"),
+                    r.message());
         }
     }
 
@@ -158,8 +201,13 @@
     @Test
     void anEngineThatTurnsAwayIsNotTheAnswer() throws Exception {
         try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
-            Reply r = f.client("portal").query("", "SELECT /* sim tag=t error=202 */ 2", Map.of("max_execution_time", "1"),
-                    5 * S);
+            Reply r =
+                    f.client("portal")
+                            .query(
+                                    "",
+                                    "SELECT /* sim tag=t error=202 */ 2",
+                                    Map.of("max_execution_time", "1"),
+                                    5 * S);
             assertEquals(202, r.code());
             assertTrue(r.message().startsWith("ashlink: refused"), r.message());
             assertTrue(f.ledger().size() > 1, "no other engine was tried");
@@ -171,12 +219,26 @@
         try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-a").with(MARGIN).start()) {
             f.engines.values().forEach(e -> e.hang(true));
             long from = System.nanoTime();
-            Reply r = f.client("portal").query("", "SELECT /* sim tag=t */ 2", Map.of("max_execution_time", "1.5"), 1500 * Fleet.MS);
-            assertEquals(Kind.EXCEPTION, r.kind(), "after " + (System.nanoTime() - from) / Fleet.MS + " ms: " + r.message());
+            Reply r =
+                    f.client("portal")
+                            .query(
+                                    "",
+                                    "SELECT /* sim tag=t */ 2",
+                                    Map.of("max_execution_time", "1.5"),
+                                    1500 * Fleet.MS);
+            assertEquals(
+                    Kind.EXCEPTION,
+                    r.kind(),
+                    "after " + (System.nanoTime() - from) / Fleet.MS + " ms: " + r.message());
             f.engines.values().forEach(e -> e.hang(false));
             f.engines.values().forEach(e -> e.faults().breakAt(Place.QUERY, Break.SILENCE, 100));
-            Reply w = f.client("portal").query("", "INSERT /* sim tag=w */ INTO t SELECT 1", Map.of("max_execution_time", "1.5"),
-                    1500 * Fleet.MS);
+            Reply w =
+                    f.client("portal")
+                            .query(
+                                    "",
+                                    "INSERT /* sim tag=w */ INTO t SELECT 1",
+                                    Map.of("max_execution_time", "1.5"),
+                                    1500 * Fleet.MS);
             assertEquals(210, w.code(), w.message());
         }
     }
@@ -225,18 +287,28 @@
     void aClientThatDoesNotReadIsCutOffAndOthersAreServed() throws Exception {
         try (Fleet f = Fleet.of("q1:typ-a").start()) {
             NativeClient slow = f.client("portal");
-            slow.sendQuery("", "SELECT /* sim rows=1000 width=1000 blocks=100 */ 2", Map.of("max_execution_time", "0.5"));
+            slow.sendQuery(
+                    "",
+                    "SELECT /* sim rows=1000 width=1000 blocks=100 */ 2",
+                    Map.of("max_execution_time", "0.5"));
             for (int i = 0; i < 5; i++) {
                 assertEquals(Kind.SERVED, f.query("portal", "SELECT 1").kind());
             }
-            Fleet.await("the slow client's request is over", () -> f.router.core().openRequests() == 0);
+            Fleet.await(
+                    "the slow client's request is over", () -> f.router.core().openRequests() == 0);
         }
     }
 
     @Test
     void attemptsHaveTheirOwnIdsAndSettingsOfOursAreStripped() throws Exception {
         try (Fleet f = Fleet.of("q1:typ-a").start()) {
-            Reply r = f.client("portal").query("mine", "SELECT /* sim tag=t */ 2", Map.of("ashlink_key", "k"), 5 * S);
+            Reply r =
+                    f.client("portal")
+                            .query(
+                                    "mine",
+                                    "SELECT /* sim tag=t */ 2",
+                                    Map.of("ashlink_key", "k"),
+                                    5 * S);
             assertEquals(Kind.SERVED, r.kind());
             Ledger.Entry e = f.ledger().get(0);
             assertNotEquals("mine", e.queryId);
@@ -248,12 +320,22 @@
     @Test
     void aModuleThatForgetsOrThrowsStillLeavesNobodyWithoutAnAnswer() throws Exception {
         try (Fleet f = Fleet.of("q1:typ-a").with(MARGIN).start(s -> (e, now) -> List.of())) {
-            Reply r = f.client("portal").query("", "SELECT 1", Map.of("max_execution_time", "1.2"), 1200 * Fleet.MS);
+            Reply r =
+                    f.client("portal")
+                            .query(
+                                    "",
+                                    "SELECT 1",
+                                    Map.of("max_execution_time", "1.2"),
+                                    1200 * Fleet.MS);
             assertEquals(202, r.code(), r.message());
         }
-        try (Fleet f = Fleet.of("q1:typ-a").start(s -> (e, now) -> {
-            throw new IllegalStateException("on purpose");
-        })) {
+        try (Fleet f =
+                Fleet.of("q1:typ-a")
+                        .start(
+                                s ->
+                                        (e, now) -> {
+                                            throw new IllegalStateException("on purpose");
+                                        })) {
             assertEquals(202, f.query("portal", "SELECT 1").code());
         }
     }
@@ -261,13 +343,20 @@
     @Test
     void largeAnswersAndInsertsPassWholeInAllCompressions() throws Exception {
         try (Fleet f = Fleet.of("q1:typ-a").start()) {
-            for (Compression compression : new Compression[] {null, Compression.LZ4, Compression.ZSTD}) {
+            for (Compression compression :
+                    new Compression[] {null, Compression.LZ4, Compression.ZSTD}) {
                 NativeClient c = new NativeClient(compression, Revision.HIGHEST);
                 c.open(f.router.address(), "portal", "", "default", 5_000);
                 f.clients.add(c);
                 String name = compression == Compression.ZSTD ? "zstd" : "lz4";
-                Reply r = c.query("", "SELECT /* sim compression=" + name + " rows=10000 width=100 blocks=20 */ 2", Map.of(),
-                        20 * S);
+                Reply r =
+                        c.query(
+                                "",
+                                "SELECT /* sim compression="
+                                        + name
+                                        + " rows=10000 width=100 blocks=20 */ 2",
+                                Map.of(),
+                                20 * S);
                 assertEquals(Kind.SERVED, r.kind(), r.message());
                 assertEquals(200_000, r.rows());
                 Reply empty = c.query("", "SELECT /* sim rows=0 */ 2", Map.of(), 5 * S);
--- a/rig/src/test/java/ashlink/rig/BadPeersTest.java
+++ b/rig/src/test/java/ashlink/rig/BadPeersTest.java
@@ -9,10 +9,10 @@
 import ashlink.standin.Faults.Break;
 import ashlink.standin.Faults.Place;
 import ashlink.wire.ByteBuf;
+import ashlink.wire.ClientInfo;
 import ashlink.wire.ClientPacket;
 import ashlink.wire.QueryPacket;
 import ashlink.wire.Revision;
-import ashlink.wire.ClientInfo;
 import java.io.IOException;
 import java.net.ServerSocket;
 import java.net.Socket;
@@ -22,23 +22,36 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Peers that lie, stall or break: a clear error or a closed socket within a stated time, and the others unharmed. */
+/**
+ * Peers that lie, stall or break: a clear error or a closed socket within a stated time, and the
+ * others unharmed.
+ */
 class BadPeersTest {
 
     private static final long S = Fleet.S;
 
     private static ByteBuf data() throws IOException {
-        return new ByteBuf().putVarUInt(ClientPacket.DATA.ordinal()).putString("").putVarUInt(1).putByte(0).putVarUInt(2)
-                .putInt(-1).putVarUInt(0);
+        return new ByteBuf()
+                .putVarUInt(ClientPacket.DATA.ordinal())
+                .putString("")
+                .putVarUInt(1)
+                .putByte(0)
+                .putVarUInt(2)
+                .putInt(-1)
+                .putVarUInt(0);
     }
 
     private static ByteBuf query(String statement) throws IOException {
         ByteBuf q = new ByteBuf();
-        new QueryPacket("", ClientInfo.NONE, List.of(), QueryPacket.COMPLETE, false, statement).write(Revision.HIGHEST, q);
+        new QueryPacket("", ClientInfo.NONE, List.of(), QueryPacket.COMPLETE, false, statement)
+                .write(Revision.HIGHEST, q);
         return q;
     }
 
-    /** Sends that after a login; the router must say why, or close, within seconds, and go on serving others. */
+    /**
+     * Sends that after a login; the router must say why, or close, within seconds, and go on
+     * serving others.
+     */
     private static Reply after(Fleet f, ByteBuf... packets) throws Exception {
         NativeClient c = f.client("portal");
         for (ByteBuf p : packets) {
@@ -55,15 +68,35 @@
             assertEquals(101, after(f, new ByteBuf().putVarUInt(77)).code());
             assertEquals(307, after(f, new ByteBuf().putVarUInt(1).putVarUInt(1L << 62)).code());
             assertEquals(307, after(f, new ByteBuf().putVarUInt(1).putVarUInt(1L << 30)).code());
-            assertEquals(307, after(f, query("SELECT 1"), data().putVarUInt(100_000).putVarUInt(1)).code());
+            assertEquals(
+                    307,
+                    after(f, query("SELECT 1"), data().putVarUInt(100_000).putVarUInt(1)).code());
             for (int depth : new int[] {100, 9_000, 10_000}) {
                 String deep = "Array(".repeat(depth) + "UInt8" + ")".repeat(depth);
-                Reply nested = after(f, query("SELECT 1"), data().putVarUInt(1).putVarUInt(1).putString("x").putString(deep));
-                assertEquals(depth < 10_000 ? 101 : 307, nested.code(), nested.message()); // the last is too long a text
+                Reply nested =
+                        after(
+                                f,
+                                query("SELECT 1"),
+                                data().putVarUInt(1).putVarUInt(1).putString("x").putString(deep));
+                assertEquals(
+                        depth < 10_000 ? 101 : 307,
+                        nested.code(),
+                        nested.message()); // the last is too long a text
             }
-            Reply unknown = after(f, query("SELECT 1"), data().putVarUInt(1).putVarUInt(1).putString("x").putString("Quark"));
+            Reply unknown =
+                    after(
+                            f,
+                            query("SELECT 1"),
+                            data().putVarUInt(1).putVarUInt(1).putString("x").putString("Quark"));
             assertEquals(50, unknown.code(), unknown.message());
-            Reply huge = after(f, query("SELECT 1"), data().putVarUInt(1).putVarUInt(1L << 62).putString("x").putString("UInt64"));
+            Reply huge =
+                    after(
+                            f,
+                            query("SELECT 1"),
+                            data().putVarUInt(1)
+                                    .putVarUInt(1L << 62)
+                                    .putString("x")
+                                    .putString("UInt64"));
             assertEquals(307, huge.code(), huge.message());
         }
     }
@@ -71,12 +104,20 @@
     @Test
     void garbageForHelloAndSilenceBeforeLoginEndInTime() throws Exception {
         try (Fleet f = Fleet.of("q1:typ-a").with("(bounds (login 300ms))").start();
-                Socket garbage = new Socket(f.router.address().getAddress(), f.router.address().getPort());
-                Socket silent = new Socket(f.router.address().getAddress(), f.router.address().getPort());
-                Socket dribble = new Socket(f.router.address().getAddress(), f.router.address().getPort())) {
-            garbage.getOutputStream().write("GET / HTTP/1.1\r\n\r\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
+                Socket garbage =
+                        new Socket(f.router.address().getAddress(), f.router.address().getPort());
+                Socket silent =
+                        new Socket(f.router.address().getAddress(), f.router.address().getPort());
+                Socket dribble =
+                        new Socket(f.router.address().getAddress(), f.router.address().getPort())) {
+            garbage.getOutputStream()
+                    .write(
+                            "GET / HTTP/1.1\r\n\r\n"
+                                    .getBytes(java.nio.charset.StandardCharsets.US_ASCII));
             garbage.setSoTimeout(5_000);
-            assertTrue(garbage.getInputStream().readAllBytes().length > 0, "no word of what was wrong");
+            assertTrue(
+                    garbage.getInputStream().readAllBytes().length > 0,
+                    "no word of what was wrong");
             dribble.getOutputStream().write(0);
             silent.setSoTimeout(5_000);
             assertEquals(-1, silent.getInputStream().read());
@@ -89,15 +130,25 @@
     @Test
     void aWrongPasswordOrUserIsRefusedAlike() throws Exception {
         String hash = ashlink.config.Passwords.hash("secret", 4);
-        try (Fleet f = Fleet.of("q1:typ-a").with("(user anna (password-hash \"" + hash + "\"))").start()) {
+        try (Fleet f =
+                Fleet.of("q1:typ-a").with("(user anna (password-hash \"" + hash + "\"))").start()) {
             NativeClient good = new NativeClient(null, Revision.HIGHEST);
             good.open(f.router.address(), "anna", "secret", "default", 5_000);
             assertEquals(Kind.SERVED, good.query("", "SELECT 1", Map.of(), 5 * S).kind());
             good.close();
-            for (String[] wrong : new String[][] {{"anna", "Secret"}, {"anna", ""}, {"nobody", "secret"}}) {
+            for (String[] wrong :
+                    new String[][] {{"anna", "Secret"}, {"anna", ""}, {"nobody", "secret"}}) {
                 NativeClient c = new NativeClient(null, Revision.HIGHEST);
-                IOException e = org.junit.jupiter.api.Assertions.assertThrows(IOException.class,
-                        () -> c.open(f.router.address(), wrong[0], wrong[1], "default", 5_000));
+                IOException e =
+                        org.junit.jupiter.api.Assertions.assertThrows(
+                                IOException.class,
+                                () ->
+                                        c.open(
+                                                f.router.address(),
+                                                wrong[0],
+                                                wrong[1],
+                                                "default",
+                                                5_000));
                 assertTrue(e.getMessage().contains("516"), e.getMessage());
             }
         }
@@ -108,7 +159,8 @@
         try (Fleet f = Fleet.of("q1:typ-a").with("(bounds (connections 2))").start()) {
             NativeClient a = f.client("portal");
             f.client("portal");
-            org.junit.jupiter.api.Assertions.assertThrows(IOException.class, () -> f.client("portal"));
+            org.junit.jupiter.api.Assertions.assertThrows(
+                    IOException.class, () -> f.client("portal"));
             assertEquals(Kind.SERVED, a.query("", "SELECT 1", Map.of(), 5 * S).kind());
         }
     }
@@ -126,14 +178,22 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Place.class, names = {"ACCEPT", "HELLO", "QUERY", "RUN", "ANSWER", "END"})
-    void anEngineThatBreaksAnywhereOrSaysNothingCostsALookUpNothingButTime(Place place) throws Exception {
+    @EnumSource(
+            value = Place.class,
+            names = {"ACCEPT", "HELLO", "QUERY", "RUN", "ANSWER", "END"})
+    void anEngineThatBreaksAnywhereOrSaysNothingCostsALookUpNothingButTime(Place place)
+            throws Exception {
         for (Break how : new Break[] {Break.CLOSE, Break.GARBAGE, Break.SILENCE}) {
-            try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-a").with("(bounds (connect 100ms))").start()) {
+            try (Fleet f =
+                    Fleet.of("q1:typ-a", "q2:typ-a").with("(bounds (connect 100ms))").start()) {
                 f.engine("q1").faults().breakAt(place, how, 1000);
-                Reply r = f.client("portal").query("", "SELECT /* sim tag=t */ 2", Map.of(), 10 * S);
-                boolean silentAfterSend = how == Break.SILENCE && place != Place.ACCEPT && place != Place.HELLO;
-                assertTrue(r.kind() == Kind.SERVED || silentAfterSend && r.code() == 202, place + " " + how + ": " + r);
+                Reply r =
+                        f.client("portal").query("", "SELECT /* sim tag=t */ 2", Map.of(), 10 * S);
+                boolean silentAfterSend =
+                        how == Break.SILENCE && place != Place.ACCEPT && place != Place.HELLO;
+                assertTrue(
+                        r.kind() == Kind.SERVED || silentAfterSend && r.code() == 202,
+                        place + " " + how + ": " + r);
             }
         }
     }
@@ -141,8 +201,13 @@
     @Test
     void aConnectThatHangsIsGivenUp() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress());
-                Fleet f = Fleet.of("q1:typ-a").with("(bounds (connect 100ms)) (engine hung (address 127.0.0.1:"
-                        + full.getLocalPort() + ") (zone halle-1) (kind typ-a))").start()) {
+                Fleet f =
+                        Fleet.of("q1:typ-a")
+                                .with(
+                                        "(bounds (connect 100ms)) (engine hung (address 127.0.0.1:"
+                                                + full.getLocalPort()
+                                                + ") (zone halle-1) (kind typ-a))")
+                                .start()) {
             for (int i = 0; i < 6; i++) {
                 assertEquals(Kind.SERVED, f.query("portal", "SELECT 1").kind());
             }
@@ -153,7 +218,8 @@
     void aConnectionThatTheEngineClosedWhileIdleIsNotUsed() throws Exception {
         try (Fleet f = Fleet.of("q1:typ-a").start()) {
             NativeClient c = f.client("portal");
-            assertEquals(Kind.SERVED, c.query("", "INSERT INTO t SELECT 1", Map.of(), 5 * S).kind());
+            assertEquals(
+                    Kind.SERVED, c.query("", "INSERT INTO t SELECT 1", Map.of(), 5 * S).kind());
             f.engine("q1").crash();
             f.engine("q1").restart();
             Reply r = c.query("", "INSERT /* sim tag=t */ INTO t SELECT 1", Map.of(), 5 * S);
--- a/rig/src/test/java/ashlink/rig/CheckerTest.java
+++ b/rig/src/test/java/ashlink/rig/CheckerTest.java
@@ -29,7 +29,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Each rule is broken on purpose and the checker finds it; a rule that was never at stake is no proof. */
+/**
+ * Each rule is broken on purpose and the checker finds it; a rule that was never at stake is no
+ * proof.
+ */
 class CheckerTest {
 
     private static final long MS = 1_000_000L;
@@ -42,27 +45,75 @@
     private final List<Span> sick = new ArrayList<>();
     private final List<String> fallen = new ArrayList<>();
 
-    private void client(String tag, String cls, String key, long sentMs, long endMs, Reply.Kind kind, int code) {
-        tries.add(new Try(Long.parseLong(tag.substring(0, tag.indexOf('.'))), tag, 0, cls, key, "r1", 80, 1,
-                FROM + sentMs * MS, FROM + sentMs * MS, FROM + (sentMs + 2000) * MS, true,
-                new Reply(kind, code, "", 0, 0, FROM + endMs * MS), false, "native"));
+    private void client(
+            String tag,
+            String cls,
+            String key,
+            long sentMs,
+            long endMs,
+            Reply.Kind kind,
+            int code) {
+        tries.add(
+                new Try(
+                        Long.parseLong(tag.substring(0, tag.indexOf('.'))),
+                        tag,
+                        0,
+                        cls,
+                        key,
+                        "r1",
+                        80,
+                        1,
+                        FROM + sentMs * MS,
+                        FROM + sentMs * MS,
+                        FROM + (sentMs + 2000) * MS,
+                        true,
+                        new Reply(kind, code, "", 0, 0, FROM + endMs * MS),
+                        false,
+                        "native"));
     }
 
     private void engine(String tag, String engine, long beganMs, long untilMs, How how) {
         boolean ran = how != How.NO_DATA && how != How.TURNED_AWAY;
-        ledger.add(new Sent(engine, engine.startsWith("a") ? "typ-a" : "typ-b", "halle-1", "r1", tag, 80,
-                FROM + beganMs * MS, ran ? FROM + beganMs * MS : 0, FROM + untilMs * MS, how));
+        ledger.add(
+                new Sent(
+                        engine,
+                        engine.startsWith("a") ? "typ-a" : "typ-b",
+                        "halle-1",
+                        "r1",
+                        tag,
+                        80,
+                        FROM + beganMs * MS,
+                        ran ? FROM + beganMs * MS : 0,
+                        FROM + untilMs * MS,
+                        how));
     }
 
     private Verdict verdict(int rule) throws Exception {
-        DayConfig day = DayConfigReader.read("day.sexp", """
-                (day (name d) (duration 20s) (rate 10/s) (router r1 (zone halle-1))
-                  (engine a1 (zone halle-1) (kind typ-a) (cold-time 14s)) (engine b1 (zone halle-1) (kind typ-b) (cold-time 14s))
-                  (load abfrage (share 1) (work 80ms) (timeout 2s)))""");
-        RouterConfig settings = BriefSettings.of("r1", "halle-1", 0, 1, 1, 0, List.of(),
-                "(limits (drain-grace 2s) (cold-from 0.35) (cold-time 14s) (cold-multiple 2.5) (cold-window 3s) "
-                + "(free-resends 1) (resends-per-request 0) (resend-span 10s))");
-        return new Checker(new DayFacts(day, settings, FROM, tries, ledger, drains, kills, downs, sick, fallen)).verdicts()
+        DayConfig day =
+                DayConfigReader.read(
+                        "day.sexp",
+                        """
+                        (day (name d) (duration 20s) (rate 10/s) (router r1 (zone halle-1))
+                          (engine a1 (zone halle-1) (kind typ-a) (cold-time 14s)) (engine b1 (zone halle-1) (kind typ-b) (cold-time 14s))
+                          (load abfrage (share 1) (work 80ms) (timeout 2s)))\
+                        """);
+        RouterConfig settings =
+                BriefSettings.of(
+                        "r1",
+                        "halle-1",
+                        0,
+                        1,
+                        1,
+                        0,
+                        List.of(),
+                        "(limits (drain-grace 2s) (cold-from 0.35) (cold-time 14s) (cold-multiple"
+                                + " 2.5) (cold-window 3s) (free-resends 1) (resends-per-request 0)"
+                                + " (resend-span 10s))");
+        return new Checker(
+                        new DayFacts(
+                                day, settings, FROM, tries, ledger, drains, kills, downs, sick,
+                                fallen))
+                .verdicts()
                 .get(rule - 1);
     }
 
@@ -132,7 +183,12 @@
     void aColdEngineThatIsSentTooMuchOrFallsOverIsFound() throws Exception {
         downs.add(new Span("a1", FROM, FROM + 1000 * MS));
         for (int i = 0; i < 300; i++) {
-            engine(i + ".0", "a1", 1100 + i, 1200 + i, How.ANSWERED); // 24 s of work in 0.3 s; it bears some 21 to 22
+            engine(
+                    i + ".0",
+                    "a1",
+                    1100 + i,
+                    1200 + i,
+                    How.ANSWERED); // 24 s of work in 0.3 s; it bears some 21 to 22
         }
         Verdict v = verdict(4);
         assertEquals(300, v.atStake());
@@ -179,33 +235,81 @@
         expect(7, 2, 1);
     }
 
-    /** A short day on real sockets under a router that repeats unsafe work, misplaces and goes on sending. */
+    /**
+     * A short day on real sockets under a router that repeats unsafe work, misplaces and goes on
+     * sending.
+     */
     @Test
     void aRouterThatBreaksRulesIsFoundOnRealSockets() throws Exception {
-        DayConfig day = DayConfigReader.read("day.sexp", """
-                (day (name broken) (duration 4s) (rate 60/s) (router r1 (zone halle-1))
-                  (engine q1 (zone halle-1) (kind typ-a)) (engine q2 (zone halle-1) (kind typ-b))
-                  (load abfrage (share 0.5) (work 10ms) (timeout 2s) (user portal))
-                  (load bericht (share 0.2) (work 20ms) (threads 4) (timeout 3s) (user billing))
-                  (load ladung (share 0.3) (work 100ms) (threads 2) (timeout 3s) (user portal) (write yes) (keys 2))
-                  (trouble (kind lost-answers) (at 500ms) (for 3s) (target q2) (factor 0.5))
-                  (trouble (kind slow) (at 500ms) (for 3s) (target q1) (factor 0.5)))""");
+        DayConfig day =
+                DayConfigReader.read(
+                        "day.sexp",
+                        """
+                        (day (name broken) (duration 4s) (rate 60/s) (router r1 (zone halle-1))
+                          (engine q1 (zone halle-1) (kind typ-a)) (engine q2 (zone halle-1) (kind typ-b))
+                          (load abfrage (share 0.5) (work 10ms) (timeout 2s) (user portal))
+                          (load bericht (share 0.2) (work 20ms) (threads 4) (timeout 3s) (user billing))
+                          (load ladung (share 0.3) (work 100ms) (threads 2) (timeout 3s) (user portal) (write yes) (keys 2))
+                          (trouble (kind lost-answers) (at 500ms) (for 3s) (target q2) (factor 0.5))
+                          (trouble (kind slow) (at 500ms) (for 3s) (target q1) (factor 0.5)))\
+                        """);
         DayFacts facts = new DayRun(day, CheckerTest::reckless).run();
         List<Verdict> verdicts = new Checker(facts).verdicts();
-        assertFalse(verdicts.get(1).broken().isEmpty(), "no effect twice: " + verdicts.get(1).atStake());
+        assertFalse(
+                verdicts.get(1).broken().isEmpty(),
+                "no effect twice: " + verdicts.get(1).atStake());
         assertFalse(verdicts.get(4).broken().isEmpty(), "order: " + verdicts.get(4).atStake());
         assertFalse(verdicts.get(5).broken().isEmpty(), "placement: " + verdicts.get(5).atStake());
         assertTrue(Service.of(facts).asked() > 100);
     }
 
-    /** Rules that were told that everything may be repeated, anywhere and in any order, and that give up early. */
+    /**
+     * Rules that were told that everything may be repeated, anywhere and in any order, and that
+     * give up early.
+     */
     private static Gateway reckless(Settings s) {
-        List<QueryClass> classes = s.classes().stream().map(c -> new QueryClass(c.name(), c.aimNs(), c.aimStretch(),
-                c.deadlineNs(), Effect.IDEMPOTENT, c.repeatGroup(), 0, c.worth(), c.lateShare(), false, Set.of(), Set.of(),
-                c.threads(), false, false)).toList();
-        Gateway inner = new Rules(new Settings(s.seed(), s.gateways(), s.position(), s.zone(), classes, s.kinds(),
-                s.allowed(), s.limits()));
-        return (event, now) -> inner.on(event, now).stream().map(a -> a instanceof Gateway.Send send
-                ? new Gateway.Send(send.id(), send.engine(), Math.min(send.timeoutNs(), 400 * MS)) : a).toList();
+        List<QueryClass> classes =
+                s.classes().stream()
+                        .map(
+                                c ->
+                                        new QueryClass(
+                                                c.name(),
+                                                c.aimNs(),
+                                                c.aimStretch(),
+                                                c.deadlineNs(),
+                                                Effect.IDEMPOTENT,
+                                                c.repeatGroup(),
+                                                0,
+                                                c.worth(),
+                                                c.lateShare(),
+                                                false,
+                                                Set.of(),
+                                                Set.of(),
+                                                c.threads(),
+                                                false,
+                                                false))
+                        .toList();
+        Gateway inner =
+                new Rules(
+                        new Settings(
+                                s.seed(),
+                                s.gateways(),
+                                s.position(),
+                                s.zone(),
+                                classes,
+                                s.kinds(),
+                                s.allowed(),
+                                s.limits()));
+        return (event, now) ->
+                inner.on(event, now).stream()
+                        .map(
+                                a ->
+                                        a instanceof Gateway.Send send
+                                                ? new Gateway.Send(
+                                                        send.id(),
+                                                        send.engine(),
+                                                        Math.min(send.timeoutNs(), 400 * MS))
+                                                : a)
+                        .toList();
     }
 }
--- a/rig/src/test/java/ashlink/rig/ClassesTest.java
+++ b/rig/src/test/java/ashlink/rig/ClassesTest.java
@@ -16,31 +16,53 @@
 /** Classes by what a statement is, at work on sockets: however it is written, its rules hold. */
 class ClassesTest {
 
-    private static final String REPORTS = "(rule (class bericht) (kind read) (table \"billing.*\"))";
+    private static final String REPORTS =
+            "(rule (class bericht) (kind read) (table \"billing.*\"))";
 
     @ParameterizedTest
-    @ValueSource(strings = {"SELECT sum(x) /*T*/ FROM billing.periods", "sElEcT sum(x) /*T*/ fRoM `billing` . \"periods\"",
-        "WITH p AS (SELECT * FROM billing.periods) SELECT /*T*/ * FROM p", "-- look-up\nSELECT 1 /*T*/, (SELECT max(x) FROM billing.periods)",
-        "(SELECT 1 /*T*/) UNION ALL (SELECT x FROM readings JOIN billing.periods USING id)",
-        "SELECT /*T*/ * FROM readings WHERE id IN billing.periods"})
-    void anOddlyWrittenReportNeverReachesTheOtherKindAlsoWhenItsOwnIsDown(String statement) throws Exception {
+    @ValueSource(
+            strings = {
+                "SELECT sum(x) /*T*/ FROM billing.periods",
+                "sElEcT sum(x) /*T*/ fRoM `billing` . \"periods\"",
+                "WITH p AS (SELECT * FROM billing.periods) SELECT /*T*/ * FROM p",
+                "-- look-up\nSELECT 1 /*T*/, (SELECT max(x) FROM billing.periods)",
+                "(SELECT 1 /*T*/) UNION ALL (SELECT x FROM readings JOIN billing.periods USING id)",
+                "SELECT /*T*/ * FROM readings WHERE id IN billing.periods"
+            })
+    void anOddlyWrittenReportNeverReachesTheOtherKindAlsoWhenItsOwnIsDown(String statement)
+            throws Exception {
         try (Fleet f = Fleet.of("a1:typ-a", "b1:typ-b").with(REPORTS).start()) {
             for (int i = 0; i < 4; i++) {
-                Reply up = f.query("portal", statement.replace("/*T*/", "/* sim tag=up" + i + " */"));
+                Reply up =
+                        f.query("portal", statement.replace("/*T*/", "/* sim tag=up" + i + " */"));
                 assertEquals(Kind.SERVED, up.kind(), up.message());
             }
             f.engine("a1").crash();
-            Reply down = f.client("portal").query("", statement.replace("/*T*/", "/* sim tag=down */"),
-                    Map.of("max_execution_time", "1"), 3 * Fleet.S);
+            Reply down =
+                    f.client("portal")
+                            .query(
+                                    "",
+                                    statement.replace("/*T*/", "/* sim tag=down */"),
+                                    Map.of("max_execution_time", "1"),
+                                    3 * Fleet.S);
             assertEquals(202, down.code(), down.message());
             assertEquals(List.of(), f.engine("b1").ledger().entries());
         }
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"SELECT 1; SELECT /*T*/ 2", "SELECT @@x /*T*/", "MERGE INTO t /*T*/ USING s", "/* FROM */ OPTIMIZE TABLE /*T*/ t",
-        "SELECT 1 /*T*/ INTO OUTFILE 'x'", "SELECT * FROM executable('x.sh', CSV, 'a Int8') /*T*/", "SELECT /*T*/ 1 /* a /* b */ c */"})
-    void whatIsNoPlainReadIsRunOnceAndKeepsThePlacementOfItsUsersClass(String statement) throws Exception {
+    @ValueSource(
+            strings = {
+                "SELECT 1; SELECT /*T*/ 2",
+                "SELECT @@x /*T*/",
+                "MERGE INTO t /*T*/ USING s",
+                "/* FROM */ OPTIMIZE TABLE /*T*/ t",
+                "SELECT 1 /*T*/ INTO OUTFILE 'x'",
+                "SELECT * FROM executable('x.sh', CSV, 'a Int8') /*T*/",
+                "SELECT /*T*/ 1 /* a /* b */ c */"
+            })
+    void whatIsNoPlainReadIsRunOnceAndKeepsThePlacementOfItsUsersClass(String statement)
+            throws Exception {
         try (Fleet f = Fleet.of("a1:typ-a", "a2:typ-a", "b1:typ-b").start()) {
             f.engines.values().forEach(e -> e.faults().breakAt(Place.RUN, Break.CLOSE, 100));
             Reply r = f.query("billing", statement.replace("/*T*/", "/* sim tag=t */"));
@@ -54,12 +76,19 @@
     void readersAndLoadsOfATableMeetOnOneGroup() throws Exception {
         java.util.Set<Long> groups = java.util.concurrent.ConcurrentHashMap.newKeySet();
         try (Fleet f = Fleet.of("q1:typ-a").start()) {
-            f.router.core().observe((e, now, a) -> {
-                if (e instanceof ashlink.Gateway.Request r) {
-                    groups.add(r.tables());
-                }
-            });
-            for (String s : List.of("SELECT * FROM default.readings", "INSERT INTO readings SELECT 1", "select x from `readings`")) {
+            f.router
+                    .core()
+                    .observe(
+                            (e, now, a) -> {
+                                if (e instanceof ashlink.Gateway.Request r) {
+                                    groups.add(r.tables());
+                                }
+                            });
+            for (String s :
+                    List.of(
+                            "SELECT * FROM default.readings",
+                            "INSERT INTO readings SELECT 1",
+                            "select x from `readings`")) {
                 assertEquals(Kind.SERVED, f.query("portal", s).kind());
             }
             assertEquals(1, groups.size(), groups.toString());
--- a/rig/src/test/java/ashlink/rig/CurlExamplesTest.java
+++ b/rig/src/test/java/ashlink/rig/CurlExamplesTest.java
@@ -15,20 +15,33 @@
 
     @Test
     void eachExampleAnswersWithItsStatus() throws Exception {
-        List<String> examples = Files.readAllLines(Path.of("../docs/statement-api.md")).stream()
-                .filter(l -> l.startsWith("curl ")).toList();
+        List<String> examples =
+                Files.readAllLines(Path.of("../docs/statement-api.md")).stream()
+                        .filter(l -> l.startsWith("curl "))
+                        .toList();
         assertTrue(examples.size() >= 10);
-        try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-a").with("(http (listen 127.0.0.1:0))").start()) {
+        try (Fleet f =
+                Fleet.of("q1:typ-a", "q2:typ-a").with("(http (listen 127.0.0.1:0))").start()) {
             for (String e : examples) {
                 int comment = e.lastIndexOf('#');
-                ProcessBuilder b = new ProcessBuilder("bash", "-c", e.substring(0, comment).replaceFirst("^curl", "curl -w '\\\\n%{http_code}'"))
-                        .redirectErrorStream(true);
-                b.environment().put("SERVER", "http://127.0.0.1:" + f.router.httpAddress().getPort());
+                ProcessBuilder b =
+                        new ProcessBuilder(
+                                        "bash",
+                                        "-c",
+                                        e.substring(0, comment)
+                                                .replaceFirst(
+                                                        "^curl", "curl -w '\\\\n%{http_code}'"))
+                                .redirectErrorStream(true);
+                b.environment()
+                        .put("SERVER", "http://127.0.0.1:" + f.router.httpAddress().getPort());
                 Process p = b.start();
                 p.getOutputStream().close();
                 String out = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
                 assertTrue(p.waitFor(30, TimeUnit.SECONDS));
-                assertEquals(e.substring(comment + 1).trim(), out.substring(out.lastIndexOf('\n') + 1), e + "\n" + out);
+                assertEquals(
+                        e.substring(comment + 1).trim(),
+                        out.substring(out.lastIndexOf('\n') + 1),
+                        e + "\n" + out);
             }
         }
     }
--- a/rig/src/test/java/ashlink/rig/Described.java
+++ b/rig/src/test/java/ashlink/rig/Described.java
@@ -17,14 +17,19 @@
     private final JsonNode description;
 
     Described() {
-        try (InputStream in = ashlink.router.Router.class.getResourceAsStream("/ashlink/router/http/openapi.json")) {
+        try (InputStream in =
+                ashlink.router.Router.class.getResourceAsStream(
+                        "/ashlink/router/http/openapi.json")) {
             description = JSON.readTree(in);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** The status and the form of an answer are described for its path and method; paths that are not described are 404. */
+    /**
+     * The status and the form of an answer are described for its path and method; paths that are
+     * not described are 404.
+     */
     void check(HttpResponse<String> r) throws IOException {
         String path = r.request().uri().getPath();
         String method = r.request().method().toLowerCase(Locale.ROOT);
@@ -35,16 +40,24 @@
             }
             JsonNode operation = p.getValue().get(method);
             if (operation == null) {
-                assertTrue(r.statusCode() == 405 || r.statusCode() == 404, method + " " + path + " is not described");
+                assertTrue(
+                        r.statusCode() == 405 || r.statusCode() == 404,
+                        method + " " + path + " is not described");
                 return;
             }
             JsonNode answer = operation.get("responses").get(Integer.toString(r.statusCode()));
-            assertTrue(answer != null, method + " " + path + " answers " + r.statusCode() + ": " + r.body());
-            assertTrue(!answer.has("content") || answer.get("content").has(type), r.statusCode() + " comes as " + type);
+            assertTrue(
+                    answer != null,
+                    method + " " + path + " answers " + r.statusCode() + ": " + r.body());
+            assertTrue(
+                    !answer.has("content") || answer.get("content").has(type),
+                    r.statusCode() + " comes as " + type);
             fields(r.body(), type, answer);
             return;
         }
-        assertTrue(r.statusCode() == 404 || r.statusCode() == 400, path + " is not described, and answers " + r.statusCode());
+        assertTrue(
+                r.statusCode() == 404 || r.statusCode() == 400,
+                path + " is not described, and answers " + r.statusCode());
     }
 
     /** All fields of an answer are in its schema, and all that the schema requires are there. */
@@ -55,8 +68,14 @@
         }
         JsonNode schema = description.at(ref.asText().substring(1));
         JsonNode n = JSON.readTree(body);
-        n.fieldNames().forEachRemaining(f -> assertTrue(schema.get("properties").has(f), "field " + f + " is not described"));
-        schema.get("required").forEach(f -> assertTrue(n.has(f.asText()), "field " + f.asText() + " is missing"));
+        n.fieldNames()
+                .forEachRemaining(
+                        f ->
+                                assertTrue(
+                                        schema.get("properties").has(f),
+                                        "field " + f + " is not described"));
+        schema.get("required")
+                .forEach(f -> assertTrue(n.has(f.asText()), "field " + f.asText() + " is missing"));
         for (String f : new String[] {"type", "state"}) {
             JsonNode words = schema.path("properties").path(f).path("enum");
             if (n.has(f) && words.isArray()) {
--- a/rig/src/test/java/ashlink/rig/Fleet.java
+++ b/rig/src/test/java/ashlink/rig/Fleet.java
@@ -39,8 +39,29 @@
     }
 
     Fleet engine(String name, String kind, boolean heedsCancel) throws Exception {
-        StandInEngine e = new StandInEngine(new EngineConfig(name, new InetSocketAddress("127.0.0.1", 0), "halle-1", kind, 8,
-                16 << 10, 1, 1.7, 0.6, 2, false, 0.6, 0.35, 0, 0, 3 * S, heedsCancel, 64, 1, null));
+        StandInEngine e =
+                new StandInEngine(
+                        new EngineConfig(
+                                name,
+                                new InetSocketAddress("127.0.0.1", 0),
+                                "halle-1",
+                                kind,
+                                8,
+                                16 << 10,
+                                1,
+                                1.7,
+                                0.6,
+                                2,
+                                false,
+                                0.6,
+                                0.35,
+                                0,
+                                0,
+                                3 * S,
+                                heedsCancel,
+                                64,
+                                1,
+                                null));
         e.start();
         engines.put(name, e);
         return this;
@@ -56,7 +77,10 @@
     }
 
     Fleet start(Function<Settings, Gateway> module) throws Exception {
-        router = new Router(BriefSettings.of("r1", "halle-1", 0, 1, 7, 0, engines.values(), extra), module);
+        router =
+                new Router(
+                        BriefSettings.of("r1", "halle-1", 0, 1, 7, 0, engines.values(), extra),
+                        module);
         router.start();
         return this;
     }
--- a/rig/src/test/java/ashlink/rig/HttpFrontTest.java
+++ b/rig/src/test/java/ashlink/rig/HttpFrontTest.java
@@ -26,10 +26,11 @@
 class HttpFrontTest {
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final String LOAD = "{\"statement\":\"INSERT /* sim tag=%s work_ms=%d */ INTO t VALUES\",\"rows\":[[\"1\",\"a\"]]}";
+    private static final String LOAD =
+            "{\"statement\":\"INSERT /* sim tag=%s work_ms=%d */ INTO t"
+                    + " VALUES\",\"rows\":[[\"1\",\"a\"]]}";
 
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
 
     private static String http(String settings) {
         return "(http (listen 127.0.0.1:0) " + settings + ")";
@@ -39,7 +40,10 @@
         return JSON.readTree(r.body());
     }
 
-    /** The URI of a statement just posted: it may have ended before its POST is answered, with a page instead of a state. */
+    /**
+     * The URI of a statement just posted: it may have ended before its POST is answered, with a
+     * page instead of a state.
+     */
     private static String statementUri(HttpResponse<String> posted) throws Exception {
         assertTrue(posted.statusCode() == 202 || posted.statusCode() == 200, posted.body());
         return "/v1/statements/" + json(posted).get("id").asText();
@@ -53,9 +57,14 @@
         return "SELECT /* sim " + hints + " */ 1 FROM readings";
     }
 
-    private static HttpResponse<String> load(HttpPeer p, String tag, int workMs, String key) throws Exception {
-        HttpRequest.Builder r = p.request("/v1/statements?wait=20").header("Content-Type", "application/json")
-                .POST(HttpRequest.BodyPublishers.ofString(String.format(LOAD, tag, workMs)));
+    private static HttpResponse<String> load(HttpPeer p, String tag, int workMs, String key)
+            throws Exception {
+        HttpRequest.Builder r =
+                p.request("/v1/statements?wait=20")
+                        .header("Content-Type", "application/json")
+                        .POST(
+                                HttpRequest.BodyPublishers.ofString(
+                                        String.format(LOAD, tag, workMs)));
         return p.send(key == null ? r : r.header("Idempotency-Key", key));
     }
 
@@ -77,20 +86,28 @@
             HttpResponse<String> r = peer.post(select("rows=2 value=x work_ms=5"), "?wait=10");
             assertEquals(200, r.statusCode(), r.body());
             assertEquals("[[\"0\",\"x\"],[\"1\",\"x\"]]", json(r).get("rows").toString());
-            assertEquals("[{\"name\":\"id\",\"type\":\"UInt64\"},{\"name\":\"value\",\"type\":\"String\"}]", json(r).get("columns").toString());
+            assertEquals(
+                    "[{\"name\":\"id\",\"type\":\"UInt64\"},{\"name\":\"value\",\"type\":\"String\"}]",
+                    json(r).get("columns").toString());
             assertTrue(json(r).path("nextUri").isMissingNode());
             String uri = "/v1/statements/" + json(r).get("id").asText() + "/pages/0";
-            assertEquals("\"id\",\"value\"\r\n0,\"x\"\r\n1,\"x\"\r\n", peer.get(uri, "Accept", "text/csv").body());
-            assertEquals("{\"id\":\"0\",\"value\":\"x\"}\n{\"id\":\"1\",\"value\":\"x\"}\n",
+            assertEquals(
+                    "\"id\",\"value\"\r\n0,\"x\"\r\n1,\"x\"\r\n",
+                    peer.get(uri, "Accept", "text/csv").body());
+            assertEquals(
+                    "{\"id\":\"0\",\"value\":\"x\"}\n{\"id\":\"1\",\"value\":\"x\"}\n",
                     peer.get(uri, "Accept", "application/x-ndjson").body());
             assertEquals(406, peer.get(uri, "Accept", "image/png").statusCode());
 
             HttpResponse<String> later = peer.post(select("rows=1 work_ms=300"), "");
             assertEquals(202, later.statusCode());
             assertEquals("running", json(later).get("state").asText());
-            HttpResponse<String> polled = peer.get(json(later).get("nextUri").asText() + "?wait=10");
+            HttpResponse<String> polled =
+                    peer.get(json(later).get("nextUri").asText() + "?wait=10");
             assertEquals(200, polled.statusCode());
-            assertEquals("finished", json(peer.get(json(later).get("infoUri").asText())).get("state").asText());
+            assertEquals(
+                    "finished",
+                    json(peer.get(json(later).get("infoUri").asText())).get("state").asText());
         }
     }
 
@@ -102,13 +119,16 @@
             assertEquals(422, error.statusCode());
             assertEquals("statement-error", type(error));
             assertEquals(62, json(error).get("code").asInt());
-            assertEquals("application/problem+json", error.headers().firstValue("Content-Type").orElse(""));
+            assertEquals(
+                    "application/problem+json",
+                    error.headers().firstValue("Content-Type").orElse(""));
             f.engine("q1").faults().breakAt(Place.RUN, Break.CLOSE, 100);
             HttpResponse<String> failed = load(peer, "f", 5, null);
             assertEquals(502, failed.statusCode(), failed.body());
             assertTrue(json(failed).get("mayHaveRun").asBoolean());
             f.engine("q1").crash();
-            HttpResponse<String> refused = peer.post(select("rows=1"), "?wait=20&max_execution_time=1");
+            HttpResponse<String> refused =
+                    peer.post(select("rows=1"), "?wait=20&max_execution_time=1");
             assertEquals(503, refused.statusCode(), refused.body());
             assertEquals("refused", type(refused));
             assertFalse(json(refused).get("mayHaveRun").asBoolean());
@@ -117,11 +137,18 @@
 
     @Test
     void onlyTheOwnerSeesAStatement() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").with(http("") + "(user eva (password-hash \"" + ashlink.config.Passwords.hash("secret", 4)
-                + "\"))").start()) {
+        try (Fleet f =
+                Fleet.of("q1:typ-a")
+                        .with(
+                                http("")
+                                        + "(user eva (password-hash \""
+                                        + ashlink.config.Passwords.hash("secret", 4)
+                                        + "\"))")
+                        .start()) {
             HttpPeer peer = new HttpPeer(f.router.httpAddress());
             String eva = "Basic " + Base64.getEncoder().encodeToString("eva:secret".getBytes());
-            HttpResponse<String> r = peer.post(select("rows=1 work_ms=2000 tag=e"), "", "Authorization", eva);
+            HttpResponse<String> r =
+                    peer.post(select("rows=1 work_ms=2000 tag=e"), "", "Authorization", eva);
             assertEquals(202, r.statusCode(), r.body());
             String uri = json(r).get("infoUri").asText();
             assertEquals(200, peer.get(uri, "Authorization", eva).statusCode());
@@ -131,17 +158,25 @@
             String wrong = "Basic " + Base64.getEncoder().encodeToString("eva:wrong".getBytes());
             assertEquals(401, peer.get(uri, "Authorization", wrong).statusCode());
             assertEquals(401, peer.get(uri, "Authorization", "Bearer x").statusCode());
-            assertEquals("running", json(peer.get(uri, "Authorization", eva)).get("state").asText());
+            assertEquals(
+                    "running", json(peer.get(uri, "Authorization", eva)).get("state").asText());
         }
     }
 
     // ---- 1. The client never polls
     @Test
     void aStatementThatNobodyAsksForEndsOnceAndLeavesNothing() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").with(spool("(unpolled 300ms) (kept 300ms) (tombstone-time 1s)")).start()) {
+        try (Fleet f =
+                Fleet.of("q1:typ-a")
+                        .with(spool("(unpolled 300ms) (kept 300ms) (tombstone-time 1s)"))
+                        .start()) {
             HttpPeer peer = new HttpPeer(f.router.httpAddress());
-            String running = json(peer.post(select("tag=long work_ms=30000"), "?max_execution_time=60")).get("infoUri").asText();
-            String answered = statementUri(peer.post(select("tag=big rows=1000 blocks=4 work_ms=1"), ""));
+            String running =
+                    json(peer.post(select("tag=long work_ms=30000"), "?max_execution_time=60"))
+                            .get("infoUri")
+                            .asText();
+            String answered =
+                    statementUri(peer.post(select("tag=big rows=1000 blocks=4 work_ms=1"), ""));
             Fleet.await("the result is there", () -> f.router.http().spooled() > 0);
             Fleet.await("both are dropped", () -> f.router.http().open() == 0);
             assertEquals(0, f.router.http().spooled());
@@ -152,7 +187,10 @@
             assertEquals("abandoned", json(peer.get(running)).get("state").asText());
             Fleet.await("both are forgotten", () -> f.router.http().known() == 0);
             assertEquals(404, peer.get(running).statusCode());
-            assertEquals(1, f.ledger().stream().filter(e -> e.tag.equals("long")).count(), "sent once, and never again");
+            assertEquals(
+                    1,
+                    f.ledger().stream().filter(e -> e.tag.equals("long")).count(),
+                    "sent once, and never again");
         }
     }
 
@@ -161,9 +199,12 @@
         try (Fleet f = Fleet.of("q1:typ-a").with(http("")).start()) {
             HttpPeer peer = new HttpPeer(f.router.httpAddress());
             f.engine("q1").hang(true);
-            String uri = statementUri(peer.post(select("tag=d work_ms=10"), "?max_execution_time=0.7"));
+            String uri =
+                    statementUri(peer.post(select("tag=d work_ms=10"), "?max_execution_time=0.7"));
             Fleet.await("its end", () -> f.router.core().openRequests() == 0);
-            HttpResponse<String> r = peer.get(uri + "/pages/0?wait=10"); // the core has answered, its answer is on the way
+            HttpResponse<String> r =
+                    peer.get(uri + "/pages/0?wait=10"); // the core has answered, its answer is
+            // on the way
             assertTrue(r.statusCode() == 503 || r.statusCode() == 502, r.body());
             assertEquals(r.body(), peer.get(uri + "/pages/0").body(), "and it stays that end");
         }
@@ -186,12 +227,19 @@
                 String expected = r.body();
                 List<CompletableFuture<HttpResponse<String>>> again = new ArrayList<>();
                 for (int i = 0; i < 8; i++) {
-                    again.add(peer.client().sendAsync(peer.request(uris.get(uris.size() - 1)).GET().build(), BodyHandlers.ofString()));
+                    again.add(
+                            peer.client()
+                                    .sendAsync(
+                                            peer.request(uris.get(uris.size() - 1)).GET().build(),
+                                            BodyHandlers.ofString()));
                 }
                 for (CompletableFuture<HttpResponse<String>> a : again) {
                     assertEquals(expected, a.get().body());
                 }
-                assertEquals(json2(bodies.get(bodies.size() - 1)), json2(peer.get(uris.get(uris.size() - 2)).body()), "late");
+                assertEquals(
+                        json2(bodies.get(bodies.size() - 1)),
+                        json2(peer.get(uris.get(uris.size() - 2)).body()),
+                        "late");
                 bodies.add(expected);
             }
             assertTrue(uris.size() >= 6, uris.size() + " pages");
@@ -220,8 +268,13 @@
             HttpPeer peer = new HttpPeer(f.router.httpAddress());
             List<CompletableFuture<HttpResponse<String>>> sent = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                HttpRequest.Builder r = peer.request("/v1/statements?wait=20").header("Content-Type", "application/json")
-                        .header("Idempotency-Key", "k1").POST(HttpRequest.BodyPublishers.ofString(String.format(LOAD, "one", 200)));
+                HttpRequest.Builder r =
+                        peer.request("/v1/statements?wait=20")
+                                .header("Content-Type", "application/json")
+                                .header("Idempotency-Key", "k1")
+                                .POST(
+                                        HttpRequest.BodyPublishers.ofString(
+                                                String.format(LOAD, "one", 200)));
                 sent.add(peer.client().sendAsync(r.build(), BodyHandlers.ofString()));
             }
             String id = null;
@@ -249,10 +302,19 @@
     void afterARestartAKeyTellsWhatIsKnownAndNothingRunsAgain() throws Exception {
         try (Fleet f = Fleet.of("q1:typ-a").with(http("") + state()).start()) {
             HttpPeer peer = new HttpPeer(f.router.httpAddress());
-            String served = "/v1/statements/" + json(load(peer, "done", 5, "served")).get("id").asText();
-            CompletableFuture<HttpResponse<String>> cut = peer.client().sendAsync(peer.request("/v1/statements?wait=20")
-                    .header("Content-Type", "application/json").header("Idempotency-Key", "cut")
-                    .POST(HttpRequest.BodyPublishers.ofString(String.format(LOAD, "cut", 3000))).build(), BodyHandlers.ofString());
+            String served =
+                    "/v1/statements/" + json(load(peer, "done", 5, "served")).get("id").asText();
+            CompletableFuture<HttpResponse<String>> cut =
+                    peer.client()
+                            .sendAsync(
+                                    peer.request("/v1/statements?wait=20")
+                                            .header("Content-Type", "application/json")
+                                            .header("Idempotency-Key", "cut")
+                                            .POST(
+                                                    HttpRequest.BodyPublishers.ofString(
+                                                            String.format(LOAD, "cut", 3000)))
+                                            .build(),
+                                    BodyHandlers.ofString());
             Fleet.await("it runs", () -> f.ledger().stream().anyMatch(e -> e.tag.equals("cut")));
             f.router.kill();
             cut.handle((r, e) -> null).get();
@@ -266,7 +328,9 @@
             assertTrue(json(gone).get("detail").asText().contains("was served"));
             assertEquals(410, next.get(served).statusCode());
             assertEquals(1, f.runs("done"));
-            assertTrue(f.ledger().stream().filter(e -> e.tag.equals("cut")).count() == 1, "never sent again by itself");
+            assertTrue(
+                    f.ledger().stream().filter(e -> e.tag.equals("cut")).count() == 1,
+                    "never sent again by itself");
         }
     }
 
@@ -275,19 +339,23 @@
         try (Fleet f = Fleet.of("q1:typ-a").with(http("") + state()).start()) {
             HttpPeer peer = new HttpPeer(f.router.httpAddress());
             f.engine("q1").faults().breakAt(Place.QUERY, Break.CLOSE, 1000);
-            HttpRequest.Builder r = peer.request("/v1/statements?wait=20&max_execution_time=1").header("Content-Type",
-                    "application/json").header("Idempotency-Key", "k").POST(HttpRequest.BodyPublishers.ofString(
-                    String.format(LOAD, "r", 5)));
+            HttpRequest.Builder r =
+                    peer.request("/v1/statements?wait=20&max_execution_time=1")
+                            .header("Content-Type", "application/json")
+                            .header("Idempotency-Key", "k")
+                            .POST(HttpRequest.BodyPublishers.ofString(String.format(LOAD, "r", 5)));
             HttpResponse<String> refused = peer.send(r);
             assertEquals(503, refused.statusCode(), refused.body());
             f.engine("q1").faults().heal();
-            Fleet.await("it runs under the same key", () -> {
-                try {
-                    return peer.send(r).statusCode() == 200;
-                } catch (Exception e) {
-                    throw new IllegalStateException(e);
-                }
-            });
+            Fleet.await(
+                    "it runs under the same key",
+                    () -> {
+                        try {
+                            return peer.send(r).statusCode() == 200;
+                        } catch (Exception e) {
+                            throw new IllegalStateException(e);
+                        }
+                    });
             assertEquals(1, f.runs("r"));
         }
     }
@@ -295,10 +363,17 @@
     // ---- 4. The spool
     @Test
     void aResultLargerThanItsBudgetWaitsForItsClientAndAnEngineForIt() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").with(spool("(spool-statement 256KiB)")
-                .replace("(page 4KiB)", "(page 64KiB)")).start()) {
+        try (Fleet f =
+                Fleet.of("q1:typ-a")
+                        .with(
+                                spool("(spool-statement 256KiB)")
+                                        .replace("(page 4KiB)", "(page 64KiB)"))
+                        .start()) {
             HttpPeer peer = new HttpPeer(f.router.httpAddress());
-            HttpResponse<String> r = peer.post(select("rows=500 blocks=400 width=100 work_ms=1"), "?wait=10&ashlink_class=bericht");
+            HttpResponse<String> r =
+                    peer.post(
+                            select("rows=500 blocks=400 width=100 work_ms=1"),
+                            "?wait=10&ashlink_class=bericht");
             long rows = json(r).get("rows").size();
             long most = 0;
             while (json(r).has("nextUri")) {
@@ -308,7 +383,9 @@
                 rows += json(r).path("rows").size();
             }
             assertEquals(200_000, rows);
-            assertTrue(most > 0 && most <= 256 << 10, most + " bytes of 256 KiB, of a result of 20 MB");
+            assertTrue(
+                    most > 0 && most <= 256 << 10,
+                    most + " bytes of 256 KiB, of a result of 20 MB");
         }
     }
 
@@ -341,14 +418,18 @@
             assertEquals(before, files(), "a killed router leaves its files");
             Thread.sleep(2); // another start has another time
             f.start();
-            Fleet.await("only the other's is left", () -> {
-                try {
-                    return files() == 1;
-                } catch (Exception e) {
-                    throw new IllegalStateException(e);
-                }
-            });
-            assertTrue(Files.exists(dir.resolve("spool").resolve("r2.b1.abc.0.page")) && Files.exists(dir.resolve("spool/notes.txt")));
+            Fleet.await(
+                    "only the other's is left",
+                    () -> {
+                        try {
+                            return files() == 1;
+                        } catch (Exception e) {
+                            throw new IllegalStateException(e);
+                        }
+                    });
+            assertTrue(
+                    Files.exists(dir.resolve("spool").resolve("r2.b1.abc.0.page"))
+                            && Files.exists(dir.resolve("spool/notes.txt")));
         }
     }
 
@@ -362,7 +443,10 @@
         try (Fleet f = Fleet.of("q1:typ-a").with(spool("")).start()) {
             HttpPeer peer = new HttpPeer(f.router.httpAddress());
             for (int i = 0; i < 60; i++) {
-                String uri = statementUri(peer.post(select("tag=x" + i + " rows=300 blocks=3 work_ms=1"), ""));
+                String uri =
+                        statementUri(
+                                peer.post(
+                                        select("tag=x" + i + " rows=300 blocks=3 work_ms=1"), ""));
                 Thread.sleep(i % 8);
                 HttpResponse<String> once = peer.delete(uri);
                 assertEquals(200, once.statusCode(), once.body());
@@ -372,8 +456,12 @@
                 HttpResponse<String> page = peer.get(uri + "/pages/0");
                 assertTrue(page.statusCode() == 409 || page.statusCode() == 410, page.body());
             }
-            Fleet.await("all is given back", () -> f.router.http().open() == 0 && f.router.http().spooled() == 0
-                    && f.router.core().openRequests() == 0);
+            Fleet.await(
+                    "all is given back",
+                    () ->
+                            f.router.http().open() == 0
+                                    && f.router.http().spooled() == 0
+                                    && f.router.core().openRequests() == 0);
             assertEquals(0, files());
             for (int i = 0; i < 60; i++) {
                 assertTrue(f.runs("x" + i) <= 1);
@@ -385,8 +473,12 @@
     void aLoadThatIsCalledOffMayHaveRunAndIsNotRunAgain() throws Exception {
         try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-a").with(http("")).start()) {
             HttpPeer peer = new HttpPeer(f.router.httpAddress());
-            HttpRequest.Builder r = peer.request("/v1/statements").header("Content-Type", "application/json")
-                    .POST(HttpRequest.BodyPublishers.ofString(String.format(LOAD, "l", 400)));
+            HttpRequest.Builder r =
+                    peer.request("/v1/statements")
+                            .header("Content-Type", "application/json")
+                            .POST(
+                                    HttpRequest.BodyPublishers.ofString(
+                                            String.format(LOAD, "l", 400)));
             String uri = json(peer.send(r)).get("infoUri").asText();
             Fleet.await("it runs", () -> f.ledger().stream().anyMatch(e -> e.tag.equals("l")));
             assertEquals("cancelled", json(peer.delete(uri)).get("state").asText());
@@ -401,16 +493,21 @@
     // ---- 6. Restart, another router, drain
     @Test
     void aStatementOfAnotherRouterIsPointedToAndOneOfNobodyIsNotFound() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").with(http("(peer r2 (url \"http://127.0.0.1:9\"))")).start()) {
+        try (Fleet f =
+                Fleet.of("q1:typ-a").with(http("(peer r2 (url \"http://127.0.0.1:9\"))")).start()) {
             HttpPeer peer = new HttpPeer(f.router.httpAddress());
             HttpResponse<String> other = peer.get("/v1/statements/r2~abc/pages/3?wait=1");
             assertEquals(307, other.statusCode());
-            assertEquals("http://127.0.0.1:9/v1/statements/r2~abc/pages/3?wait=1", other.headers().firstValue("Location").orElse(""));
+            assertEquals(
+                    "http://127.0.0.1:9/v1/statements/r2~abc/pages/3?wait=1",
+                    other.headers().firstValue("Location").orElse(""));
             assertEquals(404, peer.get("/v1/statements/r3~abc").statusCode());
             String uri = json(peer.post(select("rows=1"), "?wait=5")).get("id").asText();
             f.router.kill();
             f.start();
-            assertEquals(404, new HttpPeer(f.router.httpAddress()).get("/v1/statements/" + uri).statusCode());
+            assertEquals(
+                    404,
+                    new HttpPeer(f.router.httpAddress()).get("/v1/statements/" + uri).statusCode());
         }
     }
 
@@ -419,27 +516,42 @@
         try (Fleet f = Fleet.of("q1:typ-a").with(http("") + "(bounds (stop 2s))").start()) {
             HttpPeer peer = new HttpPeer(f.router.httpAddress());
             String slow = json(peer.post(select("rows=3 work_ms=500"), "")).get("nextUri").asText();
-            CompletableFuture<HttpResponse<String>> waits = peer.client().sendAsync(peer.request(slow + "?wait=20").GET().build(),
-                    BodyHandlers.ofString());
-            String forgotten = json(peer.post(select("rows=3 work_ms=1"), "")).get("nextUri").asText();
-            CompletableFuture<Void> stop = CompletableFuture.runAsync(() -> {
-                try {
-                    f.router.stop();
-                } catch (InterruptedException e) {
-                    throw new IllegalStateException(e);
-                }
-            });
-            Fleet.await("no more is taken", () -> {
-                try {
-                    return peer.post(select("rows=1"), "").statusCode() == 503;
-                } catch (Exception e) {
-                    throw new IllegalStateException(e);
-                }
-            });
+            CompletableFuture<HttpResponse<String>> waits =
+                    peer.client()
+                            .sendAsync(
+                                    peer.request(slow + "?wait=20").GET().build(),
+                                    BodyHandlers.ofString());
+            String forgotten =
+                    json(peer.post(select("rows=3 work_ms=1"), "")).get("nextUri").asText();
+            CompletableFuture<Void> stop =
+                    CompletableFuture.runAsync(
+                            () -> {
+                                try {
+                                    f.router.stop();
+                                } catch (InterruptedException e) {
+                                    throw new IllegalStateException(e);
+                                }
+                            });
+            Fleet.await(
+                    "no more is taken",
+                    () -> {
+                        try {
+                            return peer.post(select("rows=1"), "").statusCode() == 503;
+                        } catch (Exception e) {
+                            throw new IllegalStateException(e);
+                        }
+                    });
             assertEquals(200, waits.get().statusCode(), "who waits gets its answer");
-            CompletableFuture<HttpResponse<String>> last = peer.client().sendAsync(
-                    peer.request(forgotten.replaceAll("[0-9]+$", "1") + "?wait=20").GET().build(), BodyHandlers.ofString());
-            assertTrue(last.handle((r, e) -> r == null || r.statusCode() != 200).get(), "nobody hangs");
+            CompletableFuture<HttpResponse<String>> last =
+                    peer.client()
+                            .sendAsync(
+                                    peer.request(forgotten.replaceAll("[0-9]+$", "1") + "?wait=20")
+                                            .GET()
+                                            .build(),
+                                    BodyHandlers.ofString());
+            assertTrue(
+                    last.handle((r, e) -> r == null || r.statusCode() != 200).get(),
+                    "nobody hangs");
             stop.get();
         }
     }
--- a/rig/src/test/java/ashlink/rig/HttpPeer.java
+++ b/rig/src/test/java/ashlink/rig/HttpPeer.java
@@ -14,8 +14,11 @@
 
     private static final Described DESCRIBED = new Described();
 
-    private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(Duration.ofSeconds(10)).build();
+    private final HttpClient client =
+            HttpClient.newBuilder()
+                    .version(HttpClient.Version.HTTP_1_1)
+                    .connectTimeout(Duration.ofSeconds(10))
+                    .build();
     private final InetSocketAddress address;
 
     HttpPeer(InetSocketAddress address) {
@@ -23,7 +26,8 @@
     }
 
     HttpRequest.Builder request(String path) {
-        return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + address.getPort() + path)).timeout(Duration.ofSeconds(60));
+        return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + address.getPort() + path))
+                .timeout(Duration.ofSeconds(60));
     }
 
     /** Sends it, and holds the answer against the description. */
@@ -37,15 +41,19 @@
         return client;
     }
 
-    HttpResponse<String> post(String statement, String parameters, String... headers) throws IOException, InterruptedException {
-        HttpRequest.Builder r = request("/v1/statements" + parameters).POST(HttpRequest.BodyPublishers.ofString(statement));
+    HttpResponse<String> post(String statement, String parameters, String... headers)
+            throws IOException, InterruptedException {
+        HttpRequest.Builder r =
+                request("/v1/statements" + parameters)
+                        .POST(HttpRequest.BodyPublishers.ofString(statement));
         if (headers.length > 0) {
             r.headers(headers);
         }
         return send(r);
     }
 
-    HttpResponse<String> get(String path, String... headers) throws IOException, InterruptedException {
+    HttpResponse<String> get(String path, String... headers)
+            throws IOException, InterruptedException {
         HttpRequest.Builder r = request(path).GET();
         if (headers.length > 0) {
             r.headers(headers);
--- a/rig/src/test/java/ashlink/rig/HttpPeersTest.java
+++ b/rig/src/test/java/ashlink/rig/HttpPeersTest.java
@@ -20,8 +20,9 @@
 /** Peers that misbehave, or are many: each is bounded, and none harms the others. */
 class HttpPeersTest {
 
-    private static final String POST = "POST /v1/statements?wait=10 HTTP/1.1\r\nHost: a\r\nContent-Type: text/plain\r\n"
-            + "Content-Length: 8\r\n\r\nSELECT 1";
+    private static final String POST =
+            "POST /v1/statements?wait=10 HTTP/1.1\r\nHost: a\r\nContent-Type: text/plain\r\n"
+                    + "Content-Length: 8\r\n\r\nSELECT 1";
 
     private static Fleet fleet(String settings) throws Exception {
         return Fleet.of("q1:typ-a").with("(http (listen 127.0.0.1:0) " + settings + ")").start();
@@ -59,7 +60,9 @@
     }
 
     private static void isWell(Fleet f) throws Exception {
-        assertEquals(200, new HttpPeer(f.router.httpAddress()).post("SELECT 1", "?wait=10").statusCode());
+        assertEquals(
+                200,
+                new HttpPeer(f.router.httpAddress()).post("SELECT 1", "?wait=10").statusCode());
     }
 
     @Test
@@ -72,8 +75,13 @@
             HttpPeer peer = new HttpPeer(f.router.httpAddress());
             HttpResponse<String> large = peer.post("SELECT '" + "x".repeat(100_000) + "'", "");
             assertEquals(413, large.statusCode(), large.body());
-            HttpRequest.Builder chunked = peer.request("/v1/statements").POST(HttpRequest.BodyPublishers.ofInputStream(
-                    () -> new java.io.ByteArrayInputStream(new byte[100_000])));
+            HttpRequest.Builder chunked =
+                    peer.request("/v1/statements")
+                            .POST(
+                                    HttpRequest.BodyPublishers.ofInputStream(
+                                            () ->
+                                                    new java.io.ByteArrayInputStream(
+                                                            new byte[100_000])));
             assertEquals(413, peer.send(chunked).statusCode(), "also where no length is told");
             isWell(f);
         }
@@ -82,8 +90,11 @@
     @Test
     void requestsThatDripInAreCutOffInTheirTime() throws Exception {
         try (Fleet f = fleet("(header-time 400ms) (body-time 400ms)")) {
-            for (String start : new String[] {"GET /v1/openapi.json HTTP/1.1\r\nHost: a\r\nX: ",
-                "POST /v1/statements HTTP/1.1\r\nHost: a\r\nContent-Length: 10000\r\n\r\n"}) {
+            for (String start :
+                    new String[] {
+                        "GET /v1/openapi.json HTTP/1.1\r\nHost: a\r\nX: ",
+                        "POST /v1/statements HTTP/1.1\r\nHost: a\r\nContent-Length: 10000\r\n\r\n"
+                    }) {
                 try (Socket s = connect(f)) {
                     write(s, start);
                     long until = System.nanoTime() + 15 * Fleet.S;
@@ -110,14 +121,17 @@
             try (Socket s = connect(f)) {
                 write(s, POST.replace("HTTP/1.1\r\nHost: a\r\n", "HTTP/1.0\r\n"));
                 String answer = read(s, 10_000);
-                assertTrue(answer.startsWith("HTTP/1.1 200") && answer.endsWith("<closed>"), answer);
+                assertTrue(
+                        answer.startsWith("HTTP/1.1 200") && answer.endsWith("<closed>"), answer);
             }
             try (Socket s = connect(f)) {
                 write(s, POST + POST + "GET /v1/nothing HTTP/1.1\r\nHost: a\r\n\r\n");
                 String answer = read(s, 1_500);
                 int first = answer.indexOf("HTTP/1.1 200");
                 int second = answer.indexOf("HTTP/1.1 200", first + 1);
-                assertTrue(first == 0 && second > 0 && answer.indexOf("HTTP/1.1 404", second) > 0, answer);
+                assertTrue(
+                        first == 0 && second > 0 && answer.indexOf("HTTP/1.1 404", second) > 0,
+                        answer);
             }
             try (Socket s = connect(f)) {
                 write(s, POST);
@@ -138,18 +152,37 @@
             HttpPeer peer = new HttpPeer(f.router.httpAddress());
             assertEquals(400, peer.post("  ", "").statusCode());
             assertEquals(400, peer.post("{", "", "Content-Type", "application/json").statusCode());
-            assertEquals(400, peer.post("{\"statement\":\"SELECT 1\",\"what\":1}", "", "Content-Type", "application/json").statusCode());
-            assertEquals(400, peer.post("[".repeat(100_000), "", "Content-Type", "application/json").statusCode());
+            assertEquals(
+                    400,
+                    peer.post(
+                                    "{\"statement\":\"SELECT 1\",\"what\":1}",
+                                    "",
+                                    "Content-Type",
+                                    "application/json")
+                            .statusCode());
+            assertEquals(
+                    400,
+                    peer.post("[".repeat(100_000), "", "Content-Type", "application/json")
+                            .statusCode());
             assertEquals(415, peer.post("SELECT 1", "", "Content-Type", "image/png").statusCode());
             assertEquals(400, peer.post("SELECT 1", "?wait=soon").statusCode());
-            assertEquals(400, peer.post("SELECT 1", "", "Idempotency-Key", "k".repeat(300)).statusCode());
+            assertEquals(
+                    400,
+                    peer.post("SELECT 1", "", "Idempotency-Key", "k".repeat(300)).statusCode());
             assertEquals(405, peer.delete("/v1/statements").statusCode());
             assertEquals(404, peer.get("/v1/statements/../../etc").statusCode());
-            HttpResponse<String> rows = peer.post("{\"statement\":\"INSERT INTO t VALUES\",\"rows\":[[\"x\",\"y\"]]}", "?wait=10",
-                    "Content-Type", "application/json");
+            HttpResponse<String> rows =
+                    peer.post(
+                            "{\"statement\":\"INSERT INTO t VALUES\",\"rows\":[[\"x\",\"y\"]]}",
+                            "?wait=10",
+                            "Content-Type",
+                            "application/json");
             assertEquals(422, rows.statusCode(), rows.body());
             assertTrue(rows.body().contains("row 0, column id"), rows.body());
-            assertEquals(0, f.ledger().stream().filter(e -> e.ranNs() > 0).count(), "nothing ran of all that");
+            assertEquals(
+                    0,
+                    f.ledger().stream().filter(e -> e.ranNs() > 0).count(),
+                    "nothing ran of all that");
         }
     }
 
@@ -158,8 +191,14 @@
         try (Fleet f = fleet("(open-user 20)")) {
             HttpPeer peer = new HttpPeer(f.router.httpAddress());
             f.engine("q1").hang(true);
-            String uri = com.fasterxml.jackson.databind.json.JsonMapper.builder().build()
-                    .readTree(peer.post("SELECT /* sim tag=w */ 1", "?max_execution_time=1.5").body()).get("nextUri").asText();
+            String uri =
+                    com.fasterxml.jackson.databind.json.JsonMapper.builder()
+                            .build()
+                            .readTree(
+                                    peer.post("SELECT /* sim tag=w */ 1", "?max_execution_time=1.5")
+                                            .body())
+                            .get("nextUri")
+                            .asText();
             int before = Thread.activeCount();
             List<Socket> sockets = new ArrayList<>();
             for (int i = 0; i < 1_000; i++) {
@@ -167,7 +206,9 @@
                 write(s, "GET " + uri + "?wait=30 HTTP/1.1\r\nHost: a\r\n\r\n");
                 sockets.add(s);
             }
-            assertTrue(Thread.activeCount() - before < 100, "threads: " + (Thread.activeCount() - before));
+            assertTrue(
+                    Thread.activeCount() - before < 100,
+                    "threads: " + (Thread.activeCount() - before));
             for (Socket s : sockets) {
                 byte[] first = s.getInputStream().readNBytes(12);
                 String status = new String(first, StandardCharsets.ISO_8859_1);
@@ -188,7 +229,8 @@
             HttpResponse<String> over = peer.post("SELECT 1", "");
             assertEquals(429, over.statusCode());
             assertEquals("1", over.headers().firstValue("Retry-After").orElse(""));
-            String portal = "Basic " + java.util.Base64.getEncoder().encodeToString("portal:".getBytes());
+            String portal =
+                    "Basic " + java.util.Base64.getEncoder().encodeToString("portal:".getBytes());
             assertEquals(202, peer.post("SELECT 1", "", "Authorization", portal).statusCode());
         }
     }
@@ -202,14 +244,28 @@
             for (int i = 0; i < 2; i++) {
                 Socket s = new Socket();
                 s.setReceiveBufferSize(4096);
-                s.connect(new InetSocketAddress("127.0.0.1", f.router.httpAddress().getPort()), 10_000);
-                write(s, "POST /v1/statements?wait=10 HTTP/1.1\r\nHost: a\r\nContent-Length: " + statement.length() + "\r\n\r\n" + statement);
+                s.connect(
+                        new InetSocketAddress("127.0.0.1", f.router.httpAddress().getPort()),
+                        10_000);
+                write(
+                        s,
+                        "POST /v1/statements?wait=10 HTTP/1.1\r\nHost: a\r\nContent-Length: "
+                                + statement.length()
+                                + "\r\n\r\n"
+                                + statement);
                 slow.add(s);
             }
             List<CompletableFuture<HttpResponse<String>>> others = new ArrayList<>();
             for (int i = 0; i < 50; i++) {
-                others.add(peer.client().sendAsync(peer.request("/v1/statements?wait=10")
-                        .POST(HttpRequest.BodyPublishers.ofString("SELECT 1")).build(), BodyHandlers.ofString()));
+                others.add(
+                        peer.client()
+                                .sendAsync(
+                                        peer.request("/v1/statements?wait=10")
+                                                .POST(
+                                                        HttpRequest.BodyPublishers.ofString(
+                                                                "SELECT 1"))
+                                                .build(),
+                                        BodyHandlers.ofString()));
             }
             for (CompletableFuture<HttpResponse<String>> o : others) {
                 assertEquals(200, o.get().statusCode());
@@ -217,8 +273,12 @@
             for (Socket s : slow) {
                 Thread.sleep(1_500);
                 String answer = read(s, 5_000);
-                assertTrue(answer.startsWith("HTTP/1.1 200"), answer.substring(0, Math.min(200, answer.length())));
-                assertTrue(!answer.endsWith("<quiet>") && answer.length() < 9_000_000, "cut off after " + answer.length());
+                assertTrue(
+                        answer.startsWith("HTTP/1.1 200"),
+                        answer.substring(0, Math.min(200, answer.length())));
+                assertTrue(
+                        !answer.endsWith("<quiet>") && answer.length() < 9_000_000,
+                        "cut off after " + answer.length());
                 s.close();
             }
         }
--- a/rig/src/test/java/ashlink/rig/InsertsTest.java
+++ b/rig/src/test/java/ashlink/rig/InsertsTest.java
@@ -22,23 +22,33 @@
 class InsertsTest {
 
     private static final long S = Fleet.S;
-    private static final Block ROWS = Block.of(new Block.Column("id", "UInt64", List.of(1L)),
-            new Block.Column("value", "String", List.of("x")));
+    private static final Block ROWS =
+            Block.of(
+                    new Block.Column("id", "UInt64", List.of(1L)),
+                    new Block.Column("value", "String", List.of("x")));
 
     private static Block wide(int bytes) {
-        return Block.of(new Block.Column("id", "UInt64", new ArrayList<>(Collections.nCopies(100, 1L))),
-                new Block.Column("value", "String", new ArrayList<>(Collections.nCopies(100, "v".repeat(bytes / 100)))));
+        return Block.of(
+                new Block.Column("id", "UInt64", new ArrayList<>(Collections.nCopies(100, 1L))),
+                new Block.Column(
+                        "value",
+                        "String",
+                        new ArrayList<>(Collections.nCopies(100, "v".repeat(bytes / 100)))));
     }
 
     @ParameterizedTest
-    @EnumSource(value = Place.class, names = {"QUERY", "HEADER", "INSERT"})
-    void anInsertWhoseEngineBreaksBeforeItsDataIsCompleteIsGivenToAnother(Place place) throws Exception {
+    @EnumSource(
+            value = Place.class,
+            names = {"QUERY", "HEADER", "INSERT"})
+    void anInsertWhoseEngineBreaksBeforeItsDataIsCompleteIsGivenToAnother(Place place)
+            throws Exception {
         try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
             f.engines.values().forEach(e -> e.faults().breakAt(place, Break.CLOSE, 1));
             NativeClient c = f.client("portal");
             c.sendQuery("", "INSERT /* sim tag=t */ INTO t VALUES", Map.of());
             for (int i = 0; i < 4; i++) {
-                c.sendBlock(ROWS); // spread out, so that the break comes well before the end of the data
+                c.sendBlock(ROWS); // spread out, so that the break comes well before the end of the
+                // data
                 Thread.sleep(100);
             }
             c.sendBlock(Block.END);
@@ -53,7 +63,14 @@
     void anInsertWhoseEngineBreaksAfterItsDataIsCompleteIsNotRunAgain() throws Exception {
         try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
             f.engines.values().forEach(e -> e.faults().breakAt(Place.RUN, Break.CLOSE, 100));
-            Reply r = f.client("portal").insert("", "INSERT /* sim tag=t */ INTO t VALUES", Map.of(), List.of(ROWS), 10 * S);
+            Reply r =
+                    f.client("portal")
+                            .insert(
+                                    "",
+                                    "INSERT /* sim tag=t */ INTO t VALUES",
+                                    Map.of(),
+                                    List.of(ROWS),
+                                    10 * S);
             assertEquals(210, r.code(), r.message());
             assertEquals(1, f.runs("t"));
         }
@@ -61,11 +78,18 @@
 
     @Test
     void anInsertThatIsTooLargeToKeepIsRefusedWhenItsEngineBreaksAndHasNotRun() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-a").with("(bounds (held-insert 64KiB))").start()) {
+        try (Fleet f =
+                Fleet.of("q1:typ-a", "q2:typ-a").with("(bounds (held-insert 64KiB))").start()) {
             f.engines.values().forEach(e -> e.faults().breakAt(Place.INSERT, Break.CLOSE, 1));
             List<Block> blocks = new ArrayList<>(Collections.nCopies(40, wide(10_000)));
             NativeClient c = f.client("portal");
-            Reply r = c.insert("", "INSERT /* sim tag=t */ INTO t VALUES", Map.of("max_execution_time", "5"), blocks, 10 * S);
+            Reply r =
+                    c.insert(
+                            "",
+                            "INSERT /* sim tag=t */ INTO t VALUES",
+                            Map.of("max_execution_time", "5"),
+                            blocks,
+                            10 * S);
             assertEquals(202, r.code(), r.kind() + r.message());
             assertEquals(0, f.runs("t"));
         }
@@ -75,7 +99,14 @@
     void aLargeInsertPassesThroughAWindow() throws Exception {
         try (Fleet f = Fleet.of("q1:typ-a").with("(bounds (held-insert 1MiB))").start()) {
             List<Block> blocks = new ArrayList<>(Collections.nCopies(64, wide(1 << 20)));
-            Reply r = f.client("portal").insert("", "INSERT /* sim tag=t */ INTO t VALUES", Map.of(), blocks, 20 * S);
+            Reply r =
+                    f.client("portal")
+                            .insert(
+                                    "",
+                                    "INSERT /* sim tag=t */ INTO t VALUES",
+                                    Map.of(),
+                                    blocks,
+                                    20 * S);
             assertEquals(Kind.SERVED, r.kind(), r.message());
             assertEquals(1, f.runs("t"));
         }
@@ -85,7 +116,10 @@
     void aClientThatStopsInTheMiddleIsAnsweredBeforeItsTimeAndNothingRan() throws Exception {
         try (Fleet f = Fleet.of("q1:typ-a").with("(bounds (answer-margin 700ms))").start()) {
             NativeClient c = f.client("portal");
-            c.sendQuery("", "INSERT /* sim tag=t */ INTO t VALUES", Map.of("max_execution_time", "1.5"));
+            c.sendQuery(
+                    "",
+                    "INSERT /* sim tag=t */ INTO t VALUES",
+                    Map.of("max_execution_time", "1.5"));
             c.sendBlock(ROWS);
             Reply r = c.await(List.of(), System.nanoTime() + 3 * S / 2);
             assertEquals(202, r.code(), r.kind() + " " + r.message());
@@ -116,8 +150,14 @@
     @Test
     void anEngineThatRefusesTheDataEarlyIsTheAnswer() throws Exception {
         try (Fleet f = Fleet.of("q1:typ-a").start()) {
-            Reply r = f.client("portal").insert("", "INSERT /* sim tag=t error=60 */ INTO t VALUES", Map.of(), List.of(ROWS),
-                    5 * S);
+            Reply r =
+                    f.client("portal")
+                            .insert(
+                                    "",
+                                    "INSERT /* sim tag=t error=60 */ INTO t VALUES",
+                                    Map.of(),
+                                    List.of(ROWS),
+                                    5 * S);
             assertEquals(60, r.code());
         }
     }
