--- a/rig/src/test/java/ashlink/rig/LifecycleTest.java
+++ b/rig/src/test/java/ashlink/rig/LifecycleTest.java
@@ -34,7 +34,10 @@
             List<NativeClient> clients = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
                 NativeClient c = f.client("portal");
-                c.sendQuery("", "SELECT /* sim work_ms=300 tag=t" + i + " */ 2", Map.of("max_execution_time", "2"));
+                c.sendQuery(
+                        "",
+                        "SELECT /* sim work_ms=300 tag=t" + i + " */ 2",
+                        Map.of("max_execution_time", "2"));
                 clients.add(c);
             }
             Fleet.await("some run", () -> f.ledger().size() >= 4);
@@ -53,19 +56,25 @@
     }
 
     @Test
-    void aRouterThatRestartsRemembersItsListAndSaysSoToTheModule(@TempDir Path dir) throws Exception {
+    void aRouterThatRestartsRemembersItsListAndSaysSoToTheModule(@TempDir Path dir)
+            throws Exception {
         String state = "(state-dir \"" + dir + "\")";
         try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-b").with(state).start()) {
             assertEquals(Kind.SERVED, f.query("portal", "SELECT 1").kind());
             f.router.phase("q2", Phase.DRAINING);
             f.router.stop();
             List<ListNews> news = Collections.synchronizedList(new ArrayList<>());
-            Router again = new Router(BriefSettings.of("r1", "halle-1", 0, 1, 7, 0, f.engines.values(), state));
-            again.core().observe((e, now, a) -> {
-                if (e instanceof ListNews n) {
-                    news.add(n);
-                }
-            });
+            Router again =
+                    new Router(
+                            BriefSettings.of(
+                                    "r1", "halle-1", 0, 1, 7, 0, f.engines.values(), state));
+            again.core()
+                    .observe(
+                            (e, now, a) -> {
+                                if (e instanceof ListNews n) {
+                                    news.add(n);
+                                }
+                            });
             again.start();
             Fleet.await("the list", () -> news.size() >= 2);
             again.kill();
@@ -98,7 +107,9 @@
         try (Fleet f = Fleet.of("q1:typ-a").start()) {
             Path file = dir.resolve("r1.sexp");
             f.engine("q2", "typ-b", true);
-            Files.writeString(file, BriefSettings.text("r1", "halle-1", 0, 1, 7, 0, List.of(f.engine("q2")), ""));
+            Files.writeString(
+                    file,
+                    BriefSettings.text("r1", "halle-1", 0, 1, 7, 0, List.of(f.engine("q2")), ""));
             f.router.reload(RouterConfigReader.read(file));
             f.engine("q1").crash();
             assertEquals(Kind.SERVED, f.query("portal", "SELECT /* sim tag=t */ 2").kind());
--- a/rig/src/test/java/ashlink/rig/PastDaysTest.java
+++ b/rig/src/test/java/ashlink/rig/PastDaysTest.java
@@ -18,21 +18,26 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Captures of real routers on days of trouble, each decided again exactly. A change of the decisions shows here first; where it is
- * meant, the captures are recorded anew by {@code ./ashlink badday --trouble NAME --capture DIR}.
+ * Captures of real routers on days of trouble, each decided again exactly. A change of the
+ * decisions shows here first; where it is meant, the captures are recorded anew by {@code ./ashlink
+ * badday --trouble NAME --capture DIR}.
  */
 class PastDaysTest {
 
     static Stream<Path> captures() throws Exception {
         URI folder = PastDaysTest.class.getResource("/ashlink/rig/captures").toURI();
         try (Stream<Path> days = Files.list(Path.of(folder))) {
-            List<Path> routers = days.flatMap(d -> {
-                try {
-                    return Files.list(d);
-                } catch (java.io.IOException e) {
-                    throw new java.io.UncheckedIOException(e);
-                }
-            }).sorted().toList();
+            List<Path> routers =
+                    days.flatMap(
+                                    d -> {
+                                        try {
+                                            return Files.list(d);
+                                        } catch (java.io.IOException e) {
+                                            throw new java.io.UncheckedIOException(e);
+                                        }
+                                    })
+                            .sorted()
+                            .toList();
             return routers.stream();
         }
     }
@@ -41,8 +46,15 @@
     @MethodSource("captures")
     void isDecidedAgainExactly(Path capture) throws Exception {
         Replay replay = new Replay(Rules::new, ModuleHash.of(Rules.class));
-        List<CaptureReader.Found> found = new CaptureReader(FolderDisk.reading(capture)).read(replay);
-        assertTrue(found.stream().allMatch(f -> f.state() == Segment.State.WHOLE || f.state() == Segment.State.TORN), found.toString());
+        List<CaptureReader.Found> found =
+                new CaptureReader(FolderDisk.reading(capture)).read(replay);
+        assertTrue(
+                found.stream()
+                        .allMatch(
+                                f ->
+                                        f.state() == Segment.State.WHOLE
+                                                || f.state() == Segment.State.TORN),
+                found.toString());
         assertEquals(0, replay.differing(), replay.divergences().toString());
         assertTrue(replay.decided() > 500, replay.decided() + " steps");
     }
--- a/rig/src/test/java/ashlink/rig/SmokeTest.java
+++ b/rig/src/test/java/ashlink/rig/SmokeTest.java
@@ -34,8 +34,10 @@
                 assertEquals(Reply.Kind.SERVED, r.kind(), r.message());
                 assertEquals(1, r.rows());
             }
-            Block rows = Block.of(new Block.Column("id", "UInt64", List.of(1L, 2L)),
-                    new Block.Column("value", "String", List.of("x", "y")));
+            Block rows =
+                    Block.of(
+                            new Block.Column("id", "UInt64", List.of(1L, 2L)),
+                            new Block.Column("value", "String", List.of("x", "y")));
             Reply r = c.insert("b", "INSERT INTO t VALUES", Map.of(), List.of(rows), 5 * S);
             assertEquals(Reply.Kind.SERVED, r.kind(), r.message());
         } finally {
@@ -50,15 +52,20 @@
         Router router = new Router(BriefSettings.of("r1", "halle-1", 0, 1, 7, 0, engines, ""));
         router.start();
         Class.forName("com.github.housepower.jdbc.ClickHouseDriver");
-        String url = "jdbc:clickhouse://127.0.0.1:" + router.address().getPort() + "/default?user=portal";
-        try (Connection c = DriverManager.getConnection(url); Statement s = c.createStatement()) {
+        String url =
+                "jdbc:clickhouse://127.0.0.1:"
+                        + router.address().getPort()
+                        + "/default?user=portal";
+        try (Connection c = DriverManager.getConnection(url);
+                Statement s = c.createStatement()) {
             for (int i = 0; i < 3; i++) {
                 try (ResultSet r = s.executeQuery("SELECT 1")) {
                     assertTrue(r.next());
                     assertEquals(1, r.getInt(1));
                 }
             }
-            try (PreparedStatement p = c.prepareStatement("INSERT INTO t (id, value) VALUES (?, ?)")) {
+            try (PreparedStatement p =
+                    c.prepareStatement("INSERT INTO t (id, value) VALUES (?, ?)")) {
                 p.setLong(1, 5);
                 p.setString(2, "five");
                 p.addBatch();
--- a/router/src/main/java/ashlink/router/Router.java
+++ b/router/src/main/java/ashlink/router/Router.java
@@ -38,15 +38,20 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** A router: its parts put together, started, reloaded and stopped. Several can live in one process and share nothing. */
+/**
+ * A router: its parts put together, started, reloaded and stopped. Several can live in one process
+ * and share nothing.
+ */
 public final class Router {
 
     private static final Logger LOG = LoggerFactory.getLogger(Router.class);
     private static final String LIST_FILE = "engines.list";
     private static final long KEEP_NS = 1_000_000_000L;
     private static final long LAST_RUNS_NS = 5 * KEEP_NS;
+
     /** Events that wait for decisions from which on background work has the least share. */
     private static final double PRESSED = 256;
+
     private static final long WORKER_IDLE_S = 10;
 
     private final CoreClock clock = new CoreClock();
@@ -77,38 +82,86 @@
         this.classifier = new Classifier(config);
         RouterConfig.Bounds b = config.bounds();
         AtomicInteger number = new AtomicInteger();
-        // Each open request needs one thread at most, and one more to write an answer while another is blocked.
-        workers = new ThreadPoolExecutor(0, 2 * b.openRequests() + 64, WORKER_IDLE_S, TimeUnit.SECONDS,
-                new SynchronousQueue<>(), r -> {
-                    Thread t = new Thread(null, r, config.name() + "-worker-" + number.incrementAndGet(), b.stackBytes());
-                    t.setDaemon(true);
-                    return t;
-                });
-        timer = new ScheduledThreadPoolExecutor(1, r -> {
-            Thread t = new Thread(r, config.name() + "-front-timer");
-            t.setDaemon(true);
-            return t;
-        });
+        // Each open request needs one thread at most, and one more to write an answer while another
+        // is blocked.
+        workers =
+                new ThreadPoolExecutor(
+                        0,
+                        2 * b.openRequests() + 64,
+                        WORKER_IDLE_S,
+                        TimeUnit.SECONDS,
+                        new SynchronousQueue<>(),
+                        r -> {
+                            Thread t =
+                                    new Thread(
+                                            null,
+                                            r,
+                                            config.name() + "-worker-" + number.incrementAndGet(),
+                                            b.stackBytes());
+                            t.setDaemon(true);
+                            return t;
+                        });
+        timer =
+                new ScheduledThreadPoolExecutor(
+                        1,
+                        r -> {
+                            Thread t = new Thread(r, config.name() + "-front-timer");
+                            t.setDaemon(true);
+                            return t;
+                        });
         timer.setRemoveOnCancelPolicy(true);
         WireLimits d = WireLimits.DEFAULT;
-        WireLimits limits = new WireLimits(d.nameBytes(), d.textBytes(), d.settings(), d.columns(), b.packet(),
-                d.frameBytes());
+        WireLimits limits =
+                new WireLimits(
+                        d.nameBytes(),
+                        d.textBytes(),
+                        d.settings(),
+                        d.columns(),
+                        b.packet(),
+                        d.frameBytes());
         engines = new Engines(config, clock, workers, limits);
         gateway = module.apply(config.settings());
-        core = new Core(config.name(), gateway, config.allClasses(), engines, clock,
-                b.queue(),
-                b.openRequests(), new CoreMetrics(registry));
+        core =
+                new Core(
+                        config.name(),
+                        gateway,
+                        config.allClasses(),
+                        engines,
+                        clock,
+                        b.queue(),
+                        b.openRequests(),
+                        new CoreMetrics(registry));
         String boot = Long.toString(System.currentTimeMillis(), Character.MAX_RADIX);
-        FrontContext context = new FrontContext(() -> this.config, core, engines, workers, timer, limits,
-                new MemoryQuota(b.heldAnswers()), new MemoryQuota(b.heldInserts()), () -> classifier, new Statements(),
-                new Unknowns(), boot);
+        FrontContext context =
+                new FrontContext(
+                        () -> this.config,
+                        core,
+                        engines,
+                        workers,
+                        timer,
+                        limits,
+                        new MemoryQuota(b.heldAnswers()),
+                        new MemoryQuota(b.heldInserts()),
+                        () -> classifier,
+                        new Statements(),
+                        new Unknowns(),
+                        boot);
         listener = new NativeListener(context);
         background = new Scheduler(config.name(), Limits.DEFAULT, config.seed(), this::pressure);
         http = config.http().listen() == null ? null : new HttpFront(context, background, registry);
-        store = config.stateDir() == null ? null : new ListStore(config.stateDir().resolve(LIST_FILE));
+        store =
+                config.stateDir() == null
+                        ? null
+                        : new ListStore(config.stateDir().resolve(LIST_FILE));
         InetSocketAddress at = config.metrics();
-        metrics = at == null ? null : HTTPServer.builder().inetAddress(at.getAddress()).port(at.getPort())
-                .registry(registry).buildAndStart();
+        metrics =
+                at == null
+                        ? null
+                        : HTTPServer.builder()
+                                .inetAddress(at.getAddress())
+                                .port(at.getPort())
+                                .registry(registry)
+                                .buildAndStart();
     }
 
     /** Starts: the list first, then the clients. */
@@ -123,15 +176,21 @@
         capture = RouterCapture.start(config, gateway.getClass(), core, registry);
         core.start();
         engines.start(core::announce, kept);
-        background.add(TaskSpec.every("list.keep", Priority.HIGH, KEEP_NS, 10 * KEEP_NS).alsoAtStop(), lease -> keep());
-        background.add(TaskSpec.every("engines.close-idle", Priority.NORMAL, KEEP_NS, 10 * KEEP_NS),
+        background.add(
+                TaskSpec.every("list.keep", Priority.HIGH, KEEP_NS, 10 * KEEP_NS).alsoAtStop(),
+                lease -> keep());
+        background.add(
+                TaskSpec.every("engines.close-idle", Priority.NORMAL, KEEP_NS, 10 * KEEP_NS),
                 lease -> engines.closeIdle());
         listener.start();
         if (http != null) {
             http.start();
         }
-        LOG.atInfo().addKeyValue("router", config.name()).addKeyValue("address", listener.address().toString())
-                .addKeyValue("engines", config.engines().size()).log("started");
+        LOG.atInfo()
+                .addKeyValue("router", config.name())
+                .addKeyValue("address", listener.address().toString())
+                .addKeyValue("engines", config.engines().size())
+                .log("started");
     }
 
     /** How hard service is pressed: by the part of its queue that is taken. */
@@ -191,21 +250,51 @@
     /** Takes new settings: engines, users, and rules of classes; the rest needs a restart. */
     public void reload(RouterConfig next) {
         RouterConfig old = config;
-        if (!next.settings().equals(old.settings()) || !next.bounds().equals(old.bounds())
+        if (!next.settings().equals(old.settings())
+                || !next.bounds().equals(old.bounds())
                 || !next.listen().equals(old.listen())) {
-            LOG.warn("reload: classes, kinds, limits, bounds and addresses change at a restart only");
+            LOG.warn(
+                    "reload: classes, kinds, limits, bounds and addresses change at a restart"
+                            + " only");
         }
-        config = new RouterConfig(old.name(), old.zone(), old.seed(), old.gateways(), old.position(), old.listen(),
-                old.metrics(), old.stateDir(), old.bounds(), old.kinds(), next.engines(), old.classes(),
-                next.rules().stream().filter(r -> old.classes().containsKey(r.queryClass())).toList(),
-                old.defaultClass(), old.defaultWriteClass(), next.users(), old.tenants(), old.overShareWorth(),
-                old.allowed(), old.limits(), old.gauges(), old.engineLogin(), old.capture(), old.http(), old.control());
+        config =
+                new RouterConfig(
+                        old.name(),
+                        old.zone(),
+                        old.seed(),
+                        old.gateways(),
+                        old.position(),
+                        old.listen(),
+                        old.metrics(),
+                        old.stateDir(),
+                        old.bounds(),
+                        old.kinds(),
+                        next.engines(),
+                        old.classes(),
+                        next.rules().stream()
+                                .filter(r -> old.classes().containsKey(r.queryClass()))
+                                .toList(),
+                        old.defaultClass(),
+                        old.defaultWriteClass(),
+                        next.users(),
+                        old.tenants(),
+                        old.overShareWorth(),
+                        old.allowed(),
+                        old.limits(),
+                        old.gauges(),
+                        old.engineLogin(),
+                        old.capture(),
+                        old.http(),
+                        old.control());
         classifier = new Classifier(config);
         engines.configure(next.engines().values());
         LOG.info("reloaded");
     }
 
-    /** Takes no more, lets work finish up to the limit of the settings, answers the rest, and closes. */
+    /**
+     * Takes no more, lets work finish up to the limit of the settings, answers the rest, and
+     * closes.
+     */
     public void stop() throws InterruptedException {
         try {
             listener.stopAccepting();
--- a/router/src/main/java/ashlink/router/RouterCapture.java
+++ b/router/src/main/java/ashlink/router/RouterCapture.java
@@ -35,21 +35,43 @@
         this.recorder = recorder;
     }
 
-    /** Starts to capture, where the settings ask for it and the folder lets it; else does nothing. */
-    static RouterCapture start(RouterConfig config, Class<? extends Gateway> module, Core core, PrometheusRegistry registry) {
+    /**
+     * Starts to capture, where the settings ask for it and the folder lets it; else does nothing.
+     */
+    static RouterCapture start(
+            RouterConfig config,
+            Class<? extends Gateway> module,
+            Core core,
+            PrometheusRegistry registry) {
         CaptureSpec spec = config.capture();
         if (spec.dir() == null) {
             return new RouterCapture(null);
         }
         try {
-            Recorder r = new Recorder(FolderDisk.writing(spec.dir()), System.currentTimeMillis(), spec.segmentBytes(),
-                    spec.keptBytes(), spec.queue(), spec.syncNs(), RETRY_NS, hashing(spec.keySecret()));
+            Recorder r =
+                    new Recorder(
+                            FolderDisk.writing(spec.dir()),
+                            System.currentTimeMillis(),
+                            spec.segmentBytes(),
+                            spec.keptBytes(),
+                            spec.queue(),
+                            spec.syncNs(),
+                            RETRY_NS,
+                            hashing(spec.keySecret()));
             r.record(new Entry.Start(ModuleHash.of(module), config.settings(), config.name()));
-            core.observe((event, now, actions) -> r.record(new Entry.Step(event, now, List.copyOf(actions))));
-            GaugeWithCallback.builder().name("ashlink_capture_gaps").help("Gaps in the capture since the start")
-                    .callback(c -> c.call(r.gaps())).register(registry);
-            GaugeWithCallback.builder().name("ashlink_capture_dropped").help("Entries dropped and not told of yet")
-                    .callback(c -> c.call(r.dropped())).register(registry);
+            core.observe(
+                    (event, now, actions) ->
+                            r.record(new Entry.Step(event, now, List.copyOf(actions))));
+            GaugeWithCallback.builder()
+                    .name("ashlink_capture_gaps")
+                    .help("Gaps in the capture since the start")
+                    .callback(c -> c.call(r.gaps()))
+                    .register(registry);
+            GaugeWithCallback.builder()
+                    .name("ashlink_capture_dropped")
+                    .help("Entries dropped and not told of yet")
+                    .callback(c -> c.call(r.dropped()))
+                    .register(registry);
             return new RouterCapture(r);
         } catch (IOException e) {
             LOG.error("nothing is captured: {}", e.toString());
@@ -69,7 +91,9 @@
             try {
                 Mac mac = Mac.getInstance(MAC);
                 mac.init(spec);
-                return HexFormat.of().formatHex(mac.doFinal(text.getBytes(StandardCharsets.UTF_8)), 0, KEY_BYTES);
+                return HexFormat.of()
+                        .formatHex(
+                                mac.doFinal(text.getBytes(StandardCharsets.UTF_8)), 0, KEY_BYTES);
             } catch (GeneralSecurityException e) {
                 throw new IllegalStateException(e);
             }
--- a/router/src/main/java/ashlink/router/classify/Statements.java
+++ b/router/src/main/java/ashlink/router/classify/Statements.java
@@ -6,22 +6,27 @@
 import com.github.benmanes.caffeine.cache.Caffeine;
 
 /**
- * Readings of statements, those of short ones remembered. The key is the text itself with its database, not a hash of it:
- * a hit is as safe as reading again.
+ * Readings of statements, those of short ones remembered. The key is the text itself with its
+ * database, not a hash of it: a hit is as safe as reading again.
  */
 public final class Statements {
 
     /** Texts longer than this are read each time: they seldom come back as they were. */
     private static final int MOST_CHARS = 16 << 10;
+
     /** Characters of all texts that are remembered. */
     private static final long MOST_WEIGHT = 16 << 20;
+
     private static final int ENTRY_WEIGHT = 500;
 
-    private record Key(String text, String database) { }
+    private record Key(String text, String database) {}
 
     private final StatementReader reader = new StatementReader();
-    private final Cache<Key, Reading> known = Caffeine.newBuilder().maximumWeight(MOST_WEIGHT)
-            .weigher((Key k, Reading r) -> ENTRY_WEIGHT + 4 * k.text.length()).build();
+    private final Cache<Key, Reading> known =
+            Caffeine.newBuilder()
+                    .maximumWeight(MOST_WEIGHT)
+                    .weigher((Key k, Reading r) -> ENTRY_WEIGHT + 4 * k.text.length())
+                    .build();
 
     /** The reading of a statement. */
     public Reading read(String text, String database) {
--- a/router/src/main/java/ashlink/router/classify/UnreachableRules.java
+++ b/router/src/main/java/ashlink/router/classify/UnreachableRules.java
@@ -8,10 +8,12 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 
-/** Finds rules that never decide: all that they match is matched by an earlier one, or nothing is. */
+/**
+ * Finds rules that never decide: all that they match is matched by an earlier one, or nothing is.
+ */
 public final class UnreachableRules {
 
-    private UnreachableRules() { }
+    private UnreachableRules() {}
 
     /** A warning for each such rule. */
     public static List<String> of(RouterConfig config) {
@@ -20,12 +22,20 @@
         for (int i = 0; i < rules.size(); i++) {
             for (int j = 0; j < i; j++) {
                 if (covers(rules.get(j), rules.get(i))) {
-                    warnings.add("rule " + (i + 1) + " can never match: rule " + (j + 1) + " matches all that it would");
+                    warnings.add(
+                            "rule "
+                                    + (i + 1)
+                                    + " can never match: rule "
+                                    + (j + 1)
+                                    + " matches all that it would");
                     break;
                 }
             }
             ClassRule r = rules.get(i);
-            boolean contrary = r.kinds().equals(Set.of("load")) && !r.keywords().isEmpty() && !r.keywords().contains("INSERT");
+            boolean contrary =
+                    r.kinds().equals(Set.of("load"))
+                            && !r.keywords().isEmpty()
+                            && !r.keywords().contains("INSERT");
             if (contrary) {
                 warnings.add("rule " + (i + 1) + " can never match: a load starts with INSERT");
             }
@@ -34,11 +44,15 @@
     }
 
     private static boolean covers(ClassRule wide, ClassRule narrow) {
-        return covers(wide.users(), narrow.users()) && covers(wide.databases(), narrow.databases())
-                && covers(wide.keywords(), narrow.keywords()) && covers(wide.kinds(), narrow.kinds())
-                && covers(wide.fingerprints(), narrow.fingerprints()) && covers(texts(wide.tables()), texts(narrow.tables()))
-                && (wide.setting().isEmpty() || wide.setting().equals(narrow.setting())
-                        && (wide.value().isEmpty() || wide.value().equals(narrow.value())));
+        return covers(wide.users(), narrow.users())
+                && covers(wide.databases(), narrow.databases())
+                && covers(wide.keywords(), narrow.keywords())
+                && covers(wide.kinds(), narrow.kinds())
+                && covers(wide.fingerprints(), narrow.fingerprints())
+                && covers(texts(wide.tables()), texts(narrow.tables()))
+                && (wide.setting().isEmpty()
+                        || wide.setting().equals(narrow.setting())
+                                && (wide.value().isEmpty() || wide.value().equals(narrow.value())));
     }
 
     private static Set<String> texts(Set<Pattern> patterns) {
--- a/router/src/main/java/ashlink/router/core/AnswerSink.java
+++ b/router/src/main/java/ashlink/router/core/AnswerSink.java
@@ -2,7 +2,10 @@
 
 import ashlink.Gateway.Outcome;
 
-/** Where the answer of a request goes. No method may wait: all are called by threads that others depend on. */
+/**
+ * Where the answer of a request goes. No method may wait: all are called by threads that others
+ * depend on.
+ */
 public interface AnswerSink {
 
     /** Starts an attempt; whoever drives it ends it. */
--- a/router/src/main/java/ashlink/router/core/Attempt.java
+++ b/router/src/main/java/ashlink/router/core/Attempt.java
@@ -6,8 +6,9 @@
 import java.util.function.BiConsumer;
 
 /**
- * One attempt at a request. A worker drives it through its phases; a time-out or the module may end it at any moment.
- * It ends exactly once, and how is told to the core at once, whatever its worker waits for.
+ * One attempt at a request. A worker drives it through its phases; a time-out or the module may end
+ * it at any moment. It ends exactly once, and how is told to the core at once, whatever its worker
+ * waits for.
  */
 public final class Attempt {
 
@@ -19,7 +20,7 @@
     }
 
     /** How an attempt ended. */
-    record End(Cause cause, Outcome outcome, boolean answered, Told told) { }
+    record End(Cause cause, Outcome outcome, boolean answered, Told told) {}
 
     private final long id;
     private final int shot;
@@ -34,7 +35,13 @@
     private Runnable closer;
     private Future<?> timer;
 
-    Attempt(long id, int shot, String engine, long startNs, int priority, long memoryMb,
+    Attempt(
+            long id,
+            int shot,
+            String engine,
+            long startNs,
+            int priority,
+            long memoryMb,
             BiConsumer<Attempt, End> whenEnded) {
         this.id = id;
         this.shot = shot;
@@ -87,7 +94,10 @@
         }
     }
 
-    /** What closes the attempt's connection; run where the attempt is ended from outside, at once if it was. */
+    /**
+     * What closes the attempt's connection; run where the attempt is ended from outside, at once if
+     * it was.
+     */
     public void closer(Runnable c) {
         synchronized (this) {
             closer = c;
@@ -99,8 +109,8 @@
     }
 
     /**
-     * Goes on to a phase, before the bytes that make it true are written. False where the attempt is over: the worker
-     * then calls {@link #end}, which makes sure that it is told, and stops.
+     * Goes on to a phase, before the bytes that make it true are written. False where the attempt
+     * is over: the worker then calls {@link #end}, which makes sure that it is told, and stops.
      */
     public synchronized boolean advance(Phase to) {
         if (!ended) {
@@ -114,7 +124,10 @@
         return ended || aborted != null;
     }
 
-    /** Ends it from outside. While a write decides whether the statement can run, its worker tells the end. */
+    /**
+     * Ends it from outside. While a write decides whether the statement can run, its worker tells
+     * the end.
+     */
     public void abort(Cause cause) {
         Runnable close;
         boolean atOnce;
@@ -134,7 +147,10 @@
         }
     }
 
-    /** Ends it, unless it has ended; true for the one call that did. An attempt ended from outside keeps that cause. */
+    /**
+     * Ends it, unless it has ended; true for the one call that did. An attempt ended from outside
+     * keeps that cause.
+     */
     public boolean end(Cause cause, Told told) {
         End end;
         Future<?> t;
--- a/router/src/main/java/ashlink/router/core/Cause.java
+++ b/router/src/main/java/ashlink/router/core/Cause.java
@@ -2,7 +2,10 @@
 
 import ashlink.Gateway.Outcome;
 
-/** Why an attempt ended. {@link #outcome} is the table of phases and causes in docs/native-protocol.md. */
+/**
+ * Why an attempt ended. {@link #outcome} is the table of phases and causes in
+ * docs/native-protocol.md.
+ */
 public enum Cause {
     /** The whole answer came. */
     SERVED,
@@ -14,7 +17,10 @@
     TURNED_AWAY,
     /** The engine said that the request was over when it came, so that it never ran. */
     NOT_WANTED,
-    /** This router had no thread or connection to spare, or what another attempt needs is no longer kept. */
+    /**
+     * This router had no thread or connection to spare, or what another attempt needs is no longer
+     * kept.
+     */
     NO_MEANS,
     /** The engine was told to drain, or left, before the first byte. */
     DRAINED,
@@ -27,7 +33,10 @@
     /** The module, or the client in the middle of its insert, called it off. */
     CALLED_OFF;
 
-    /** What the module is told; {@link Outcome#mayHaveRun} is true only from {@link Phase#RUNNING} on. */
+    /**
+     * What the module is told; {@link Outcome#mayHaveRun} is true only from {@link Phase#RUNNING}
+     * on.
+     */
     public Outcome outcome(Phase phase) {
         return switch (this) {
             case SERVED -> Outcome.SERVED;
--- a/router/src/main/java/ashlink/router/core/Core.java
+++ b/router/src/main/java/ashlink/router/core/Core.java
@@ -32,12 +32,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The thread that owns the decision module, and the requests that are open. Events come in through one ordered queue;
- * actions are carried out in the order in which the module gives them. Nothing here waits for a socket.
+ * The thread that owns the decision module, and the requests that are open. Events come in through
+ * one ordered queue; actions are carried out in the order in which the module gives them. Nothing
+ * here waits for a socket.
  *
- * <p>The queue is bounded by admission: a request is taken only while fewer than {@code queueBound} events wait and
- * fewer than {@code openBound} requests are open; an open request has at most one attempt out and an engine one probe,
- * so each adds a fixed number of further events.
+ * <p>The queue is bounded by admission: a request is taken only while fewer than {@code queueBound}
+ * events wait and fewer than {@code openBound} requests are open; an open request has at most one
+ * attempt out and an engine one probe, so each adds a fixed number of further events.
  */
 public final class Core {
 
@@ -76,14 +77,21 @@
     private final AtomicInteger openCount = new AtomicInteger();
     private final AtomicLong ids = new AtomicLong();
     private final Thread thread;
-    private volatile Observer observer = (e, now, a) -> { };
+    private volatile Observer observer = (e, now, a) -> {};
     private volatile boolean taking = true;
     private volatile boolean refusing;
     private volatile boolean stopped;
 
     /** A core that is not started; {@code classes} are those of the module's settings, by name. */
-    public Core(String name, Gateway gateway, Map<String, QueryClass> classes, Transport transport, CoreClock clock,
-            int queueBound, int openBound, CoreMeter metrics) {
+    public Core(
+            String name,
+            Gateway gateway,
+            Map<String, QueryClass> classes,
+            Transport transport,
+            CoreClock clock,
+            int queueBound,
+            int openBound,
+            CoreMeter metrics) {
         this.gateway = gateway;
         this.classes = Map.copyOf(classes);
         this.transport = transport;
@@ -94,11 +102,14 @@
         metrics.watch(queue::size, openCount::get);
         this.thread = new Thread(this::run, name + "-decisions");
         thread.setDaemon(true);
-        timer = new ScheduledThreadPoolExecutor(1, r -> {
-            Thread t = new Thread(r, name + "-timer");
-            t.setDaemon(true);
-            return t;
-        });
+        timer =
+                new ScheduledThreadPoolExecutor(
+                        1,
+                        r -> {
+                            Thread t = new Thread(r, name + "-timer");
+                            t.setDaemon(true);
+                            return t;
+                        });
         timer.setRemoveOnCancelPolicy(true);
     }
 
@@ -110,7 +121,10 @@
     /** Sees all that the module is told and does. */
     @FunctionalInterface
     public interface Observer {
-        /** The module was told an event at that time, and did that; called on the decision thread, and must not wait. */
+        /**
+         * The module was told an event at that time, and did that; called on the decision thread,
+         * and must not wait.
+         */
         void saw(Event event, long nowNs, List<Action> actions);
     }
 
@@ -131,8 +145,8 @@
 
     // ---- What happens: any thread
     /**
-     * Takes a request and owes it one final answer; returns its number. A negative number is a request turned away at
-     * the door, of which the module never heard: the caller refuses it.
+     * Takes a request and owes it one final answer; returns its number. A negative number is a
+     * request turned away at the door, of which the module never heard: the caller refuses it.
      */
     public long submit(CoreRequest request, AnswerSink sink) {
         if (!taking || refusing || queue.size() >= queueBound) {
@@ -152,13 +166,14 @@
 
     /** The client no longer waits; nothing more goes to the sink but attempts' ends. */
     public void clientGone(long id) {
-        queue.add(() -> {
-            Open o = open.get(id);
-            if (o != null && !o.answered) {
-                answered(o, "client gone");
-                hand(new ClientGone(id));
-            }
-        });
+        queue.add(
+                () -> {
+                    Open o = open.get(id);
+                    if (o != null && !o.answered) {
+                        answered(o, "client gone");
+                        hand(new ClientGone(id));
+                    }
+                });
     }
 
     /** News of the list of engines. */
@@ -177,7 +192,9 @@
                 queue.take().run();
             } catch (InterruptedException e) {
                 return;
-            } catch (RuntimeException | Error e) { // a dead decision thread would leave a router that only looks alive
+            } catch (RuntimeException
+                    | Error e) { // a dead decision thread would leave a router that only looks
+                // alive
                 LOG.error("the decision thread goes on after an error", e);
             }
         }
@@ -186,10 +203,23 @@
     private void take(Open o, long deadlineNs) {
         open.put(o.id, o);
         metrics.taken(o.request.queryClass());
-        o.overdue = timer.schedule(() -> queue.add(() -> overdue(o)), deadlineNs - clock.nowNs(), TimeUnit.NANOSECONDS);
+        o.overdue =
+                timer.schedule(
+                        () -> queue.add(() -> overdue(o)),
+                        deadlineNs - clock.nowNs(),
+                        TimeUnit.NANOSECONDS);
         CoreRequest r = o.request;
-        if (!hand(new Request(o.id, r.queryClass(), r.key(), r.tables(), deadlineNs, r.workNs(), r.memoryMb(),
-                r.tenant())) && !o.answered) {
+        if (!hand(
+                        new Request(
+                                o.id,
+                                r.queryClass(),
+                                r.key(),
+                                r.tables(),
+                                deadlineNs,
+                                r.workNs(),
+                                r.memoryMb(),
+                                r.tenant()))
+                && !o.answered) {
             lastResort(o, "module error");
         }
     }
@@ -234,7 +264,9 @@
         } else if (action instanceof Probe a) {
             probe(a.engine());
         } else if (action instanceof SetAlarm a) {
-            timer.schedule(() -> queue.add(() -> hand(new Alarm(a.label()))), a.timeNs() - clock.nowNs(),
+            timer.schedule(
+                    () -> queue.add(() -> hand(new Alarm(a.label()))),
+                    a.timeNs() - clock.nowNs(),
                     TimeUnit.NANOSECONDS);
         } else if (action instanceof Log a) {
             LOG.warn("{}", a.text());
@@ -248,18 +280,32 @@
     private void send(Send s) {
         Open o = open.get(s.id());
         if (o == null || o.answered || o.out != null) {
-            LOG.error("the decision module sent request {}, which is {}", s.id(), o == null ? "not open"
-                    : o.answered ? "answered" : "out already");
+            LOG.error(
+                    "the decision module sent request {}, which is {}",
+                    s.id(),
+                    o == null ? "not open" : o.answered ? "answered" : "out already");
             return;
         }
-        Attempt a = new Attempt(o.id, o.attempts++, s.engine(), clock.nowNs(), o.priority, o.memoryMb, (attempt, end) -> {
-            if (end.answered() && end.outcome() != Gateway.Outcome.SERVED && end.cause() != Cause.STATEMENT_ERROR) {
-                o.sink.broken(end.outcome());
-            }
-            attemptEnded(attempt, end);
-        });
+        Attempt a =
+                new Attempt(
+                        o.id,
+                        o.attempts++,
+                        s.engine(),
+                        clock.nowNs(),
+                        o.priority,
+                        o.memoryMb,
+                        (attempt, end) -> {
+                            if (end.answered()
+                                    && end.outcome() != Gateway.Outcome.SERVED
+                                    && end.cause() != Cause.STATEMENT_ERROR) {
+                                o.sink.broken(end.outcome());
+                            }
+                            attemptEnded(attempt, end);
+                        });
         o.out = a;
-        a.timer(timer.schedule(() -> a.abort(Cause.TIMED_OUT), s.timeoutNs(), TimeUnit.NANOSECONDS));
+        a.timer(
+                timer.schedule(
+                        () -> a.abort(Cause.TIMED_OUT), s.timeoutNs(), TimeUnit.NANOSECONDS));
         o.sink.attempt(a);
     }
 
@@ -273,19 +319,41 @@
         o.mayHaveRun |= end.outcome().mayHaveRun();
         boolean over = end.answered() || o.answered;
         if (!o.answered && end.answered()) {
-            answered(o, end.cause() == Cause.SERVED ? "served" : end.cause() == Cause.STATEMENT_ERROR ? "error" : "broken");
+            answered(
+                    o,
+                    end.cause() == Cause.SERVED
+                            ? "served"
+                            : end.cause() == Cause.STATEMENT_ERROR ? "error" : "broken");
         }
         if (o.answered) {
             open.remove(o.id);
         }
-        hand(new Ended(a.id(), a.shot(), a.engine(), end.outcome(), clock.nowNs() - a.startNs(), over,
-                end.told().workMs(), end.told().memoryMb(), end.told().report()));
+        hand(
+                new Ended(
+                        a.id(),
+                        a.shot(),
+                        a.engine(),
+                        end.outcome(),
+                        clock.nowNs() - a.startNs(),
+                        over,
+                        end.told().workMs(),
+                        end.told().memoryMb(),
+                        end.told().report()));
     }
 
     private void probe(String engine) {
         long from = clock.nowNs();
-        transport.probe(engine, (outcome, report) ->
-                queue.add(() -> hand(new Probed(engine, outcome, clock.nowNs() - from, report))));
+        transport.probe(
+                engine,
+                (outcome, report) ->
+                        queue.add(
+                                () ->
+                                        hand(
+                                                new Probed(
+                                                        engine,
+                                                        outcome,
+                                                        clock.nowNs() - from,
+                                                        report))));
     }
 
     private void answered(Open o, String how) {
@@ -298,11 +366,15 @@
         }
     }
 
-    /** Guards against a module that forgets a request: the answer comes before the client gives up all the same. */
+    /**
+     * Guards against a module that forgets a request: the answer comes before the client gives up
+     * all the same.
+     */
     private void overdue(Open o) {
         if (!o.answered) {
             if (o.out != null) {
-                o.out.abort(Cause.TIMED_OUT); // its end, which waits in the queue, is told first where it answers
+                o.out.abort(Cause.TIMED_OUT); // its end, which waits in the queue, is told first
+                // where it answers
                 if (o.out.phase() == Phase.ANSWERING) {
                     return;
                 }
@@ -336,14 +408,21 @@
         while (openCount.get() > 0 && clock.nowNs() < until) {
             Thread.sleep(5);
         }
-        queue.add(() -> new ArrayList<>(open.values()).stream().filter(o -> !o.answered).forEach(o -> {
-            if (o.out != null) {
-                o.out.abort(Cause.CALLED_OFF);
-            }
-            if (o.out == null || o.out.phase() != Phase.ANSWERING) {
-                lastResort(o, "stopped");
-            }
-        }));
+        queue.add(
+                () ->
+                        new ArrayList<>(open.values())
+                                .stream()
+                                        .filter(o -> !o.answered)
+                                        .forEach(
+                                                o -> {
+                                                    if (o.out != null) {
+                                                        o.out.abort(Cause.CALLED_OFF);
+                                                    }
+                                                    if (o.out == null
+                                                            || o.out.phase() != Phase.ANSWERING) {
+                                                        lastResort(o, "stopped");
+                                                    }
+                                                }));
         long grace = clock.nowNs() + TimeUnit.SECONDS.toNanos(1);
         while (openCount.get() > 0 && clock.nowNs() < grace) {
             Thread.sleep(5);
--- a/router/src/main/java/ashlink/router/core/CoreMeter.java
+++ b/router/src/main/java/ashlink/router/core/CoreMeter.java
@@ -6,20 +6,20 @@
 public interface CoreMeter {
 
     /** Counts nothing. */
-    CoreMeter NONE = new CoreMeter() { };
+    CoreMeter NONE = new CoreMeter() {};
 
     /** The core is made; what is given tells its sizes at any time. */
-    default void watch(IntSupplier queued, IntSupplier open) { }
+    default void watch(IntSupplier queued, IntSupplier open) {}
 
     /** A request of that class was taken. */
-    default void taken(String queryClass) { }
+    default void taken(String queryClass) {}
 
     /** A request got its final answer, in that way. */
-    default void answered(String queryClass, String answer) { }
+    default void answered(String queryClass, String answer) {}
 
     /** An attempt at an engine ended. */
-    default void attempted(String engine, String outcome) { }
+    default void attempted(String engine, String outcome) {}
 
     /** The decision module threw. */
-    default void moduleError() { }
+    default void moduleError() {}
 }
--- a/router/src/main/java/ashlink/router/core/CoreMetrics.java
+++ b/router/src/main/java/ashlink/router/core/CoreMetrics.java
@@ -18,21 +18,43 @@
     /** Counts into that registry. */
     public CoreMetrics(PrometheusRegistry registry) {
         this.registry = registry;
-        requests = Counter.builder().name("ashlink_requests").help("Requests taken").labelNames("class").register(registry);
-        answers = Counter.builder().name("ashlink_answers").help("Final answers").labelNames("class", "answer")
-                .register(registry);
-        attempts = Counter.builder().name("ashlink_attempts").help("Attempts ended").labelNames("engine", "outcome")
-                .register(registry);
-        moduleErrors = Counter.builder().name("ashlink_module_errors").help("Exceptions of the decision module")
-                .register(registry);
+        requests =
+                Counter.builder()
+                        .name("ashlink_requests")
+                        .help("Requests taken")
+                        .labelNames("class")
+                        .register(registry);
+        answers =
+                Counter.builder()
+                        .name("ashlink_answers")
+                        .help("Final answers")
+                        .labelNames("class", "answer")
+                        .register(registry);
+        attempts =
+                Counter.builder()
+                        .name("ashlink_attempts")
+                        .help("Attempts ended")
+                        .labelNames("engine", "outcome")
+                        .register(registry);
+        moduleErrors =
+                Counter.builder()
+                        .name("ashlink_module_errors")
+                        .help("Exceptions of the decision module")
+                        .register(registry);
     }
 
     @Override
     public void watch(IntSupplier queued, IntSupplier open) {
-        GaugeWithCallback.builder().name("ashlink_queue").help("Events waiting for the decision thread")
-                .callback(c -> c.call(queued.getAsInt())).register(registry);
-        GaugeWithCallback.builder().name("ashlink_open_requests").help("Requests without a final answer")
-                .callback(c -> c.call(open.getAsInt())).register(registry);
+        GaugeWithCallback.builder()
+                .name("ashlink_queue")
+                .help("Events waiting for the decision thread")
+                .callback(c -> c.call(queued.getAsInt()))
+                .register(registry);
+        GaugeWithCallback.builder()
+                .name("ashlink_open_requests")
+                .help("Requests without a final answer")
+                .callback(c -> c.call(open.getAsInt()))
+                .register(registry);
     }
 
     @Override
--- a/router/src/main/java/ashlink/router/core/CoreRequest.java
+++ b/router/src/main/java/ashlink/router/core/CoreRequest.java
@@ -9,5 +9,11 @@
  * @param workNs estimate of its work, 0 where there is none
  * @param memoryMb estimate of the memory that it needs, 0 where there is none
  */
-public record CoreRequest(String queryClass, String key, long tables, long allowedNs, long workNs, double memoryMb,
-        String tenant) { }
+public record CoreRequest(
+        String queryClass,
+        String key,
+        long tables,
+        long allowedNs,
+        long workNs,
+        double memoryMb,
+        String tenant) {}
--- a/router/src/main/java/ashlink/router/core/LastResort.java
+++ b/router/src/main/java/ashlink/router/core/LastResort.java
@@ -5,16 +5,19 @@
 import ashlink.Gateway.RepeatGroup;
 
 /**
- * What a request is told where the module cannot be asked any more: it has thrown, its answer is overdue, or the router
- * stops. The same line that the module draws, on the safe side.
+ * What a request is told where the module cannot be asked any more: it has thrown, its answer is
+ * overdue, or the router stops. The same line that the module draws, on the safe side.
  */
 final class LastResort {
 
-    private LastResort() { }
+    private LastResort() {}
 
     /** True where trying again is harmless: a refusal; else a failure, which promises nothing. */
     static boolean refuse(QueryClass queryClass, boolean mayHaveRun) {
-        return !mayHaveRun || queryClass != null && (queryClass.effect() == Effect.IDEMPOTENT
-                || queryClass.effect() == Effect.DEDUPLICATED && queryClass.repeatGroup() == RepeatGroup.ALL);
+        return !mayHaveRun
+                || queryClass != null
+                        && (queryClass.effect() == Effect.IDEMPOTENT
+                                || queryClass.effect() == Effect.DEDUPLICATED
+                                        && queryClass.repeatGroup() == RepeatGroup.ALL);
     }
 }
--- a/router/src/main/java/ashlink/router/core/Phase.java
+++ b/router/src/main/java/ashlink/router/core/Phase.java
@@ -8,7 +8,10 @@
     CONNECTING,
     /** The statement is being written; until its last byte is handed over it cannot run. */
     SENDING,
-    /** An insert's statement is with the engine, and some of its data; without the end of the data it does not run. */
+    /**
+     * An insert's statement is with the engine, and some of its data; without the end of the data
+     * it does not run.
+     */
     FEEDING,
     /** The end of an insert's data is being written. */
     ENDING,
@@ -17,12 +20,17 @@
     /** Bytes of the answer went to the client: no other attempt can answer. */
     ANSWERING;
 
-    /** True while a write decides whether the statement can run: who ends the attempt must wait for it. */
+    /**
+     * True while a write decides whether the statement can run: who ends the attempt must wait for
+     * it.
+     */
     boolean isBeingWritten() {
         return this == SENDING || this == ENDING;
     }
 
-    /** False where the engine provably lacks something without which it does not run the statement. */
+    /**
+     * False where the engine provably lacks something without which it does not run the statement.
+     */
     public boolean mayRun() {
         return this == RUNNING || this == ANSWERING;
     }
--- a/router/src/main/java/ashlink/router/front/AnswerChannel.java
+++ b/router/src/main/java/ashlink/router/front/AnswerChannel.java
@@ -4,13 +4,18 @@
 import ashlink.wire.ByteBuf;
 import java.io.IOException;
 
-/** The way of answers to a client, in packets of the native protocol. Who holds its lock writes whole packets. */
+/**
+ * The way of answers to a client, in packets of the native protocol. Who holds its lock writes
+ * whole packets.
+ */
 public interface AnswerChannel {
 
     /** Takes whole packets of an answer; may wait for the client. */
     void write(ByteBuf packets) throws IOException;
 
-    /** Takes the last packets of a statement's answer, and how it ended; may wait for the client. */
+    /**
+     * Takes the last packets of a statement's answer, and how it ended; may wait for the client.
+     */
     void end(ByteBuf packets, Ending how, long retryAfterNs) throws IOException;
 
     /** Who the client is, for logs and for engines. */
--- a/router/src/main/java/ashlink/router/front/ClientChannel.java
+++ b/router/src/main/java/ashlink/router/front/ClientChannel.java
@@ -38,7 +38,8 @@
     @Override
     public String peer() {
         return socket.getRemoteSocketAddress() instanceof java.net.InetSocketAddress a
-                ? a.getAddress().getHostAddress() + ":" + a.getPort() : "";
+                ? a.getAddress().getHostAddress() + ":" + a.getPort()
+                : "";
     }
 
     @Override
--- a/router/src/main/java/ashlink/router/front/ClientConnection.java
+++ b/router/src/main/java/ashlink/router/front/ClientConnection.java
@@ -19,8 +19,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One client's connection, read by its own thread. Its states: login; idle; a statement is open; an insert is being fed;
- * what is left of an insert that was answered early is passed over; closed.
+ * One client's connection, read by its own thread. Its states: login; idle; a statement is open; an
+ * insert is being fed; what is left of an insert that was answered early is passed over; closed.
  */
 final class ClientConnection implements Runnable {
 
@@ -43,7 +43,8 @@
     private Exchange exchange;
     private boolean fed = true;
 
-    ClientConnection(FrontContext context, Logins logins, Socket socket, Runnable whenClosed) throws IOException {
+    ClientConnection(FrontContext context, Logins logins, Socket socket, Runnable whenClosed)
+            throws IOException {
         this.context = context;
         this.logins = logins;
         this.socket = socket;
@@ -57,7 +58,11 @@
     public void run() {
         try {
             if (login()) {
-                socket.setSoTimeout((int) Math.min(Integer.MAX_VALUE, context.config().bounds().idleClientNs() / MS));
+                socket.setSoTimeout(
+                        (int)
+                                Math.min(
+                                        Integer.MAX_VALUE,
+                                        context.config().bounds().idleClientNs() / MS));
                 while (takePacket()) {
                     // until the client goes
                 }
@@ -77,9 +82,15 @@
         }
     }
 
-    /** Tells the client what was wrong, unless an answer is under way, which an exception would cut in two. */
+    /**
+     * Tells the client what was wrong, unless an answer is under way, which an exception would cut
+     * in two.
+     */
     private void complain(WireException e) {
-        LOG.atInfo().addKeyValue("client", client.peer()).addKeyValue("reason", e.reason()).log(e.getMessage());
+        LOG.atInfo()
+                .addKeyValue("client", client.peer())
+                .addKeyValue("reason", e.reason())
+                .log(e.getMessage());
         try {
             if (exchange != null && !exchange.isDone()) {
                 exchange.refuseInput(e);
@@ -93,7 +104,12 @@
 
     // ---- Login
     private boolean login() throws IOException, InterruptedException {
-        Future<?> cut = context.timer().schedule(client::close, context.config().bounds().loginNs(), TimeUnit.NANOSECONDS);
+        Future<?> cut =
+                context.timer()
+                        .schedule(
+                                client::close,
+                                context.config().bounds().loginNs(),
+                                TimeUnit.NANOSECONDS);
         int kind = in.readByteOrEnd();
         if (kind < 0) {
             return false;
@@ -104,18 +120,33 @@
         hello = Hello.Client.read(in, WireLimits.LOGIN);
         revision = Math.min(Revision.HIGHEST, hello.revision());
         if (revision < Revision.LOWEST) {
-            throw new WireException(WireException.Reason.MALFORMED, "revision " + hello.revision()
-                    + " is too old, " + Revision.LOWEST + " is the least");
+            throw new WireException(
+                    WireException.Reason.MALFORMED,
+                    "revision "
+                            + hello.revision()
+                            + " is too old, "
+                            + Revision.LOWEST
+                            + " is the least");
         }
         boolean known = logins.check(context.config().users(), hello.user(), hello.password());
         cut.cancel(false);
         if (!known) {
-            LOG.atInfo().addKeyValue("client", client.peer()).addKeyValue("user", hello.user()).log("login refused");
+            LOG.atInfo()
+                    .addKeyValue("client", client.peer())
+                    .addKeyValue("user", hello.user())
+                    .log("login refused");
             client.write(Answers.login());
             return false;
         }
         ByteBuf answer = new ByteBuf();
-        new Hello.Server("ashlink", VERSION_MAJOR, VERSION_MINOR, Revision.HIGHEST, "UTC", context.config().name(), 0)
+        new Hello.Server(
+                        "ashlink",
+                        VERSION_MAJOR,
+                        VERSION_MINOR,
+                        Revision.HIGHEST,
+                        "UTC",
+                        context.config().name(),
+                        0)
                 .write(revision, answer);
         client.write(answer);
         return true;
@@ -149,7 +180,10 @@
         client.write(new ByteBuf().putVarUInt(ServerPacket.PONG.ordinal()));
     }
 
-    /** A block of the insert in hand; what is left of one that was answered before its end is passed over. */
+    /**
+     * A block of the insert in hand; what is left of one that was answered before its end is passed
+     * over.
+     */
     private void takeData() throws IOException, InterruptedException {
         ByteBuf packet = new ByteBuf(context.limits().packetBytes());
         boolean compressed = exchange != null && exchange.query().compressed();
@@ -176,14 +210,17 @@
             exchange.awaitDone(); // sent early: it waits for its turn, and its bytes in the socket
         }
         QueryPacket query = QueryPacket.read(in, revision, context.limits());
-        ByteBuf external = new ByteBuf(context.config().bounds().heldInsert(), context.insertQuota());
+        ByteBuf external =
+                new ByteBuf(context.config().bounds().heldInsert(), context.insertQuota());
         while (!readTable(external, query.compressed())) {
             // tables until the empty block
         }
         byte[] tables = java.util.Arrays.copyOf(external.array(), external.size());
         external.release();
         if (query.stage() != QueryPacket.COMPLETE) {
-            throw new WireException(WireException.Reason.MALFORMED, "stage " + query.stage() + " is only for servers");
+            throw new WireException(
+                    WireException.Reason.MALFORMED,
+                    "stage " + query.stage() + " is only for servers");
         }
         begin(query, tables);
     }
@@ -191,7 +228,9 @@
     private boolean readTable(ByteBuf to, boolean compressed) throws IOException {
         int kind = in.readByte();
         if (ClientPacket.of(kind) != ClientPacket.DATA) {
-            throw new WireException(WireException.Reason.MALFORMED, "a query is followed by a packet of kind " + kind);
+            throw new WireException(
+                    WireException.Reason.MALFORMED,
+                    "a query is followed by a packet of kind " + kind);
         }
         return readData(to, compressed).isEnd();
     }
@@ -199,12 +238,30 @@
     // ---- Statements
     private void begin(QueryPacket query, byte[] tables) {
         ClientInfo by = query.client();
-        ClientInfo info = new ClientInfo(hello.user(), query.id(), client.peer(), by.osUser(), by.host(),
-                by.name().isEmpty() ? hello.name() : by.name(), by.major(), by.minor(), by.revision(), by.patch(),
-                by.quotaKey());
-        QueryPacket named = new QueryPacket(query.id(), info, query.settings(), query.stage(), query.compressed(),
-                query.statement());
-        exchange = Intake.begin(context, client, revision, hello.user(), hello.database(), named, tables);
+        ClientInfo info =
+                new ClientInfo(
+                        hello.user(),
+                        query.id(),
+                        client.peer(),
+                        by.osUser(),
+                        by.host(),
+                        by.name().isEmpty() ? hello.name() : by.name(),
+                        by.major(),
+                        by.minor(),
+                        by.revision(),
+                        by.patch(),
+                        by.quotaKey());
+        QueryPacket named =
+                new QueryPacket(
+                        query.id(),
+                        info,
+                        query.settings(),
+                        query.stage(),
+                        query.compressed(),
+                        query.statement());
+        exchange =
+                Intake.begin(
+                        context, client, revision, hello.user(), hello.database(), named, tables);
         fed = exchange.feed() == null;
     }
 }
--- a/router/src/main/java/ashlink/router/front/Exchange.java
+++ b/router/src/main/java/ashlink/router/front/Exchange.java
@@ -22,12 +22,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A statement and its one final answer. Whoever is first to claim the answer writes it; after that nothing is written for
- * this statement.
+ * A statement and its one final answer. Whoever is first to claim the answer writes it; after that
+ * nothing is written for this statement.
  */
 public final class Exchange implements AnswerSink {
 
     private static final Logger LOG = LoggerFactory.getLogger(Exchange.class);
+
     /** Time for the final answer to leave; a client that does not read it by then is cut off. */
     private static final long FINAL_MS = 2_000;
 
@@ -47,8 +48,15 @@
     private byte[] header;
     private volatile String lastError = "";
 
-    Exchange(FrontContext context, AnswerChannel client, int clientRevision, String database, QueryPacket query,
-            byte[] externalTables, QueryClass queryClass, Reading reading) {
+    Exchange(
+            FrontContext context,
+            AnswerChannel client,
+            int clientRevision,
+            String database,
+            QueryPacket query,
+            byte[] externalTables,
+            QueryClass queryClass,
+            Reading reading) {
         this.context = context;
         this.client = client;
         this.clientRevision = clientRevision;
@@ -57,8 +65,11 @@
         this.externalTables = externalTables;
         this.queryClass = queryClass;
         this.waitsForData = Classifier.waitsForData(reading);
-        this.feed = Classifier.mayTakeData(reading)
-                ? new InsertFeed(context.config().bounds().heldInsert(), context.insertQuota()) : null;
+        this.feed =
+                Classifier.mayTakeData(reading)
+                        ? new InsertFeed(
+                                context.config().bounds().heldInsert(), context.insertQuota())
+                        : null;
     }
 
     void id(long number) {
@@ -127,10 +138,12 @@
     private void later(ServerError error, Ending how, long retryAfterNs) {
         Future<?> cut = context.timer().schedule(client::close, FINAL_MS, TimeUnit.MILLISECONDS);
         try {
-            context.workers().execute(() -> {
-                finish(error, how, retryAfterNs);
-                cut.cancel(false);
-            });
+            context.workers()
+                    .execute(
+                            () -> {
+                                finish(error, how, retryAfterNs);
+                                cut.cancel(false);
+                            });
         } catch (RejectedExecutionException e) {
             client.close(); // the router is stopping and has no thread left
             done.countDown();
@@ -192,8 +205,8 @@
     }
 
     /**
-     * The columns that an engine wants the insert's data for. The client gets those of the first attempt; false where
-     * another attempt's differ, since the client's data is not for them.
+     * The columns that an engine wants the insert's data for. The client gets those of the first
+     * attempt; false where another attempt's differ, since the client's data is not for them.
      */
     boolean header(ByteBuf packets, byte[] block) {
         synchronized (client) {
@@ -214,7 +227,9 @@
         finish(Answers.cancelled(), Ending.CANCELLED);
     }
 
-    /** The client sent what makes no sense: that ends the statement, unless an answer is under way. */
+    /**
+     * The client sent what makes no sense: that ends the statement, unless an answer is under way.
+     */
     public void refuseInput(WireException e) {
         context.core().clientGone(id);
         finish(Answers.wire(e), Ending.BAD_INPUT);
@@ -238,10 +253,17 @@
         }
         done.countDown();
         if (LOG.isDebugEnabled() || how != Ending.SERVED) {
-            LOG.atLevel(how == Ending.SERVED ? org.slf4j.event.Level.DEBUG : org.slf4j.event.Level.INFO)
-                    .addKeyValue("request", id).addKeyValue("class", queryClass.name()).addKeyValue("answer", how.word())
-                    .addKeyValue("ms", (System.nanoTime() - fromNs) / 1_000_000).addKeyValue("query_id", query.id())
-                    .addKeyValue("client", client.peer()).log("answered");
+            LOG.atLevel(
+                            how == Ending.SERVED
+                                    ? org.slf4j.event.Level.DEBUG
+                                    : org.slf4j.event.Level.INFO)
+                    .addKeyValue("request", id)
+                    .addKeyValue("class", queryClass.name())
+                    .addKeyValue("answer", how.word())
+                    .addKeyValue("ms", (System.nanoTime() - fromNs) / 1_000_000)
+                    .addKeyValue("query_id", query.id())
+                    .addKeyValue("client", client.peer())
+                    .log("answered");
         }
     }
 
--- a/router/src/main/java/ashlink/router/front/FrontContext.java
+++ b/router/src/main/java/ashlink/router/front/FrontContext.java
@@ -18,10 +18,19 @@
  * @param classifier that of the settings in force, made once for them
  * @param boot text that no other start of this router has
  */
-public record FrontContext(Supplier<RouterConfig> settings, Core core, Engines engines, Executor workers,
-        ScheduledExecutorService timer, WireLimits limits, Quota answerQuota, Quota insertQuota, Supplier<Classifier> classifier,
+public record FrontContext(
+        Supplier<RouterConfig> settings,
+        Core core,
+        Engines engines,
+        Executor workers,
+        ScheduledExecutorService timer,
+        WireLimits limits,
+        Quota answerQuota,
+        Quota insertQuota,
+        Supplier<Classifier> classifier,
         Statements statements,
-        Unknowns unknowns, String boot) {
+        Unknowns unknowns,
+        String boot) {
 
     /** The settings in force. */
     public RouterConfig config() {
--- a/router/src/main/java/ashlink/router/front/InsertFeed.java
+++ b/router/src/main/java/ashlink/router/front/InsertFeed.java
@@ -6,9 +6,9 @@
 import java.util.List;
 
 /**
- * The data of an insert on its way from the client to an engine. All of it is kept while it is within the limit, so that
- * another attempt can have it; past the limit only what was not sent yet is kept, a window at a time, and there is no
- * other attempt.
+ * The data of an insert on its way from the client to an engine. All of it is kept while it is
+ * within the limit, so that another attempt can have it; past the limit only what was not sent yet
+ * is kept, a window at a time, and there is no other attempt.
  */
 public final class InsertFeed {
 
@@ -29,7 +29,10 @@
         this.quota = quota;
     }
 
-    /** Takes the client's next packet, {@code last} for the one that ends the data; waits while the window is full. */
+    /**
+     * Takes the client's next packet, {@code last} for the one that ends the data; waits while the
+     * window is full.
+     */
     public synchronized void put(byte[] packet, boolean last) throws InterruptedException {
         if (replayable && (kept + packet.length > mostKept || !quota.take(packet.length))) {
             replayable = false;
--- a/router/src/main/java/ashlink/router/front/Intake.java
+++ b/router/src/main/java/ashlink/router/front/Intake.java
@@ -15,11 +15,20 @@
 /** Turns a statement into a request of the core: the same for every front. */
 public final class Intake {
 
-    private Intake() { }
+    private Intake() {}
 
-    /** Reads and classifies a statement, and puts it to the core; its answer goes to the channel, maybe before this returns. */
-    public static Exchange begin(FrontContext context, AnswerChannel client, int revision, String userName, String database,
-            QueryPacket query, byte[] tables) {
+    /**
+     * Reads and classifies a statement, and puts it to the core; its answer goes to the channel,
+     * maybe before this returns.
+     */
+    public static Exchange begin(
+            FrontContext context,
+            AnswerChannel client,
+            int revision,
+            String userName,
+            String database,
+            QueryPacket query,
+            byte[] tables) {
         Prepared p = prepare(context, client, revision, userName, database, query, tables);
         p.submit();
         return p.exchange;
@@ -61,7 +70,10 @@
             long id = context.core().submit(request, exchange);
             if (id < 0) {
                 long retryAfterNs = context.config().allowed().longestRetryAfterNs();
-                exchange.finish(Answers.refused(retryAfterNs, "the router is full or stops"), Ending.TURNED_AWAY, retryAfterNs);
+                exchange.finish(
+                        Answers.refused(retryAfterNs, "the router is full or stops"),
+                        Ending.TURNED_AWAY,
+                        retryAfterNs);
             } else {
                 exchange.id(id);
             }
@@ -69,8 +81,14 @@
     }
 
     /** Reads and classifies a statement. */
-    public static Prepared prepare(FrontContext context, AnswerChannel client, int revision, String userName, String database,
-            QueryPacket query, byte[] tables) {
+    public static Prepared prepare(
+            FrontContext context,
+            AnswerChannel client,
+            int revision,
+            String userName,
+            String database,
+            QueryPacket query,
+            byte[] tables) {
         RouterConfig config = context.config();
         Map<String, String> settings = new HashMap<>();
         for (Setting s : query.settings()) {
@@ -80,10 +98,22 @@
         if (reading.kind() == Kind.UNKNOWN) {
             context.unknowns().tell(reading, userName);
         }
-        QueryClass c = context.classifier().get().decide(userName, database, reading, settings).queryClass();
+        QueryClass c =
+                context.classifier()
+                        .get()
+                        .decide(userName, database, reading, settings)
+                        .queryClass();
         UserSpec user = config.users().get(userName);
-        CoreRequest request = RequestHints.request(c, reading, settings, user == null ? "" : user.tenant(),
-                config.bounds().answerMarginNs());
-        return new Prepared(context, new Exchange(context, client, revision, database, query, tables, c, reading), request);
+        CoreRequest request =
+                RequestHints.request(
+                        c,
+                        reading,
+                        settings,
+                        user == null ? "" : user.tenant(),
+                        config.bounds().answerMarginNs());
+        return new Prepared(
+                context,
+                new Exchange(context, client, revision, database, query, tables, c, reading),
+                request);
     }
 }
--- a/router/src/main/java/ashlink/router/front/Logins.java
+++ b/router/src/main/java/ashlink/router/front/Logins.java
@@ -14,8 +14,8 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Checks users and passwords. A check is dear on purpose, so few run at once, and one that succeeded is remembered under
- * a keyed digest; one that failed never is.
+ * Checks users and passwords. A check is dear on purpose, so few run at once, and one that
+ * succeeded is remembered under a keyed digest; one that failed never is.
  */
 public final class Logins {
 
@@ -24,7 +24,8 @@
     private static final String MAC = "HmacSHA256";
 
     private final Semaphore running = new Semaphore(AT_ONCE);
-    private final Cache<String, Boolean> good = Caffeine.newBuilder().maximumSize(REMEMBERED).build();
+    private final Cache<String, Boolean> good =
+            Caffeine.newBuilder().maximumSize(REMEMBERED).build();
     private final SecretKeySpec key;
 
     /** Remembers nothing yet. */
@@ -37,11 +38,13 @@
     /** True if a user and password are right and were checked before: costs next to nothing. */
     public boolean isKnown(Map<String, UserSpec> users, String user, String password) {
         UserSpec spec = users.get(user);
-        return spec != null && good.getIfPresent(digest(user, password, spec.passwordHash())) != null;
+        return spec != null
+                && good.getIfPresent(digest(user, password, spec.passwordHash())) != null;
     }
 
     /** True if a user and password are right; may wait for its turn, and takes its time. */
-    public boolean check(Map<String, UserSpec> users, String user, String password) throws InterruptedException {
+    public boolean check(Map<String, UserSpec> users, String user, String password)
+            throws InterruptedException {
         UserSpec spec = users.get(user);
         String hash = spec == null ? null : spec.passwordHash();
         String digest = digest(user, password, hash);
--- a/router/src/main/java/ashlink/router/front/NativeAttempt.java
+++ b/router/src/main/java/ashlink/router/front/NativeAttempt.java
@@ -31,14 +31,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Drives one attempt: connects, sends the statement, feeds an insert, and passes the answer on. What the client gets is
- * kept back until it is whole or over its limit; only from then on does the attempt own the answer.
+ * Drives one attempt: connects, sends the statement, feeds an insert, and passes the answer on.
+ * What the client gets is kept back until it is whole or over its limit; only from then on does the
+ * attempt own the answer.
  */
 final class NativeAttempt implements Runnable {
 
     private static final Logger LOG = LoggerFactory.getLogger(NativeAttempt.class);
-    /** Bytes of a bound answer that are gathered while more is in hand: one write for many small packets. */
+
+    /**
+     * Bytes of a bound answer that are gathered while more is in hand: one write for many small
+     * packets.
+     */
     private static final int GATHER_BYTES = 64 << 10;
+
     private static final int MOST_EVENT_ROWS = 100_000;
     private static final int HIGHEST_PRIORITY = 4;
     private static final String OWN_SETTINGS = "ashlink_";
@@ -73,7 +79,11 @@
         } catch (InterruptedException e) {
             cause = Cause.NO_MEANS;
         } catch (RuntimeException e) {
-            LOG.error("attempt {} of request {} ends by an error of this router", attempt.shot(), attempt.id(), e);
+            LOG.error(
+                    "attempt {} of request {} ends by an error of this router",
+                    attempt.shot(),
+                    attempt.id(),
+                    e);
         } finally {
             answer.release();
             if (engine != null) {
@@ -85,11 +95,19 @@
         }
     }
 
-    /** Bytes of the engine that make no sense, or too many: what cannot be passed on is the statement's end. */
+    /**
+     * Bytes of the engine that make no sense, or too many: what cannot be passed on is the
+     * statement's end.
+     */
     private Cause garbled(WireException e) {
         exchange.lastError(attempt.engine() + ": " + e.getMessage());
-        boolean own = e.reason() == WireException.Reason.UNKNOWN_TYPE || e.reason() == WireException.Reason.TOO_LARGE;
-        if (own && !bound && attempt.phase() == Phase.RUNNING && attempt.end(Cause.STATEMENT_ERROR, Told.NOTHING)) {
+        boolean own =
+                e.reason() == WireException.Reason.UNKNOWN_TYPE
+                        || e.reason() == WireException.Reason.TOO_LARGE;
+        if (own
+                && !bound
+                && attempt.phase() == Phase.RUNNING
+                && attempt.end(Cause.STATEMENT_ERROR, Told.NOTHING)) {
             exchange.finish(Answers.wire(e), Ending.ERROR);
             return null;
         }
@@ -107,12 +125,13 @@
         }
         EngineConnection c = context.engines().take(attempt.engine(), exchange.database());
         engine = c;
-        attempt.closer(() -> {
-            c.close();
-            if (feed != null) {
-                feed.wake();
-            }
-        });
+        attempt.closer(
+                () -> {
+                    c.close();
+                    if (feed != null) {
+                        feed.wake();
+                    }
+                });
         ByteBuf query = query(c.revision());
         if (!attempt.advance(Phase.SENDING)) {
             return Cause.CALLED_OFF;
@@ -136,17 +155,41 @@
             }
         }
         if (attempt.memoryMb() > 0) {
-            settings.add(new Setting("max_memory_usage", 0, Long.toString(attempt.memoryMb() << 20)));
+            settings.add(
+                    new Setting("max_memory_usage", 0, Long.toString(attempt.memoryMb() << 20)));
         }
         if (attempt.priority() >= 0 && context.config().allowed().priorities()) {
-            settings.add(new Setting("priority", 0, Integer.toString(HIGHEST_PRIORITY - attempt.priority())));
+            settings.add(
+                    new Setting(
+                            "priority",
+                            0,
+                            Integer.toString(HIGHEST_PRIORITY - attempt.priority())));
         }
-        String id = context.config().name() + "-" + context.boot() + "-" + attempt.id() + "-" + attempt.shot();
+        String id =
+                context.config().name()
+                        + "-"
+                        + context.boot()
+                        + "-"
+                        + attempt.id()
+                        + "-"
+                        + attempt.shot();
         ClientInfo by = q.client();
-        ClientInfo info = new ClientInfo(by.user(), q.id().isEmpty() ? id : q.id(), by.address(), by.osUser(), by.host(),
-                by.name(), by.major(), by.minor(), Revision.HIGHEST, by.patch(), by.quotaKey());
+        ClientInfo info =
+                new ClientInfo(
+                        by.user(),
+                        q.id().isEmpty() ? id : q.id(),
+                        by.address(),
+                        by.osUser(),
+                        by.host(),
+                        by.name(),
+                        by.major(),
+                        by.minor(),
+                        Revision.HIGHEST,
+                        by.patch(),
+                        by.quotaKey());
         ByteBuf out = new ByteBuf();
-        new QueryPacket(id, info, settings, q.stage(), q.compressed(), q.statement()).write(revision, out);
+        new QueryPacket(id, info, settings, q.stage(), q.compressed(), q.statement())
+                .write(revision, out);
         return out.append(exchange.externalTables(), 0, exchange.externalTables().length);
     }
 
@@ -168,7 +211,9 @@
             if (!fed && kind == ServerPacket.DATA && block.rows() == 0 && block.columns() > 0) {
                 byte[] header = Arrays.copyOfRange(answer.array(), packetFrom, answer.size());
                 if (!exchange.header(answer, header)) {
-                    exchange.lastError(attempt.engine() + " has other columns than the engine that was asked first");
+                    exchange.lastError(
+                            attempt.engine()
+                                    + " has other columns than the engine that was asked first");
                     return Cause.ENGINE_ERROR;
                 }
                 answer.clear();
@@ -210,7 +255,8 @@
             in.readString("columns", context.limits().textBytes());
             wanted = Revision.hasTableColumns(peer);
         } else if (kind != ServerPacket.END_OF_STREAM) {
-            throw new WireException(WireException.Reason.MALFORMED, "packet " + kind + " is out of place");
+            throw new WireException(
+                    WireException.Reason.MALFORMED, "packet " + kind + " is out of place");
         }
         in.endTap();
         if (!wanted) {
@@ -227,7 +273,9 @@
             }
             bound = true;
         }
-        if (bound && answer.size() > 0 && (answer.size() >= GATHER_BYTES || !engine.in().hasBuffered())) {
+        if (bound
+                && answer.size() > 0
+                && (answer.size() >= GATHER_BYTES || !engine.in().hasBuffered())) {
             exchange.write(answer);
             answer.clear();
         }
@@ -246,7 +294,10 @@
         return null;
     }
 
-    /** Ends the attempt by an engine's exception; the connection is clean but where data was still expected. */
+    /**
+     * Ends the attempt by an engine's exception; the connection is clean but where data was still
+     * expected.
+     */
     private Cause exception(ServerError e, boolean fed) throws IOException {
         engine.in().endTap();
         Cause cause = bound ? Cause.STATEMENT_ERROR : EngineErrors.cause(e.code());
@@ -289,7 +340,10 @@
         }
     }
 
-    /** The engine speaks before it has all the data: progress and logs are passed over, an error ends the insert. */
+    /**
+     * The engine speaks before it has all the data: progress and logs are passed over, an error
+     * ends the insert.
+     */
     private boolean early() throws IOException {
         int from = answer.size();
         engine.in().startTap(answer);
--- a/router/src/main/java/ashlink/router/front/NativeListener.java
+++ b/router/src/main/java/ashlink/router/front/NativeListener.java
@@ -9,7 +9,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Accepts clients: a thread with a small stack for each, up to the limit of connections; further ones are closed. */
+/**
+ * Accepts clients: a thread with a small stack for each, up to the limit of connections; further
+ * ones are closed.
+ */
 public final class NativeListener {
 
     private static final Logger LOG = LoggerFactory.getLogger(NativeListener.class);
@@ -68,21 +71,31 @@
     private void begin(Socket socket) throws IOException {
         try {
             if (sockets.size() >= context.config().bounds().connections()) {
-                LOG.warn("connection from {} closed: {} are open, which is the limit", socket.getRemoteSocketAddress(),
+                LOG.warn(
+                        "connection from {} closed: {} are open, which is the limit",
+                        socket.getRemoteSocketAddress(),
                         sockets.size());
                 socket.close();
                 return;
             }
             socket.setTcpNoDelay(true);
             sockets.add(socket);
-            ClientConnection c = new ClientConnection(context, logins, socket, () -> sockets.remove(socket));
-            Thread t = new Thread(null, c, "client-" + socket.getPort(), context.config().bounds().stackBytes());
+            ClientConnection c =
+                    new ClientConnection(context, logins, socket, () -> sockets.remove(socket));
+            Thread t =
+                    new Thread(
+                            null,
+                            c,
+                            "client-" + socket.getPort(),
+                            context.config().bounds().stackBytes());
             t.setDaemon(true);
             t.start();
         } catch (IOException | OutOfMemoryError e) {
             sockets.remove(socket);
             socket.close();
-            throw e instanceof IOException io ? io : new IOException("no thread for a connection", e);
+            throw e instanceof IOException io
+                    ? io
+                    : new IOException("no thread for a connection", e);
         }
     }
 
--- a/router/src/main/java/ashlink/router/front/RequestHints.java
+++ b/router/src/main/java/ashlink/router/front/RequestHints.java
@@ -7,7 +7,9 @@
 import java.util.Map;
 import java.util.zip.CRC32C;
 
-/** What a query's settings tell of it: those with the prefix {@code ashlink_}, and its time limit. */
+/**
+ * What a query's settings tell of it: those with the prefix {@code ashlink_}, and its time limit.
+ */
 final class RequestHints {
 
     static final String KEY = "ashlink_key";
@@ -19,23 +21,40 @@
     private static final double S = 1e9;
     private static final double MOST_MS = 1e12;
 
-    private RequestHints() { }
+    private RequestHints() {}
 
     /** The request that the core is given; what is told wrongly is as if it was not told. */
-    static CoreRequest request(QueryClass c, Reading reading, Map<String, String> settings, String tenant, long marginNs) {
+    static CoreRequest request(
+            QueryClass c,
+            Reading reading,
+            Map<String, String> settings,
+            String tenant,
+            long marginNs) {
         double limit = number(settings.get(TIME_LIMIT_S)) * S;
-        long allowed = (long) (limit > 0 ? Math.min(limit, c.deadlineNs()) : c.deadlineNs()) - marginNs;
-        return new CoreRequest(c.name(), settings.get(KEY), tables(reading, settings.get(TABLES)), allowed,
-                (long) (number(settings.get(WORK_MS)) * MS), number(settings.get(MEMORY_MB)), tenant);
+        long allowed =
+                (long) (limit > 0 ? Math.min(limit, c.deadlineNs()) : c.deadlineNs()) - marginNs;
+        return new CoreRequest(
+                c.name(),
+                settings.get(KEY),
+                tables(reading, settings.get(TABLES)),
+                allowed,
+                (long) (number(settings.get(WORK_MS)) * MS),
+                number(settings.get(MEMORY_MB)),
+                tenant);
     }
 
     /**
-     * What the client says: a number as it is, or the checksum of a name; else that of the first table that is written, or
-     * read where none is. Loads and readers of a table meet on the same number.
+     * What the client says: a number as it is, or the checksum of a name; else that of the first
+     * table that is written, or read where none is. Loads and readers of a table meet on the same
+     * number.
      */
     private static long tables(Reading reading, String told) {
-        String text = told != null ? told : !reading.writes().isEmpty() ? reading.writes().first()
-                : !reading.reads().isEmpty() ? reading.reads().first() : null;
+        String text =
+                told != null
+                        ? told
+                        : !reading.writes().isEmpty()
+                                ? reading.writes().first()
+                                : !reading.reads().isEmpty() ? reading.reads().first() : null;
         if (text == null) {
             return 0;
         }
--- a/router/src/main/java/ashlink/router/front/Unknowns.java
+++ b/router/src/main/java/ashlink/router/front/Unknowns.java
@@ -5,7 +5,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Logs statements that were not understood: fingerprint, place and reason, never their text; so many a second at most. */
+/**
+ * Logs statements that were not understood: fingerprint, place and reason, never their text; so
+ * many a second at most.
+ */
 public final class Unknowns {
 
     private static final Logger LOG = LoggerFactory.getLogger(Unknowns.class);
@@ -30,7 +33,11 @@
             }
             missed = untold.getAndSet(0);
         }
-        LOG.atWarn().addKeyValue("fingerprint", reading.fingerprint()).addKeyValue("at", reading.at())
-                .addKeyValue("user", user).addKeyValue("untold", missed).log("statement not understood: {}", reading.reason());
+        LOG.atWarn()
+                .addKeyValue("fingerprint", reading.fingerprint())
+                .addKeyValue("at", reading.at())
+                .addKeyValue("user", user)
+                .addKeyValue("untold", missed)
+                .log("statement not understood: {}", reading.reason());
     }
 }
--- a/router/src/main/java/ashlink/router/http/Form.java
+++ b/router/src/main/java/ashlink/router/http/Form.java
@@ -19,7 +19,8 @@
 import java.util.Locale;
 
 /**
- * The forms in which a page is given. Values are exact in each: docs/statement-api.md has the table of types.
+ * The forms in which a page is given. Values are exact in each: docs/statement-api.md has the table
+ * of types.
  */
 enum Form {
     JSON("application/json"),
@@ -56,17 +57,18 @@
                 case "application/x-ndjson", "application/jsonl", "application/jsonlines" -> {
                     return LINES;
                 }
-                default -> { }
+                default -> {}
             }
         }
         return null;
     }
 
     /** What stands around the rows of a JSON page. */
-    record Around(String id, String state, String nextUri) { }
+    record Around(String id, String state, String nextUri) {}
 
     /** A page's bytes: the rows of its blocks, the columns of the header where there are none. */
-    byte[] render(byte[] blocks, byte[] header, int page, Around around, WireLimits limits) throws IOException {
+    byte[] render(byte[] blocks, byte[] header, int page, Around around, WireLimits limits)
+            throws IOException {
         List<Table> tables = new ArrayList<>();
         read(blocks, limits, tables);
         Table columns = tables.isEmpty() ? null : tables.get(0);
@@ -85,7 +87,10 @@
     }
 
     private static void read(byte[] bytes, WireLimits limits, List<Table> to) throws IOException {
-        StreamSource in = new StreamSource(new ByteArrayInputStream(bytes), Math.max(16, Math.min(bytes.length, READ_BYTES)));
+        StreamSource in =
+                new StreamSource(
+                        new ByteArrayInputStream(bytes),
+                        Math.max(16, Math.min(bytes.length, READ_BYTES)));
         Blocks blocks = new Blocks(in, limits);
         while (in.consumed() < bytes.length) {
             to.add(blocks.readValues(Integer.MAX_VALUE));
@@ -93,7 +98,8 @@
     }
 
     // ---- JSON
-    private static void json(List<Table> tables, Table columns, int page, Around around, ByteArrayBuilder out)
+    private static void json(
+            List<Table> tables, Table columns, int page, Around around, ByteArrayBuilder out)
             throws IOException {
         try (JsonGenerator g = FACTORY.createGenerator(out)) {
             g.writeStartObject();
@@ -177,10 +183,14 @@
         }
     }
 
-    /** Bytes that are no UTF-8 have no text: they are told in base 64, within an object, so that no text looks like it. */
+    /**
+     * Bytes that are no UTF-8 have no text: they are told in base 64, within an object, so that no
+     * text looks like it.
+     */
     private static void text(byte[] bytes, JsonGenerator g) throws IOException {
         try {
-            g.writeString(StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString());
+            g.writeString(
+                    StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString());
         } catch (CharacterCodingException e) {
             g.writeStartObject();
             g.writeFieldName("base64");
@@ -194,7 +204,8 @@
     }
 
     // ---- CSV
-    private static void csv(List<Table> tables, Table columns, int page, ByteArrayBuilder out) throws IOException {
+    private static void csv(List<Table> tables, Table columns, int page, ByteArrayBuilder out)
+            throws IOException {
         if (page == 0 && columns != null) {
             for (int c = 0; c < columns.names().size(); c++) {
                 if (c > 0) {
@@ -233,7 +244,9 @@
             out.write(d.toPlainString().getBytes(StandardCharsets.US_ASCII));
         } else if (v instanceof Double || v instanceof Float) {
             double d = ((Number) v).doubleValue();
-            out.write((Double.isFinite(d) ? v.toString() : number(d)).getBytes(StandardCharsets.US_ASCII));
+            out.write(
+                    (Double.isFinite(d) ? v.toString() : number(d))
+                            .getBytes(StandardCharsets.US_ASCII));
         } else if (v != null) {
             String text = v.toString();
             if (v instanceof String) {
--- a/router/src/main/java/ashlink/router/http/HeaderWatch.java
+++ b/router/src/main/java/ashlink/router/http/HeaderWatch.java
@@ -5,8 +5,8 @@
 import org.eclipse.jetty.io.Connection;
 
 /**
- * Closes connections whose next request does not come whole in time: bytes that drip in keep a connection from being idle,
- * and so need a limit of their own.
+ * Closes connections whose next request does not come whole in time: bytes that drip in keep a
+ * connection from being idle, and so need a limit of their own.
  */
 final class HeaderWatch implements Connection.Listener {
 
@@ -35,19 +35,20 @@
 
     /** Looks at all connections; called from time to time. */
     void look(long nowNs) {
-        connections.forEach((c, seen) -> {
-            long messages = c.getMessagesIn();
-            long bytes = c.getBytesIn();
-            boolean idle = messages == c.getMessagesOut();
-            if (messages != seen.messages || !idle) {
-                seen.messages = messages;
-                seen.bytes = bytes;
-                seen.sinceNs = -1;
-            } else if (bytes != seen.bytes && seen.sinceNs < 0) {
-                seen.sinceNs = nowNs;
-            } else if (seen.sinceNs >= 0 && nowNs - seen.sinceNs > limitNs) {
-                c.getEndPoint().close();
-            }
-        });
+        connections.forEach(
+                (c, seen) -> {
+                    long messages = c.getMessagesIn();
+                    long bytes = c.getBytesIn();
+                    boolean idle = messages == c.getMessagesOut();
+                    if (messages != seen.messages || !idle) {
+                        seen.messages = messages;
+                        seen.bytes = bytes;
+                        seen.sinceNs = -1;
+                    } else if (bytes != seen.bytes && seen.sinceNs < 0) {
+                        seen.sinceNs = nowNs;
+                    } else if (seen.sinceNs >= 0 && nowNs - seen.sinceNs > limitNs) {
+                        c.getEndPoint().close();
+                    }
+                });
     }
 }
--- a/router/src/main/java/ashlink/router/http/HttpFront.java
+++ b/router/src/main/java/ashlink/router/http/HttpFront.java
@@ -46,22 +46,42 @@
     private final Scheduler background;
 
     /** A front that is not started; {@code stateDir} null: keys live as long as the router. */
-    public HttpFront(FrontContext context, Scheduler background, PrometheusRegistry metrics) throws IOException {
+    public HttpFront(FrontContext context, Scheduler background, PrometheusRegistry metrics)
+            throws IOException {
         this(context, background, metrics, files(context));
     }
 
-    private HttpFront(FrontContext context, Scheduler background, PrometheusRegistry metrics, SpoolFiles files)
+    private HttpFront(
+            FrontContext context,
+            Scheduler background,
+            PrometheusRegistry metrics,
+            SpoolFiles files)
             throws IOException {
         RouterConfig config = context.config();
         this.spec = config.http();
         this.background = background;
-        long all = files == null ? Math.min(spec.spoolAll(), spec.memoryAllBytes()) : spec.spoolAll();
-        store = new PageStore(files, new SpoolBudget(new SpoolBudget.Limits(Math.min(all, spec.spoolStatement()),
-                Math.min(all, spec.spoolUser()), all, all / 8)), new MemoryQuota(spec.memoryAllBytes()), spec.memoryBytes());
+        long all =
+                files == null ? Math.min(spec.spoolAll(), spec.memoryAllBytes()) : spec.spoolAll();
+        store =
+                new PageStore(
+                        files,
+                        new SpoolBudget(
+                                new SpoolBudget.Limits(
+                                        Math.min(all, spec.spoolStatement()),
+                                        Math.min(all, spec.spoolUser()),
+                                        all,
+                                        all / 8)),
+                        new MemoryQuota(spec.memoryAllBytes()),
+                        spec.memoryBytes());
         KeyTable keys = new KeyTable(spec.keys(), spec.keyNs() / MS);
         Path dir = config.stateDir();
-        KeyJournal journal = dir == null ? null
-                : new KeyJournal(FolderDisk.writing(dir.resolve("keys")), keys, System.currentTimeMillis());
+        KeyJournal journal =
+                dir == null
+                        ? null
+                        : new KeyJournal(
+                                FolderDisk.writing(dir.resolve("keys")),
+                                keys,
+                                System.currentTimeMillis());
         registry = new Registry(context, store, keys, journal);
         QueuedThreadPool threads = new QueuedThreadPool(THREADS, 4);
         threads.setName(config.name() + "-http");
@@ -78,10 +98,18 @@
         server.addBean(new NetworkConnectionLimit(spec.connections(), connector));
         StatementHandler handler = new StatementHandler(context, registry, threads);
         server.setHandler(handler);
-        gauge(metrics, "ashlink_http_statements", "Statements that are not dropped", registry::openCount);
+        gauge(
+                metrics,
+                "ashlink_http_statements",
+                "Statements that are not dropped",
+                registry::openCount);
         gauge(metrics, "ashlink_http_polls", "Askers that wait", handler::polling);
         gauge(metrics, "ashlink_http_keys", "Idempotency keys", registry::keyCount);
-        gauge(metrics, "ashlink_spool_bytes", "Bytes of the spool's budget that are taken", store::taken);
+        gauge(
+                metrics,
+                "ashlink_spool_bytes",
+                "Bytes of the spool's budget that are taken",
+                store::taken);
     }
 
     private static SpoolFiles files(FrontContext context) throws IOException {
@@ -89,8 +117,13 @@
         return dir == null ? null : new SpoolFolder(dir, context.config().name(), context.boot());
     }
 
-    private static void gauge(PrometheusRegistry metrics, String name, String help, DoubleSupplier figure) {
-        GaugeWithCallback.builder().name(name).help(help).callback(c -> c.call(figure.getAsDouble())).register(metrics);
+    private static void gauge(
+            PrometheusRegistry metrics, String name, String help, DoubleSupplier figure) {
+        GaugeWithCallback.builder()
+                .name(name)
+                .help(help)
+                .callback(c -> c.call(figure.getAsDouble()))
+                .register(metrics);
     }
 
     private HttpConfiguration http() {
@@ -103,23 +136,35 @@
 
     /** Starts taking requests, and its upkeep. */
     public void start() {
-        background.add(new TaskSpec("statements.expire", Priority.HIGH, 250 * MS, 0.1, S, 10 * S, false),
+        background.add(
+                new TaskSpec("statements.expire", Priority.HIGH, 250 * MS, 0.1, S, 10 * S, false),
                 lease -> registry.expire(System.nanoTime()));
-        background.add(TaskSpec.every("http.header-time", Priority.HIGH, Math.max(50 * MS, spec.headerNs() / 4), 10 * S),
+        background.add(
+                TaskSpec.every(
+                        "http.header-time",
+                        Priority.HIGH,
+                        Math.max(50 * MS, spec.headerNs() / 4),
+                        10 * S),
                 lease -> watch.look(System.nanoTime()));
-        background.add(TaskSpec.every("keys.tidy", Priority.NORMAL, 10 * S, 60 * S), lease -> registry.tidyKeys());
-        background.add(TaskSpec.once("spool.clean", Priority.NORMAL, 30 * S, 600 * S), lease -> {
-            int gone = store.clean();
-            if (gone > 0) {
-                LOG.info("the spool had {} files of earlier starts; they are gone", gone);
-            }
-        });
+        background.add(
+                TaskSpec.every("keys.tidy", Priority.NORMAL, 10 * S, 60 * S),
+                lease -> registry.tidyKeys());
+        background.add(
+                TaskSpec.once("spool.clean", Priority.NORMAL, 30 * S, 600 * S),
+                lease -> {
+                    int gone = store.clean();
+                    if (gone > 0) {
+                        LOG.info("the spool had {} files of earlier starts; they are gone", gone);
+                    }
+                });
         try {
             server.start();
         } catch (Exception e) {
             throw new IllegalStateException("the HTTP front does not start: " + e.getMessage(), e);
         }
-        LOG.atInfo().addKeyValue("address", address().toString()).log("statements are taken over HTTP");
+        LOG.atInfo()
+                .addKeyValue("address", address().toString())
+                .log("statements are taken over HTTP");
     }
 
     /** Where it listens. */
--- a/router/src/main/java/ashlink/router/http/HttpStatement.java
+++ b/router/src/main/java/ashlink/router/http/HttpStatement.java
@@ -33,8 +33,9 @@
 import java.util.function.Consumer;
 
 /**
- * A statement whose answer is fetched: takes packets of the native protocol, keeps the blocks of its result by pages, and
- * wakes who waits for one. An attempt's worker writes to it and waits while there is no room; askers never wait in it.
+ * A statement whose answer is fetched: takes packets of the native protocol, keeps the blocks of
+ * its result by pages, and wakes who waits for one. An attempt's worker writes to it and waits
+ * while there is no room; askers never wait in it.
  */
 final class HttpStatement implements AnswerChannel {
 
@@ -73,8 +74,13 @@
     private final WhenAnswered whenAnswered;
     private final long fromNs = System.nanoTime();
     private final ByteBuf open;
-    /** Guards what askers and the writer share; held while a page is read, so that none is let go meanwhile, never while one waits. */
+
+    /**
+     * Guards what askers and the writer share; held while a page is read, so that none is let go
+     * meanwhile, never while one waits.
+     */
     private final Object state = new Object();
+
     private final Life life;
     private final PageWindow window = new PageWindow();
     private final List<Stored> stored = new ArrayList<>();
@@ -96,8 +102,16 @@
     private volatile long readRows;
     private volatile long readBytes;
 
-    HttpStatement(String id, String user, String peer, PageStore store, Quota memory, WireLimits limits, long pageBytes,
-            Life.Terms terms, WhenAnswered whenAnswered) {
+    HttpStatement(
+            String id,
+            String user,
+            String peer,
+            PageStore store,
+            Quota memory,
+            WireLimits limits,
+            long pageBytes,
+            Life.Terms terms,
+            WhenAnswered whenAnswered) {
         this.id = id;
         this.user = user;
         this.peer = peer;
@@ -140,7 +154,10 @@
         keyKept.countDown();
     }
 
-    /** Waits until its key is on the disk: who is told of it later than that is told what a crash does not undo. */
+    /**
+     * Waits until its key is on the disk: who is told of it later than that is told what a crash
+     * does not undo.
+     */
     void awaitKey() {
         try {
             keyKept.await();
@@ -159,7 +176,8 @@
             }
         } catch (IOException e) {
             lose(e);
-            exchange.vanished(); // nothing of it can be passed on: what runs is called off where that is allowed
+            exchange.vanished(); // nothing of it can be passed on: what runs is called off where
+            // that is allowed
             settle(Ending.BROKEN, 0);
             throw e;
         }
@@ -208,7 +226,10 @@
         due.forEach(this::tell);
     }
 
-    /** The result cannot be kept: what runs is called off where that is allowed, and its client told. */
+    /**
+     * The result cannot be kept: what runs is called off where that is allowed, and its client
+     * told.
+     */
     private void lose(IOException e) {
         synchronized (state) {
             if (lost == null && !closed) {
@@ -218,8 +239,10 @@
     }
 
     private void take(ByteBuf packets) throws IOException {
-        StreamSource in = new StreamSource(new ByteArrayInputStream(packets.array(), 0, packets.size()),
-                Math.max(16, Math.min(packets.size(), READ_BYTES)));
+        StreamSource in =
+                new StreamSource(
+                        new ByteArrayInputStream(packets.array(), 0, packets.size()),
+                        Math.max(16, Math.min(packets.size(), READ_BYTES)));
         Blocks blocks = new Blocks(in, limits);
         while (in.consumed() < packets.size()) {
             ServerPacket kind = ServerPacket.of(in.readVarUInt());
@@ -265,7 +288,10 @@
             if (open.size() > 0) {
                 closePage();
             }
-            publish(keep(Arrays.copyOfRange(from, offset, offset + length), length)); // a page of its own
+            publish(
+                    keep(
+                            Arrays.copyOfRange(from, offset, offset + length),
+                            length)); // a page of its own
         }
         rows += count;
         bytes += length;
@@ -295,7 +321,8 @@
 
     private Stored keep(byte[] blocks, int length) throws IOException {
         try {
-            Stored s = store.store(id, user, window.closed(), blocks, length, inMemory, () -> closed);
+            Stored s =
+                    store.store(id, user, window.closed(), blocks, length, inMemory, () -> closed);
             inMemory += s.length();
             return s;
         } catch (InterruptedException e) {
@@ -323,14 +350,27 @@
     }
 
     // ---- Askers
-    /** Asks for a page; the answer goes to {@code to}, now or within that time, by this thread or one of the executor. */
-    void ask(int page, long waitNs, Executor executor, ScheduledExecutorService timers, Consumer<Told> to) {
-        Waiter w = new Waiter(page, told -> {
-            synchronized (state) {
-                life.waited(told.isPage() && told.last || told.problem != null, System.nanoTime());
-            }
-            to.accept(told);
-        });
+    /**
+     * Asks for a page; the answer goes to {@code to}, now or within that time, by this thread or
+     * one of the executor.
+     */
+    void ask(
+            int page,
+            long waitNs,
+            Executor executor,
+            ScheduledExecutorService timers,
+            Consumer<Told> to) {
+        Waiter w =
+                new Waiter(
+                        page,
+                        told -> {
+                            synchronized (state) {
+                                life.waited(
+                                        told.isPage() && told.last || told.problem != null,
+                                        System.nanoTime());
+                            }
+                            to.accept(told);
+                        });
         Told now;
         synchronized (state) {
             life.asked(System.nanoTime());
@@ -377,10 +417,16 @@
         return new Told(-1, null, null, false, null);
     }
 
-    /** What there is to tell of a page now; null while it is still to come. Called under the lock. */
+    /**
+     * What there is to tell of a page now; null while it is still to come. Called under the lock.
+     */
     private Told look(int page) {
         if (life.state() == Life.State.GONE || life.state() == Life.State.FORGOTTEN) {
-            return problem(lost != null ? lost : Problem.of(ending == null ? Ending.GONE : ending, error, retryAfterNs));
+            return problem(
+                    lost != null
+                            ? lost
+                            : Problem.of(
+                                    ending == null ? Ending.GONE : ending, error, retryAfterNs));
         }
         int before = window.first();
         PageWindow.Kind kind = window.ask(page);
@@ -390,19 +436,38 @@
         }
         return switch (kind) {
             case THERE -> page(page);
-            case GONE -> problem(Problem.of(Problem.Kind.GONE, "page " + page + " was let go when page " + (page + 2)
-                    + " or a later one was asked for"));
+            case GONE ->
+                    problem(
+                            Problem.of(
+                                    Problem.Kind.GONE,
+                                    "page "
+                                            + page
+                                            + " was let go when page "
+                                            + (page + 2)
+                                            + " or a later one was asked for"));
             case NOT_YET -> null;
-            case NEVER -> page == window.closed() && lost != null ? problem(lost)
-                    : page == window.closed() && ending != null && ending != Ending.SERVED
-                    ? problem(Problem.of(ending, error, retryAfterNs))
-                    : problem(Problem.of(Problem.Kind.NOT_FOUND, "there is no page " + page + "; pages are asked for in order"));
+            case NEVER ->
+                    page == window.closed() && lost != null
+                            ? problem(lost)
+                            : page == window.closed() && ending != null && ending != Ending.SERVED
+                                    ? problem(Problem.of(ending, error, retryAfterNs))
+                                    : problem(
+                                            Problem.of(
+                                                    Problem.Kind.NOT_FOUND,
+                                                    "there is no page "
+                                                            + page
+                                                            + "; pages are asked for in order"));
         };
     }
 
     private Told page(int page) {
         try {
-            return new Told(page, store.read(stored.get(page)), header, window.isLast(page) && lost == null, null);
+            return new Told(
+                    page,
+                    store.read(stored.get(page)),
+                    header,
+                    window.isLast(page) && lost == null,
+                    null);
         } catch (IOException e) {
             lost = Problem.of(Problem.Kind.RESULT_LOST, String.valueOf(e.getMessage()));
             return problem(lost);
@@ -451,11 +516,12 @@
         synchronized (state) {
             closed = true;
             window.dropAll();
-            stored.forEach(s -> {
-                if (s != null) {
-                    store.drop(s);
-                }
-            });
+            stored.forEach(
+                    s -> {
+                        if (s != null) {
+                            store.drop(s);
+                        }
+                    });
             stored.clear();
             life.discarded(System.nanoTime());
             due = takeWaiters();
@@ -506,7 +572,10 @@
         }
     }
 
-    /** The number of the next page to ask for, for who starts over; -1 where there is nothing to fetch any more. */
+    /**
+     * The number of the next page to ask for, for who starts over; -1 where there is nothing to
+     * fetch any more.
+     */
     int firstPage() {
         synchronized (state) {
             return life.state() == Life.State.GONE ? -1 : window.first();
@@ -516,8 +585,11 @@
     /** The word of its state. */
     String word() {
         synchronized (state) {
-            return ending == null ? life.state() == Life.State.GONE ? "cancelled" : "running"
-                    : ending == Ending.SERVED ? "finished" : ending == Ending.GONE ? "abandoned" : ending.word();
+            return ending == null
+                    ? life.state() == Life.State.GONE ? "cancelled" : "running"
+                    : ending == Ending.SERVED
+                            ? "finished"
+                            : ending == Ending.GONE ? "abandoned" : ending.word();
         }
     }
 
@@ -546,5 +618,4 @@
     long readBytes() {
         return readBytes;
     }
-
 }
--- a/router/src/main/java/ashlink/router/http/Login.java
+++ b/router/src/main/java/ashlink/router/http/Login.java
@@ -8,8 +8,9 @@
 import java.util.concurrent.Semaphore;
 
 /**
- * Basic authentication of the users of the native front. Who names nobody is the user {@code default}. A check of a new
- * password is dear: only a few threads of the server may be in one, so that a flood of them costs the others nothing.
+ * Basic authentication of the users of the native front. Who names nobody is the user {@code
+ * default}. A check of a new password is dear: only a few threads of the server may be in one, so
+ * that a flood of them costs the others nothing.
  */
 final class Login {
 
@@ -17,7 +18,7 @@
     private static final int MOST_BYTES = 4_096;
 
     /** Who asks; {@code user} null: not known, or {@code busy} with the checks of others. */
-    record Who(String user, boolean busy) { }
+    record Who(String user, boolean busy) {}
 
     private final Logins logins = new Logins();
     private final Semaphore checks = new Semaphore(AT_ONCE);
@@ -48,11 +49,14 @@
     }
 
     private static String pair(String authorization) {
-        if (authorization.length() > MOST_BYTES || !authorization.regionMatches(true, 0, "Basic ", 0, 6)) {
+        if (authorization.length() > MOST_BYTES
+                || !authorization.regionMatches(true, 0, "Basic ", 0, 6)) {
             return "";
         }
         try {
-            return new String(Base64.getDecoder().decode(authorization.substring(6).trim()), StandardCharsets.UTF_8);
+            return new String(
+                    Base64.getDecoder().decode(authorization.substring(6).trim()),
+                    StandardCharsets.UTF_8);
         } catch (IllegalArgumentException e) {
             return "";
         }
--- a/router/src/main/java/ashlink/router/http/Posted.java
+++ b/router/src/main/java/ashlink/router/http/Posted.java
@@ -21,15 +21,28 @@
 import java.util.TreeMap;
 
 /**
- * A posted statement: the body is its text, or JSON with {@code statement}, {@code database}, {@code settings} and, for a
- * load, {@code rows}. Parameters of the URI are settings too, but those that the API itself takes.
+ * A posted statement: the body is its text, or JSON with {@code statement}, {@code database},
+ * {@code settings} and, for a load, {@code rows}. Parameters of the URI are settings too, but those
+ * that the API itself takes.
  */
-record Posted(String statement, String database, Map<String, String> settings, JsonNode rows, String digest) {
+record Posted(
+        String statement,
+        String database,
+        Map<String, String> settings,
+        JsonNode rows,
+        String digest) {
 
-    private static final ObjectMapper JSON = JsonMapper.builder(JsonFactory.builder()
-            .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(32).build()).build())
-            .enable(DeserializationFeature.USE_BIG_DECIMAL_FOR_FLOATS).enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
-            .build();
+    private static final ObjectMapper JSON =
+            JsonMapper.builder(
+                            JsonFactory.builder()
+                                    .streamReadConstraints(
+                                            StreamReadConstraints.builder()
+                                                    .maxNestingDepth(32)
+                                                    .build())
+                                    .build())
+                    .enable(DeserializationFeature.USE_BIG_DECIMAL_FOR_FLOATS)
+                    .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
+                    .build();
     private static final Set<String> FIELDS = Set.of("statement", "database", "settings", "rows");
     static final Set<String> OWN = Set.of("wait", "database");
     private static final int MOST_SETTINGS = 1_000;
@@ -48,24 +61,33 @@
         }
     }
 
-    static Posted read(byte[] body, String contentType, Map<String, String> parameters) throws Wrong {
-        String type = contentType == null ? "text/plain" : contentType.split(";")[0].trim().toLowerCase(java.util.Locale.ROOT);
+    static Posted read(byte[] body, String contentType, Map<String, String> parameters)
+            throws Wrong {
+        String type =
+                contentType == null
+                        ? "text/plain"
+                        : contentType.split(";")[0].trim().toLowerCase(java.util.Locale.ROOT);
         Map<String, String> settings = new TreeMap<>();
-        parameters.forEach((k, v) -> {
-            if (!OWN.contains(k)) {
-                settings.put(k, v);
-            }
-        });
+        parameters.forEach(
+                (k, v) -> {
+                    if (!OWN.contains(k)) {
+                        settings.put(k, v);
+                    }
+                });
         String database = parameters.getOrDefault("database", "default");
         String text;
         JsonNode rows = null;
         if (type.equals("application/json")) {
             JsonNode n = tree(body);
-            for (var names = n.fieldNames(); names.hasNext();) {
+            for (var names = n.fieldNames(); names.hasNext(); ) {
                 String f = names.next();
                 if (!FIELDS.contains(f)) {
-                    throw new Wrong(Problem.Kind.BAD_REQUEST, "field " + f + " is unknown; there are statement, database, "
-                            + "settings, rows");
+                    throw new Wrong(
+                            Problem.Kind.BAD_REQUEST,
+                            "field "
+                                    + f
+                                    + " is unknown; there are statement, database, "
+                                    + "settings, rows");
                 }
             }
             text = n.path("statement").isTextual() ? n.get("statement").textValue() : "";
@@ -75,10 +97,14 @@
             if (rows != null && !rows.isArray()) {
                 throw new Wrong(Problem.Kind.BAD_REQUEST, "rows are an array of arrays");
             }
-        } else if (type.startsWith("text/") || type.equals("application/sql") || type.equals("application/x-www-form-urlencoded")) {
+        } else if (type.startsWith("text/")
+                || type.equals("application/sql")
+                || type.equals("application/x-www-form-urlencoded")) {
             text = utf8(body);
         } else {
-            throw new Wrong(Problem.Kind.MEDIA_TYPE, type + "; a statement is text/plain, application/sql or application/json");
+            throw new Wrong(
+                    Problem.Kind.MEDIA_TYPE,
+                    type + "; a statement is text/plain, application/sql or application/json");
         }
         if (text.isBlank()) {
             throw new Wrong(Problem.Kind.BAD_REQUEST, "there is no statement");
@@ -96,7 +122,8 @@
                 return n;
             }
         } catch (JsonProcessingException e) {
-            throw new Wrong(Problem.Kind.BAD_REQUEST, "the body is no JSON: " + e.getOriginalMessage());
+            throw new Wrong(
+                    Problem.Kind.BAD_REQUEST, "the body is no JSON: " + e.getOriginalMessage());
         } catch (java.io.IOException e) {
             throw new Wrong(Problem.Kind.BAD_REQUEST, "the body is no JSON");
         }
@@ -119,10 +146,14 @@
     }
 
     /** Of all that decides what is done; the text itself is not kept. */
-    private static String digest(String text, String database, Map<String, String> settings, JsonNode rows) {
+    private static String digest(
+            String text, String database, Map<String, String> settings, JsonNode rows) {
         try {
             MessageDigest d = MessageDigest.getInstance("SHA-256");
-            for (String part : new String[] {text, database, settings.toString(), rows == null ? "" : rows.toString()}) {
+            for (String part :
+                    new String[] {
+                        text, database, settings.toString(), rows == null ? "" : rows.toString()
+                    }) {
                 byte[] bytes = part.getBytes(StandardCharsets.UTF_8);
                 d.update(ByteBuffer.allocate(Integer.BYTES).putInt(bytes.length).array());
                 d.update(bytes);
--- a/router/src/main/java/ashlink/router/http/Problem.java
+++ b/router/src/main/java/ashlink/router/http/Problem.java
@@ -7,8 +7,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * What goes wrong, as RFC 9457 has it. Each kind has a type, a status and a title, and says whether the statement may have
- * run; these are the words of docs/statement-api.md.
+ * What goes wrong, as RFC 9457 has it. Each kind has a type, a status and a title, and says whether
+ * the statement may have run; these are the words of docs/statement-api.md.
  *
  * @param retryAfterNs when to come back, 0 where that is not told
  * @param code of the engine's exception, 0 where there is none
@@ -34,9 +34,15 @@
         BAD_INPUT(422, "the data of the statement makes no sense", true),
         KEY_REUSED(422, "the key was used for another statement", false),
         STATEMENT_ERROR(422, "the engine answered with an error", true),
-        TOO_MANY(429, "too many statements of this user are open; not run, trying again is harmless", false),
+        TOO_MANY(
+                429,
+                "too many statements of this user are open; not run, trying again is harmless",
+                false),
         FAILED(502, "failed, may have run, may have had its effect", true),
-        FATE_UNKNOWN(502, "the router ended while it was under way; may have run, and is not run again", true),
+        FATE_UNKNOWN(
+                502,
+                "the router ended while it was under way; may have run, and is not run again",
+                true),
         REFUSED(503, "refused, not run, trying again is harmless", false),
         BUSY(503, "the router has no room for this answer now; asking again is harmless", false),
         STOPPING(503, "the router stops; the result is lost, the statement may have run", true),
@@ -74,10 +80,15 @@
         return switch (ending) {
             case REFUSED, TURNED_AWAY -> new Problem(Kind.REFUSED, text, retryAfterNs, 0);
             case FAILED, BROKEN -> of(Kind.FAILED, text);
-            case ERROR -> new Problem(Kind.STATEMENT_ERROR, text, 0, error == null ? 0 : error.code());
+            case ERROR ->
+                    new Problem(Kind.STATEMENT_ERROR, text, 0, error == null ? 0 : error.code());
             case CANCELLED -> of(Kind.CANCELLED, text);
             case BAD_INPUT -> of(Kind.BAD_INPUT, text);
-            case GONE -> of(Kind.GONE, "nobody asked for it in time; its work was called off where that is allowed");
+            case GONE ->
+                    of(
+                            Kind.GONE,
+                            "nobody asked for it in time; its work was called off where that is"
+                                    + " allowed");
             case SERVED -> of(Kind.GONE, "its result was dropped");
         };
     }
@@ -89,7 +100,9 @@
 
     byte[] json(String statement) {
         ObjectNode n = JSON.createObjectNode();
-        n.put("type", "/problems/" + kind.word()).put("title", kind.title).put("status", kind.status);
+        n.put("type", "/problems/" + kind.word())
+                .put("title", kind.title)
+                .put("status", kind.status);
         n.put("mayHaveRun", kind.mayHaveRun);
         if (!detail.isEmpty()) {
             n.put("detail", detail);
--- a/router/src/main/java/ashlink/router/http/Registry.java
+++ b/router/src/main/java/ashlink/router/http/Registry.java
@@ -35,15 +35,21 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The statements of the HTTP front: taken, found, called off, expired; and the keys under which they run once. */
+/**
+ * The statements of the HTTP front: taken, found, called off, expired; and the keys under which
+ * they run once.
+ */
 final class Registry {
 
     private static final Logger LOG = LoggerFactory.getLogger(Registry.class);
     private static final int ID_BYTES = 16;
     private static final long FULL_RETRY_NS = 1_000_000_000L;
 
-    /** What came of a posted statement: the statement, what a key tells of an earlier one, or a problem. */
-    record Taken(HttpStatement statement, Entry earlier, Problem problem) { }
+    /**
+     * What came of a posted statement: the statement, what a key tells of an earlier one, or a
+     * problem.
+     */
+    record Taken(HttpStatement statement, Entry earlier, Problem problem) {}
 
     private final FrontContext context;
     private final HttpSpec spec;
@@ -67,21 +73,35 @@
         this.keys = keys;
         this.journal = journal;
         this.openPages = new MemoryQuota(spec.memoryAllBytes());
-        this.terms = new Life.Terms(spec.unpolledNs(), spec.keptNs(), spec.lingerNs(), spec.tombstoneNs());
+        this.terms =
+                new Life.Terms(
+                        spec.unpolledNs(), spec.keptNs(), spec.lingerNs(), spec.tombstoneNs());
     }
 
     // ---- Taking
     /** Takes a statement; with a key, the same statement is taken once. */
     Taken take(Posted p, String user, String peer, String key) {
         if (stopping) {
-            return new Taken(null, null, new Problem(Problem.Kind.REFUSED, "the router stops", FULL_RETRY_NS, 0));
+            return new Taken(
+                    null,
+                    null,
+                    new Problem(Problem.Kind.REFUSED, "the router stops", FULL_RETRY_NS, 0));
         }
         Problem full = admit(user);
         if (full != null) {
             return new Taken(null, null, full);
         }
-        HttpStatement s = new HttpStatement(newId(), user, peer, store, openPages, context.limits(), spec.pageBytes(), terms,
-                this::answered);
+        HttpStatement s =
+                new HttpStatement(
+                        newId(),
+                        user,
+                        peer,
+                        store,
+                        openPages,
+                        context.limits(),
+                        spec.pageBytes(),
+                        terms,
+                        this::answered);
         Claim c = null;
         if (key != null) {
             synchronized (keys) {
@@ -123,8 +143,15 @@
     private Taken held(Claim c) {
         return switch (c.verdict()) {
             case OTHER -> new Taken(null, null, Problem.of(Problem.Kind.KEY_REUSED, ""));
-            case FULL -> new Taken(null, null, new Problem(Problem.Kind.REFUSED, "there are " + spec.keys()
-                    + " keys, which is the limit", FULL_RETRY_NS, 0));
+            case FULL ->
+                    new Taken(
+                            null,
+                            null,
+                            new Problem(
+                                    Problem.Kind.REFUSED,
+                                    "there are " + spec.keys() + " keys, which is the limit",
+                                    FULL_RETRY_NS,
+                                    0));
             default -> {
                 HttpStatement s = statements.get(c.entry().statement());
                 if (s != null) {
@@ -139,13 +166,17 @@
         AtomicInteger mine = openOfUser.computeIfAbsent(user, u -> new AtomicInteger());
         if (mine.incrementAndGet() > spec.openUser()) {
             mine.decrementAndGet();
-            return new Problem(Problem.Kind.TOO_MANY, "the limit is " + spec.openUser(), FULL_RETRY_NS, 0);
+            return new Problem(
+                    Problem.Kind.TOO_MANY, "the limit is " + spec.openUser(), FULL_RETRY_NS, 0);
         }
         if (open.incrementAndGet() > spec.open()) {
             open.decrementAndGet();
             mine.decrementAndGet();
-            return new Problem(Problem.Kind.REFUSED, "the router holds " + spec.open() + " statements, which is the limit",
-                    FULL_RETRY_NS, 0);
+            return new Problem(
+                    Problem.Kind.REFUSED,
+                    "the router holds " + spec.open() + " statements, which is the limit",
+                    FULL_RETRY_NS,
+                    0);
         }
         return null;
     }
@@ -156,7 +187,10 @@
         openOfUser.get(s.user()).decrementAndGet();
     }
 
-    /** Not to be guessed; begins with the router's name where that can stand in a URI, so that others can point to it. */
+    /**
+     * Not to be guessed; begins with the router's name where that can stand in a URI, so that
+     * others can point to it.
+     */
     private String newId() {
         byte[] b = new byte[ID_BYTES];
         random.nextBytes(b);
@@ -174,9 +208,14 @@
             throw new IllegalStateException(e);
         }
         byte[] noTables = Arrays.copyOf(end.array(), end.size());
-        ClientInfo info = new ClientInfo(user, "", s.peer(), "", "", "ashlink http", 1, 0, Revision.HIGHEST, 0, "");
-        QueryPacket query = new QueryPacket("", info, p.settingList(), QueryPacket.COMPLETE, false, p.statement());
-        Intake.Prepared prepared = Intake.prepare(context, s, Revision.HIGHEST, user, p.database(), query, noTables);
+        ClientInfo info =
+                new ClientInfo(
+                        user, "", s.peer(), "", "", "ashlink http", 1, 0, Revision.HIGHEST, 0, "");
+        QueryPacket query =
+                new QueryPacket(
+                        "", info, p.settingList(), QueryPacket.COMPLETE, false, p.statement());
+        Intake.Prepared prepared =
+                Intake.prepare(context, s, Revision.HIGHEST, user, p.database(), query, noTables);
         Exchange exchange = prepared.exchange();
         s.exchange(exchange);
         if (exchange.feed() != null) {
@@ -185,31 +224,45 @@
         return prepared;
     }
 
-    /** The data of a load goes from a thread of its own: the one that brought the columns is the one that sends it on. */
+    /**
+     * The data of a load goes from a thread of its own: the one that brought the columns is the one
+     * that sends it on.
+     */
     private void feedLater(Exchange exchange, byte[] header, Posted p, byte[] end) {
         try {
-            context.workers().execute(() -> {
-                InsertFeed feed = exchange.feed();
-                try {
-                    if (p.rows() != null && p.rows().size() > 0) {
-                        feed.put(RowsEncoder.encode(header, p.rows(), context.limits()), false);
-                    }
-                    feed.put(end, true);
-                } catch (WireException e) {
-                    exchange.refuseInput(e);
-                } catch (IOException e) {
-                    exchange.refuseInput(new WireException(WireException.Reason.MALFORMED, String.valueOf(e.getMessage())));
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-            });
+            context.workers()
+                    .execute(
+                            () -> {
+                                InsertFeed feed = exchange.feed();
+                                try {
+                                    if (p.rows() != null && p.rows().size() > 0) {
+                                        feed.put(
+                                                RowsEncoder.encode(
+                                                        header, p.rows(), context.limits()),
+                                                false);
+                                    }
+                                    feed.put(end, true);
+                                } catch (WireException e) {
+                                    exchange.refuseInput(e);
+                                } catch (IOException e) {
+                                    exchange.refuseInput(
+                                            new WireException(
+                                                    WireException.Reason.MALFORMED,
+                                                    String.valueOf(e.getMessage())));
+                                } catch (InterruptedException e) {
+                                    Thread.currentThread().interrupt();
+                                }
+                            });
         } catch (RejectedExecutionException e) {
             LOG.debug("the router stops before a load had its data");
         }
     }
 
     // ---- Answers
-    /** Keeps how a keyed statement ended before its client is told; the key of one that did not run is free again. */
+    /**
+     * Keeps how a keyed statement ended before its client is told; the key of one that did not run
+     * is free again.
+     */
     private void answered(HttpStatement s, Ending how) throws IOException {
         Entry e;
         synchronized (keys) {
@@ -231,7 +284,10 @@
             try {
                 journal.release(e);
             } catch (IOException x) {
-                LOG.warn("that a key is free could not be kept; after a restart its fate is unknown: {}", x.toString());
+                LOG.warn(
+                        "that a key is free could not be kept; after a restart its fate is unknown:"
+                                + " {}",
+                        x.toString());
             }
         }
     }
@@ -274,7 +330,10 @@
         for (HttpStatement s : statements.values()) {
             switch (s.wish(nowNs)) {
                 case ABANDON -> {
-                    LOG.info("statement {} of {} is called off: nobody asks for it", s.id(), s.user());
+                    LOG.info(
+                            "statement {} of {} is called off: nobody asks for it",
+                            s.id(),
+                            s.user());
                     s.abandon();
                     leave(s);
                 }
@@ -283,7 +342,7 @@
                     leave(s);
                 }
                 case FORGET -> forget(s);
-                case NOTHING -> { }
+                case NOTHING -> {}
             }
             if (s.state() == Life.State.GONE) {
                 gone.add(s);
@@ -324,8 +383,11 @@
 
     /** True once all that was answered was fetched. */
     boolean allFetched() {
-        return statements.values().stream().allMatch(s -> s.state() != Life.State.RUNNING && s.state() != Life.State.ANSWERED
-                || s.isEndFetched());
+        return statements.values().stream()
+                .allMatch(
+                        s ->
+                                s.state() != Life.State.RUNNING && s.state() != Life.State.ANSWERED
+                                        || s.isEndFetched());
     }
 
     /** Whoever still waits is told that the router stops. */
--- a/router/src/main/java/ashlink/router/http/Route.java
+++ b/router/src/main/java/ashlink/router/http/Route.java
@@ -18,7 +18,10 @@
     Route(String method, String path) {
         this.method = method;
         this.path = path;
-        this.pattern = Pattern.compile(path.replace("{id}", "([A-Za-z0-9._~-]{1,200})").replace("{page}", "([0-9]{1,9})"));
+        this.pattern =
+                Pattern.compile(
+                        path.replace("{id}", "([A-Za-z0-9._~-]{1,200})")
+                                .replace("{page}", "([0-9]{1,9})"));
     }
 
     String method() {
--- a/router/src/main/java/ashlink/router/http/StatementHandler.java
+++ b/router/src/main/java/ashlink/router/http/StatementHandler.java
@@ -36,14 +36,21 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Answers requests of the API. No thread waits for a statement: an answer is written when there is one. */
+/**
+ * Answers requests of the API. No thread waits for a statement: an answer is written when there is
+ * one.
+ */
 final class StatementHandler extends Handler.Abstract {
 
     private static final Logger LOG = LoggerFactory.getLogger(StatementHandler.class);
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long S = 1_000_000_000L;
     private static final int MOST_KEY = 255;
-    /** A page of raw bytes grows so much at most while it is rendered, by rule of thumb; what is over is not refused. */
+
+    /**
+     * A page of raw bytes grows so much at most while it is rendered, by rule of thumb; what is
+     * over is not refused.
+     */
     private static final int GROWTH = 3;
 
     private final FrontContext context;
@@ -55,13 +62,15 @@
     private final AtomicInteger polling = new AtomicInteger();
     private final byte[] description;
 
-    StatementHandler(FrontContext context, Registry registry, Executor executor) throws IOException {
+    StatementHandler(FrontContext context, Registry registry, Executor executor)
+            throws IOException {
         this.context = context;
         this.spec = context.config().http();
         this.registry = registry;
         this.executor = executor;
         this.rendering = new MemoryQuota(spec.renderBytes());
-        try (InputStream in = StatementHandler.class.getResourceAsStream("/ashlink/router/http/openapi.json")) {
+        try (InputStream in =
+                StatementHandler.class.getResourceAsStream("/ashlink/router/http/openapi.json")) {
             description = in.readAllBytes();
         }
     }
@@ -95,9 +104,14 @@
                 response.getHeaders().put(HttpHeader.RETRY_AFTER, Long.toString(p.retryAfterS()));
             }
             if (p.kind() == Problem.Kind.LOGIN) {
-                response.getHeaders().put(HttpHeader.WWW_AUTHENTICATE, "Basic realm=\"ashlink\", charset=\"UTF-8\"");
+                response.getHeaders()
+                        .put(
+                                HttpHeader.WWW_AUTHENTICATE,
+                                "Basic realm=\"ashlink\", charset=\"UTF-8\"");
             }
-            if (p.kind() == Problem.Kind.BODY_LATE || p.kind() == Problem.Kind.TOO_LARGE || p.kind() == Problem.Kind.STOPPING) {
+            if (p.kind() == Problem.Kind.BODY_LATE
+                    || p.kind() == Problem.Kind.TOO_LARGE
+                    || p.kind() == Problem.Kind.STOPPING) {
                 response.getHeaders().put(HttpHeader.CONNECTION, "close");
             }
             send(p.kind().status(), "application/problem+json", p.json(statement));
@@ -137,19 +151,30 @@
             x.send(200, "application/json", description);
             return;
         }
-        Login.Who who = login.check(context.config().users(), x.request.getHeaders().get(HttpHeader.AUTHORIZATION));
+        Login.Who who =
+                login.check(
+                        context.config().users(),
+                        x.request.getHeaders().get(HttpHeader.AUTHORIZATION));
         if (who.user() == null) {
-            x.problem(who.busy() ? new Problem(Problem.Kind.BUSY, "too many logins at once", S, 0)
-                    : Problem.of(Problem.Kind.LOGIN, ""), null);
+            x.problem(
+                    who.busy()
+                            ? new Problem(Problem.Kind.BUSY, "too many logins at once", S, 0)
+                            : Problem.of(Problem.Kind.LOGIN, ""),
+                    null);
             return;
         }
         switch (route) {
             case POST_STATEMENT -> post(x, who.user());
             case GET_STATEMENT -> withStatement(x, m.group(1), who.user(), s -> x.state(200, s));
-            case DELETE_STATEMENT -> withStatement(x, m.group(1), who.user(), s -> {
-                registry.cancel(s);
-                x.state(200, s);
-            });
+            case DELETE_STATEMENT ->
+                    withStatement(
+                            x,
+                            m.group(1),
+                            who.user(),
+                            s -> {
+                                registry.cancel(s);
+                                x.state(200, s);
+                            });
             default -> page(x, m.group(1), Integer.parseInt(m.group(2)), who.user());
         }
     }
@@ -167,17 +192,26 @@
         if (e != null) {
             x.problem(remembered(e), id);
         } else if (peer != null && !id.substring(0, tilde).equals(context.config().name())) {
-            x.response.getHeaders().put(HttpHeader.LOCATION, peer + x.request.getHttpURI().getPathQuery());
+            x.response
+                    .getHeaders()
+                    .put(HttpHeader.LOCATION, peer + x.request.getHttpURI().getPathQuery());
             x.send(307, "application/json", "{}".getBytes(java.nio.charset.StandardCharsets.UTF_8));
         } else {
-            x.problem(Problem.of(Problem.Kind.NOT_FOUND, "no statement of that id is known to this router"), id);
+            x.problem(
+                    Problem.of(
+                            Problem.Kind.NOT_FOUND,
+                            "no statement of that id is known to this router"),
+                    id);
         }
     }
 
     private static Problem remembered(Entry e) {
-        return e.fate() == Fate.ANSWERED ? e.ending() == Ending.SERVED
-                ? Problem.of(Problem.Kind.GONE, "it was served; its result is not kept any more")
-                : Problem.of(e.ending(), null, 0) : Problem.of(Problem.Kind.FATE_UNKNOWN, "");
+        return e.fate() == Fate.ANSWERED
+                ? e.ending() == Ending.SERVED
+                        ? Problem.of(
+                                Problem.Kind.GONE, "it was served; its result is not kept any more")
+                        : Problem.of(e.ending(), null, 0)
+                : Problem.of(Problem.Kind.FATE_UNKNOWN, "");
     }
 
     // ---- POST
@@ -185,34 +219,66 @@
         String key = x.request.getHeaders().get("Idempotency-Key");
         Form form = Form.accepted(x.request.getHeaders().get(HttpHeader.ACCEPT));
         if (form == null) {
-            x.problem(Problem.of(Problem.Kind.NOT_ACCEPTABLE, "application/json, text/csv, application/x-ndjson"), null);
+            x.problem(
+                    Problem.of(
+                            Problem.Kind.NOT_ACCEPTABLE,
+                            "application/json, text/csv, application/x-ndjson"),
+                    null);
         } else if (key != null && (key.isBlank() || key.length() > MOST_KEY)) {
-            x.problem(Problem.of(Problem.Kind.BAD_REQUEST, "an Idempotency-Key has 1 to " + MOST_KEY + " characters"), null);
+            x.problem(
+                    Problem.of(
+                            Problem.Kind.BAD_REQUEST,
+                            "an Idempotency-Key has 1 to " + MOST_KEY + " characters"),
+                    null);
         } else if (x.request.getLength() > spec.bodyBytes()) {
-            x.problem(Problem.of(Problem.Kind.TOO_LARGE, "the limit is " + spec.bodyBytes() + " bytes"), null);
+            x.problem(
+                    Problem.of(
+                            Problem.Kind.TOO_LARGE, "the limit is " + spec.bodyBytes() + " bytes"),
+                    null);
         } else {
             CompletableFuture<byte[]> whole = new CompletableFuture<>();
-            Content.Source.asByteArrayAsync(x.request, (int) Math.min(Integer.MAX_VALUE - 16, spec.bodyBytes()),
+            Content.Source.asByteArrayAsync(
+                    x.request,
+                    (int) Math.min(Integer.MAX_VALUE - 16, spec.bodyBytes()),
                     Promise.Invocable.toPromise(whole));
-            whole.orTimeout(spec.bodyNs(), TimeUnit.NANOSECONDS).whenComplete((body, e) -> {
-                if (e == null) {
-                            executor.execute(() -> posted(x, user, key, form, body));
-                        } else {
-                            Throwable cause = e instanceof CompletionException && e.getCause() != null ? e.getCause() : e;
-                            x.problem(cause instanceof TimeoutException ? Problem.of(Problem.Kind.BODY_LATE, "")
-                                    : cause instanceof IllegalStateException ? Problem.of(Problem.Kind.TOO_LARGE,
-                                    "the limit is " + spec.bodyBytes() + " bytes")
-                                    : Problem.of(Problem.Kind.BAD_REQUEST, "the body broke off"), null);
-                        }
-                    });
+            whole.orTimeout(spec.bodyNs(), TimeUnit.NANOSECONDS)
+                    .whenComplete(
+                            (body, e) -> {
+                                if (e == null) {
+                                    executor.execute(() -> posted(x, user, key, form, body));
+                                } else {
+                                    Throwable cause =
+                                            e instanceof CompletionException && e.getCause() != null
+                                                    ? e.getCause()
+                                                    : e;
+                                    x.problem(
+                                            cause instanceof TimeoutException
+                                                    ? Problem.of(Problem.Kind.BODY_LATE, "")
+                                                    : cause instanceof IllegalStateException
+                                                            ? Problem.of(
+                                                                    Problem.Kind.TOO_LARGE,
+                                                                    "the limit is "
+                                                                            + spec.bodyBytes()
+                                                                            + " bytes")
+                                                            : Problem.of(
+                                                                    Problem.Kind.BAD_REQUEST,
+                                                                    "the body broke off"),
+                                            null);
+                                }
+                            });
         }
     }
 
     private void posted(Exchanged x, String user, String key, Form form, byte[] body) {
         try {
             Map<String, String> parameters = parameters(x.request);
-            long waitNs = waitNs(parameters.get("wait")); // all that can be wrong is found before anything runs
-            Posted p = Posted.read(body, x.request.getHeaders().get(HttpHeader.CONTENT_TYPE), parameters);
+            long waitNs =
+                    waitNs(
+                            parameters.get(
+                                    "wait")); // all that can be wrong is found before anything runs
+            Posted p =
+                    Posted.read(
+                            body, x.request.getHeaders().get(HttpHeader.CONTENT_TYPE), parameters);
             Taken taken = registry.take(p, user, Request.getRemoteAddr(x.request), key);
             if (taken.problem() != null) {
                 x.problem(taken.problem(), null);
@@ -238,7 +304,8 @@
                 parameters.put(f.getName(), f.getValue());
             }
         } catch (RuntimeException e) {
-            throw new Posted.Wrong(Problem.Kind.BAD_REQUEST, "the parameters of the URI make no sense");
+            throw new Posted.Wrong(
+                    Problem.Kind.BAD_REQUEST, "the parameters of the URI make no sense");
         }
         return parameters;
     }
@@ -247,7 +314,11 @@
     private void page(Exchanged x, String id, int page, String user) {
         Form form = Form.accepted(x.request.getHeaders().get(HttpHeader.ACCEPT));
         if (form == null) {
-            x.problem(Problem.of(Problem.Kind.NOT_ACCEPTABLE, "application/json, text/csv, application/x-ndjson"), null);
+            x.problem(
+                    Problem.of(
+                            Problem.Kind.NOT_ACCEPTABLE,
+                            "application/json, text/csv, application/x-ndjson"),
+                    null);
         } else {
             try {
                 long waitNs = waitNs(parameters(x.request).get("wait"));
@@ -260,16 +331,21 @@
 
     private void ask(Exchanged x, HttpStatement s, int page, long waitNs, Form form) {
         polling.incrementAndGet();
-        s.ask(page, waitNs, executor, context.timer(), told -> {
-            polling.decrementAndGet();
-            if (told.problem() != null) {
-                x.problem(told.problem(), s.id());
-            } else if (!told.isPage()) {
-                x.state(202, s);
-            } else {
-                render(x, s, told, form);
-            }
-        });
+        s.ask(
+                page,
+                waitNs,
+                executor,
+                context.timer(),
+                told -> {
+                    polling.decrementAndGet();
+                    if (told.problem() != null) {
+                        x.problem(told.problem(), s.id());
+                    } else if (!told.isPage()) {
+                        x.state(202, s);
+                    } else {
+                        render(x, s, told, form);
+                    }
+                });
     }
 
     private long waitNs(String text) throws Posted.Wrong {
@@ -284,7 +360,8 @@
         } catch (NumberFormatException e) {
             // said below
         }
-        throw new Posted.Wrong(Problem.Kind.BAD_REQUEST, "wait is a number of seconds, such as 0.5");
+        throw new Posted.Wrong(
+                Problem.Kind.BAD_REQUEST, "wait is a number of seconds, such as 0.5");
     }
 
     private void render(Exchanged x, HttpStatement s, Told told, Form form) {
@@ -293,24 +370,45 @@
             x.problem(new Problem(Problem.Kind.BUSY, "", S, 0), s.id());
             return;
         }
-        Future<?> cut = context.timer().schedule(
-                () -> x.request.getConnectionMetaData().getConnection().getEndPoint().close(), spec.bodyNs(), TimeUnit.NANOSECONDS);
-        Callback done = Callback.from(x.callback, () -> {
-            cut.cancel(false); // a client that reads slower than that is cut off
-            rendering.give(room);
-        });
+        Future<?> cut =
+                context.timer()
+                        .schedule(
+                                () ->
+                                        x.request
+                                                .getConnectionMetaData()
+                                                .getConnection()
+                                                .getEndPoint()
+                                                .close(),
+                                spec.bodyNs(),
+                                TimeUnit.NANOSECONDS);
+        Callback done =
+                Callback.from(
+                        x.callback,
+                        () -> {
+                            cut.cancel(false); // a client that reads slower than that is cut off
+                            rendering.give(room);
+                        });
         try {
             String next = told.last() ? null : Route.page(s.id(), told.page() + 1);
             String state = told.last() ? "finished" : s.word();
-            byte[] body = form.render(told.blocks(), told.header(), told.page(), new Form.Around(s.id(), state, next),
-                    context.limits());
+            byte[] body =
+                    form.render(
+                            told.blocks(),
+                            told.header(),
+                            told.page(),
+                            new Form.Around(s.id(), state, next),
+                            context.limits());
             x.response.getHeaders().put("Ashlink-Statement", s.id());
             x.response.getHeaders().put("Ashlink-State", state);
             if (next != null) {
                 x.response.getHeaders().put(new HttpField("Link", "<" + next + ">; rel=\"next\""));
             }
             x.response.setStatus(200);
-            x.response.getHeaders().put(HttpHeader.CONTENT_TYPE, form.type() + (form == Form.CSV ? "; charset=utf-8" : ""));
+            x.response
+                    .getHeaders()
+                    .put(
+                            HttpHeader.CONTENT_TYPE,
+                            form.type() + (form == Form.CSV ? "; charset=utf-8" : ""));
             x.response.getHeaders().put(HttpHeader.CACHE_CONTROL, "no-store");
             x.response.write(true, ByteBuffer.wrap(body), done);
         } catch (IOException | RuntimeException e) {
--- a/router/src/main/java/ashlink/router/list/ListStore.java
+++ b/router/src/main/java/ashlink/router/list/ListStore.java
@@ -19,9 +19,10 @@
 import java.util.zip.CRC32C;
 
 /**
- * The last list of engines in a file: magic, version, length, checksum (CRC32C), entries. Written beside the old one and
- * moved into its place, so that a crash leaves one of the two whole; a file that is not whole is told apart and not used.
- * Start times are kept as milliseconds since 1970, since the router's clock starts anew.
+ * The last list of engines in a file: magic, version, length, checksum (CRC32C), entries. Written
+ * beside the old one and moved into its place, so that a crash leaves one of the two whole; a file
+ * that is not whole is told apart and not used. Start times are kept as milliseconds since 1970,
+ * since the router's clock starts anew.
  */
 public final class ListStore {
 
@@ -55,7 +56,8 @@
         if (length != bytes.length - HEADER_BYTES || checksum(bytes, HEADER_BYTES, length) != sum) {
             throw new IOException(file + " is torn or damaged");
         }
-        DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes, HEADER_BYTES, length));
+        DataInputStream in =
+                new DataInputStream(new ByteArrayInputStream(bytes, HEADER_BYTES, length));
         int count = in.readInt();
         if (count < 0 || count > MOST_ENTRIES) {
             throw new IOException(file + " says that it holds " + count + " engines");
@@ -89,18 +91,29 @@
         }
         byte[] bytes = payload.toByteArray();
         ByteBuffer whole = ByteBuffer.allocate(HEADER_BYTES + bytes.length);
-        whole.putInt(MAGIC).putInt(VERSION).putInt(bytes.length).putInt(checksum(bytes, 0, bytes.length)).put(bytes).flip();
+        whole.putInt(MAGIC)
+                .putInt(VERSION)
+                .putInt(bytes.length)
+                .putInt(checksum(bytes, 0, bytes.length))
+                .put(bytes)
+                .flip();
         Files.createDirectories(file.toAbsolutePath().getParent());
         Path beside = file.resolveSibling(file.getFileName() + ".new");
-        try (FileChannel channel = FileChannel.open(beside, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                StandardOpenOption.TRUNCATE_EXISTING)) {
+        try (FileChannel channel =
+                FileChannel.open(
+                        beside,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE,
+                        StandardOpenOption.TRUNCATE_EXISTING)) {
             while (whole.hasRemaining()) {
                 channel.write(whole);
             }
             channel.force(true);
         }
-        Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        try (FileChannel folder = FileChannel.open(file.toAbsolutePath().getParent(), StandardOpenOption.READ)) {
+        Files.move(
+                beside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        try (FileChannel folder =
+                FileChannel.open(file.toAbsolutePath().getParent(), StandardOpenOption.READ)) {
             folder.force(true);
         }
     }
--- a/router/src/main/java/ashlink/router/list/Roster.java
+++ b/router/src/main/java/ashlink/router/list/Roster.java
@@ -12,16 +12,19 @@
 import java.util.Optional;
 
 /**
- * What is believed of each engine: where it stands by the list, and when its process started, by what it tells of its
- * time up and by how connections to it fare. Decides only; times are the caller's, in nanoseconds.
+ * What is believed of each engine: where it stands by the list, and when its process started, by
+ * what it tells of its time up and by how connections to it fare. Decides only; times are the
+ * caller's, in nanoseconds.
  *
- * <p>An engine that restarts unseen would be given its full load while cold. Two signs tell of a restart: its time up is
- * shorter than it should be, or it took a connection after one that could not be made. The second comes with the first
- * connection, before any query; the first corrects it.
+ * <p>An engine that restarts unseen would be given its full load while cold. Two signs tell of a
+ * restart: its time up is shorter than it should be, or it took a connection after one that could
+ * not be made. The second comes with the first connection, before any query; the first corrects it.
  */
 public final class Roster {
 
-    /** Difference of two told start times up to which they are the same: engines tell whole seconds. */
+    /**
+     * Difference of two told start times up to which they are the same: engines tell whole seconds.
+     */
     private static final long SAME_START_NS = 2_000_000_000L;
 
     private static final class Known {
@@ -57,7 +60,9 @@
         return new ListNews(ListForm.WHOLE, entries());
     }
 
-    /** The list says that of one engine; nothing where the engine is not known or nothing changes. */
+    /**
+     * The list says that of one engine; nothing where the engine is not known or nothing changes.
+     */
     public Optional<ListNews> phase(String engine, Phase phase) {
         Known k = engines.get(engine);
         if (k == null || k.phase == phase) {
@@ -76,7 +81,10 @@
         long started = now - upNs;
         boolean longAgo = k.startedNs == 0 && upNs >= coldNs;
         boolean same = k.startedNs != 0 && Math.abs(started - k.startedNs) <= SAME_START_NS;
-        boolean older = k.startedNs != 0 && started < k.startedNs && !k.assumed; // rounding, or a late answer
+        boolean older =
+                k.startedNs != 0
+                        && started < k.startedNs
+                        && !k.assumed; // rounding, or a late answer
         if (longAgo || same || older) {
             return Optional.empty();
         }
@@ -93,7 +101,10 @@
         }
     }
 
-    /** A connection was made; after one that failed the engine counts as just started, until it tells otherwise. */
+    /**
+     * A connection was made; after one that failed the engine counts as just started, until it
+     * tells otherwise.
+     */
     public Optional<ListNews> connected(String engine, long now) {
         Known k = engines.get(engine);
         if (k == null || !k.unreachable) {
@@ -119,7 +130,10 @@
         return entries;
     }
 
-    /** Believes a list that was kept through a restart, where the engines in it are still configured alike. */
+    /**
+     * Believes a list that was kept through a restart, where the engines in it are still configured
+     * alike.
+     */
     public void remember(Iterable<ListEntry> kept) {
         for (ListEntry e : kept) {
             Known k = engines.get(e.engine());
--- a/router/src/main/java/ashlink/router/spool/KeyJournal.java
+++ b/router/src/main/java/ashlink/router/spool/KeyJournal.java
@@ -18,9 +18,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps a table of keys on disk: a record for each change, in the log of captures. A key counts as claimed once its record
- * is synced; many claims share a sync. From time to time, and at each start, the table is written anew and the log before
- * is removed. Whoever else uses the table holds its lock meanwhile, and never while it calls the journal.
+ * Keeps a table of keys on disk: a record for each change, in the log of captures. A key counts as
+ * claimed once its record is synced; many claims share a sync. From time to time, and at each
+ * start, the table is written anew and the log before is removed. Whoever else uses the table holds
+ * its lock meanwhile, and never while it calls the journal.
  */
 public final class KeyJournal implements AutoCloseable {
 
@@ -35,7 +36,10 @@
     private final Object syncing = new Object();
     private final List<Pending> pending = new ArrayList<>();
 
-    /** Reads the table that the disk has, and goes on from there; what was under way has an unknown fate now. */
+    /**
+     * Reads the table that the disk has, and goes on from there; what was under way has an unknown
+     * fate now.
+     */
     public KeyJournal(Disk disk, KeyTable table, long nowMs) throws IOException {
         this.log = new TableLog(disk, SEGMENT_BYTES, nowMs);
         this.table = table;
@@ -46,8 +50,11 @@
 
     // ---- Reading
     private void load() throws IOException {
-        for (String damage : log.read(r -> apply(new DataInputStream(new ByteArrayInputStream(r))))) {
-            LOG.error("the journal of keys is damaged in {}; keys after that place in it are lost", damage);
+        for (String damage :
+                log.read(r -> apply(new DataInputStream(new ByteArrayInputStream(r))))) {
+            LOG.error(
+                    "the journal of keys is damaged in {}; keys after that place in it are lost",
+                    damage);
         }
         for (Entry e : table.entries()) {
             table.put(e.afterRestart());
@@ -66,7 +73,15 @@
         String statement = in.readUTF();
         Fate fate = Fate.values()[in.readByte()];
         int ending = in.readByte();
-        table.put(new Entry(user, key, digest, statement, fate, ending < 0 ? null : Ending.values()[ending], in.readLong()));
+        table.put(
+                new Entry(
+                        user,
+                        key,
+                        digest,
+                        statement,
+                        fate,
+                        ending < 0 ? null : Ending.values()[ending],
+                        in.readLong()));
     }
 
     // ---- Writing
@@ -122,7 +137,8 @@
             }
         }
         if (mine.failed != null) {
-            throw new IOException("the journal of keys fails: " + mine.failed.getMessage(), mine.failed);
+            throw new IOException(
+                    "the journal of keys fails: " + mine.failed.getMessage(), mine.failed);
         }
     }
 
--- a/router/src/main/java/ashlink/router/spool/PageStore.java
+++ b/router/src/main/java/ashlink/router/spool/PageStore.java
@@ -11,14 +11,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps pages: the first of a statement in memory, while there is some, the others in files under the budget. Who stores a
- * page waits until the budget has room.
+ * Keeps pages: the first of a statement in memory, while there is some, the others in files under
+ * the budget. Who stores a page waits until the budget has room.
  */
 public final class PageStore {
 
     private static final Logger LOG = LoggerFactory.getLogger(PageStore.class);
 
-    /** A page that is kept: in {@code memory}, or in a file of {@code length} bytes with that checksum. */
+    /**
+     * A page that is kept: in {@code memory}, or in a file of {@code length} bytes with that
+     * checksum.
+     */
     public static final class Stored {
         private final String statement;
         private final String file;
@@ -28,7 +31,13 @@
         private final boolean budgeted;
         private boolean dropped;
 
-        private Stored(String statement, String file, byte[] memory, int length, int checksum, boolean budgeted) {
+        private Stored(
+                String statement,
+                String file,
+                byte[] memory,
+                int length,
+                int checksum,
+                boolean budgeted) {
             this.statement = statement;
             this.file = file;
             this.memory = memory;
@@ -51,7 +60,8 @@
     /**
      * A store.
      *
-     * @param files where pages go that do not stay in memory; null: all stay there, under the same budget
+     * @param files where pages go that do not stay in memory; null: all stay there, under the same
+     *     budget
      * @param memoryBytes bytes of a statement that stay in memory beside the budget
      */
     public PageStore(SpoolFiles files, SpoolBudget budget, Quota memory, long memoryBytes) {
@@ -67,7 +77,14 @@
      * @param before bytes of the statement that are in memory already
      * @param over true once nobody wants it any more: ends the wait with an exception
      */
-    public Stored store(String statement, String user, int page, byte[] bytes, int length, long before, BooleanSupplier over)
+    public Stored store(
+            String statement,
+            String user,
+            int page,
+            byte[] bytes,
+            int length,
+            long before,
+            BooleanSupplier over)
             throws IOException, InterruptedException {
         if (before + length <= memoryBytes && memory.take(length)) {
             return new Stored(statement, null, Arrays.copyOf(bytes, length), length, 0, false);
@@ -94,8 +111,10 @@
                 return;
             }
             if (v != Verdict.WAIT) {
-                throw new IOException(v == null ? "nobody wants the result any more"
-                        : "a page of " + length + " bytes is over the limit of the spool");
+                throw new IOException(
+                        v == null
+                                ? "nobody wants the result any more"
+                                : "a page of " + length + " bytes is over the limit of the spool");
             }
             wait();
         }
@@ -107,7 +126,10 @@
         return (int) crc.getValue();
     }
 
-    /** The bytes of a page, exactly as they were stored; an exception where the disk does not give them back. */
+    /**
+     * The bytes of a page, exactly as they were stored; an exception where the disk does not give
+     * them back.
+     */
     public byte[] read(Stored s) throws IOException {
         if (s.memory != null) {
             return s.memory;
--- a/router/src/main/java/ashlink/router/spool/SpoolFolder.java
+++ b/router/src/main/java/ashlink/router/spool/SpoolFolder.java
@@ -13,7 +13,10 @@
 import java.util.List;
 import java.util.regex.Pattern;
 
-/** A spool in a folder, which routers of other names may share; a second router of the same name is told so. */
+/**
+ * A spool in a folder, which routers of other names may share; a second router of the same name is
+ * told so.
+ */
 public final class SpoolFolder implements SpoolFiles {
 
     private final Path dir;
@@ -28,9 +31,15 @@
         this.dir = dir;
         this.router = router;
         this.boot = boot;
-        this.pattern = Pattern.compile(Pattern.quote(router) + "\\.[0-9a-z]+\\.[A-Za-z0-9_-]+\\.[0-9]+\\.page");
+        this.pattern =
+                Pattern.compile(
+                        Pattern.quote(router) + "\\.[0-9a-z]+\\.[A-Za-z0-9_-]+\\.[0-9]+\\.page");
         Files.createDirectories(dir);
-        lockFile = FileChannel.open(dir.resolve(router + ".lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+        lockFile =
+                FileChannel.open(
+                        dir.resolve(router + ".lock"),
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE);
         FileLock held = null;
         try {
             held = lockFile.tryLock();
@@ -47,7 +56,8 @@
     @Override
     public void write(String name, byte[] bytes, int length) throws IOException {
         Path file = dir.resolve(name);
-        try (FileChannel out = FileChannel.open(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE)) {
+        try (FileChannel out =
+                FileChannel.open(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE)) {
             ByteBuffer left = ByteBuffer.wrap(bytes, 0, length);
             while (left.hasRemaining()) {
                 out.write(left);
@@ -83,7 +93,10 @@
 
     @Override
     public String name(String statement, int page) {
-        String own = statement.substring(statement.lastIndexOf('~') + 1); // without the router's name, which may have any form
+        String own =
+                statement.substring(
+                        statement.lastIndexOf('~')
+                                + 1); // without the router's name, which may have any form
         return router + "." + boot + "." + own + "." + page + ".page";
     }
 
--- a/router/src/main/java/ashlink/router/statement/KeyTable.java
+++ b/router/src/main/java/ashlink/router/statement/KeyTable.java
@@ -9,9 +9,10 @@
 import java.util.Map;
 
 /**
- * Keys under which a statement runs once. A key is claimed before its statement is put to the decisions, and holds for its
- * time whatever becomes of the statement, with one exception: a statement that was refused provably did not run, and its
- * key is free again. What was under way when a router ended has an unknown fate, and is never run again by itself.
+ * Keys under which a statement runs once. A key is claimed before its statement is put to the
+ * decisions, and holds for its time whatever becomes of the statement, with one exception: a
+ * statement that was refused provably did not run, and its key is free again. What was under way
+ * when a router ended has an unknown fate, and is never run again by itself.
  */
 public final class KeyTable {
 
@@ -32,7 +33,14 @@
      * @param ending how it was answered, where it was
      * @param claimedMs when, in milliseconds since 1970
      */
-    public record Entry(String user, String key, String digest, String statement, Fate fate, Ending ending, long claimedMs) {
+    public record Entry(
+            String user,
+            String key,
+            String digest,
+            String statement,
+            Fate fate,
+            Ending ending,
+            long claimedMs) {
 
         /** The same, answered. */
         public Entry answered(Ending how) {
@@ -41,7 +49,9 @@
 
         /** The same after the router ended. */
         public Entry afterRestart() {
-            return fate == Fate.OPEN ? new Entry(user, key, digest, statement, Fate.UNKNOWN, ending, claimedMs) : this;
+            return fate == Fate.OPEN
+                    ? new Entry(user, key, digest, statement, Fate.UNKNOWN, ending, claimedMs)
+                    : this;
         }
     }
 
@@ -58,9 +68,9 @@
     }
 
     /** A verdict, with the entry that holds the key; null where it is full. */
-    public record Claim(Verdict verdict, Entry entry) { }
+    public record Claim(Verdict verdict, Entry entry) {}
 
-    private record Name(String user, String key) { }
+    private record Name(String user, String key) {}
 
     private final int most;
     private final long keptMs;
@@ -114,7 +124,9 @@
         return n == null ? null : entries.get(n);
     }
 
-    /** Lets go of keys whose time is over, but of none whose statement is under way; returns them. */
+    /**
+     * Lets go of keys whose time is over, but of none whose statement is under way; returns them.
+     */
     public List<Entry> expire(long nowMs) {
         List<Entry> gone = new ArrayList<>();
         for (Entry e : new ArrayList<>(entries.values())) {
--- a/router/src/main/java/ashlink/router/statement/Life.java
+++ b/router/src/main/java/ashlink/router/statement/Life.java
@@ -1,8 +1,8 @@
 package ashlink.router.statement;
 
 /**
- * The life of a statement whose client asks for its answer: under way, answered, its result dropped, forgotten. Time only
- * goes on; a statement is never brought back.
+ * The life of a statement whose client asks for its answer: under way, answered, its result
+ * dropped, forgotten. Time only goes on; a statement is never brought back.
  */
 public final class Life {
 
@@ -38,7 +38,7 @@
      * @param lingerNs an answer whose end was fetched lasts that long, for a client that asks again
      * @param tombstoneNs that long a dropped one is told from one that never was
      */
-    public record Terms(long unpolledNs, long keptNs, long lingerNs, long tombstoneNs) { }
+    public record Terms(long unpolledNs, long keptNs, long lingerNs, long tombstoneNs) {}
 
     private final Terms terms;
     private State state = State.RUNNING;
@@ -98,9 +98,16 @@
     public Wish wish(long now) {
         pass(now);
         return switch (state) {
-            case RUNNING -> waiting == 0 && nowNs - askedNs >= terms.unpolledNs() ? Wish.ABANDON : Wish.NOTHING;
-            case ANSWERED -> waiting == 0 && nowNs - askedNs >= (endFetched ? terms.lingerNs() : terms.keptNs())
-                    ? Wish.DISCARD : Wish.NOTHING;
+            case RUNNING ->
+                    waiting == 0 && nowNs - askedNs >= terms.unpolledNs()
+                            ? Wish.ABANDON
+                            : Wish.NOTHING;
+            case ANSWERED ->
+                    waiting == 0
+                                    && nowNs - askedNs
+                                            >= (endFetched ? terms.lingerNs() : terms.keptNs())
+                            ? Wish.DISCARD
+                            : Wish.NOTHING;
             case GONE -> nowNs - goneNs >= terms.tombstoneNs() ? Wish.FORGET : Wish.NOTHING;
             case FORGOTTEN -> Wish.NOTHING;
         };
--- a/router/src/main/java/ashlink/router/statement/PageWindow.java
+++ b/router/src/main/java/ashlink/router/statement/PageWindow.java
@@ -1,9 +1,9 @@
 package ashlink.router.statement;
 
 /**
- * Which pages of a result there are. A page is closed once and never changes. Who asks for page n has all before page n-1:
- * those are let go, so that a page can be asked for again, late or beside the next one, until the one after the next is
- * asked for.
+ * Which pages of a result there are. A page is closed once and never changes. Who asks for page n
+ * has all before page n-1: those are let go, so that a page can be asked for again, late or beside
+ * the next one, until the one after the next is asked for.
  */
 public final class PageWindow {
 
--- a/router/src/main/java/ashlink/router/statement/SpoolBudget.java
+++ b/router/src/main/java/ashlink/router/statement/SpoolBudget.java
@@ -4,9 +4,10 @@
 import java.util.Map;
 
 /**
- * Bytes of results that are kept: for a statement, a user and the router. What does not fit waits, and so does the engine
- * that sends it; the clients that fetch make room. A part of the router's budget is kept for statements that hold nothing,
- * so that results nobody fetches do not stop the first page of others.
+ * Bytes of results that are kept: for a statement, a user and the router. What does not fit waits,
+ * and so does the engine that sends it; the clients that fetch make room. A part of the router's
+ * budget is kept for statements that hold nothing, so that results nobody fetches do not stop the
+ * first page of others.
  */
 public final class SpoolBudget {
 
@@ -20,10 +21,13 @@
         NEVER
     }
 
-    /** Limits in bytes; {@code reserveBytes} of {@code allBytes} is for statements that hold nothing. */
-    public record Limits(long statementBytes, long userBytes, long allBytes, long reserveBytes) { }
+    /**
+     * Limits in bytes; {@code reserveBytes} of {@code allBytes} is for statements that hold
+     * nothing.
+     */
+    public record Limits(long statementBytes, long userBytes, long allBytes, long reserveBytes) {}
 
-    private record Holder(String user, long bytes) { }
+    private record Holder(String user, long bytes) {}
 
     private final Limits limits;
     private final Map<String, Holder> statements = new HashMap<>();
@@ -41,8 +45,12 @@
             return Verdict.NEVER;
         }
         long held = statements.containsKey(statement) ? statements.get(statement).bytes : 0;
-        long ofAll = held == 0 ? limits.allBytes : Math.max(limits.allBytes - limits.reserveBytes, bytes);
-        if (held + bytes > limits.statementBytes || users.getOrDefault(user, 0L) + bytes > limits.userBytes
+        long ofAll =
+                held == 0
+                        ? limits.allBytes
+                        : Math.max(limits.allBytes - limits.reserveBytes, bytes);
+        if (held + bytes > limits.statementBytes
+                || users.getOrDefault(user, 0L) + bytes > limits.userBytes
                 || all + bytes > ofAll) {
             return Verdict.WAIT;
         }
--- a/router/src/main/java/ashlink/router/upstream/EngineConnection.java
+++ b/router/src/main/java/ashlink/router/upstream/EngineConnection.java
@@ -18,7 +18,10 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.SocketChannel;
 
-/** A connection to an engine that has said Hello. One attempt uses it at a time; closing it is safe from any thread. */
+/**
+ * A connection to an engine that has said Hello. One attempt uses it at a time; closing it is safe
+ * from any thread.
+ */
 public final class EngineConnection implements AutoCloseable {
 
     private static final int READ_BYTES = 128 << 10;
@@ -36,7 +39,12 @@
     private int revision;
     private long idleSinceNs;
 
-    private EngineConnection(EnginePool pool, String engine, String database, SocketChannel channel, WireLimits limits)
+    private EngineConnection(
+            EnginePool pool,
+            String engine,
+            String database,
+            SocketChannel channel,
+            WireLimits limits)
             throws IOException {
         this.pool = pool;
         this.engine = engine;
@@ -49,8 +57,16 @@
     }
 
     /** Connects and says Hello; both within that time. */
-    static EngineConnection open(EnginePool pool, String engine, InetSocketAddress address, String database,
-            String routerName, EngineLogin login, int timeoutMs, WireLimits limits) throws IOException {
+    static EngineConnection open(
+            EnginePool pool,
+            String engine,
+            InetSocketAddress address,
+            String database,
+            String routerName,
+            EngineLogin login,
+            int timeoutMs,
+            WireLimits limits)
+            throws IOException {
         SocketChannel channel = SocketChannel.open();
         try {
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
@@ -70,21 +86,42 @@
 
     private void hello(String routerName, EngineLogin login) throws IOException {
         ByteBuf hello = new ByteBuf();
-        new Hello.Client("ashlink " + routerName, VERSION_MAJOR, VERSION_MINOR, Revision.HIGHEST, database, login.user(),
-                login.password()).write(hello);
+        new Hello.Client(
+                        "ashlink " + routerName,
+                        VERSION_MAJOR,
+                        VERSION_MINOR,
+                        Revision.HIGHEST,
+                        database,
+                        login.user(),
+                        login.password())
+                .write(hello);
         hello.writeTo(out);
         ServerPacket kind = ServerPacket.of(in.readVarUInt());
         if (kind == ServerPacket.EXCEPTION) {
             ServerError e = ServerError.read(in, limits);
-            throw new IOException("engine " + engine + " refuses the login: code " + e.code() + " " + e.message());
+            throw new IOException(
+                    "engine "
+                            + engine
+                            + " refuses the login: code "
+                            + e.code()
+                            + " "
+                            + e.message());
         } else if (kind != ServerPacket.HELLO) {
-            throw new WireException(WireException.Reason.MALFORMED, "engine " + engine + " answers Hello with " + kind);
+            throw new WireException(
+                    WireException.Reason.MALFORMED,
+                    "engine " + engine + " answers Hello with " + kind);
         }
         Hello.Server server = Hello.Server.read(in, limits);
         revision = Math.min(Revision.HIGHEST, server.revision());
         if (revision < Revision.SETTINGS_AS_STRINGS) {
-            throw new IOException("engine " + engine + " speaks revision " + server.revision() + ", "
-                    + Revision.SETTINGS_AS_STRINGS + " is the least");
+            throw new IOException(
+                    "engine "
+                            + engine
+                            + " speaks revision "
+                            + server.revision()
+                            + ", "
+                            + Revision.SETTINGS_AS_STRINGS
+                            + " is the least");
         }
     }
 
@@ -142,7 +179,10 @@
         PlainPackets.skip(kind, in, revision, limits);
     }
 
-    /** False where the engine has closed it, or sent what nobody asked for: it is not used again then. */
+    /**
+     * False where the engine has closed it, or sent what nobody asked for: it is not used again
+     * then.
+     */
     boolean isQuiet() {
         if (in.hasBuffered()) {
             return false;
--- a/router/src/main/java/ashlink/router/upstream/EnginePool.java
+++ b/router/src/main/java/ashlink/router/upstream/EnginePool.java
@@ -10,8 +10,9 @@
 import java.util.List;
 
 /**
- * Connections to one engine: the last returned is taken first, so that what is not needed grows old and is closed. At the
- * limit of connections nobody waits here: waiting is what the decision module does, by worth.
+ * Connections to one engine: the last returned is taken first, so that what is not needed grows old
+ * and is closed. At the limit of connections nobody waits here: waiting is what the decision module
+ * does, by worth.
  */
 public final class EnginePool {
 
@@ -35,8 +36,15 @@
     private boolean closed;
 
     /** A pool without connections. */
-    EnginePool(String engine, InetSocketAddress address, String routerName, EngineLogin login, int most, int connectMs,
-            long idleNs, WireLimits limits) {
+    EnginePool(
+            String engine,
+            InetSocketAddress address,
+            String routerName,
+            EngineLogin login,
+            int most,
+            int connectMs,
+            long idleNs,
+            WireLimits limits) {
         this.engine = engine;
         this.address = address;
         this.routerName = routerName;
@@ -73,7 +81,8 @@
             evicted.close(); // its place is the new one's
         }
         try {
-            return EngineConnection.open(this, engine, address, database, routerName, login, connectMs, limits);
+            return EngineConnection.open(
+                    this, engine, address, database, routerName, login, connectMs, limits);
         } catch (IOException | RuntimeException e) {
             synchronized (this) {
                 open--;
@@ -83,7 +92,7 @@
     }
 
     private synchronized EngineConnection poll(String database) {
-        for (Iterator<EngineConnection> i = idle.iterator(); i.hasNext();) {
+        for (Iterator<EngineConnection> i = idle.iterator(); i.hasNext(); ) {
             EngineConnection c = i.next();
             if (c.database().equals(database)) {
                 i.remove();
--- a/router/src/main/java/ashlink/router/upstream/Engines.java
+++ b/router/src/main/java/ashlink/router/upstream/Engines.java
@@ -35,8 +35,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The engines that the list names: their pools, their probes, and what the roster makes of how they fare. News go to the
- * core in the order in which the roster gave them.
+ * The engines that the list names: their pools, their probes, and what the roster makes of how they
+ * fare. News go to the core in the order in which the roster gave them.
  */
 public final class Engines implements Transport {
 
@@ -53,10 +53,12 @@
     private final String probeStatement;
     private final Map<String, EnginePool> pools = new ConcurrentHashMap<>();
     private final Map<String, Phase> phases = new ConcurrentHashMap<>();
+
     /** What the list says, without what operators want. */
     private final Map<String, Phase> listed = new HashMap<>();
+
     private Set<String> drained = Set.of();
-    private volatile Consumer<ListNews> news = n -> { };
+    private volatile Consumer<ListNews> news = n -> {};
 
     /** Reaches engines with threads of {@code workers}. */
     public Engines(RouterConfig config, CoreClock clock, Executor workers, WireLimits limits) {
@@ -66,9 +68,18 @@
         this.limits = limits;
         this.roster = new Roster(config.limits().coldNs());
         this.gauges = new GaugeReader(config.gauges());
-        String uptime = config.gauges().uptimeS().stream().map(RouterConfig.Gauge::name).findFirst().orElse("");
-        this.probeStatement = "SELECT metric, toFloat64(value) AS value FROM system.metrics"
-                + (uptime.isEmpty() ? "" : " UNION ALL SELECT '" + uptime.replace("'", "") + "', toFloat64(uptime())");
+        String uptime =
+                config.gauges().uptimeS().stream()
+                        .map(RouterConfig.Gauge::name)
+                        .findFirst()
+                        .orElse("");
+        this.probeStatement =
+                "SELECT metric, toFloat64(value) AS value FROM system.metrics"
+                        + (uptime.isEmpty()
+                                ? ""
+                                : " UNION ALL SELECT '"
+                                        + uptime.replace("'", "")
+                                        + "', toFloat64(uptime())");
     }
 
     /** Reads what answers tell. */
@@ -77,7 +88,10 @@
     }
 
     // ---- The list
-    /** Where news of the list go; what was known before is told as remembered, then as it is configured. */
+    /**
+     * Where news of the list go; what was known before is told as remembered, then as it is
+     * configured.
+     */
     public synchronized void start(Consumer<ListNews> to, List<ListEntry> kept) {
         news = to;
         if (!kept.isEmpty()) {
@@ -98,7 +112,9 @@
         List<EngineSpec> effective = new ArrayList<>();
         for (EngineSpec s : specs) {
             listed.put(s.name(), s.phase());
-            effective.add(new EngineSpec(s.name(), s.address(), s.zone(), s.kind(), s.cell(), phase(s.name())));
+            effective.add(
+                    new EngineSpec(
+                            s.name(), s.address(), s.zone(), s.kind(), s.cell(), phase(s.name())));
             EnginePool old = before.get(s.name());
             boolean same = old != null && old.address().equals(s.address());
             pools.put(s.name(), same ? before.remove(s.name()) : pool(s));
@@ -110,8 +126,15 @@
 
     private EnginePool pool(EngineSpec s) {
         RouterConfig.Bounds b = config.bounds();
-        return new EnginePool(s.name(), s.address(), config.name(), config.engineLogin(), b.engineConnections(),
-                (int) Math.max(1, b.connectNs() / 1_000_000), b.idleEngineNs(), limits);
+        return new EnginePool(
+                s.name(),
+                s.address(),
+                config.name(),
+                config.engineLogin(),
+                b.engineConnections(),
+                (int) Math.max(1, b.connectNs() / 1_000_000),
+                b.idleEngineNs(),
+                limits);
     }
 
     /** The list says that of an engine. */
@@ -166,7 +189,10 @@
     }
 
     // ---- Connections
-    /** A connection to that engine for that database; an exception where it cannot be reached or none is free. */
+    /**
+     * A connection to that engine for that database; an exception where it cannot be reached or
+     * none is free.
+     */
     public EngineConnection take(String engine, String database) throws IOException {
         EnginePool pool = pools.get(engine);
         if (pool == null) {
@@ -184,7 +210,10 @@
         }
     }
 
-    /** Takes back a connection; {@code clean} only where its last statement ended and nothing else is due. */
+    /**
+     * Takes back a connection; {@code clean} only where its last statement ended and nothing else
+     * is due.
+     */
     public void giveBack(EngineConnection c, boolean clean) {
         if (clean) {
             c.pool().giveBack(c, clock.nowNs());
--- a/router/src/main/java/ashlink/router/upstream/GaugeReader.java
+++ b/router/src/main/java/ashlink/router/upstream/GaugeReader.java
@@ -19,15 +19,20 @@
         this.names = names;
     }
 
-    /** Values by name out of a block that has a column of names and one of values; any other block has none. */
+    /**
+     * Values by name out of a block that has a column of names and one of values; any other block
+     * has none.
+     */
     public static Map<String, Double> values(Block block) {
         Map<String, Double> values = new HashMap<>();
-        Block.Column name = block.column("name") != null ? block.column("name") : block.column("metric");
+        Block.Column name =
+                block.column("name") != null ? block.column("name") : block.column("metric");
         Block.Column value = block.column("value");
         if (name != null && value != null) {
             List<Object> keys = name.values();
             for (int i = 0; i < keys.size(); i++) {
-                if (keys.get(i) instanceof String key && value.values().get(i) instanceof Number number) {
+                if (keys.get(i) instanceof String key
+                        && value.values().get(i) instanceof Number number) {
                     values.put(key, number.doubleValue());
                 }
             }
@@ -37,15 +42,20 @@
 
     /** The load that the values tell. */
     public Report report(Map<String, Double> values) {
-        return new Report(of(values, names.waiting()), of(values, names.coresBusy()), of(values, names.memoryGranted()),
-                of(values, names.disksBusy()), of(values, names.inHand()));
+        return new Report(
+                of(values, names.waiting()),
+                of(values, names.coresBusy()),
+                of(values, names.memoryGranted()),
+                of(values, names.disksBusy()),
+                of(values, names.inHand()));
     }
 
     /** All that an answer tells. */
     public Told told(Map<String, Double> values) {
         double work = of(values, names.workMs());
         double memory = of(values, names.memoryMb());
-        return new Told(Double.isNaN(work) ? 0 : work, Double.isNaN(memory) ? 0 : memory, report(values));
+        return new Told(
+                Double.isNaN(work) ? 0 : work, Double.isNaN(memory) ? 0 : memory, report(values));
     }
 
     /** Seconds since the engine started, or a negative number where it does not tell. */
--- a/router/src/main/java/ashlink/router/upstream/package-info.java
+++ b/router/src/main/java/ashlink/router/upstream/package-info.java
@@ -1,2 +1,4 @@
-/** Connections to engines: made, kept while idle, probed, and closed where their state is in doubt. */
+/**
+ * Connections to engines: made, kept while idle, probed, and closed where their state is in doubt.
+ */
 package ashlink.router.upstream;
--- a/router/src/test/java/ashlink/router/StoredDataRecorder.java
+++ b/router/src/test/java/ashlink/router/StoredDataRecorder.java
@@ -31,7 +31,7 @@
     private static final String BOOT_BEFORE = "ln0b9j5c";
     private static final String BOOT_FIRST = "ln0a0000";
 
-    private StoredDataRecorder() { }
+    private StoredDataRecorder() {}
 
     /** Writes all of it into the folder that is named. */
     public static void main(String[] arguments) throws Exception {
@@ -49,8 +49,16 @@
             claim(journal, table, "ann", "over-its-time", START_MS - DAY_MS / 2);
             claim(journal, table, "ann", "under-way-at-the-first-end", START_MS + 1);
             for (Ending ending : Ending.values()) {
-                answer(journal, table, claim(journal, table, "ann", "ending-" + ending.ordinal(),
-                        START_MS + 10 + ending.ordinal()), ending);
+                answer(
+                        journal,
+                        table,
+                        claim(
+                                journal,
+                                table,
+                                "ann",
+                                "ending-" + ending.ordinal(),
+                                START_MS + 10 + ending.ordinal()),
+                        ending);
             }
         }
     }
@@ -69,16 +77,18 @@
         }
     }
 
-    private static KeyTable.Entry claim(KeyJournal journal, KeyTable table, String user, String key,
-            long nowMs) throws IOException {
+    private static KeyTable.Entry claim(
+            KeyJournal journal, KeyTable table, String user, String key, long nowMs)
+            throws IOException {
         KeyTable.Entry entry =
                 table.claim(user, key, "digest of " + key, "r1~" + user + "-" + key, nowMs).entry();
         journal.put(entry);
         return entry;
     }
 
-    private static void answer(KeyJournal journal, KeyTable table, KeyTable.Entry entry,
-            Ending ending) throws IOException {
+    private static void answer(
+            KeyJournal journal, KeyTable table, KeyTable.Entry entry, Ending ending)
+            throws IOException {
         table.put(entry.answered(ending));
         journal.put(entry.answered(ending));
     }
@@ -86,11 +96,26 @@
     // ---- The list of engines
     private static void list(Path file) throws IOException {
         long nowNs = 5_000 * SECOND_MS * MS;
-        new ListStore(file).save(List.of(
-                new ListEntry("q1", Phase.READY, "z", "large", 3, nowNs - 2 * SECOND_MS * MS),
-                new ListEntry("q2", Phase.DRAINING, "mañana", "small", -1, 0),
-                new ListEntry("q3", Phase.GONE, "", "", Long.MAX_VALUE, nowNs - 90 * DAY_MS * MS)),
-                nowNs, START_MS);
+        new ListStore(file)
+                .save(
+                        List.of(
+                                new ListEntry(
+                                        "q1",
+                                        Phase.READY,
+                                        "z",
+                                        "large",
+                                        3,
+                                        nowNs - 2 * SECOND_MS * MS),
+                                new ListEntry("q2", Phase.DRAINING, "mañana", "small", -1, 0),
+                                new ListEntry(
+                                        "q3",
+                                        Phase.GONE,
+                                        "",
+                                        "",
+                                        Long.MAX_VALUE,
+                                        nowNs - 90 * DAY_MS * MS)),
+                        nowNs,
+                        START_MS);
     }
 
     // ---- The spool
--- a/router/src/test/java/ashlink/router/StoredFiles.java
+++ b/router/src/test/java/ashlink/router/StoredFiles.java
@@ -10,7 +10,7 @@
 /** Files that an earlier build wrote, in {@code src/test/resources/stored}, and copies of them. */
 public final class StoredFiles {
 
-    private StoredFiles() { }
+    private StoredFiles() {}
 
     /** A stored file or folder. */
     public static Path stored(String name) throws URISyntaxException {
--- a/router/src/test/java/ashlink/router/core/CauseTest.java
+++ b/router/src/test/java/ashlink/router/core/CauseTest.java
@@ -31,7 +31,8 @@
                 assertTrue(o.mayHaveRun());
             } else if (!phase.mayRun()) {
                 assertFalse(o.mayHaveRun(), cause + " while " + phase + " is " + o);
-            } else if (cause != Cause.TURNED_AWAY && cause != Cause.NOT_WANTED || phase == Phase.ANSWERING) {
+            } else if (cause != Cause.TURNED_AWAY && cause != Cause.NOT_WANTED
+                    || phase == Phase.ANSWERING) {
                 assertTrue(o.mayHaveRun(), cause + " while " + phase + " is " + o);
             }
         }
@@ -58,12 +59,16 @@
             Attempt failed = attempt(phase);
             failed.abort(Cause.TIMED_OUT);
             assertEquals(0, ends.size());
-            failed.end(Cause.BROKEN, Attempt.Told.NOTHING); // the write threw: its last byte never left
+            failed.end(
+                    Cause.BROKEN,
+                    Attempt.Told.NOTHING); // the write threw: its last byte never left
             assertEquals(Outcome.NEVER_SENT, ends.get(0).outcome());
             ends.clear();
             Attempt written = attempt(phase);
             written.abort(Cause.TIMED_OUT);
-            assertFalse(written.advance(Phase.RUNNING)); // the write was through before the socket closed
+            assertFalse(
+                    written.advance(
+                            Phase.RUNNING)); // the write was through before the socket closed
             written.end(Cause.CALLED_OFF, Attempt.Told.NOTHING);
             assertEquals(Outcome.TIMED_OUT, ends.get(0).outcome());
         }
