--- a/router/src/test/java/ashlink/router/http/DescriptionTest.java
+++ b/router/src/test/java/ashlink/router/http/DescriptionTest.java
@@ -21,12 +21,25 @@
         }
         Set<String> described = new TreeSet<>();
         Set<String> statuses = new TreeSet<>();
-        d.get("paths").properties().forEach(p -> p.getValue().properties().forEach(m -> {
-            if (m.getValue().has("responses")) {
-                described.add(m.getKey().toUpperCase(Locale.ROOT) + " " + p.getKey());
-                m.getValue().get("responses").fieldNames().forEachRemaining(statuses::add);
-            }
-        }));
+        d.get("paths")
+                .properties()
+                .forEach(
+                        p ->
+                                p.getValue()
+                                        .properties()
+                                        .forEach(
+                                                m -> {
+                                                    if (m.getValue().has("responses")) {
+                                                        described.add(
+                                                                m.getKey().toUpperCase(Locale.ROOT)
+                                                                        + " "
+                                                                        + p.getKey());
+                                                        m.getValue()
+                                                                .get("responses")
+                                                                .fieldNames()
+                                                                .forEachRemaining(statuses::add);
+                                                    }
+                                                }));
         Set<String> routes = new TreeSet<>();
         for (Route r : Route.values()) {
             routes.add(r.method() + " " + r.path());
@@ -41,7 +54,8 @@
             }
         }
         Set<String> types = new TreeSet<>();
-        d.at("/components/schemas/Problem/properties/type/enum").forEach(t -> types.add(t.asText()));
+        d.at("/components/schemas/Problem/properties/type/enum")
+                .forEach(t -> types.add(t.asText()));
         assertEquals(problems, types);
         assertEquals(mine, statuses);
     }
--- a/router/src/test/java/ashlink/router/http/FormTest.java
+++ b/router/src/test/java/ashlink/router/http/FormTest.java
@@ -27,21 +27,31 @@
     /** A block of one column. */
     private static byte[] block(String type, int rows, Values values) throws IOException {
         ByteBuf b = new ByteBuf();
-        b.putVarUInt(1).putByte(0).putVarUInt(2).putInt(-1).putVarUInt(0).putVarUInt(1).putVarUInt(rows);
+        b.putVarUInt(1)
+                .putByte(0)
+                .putVarUInt(2)
+                .putInt(-1)
+                .putVarUInt(0)
+                .putVarUInt(1)
+                .putVarUInt(rows);
         b.putString("c").putString(type);
         values.put(b);
         return Arrays.copyOf(b.array(), b.size());
     }
 
     private static String json(String type, int rows, Values values) throws IOException {
-        byte[] page = Form.JSON.render(block(type, rows, values), new byte[0], 0, AROUND, WireLimits.DEFAULT);
+        byte[] page =
+                Form.JSON.render(
+                        block(type, rows, values), new byte[0], 0, AROUND, WireLimits.DEFAULT);
         JsonNode n = JSON.readTree(page);
         assertEquals(type, n.get("columns").get(0).get("type").asText());
         return n.get("rows").toString();
     }
 
     private static String csv(String type, int rows, Values values) throws IOException {
-        return new String(Form.CSV.render(block(type, rows, values), new byte[0], 1, AROUND, WireLimits.DEFAULT),
+        return new String(
+                Form.CSV.render(
+                        block(type, rows, values), new byte[0], 1, AROUND, WireLimits.DEFAULT),
                 StandardCharsets.UTF_8);
     }
 
@@ -59,82 +69,196 @@
         assertEquals("[[65535]]", json("UInt16", 1, b -> b.putShort(65535)));
         assertEquals("[[4294967295]]", json("UInt32", 1, b -> b.putInt(-1)));
         assertEquals("[[\"18446744073709551615\"]]", json("UInt64", 1, b -> b.putLong(-1)));
-        assertEquals("[[\"-9223372036854775808\"]]", json("Int64", 1, b -> b.putLong(Long.MIN_VALUE)));
-        assertEquals("[[\"340282366920938463463374607431768211455\"]]", json("UInt128", 1, b -> ones(b, 16)));
+        assertEquals(
+                "[[\"-9223372036854775808\"]]", json("Int64", 1, b -> b.putLong(Long.MIN_VALUE)));
+        assertEquals(
+                "[[\"340282366920938463463374607431768211455\"]]",
+                json("UInt128", 1, b -> ones(b, 16)));
         assertEquals("[[\"-1\"]]", json("Int256", 1, b -> ones(b, 32)));
         assertEquals("18446744073709551615\r\n", csv("UInt64", 1, b -> b.putLong(-1)));
     }
 
     @Test
     void floatsDecimalsAndWhatIsNoNumber() throws Exception {
-        assertEquals("[[0.1],[\"nan\"],[\"-inf\"]]", json("Float64", 3, b -> b.putLong(Double.doubleToLongBits(0.1))
-                .putLong(Double.doubleToLongBits(Double.NaN)).putLong(Double.doubleToLongBits(Double.NEGATIVE_INFINITY))));
+        assertEquals(
+                "[[0.1],[\"nan\"],[\"-inf\"]]",
+                json(
+                        "Float64",
+                        3,
+                        b ->
+                                b.putLong(Double.doubleToLongBits(0.1))
+                                        .putLong(Double.doubleToLongBits(Double.NaN))
+                                        .putLong(
+                                                Double.doubleToLongBits(
+                                                        Double.NEGATIVE_INFINITY))));
         assertEquals("[[0.1]]", json("Float32", 1, b -> b.putInt(Float.floatToIntBits(0.1f))));
         assertEquals("[[\"-0.0001\"]]", json("Decimal(18, 4)", 1, b -> b.putLong(-1)));
-        assertEquals("[[\"12345678901234567890.10\"]]", json("Decimal128(2)", 1,
-                b -> b.putLong(new java.math.BigInteger("1234567890123456789010").longValue())
-                        .putLong(new java.math.BigInteger("1234567890123456789010").shiftRight(64).longValue())));
-        assertEquals("nan\r\n1.5\r\n", csv("Float64", 2, b -> b.putLong(Double.doubleToLongBits(Double.NaN))
-                .putLong(Double.doubleToLongBits(1.5))));
+        assertEquals(
+                "[[\"12345678901234567890.10\"]]",
+                json(
+                        "Decimal128(2)",
+                        1,
+                        b ->
+                                b.putLong(
+                                                new java.math.BigInteger("1234567890123456789010")
+                                                        .longValue())
+                                        .putLong(
+                                                new java.math.BigInteger("1234567890123456789010")
+                                                        .shiftRight(64)
+                                                        .longValue())));
+        assertEquals(
+                "nan\r\n1.5\r\n",
+                csv(
+                        "Float64",
+                        2,
+                        b ->
+                                b.putLong(Double.doubleToLongBits(Double.NaN))
+                                        .putLong(Double.doubleToLongBits(1.5))));
     }
 
     @Test
     void datesTimesAndNames() throws Exception {
         assertEquals("[[\"2026-12-01\"]]", json("Date", 1, b -> b.putShort(20788)));
         assertEquals("[[\"1900-01-01\"]]", json("Date32", 1, b -> b.putInt(-25567)));
-        assertEquals("[[\"2026-12-01T00:00:00Z\"]]", json("DateTime", 1, b -> b.putInt(1796083200)));
-        assertEquals("[[\"2026-12-01T01:00:00+01:00\"]]", json("DateTime('Europe/Vienna')", 1, b -> b.putInt(1796083200)));
-        assertEquals("[[\"1969-12-31T23:59:59.999Z\"]]", json("DateTime64(3)", 1, b -> b.putLong(-1)));
-        assertEquals("[[\"it's\"],[\"7\"]]", json("Enum8('it\\'s' = -3, 'b' = 2)", 2, b -> b.putByte(-3).putByte(7)));
-        assertEquals("[[\"00112233-4455-6677-8899-aabbccddeeff\"]]", json("UUID", 1,
-                b -> b.putLong(0x0011223344556677L).putLong(0x8899aabbccddeeffL)));
+        assertEquals(
+                "[[\"2026-12-01T00:00:00Z\"]]", json("DateTime", 1, b -> b.putInt(1796083200)));
+        assertEquals(
+                "[[\"2026-12-01T01:00:00+01:00\"]]",
+                json("DateTime('Europe/Vienna')", 1, b -> b.putInt(1796083200)));
+        assertEquals(
+                "[[\"1969-12-31T23:59:59.999Z\"]]", json("DateTime64(3)", 1, b -> b.putLong(-1)));
+        assertEquals(
+                "[[\"it's\"],[\"7\"]]",
+                json("Enum8('it\\'s' = -3, 'b' = 2)", 2, b -> b.putByte(-3).putByte(7)));
+        assertEquals(
+                "[[\"00112233-4455-6677-8899-aabbccddeeff\"]]",
+                json("UUID", 1, b -> b.putLong(0x0011223344556677L).putLong(0x8899aabbccddeeffL)));
         assertEquals("[[\"10.0.0.1\"]]", json("IPv4", 1, b -> b.putInt(0x0a000001)));
         assertEquals("[[true],[false]]", json("Bool", 2, b -> b.putByte(1).putByte(0)));
     }
 
     @Test
     void textsThatAreNoTextAreTold() throws Exception {
-        assertEquals("[[\"a\\\"b\"],[{\"base64\":\"/w==\"}]]", json("String", 2,
-                b -> b.putString("a\"b").putVarUInt(1).putByte(0xff)));
-        byte[] raw = Form.CSV.render(block("String", 2, b -> b.putString("a\"b").putVarUInt(1).putByte(0xff)), new byte[0], 0, AROUND,
-                WireLimits.DEFAULT);
-        assertEquals("\"c\"\r\n\"a\"\"b\"\r\n\"\u00ff\"\r\n", new String(raw, StandardCharsets.ISO_8859_1), "CSV has the bytes");
-        assertEquals("[[\"ab\\u0000\"]]", json("FixedString(3)", 1, b -> b.putByte('a').putByte('b').putByte(0)));
+        assertEquals(
+                "[[\"a\\\"b\"],[{\"base64\":\"/w==\"}]]",
+                json("String", 2, b -> b.putString("a\"b").putVarUInt(1).putByte(0xff)));
+        byte[] raw =
+                Form.CSV.render(
+                        block("String", 2, b -> b.putString("a\"b").putVarUInt(1).putByte(0xff)),
+                        new byte[0],
+                        0,
+                        AROUND,
+                        WireLimits.DEFAULT);
+        assertEquals(
+                "\"c\"\r\n\"a\"\"b\"\r\n\"\u00ff\"\r\n",
+                new String(raw, StandardCharsets.ISO_8859_1),
+                "CSV has the bytes");
+        assertEquals(
+                "[[\"ab\\u0000\"]]",
+                json("FixedString(3)", 1, b -> b.putByte('a').putByte('b').putByte(0)));
     }
 
     @Test
     void typesWithinTypes() throws Exception {
-        assertEquals("[[null],[5]]", json("Nullable(UInt8)", 2, b -> b.putByte(1).putByte(0).putByte(9).putByte(5)));
-        assertEquals("\r\n5\r\n", csv("Nullable(UInt8)", 2, b -> b.putByte(1).putByte(0).putByte(9).putByte(5)));
-        assertEquals("[[[1,2]],[[]],[[3]]]", json("Array(UInt8)", 3,
-                b -> b.putLong(2).putLong(2).putLong(3).putByte(1).putByte(2).putByte(3)));
-        assertEquals("[[[1,\"x\"]]]", json("Tuple(a UInt8, b String)", 1, b -> b.putByte(1).putString("x")));
-        assertEquals("[[[[\"k\",7]]]]", json("Map(String, UInt8)", 1, b -> b.putLong(1).putString("k").putByte(7)));
-        assertEquals("[[\"b\"],[null],[\"b\"]]", json("LowCardinality(Nullable(String))", 3, b -> {
-            b.putLong(1).putLong(1 << 9).putLong(2).putString("").putString("b").putLong(3);
-            b.putByte(1).putByte(0).putByte(1);
-        }));
-        assertEquals("[[[[1.5,2.5]]]]", json("Ring", 1, b -> b.putLong(1).putLong(Double.doubleToLongBits(1.5))
-                .putLong(Double.doubleToLongBits(2.5))));
+        assertEquals(
+                "[[null],[5]]",
+                json("Nullable(UInt8)", 2, b -> b.putByte(1).putByte(0).putByte(9).putByte(5)));
+        assertEquals(
+                "\r\n5\r\n",
+                csv("Nullable(UInt8)", 2, b -> b.putByte(1).putByte(0).putByte(9).putByte(5)));
+        assertEquals(
+                "[[[1,2]],[[]],[[3]]]",
+                json(
+                        "Array(UInt8)",
+                        3,
+                        b -> b.putLong(2).putLong(2).putLong(3).putByte(1).putByte(2).putByte(3)));
+        assertEquals(
+                "[[[1,\"x\"]]]",
+                json("Tuple(a UInt8, b String)", 1, b -> b.putByte(1).putString("x")));
+        assertEquals(
+                "[[[[\"k\",7]]]]",
+                json("Map(String, UInt8)", 1, b -> b.putLong(1).putString("k").putByte(7)));
+        assertEquals(
+                "[[\"b\"],[null],[\"b\"]]",
+                json(
+                        "LowCardinality(Nullable(String))",
+                        3,
+                        b -> {
+                            b.putLong(1)
+                                    .putLong(1 << 9)
+                                    .putLong(2)
+                                    .putString("")
+                                    .putString("b")
+                                    .putLong(3);
+                            b.putByte(1).putByte(0).putByte(1);
+                        }));
+        assertEquals(
+                "[[[[1.5,2.5]]]]",
+                json(
+                        "Ring",
+                        1,
+                        b ->
+                                b.putLong(1)
+                                        .putLong(Double.doubleToLongBits(1.5))
+                                        .putLong(Double.doubleToLongBits(2.5))));
     }
 
     @Test
     void whatIsLoadedIsReadBackTheSame() throws Exception {
-        for (String[] c : new String[][] {{"UInt64", "\"18446744073709551615\""}, {"Int8", "-128"}, {"Float64", "0.1"},
-            {"Float64", "\"nan\""}, {"Decimal(18, 4)", "\"-1.2345\""}, {"String", "\"\u00fc\""}, {"Bool", "true"},
-            {"Date", "\"2026-12-01\""}, {"DateTime", "\"2026-12-01T00:00:00Z\""}, {"DateTime64(3)", "\"1969-12-31T23:59:59.999Z\""},
-            {"UUID", "\"00112233-4455-6677-8899-aabbccddeeff\""}, {"Nullable(Int64)", "null"}, {"Int256", "\"-5\""}}) {
-            byte[] header = block(c[0], 0, b -> { });
-            byte[] packet = RowsEncoder.encode(header, JSON.readTree("[[" + c[1] + "]]"), WireLimits.DEFAULT);
+        for (String[] c :
+                new String[][] {
+                    {"UInt64", "\"18446744073709551615\""},
+                    {"Int8", "-128"},
+                    {"Float64", "0.1"},
+                    {"Float64", "\"nan\""},
+                    {"Decimal(18, 4)", "\"-1.2345\""},
+                    {"String", "\"\u00fc\""},
+                    {"Bool", "true"},
+                    {"Date", "\"2026-12-01\""},
+                    {"DateTime", "\"2026-12-01T00:00:00Z\""},
+                    {"DateTime64(3)", "\"1969-12-31T23:59:59.999Z\""},
+                    {"UUID", "\"00112233-4455-6677-8899-aabbccddeeff\""},
+                    {"Nullable(Int64)", "null"},
+                    {"Int256", "\"-5\""}
+                }) {
+            byte[] header = block(c[0], 0, b -> {});
+            byte[] packet =
+                    RowsEncoder.encode(
+                            header, JSON.readTree("[[" + c[1] + "]]"), WireLimits.DEFAULT);
             assertEquals(ClientPacket.DATA.ordinal(), packet[0]);
-            byte[] page = Form.JSON.render(Arrays.copyOfRange(packet, 2, packet.length), header, 0, AROUND, WireLimits.DEFAULT);
+            byte[] page =
+                    Form.JSON.render(
+                            Arrays.copyOfRange(packet, 2, packet.length),
+                            header,
+                            0,
+                            AROUND,
+                            WireLimits.DEFAULT);
             assertEquals("[[" + c[1] + "]]", JSON.readTree(page).get("rows").toString(), c[0]);
         }
-        for (String[] c : new String[][] {{"UInt8", "256"}, {"UInt8", "-1"}, {"Int8", "1.5"}, {"UInt8", "null"}, {"Date", "\"x\""},
-            {"Decimal(3, 1)", "123.4"}, {"Bool", "1"}, {"String", "5"}, {"Array(UInt8)", "[1]"}}) {
-            WireException e = assertThrows(WireException.class, () -> RowsEncoder.encode(block(c[0], 0, b -> { }),
-                    JSON.readTree("[[" + c[1] + "]]"), WireLimits.DEFAULT), c[0] + " took " + c[1]);
-            assertTrue(e.getMessage().contains("row 0") || e.getMessage().contains("cannot be loaded"), e.getMessage());
+        for (String[] c :
+                new String[][] {
+                    {"UInt8", "256"},
+                    {"UInt8", "-1"},
+                    {"Int8", "1.5"},
+                    {"UInt8", "null"},
+                    {"Date", "\"x\""},
+                    {"Decimal(3, 1)", "123.4"},
+                    {"Bool", "1"},
+                    {"String", "5"},
+                    {"Array(UInt8)", "[1]"}
+                }) {
+            WireException e =
+                    assertThrows(
+                            WireException.class,
+                            () ->
+                                    RowsEncoder.encode(
+                                            block(c[0], 0, b -> {}),
+                                            JSON.readTree("[[" + c[1] + "]]"),
+                                            WireLimits.DEFAULT),
+                            c[0] + " took " + c[1]);
+            assertTrue(
+                    e.getMessage().contains("row 0") || e.getMessage().contains("cannot be loaded"),
+                    e.getMessage());
         }
     }
 }
--- a/router/src/test/java/ashlink/router/list/RosterTest.java
+++ b/router/src/test/java/ashlink/router/list/RosterTest.java
@@ -23,7 +23,8 @@
     private final Roster roster = new Roster(14 * S);
 
     private static EngineSpec spec(int port) {
-        return new EngineSpec("q1", InetSocketAddress.createUnresolved("h", port), "z", "k", 0, Phase.READY);
+        return new EngineSpec(
+                "q1", InetSocketAddress.createUnresolved("h", port), "z", "k", 0, Phase.READY);
     }
 
     private long started() {
@@ -60,7 +61,9 @@
         assertTrue(roster.connected("q1", NOW + S).isEmpty());
         roster.unreachable("q1");
         roster.connected("q1", NOW + 2 * S);
-        assertTrue(roster.uptime("q1", 500 * S, NOW + 3 * S).isPresent()); // it had only not been reached
+        assertTrue(
+                roster.uptime("q1", 500 * S, NOW + 3 * S)
+                        .isPresent()); // it had only not been reached
         assertEquals(0, started());
     }
 
@@ -82,8 +85,10 @@
         Path file = dir.resolve("list");
         ListStore store = new ListStore(file);
         assertEquals(List.of(), store.load(NOW, 5_000_000));
-        List<ListEntry> list = List.of(new ListEntry("q1", Phase.DRAINING, "z", "k", 3, NOW - 2 * S),
-                new ListEntry("q2", Phase.READY, "z", "k", 0, 0));
+        List<ListEntry> list =
+                List.of(
+                        new ListEntry("q1", Phase.DRAINING, "z", "k", 3, NOW - 2 * S),
+                        new ListEntry("q2", Phase.READY, "z", "k", 0, 0));
         store.save(list, NOW, 5_000_000);
         assertEquals(list, store.load(NOW, 5_000_000));
         assertEquals(NOW - 12 * S, store.load(NOW, 5_010_000).get(0).startedNs());
--- a/router/src/test/java/ashlink/router/list/StoredListTest.java
+++ b/router/src/test/java/ashlink/router/list/StoredListTest.java
@@ -26,14 +26,15 @@
     private static final long SECOND = 1_000 * MS;
     private static final long DAY = 24 * 3_600 * SECOND;
     private static final long SAVED_MS = 1_700_000_000_000L;
+
     /** The router's clock at the load: as if it had started long ago. */
     private static final long NOW = 100 * DAY;
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private static List<ListEntry> expected(long startedOfFirst, long startedOfThird) {
-        return List.of(new ListEntry("q1", Phase.READY, "z", "large", 3, startedOfFirst),
+        return List.of(
+                new ListEntry("q1", Phase.READY, "z", "large", 3, startedOfFirst),
                 new ListEntry("q2", Phase.DRAINING, "mañana", "small", -1, 0),
                 new ListEntry("q3", Phase.GONE, "", "", Long.MAX_VALUE, startedOfThird));
     }
@@ -56,7 +57,8 @@
     @Test
     void startTimesAreOfTheRoutersClockAtTheLoad() throws Exception {
         ListStore store = new ListStore(StoredFiles.stored("engines.list"));
-        assertEquals(expected(NOW - 12 * SECOND, NOW - 90 * DAY - 10 * SECOND),
+        assertEquals(
+                expected(NOW - 12 * SECOND, NOW - 90 * DAY - 10 * SECOND),
                 store.load(NOW, SAVED_MS + 10_000));
     }
 
@@ -89,7 +91,8 @@
     void theRefusalNamesTheFile() throws Exception {
         byte[] whole = stored();
         String path = folder.resolve("engines.list").toString();
-        assertEquals(path + " is torn or damaged",
+        assertEquals(
+                path + " is torn or damaged",
                 refused(Arrays.copyOf(whole, whole.length - 1)).getMessage());
         whole[0] ^= 1;
         assertEquals(path + " is no list of engines of version 1", refused(whole).getMessage());
--- a/router/src/test/java/ashlink/router/spool/SpoolTest.java
+++ b/router/src/test/java/ashlink/router/spool/SpoolTest.java
@@ -30,8 +30,7 @@
 
 class SpoolTest {
 
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
 
     private static KeyTable table() {
         return new KeyTable(100, 1L << 40);
@@ -66,7 +65,10 @@
         assertEquals(Fate.UNKNOWN, after.ofStatement("s-k2").fate());
         assertEquals(null, after.ofStatement("s-k5"));
         try (Stream<Path> files = Files.list(dir)) {
-            assertEquals(1, files.filter(f -> f.toString().endsWith(".seg")).count(), "the log before is gone");
+            assertEquals(
+                    1,
+                    files.filter(f -> f.toString().endsWith(".seg")).count(),
+                    "the log before is gone");
         }
         next.close();
     }
@@ -84,7 +86,10 @@
             j.put(claim(t, "k" + i));
             if (file == null) {
                 try (Stream<Path> files = Files.list(dir)) {
-                    file = files.filter(f -> f.toString().endsWith(".seg")).findFirst().orElseThrow();
+                    file =
+                            files.filter(f -> f.toString().endsWith(".seg"))
+                                    .findFirst()
+                                    .orElseThrow();
                 }
             }
             sizes.add(Files.size(file));
@@ -97,7 +102,10 @@
             KeyTable after = table();
             new KeyJournal(FolderDisk.writing(copy), after, 1).close();
             int at = cut;
-            assertEquals(sizes.stream().filter(s -> s <= at).count(), after.entries().size(), "cut at " + cut);
+            assertEquals(
+                    sizes.stream().filter(s -> s <= at).count(),
+                    after.entries().size(),
+                    "cut at " + cut);
         }
     }
 
@@ -137,14 +145,19 @@
             }
             KeyTable after = table();
             new KeyJournal(disk.afterPowerLoss(random), after, 1);
-            assertTrue(acknowledged.stream().allMatch(s -> after.ofStatement(s) != null), "run " + i);
+            assertTrue(
+                    acknowledged.stream().allMatch(s -> after.ofStatement(s) != null), "run " + i);
         }
         assertTrue(lost > 50, "faults at stake: " + lost);
     }
 
     // ---- Pages
     private PageStore store(SpoolFiles files, long all, long memory) {
-        return new PageStore(files, new SpoolBudget(new SpoolBudget.Limits(all, all, all, 0)), Quota.NONE, memory);
+        return new PageStore(
+                files,
+                new SpoolBudget(new SpoolBudget.Limits(all, all, all, 0)),
+                Quota.NONE,
+                memory);
     }
 
     @Test
@@ -152,7 +165,15 @@
         try (SpoolFolder files = new SpoolFolder(dir, "r1", "b2")) {
             PageStore s = store(files, 1_000, 10);
             PageStore.Stored small = s.store("s", "u", 0, new byte[] {1, 2, 3}, 3, 0, () -> false);
-            PageStore.Stored large = s.store("s", "u", 1, new byte[] {4, 5, 6, 7, 8, 9, 10, 11, 0, 0}, 8, 3, () -> false);
+            PageStore.Stored large =
+                    s.store(
+                            "s",
+                            "u",
+                            1,
+                            new byte[] {4, 5, 6, 7, 8, 9, 10, 11, 0, 0},
+                            8,
+                            3,
+                            () -> false);
             assertArrayEquals(new byte[] {1, 2, 3}, s.read(small));
             assertArrayEquals(new byte[] {4, 5, 6, 7, 8, 9, 10, 11}, s.read(large));
             assertEquals(8, s.taken());
@@ -171,43 +192,62 @@
         PageStore s = store(null, 10, 0);
         PageStore.Stored first = s.store("s", "u", 0, new byte[8], 8, 0, () -> false);
         CountDownLatch stored = new CountDownLatch(1);
-        Thread t = new Thread(() -> {
-            try {
-                s.store("s", "u", 1, new byte[8], 8, 0, () -> false);
-                stored.countDown();
-            } catch (IOException | InterruptedException e) {
-                throw new IllegalStateException(e);
-            }
-        });
+        Thread t =
+                new Thread(
+                        () -> {
+                            try {
+                                s.store("s", "u", 1, new byte[8], 8, 0, () -> false);
+                                stored.countDown();
+                            } catch (IOException | InterruptedException e) {
+                                throw new IllegalStateException(e);
+                            }
+                        });
         t.start();
         assertFalse(stored.await(50, TimeUnit.MILLISECONDS));
         s.drop(first);
         assertTrue(stored.await(20, TimeUnit.SECONDS));
         AtomicBoolean over = new AtomicBoolean();
         CountDownLatch ended = new CountDownLatch(1);
-        new Thread(() -> {
-            assertThrows(IOException.class, () -> s.store("s", "u", 2, new byte[8], 8, 0, over::get));
-            ended.countDown();
-        }).start();
+        new Thread(
+                        () -> {
+                            assertThrows(
+                                    IOException.class,
+                                    () -> s.store("s", "u", 2, new byte[8], 8, 0, over::get));
+                            ended.countDown();
+                        })
+                .start();
         assertFalse(ended.await(50, TimeUnit.MILLISECONDS));
         over.set(true);
         s.wake();
         assertTrue(ended.await(20, TimeUnit.SECONDS));
-        assertThrows(IOException.class, () -> s.store("t", "u", 0, new byte[11], 11, 0, () -> false), "never fits");
+        assertThrows(
+                IOException.class,
+                () -> s.store("t", "u", 0, new byte[11], 11, 0, () -> false),
+                "never fits");
     }
 
     @Test
     void aStartRemovesWhatEarlierStartsLeftAndNothingElse() throws Exception {
-        for (String name : List.of("r1.b1.s~x.0.page", "r1.b1.sx.0.page", "r10.b1.sx.0.page", "r1.b2.sx.0.page", "r2.b1.sx.0.page",
-                "r1.notes", "notes.page")) {
+        for (String name :
+                List.of(
+                        "r1.b1.s~x.0.page",
+                        "r1.b1.sx.0.page",
+                        "r10.b1.sx.0.page",
+                        "r1.b2.sx.0.page",
+                        "r2.b1.sx.0.page",
+                        "r1.notes",
+                        "notes.page")) {
             Files.write(dir.resolve(name), new byte[1]);
         }
         try (SpoolFolder files = new SpoolFolder(dir, "r1", "b2")) {
             assertEquals(1, store(files, 10, 0).clean());
-            assertThrows(IOException.class, () -> new SpoolFolder(dir, "r1", "b3"), "two of one name");
+            assertThrows(
+                    IOException.class, () -> new SpoolFolder(dir, "r1", "b3"), "two of one name");
             new SpoolFolder(dir, "r10", "b3").close();
         }
         assertFalse(Files.exists(dir.resolve("r1.b1.sx.0.page")));
-        assertTrue(Files.exists(dir.resolve("r1.b2.sx.0.page")) && Files.exists(dir.resolve("r10.b1.sx.0.page")));
+        assertTrue(
+                Files.exists(dir.resolve("r1.b2.sx.0.page"))
+                        && Files.exists(dir.resolve("r10.b1.sx.0.page")));
     }
 }
--- a/router/src/test/java/ashlink/router/spool/StoredKeysTest.java
+++ b/router/src/test/java/ashlink/router/spool/StoredKeysTest.java
@@ -24,26 +24,28 @@
 class StoredKeysTest {
 
     private static final long KEPT_MS = 24 * 3_600_000L;
+
     /** Twelve hours after the first start: the key of twelve hours before it is over its time. */
     private static final long NOW_MS = 1_700_000_000_000L + KEPT_MS / 2;
-    private static final List<String> EXPECTED = List.of(
-            "ann|under-way-at-the-first-end|digest of under-way-at-the-first-end"
-                    + "|r1~ann-under-way-at-the-first-end|2|-1|1700000000001",
-            "ann|ending-0|digest of ending-0|r1~ann-ending-0|1|0|1700000000010",
-            "ann|ending-1|digest of ending-1|r1~ann-ending-1|1|1|1700000000011",
-            "ann|ending-2|digest of ending-2|r1~ann-ending-2|1|2|1700000000012",
-            "ann|ending-3|digest of ending-3|r1~ann-ending-3|1|3|1700000000013",
-            "ann|ending-4|digest of ending-4|r1~ann-ending-4|1|4|1700000000014",
-            "ann|ending-5|digest of ending-5|r1~ann-ending-5|1|5|1700000000015",
-            "ann|ending-6|digest of ending-6|r1~ann-ending-6|1|6|1700000000016",
-            "ann|ending-7|digest of ending-7|r1~ann-ending-7|1|7|1700000000017",
-            "ann|ending-8|digest of ending-8|r1~ann-ending-8|1|8|1700000000018",
-            "böb|ending-0|digest of ending-0|r1~böb-ending-0|2|-1|1700003600002",
-            "|answered-late|digest of answered-late|r1~-answered-late|1|0|1700003600003",
-            "|under-way|digest of under-way|r1~-under-way|2|-1|1700003600004");
-
-    @TempDir
-    Path folder;
+
+    private static final List<String> EXPECTED =
+            List.of(
+                    "ann|under-way-at-the-first-end|digest of under-way-at-the-first-end"
+                            + "|r1~ann-under-way-at-the-first-end|2|-1|1700000000001",
+                    "ann|ending-0|digest of ending-0|r1~ann-ending-0|1|0|1700000000010",
+                    "ann|ending-1|digest of ending-1|r1~ann-ending-1|1|1|1700000000011",
+                    "ann|ending-2|digest of ending-2|r1~ann-ending-2|1|2|1700000000012",
+                    "ann|ending-3|digest of ending-3|r1~ann-ending-3|1|3|1700000000013",
+                    "ann|ending-4|digest of ending-4|r1~ann-ending-4|1|4|1700000000014",
+                    "ann|ending-5|digest of ending-5|r1~ann-ending-5|1|5|1700000000015",
+                    "ann|ending-6|digest of ending-6|r1~ann-ending-6|1|6|1700000000016",
+                    "ann|ending-7|digest of ending-7|r1~ann-ending-7|1|7|1700000000017",
+                    "ann|ending-8|digest of ending-8|r1~ann-ending-8|1|8|1700000000018",
+                    "böb|ending-0|digest of ending-0|r1~böb-ending-0|2|-1|1700003600002",
+                    "|answered-late|digest of answered-late|r1~-answered-late|1|0|1700003600003",
+                    "|under-way|digest of under-way|r1~-under-way|2|-1|1700003600004");
+
+    @TempDir Path folder;
 
     @BeforeEach
     void copy() throws Exception {
@@ -63,8 +65,15 @@
 
     private static String line(Entry e) {
         int ending = e.ending() == null ? -1 : e.ending().ordinal();
-        return String.join("|", e.user(), e.key(), e.digest(), e.statement(),
-                "" + e.fate().ordinal(), "" + ending, "" + e.claimedMs());
+        return String.join(
+                "|",
+                e.user(),
+                e.key(),
+                e.digest(),
+                e.statement(),
+                "" + e.fate().ordinal(),
+                "" + ending,
+                "" + e.claimedMs());
     }
 
     @Test
@@ -97,8 +106,17 @@
     @Test
     void constantsKeepTheOrderInWhichTheirNumbersWereStored() {
         assertEquals(List.of(Fate.OPEN, Fate.ANSWERED, Fate.UNKNOWN), List.of(Fate.values()));
-        assertEquals(List.of(Ending.SERVED, Ending.ERROR, Ending.REFUSED, Ending.TURNED_AWAY,
-                Ending.FAILED, Ending.BROKEN, Ending.CANCELLED, Ending.BAD_INPUT, Ending.GONE),
+        assertEquals(
+                List.of(
+                        Ending.SERVED,
+                        Ending.ERROR,
+                        Ending.REFUSED,
+                        Ending.TURNED_AWAY,
+                        Ending.FAILED,
+                        Ending.BROKEN,
+                        Ending.CANCELLED,
+                        Ending.BAD_INPUT,
+                        Ending.GONE),
                 List.of(Ending.values()));
     }
 }
--- a/router/src/test/java/ashlink/router/spool/StoredSpoolTest.java
+++ b/router/src/test/java/ashlink/router/spool/StoredSpoolTest.java
@@ -22,14 +22,22 @@
  */
 class StoredSpoolTest {
 
-    private static final List<String> OWN_LEFTOVERS = List.of("r1.ln0a0000.b7Zq_-9.1.page",
-            "r1.ln0b9j5c.sX4.1.page", "r1.ln0b9j5c.sX4.2.page");
-    private static final List<String> KEPT = List.of("r1.lock", "r1.notes",
-            "r10.ln0b9j5c.sX4.1.page", "r10.lock", "r2.ln0b9j5c.sX4.1.page", "r2.lock");
+    private static final List<String> OWN_LEFTOVERS =
+            List.of(
+                    "r1.ln0a0000.b7Zq_-9.1.page",
+                    "r1.ln0b9j5c.sX4.1.page",
+                    "r1.ln0b9j5c.sX4.2.page");
+    private static final List<String> KEPT =
+            List.of(
+                    "r1.lock",
+                    "r1.notes",
+                    "r10.ln0b9j5c.sX4.1.page",
+                    "r10.lock",
+                    "r2.ln0b9j5c.sX4.1.page",
+                    "r2.lock");
     private static final String NEW_BOOT = "ln0zzzzz";
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     @BeforeEach
     void copy() throws Exception {
--- a/router/src/test/java/ashlink/router/statement/StatementDecisionsTest.java
+++ b/router/src/test/java/ashlink/router/statement/StatementDecisionsTest.java
@@ -103,7 +103,9 @@
                 held.merge(s, -bytes, Long::sum);
                 byUser.merge(user, -bytes, Long::sum);
             }
-            assertTrue(held.values().stream().allMatch(x -> x <= 40) && byUser.values().stream().allMatch(x -> x <= 70));
+            assertTrue(
+                    held.values().stream().allMatch(x -> x <= 40)
+                            && byUser.values().stream().allMatch(x -> x <= 70));
             assertEquals(held.values().stream().mapToLong(x -> x).sum(), b.taken());
             assertTrue(b.taken() <= 100);
             assertEquals(byUser.getOrDefault("u1", 0L), b.takenBy("u1"));
@@ -132,12 +134,21 @@
         assertEquals("s1", t.claim("u", "k", "d1", "s2", 1).entry().statement());
         assertEquals(Verdict.SAME, t.claim("u", "k", "d1", "s2", 1).verdict());
         assertEquals(Verdict.OTHER, t.claim("u", "k", "d2", "s2", 1).verdict());
-        assertEquals(Verdict.NEW, t.claim("v", "k", "d2", "s3", 2).verdict(), "keys are each user's own");
+        assertEquals(
+                Verdict.NEW,
+                t.claim("v", "k", "d2", "s3", 2).verdict(),
+                "keys are each user's own");
         assertEquals(Verdict.FULL, t.claim("u", "l", "d", "s4", 3).verdict());
         t.put(t.ofStatement("s1").answered(Ending.SERVED));
-        assertEquals(Verdict.FULL, t.claim("u", "l", "d", "s4", 999).verdict(), "no key goes before its time");
+        assertEquals(
+                Verdict.FULL,
+                t.claim("u", "l", "d", "s4", 999).verdict(),
+                "no key goes before its time");
         assertEquals(Verdict.NEW, t.claim("u", "l", "d", "s4", 1_000).verdict());
-        assertEquals(Verdict.SAME, t.claim("v", "k", "d2", "s5", 9_000).verdict(), "one under way is never let go");
+        assertEquals(
+                Verdict.SAME,
+                t.claim("v", "k", "d2", "s5", 9_000).verdict(),
+                "one under way is never let go");
         assertEquals(List.of(), t.expire(500));
     }
 
@@ -150,6 +161,9 @@
         t.put(open.afterRestart());
         assertEquals(Verdict.SAME, t.claim("u", "k", "d", "s9", 6).verdict());
         t.release("u", "k");
-        assertEquals(Verdict.NEW, t.claim("u", "k", "d", "s9", 6).verdict(), "what was refused may come again");
+        assertEquals(
+                Verdict.NEW,
+                t.claim("u", "k", "d", "s9", 6).verdict(),
+                "what was refused may come again");
     }
 }
--- a/sql/src/main/java/ashlink/sql/ExpressionReader.java
+++ b/sql/src/main/java/ashlink/sql/ExpressionReader.java
@@ -4,9 +4,9 @@
 import ashlink.sql.grammar.SqlLexer;
 
 /**
- * Reads expressions just so far that every token is known for an operand or an operator, and every subquery is found. An
- * expression ends, where an operand is complete, at a word that starts another clause, or at a bracket or comma that is not
- * its own.
+ * Reads expressions just so far that every token is known for an operand or an operator, and every
+ * subquery is found. An expression ends, where an operand is complete, at a word that starts
+ * another clause, or at a bracket or comma that is not its own.
  */
 final class ExpressionReader {
 
@@ -69,14 +69,22 @@
 
     NotUnderstood unexpected(String wanted) {
         Token t = tokens.peek();
-        String there = t == null ? "the end" : t.type == SqlLexer.STRING || t.type == SqlLexer.NUMBER ? "a literal"
-                : t.type == SqlLexer.WORD ? "a word" : "'" + t.text + "'"; // no name or value of a statement is told
+        String there =
+                t == null
+                        ? "the end"
+                        : t.type == SqlLexer.STRING || t.type == SqlLexer.NUMBER
+                                ? "a literal"
+                                : t.type == SqlLexer.WORD
+                                        ? "a word"
+                                        : "'" + t.text
+                                                + "'"; // no name or value of a statement is told
         return new NotUnderstood(there + " where " + wanted + " was expected", tokens.at());
     }
 
     void deeper() {
         if (++depth > DEEPEST) {
-            throw new NotUnderstood("brackets or operators too deep within each other", tokens.at());
+            throw new NotUnderstood(
+                    "brackets or operators too deep within each other", tokens.at());
         }
     }
 
@@ -101,7 +109,10 @@
     }
 
     static boolean isName(Token t) {
-        return t != null && (t.type == SqlLexer.WORD || t.type == SqlLexer.BACKTICKED || t.type == SqlLexer.QUOTED);
+        return t != null
+                && (t.type == SqlLexer.WORD
+                        || t.type == SqlLexer.BACKTICKED
+                        || t.type == SqlLexer.QUOTED);
     }
 
     /** Takes a name, quoted or not, and returns it without quotes. */
@@ -154,7 +165,10 @@
         shallower();
     }
 
-    /** A bracket that was opened: a query, or a list; where another bracket follows it may yet be either. */
+    /**
+     * A bracket that was opened: a query, or a list; where another bracket follows it may yet be
+     * either.
+     */
     void parenthesis(Scope scope) {
         if (queries.startsQuery()) {
             deeper();
@@ -193,7 +207,8 @@
 
     private void anyOperand(Token t, Scope scope) {
         switch (t.type) {
-            case SqlLexer.NUMBER, SqlLexer.STRING, SqlLexer.QUESTION, SqlLexer.MANY -> tokens.take().role = Role.LITERAL;
+            case SqlLexer.NUMBER, SqlLexer.STRING, SqlLexer.QUESTION, SqlLexer.MANY ->
+                    tokens.take().role = Role.LITERAL;
             case SqlLexer.STAR -> tokens.take();
             case SqlLexer.PLUS, SqlLexer.MINUS -> signed(scope);
             case SqlLexer.OPEN -> {
@@ -256,10 +271,15 @@
         } else if ((w.equals("DISTINCT") || w.equals("ALL")) && !part && !isEnd(next)) {
             keyword();
             operand(scope);
-        } else if (w.equals("INTERVAL") && !part && next != null && next.type != SqlLexer.COMMA && !isEnd(next)
+        } else if (w.equals("INTERVAL")
+                && !part
+                && next != null
+                && next.type != SqlLexer.COMMA
+                && !isEnd(next)
                 && startsInterval(next)) {
             interval(scope);
-        } else if ((w.equals("DATE") || w.equals("TIMESTAMP")) && next != null
+        } else if ((w.equals("DATE") || w.equals("TIMESTAMP"))
+                && next != null
                 && (next.type == SqlLexer.STRING || next.type == SqlLexer.QUESTION)) {
             keyword();
             tokens.take().role = Role.LITERAL;
@@ -277,12 +297,19 @@
     }
 
     private static boolean isEnd(Token t) {
-        return t == null || t.type == SqlLexer.CLOSE || t.type == SqlLexer.COMMA || t.type == SqlLexer.OPERATOR;
+        return t == null
+                || t.type == SqlLexer.CLOSE
+                || t.type == SqlLexer.COMMA
+                || t.type == SqlLexer.OPERATOR;
     }
 
     private static boolean startsInterval(Token t) {
-        return t.type == SqlLexer.NUMBER || t.type == SqlLexer.STRING || t.type == SqlLexer.OPEN || t.type == SqlLexer.MINUS
-                || t.type == SqlLexer.QUESTION || isName(t) && !Vocabulary.CLAUSES.contains(t.upper());
+        return t.type == SqlLexer.NUMBER
+                || t.type == SqlLexer.STRING
+                || t.type == SqlLexer.OPEN
+                || t.type == SqlLexer.MINUS
+                || t.type == SqlLexer.QUESTION
+                || isName(t) && !Vocabulary.CLAUSES.contains(t.upper());
     }
 
     private void interval(Scope scope) {
@@ -318,7 +345,9 @@
             keyword();
             needWord("FROM");
             bracketed(SqlLexer.CLOSE, scope);
-        } else if (name.equalsIgnoreCase("SUBSTRING") || name.equalsIgnoreCase("TRIM") || name.equalsIgnoreCase("POSITION")) {
+        } else if (name.equalsIgnoreCase("SUBSTRING")
+                || name.equalsIgnoreCase("TRIM")
+                || name.equalsIgnoreCase("POSITION")) {
             wordyCall(scope);
         } else {
             tokens.take();
@@ -398,15 +427,21 @@
             tokens.take();
             while (!at(SqlLexer.CLOSE)) {
                 Token t = tokens.peek();
-                if (t != null && (t.type == SqlLexer.NUMBER || t.type == SqlLexer.STRING || t.type == SqlLexer.OPERATOR
-                        || t.type == SqlLexer.COMMA || t.type == SqlLexer.MINUS)) {
+                if (t != null
+                        && (t.type == SqlLexer.NUMBER
+                                || t.type == SqlLexer.STRING
+                                || t.type == SqlLexer.OPERATOR
+                                || t.type == SqlLexer.COMMA
+                                || t.type == SqlLexer.MINUS)) {
                     tokens.take().role = Role.SYMBOL; // a type's numbers are its shape
                 } else {
                     type();
                 }
             }
             tokens.take();
-        } else if (isName(tokens.peek()) && !Vocabulary.CLAUSES.contains(tokens.peek().upper()) && depth > 1
+        } else if (isName(tokens.peek())
+                && !Vocabulary.CLAUSES.contains(tokens.peek().upper())
+                && depth > 1
                 && !at(SqlLexer.CLOSE)) {
             type(); // the name of an element came first
         }
@@ -414,7 +449,10 @@
     }
 
     // ---- After an operand
-    /** Reads on where an operator, a part, an alias or the like follows; false where the expression ends. */
+    /**
+     * Reads on where an operator, a part, an alias or the like follows; false where the expression
+     * ends.
+     */
     private boolean goOn(Scope scope) {
         if (tokens.peek() == null) {
             return false;
@@ -427,7 +465,11 @@
 
     private boolean after(Token t, Scope scope) {
         switch (t.type) {
-            case SqlLexer.OPERATOR, SqlLexer.PLUS, SqlLexer.MINUS, SqlLexer.STAR, SqlLexer.ARROW -> {
+            case SqlLexer.OPERATOR,
+                    SqlLexer.PLUS,
+                    SqlLexer.MINUS,
+                    SqlLexer.STAR,
+                    SqlLexer.ARROW -> {
                 tokens.take();
                 operand(scope);
             }
@@ -503,7 +545,11 @@
             }
             case "NOT" -> {
                 keyword();
-                if (!atWord("IN") && !atWord("LIKE") && !atWord("ILIKE") && !atWord("BETWEEN") && !atWord("REGEXP")) {
+                if (!atWord("IN")
+                        && !atWord("LIKE")
+                        && !atWord("ILIKE")
+                        && !atWord("BETWEEN")
+                        && !atWord("REGEXP")) {
                     throw unexpected("an operator");
                 }
             }
@@ -546,19 +592,33 @@
     }
 
     private static boolean isOperand(Token last) {
-        return last.role == Role.NAME || last.role == Role.LITERAL || last.type == SqlLexer.CLOSE
-                || last.type == SqlLexer.CLOSE_SQUARE || last.type == SqlLexer.STAR || last.type == SqlLexer.CLOSE_CURLY
-                || last.is("END") || last.type == SqlLexer.NUMBER || Vocabulary.UNITS.contains(last.upper());
-    }
-
-    /** {@code * EXCEPT (...)}, {@code REPLACE (...)}, {@code APPLY (...)}; a query after EXCEPT is another query. */
+        return last.role == Role.NAME
+                || last.role == Role.LITERAL
+                || last.type == SqlLexer.CLOSE
+                || last.type == SqlLexer.CLOSE_SQUARE
+                || last.type == SqlLexer.STAR
+                || last.type == SqlLexer.CLOSE_CURLY
+                || last.is("END")
+                || last.type == SqlLexer.NUMBER
+                || Vocabulary.UNITS.contains(last.upper());
+    }
+
+    /**
+     * {@code * EXCEPT (...)}, {@code REPLACE (...)}, {@code APPLY (...)}; a query after EXCEPT is
+     * another query.
+     */
     private boolean modifier(Scope scope, Token next) {
-        if (next == null || next.is("SELECT") || next.is("WITH") || next.is("DISTINCT") || next.is("ALL")) {
+        if (next == null
+                || next.is("SELECT")
+                || next.is("WITH")
+                || next.is("DISTINCT")
+                || next.is("ALL")) {
             return false;
         }
         if (next.type == SqlLexer.OPEN) {
             Token inner = tokens.peek(2);
-            if (inner != null && (inner.is("SELECT") || inner.is("WITH") || inner.type == SqlLexer.OPEN)) {
+            if (inner != null
+                    && (inner.is("SELECT") || inner.is("WITH") || inner.type == SqlLexer.OPEN)) {
                 return false;
             }
             keyword();
@@ -580,7 +640,8 @@
             tokens.take();
             parenthesis(scope);
             collapse(from);
-        } else if (isName(next) && (tokens.peek(1) == null || tokens.peek(1).type != SqlLexer.OPEN)
+        } else if (isName(next)
+                && (tokens.peek(1) == null || tokens.peek(1).type != SqlLexer.OPEN)
                 && !Vocabulary.LITERALS.contains(next.upper())) {
             queries.table(scope);
         } else {
@@ -588,12 +649,19 @@
         }
     }
 
-    /** Lists of literals of any length are one: of the tokens since {@code from} all but the first literal go. */
+    /**
+     * Lists of literals of any length are one: of the tokens since {@code from} all but the first
+     * literal go.
+     */
     private void collapse(int from) {
         var list = tokens.taken().subList(from, tokens.place());
         for (Token t : list) {
-            boolean plain = t.role == Role.LITERAL || t.role == Role.DROPPED || t.type == SqlLexer.COMMA
-                    || t.type == SqlLexer.OPEN || t.type == SqlLexer.CLOSE;
+            boolean plain =
+                    t.role == Role.LITERAL
+                            || t.role == Role.DROPPED
+                            || t.type == SqlLexer.COMMA
+                            || t.type == SqlLexer.OPEN
+                            || t.type == SqlLexer.CLOSE;
             if (!plain) {
                 return;
             }
@@ -632,7 +700,11 @@
     /** A window's definition after its opening bracket. */
     void window(Scope scope) {
         deeper();
-        if (isName(tokens.peek()) && !atWord("PARTITION") && !atWord("ORDER") && !atWord("ROWS") && !atWord("RANGE")) {
+        if (isName(tokens.peek())
+                && !atWord("PARTITION")
+                && !atWord("ORDER")
+                && !atWord("ROWS")
+                && !atWord("RANGE")) {
             name("a window");
         }
         if (tryWord("PARTITION")) {
--- a/sql/src/main/java/ashlink/sql/NormalText.java
+++ b/sql/src/main/java/ashlink/sql/NormalText.java
@@ -8,13 +8,16 @@
 import java.util.regex.Pattern;
 import org.apache.commons.codec.digest.MurmurHash3;
 
-/** The text that a fingerprint is of: one blank between tokens, keywords in capitals, {@code ?} for each literal. */
+/**
+ * The text that a fingerprint is of: one blank between tokens, keywords in capitals, {@code ?} for
+ * each literal.
+ */
 final class NormalText {
 
     private static final int ROUGH_TOKENS = 10_000;
     private static final Pattern PLAIN = Pattern.compile("[A-Za-z_][A-Za-z_0-9]*");
 
-    private NormalText() { }
+    private NormalText() {}
 
     static String of(List<Token> tokens) {
         StringBuilder text = new StringBuilder();
@@ -39,18 +42,24 @@
     private static String name(String plain) {
         String upper = plain.toUpperCase(Locale.ROOT);
         boolean word = Vocabulary.CLAUSES.contains(upper) || Vocabulary.LITERALS.contains(upper);
-        return !word && PLAIN.matcher(plain).matches() ? plain
+        return !word && PLAIN.matcher(plain).matches()
+                ? plain
                 : "`" + plain.replace("\\", "\\\\").replace("`", "\\`") + "`";
     }
 
-    /** The tokens of a text that was not understood, without its literals, as far as they can be made out. */
+    /**
+     * The tokens of a text that was not understood, without its literals, as far as they can be
+     * made out.
+     */
     static String rough(String text, int most) {
         StringBuilder rough = new StringBuilder();
         try {
             Tokens tokens = new Tokens(text, Math.min(most, ROUGH_TOKENS));
             while (tokens.peek() != null) {
                 Token t = tokens.take();
-                boolean literal = t.type == ashlink.sql.grammar.SqlLexer.STRING || t.type == ashlink.sql.grammar.SqlLexer.NUMBER;
+                boolean literal =
+                        t.type == ashlink.sql.grammar.SqlLexer.STRING
+                                || t.type == ashlink.sql.grammar.SqlLexer.NUMBER;
                 rough.append(' ').append(literal ? "?" : t.text);
             }
         } catch (NotUnderstood e) {
--- a/sql/src/main/java/ashlink/sql/NotUnderstood.java
+++ b/sql/src/main/java/ashlink/sql/NotUnderstood.java
@@ -1,6 +1,8 @@
 package ashlink.sql;
 
-/** A statement is not understood from here on; no more than a long jump, so it has no stack trace. */
+/**
+ * A statement is not understood from here on; no more than a long jump, so it has no stack trace.
+ */
 final class NotUnderstood extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
--- a/sql/src/main/java/ashlink/sql/QueryReader.java
+++ b/sql/src/main/java/ashlink/sql/QueryReader.java
@@ -31,10 +31,15 @@
         }
         Token t = tokens.peek(i);
         Token next = tokens.peek(i + 1);
-        boolean name = next != null && (next.type == SqlLexer.DOT || next.type == SqlLexer.COMMA || next.type == SqlLexer.CLOSE
-                || next.type == SqlLexer.OPERATOR);
-        return t != null && (t.is("SELECT") || t.is("WITH") && !name) && !(t.is("SELECT") && next != null
-                && next.type == SqlLexer.DOT);
+        boolean name =
+                next != null
+                        && (next.type == SqlLexer.DOT
+                                || next.type == SqlLexer.COMMA
+                                || next.type == SqlLexer.CLOSE
+                                || next.type == SqlLexer.OPERATOR);
+        return t != null
+                && (t.is("SELECT") || t.is("WITH") && !name)
+                && !(t.is("SELECT") && next != null && next.type == SqlLexer.DOT);
     }
 
     // ---- Queries
@@ -47,7 +52,9 @@
 
     /** What may follow the first query of several, or of one in brackets. */
     void rest(Scope scope) {
-        while (expressions.atWord("UNION") || expressions.atWord("EXCEPT") || expressions.atWord("INTERSECT")) {
+        while (expressions.atWord("UNION")
+                || expressions.atWord("EXCEPT")
+                || expressions.atWord("INTERSECT")) {
             expressions.keyword();
             if (!expressions.tryWord("ALL")) {
                 expressions.tryWord("DISTINCT");
@@ -90,8 +97,11 @@
             }
             Token second = tokens.peek(1);
             Token third = tokens.peek(2);
-            boolean query = ExpressionReader.isName(tokens.peek()) && second != null && (second.is("AS") && third != null
-                    && third.type == SqlLexer.OPEN || second.type == SqlLexer.OPEN && columnsThenAs());
+            boolean query =
+                    ExpressionReader.isName(tokens.peek())
+                            && second != null
+                            && (second.is("AS") && third != null && third.type == SqlLexer.OPEN
+                                    || second.type == SqlLexer.OPEN && columnsThenAs());
             if (query) {
                 namedQuery(scope, recursive);
             } else {
@@ -103,13 +113,19 @@
     /** {@code name (a, b) AS (}: columns of a named query, no call. */
     private boolean columnsThenAs() {
         int i = 2;
-        while (tokens.peek(i) != null && (ExpressionReader.isName(tokens.peek(i)) || tokens.peek(i).type == SqlLexer.COMMA)) {
+        while (tokens.peek(i) != null
+                && (ExpressionReader.isName(tokens.peek(i))
+                        || tokens.peek(i).type == SqlLexer.COMMA)) {
             i++;
         }
         Token close = tokens.peek(i);
         Token as = tokens.peek(i + 1);
         Token open = tokens.peek(i + 2);
-        return close != null && close.type == SqlLexer.CLOSE && as != null && as.is("AS") && open != null
+        return close != null
+                && close.type == SqlLexer.CLOSE
+                && as != null
+                && as.is("AS")
+                && open != null
                 && open.type == SqlLexer.OPEN;
     }
 
@@ -153,8 +169,10 @@
                 expressions.parenthesis(scope);
             }
         }
-        if (expressions.atWord("TOP") && tokens.peek(1) != null && (tokens.peek(1).type == SqlLexer.NUMBER
-                || tokens.peek(1).type == SqlLexer.QUESTION)) {
+        if (expressions.atWord("TOP")
+                && tokens.peek(1) != null
+                && (tokens.peek(1).type == SqlLexer.NUMBER
+                        || tokens.peek(1).type == SqlLexer.QUESTION)) {
             expressions.keyword();
             expressions.number("a number of rows");
             if (expressions.tryWord("WITH")) {
@@ -183,7 +201,8 @@
             case "GROUP" -> group(scope);
             case "WINDOW" -> {
                 do {
-                    tokens.take().role = expressions.at(SqlLexer.COMMA) ? Role.SYMBOL : Role.KEYWORD;
+                    tokens.take().role =
+                            expressions.at(SqlLexer.COMMA) ? Role.SYMBOL : Role.KEYWORD;
                     expressions.name("a window");
                     expressions.needWord("AS");
                     expressions.need(SqlLexer.OPEN, "a window in brackets");
@@ -232,8 +251,10 @@
 
     /** Expressions with their directions and fillings. */
     void orderList(Scope scope) {
-        if (expressions.atWord("ALL") && (tokens.peek(1) == null || tokens.peek(1).type == SqlLexer.CLOSE
-                || Vocabulary.CLAUSES.contains(tokens.peek(1).upper()))) {
+        if (expressions.atWord("ALL")
+                && (tokens.peek(1) == null
+                        || tokens.peek(1).type == SqlLexer.CLOSE
+                        || Vocabulary.CLAUSES.contains(tokens.peek(1).upper()))) {
             expressions.keyword();
             direction(scope);
             return;
@@ -253,7 +274,9 @@
 
     private void direction(Scope scope) {
         while (true) {
-            if (expressions.tryWord("ASC") || expressions.tryWord("DESC") || expressions.tryWord("ASCENDING")
+            if (expressions.tryWord("ASC")
+                    || expressions.tryWord("DESC")
+                    || expressions.tryWord("ASCENDING")
                     || expressions.tryWord("DESCENDING")) {
                 continue;
             }
@@ -261,8 +284,11 @@
                 if (!expressions.tryWord("FIRST")) {
                     expressions.needWord("LAST");
                 }
-            } else if (expressions.tryWord("COLLATE") || expressions.tryWord("FROM") || expressions.tryWord("TO")
-                    || expressions.tryWord("STEP") || expressions.tryWord("STALENESS")) {
+            } else if (expressions.tryWord("COLLATE")
+                    || expressions.tryWord("FROM")
+                    || expressions.tryWord("TO")
+                    || expressions.tryWord("STEP")
+                    || expressions.tryWord("STALENESS")) {
                 expressions.expression(scope);
             } else if (expressions.atWords("WITH", "FILL")) {
                 expressions.keyword();
@@ -316,7 +342,9 @@
                 expressions.keyword();
                 expressions.literal("a file");
                 found.doubt("it writes a file at the client");
-                while (expressions.tryWord("AND") || expressions.tryWord("STDOUT") || expressions.tryWord("APPEND")
+                while (expressions.tryWord("AND")
+                        || expressions.tryWord("STDOUT")
+                        || expressions.tryWord("APPEND")
                         || expressions.tryWord("TRUNCATE")) {
                     // ways to write it
                 }
@@ -378,8 +406,10 @@
     }
 
     private boolean isArrayJoin() {
-        return expressions.atWords("ARRAY", "JOIN") || (expressions.atWord("LEFT") || expressions.atWord("INNER"))
-                && tokens.peek(1) != null && tokens.peek(1).is("ARRAY");
+        return expressions.atWords("ARRAY", "JOIN")
+                || (expressions.atWord("LEFT") || expressions.atWord("INNER"))
+                        && tokens.peek(1) != null
+                        && tokens.peek(1).is("ARRAY");
     }
 
     private boolean isJoin() {
@@ -402,7 +432,8 @@
             }
             expressions.need(SqlLexer.CLOSE, "the end of a bracket");
             expressions.shallower();
-        } else if (ExpressionReader.isName(tokens.peek()) && tokens.peek(1) != null
+        } else if (ExpressionReader.isName(tokens.peek())
+                && tokens.peek(1) != null
                 && tokens.peek(1).type == SqlLexer.OPEN) {
             function(scope);
         } else {
@@ -463,7 +494,9 @@
         found.reads.add(name);
     }
 
-    /** Takes {@code [database.]table}; a parameter in its place, or three parts, is not understood. */
+    /**
+     * Takes {@code [database.]table}; a parameter in its place, or three parts, is not understood.
+     */
     String tableName() {
         if (expressions.at(SqlLexer.OPEN_CURLY)) {
             throw new NotUnderstood("a table whose name is a parameter", tokens.at());
--- a/sql/src/main/java/ashlink/sql/StatementReader.java
+++ b/sql/src/main/java/ashlink/sql/StatementReader.java
@@ -9,20 +9,64 @@
 import java.util.TreeSet;
 
 /**
- * Reads texts of statements. A reader is stateless and safe for many threads; time and memory grow with the length of the
- * text up to its limits, past which the text is unknown. Data that follows an INSERT is not looked at.
+ * Reads texts of statements. A reader is stateless and safe for many threads; time and memory grow
+ * with the length of the text up to its limits, past which the text is unknown. Data that follows
+ * an INSERT is not looked at.
  */
 public final class StatementReader {
 
     /** Tokens of one text: a list of half a million values. */
     public static final int MOST_TOKENS = 1_000_000;
+
     /** Words that name what a data definition is about, before its name. */
-    private static final Set<String> OBJECTS = Set.of("TABLE", "VIEW", "DATABASE", "DICTIONARY", "FUNCTION", "TABLES", "DATABASES",
-            "TEMPORARY", "MATERIALIZED", "LIVE", "WINDOW", "OR", "REPLACE", "IF", "NOT", "EXISTS", "SYNC", "PERMANENTLY", "INDEX",
-            "NAMED", "COLLECTION", "USER", "ROLE", "QUOTA", "POLICY", "ROW", "SETTINGS", "PROFILE", "UNIQUE", "WORKLOAD", "RESOURCE",
-            "ALL", "FROM", "COLUMN", "CONSTRAINT");
-    private static final Set<String> ACCESS = Set.of("USER", "ROLE", "QUOTA", "POLICY", "PROFILE", "COLLECTION", "WORKLOAD",
-            "RESOURCE");
+    private static final Set<String> OBJECTS =
+            Set.of(
+                    "TABLE",
+                    "VIEW",
+                    "DATABASE",
+                    "DICTIONARY",
+                    "FUNCTION",
+                    "TABLES",
+                    "DATABASES",
+                    "TEMPORARY",
+                    "MATERIALIZED",
+                    "LIVE",
+                    "WINDOW",
+                    "OR",
+                    "REPLACE",
+                    "IF",
+                    "NOT",
+                    "EXISTS",
+                    "SYNC",
+                    "PERMANENTLY",
+                    "INDEX",
+                    "NAMED",
+                    "COLLECTION",
+                    "USER",
+                    "ROLE",
+                    "QUOTA",
+                    "POLICY",
+                    "ROW",
+                    "SETTINGS",
+                    "PROFILE",
+                    "UNIQUE",
+                    "WORKLOAD",
+                    "RESOURCE",
+                    "ALL",
+                    "FROM",
+                    "COLUMN",
+                    "CONSTRAINT");
+
+    private static final Set<String> ACCESS =
+            Set.of(
+                    "USER",
+                    "ROLE",
+                    "QUOTA",
+                    "POLICY",
+                    "PROFILE",
+                    "COLLECTION",
+                    "WORKLOAD",
+                    "RESOURCE");
 
     private final int mostTokens;
 
@@ -49,18 +93,31 @@
             reason = e.getMessage();
             at = e.at();
         } catch (StackOverflowError e) {
-            // The limit on depth is for a thread's whole stack; what a caller has used of it, and how large frames are
+            // The limit on depth is for a thread's whole stack; what a caller has used of it, and
+            // how large frames are
             // before they are compiled, is not known here. An honest answer all the same.
             reason = "brackets or operators too deep within each other for this thread";
             at = tokens.at();
         }
         boolean known = kind != Kind.UNKNOWN;
-        String normal = known ? NormalText.of(tokens.taken()) : "unknown " + NormalText.rough(text, mostTokens);
+        String normal =
+                known
+                        ? NormalText.of(tokens.taken())
+                        : "unknown " + NormalText.rough(text, mostTokens);
         boolean harmless = kind == Kind.READ && found.doubt.isEmpty();
-        return new Reading(kind, Collections.unmodifiableSortedSet(known ? found.reads : new TreeSet<>()),
-                Collections.unmodifiableSortedSet(known ? found.writes : new TreeSet<>()), known && found.allTables, harmless,
-                found.unstable || !known, known && found.takesData, known ? Map.copyOf(new TreeMap<>(found.settings)) : Map.of(),
-                NormalText.fingerprint(normal), normal, known && !harmless && kind == Kind.READ ? found.doubt : reason, at);
+        return new Reading(
+                kind,
+                Collections.unmodifiableSortedSet(known ? found.reads : new TreeSet<>()),
+                Collections.unmodifiableSortedSet(known ? found.writes : new TreeSet<>()),
+                known && found.allTables,
+                harmless,
+                found.unstable || !known,
+                known && found.takesData,
+                known ? Map.copyOf(new TreeMap<>(found.settings)) : Map.of(),
+                NormalText.fingerprint(normal),
+                normal,
+                known && !harmless && kind == Kind.READ ? found.doubt : reason,
+                at);
     }
 
     /** One text under reading. */
@@ -247,7 +304,8 @@
                 return Kind.LOAD;
             }
             if (tokens.peek() == null) {
-                found.takesData = true; // the native protocol sends the rows without a word for them
+                found.takesData =
+                        true; // the native protocol sends the rows without a word for them
                 return Kind.LOAD;
             }
             if (!queries.startsQuery()) {
@@ -264,7 +322,10 @@
                     throw words.unexpected("a statement");
                 }
                 Token t = tokens.take();
-                t.role = t.type == SqlLexer.WORD ? Role.KEYWORD : t.type == SqlLexer.NUMBER ? Role.LITERAL : Role.SYMBOL;
+                t.role =
+                        t.type == SqlLexer.WORD
+                                ? Role.KEYWORD
+                                : t.type == SqlLexer.NUMBER ? Role.LITERAL : Role.SYMBOL;
             }
             if (words.atWord("INSERT")) {
                 insert(new Scope(null));
@@ -297,7 +358,10 @@
         private Kind exists() {
             words.keyword();
             boolean database = false;
-            while (words.atWord("TEMPORARY") || words.atWord("TABLE") || words.atWord("VIEW") || words.atWord("DICTIONARY")
+            while (words.atWord("TEMPORARY")
+                    || words.atWord("TABLE")
+                    || words.atWord("VIEW")
+                    || words.atWord("DICTIONARY")
                     || words.atWord("DATABASE")) {
                 database |= words.atWord("DATABASE");
                 words.keyword();
@@ -325,7 +389,8 @@
                 }
                 database |= words.atWord("DATABASE");
                 all |= words.atWord("ALL") || words.atWord("TABLES");
-                table |= words.atWord("TABLE") || words.atWord("VIEW") || words.atWord("DICTIONARY");
+                table |=
+                        words.atWord("TABLE") || words.atWord("VIEW") || words.atWord("DICTIONARY");
                 access |= ACCESS.contains(tokens.peek().upper()) || words.atWord("FUNCTION");
                 words.keyword();
             }
@@ -355,7 +420,9 @@
 
         private Kind rename() {
             words.keyword();
-            if (!words.tryWord("TABLE") && !words.tryWord("TABLES") && !words.tryWord("DICTIONARY")) {
+            if (!words.tryWord("TABLE")
+                    && !words.tryWord("TABLES")
+                    && !words.tryWord("DICTIONARY")) {
                 found.allTables = false;
                 return rest(Kind.DDL);
             }
@@ -374,8 +441,13 @@
 
         private Kind condition() {
             while (tokens.peek() != null && !words.at(SqlLexer.SEMICOLON)) {
-                if (words.atWord("SET") || words.atWord("WHERE") || words.atWord("ON") || words.atWord("IN")
-                        || words.atWord("CLUSTER") || words.atWord("PARTITION") || words.at(SqlLexer.COMMA)) {
+                if (words.atWord("SET")
+                        || words.atWord("WHERE")
+                        || words.atWord("ON")
+                        || words.atWord("IN")
+                        || words.atWord("CLUSTER")
+                        || words.atWord("PARTITION")
+                        || words.at(SqlLexer.COMMA)) {
                     Token t = tokens.take();
                     t.role = t.type == SqlLexer.WORD ? Role.KEYWORD : Role.SYMBOL;
                 } else if (words.tryWord("SETTINGS")) {
@@ -421,14 +493,22 @@
             int open = 0;
             while (tokens.peek() != null && (open > 0 || !words.at(SqlLexer.SEMICOLON))) {
                 Token t = tokens.take();
-                boolean opens = t.type == SqlLexer.OPEN || t.type == SqlLexer.OPEN_SQUARE || t.type == SqlLexer.OPEN_CURLY;
-                boolean closes = t.type == SqlLexer.CLOSE || t.type == SqlLexer.CLOSE_SQUARE || t.type == SqlLexer.CLOSE_CURLY;
+                boolean opens =
+                        t.type == SqlLexer.OPEN
+                                || t.type == SqlLexer.OPEN_SQUARE
+                                || t.type == SqlLexer.OPEN_CURLY;
+                boolean closes =
+                        t.type == SqlLexer.CLOSE
+                                || t.type == SqlLexer.CLOSE_SQUARE
+                                || t.type == SqlLexer.CLOSE_CURLY;
                 open += opens ? 1 : closes ? -1 : 0;
                 if (open < 0 || t.type == SqlLexer.SEMICOLON) {
                     throw new NotUnderstood("a bracket is not closed, or closes nothing", t.from);
                 }
-                t.role = t.type == SqlLexer.NUMBER || t.type == SqlLexer.STRING ? Role.LITERAL
-                        : ExpressionReader.isName(t) ? Role.NAME : Role.SYMBOL;
+                t.role =
+                        t.type == SqlLexer.NUMBER || t.type == SqlLexer.STRING
+                                ? Role.LITERAL
+                                : ExpressionReader.isName(t) ? Role.NAME : Role.SYMBOL;
             }
             if (open > 0) {
                 throw new NotUnderstood("a bracket is not closed", tokens.at());
--- a/sql/src/main/java/ashlink/sql/TextChars.java
+++ b/sql/src/main/java/ashlink/sql/TextChars.java
@@ -4,7 +4,10 @@
 import org.antlr.v4.runtime.IntStream;
 import org.antlr.v4.runtime.misc.Interval;
 
-/** The characters of a text for the lexer, without a copy: most of a large insert is never looked at. */
+/**
+ * The characters of a text for the lexer, without a copy: most of a large insert is never looked
+ * at.
+ */
 final class TextChars implements CharStream {
 
     private final String text;
@@ -33,7 +36,7 @@
     }
 
     @Override
-    public void release(int marker) { }
+    public void release(int marker) {}
 
     @Override
     public int index() {
--- a/sql/src/main/java/ashlink/sql/Token.java
+++ b/sql/src/main/java/ashlink/sql/Token.java
@@ -5,8 +5,18 @@
 /** A token and what the reader took it for. */
 final class Token {
 
-    /** What a token is to the statement; names are kept as they are, keywords in capitals, literals not at all. */
-    enum Role { SYMBOL, KEYWORD, NAME, ALIAS, LITERAL, DROPPED }
+    /**
+     * What a token is to the statement; names are kept as they are, keywords in capitals, literals
+     * not at all.
+     */
+    enum Role {
+        SYMBOL,
+        KEYWORD,
+        NAME,
+        ALIAS,
+        LITERAL,
+        DROPPED
+    }
 
     final int type;
     final String text;
--- a/sql/src/main/java/ashlink/sql/Tokens.java
+++ b/sql/src/main/java/ashlink/sql/Tokens.java
@@ -93,7 +93,8 @@
             throw new NotUnderstood("a comment is not closed", from);
         }
         if (type == SqlLexer.STRAY) {
-            throw new NotUnderstood("a stray character U+" + String.format("%04X", (int) text.charAt(from)), from);
+            throw new NotUnderstood(
+                    "a stray character U+" + String.format("%04X", (int) text.charAt(from)), from);
         }
         if (type == SqlLexer.HEREDOC) {
             String tag = text.substring(from, to);
@@ -105,6 +106,8 @@
             chars.seek(to);
             type = SqlLexer.STRING;
         }
-        made.add(new ashlink.sql.Token(type, text.substring(from, to), from, to, type == SqlLexer.WORD));
+        made.add(
+                new ashlink.sql.Token(
+                        type, text.substring(from, to), from, to, type == SqlLexer.WORD));
     }
 }
--- a/sql/src/main/java/ashlink/sql/Vocabulary.java
+++ b/sql/src/main/java/ashlink/sql/Vocabulary.java
@@ -5,45 +5,253 @@
 /** Words that mean something to the reader, by the public documentation. */
 final class Vocabulary {
 
-    /** Words that end an expression where an operand is complete: what may follow one in a query. */
-    static final Set<String> CLAUSES = Set.of("FROM", "PREWHERE", "WHERE", "GROUP", "HAVING", "WINDOW", "QUALIFY", "ORDER",
-            "LIMIT", "OFFSET", "FETCH", "SETTINGS", "FORMAT", "UNION", "EXCEPT", "INTERSECT", "INTO", "ARRAY", "JOIN", "INNER",
-            "LEFT", "RIGHT", "FULL", "CROSS", "ANY", "ALL", "ASOF", "SEMI", "ANTI", "GLOBAL", "PASTE", "ON", "USING", "SAMPLE",
-            "FINAL", "WITH", "THEN", "ELSE", "END", "WHEN", "BY", "SELECT", "AS", "ASC", "DESC", "NULLS", "BETWEEN", "AND", "OR",
-            "IN", "LIKE", "ILIKE", "IS", "NOT", "DIV", "MOD", "REGEXP", "COLLATE", "ROWS", "RANGE", "TO", "STEP", "STALENESS",
-            "INTERPOLATE", "FILL", "TTL", "PARALLEL", "APPLY", "REPLACE", "VALUES", "OUTER", "XOR", "OVER", "FILTER", "IGNORE",
-            "RESPECT", "DISTINCT", "PARTITION", "TIES", "TOTALS", "CUBE", "ROLLUP", "CASE", "SET", "FOR");
+    /**
+     * Words that end an expression where an operand is complete: what may follow one in a query.
+     */
+    static final Set<String> CLAUSES =
+            Set.of(
+                    "FROM",
+                    "PREWHERE",
+                    "WHERE",
+                    "GROUP",
+                    "HAVING",
+                    "WINDOW",
+                    "QUALIFY",
+                    "ORDER",
+                    "LIMIT",
+                    "OFFSET",
+                    "FETCH",
+                    "SETTINGS",
+                    "FORMAT",
+                    "UNION",
+                    "EXCEPT",
+                    "INTERSECT",
+                    "INTO",
+                    "ARRAY",
+                    "JOIN",
+                    "INNER",
+                    "LEFT",
+                    "RIGHT",
+                    "FULL",
+                    "CROSS",
+                    "ANY",
+                    "ALL",
+                    "ASOF",
+                    "SEMI",
+                    "ANTI",
+                    "GLOBAL",
+                    "PASTE",
+                    "ON",
+                    "USING",
+                    "SAMPLE",
+                    "FINAL",
+                    "WITH",
+                    "THEN",
+                    "ELSE",
+                    "END",
+                    "WHEN",
+                    "BY",
+                    "SELECT",
+                    "AS",
+                    "ASC",
+                    "DESC",
+                    "NULLS",
+                    "BETWEEN",
+                    "AND",
+                    "OR",
+                    "IN",
+                    "LIKE",
+                    "ILIKE",
+                    "IS",
+                    "NOT",
+                    "DIV",
+                    "MOD",
+                    "REGEXP",
+                    "COLLATE",
+                    "ROWS",
+                    "RANGE",
+                    "TO",
+                    "STEP",
+                    "STALENESS",
+                    "INTERPOLATE",
+                    "FILL",
+                    "TTL",
+                    "PARALLEL",
+                    "APPLY",
+                    "REPLACE",
+                    "VALUES",
+                    "OUTER",
+                    "XOR",
+                    "OVER",
+                    "FILTER",
+                    "IGNORE",
+                    "RESPECT",
+                    "DISTINCT",
+                    "PARTITION",
+                    "TIES",
+                    "TOTALS",
+                    "CUBE",
+                    "ROLLUP",
+                    "CASE",
+                    "SET",
+                    "FOR");
+
     /** Words of joins before the word JOIN. */
-    static final Set<String> JOINS = Set.of("GLOBAL", "LOCAL", "ANY", "ALL", "ASOF", "SEMI", "ANTI", "INNER", "LEFT", "RIGHT",
-            "FULL", "OUTER", "CROSS", "PASTE");
+    static final Set<String> JOINS =
+            Set.of(
+                    "GLOBAL", "LOCAL", "ANY", "ALL", "ASOF", "SEMI", "ANTI", "INNER", "LEFT",
+                    "RIGHT", "FULL", "OUTER", "CROSS", "PASTE");
+
     /** Operators that are words, after an operand. */
-    static final Set<String> OPERATORS = Set.of("AND", "OR", "XOR", "DIV", "MOD", "LIKE", "ILIKE", "REGEXP", "IN", "BETWEEN");
+    static final Set<String> OPERATORS =
+            Set.of("AND", "OR", "XOR", "DIV", "MOD", "LIKE", "ILIKE", "REGEXP", "IN", "BETWEEN");
+
     /** Literals that are words. */
     static final Set<String> LITERALS = Set.of("NULL", "TRUE", "FALSE", "INF", "INFINITY", "NAN");
-    static final Set<String> UNITS = Set.of("NANOSECOND", "MICROSECOND", "MILLISECOND", "SECOND", "MINUTE", "HOUR", "DAY", "WEEK",
-            "MONTH", "QUARTER", "YEAR", "NANOSECONDS", "MICROSECONDS", "MILLISECONDS", "SECONDS", "MINUTES", "HOURS", "DAYS",
-            "WEEKS", "MONTHS", "QUARTERS", "YEARS");
+
+    static final Set<String> UNITS =
+            Set.of(
+                    "NANOSECOND",
+                    "MICROSECOND",
+                    "MILLISECOND",
+                    "SECOND",
+                    "MINUTE",
+                    "HOUR",
+                    "DAY",
+                    "WEEK",
+                    "MONTH",
+                    "QUARTER",
+                    "YEAR",
+                    "NANOSECONDS",
+                    "MICROSECONDS",
+                    "MILLISECONDS",
+                    "SECONDS",
+                    "MINUTES",
+                    "HOURS",
+                    "DAYS",
+                    "WEEKS",
+                    "MONTHS",
+                    "QUARTERS",
+                    "YEARS");
 
     /** Table functions that make rows of nothing, or of what this server has. */
-    static final Set<String> HARMLESS_TABLES = Set.of("numbers", "numbers_mt", "zeros", "zeros_mt", "generaterandom", "values",
-            "null", "generate_series", "generateseries", "dictionary", "fuzzjson", "loop", "view", "viewifpermitted");
+    static final Set<String> HARMLESS_TABLES =
+            Set.of(
+                    "numbers",
+                    "numbers_mt",
+                    "zeros",
+                    "zeros_mt",
+                    "generaterandom",
+                    "values",
+                    "null",
+                    "generate_series",
+                    "generateseries",
+                    "dictionary",
+                    "fuzzjson",
+                    "loop",
+                    "view",
+                    "viewifpermitted");
+
     /** Table functions that read from elsewhere: what that does there is not ours to know. */
-    static final Set<String> OUTSIDE_TABLES = Set.of("remote", "remotesecure", "cluster", "clusterallreplicas", "url",
-            "urlcluster", "s3", "s3cluster", "gcs", "hdfs", "hdfscluster", "file", "filecluster", "mysql", "postgresql", "mongodb",
-            "sqlite", "redis", "odbc", "jdbc", "executable", "azureblobstorage", "azureblobstoragecluster", "deltalake",
-            "iceberg", "hudi", "input");
+    static final Set<String> OUTSIDE_TABLES =
+            Set.of(
+                    "remote",
+                    "remotesecure",
+                    "cluster",
+                    "clusterallreplicas",
+                    "url",
+                    "urlcluster",
+                    "s3",
+                    "s3cluster",
+                    "gcs",
+                    "hdfs",
+                    "hdfscluster",
+                    "file",
+                    "filecluster",
+                    "mysql",
+                    "postgresql",
+                    "mongodb",
+                    "sqlite",
+                    "redis",
+                    "odbc",
+                    "jdbc",
+                    "executable",
+                    "azureblobstorage",
+                    "azureblobstoragecluster",
+                    "deltalake",
+                    "iceberg",
+                    "hudi",
+                    "input");
+
     /** Table functions whose tables a pattern names. */
-    static final Set<String> PATTERN_TABLES = Set.of("merge", "mergetreeindex", "mergetreeprojection");
+    static final Set<String> PATTERN_TABLES =
+            Set.of("merge", "mergetreeindex", "mergetreeprojection");
+
     /** Functions that differ at each call, or from server to server. */
-    static final Set<String> UNSTABLE = Set.of("now", "now64", "nowinblock", "today", "yesterday", "current_timestamp",
-            "current_date", "curdate", "rand", "rand32", "rand64", "randconstant", "randuniform", "randnormal", "randlognormal",
-            "randbinomial", "randnegativebinomial", "randpoisson", "randbernoulli", "randexponential", "randchisquared",
-            "randstudentt", "randfisherf", "randcanonical", "randomstring", "randomfixedstring", "randomprintableascii",
-            "randomstringutf8", "fuzzbits", "generateuuidv4", "generateuuidv7", "generateulid", "generatesnowflakeid",
-            "rownumberinblock", "rownumberinallblocks", "blocknumber", "hostname", "fqdn", "uptime", "version", "currentuser",
-            "currentdatabase", "connectionid", "queryid", "query_id", "initialqueryid", "initial_query_id", "serveruuid",
-            "getsetting", "tcpport", "sleep", "sleepeachrow", "runningaccumulate", "runningdifference", "neighbor",
-            "utc_timestamp", "utctimestamp", "filesystemavailable", "generateserialid", "displayname", "user", "database");
-
-    private Vocabulary() { }
+    static final Set<String> UNSTABLE =
+            Set.of(
+                    "now",
+                    "now64",
+                    "nowinblock",
+                    "today",
+                    "yesterday",
+                    "current_timestamp",
+                    "current_date",
+                    "curdate",
+                    "rand",
+                    "rand32",
+                    "rand64",
+                    "randconstant",
+                    "randuniform",
+                    "randnormal",
+                    "randlognormal",
+                    "randbinomial",
+                    "randnegativebinomial",
+                    "randpoisson",
+                    "randbernoulli",
+                    "randexponential",
+                    "randchisquared",
+                    "randstudentt",
+                    "randfisherf",
+                    "randcanonical",
+                    "randomstring",
+                    "randomfixedstring",
+                    "randomprintableascii",
+                    "randomstringutf8",
+                    "fuzzbits",
+                    "generateuuidv4",
+                    "generateuuidv7",
+                    "generateulid",
+                    "generatesnowflakeid",
+                    "rownumberinblock",
+                    "rownumberinallblocks",
+                    "blocknumber",
+                    "hostname",
+                    "fqdn",
+                    "uptime",
+                    "version",
+                    "currentuser",
+                    "currentdatabase",
+                    "connectionid",
+                    "queryid",
+                    "query_id",
+                    "initialqueryid",
+                    "initial_query_id",
+                    "serveruuid",
+                    "getsetting",
+                    "tcpport",
+                    "sleep",
+                    "sleepeachrow",
+                    "runningaccumulate",
+                    "runningdifference",
+                    "neighbor",
+                    "utc_timestamp",
+                    "utctimestamp",
+                    "filesystemavailable",
+                    "generateserialid",
+                    "displayname",
+                    "user",
+                    "database");
+
+    private Vocabulary() {}
 }
--- a/sql/src/test/java/ashlink/sql/Corpus.java
+++ b/sql/src/test/java/ashlink/sql/Corpus.java
@@ -11,9 +11,14 @@
 /** Statements with what is to be read of them: a file that was reviewed by hand. */
 final class Corpus {
 
-    record Case(Kind kind, TreeSet<String> reads, TreeSet<String> writes, String flags, String statement) { }
+    record Case(
+            Kind kind,
+            TreeSet<String> reads,
+            TreeSet<String> writes,
+            String flags,
+            String statement) {}
 
-    private Corpus() { }
+    private Corpus() {}
 
     static List<Case> cases() throws IOException {
         List<Case> cases = new ArrayList<>();
@@ -21,7 +26,13 @@
             for (String line : new String(in.readAllBytes(), StandardCharsets.UTF_8).split("\n")) {
                 if (!line.startsWith("#")) {
                     String[] f = line.split("\t", -1);
-                    cases.add(new Case(Kind.valueOf(f[0]), names(f[1]), names(f[2]), f[3], unescaped(f[4])));
+                    cases.add(
+                            new Case(
+                                    Kind.valueOf(f[0]),
+                                    names(f[1]),
+                                    names(f[2]),
+                                    f[3],
+                                    unescaped(f[4])));
                 }
             }
         }
@@ -46,7 +57,9 @@
     }
 
     static String flags(Reading r) {
-        return (r.harmless() ? "h" : "") + (r.unstable() ? "u" : "") + (r.takesData() ? "d" : "")
+        return (r.harmless() ? "h" : "")
+                + (r.unstable() ? "u" : "")
+                + (r.takesData() ? "d" : "")
                 + (r.allTables() || r.kind() == Kind.UNKNOWN ? "" : "o");
     }
 }
--- a/sql/src/test/java/ashlink/sql/CorpusTest.java
+++ b/sql/src/test/java/ashlink/sql/CorpusTest.java
@@ -20,12 +20,24 @@
             String got = r.kind() + " " + r.reads() + " " + r.writes() + " " + Corpus.flags(r);
             String wanted = c.kind() + " " + c.reads() + " " + c.writes() + " " + c.flags();
             if (!got.equals(wanted)) {
-                wrong.add(c.statement() + "\n    wanted " + wanted + "\n    got    " + got + " " + r.reason() + " at " + r.at());
+                wrong.add(
+                        c.statement()
+                                + "\n    wanted "
+                                + wanted
+                                + "\n    got    "
+                                + got
+                                + " "
+                                + r.reason()
+                                + " at "
+                                + r.at());
             }
             assertEquals(r.kind() == Kind.UNKNOWN, r.at() >= 0, c.statement());
         }
         assertTrue(cases.size() >= 400, cases.size() + " statements");
-        assertEquals(List.of(), wrong, wrong.size() + " of " + cases.size() + "\n" + String.join("\n", wrong));
+        assertEquals(
+                List.of(),
+                wrong,
+                wrong.size() + " of " + cases.size() + "\n" + String.join("\n", wrong));
     }
 
     @Test
--- a/sql/src/test/java/ashlink/sql/LimitsTest.java
+++ b/sql/src/test/java/ashlink/sql/LimitsTest.java
@@ -28,13 +28,25 @@
 
     @Test
     void deepNestingIsUnknownAndNoStackOverflows() throws Exception {
-        for (String[] way : new String[][] {{"(", ")"}, {"[", "]"}, {"f(", ")"}, {"(SELECT ", ")"}, {"CASE WHEN ", " THEN 1 END"},
-            {"NOT ", ""}, {"- ", ""}, {"CAST(", " AS Int8)"}}) {
+        for (String[] way :
+                new String[][] {
+                    {"(", ")"},
+                    {"[", "]"},
+                    {"f(", ")"},
+                    {"(SELECT ", ")"},
+                    {"CASE WHEN ", " THEN 1 END"},
+                    {"NOT ", ""},
+                    {"- ", ""},
+                    {"CAST(", " AS Int8)"}
+                }) {
             Reading r = read("SELECT " + way[0].repeat(100_000) + "1" + way[1].repeat(100_000));
             assertTrue(r.kind() == Kind.UNKNOWN, way[0] + " " + r.kind());
         }
         assertEquals(Kind.READ, read("SELECT " + "(".repeat(60) + "1" + ")".repeat(60)).kind());
-        assertEquals(Kind.UNKNOWN, read("SELECT CAST(1 AS " + "Array(".repeat(10_000) + "Int8" + ")".repeat(10_000)).kind());
+        assertEquals(
+                Kind.UNKNOWN,
+                read("SELECT CAST(1 AS " + "Array(".repeat(10_000) + "Int8" + ")".repeat(10_000))
+                        .kind());
     }
 
     @Test
@@ -44,7 +56,9 @@
         assertEquals(Kind.READ, read(deep, 512 << 10).kind());
         Reading r = read(deep, 1 << 10);
         // How much a frame takes varies with what is compiled; whichever it is, nothing is thrown.
-        assertTrue(r.kind() == Kind.READ || r.reason().contains("for this thread"), r.kind() + " " + r.reason());
+        assertTrue(
+                r.kind() == Kind.READ || r.reason().contains("for this thread"),
+                r.kind() + " " + r.reason());
     }
 
     @Test
@@ -66,9 +80,18 @@
 
     @Test
     void theFingerprintIsTheSameInAllVersions() {
-        assertEquals("SELECT sum ( value ) FROM readings WHERE meter IN ( ? ) AND ts > now ( ) - INTERVAL ? DAY",
-                reader.read("select sum(value) from readings where meter in (1, 2, 3) and ts > now() - interval 7 day", "").normal());
-        assertEquals(GOLDEN, reader.read("SELECT sum(value) FROM readings WHERE meter IN (4)", "").fingerprint());
+        assertEquals(
+                "SELECT sum ( value ) FROM readings WHERE meter IN ( ? ) AND ts > now ( ) -"
+                        + " INTERVAL ? DAY",
+                reader.read(
+                                "select sum(value) from readings where meter in (1, 2, 3) and ts >"
+                                        + " now() - interval 7 day",
+                                "")
+                        .normal());
+        assertEquals(
+                GOLDEN,
+                reader.read("SELECT sum(value) FROM readings WHERE meter IN (4)", "")
+                        .fingerprint());
     }
 
     /** Fixed for major version 0. */
@@ -76,7 +99,9 @@
 
     @Test
     void aConnectionsDatabaseCompletesNames() {
-        assertEquals("[meter.readings, other.t]", reader.read("SELECT * FROM readings, other.t", "meter").reads().toString());
+        assertEquals(
+                "[meter.readings, other.t]",
+                reader.read("SELECT * FROM readings, other.t", "meter").reads().toString());
     }
 
     @Test
--- a/sql/src/test/java/ashlink/sql/ReaderProperties.java
+++ b/sql/src/test/java/ashlink/sql/ReaderProperties.java
@@ -13,17 +13,37 @@
 import net.jqwik.api.Provide;
 import net.jqwik.api.constraints.IntRange;
 
-/** The fingerprint under rewriting and mutation, and the reader under noise. Seeds are fixed, so each run is the same. */
+/**
+ * The fingerprint under rewriting and mutation, and the reader under noise. Seeds are fixed, so
+ * each run is the same.
+ */
 class ReaderProperties {
 
     private final StatementReader reader = new StatementReader();
 
     /** A statement in pieces: names and operators are its own, literals and blanks are free. */
-    record Shape(String column, String operator, String table, String function, boolean join, int lists) {
+    record Shape(
+            String column,
+            String operator,
+            String table,
+            String function,
+            boolean join,
+            int lists) {
 
         String text(List<String> literals, String blank, boolean upper) {
-            String sql = "select " + function + "(" + column + ") from " + table + (join ? " join bills using meter" : "")
-                    + " where " + column + " " + operator + " L and meter in (LIST) and name = L limit L";
+            String sql =
+                    "select "
+                            + function
+                            + "("
+                            + column
+                            + ") from "
+                            + table
+                            + (join ? " join bills using meter" : "")
+                            + " where "
+                            + column
+                            + " "
+                            + operator
+                            + " L and meter in (LIST) and name = L limit L";
             int next = 0;
             StringBuilder out = new StringBuilder();
             for (String word : sql.split(" ")) {
@@ -31,13 +51,16 @@
                 while (w.contains("LIST")) {
                     StringBuilder list = new StringBuilder();
                     for (int i = 0; i < lists; i++) {
-                        list.append(i > 0 ? "," : "").append(literals.get(next++ % literals.size()));
+                        list.append(i > 0 ? "," : "")
+                                .append(literals.get(next++ % literals.size()));
                     }
                     w = w.replace("LIST", list);
                 }
                 if (w.equals("L")) {
                     w = literals.get(next++ % literals.size());
-                } else if (upper && List.of("select", "from", "where", "join", "using", "and", "in", "limit").contains(w)) {
+                } else if (upper
+                        && List.of("select", "from", "where", "join", "using", "and", "in", "limit")
+                                .contains(w)) {
                     w = w.toUpperCase(java.util.Locale.ROOT);
                 }
                 out.append(out.length() == 0 ? "" : blank).append(w);
@@ -49,15 +72,34 @@
     @Provide
     Arbitrary<Shape> shapes() {
         Arbitrary<String> names = Arbitraries.of("value", "ts", "meter_id", "x1", "größe", "`a.b`");
-        return Combinators.combine(names, Arbitraries.of("=", "<", ">=", "!=", "LIKE"), Arbitraries.of("readings", "db.t",
-                "`select`", "inbox"), Arbitraries.of("sum", "max", "uniqExact"), Arbitraries.of(true, false),
-                Arbitraries.integers().between(1, 40)).as(Shape::new);
+        return Combinators.combine(
+                        names,
+                        Arbitraries.of("=", "<", ">=", "!=", "LIKE"),
+                        Arbitraries.of("readings", "db.t", "`select`", "inbox"),
+                        Arbitraries.of("sum", "max", "uniqExact"),
+                        Arbitraries.of(true, false),
+                        Arbitraries.integers().between(1, 40))
+                .as(Shape::new);
     }
 
     @Provide
     Arbitrary<List<String>> literals() {
-        return Arbitraries.of("1", "-7", "0xFF", "1.5e3", "'text'", "'it''s'", "'-- no'", "'/* no */'", "NULL", "true", "$$x$$",
-                "1_000").list().ofMinSize(1).ofMaxSize(9);
+        return Arbitraries.of(
+                        "1",
+                        "-7",
+                        "0xFF",
+                        "1.5e3",
+                        "'text'",
+                        "'it''s'",
+                        "'-- no'",
+                        "'/* no */'",
+                        "NULL",
+                        "true",
+                        "$$x$$",
+                        "1_000")
+                .list()
+                .ofMinSize(1)
+                .ofMaxSize(9);
     }
 
     @Provide
@@ -66,11 +108,16 @@
     }
 
     @Property(tries = 500, seed = "42")
-    void literalsBlanksCommentsCaseAndListLengthsDoNotMatter(@ForAll("shapes") Shape s, @ForAll("literals") List<String> a,
-            @ForAll("literals") List<String> b, @ForAll("blanks") String blank, @ForAll boolean upper,
+    void literalsBlanksCommentsCaseAndListLengthsDoNotMatter(
+            @ForAll("shapes") Shape s,
+            @ForAll("literals") List<String> a,
+            @ForAll("literals") List<String> b,
+            @ForAll("blanks") String blank,
+            @ForAll boolean upper,
             @ForAll @IntRange(min = 1, max = 60) int length) {
         Reading first = reader.read(s.text(a, " ", false), "");
-        Shape other = new Shape(s.column(), s.operator(), s.table(), s.function(), s.join(), length);
+        Shape other =
+                new Shape(s.column(), s.operator(), s.table(), s.function(), s.join(), length);
         Reading second = reader.read(other.text(b, blank, upper), "");
         assertEquals(Kind.READ, first.kind(), first.reason());
         assertEquals(first.normal(), second.normal());
@@ -79,27 +126,46 @@
 
     @Property(tries = 500, seed = "43")
     void anotherNameOperatorOrShapeDoes(@ForAll("shapes") Shape a, @ForAll("shapes") Shape b) {
-        Shape sameLists = new Shape(b.column(), b.operator(), b.table(), b.function(), b.join(), a.lists());
+        Shape sameLists =
+                new Shape(b.column(), b.operator(), b.table(), b.function(), b.join(), a.lists());
         if (!a.equals(sameLists)) {
-            assertNotEquals(reader.read(a.text(List.of("1"), " ", false), "").fingerprint(),
+            assertNotEquals(
+                    reader.read(a.text(List.of("1"), " ", false), "").fingerprint(),
                     reader.read(b.text(List.of("1"), " ", false), "").fingerprint());
         }
     }
 
     @Property(tries = 3000, seed = "44")
-    void mutatedStatementsNeverThrowNorPassAWriteForHarmless(@ForAll @IntRange(min = 0, max = 450) int which,
-            @ForAll @IntRange(min = 0, max = 300) int at, @ForAll char by, @ForAll @IntRange(min = 0, max = 2) int how)
+    void mutatedStatementsNeverThrowNorPassAWriteForHarmless(
+            @ForAll @IntRange(min = 0, max = 450) int which,
+            @ForAll @IntRange(min = 0, max = 300) int at,
+            @ForAll char by,
+            @ForAll @IntRange(min = 0, max = 2) int how)
             throws Exception {
         List<Corpus.Case> cases = Corpus.cases();
         Corpus.Case c = cases.get(which % cases.size());
         String s = c.statement();
         int i = s.isEmpty() ? 0 : at % s.length();
-        String mutated = how == 0 ? s.substring(0, i) : how == 1 ? s.substring(0, i) + by + s.substring(i)
-                : s.substring(0, i) + s.substring(Math.min(s.length(), i + 1));
+        String mutated =
+                how == 0
+                        ? s.substring(0, i)
+                        : how == 1
+                                ? s.substring(0, i) + by + s.substring(i)
+                                : s.substring(0, i) + s.substring(Math.min(s.length(), i + 1));
         Reading r = reader.read(mutated, "");
-        String words = mutated.replaceAll("(?s)'.*?'|`.*?`|\".*?\"|/\\*.*?\\*/|--[^\n]*|#[^\n]*|\\$\\$.*?\\$\\$", " ").toUpperCase();
+        String words =
+                mutated.replaceAll(
+                                "(?s)'.*?'|`.*?`|\".*?\"|/\\*.*?\\*/|--[^\n"
+                                        + "]*|#[^\n"
+                                        + "]*|\\$\\$.*?\\$\\$",
+                                " ")
+                        .toUpperCase();
         if (r.harmless() && r.kind() == Kind.READ) {
-            assertTrue(!words.strip().matches("(?s)(INSERT|DELETE|DROP|TRUNCATE|ALTER|UPDATE|CREATE|SYSTEM)\\b.*"), mutated);
+            assertTrue(
+                    !words.strip()
+                            .matches(
+                                    "(?s)(INSERT|DELETE|DROP|TRUNCATE|ALTER|UPDATE|CREATE|SYSTEM)\\b.*"),
+                    mutated);
         }
     }
 
--- a/sql/src/test/java/ashlink/sql/SqlBenchRun.java
+++ b/sql/src/test/java/ashlink/sql/SqlBenchRun.java
@@ -18,7 +18,10 @@
 import org.openjdk.jmh.runner.Runner;
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 
-/** Speed beside JSqlParser, and what it makes of the corpus; run by name only: {@code -Dtest=SqlBenchRun}. */
+/**
+ * Speed beside JSqlParser, and what it makes of the corpus; run by name only: {@code
+ * -Dtest=SqlBenchRun}.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -26,8 +29,10 @@
 @Measurement(iterations = 3, time = 1)
 public class SqlBenchRun {
 
-    private static final String SHORT = "SELECT meter, sum(value) AS total, max(ts) FROM readings WHERE meter IN (4711, 4712, 4713)"
-            + " AND ts >= '2026-01-01 00:00:00' AND kind = 'heat' GROUP BY meter ORDER BY total DESC LIMIT 100";
+    private static final String SHORT =
+            "SELECT meter, sum(value) AS total, max(ts) FROM readings WHERE meter IN (4711, 4712,"
+                + " 4713) AND ts >= '2026-01-01 00:00:00' AND kind = 'heat' GROUP BY meter ORDER BY"
+                + " total DESC LIMIT 100";
 
     /** Length of the statement: the short one, or its list made so long. */
     @Param({"200", "2000", "20000", "200000", "1000000"})
@@ -70,7 +75,9 @@
             try {
                 Statement s = CCJSqlParserUtil.parse(c.statement());
                 java.util.Set<String> tables = new java.util.TreeSet<>();
-                new TablesNamesFinder<Void>().getTables(s).forEach(t -> tables.add(t.replaceAll("[`\"]", "")));
+                new TablesNamesFinder<Void>()
+                        .getTables(s)
+                        .forEach(t -> tables.add(t.replaceAll("[`\"]", "")));
                 java.util.Set<String> ours = new java.util.TreeSet<>(c.reads());
                 ours.addAll(c.writes());
                 if (c.kind() != Kind.UNKNOWN && ours.equals(tables)) {
@@ -82,8 +89,10 @@
                 fails++;
             }
         }
-        System.out.printf("corpus of %d through JSqlParser: tables as reviewed %d, others %d, fails %d%n", cases.size(), agrees,
-                differs, fails);
-        new Runner(new OptionsBuilder().include(SqlBenchRun.class.getName()).forks(0).build()).run();
+        System.out.printf(
+                "corpus of %d through JSqlParser: tables as reviewed %d, others %d, fails %d%n",
+                cases.size(), agrees, differs, fails);
+        new Runner(new OptionsBuilder().include(SqlBenchRun.class.getName()).forks(0).build())
+                .run();
     }
 }
--- a/standin/src/main/java/ashlink/standin/Faults.java
+++ b/standin/src/main/java/ashlink/standin/Faults.java
@@ -4,10 +4,26 @@
 public final class Faults {
 
     /** Places at which a connection can be made to break. */
-    public enum Place { NOWHERE, ACCEPT, HELLO, QUERY, HEADER, INSERT, RUN, ANSWER, END }
+    public enum Place {
+        NOWHERE,
+        ACCEPT,
+        HELLO,
+        QUERY,
+        HEADER,
+        INSERT,
+        RUN,
+        ANSWER,
+        END
+    }
 
     /** How it breaks there. */
-    public enum Break { CLOSE, SILENCE, GARBAGE, CORRUPT_FRAME, HALF_PACKET }
+    public enum Break {
+        CLOSE,
+        SILENCE,
+        GARBAGE,
+        CORRUPT_FRAME,
+        HALF_PACKET
+    }
 
     private volatile Place place = Place.NOWHERE;
     private volatile Break how = Break.CLOSE;
--- a/standin/src/main/java/ashlink/standin/Hints.java
+++ b/standin/src/main/java/ashlink/standin/Hints.java
@@ -6,8 +6,8 @@
 import java.util.regex.Pattern;
 
 /**
- * What a statement asks of a stand-in: {@code name=value} pairs in a comment that starts with {@code sim}, as in
- * {@code /* sim work_ms=120 threads=1 rows=10 *}{@code /}.
+ * What a statement asks of a stand-in: {@code name=value} pairs in a comment that starts with
+ * {@code sim}, as in {@code /* sim work_ms=120 threads=1 rows=10 *}{@code /}.
  */
 public final class Hints {
 
--- a/standin/src/main/java/ashlink/standin/Ledger.java
+++ b/standin/src/main/java/ashlink/standin/Ledger.java
@@ -10,13 +10,29 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What an engine was sent and did, noted by itself as it happens. Times are of {@link System#nanoTime}. */
+/**
+ * What an engine was sent and did, noted by itself as it happens. Times are of {@link
+ * System#nanoTime}.
+ */
 public final class Ledger {
 
     /** How a statement ended at the engine. */
-    public enum How { OPEN, ANSWERED, ERROR, ANSWER_LOST, CONNECTION_LOST, DROPPED, CRASHED, TURNED_AWAY, NO_DATA }
+    public enum How {
+        OPEN,
+        ANSWERED,
+        ERROR,
+        ANSWER_LOST,
+        CONNECTION_LOST,
+        DROPPED,
+        CRASHED,
+        TURNED_AWAY,
+        NO_DATA
+    }
 
-    /** A statement at an engine; {@code ranNs} is when it had all it needs to run, 0 if it never had. */
+    /**
+     * A statement at an engine; {@code ranNs} is when it had all it needs to run, 0 if it never
+     * had.
+     */
     public static final class Entry {
         public final String engine;
         public final String kind;
@@ -33,7 +49,14 @@
         private volatile long releasedNs;
         private volatile How how = How.OPEN;
 
-        Entry(String engine, String kind, String zone, String router, String queryId, Hints hints, long beganNs) {
+        Entry(
+                String engine,
+                String kind,
+                String zone,
+                String router,
+                String queryId,
+                Hints hints,
+                long beganNs) {
             this.engine = engine;
             this.kind = kind;
             this.zone = zone;
@@ -90,8 +113,14 @@
 
     /** A ledger in memory, and in a file where one is named. */
     public Ledger(Path path) throws IOException {
-        file = path == null ? null : Files.newBufferedWriter(path, StandardCharsets.UTF_8, StandardOpenOption.CREATE,
-                StandardOpenOption.APPEND);
+        file =
+                path == null
+                        ? null
+                        : Files.newBufferedWriter(
+                                path,
+                                StandardCharsets.UTF_8,
+                                StandardOpenOption.CREATE,
+                                StandardOpenOption.APPEND);
     }
 
     synchronized void begin(Entry e) {
@@ -113,8 +142,23 @@
     private synchronized void write(String what, Entry e) {
         if (file != null) {
             try {
-                file.write(System.currentTimeMillis() + "\t" + what + "\t" + e.engine + "\t" + e.router + "\t" + e.queryId
-                        + "\t" + e.tag + "\t" + (e.ranNs > 0 ? "ran" : "not run") + "\t" + e.how + "\n");
+                file.write(
+                        System.currentTimeMillis()
+                                + "\t"
+                                + what
+                                + "\t"
+                                + e.engine
+                                + "\t"
+                                + e.router
+                                + "\t"
+                                + e.queryId
+                                + "\t"
+                                + e.tag
+                                + "\t"
+                                + (e.ranNs > 0 ? "ran" : "not run")
+                                + "\t"
+                                + e.how
+                                + "\n");
                 file.flush();
             } catch (IOException ex) {
                 throw new UncheckedIOException(ex);
--- a/standin/src/main/java/ashlink/standin/Session.java
+++ b/standin/src/main/java/ashlink/standin/Session.java
@@ -57,6 +57,7 @@
     private int revision;
     private String client = "";
     private Entry entry;
+
     /** True while the client has nothing to send but a Cancel. */
     private boolean quiet;
 
@@ -79,7 +80,7 @@
                     case PING -> send(new ByteBuf().putVarUInt(ServerPacket.PONG.ordinal()));
                     case QUERY -> query();
                     case DATA -> readData(false);
-                    case CANCEL -> { }
+                    case CANCEL -> {}
                     default -> throw new IOException("a second Hello");
                 }
             }
@@ -116,7 +117,8 @@
                     Thread.sleep(LOOK_MS);
                 }
             }
-            case GARBAGE -> out.write(new byte[] {99, 98, 97, 96, (byte) 255, (byte) 255, (byte) 255});
+            case GARBAGE ->
+                    out.write(new byte[] {99, 98, 97, 96, (byte) 255, (byte) 255, (byte) 255});
             case HALF_PACKET -> {
                 if (packet != null) {
                     out.write(packet.array(), 0, packet.size() / 2);
@@ -129,7 +131,7 @@
                     out.write(bytes);
                 }
             }
-            default -> { }
+            default -> {}
         }
         throw new Broken();
     }
@@ -143,7 +145,8 @@
         revision = Math.min(Revision.HIGHEST, hello.revision());
         client = hello.name();
         ByteBuf answer = new ByteBuf();
-        new Hello.Server("stand-in", 22, 4, Revision.HIGHEST, "UTC", config.name(), 0).write(revision, answer);
+        new Hello.Server("stand-in", 22, 4, Revision.HIGHEST, "UTC", config.name(), 0)
+                .write(revision, answer);
         send(answer);
     }
 
@@ -173,7 +176,15 @@
             answerMetrics(q);
             return;
         }
-        entry = new Entry(config.name(), config.kind(), config.zone(), client, q.id(), hints, System.nanoTime());
+        entry =
+                new Entry(
+                        config.name(),
+                        config.kind(),
+                        config.zone(),
+                        client,
+                        q.id(),
+                        hints,
+                        System.nanoTime());
         engine.ledger().begin(entry);
         String upper = text.toUpperCase(Locale.ROOT);
         boolean takesData = upper.startsWith("INSERT") && !upper.contains("SELECT");
@@ -211,7 +222,9 @@
     private void readInsert(QueryPacket q, Hints hints) throws IOException, InterruptedException {
         ByteBuf header = new ByteBuf();
         if (Revision.hasTableColumns(revision)) {
-            header.putVarUInt(ServerPacket.TABLE_COLUMNS.ordinal()).putString("").putString("columns format version: 1\n");
+            header.putVarUInt(ServerPacket.TABLE_COLUMNS.ordinal())
+                    .putString("")
+                    .putString("columns format version: 1\n");
         }
         List<Block.Column> columns = new ArrayList<>();
         for (String c : hints.text("columns", "id:UInt64,value:String").split(",")) {
@@ -228,7 +241,10 @@
     }
 
     // ---- Its work
-    /** Works until the statement is done; false where it has ended otherwise, which is answered or noted. */
+    /**
+     * Works until the statement is done; false where it has ended otherwise, which is answered or
+     * noted.
+     */
     private boolean work(QueryPacket q, Hints hints) throws IOException, InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         Job job = engine.submit(demand(q, hints), done::countDown);
@@ -270,8 +286,15 @@
         String priority = q.setting("priority");
         double grantMb = grant == null ? 0 : Double.parseDouble(grant) / (1 << 20);
         int p = priority == null ? 1 : HIGHEST_PRIORITY - Integer.parseInt(priority);
-        return new Job.Demand(h.number("work_ms", 1), (int) h.whole("threads", 1), h.number("io", 0),
-                h.number("memory_mb", 1), grantMb, p, h.whole("tables", 0), h.whole("holds", 0) > 0,
+        return new Job.Demand(
+                h.number("work_ms", 1),
+                (int) h.whole("threads", 1),
+                h.number("io", 0),
+                h.number("memory_mb", 1),
+                grantMb,
+                p,
+                h.whole("tables", 0),
+                h.whole("holds", 0) > 0,
                 h.whole("waits", 0) > 0);
     }
 
@@ -298,7 +321,9 @@
         List<Object> names = new ArrayList<>(gauges.keySet());
         List<Object> values = new ArrayList<>();
         names.forEach(n -> values.add(gauges.get(n)));
-        Block.of(new Block.Column("metric", "String", names), new Block.Column("value", "Float64", values))
+        Block.of(
+                        new Block.Column("metric", "String", names),
+                        new Block.Column("value", "Float64", values))
                 .write(q.compressed() ? Compression.LZ4 : null, packet);
         packet.putVarUInt(ServerPacket.END_OF_STREAM.ordinal());
         send(packet);
@@ -307,10 +332,16 @@
     private void answer(QueryPacket q, Hints hints, String text, String upper)
             throws IOException, InterruptedException {
         ByteBuf packet = new ByteBuf();
-        Compression compression = !q.compressed() ? null : hints.text("compression", "lz4").equals("zstd")
-                ? Compression.ZSTD : Compression.LZ4;
+        Compression compression =
+                !q.compressed()
+                        ? null
+                        : hints.text("compression", "lz4").equals("zstd")
+                                ? Compression.ZSTD
+                                : Compression.LZ4;
         long rows = 0;
-        boolean insert = upper.startsWith("INSERT"); // at these revisions it ends with the end of the stream alone
+        boolean insert =
+                upper.startsWith(
+                        "INSERT"); // at these revisions it ends with the end of the stream alone
         if (!insert) {
             rows = data(hints, text, compression, packet);
         }
@@ -334,14 +365,20 @@
             throws IOException, InterruptedException {
         long blocksWanted = hints.whole("blocks", 1);
         int rows = (int) hints.whole("rows", 1);
-        Block block = text.equalsIgnoreCase("SELECT 1")
-                ? Block.of(new Block.Column("1", "UInt8", List.of(1L))) : made(hints, rows);
+        Block block =
+                text.equalsIgnoreCase("SELECT 1")
+                        ? Block.of(new Block.Column("1", "UInt8", List.of(1L)))
+                        : made(hints, rows);
         ByteBuf one = new ByteBuf();
         one.putVarUInt(ServerPacket.DATA.ordinal()).putString("");
         block.write(compression, one);
         ByteBuf header = new ByteBuf();
         header.putVarUInt(ServerPacket.DATA.ordinal()).putString("");
-        new Block(block.columns().stream().map(c -> new Block.Column(c.name(), c.type(), List.of())).toList(), 0)
+        new Block(
+                        block.columns().stream()
+                                .map(c -> new Block.Column(c.name(), c.type(), List.of()))
+                                .toList(),
+                        0)
                 .write(compression, header);
         packet.append(header.array(), 0, header.size());
         new Progress(rows, 0, 0, 0, 0).write(revision, packet);
@@ -360,7 +397,11 @@
 
     private void breakAnswer(ByteBuf one, ByteBuf before) throws IOException, InterruptedException {
         if (engine.faults().isAt(Place.ANSWER)) {
-            breakHere(Place.ANSWER, new ByteBuf().append(before.array(), 0, before.size()).append(one.array(), 0, one.size()));
+            breakHere(
+                    Place.ANSWER,
+                    new ByteBuf()
+                            .append(before.array(), 0, before.size())
+                            .append(one.array(), 0, one.size()));
         }
     }
 
@@ -369,12 +410,16 @@
         List<Object> texts = new ArrayList<>();
         String value = hints.text("value", config.name());
         int width = (int) hints.whole("width", 0);
-        String wide = width > 0 ? value.repeat(width / Math.max(1, value.length()) + 1).substring(0, width) : value;
+        String wide =
+                width > 0
+                        ? value.repeat(width / Math.max(1, value.length()) + 1).substring(0, width)
+                        : value;
         for (int i = 0; i < rows; i++) {
             ids.add((long) i);
             texts.add(wide);
         }
-        return Block.of(new Block.Column("id", "UInt64", ids), new Block.Column("value", "String", texts));
+        return Block.of(
+                new Block.Column("id", "UInt64", ids), new Block.Column("value", "String", texts));
     }
 
     private void events(Hints hints, ByteBuf packet) throws IOException {
@@ -383,18 +428,27 @@
         }
         Map<String, Double> gauges = engine.gauges();
         List<Object> names = new ArrayList<>(List.of("WorkMilliseconds", "MemoryMegabytes"));
-        List<Object> values = new ArrayList<>(List.of(hints.whole("work_ms", 1), hints.whole("memory_mb", 1)));
-        gauges.forEach((n, v) -> {
-            names.add(n + "Permille");
-            values.add((long) (v * 1000));
-        });
+        List<Object> values =
+                new ArrayList<>(List.of(hints.whole("work_ms", 1), hints.whole("memory_mb", 1)));
+        gauges.forEach(
+                (n, v) -> {
+                    names.add(n + "Permille");
+                    values.add((long) (v * 1000));
+                });
         int rows = names.size();
         packet.putVarUInt(ServerPacket.PROFILE_EVENTS.ordinal()).putString("");
-        Block.of(new Block.Column("host_name", "String", repeated(config.name(), rows)),
-                new Block.Column("current_time", "DateTime", repeated(System.currentTimeMillis() / 1000, rows)),
-                new Block.Column("thread_id", "UInt64", repeated(1L, rows)),
-                new Block.Column("type", "Enum8('increment' = 1, 'gauge' = 2)", repeated(2L, rows)),
-                new Block.Column("name", "String", names), new Block.Column("value", "Int64", values)).write(null, packet);
+        Block.of(
+                        new Block.Column("host_name", "String", repeated(config.name(), rows)),
+                        new Block.Column(
+                                "current_time",
+                                "DateTime",
+                                repeated(System.currentTimeMillis() / 1000, rows)),
+                        new Block.Column("thread_id", "UInt64", repeated(1L, rows)),
+                        new Block.Column(
+                                "type", "Enum8('increment' = 1, 'gauge' = 2)", repeated(2L, rows)),
+                        new Block.Column("name", "String", names),
+                        new Block.Column("value", "Int64", values))
+                .write(null, packet);
     }
 
     private static List<Object> repeated(Object value, int times) {
--- a/standin/src/main/java/ashlink/standin/StandInEngine.java
+++ b/standin/src/main/java/ashlink/standin/StandInEngine.java
@@ -18,8 +18,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A stand-in engine: a listener, a thread for each connection, and the model that says how long work takes. Faults are
- * set on {@link #faults}; {@link #crash} and {@link #restart} keep the port.
+ * A stand-in engine: a listener, a thread for each connection, and the model that says how long
+ * work takes. Faults are set on {@link #faults}; {@link #crash} and {@link #restart} keep the port.
  */
 public final class StandInEngine {
 
@@ -47,7 +47,8 @@
     public StandInEngine(EngineConfig config) throws IOException {
         this.config = config;
         this.ledger = new Ledger(config.ledger());
-        this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(config.seed() ^ config.name().hashCode());
+        this.random =
+                RandomSource.XO_RO_SHI_RO_128_PP.create(config.seed() ^ config.name().hashCode());
     }
 
     /** Starts it; warm as if it had run for long. */
@@ -75,7 +76,10 @@
         ticker = thread(config.name() + "-model", () -> tick(mine));
     }
 
-    /** Binds; the port of a crashed listener is free only once the thread that accepted there has noticed. */
+    /**
+     * Binds; the port of a crashed listener is free only once the thread that accepted there has
+     * noticed.
+     */
     private static ServerSocketChannel bind(InetSocketAddress to) throws IOException {
         long until = System.nanoTime() + REBIND_NS;
         while (true) {
@@ -101,7 +105,10 @@
         return t;
     }
 
-    /** Ends at once: connections break, work is lost, connects are refused until it is started again. */
+    /**
+     * Ends at once: connections break, work is lost, connects are refused until it is started
+     * again.
+     */
     public void crash() {
         List<Runnable> hooks;
         synchronized (this) {
@@ -126,7 +133,9 @@
 
     private static void close(SocketChannel c) {
         try {
-            c.setOption(java.net.StandardSocketOptions.SO_LINGER, 0); // a reset, as of a process that died
+            c.setOption(
+                    java.net.StandardSocketOptions.SO_LINGER,
+                    0); // a reset, as of a process that died
             c.close();
         } catch (IOException e) {
             // closed all the same
@@ -139,13 +148,15 @@
                 SocketChannel c = from.accept();
                 c.setOption(java.net.StandardSocketOptions.TCP_NODELAY, true);
                 sockets.add(c);
-                thread(config.name() + "-session", () -> {
-                    try {
-                        new Session(this, c).run();
-                    } finally {
-                        sockets.remove(c);
-                    }
-                });
+                thread(
+                        config.name() + "-session",
+                        () -> {
+                            try {
+                                new Session(this, c).run();
+                            } finally {
+                                sockets.remove(c);
+                            }
+                        });
             } catch (IOException e) {
                 if (from.isOpen()) {
                     Thread.onSpinWait();
@@ -189,7 +200,10 @@
         }
     }
 
-    /** Takes a job; {@code done} runs once it is done or the engine has crashed. Null: it takes no more at once. */
+    /**
+     * Takes a job; {@code done} runs once it is done or the engine has crashed. Null: it takes no
+     * more at once.
+     */
     synchronized Job submit(Job.Demand demand, Runnable done) {
         if (down || model.inHand() >= config.sessions()) {
             return null;
@@ -266,9 +280,19 @@
         if (!late.isEmpty()) {
             notifyAll();
         }
-        return Map.of("QueriesWaiting", (double) model.waiting(), "CoresBusy", model.coresBusy(), "MemoryGranted",
-                model.memoryGranted(), "DisksBusy", model.disksBusy(), "QueriesInHand", (double) model.inHand(),
-                "Uptime", model.upMs() / 1000);
+        return Map.of(
+                "QueriesWaiting",
+                (double) model.waiting(),
+                "CoresBusy",
+                model.coresBusy(),
+                "MemoryGranted",
+                model.memoryGranted(),
+                "DisksBusy",
+                model.disksBusy(),
+                "QueriesInHand",
+                (double) model.inHand(),
+                "Uptime",
+                model.upMs() / 1000);
     }
 
     synchronized double drawn() {
--- a/standin/src/main/java/ashlink/standin/model/EngineModel.java
+++ b/standin/src/main/java/ashlink/standin/model/EngineModel.java
@@ -6,16 +6,22 @@
 import java.util.List;
 
 /**
- * An engine that runs all it is sent at once. Jobs share cores by their threads and priorities, and disks by the part of
- * their work that reads or writes; beyond the knee of threads a core the total falls. Times are milliseconds of the
- * caller; {@link #advance} moves them on. Not safe for threads: its owner locks.
+ * An engine that runs all it is sent at once. Jobs share cores by their threads and priorities, and
+ * disks by the part of their work that reads or writes; beyond the knee of threads a core the total
+ * falls. Times are milliseconds of the caller; {@link #advance} moves them on. Not safe for
+ * threads: its owner locks.
  */
 public final class EngineModel {
 
-    /** Longest step over which rates are taken as constant while they change: a cold engine warms up. */
+    /**
+     * Longest step over which rates are taken as constant while they change: a cold engine warms
+     * up.
+     */
     private static final double RAMP_STEP_MS = 20;
+
     /** Shares of priorities 0 to 3 when cores or disks are short. */
     private static final double[] WEIGHTS = {1, 4, 8, 16};
+
     private static final double OWN_CHOICE = 1.25;
     private static final double MOST_GRANT = 0.4;
 
@@ -47,7 +53,10 @@
         paused = p;
     }
 
-    /** True once it was sent too much while it was cold; it does nothing more until it is started again. */
+    /**
+     * True once it was sent too much while it was cold; it does nothing more until it is started
+     * again.
+     */
     public boolean hasFallen() {
         return fallen;
     }
@@ -98,7 +107,10 @@
         return done;
     }
 
-    /** Time from now until a job ends or the rates change, in milliseconds; infinite where nothing runs. */
+    /**
+     * Time from now until a job ends or the rates change, in milliseconds; infinite where nothing
+     * runs.
+     */
     public double nextChangeMs() {
         double[] rates = rates();
         double next = Double.POSITIVE_INFINITY;
@@ -149,16 +161,23 @@
     private double warmth() {
         double coldMs = config.coldNs() / 1e6;
         double up = now - startedMs;
-        return coldMs <= 0 || up >= coldMs ? 1 : config.coldFrom() + (1 - config.coldFrom()) * up / coldMs;
+        return coldMs <= 0 || up >= coldMs
+                ? 1
+                : config.coldFrom() + (1 - config.coldFrom()) * up / coldMs;
     }
 
     private double threads() {
-        return jobs.stream().filter(j -> j.state() == Job.State.RUNS).mapToDouble(j -> j.demand().threads()).sum();
+        return jobs.stream()
+                .filter(j -> j.state() == Job.State.RUNS)
+                .mapToDouble(j -> j.demand().threads())
+                .sum();
     }
 
     private double reading() {
-        return jobs.stream().filter(j -> j.state() == Job.State.RUNS)
-                .mapToDouble(j -> j.demand().threads() * j.demand().ioShare()).sum();
+        return jobs.stream()
+                .filter(j -> j.state() == Job.State.RUNS)
+                .mapToDouble(j -> j.demand().threads() * j.demand().ioShare())
+                .sum();
     }
 
     // ---- Rates
@@ -183,8 +202,12 @@
         for (int i = 0; i < rates.length; i++) {
             Job j = jobs.get(i);
             if (j.state() == Job.State.RUNS) {
-                double share = Math.min(j.demand().threads(), threads <= cores ? j.demand().threads()
-                        : cores * weight(j) / weights);
+                double share =
+                        Math.min(
+                                j.demand().threads(),
+                                threads <= cores
+                                        ? j.demand().threads()
+                                        : cores * weight(j) / weights);
                 double io = j.demand().ioShare();
                 rates[i] = each * share / (1 - io + io * diskShort);
             }
@@ -200,20 +223,27 @@
     /** Lets in what may run now: memory by priority and turn, tables by turn. */
     private void admit() {
         List<Job> line = new ArrayList<>(jobs);
-        line.sort(Comparator.comparingInt((Job j) -> -j.demand().priority()).thenComparingLong(Job::sequence));
+        line.sort(
+                Comparator.comparingInt((Job j) -> -j.demand().priority())
+                        .thenComparingLong(Job::sequence));
         boolean shortOfMemory = false;
         for (Job j : line) {
             if (j.state() == Job.State.WAITS_FOR_MEMORY && !shortOfMemory) {
                 shortOfMemory = !grant(j);
             }
         }
-        jobs.stream().filter(j -> j.state() == Job.State.WAITS_FOR_TABLES && !isBarred(j))
+        jobs.stream()
+                .filter(j -> j.state() == Job.State.WAITS_FOR_TABLES && !isBarred(j))
                 .forEach(j -> j.state(Job.State.RUNS));
     }
 
     private boolean grant(Job j) {
-        double wanted = Math.min(MOST_GRANT * config.memoryMb(),
-                j.demand().grantMb() > 0 ? j.demand().grantMb() : OWN_CHOICE * j.demand().memoryMb());
+        double wanted =
+                Math.min(
+                        MOST_GRANT * config.memoryMb(),
+                        j.demand().grantMb() > 0
+                                ? j.demand().grantMb()
+                                : OWN_CHOICE * j.demand().memoryMb());
         double free = config.memoryMb() * (1 - memoryGranted());
         if (wanted > free && config.memoryLine() && memoryGranted() > 0) {
             return false;
@@ -228,8 +258,15 @@
         if (!j.demand().waits() && !j.demand().holds()) {
             return false;
         }
-        return jobs.stream().anyMatch(o -> o != j && o.demand().holds() && o.demand().tables() == j.demand().tables()
-                && (o.state() == Job.State.RUNS || o.state() == Job.State.WAITS_FOR_TABLES && o.sequence() < j.sequence()));
+        return jobs.stream()
+                .anyMatch(
+                        o ->
+                                o != j
+                                        && o.demand().holds()
+                                        && o.demand().tables() == j.demand().tables()
+                                        && (o.state() == Job.State.RUNS
+                                                || o.state() == Job.State.WAITS_FOR_TABLES
+                                                        && o.sequence() < j.sequence()));
     }
 
     /** A cold engine falls over when, over the window, it was sent a multiple of what it can do. */
--- a/standin/src/main/java/ashlink/standin/model/Job.java
+++ b/standin/src/main/java/ashlink/standin/model/Job.java
@@ -4,11 +4,25 @@
 public final class Job {
 
     /** What a statement asks of an engine; {@code grantMb} 0 is the engine's own choice. */
-    public record Demand(double workMs, int threads, double ioShare, double memoryMb, double grantMb, int priority,
-            long tables, boolean holds, boolean waits) { }
+    public record Demand(
+            double workMs,
+            int threads,
+            double ioShare,
+            double memoryMb,
+            double grantMb,
+            int priority,
+            long tables,
+            boolean holds,
+            boolean waits) {}
 
     /** Where a job stands. */
-    public enum State { WAITS_FOR_MEMORY, WAITS_FOR_TABLES, RUNS, DONE, DROPPED }
+    public enum State {
+        WAITS_FOR_MEMORY,
+        WAITS_FOR_TABLES,
+        RUNS,
+        DONE,
+        DROPPED
+    }
 
     private final Demand demand;
     private final long sequence;
--- a/standin/src/main/java/ashlink/standin/model/package-info.java
+++ b/standin/src/main/java/ashlink/standin/model/package-info.java
@@ -1,2 +1,5 @@
-/** How an engine works off what it is given: cores, disks, memory, held tables, warming up, falling over. No I/O, no clock. */
+/**
+ * How an engine works off what it is given: cores, disks, memory, held tables, warming up, falling
+ * over. No I/O, no clock.
+ */
 package ashlink.standin.model;
--- a/wire/src/main/java/ashlink/wire/Block.java
+++ b/wire/src/main/java/ashlink/wire/Block.java
@@ -9,7 +9,7 @@
     public static final Block END = new Block(List.of(), 0);
 
     /** A column; its values are Long, Double or String by its type. */
-    public record Column(String name, String type, List<Object> values) { }
+    public record Column(String name, String type, List<Object> values) {}
 
     /** A block of these columns. */
     public static Block of(Column... columns) {
--- a/wire/src/main/java/ashlink/wire/Blocks.java
+++ b/wire/src/main/java/ashlink/wire/Blocks.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Reads blocks of one peer: only to their end, or whole where all columns are of plain types. One for each connection;
- * it keeps the types that it parsed last.
+ * Reads blocks of one peer: only to their end, or whole where all columns are of plain types. One
+ * for each connection; it keeps the types that it parsed last.
  */
 public final class Blocks {
 
@@ -28,12 +28,13 @@
     private final StreamSource in;
     private final FrameSource frames;
     private final WireLimits limits;
-    private final Map<String, ColumnType> types = new LinkedHashMap<>(16, 0.75f, true) {
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, ColumnType> eldest) {
-            return size() > TYPES_KEPT;
-        }
-    };
+    private final Map<String, ColumnType> types =
+            new LinkedHashMap<>(16, 0.75f, true) {
+                @Override
+                protected boolean removeEldestEntry(Map.Entry<String, ColumnType> eldest) {
+                    return size() > TYPES_KEPT;
+                }
+            };
 
     /** Reads from that stream. */
     public Blocks(StreamSource in, WireLimits limits) {
@@ -81,9 +82,12 @@
     }
 
     /** A block's columns with all their values, exactly. */
-    public record Table(List<String> names, List<String> types, List<Object[]> columns, int rows) { }
+    public record Table(List<String> names, List<String> types, List<Object[]> columns, int rows) {}
 
-    /** Reads the block that follows with the values of all types; the block is in memory, and no longer than its bytes tell. */
+    /**
+     * Reads the block that follows with the values of all types; the block is in memory, and no
+     * longer than its bytes tell.
+     */
     public Table readValues(int mostRows) throws IOException {
         readInfo(in);
         int columns = (int) in.readCount("number of columns", limits.columns());
@@ -119,7 +123,9 @@
             } else if (field == INFO_BUCKET) {
                 from.readInt();
             } else {
-                throw new WireException(WireException.Reason.MALFORMED, "field " + field + " of a block is unknown");
+                throw new WireException(
+                        WireException.Reason.MALFORMED,
+                        "field " + field + " of a block is unknown");
             }
         }
     }
--- a/wire/src/main/java/ashlink/wire/ByteBuf.java
+++ b/wire/src/main/java/ashlink/wire/ByteBuf.java
@@ -16,7 +16,11 @@
     private static final VarHandle LONG =
             MethodHandles.byteArrayViewVarHandle(long[].class, ByteOrder.LITTLE_ENDIAN);
     private static final int FIRST_BYTES = 1024;
-    /** A buffer that grew beyond this is let go when it is cleared: one large packet must not stay in memory. */
+
+    /**
+     * A buffer that grew beyond this is let go when it is cleared: one large packet must not stay
+     * in memory.
+     */
     private static final int KEPT_BYTES = 4 << 20;
 
     private final long mostBytes;
@@ -45,7 +49,9 @@
         return size;
     }
 
-    /** The array that holds the bytes, from 0 to {@link #size}; it changes when more is appended. */
+    /**
+     * The array that holds the bytes, from 0 to {@link #size}; it changes when more is appended.
+     */
     public byte[] array() {
         return bytes;
     }
@@ -83,13 +89,16 @@
 
     private void room(int more) throws WireException {
         if ((long) size + more > mostBytes) {
-            throw new WireException(WireException.Reason.TOO_LARGE,
+            throw new WireException(
+                    WireException.Reason.TOO_LARGE,
                     "a packet is over the limit of " + mostBytes + " bytes");
         }
         if (size + more > bytes.length) {
             int wanted = (int) Math.max(size + more, Math.min(mostBytes, bytes.length * 2L));
             if (!quota.take(wanted - bytes.length)) {
-                throw new WireException(WireException.Reason.TOO_LARGE, "the memory set aside for answers is used up");
+                throw new WireException(
+                        WireException.Reason.TOO_LARGE,
+                        "the memory set aside for answers is used up");
             }
             bytes = Arrays.copyOf(bytes, wanted);
         }
--- a/wire/src/main/java/ashlink/wire/ByteSource.java
+++ b/wire/src/main/java/ashlink/wire/ByteSource.java
@@ -18,6 +18,7 @@
 
     /** Bytes in hand: from {@code pos} to {@code end}. */
     protected byte[] buffer;
+
     protected int pos;
     protected int end;
 
@@ -26,12 +27,16 @@
         this.buffer = buffer;
     }
 
-    /** Replaces the bytes in hand, all of which were read, by at least one more; false at the end of the stream. */
+    /**
+     * Replaces the bytes in hand, all of which were read, by at least one more; false at the end of
+     * the stream.
+     */
     protected abstract boolean refill() throws IOException;
 
     private void more() throws IOException {
         if (!refill()) {
-            throw new WireException(WireException.Reason.TRUNCATED, "the stream ends within a value");
+            throw new WireException(
+                    WireException.Reason.TRUNCATED, "the stream ends within a value");
         }
     }
 
@@ -73,19 +78,23 @@
             value |= (long) (b & 0x7f) << (7 * i);
             if (b < 0x80) {
                 if (value < 0 || i == VAR_BYTES - 1 && b > 0) {
-                    throw new WireException(WireException.Reason.TOO_LARGE, "a number is over 2^63 - 1");
+                    throw new WireException(
+                            WireException.Reason.TOO_LARGE, "a number is over 2^63 - 1");
                 }
                 return value;
             }
         }
-        throw new WireException(WireException.Reason.MALFORMED, "a number has over " + VAR_BYTES + " bytes");
+        throw new WireException(
+                WireException.Reason.MALFORMED, "a number has over " + VAR_BYTES + " bytes");
     }
 
     /** Reads an unsigned number that is a length or count of {@code what}, at most {@code most}. */
     public final long readCount(String what, long most) throws IOException {
         long value = readVarUInt();
         if (value > most) {
-            throw new WireException(WireException.Reason.TOO_LARGE, what + " is " + value + ", over the limit of " + most);
+            throw new WireException(
+                    WireException.Reason.TOO_LARGE,
+                    what + " is " + value + ", over the limit of " + most);
         }
         return value;
     }
@@ -117,7 +126,10 @@
         return bytes;
     }
 
-    /** Reads a text with its length before it; bytes that are no UTF-8 become the replacement character. */
+    /**
+     * Reads a text with its length before it; bytes that are no UTF-8 become the replacement
+     * character.
+     */
     public final String readString(String what, int most) throws IOException {
         int length = (int) readCount("length of " + what, most);
         if (end - pos >= length) {
--- a/wire/src/main/java/ashlink/wire/CityHash.java
+++ b/wire/src/main/java/ashlink/wire/CityHash.java
@@ -5,8 +5,9 @@
 import java.nio.ByteOrder;
 
 /**
- * CityHash128 as of version 1.0.2, the checksum of compressed frames. Later versions of the hash, which libraries
- * offer, give other values. A number of 128 bits is written as two longs, the low one first.
+ * CityHash128 as of version 1.0.2, the checksum of compressed frames. Later versions of the hash,
+ * which libraries offer, give other values. A number of 128 bits is written as two longs, the low
+ * one first.
  */
 public final class CityHash {
 
@@ -20,7 +21,7 @@
     private static final long K3 = 0xc949d7c7509e6557L;
     private static final long MUL = 0x9ddfea08eb382d69L;
 
-    private CityHash() { }
+    private CityHash() {}
 
     /** Hashes a part of an array; returns the low and the high half. */
     public static long[] hash128(byte[] s, int from, int length) {
--- a/wire/src/main/java/ashlink/wire/ClientInfo.java
+++ b/wire/src/main/java/ashlink/wire/ClientInfo.java
@@ -3,16 +3,27 @@
 import java.io.IOException;
 
 /**
- * What a Query packet tells of the client behind it. Trace and replica fields are passed over: a router is the first
- * and only hop.
+ * What a Query packet tells of the client behind it. Trace and replica fields are passed over: a
+ * router is the first and only hop.
  */
-public record ClientInfo(String user, String queryId, String address, String osUser, String host, String name,
-        int major, int minor, int revision, int patch, String quotaKey) {
+public record ClientInfo(
+        String user,
+        String queryId,
+        String address,
+        String osUser,
+        String host,
+        String name,
+        int major,
+        int minor,
+        int revision,
+        int patch,
+        String quotaKey) {
 
     private static final int INITIAL_QUERY = 1;
     private static final int TCP = 1;
     private static final int HTTP = 2;
     private static final int TRACE_BYTES = 24;
+
     /** One that tells nothing. */
     public static final ClientInfo NONE = new ClientInfo("", "", "", "", "", "", 0, 0, 0, 0, "");
 
@@ -57,8 +68,10 @@
         if (revision >= Revision.DISTRIBUTED_DEPTH) {
             in.readVarUInt();
         }
-        int patch = revision >= Revision.VERSION_PATCH && door == TCP
-                ? (int) in.readCount("version", Integer.MAX_VALUE) : 0;
+        int patch =
+                revision >= Revision.VERSION_PATCH && door == TCP
+                        ? (int) in.readCount("version", Integer.MAX_VALUE)
+                        : 0;
         if (revision >= Revision.OPENTELEMETRY && in.readFlag()) {
             in.skip(TRACE_BYTES);
             in.readString("trace state", most);
@@ -69,7 +82,8 @@
             in.readVarUInt();
             in.readVarUInt();
         }
-        return new ClientInfo(user, id, address, osUser, host, name, major, minor, spoken, patch, quotaKey);
+        return new ClientInfo(
+                user, id, address, osUser, host, name, major, minor, spoken, patch, quotaKey);
     }
 
     /** Appends it for a peer of that revision. */
@@ -78,7 +92,12 @@
         if (peer >= Revision.INITIAL_QUERY_START_TIME) {
             to.putLong(0);
         }
-        to.putByte(TCP).putString(osUser).putString(host).putString(name).putVarUInt(major).putVarUInt(minor)
+        to.putByte(TCP)
+                .putString(osUser)
+                .putString(host)
+                .putString(name)
+                .putVarUInt(major)
+                .putVarUInt(minor)
                 .putVarUInt(revision);
         if (peer >= Revision.QUOTA_KEY) {
             to.putString(quotaKey);
--- a/wire/src/main/java/ashlink/wire/ClientPacket.java
+++ b/wire/src/main/java/ashlink/wire/ClientPacket.java
@@ -16,7 +16,9 @@
     /** The kind of that number; anything else is malformed. */
     public static ClientPacket of(long number) throws WireException {
         if (number < 0 || number >= values().length) {
-            throw new WireException(WireException.Reason.MALFORMED, "a client's packet of kind " + number + " is unknown");
+            throw new WireException(
+                    WireException.Reason.MALFORMED,
+                    "a client's packet of kind " + number + " is unknown");
         }
         return values()[(int) number];
     }
--- a/wire/src/main/java/ashlink/wire/ColumnType.java
+++ b/wire/src/main/java/ashlink/wire/ColumnType.java
@@ -10,7 +10,7 @@
     long TEXT_BYTES = Integer.MAX_VALUE;
 
     /** Passes over what stands before the values of a column, once for a column with rows. */
-    default void skipPrefix(ByteSource in) throws IOException { }
+    default void skipPrefix(ByteSource in) throws IOException {}
 
     /** Passes over that many values. */
     void skipValues(ByteSource in, long rows) throws IOException;
@@ -58,7 +58,8 @@
                 in.skip(product(Long.BYTES, rows - 1));
                 long elements = in.readLong();
                 if (elements < 0) {
-                    throw new WireException(WireException.Reason.TOO_LARGE, "an array ends past 2^63");
+                    throw new WireException(
+                            WireException.Reason.TOO_LARGE, "an array ends past 2^63");
                 }
                 inner.skipValues(in, elements);
             }
@@ -92,7 +93,8 @@
         public void skipPrefix(ByteSource in) throws IOException {
             long version = in.readLong();
             if (version != VERSION) {
-                throw new WireException(WireException.Reason.UNKNOWN_TYPE,
+                throw new WireException(
+                        WireException.Reason.UNKNOWN_TYPE,
                         "low-cardinality columns of version " + version + " are unknown");
             }
         }
@@ -104,13 +106,15 @@
                 long flags = in.readLong();
                 int width = (int) (flags & 0xff);
                 if (width > 3 || (flags & SHARED_KEYS) != 0 || (flags & OWN_KEYS) == 0) {
-                    throw new WireException(WireException.Reason.UNKNOWN_TYPE,
+                    throw new WireException(
+                            WireException.Reason.UNKNOWN_TYPE,
                             "a dictionary with flags " + Long.toHexString(flags) + " is unknown");
                 }
                 inner.skipValues(in, in.readLong());
                 long here = in.readLong();
                 if (here <= 0 || here > left) {
-                    throw new WireException(WireException.Reason.MALFORMED,
+                    throw new WireException(
+                            WireException.Reason.MALFORMED,
                             "a dictionary is followed by " + here + " of " + left + " values");
                 }
                 in.skip(product(1L << width, here));
@@ -122,7 +126,9 @@
     private static long product(long size, long count) throws WireException {
         long product = size * count;
         if (size < 0 || count < 0 || Math.multiplyHigh(size, count) != 0 || product < 0) {
-            throw new WireException(WireException.Reason.TOO_LARGE, count + " values of " + size + " bytes are too many");
+            throw new WireException(
+                    WireException.Reason.TOO_LARGE,
+                    count + " values of " + size + " bytes are too many");
         }
         return product;
     }
--- a/wire/src/main/java/ashlink/wire/Compression.java
+++ b/wire/src/main/java/ashlink/wire/Compression.java
@@ -8,8 +8,8 @@
 import net.jpountz.lz4.LZ4SafeDecompressor;
 
 /**
- * Compressed frames: a checksum of 16 bytes over all that follows, a byte for the method, the size with its nine bytes
- * of header, the size before compression, the data.
+ * Compressed frames: a checksum of 16 bytes over all that follows, a byte for the method, the size
+ * with its nine bytes of header, the size before compression, the data.
  */
 public enum Compression {
     /** Not compressed, yet framed. */
@@ -21,11 +21,14 @@
 
     static final int CHECKSUM_BYTES = 16;
     static final int HEADER_BYTES = 9;
+
     /** The largest piece that one frame is made of, as other programs do. */
     private static final int PIECE_BYTES = 1 << 20;
+
     private static final int ZSTD_LEVEL = 1;
     private static final LZ4Compressor LZ4_WRITE = LZ4Factory.fastestInstance().fastCompressor();
-    private static final LZ4SafeDecompressor LZ4_READ = LZ4Factory.fastestInstance().safeDecompressor();
+    private static final LZ4SafeDecompressor LZ4_READ =
+            LZ4Factory.fastestInstance().safeDecompressor();
 
     private final int method;
 
@@ -39,7 +42,8 @@
                 return c;
             }
         }
-        throw new WireException(WireException.Reason.MALFORMED, "compression method " + method + " is unknown");
+        throw new WireException(
+                WireException.Reason.MALFORMED, "compression method " + method + " is unknown");
     }
 
     /** Appends the bytes as frames. */
@@ -51,15 +55,32 @@
 
     private void frame(byte[] from, int offset, int length, ByteBuf to) throws WireException {
         byte[] out = new byte[HEADER_BYTES + bound(length)];
-        int size = HEADER_BYTES + switch (this) {
-            case NONE -> {
-                System.arraycopy(from, offset, out, HEADER_BYTES, length);
-                yield length;
-            }
-            case LZ4 -> LZ4_WRITE.compress(from, offset, length, out, HEADER_BYTES, out.length - HEADER_BYTES);
-            case ZSTD -> (int) Zstd.compressByteArray(out, HEADER_BYTES, out.length - HEADER_BYTES, from, offset,
-                    length, ZSTD_LEVEL);
-        };
+        int size =
+                HEADER_BYTES
+                        + switch (this) {
+                            case NONE -> {
+                                System.arraycopy(from, offset, out, HEADER_BYTES, length);
+                                yield length;
+                            }
+                            case LZ4 ->
+                                    LZ4_WRITE.compress(
+                                            from,
+                                            offset,
+                                            length,
+                                            out,
+                                            HEADER_BYTES,
+                                            out.length - HEADER_BYTES);
+                            case ZSTD ->
+                                    (int)
+                                            Zstd.compressByteArray(
+                                                    out,
+                                                    HEADER_BYTES,
+                                                    out.length - HEADER_BYTES,
+                                                    from,
+                                                    offset,
+                                                    length,
+                                                    ZSTD_LEVEL);
+                        };
         out[0] = (byte) method;
         for (int i = 0; i < Integer.BYTES; i++) {
             out[1 + i] = (byte) (size >>> 8 * i);
@@ -81,21 +102,25 @@
     void decompress(byte[] from, int offset, int size, byte[] to, int length) throws WireException {
         long made;
         try {
-            made = switch (this) {
-                case NONE -> {
-                    if (size == length) {
-                        System.arraycopy(from, offset, to, 0, length);
-                    }
-                    yield size;
-                }
-                case LZ4 -> LZ4_READ.decompress(from, offset, size, to, 0, length);
-                case ZSTD -> Zstd.decompressByteArray(to, 0, length, from, offset, size);
-            };
+            made =
+                    switch (this) {
+                        case NONE -> {
+                            if (size == length) {
+                                System.arraycopy(from, offset, to, 0, length);
+                            }
+                            yield size;
+                        }
+                        case LZ4 -> LZ4_READ.decompress(from, offset, size, to, 0, length);
+                        case ZSTD -> Zstd.decompressByteArray(to, 0, length, from, offset, size);
+                    };
         } catch (LZ4Exception | ZstdException e) {
-            throw new WireException(WireException.Reason.MALFORMED, "a compressed frame is damaged: " + e.getMessage());
+            throw new WireException(
+                    WireException.Reason.MALFORMED,
+                    "a compressed frame is damaged: " + e.getMessage());
         }
         if (made != length) {
-            throw new WireException(WireException.Reason.MALFORMED,
+            throw new WireException(
+                    WireException.Reason.MALFORMED,
                     "a compressed frame holds " + made + " bytes and says " + length);
         }
     }
--- a/wire/src/main/java/ashlink/wire/FrameSource.java
+++ b/wire/src/main/java/ashlink/wire/FrameSource.java
@@ -27,9 +27,16 @@
         int length = in.readInt();
         Compression compression = Compression.of(method);
         if (size < REST || size - REST > mostBytes || length <= 0 || length > mostBytes) {
-            throw new WireException(size < REST || length == 0 ? WireException.Reason.MALFORMED
-                    : WireException.Reason.TOO_LARGE, "a compressed frame of " + Integer.toUnsignedString(size)
-                    + " bytes holds " + Integer.toUnsignedString(length) + ", the limit is " + mostBytes);
+            throw new WireException(
+                    size < REST || length == 0
+                            ? WireException.Reason.MALFORMED
+                            : WireException.Reason.TOO_LARGE,
+                    "a compressed frame of "
+                            + Integer.toUnsignedString(size)
+                            + " bytes holds "
+                            + Integer.toUnsignedString(length)
+                            + ", the limit is "
+                            + mostBytes);
         }
         if (frame.length < size) {
             frame = new byte[size];
@@ -42,7 +49,8 @@
         in.readFully(frame, REST, size - REST);
         long[] sum = CityHash.hash128(frame, 0, size);
         if (sum[0] != low || sum[1] != high) {
-            throw new WireException(WireException.Reason.CHECKSUM, "the checksum of a compressed frame is wrong");
+            throw new WireException(
+                    WireException.Reason.CHECKSUM, "the checksum of a compressed frame is wrong");
         }
         if (buffer.length < length) {
             buffer = new byte[length];
@@ -56,7 +64,8 @@
     /** Lets go of large buffers between blocks; all in hand must have been read. */
     void endOfBlock() throws WireException {
         if (pos != end) {
-            throw new WireException(WireException.Reason.MALFORMED, "a compressed frame goes on past its block");
+            throw new WireException(
+                    WireException.Reason.MALFORMED, "a compressed frame goes on past its block");
         }
     }
 }
--- a/wire/src/main/java/ashlink/wire/Hello.java
+++ b/wire/src/main/java/ashlink/wire/Hello.java
@@ -5,27 +5,52 @@
 /** The packets that open a connection. */
 public final class Hello {
 
-    private Hello() { }
+    private Hello() {}
 
     /** What a client says of itself; the kind of packet is read and written with it. */
-    public record Client(String name, int major, int minor, int revision, String database, String user, String password) {
+    public record Client(
+            String name,
+            int major,
+            int minor,
+            int revision,
+            String database,
+            String user,
+            String password) {
 
         /** Reads what follows the kind. */
         public static Client read(ByteSource in, WireLimits limits) throws IOException {
-            return new Client(in.readString("client name", limits.nameBytes()), version(in), version(in),
-                    (int) in.readCount("revision", Integer.MAX_VALUE), in.readString("database", limits.nameBytes()),
-                    in.readString("user", limits.nameBytes()), in.readString("password", limits.nameBytes()));
+            return new Client(
+                    in.readString("client name", limits.nameBytes()),
+                    version(in),
+                    version(in),
+                    (int) in.readCount("revision", Integer.MAX_VALUE),
+                    in.readString("database", limits.nameBytes()),
+                    in.readString("user", limits.nameBytes()),
+                    in.readString("password", limits.nameBytes()));
         }
 
         /** Appends kind and content. */
         public void write(ByteBuf to) throws WireException {
-            to.putVarUInt(ClientPacket.HELLO.ordinal()).putString(name).putVarUInt(major).putVarUInt(minor)
-                    .putVarUInt(revision).putString(database).putString(user).putString(password);
+            to.putVarUInt(ClientPacket.HELLO.ordinal())
+                    .putString(name)
+                    .putVarUInt(major)
+                    .putVarUInt(minor)
+                    .putVarUInt(revision)
+                    .putString(database)
+                    .putString(user)
+                    .putString(password);
         }
     }
 
     /** What a server says of itself. */
-    public record Server(String name, int major, int minor, int revision, String timezone, String displayName, int patch) {
+    public record Server(
+            String name,
+            int major,
+            int minor,
+            int revision,
+            String timezone,
+            String displayName,
+            int patch) {
 
         /** Reads what follows the kind. */
         public static Server read(ByteSource in, WireLimits limits) throws IOException {
@@ -33,16 +58,24 @@
             int major = version(in);
             int minor = version(in);
             int revision = (int) in.readCount("revision", Integer.MAX_VALUE);
-            String timezone = revision >= Revision.SERVER_TIMEZONE ? in.readString("timezone", limits.nameBytes()) : "";
-            String display = revision >= Revision.SERVER_DISPLAY_NAME
-                    ? in.readString("display name", limits.nameBytes()) : "";
+            String timezone =
+                    revision >= Revision.SERVER_TIMEZONE
+                            ? in.readString("timezone", limits.nameBytes())
+                            : "";
+            String display =
+                    revision >= Revision.SERVER_DISPLAY_NAME
+                            ? in.readString("display name", limits.nameBytes())
+                            : "";
             int patch = revision >= Revision.VERSION_PATCH ? version(in) : 0;
             return new Server(name, major, minor, revision, timezone, display, patch);
         }
 
         /** Appends kind and content for a client of that revision. */
         public void write(int clientRevision, ByteBuf to) throws WireException {
-            to.putVarUInt(ServerPacket.HELLO.ordinal()).putString(name).putVarUInt(major).putVarUInt(minor)
+            to.putVarUInt(ServerPacket.HELLO.ordinal())
+                    .putString(name)
+                    .putVarUInt(major)
+                    .putVarUInt(minor)
                     .putVarUInt(revision);
             if (clientRevision >= Revision.SERVER_TIMEZONE) {
                 to.putString(timezone);
--- a/wire/src/main/java/ashlink/wire/PlainValues.java
+++ b/wire/src/main/java/ashlink/wire/PlainValues.java
@@ -4,12 +4,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Values of plain types, as this program itself makes and reads them: numbers up to 64 bits, texts, times. */
+/**
+ * Values of plain types, as this program itself makes and reads them: numbers up to 64 bits, texts,
+ * times.
+ */
 final class PlainValues {
 
-    private PlainValues() { }
+    private PlainValues() {}
 
-    static List<Object> read(String type, int rows, ByteSource from, WireLimits limits) throws IOException {
+    static List<Object> read(String type, int rows, ByteSource from, WireLimits limits)
+            throws IOException {
         List<Object> values = new ArrayList<>(Math.min(rows, 1024));
         for (int i = 0; i < rows; i++) {
             values.add(readOne(type, from, limits));
@@ -17,7 +21,8 @@
         return values;
     }
 
-    private static Object readOne(String type, ByteSource from, WireLimits limits) throws IOException {
+    private static Object readOne(String type, ByteSource from, WireLimits limits)
+            throws IOException {
         return switch (base(type)) {
             case "String" -> from.readString("a text", limits.textBytes());
             case "UInt8", "Bool" -> (long) from.readByte();
@@ -29,8 +34,10 @@
             case "UInt64", "Int64" -> from.readLong();
             case "Float32" -> (double) Float.intBitsToFloat(from.readInt());
             case "Float64" -> Double.longBitsToDouble(from.readLong());
-            default -> throw new WireException(WireException.Reason.UNKNOWN_TYPE,
-                    "values of type " + type + " are not read here");
+            default ->
+                    throw new WireException(
+                            WireException.Reason.UNKNOWN_TYPE,
+                            "values of type " + type + " are not read here");
         };
     }
 
@@ -44,8 +51,10 @@
                 case "UInt64", "Int64" -> to.putLong(whole(v));
                 case "Float32" -> to.putInt(Float.floatToIntBits(((Number) v).floatValue()));
                 case "Float64" -> to.putLong(Double.doubleToLongBits(((Number) v).doubleValue()));
-                default -> throw new WireException(WireException.Reason.UNKNOWN_TYPE,
-                        "values of type " + type + " are not written here");
+                default ->
+                        throw new WireException(
+                                WireException.Reason.UNKNOWN_TYPE,
+                                "values of type " + type + " are not written here");
             }
         }
     }
--- a/wire/src/main/java/ashlink/wire/ProfileInfo.java
+++ b/wire/src/main/java/ashlink/wire/ProfileInfo.java
@@ -3,17 +3,33 @@
 import java.io.IOException;
 
 /** A ProfileInfo packet: figures of a result. */
-public record ProfileInfo(long rows, long blocks, long bytes, boolean limited, long rowsBeforeLimit, boolean counted) {
+public record ProfileInfo(
+        long rows,
+        long blocks,
+        long bytes,
+        boolean limited,
+        long rowsBeforeLimit,
+        boolean counted) {
 
     /** Reads what follows the kind. */
     public static ProfileInfo read(ByteSource in) throws IOException {
-        return new ProfileInfo(in.readVarUInt(), in.readVarUInt(), in.readVarUInt(), in.readFlag(), in.readVarUInt(),
+        return new ProfileInfo(
+                in.readVarUInt(),
+                in.readVarUInt(),
+                in.readVarUInt(),
+                in.readFlag(),
+                in.readVarUInt(),
                 in.readFlag());
     }
 
     /** Appends kind and content. */
     public void write(ByteBuf to) throws WireException {
-        to.putVarUInt(ServerPacket.PROFILE_INFO.ordinal()).putVarUInt(rows).putVarUInt(blocks).putVarUInt(bytes)
-                .putFlag(limited).putVarUInt(rowsBeforeLimit).putFlag(counted);
+        to.putVarUInt(ServerPacket.PROFILE_INFO.ordinal())
+                .putVarUInt(rows)
+                .putVarUInt(blocks)
+                .putVarUInt(bytes)
+                .putFlag(limited)
+                .putVarUInt(rowsBeforeLimit)
+                .putFlag(counted);
     }
 }
--- a/wire/src/main/java/ashlink/wire/QueryPacket.java
+++ b/wire/src/main/java/ashlink/wire/QueryPacket.java
@@ -6,30 +6,63 @@
 import java.util.Set;
 
 /** A statement as it crosses the wire. {@code stage} 2 is to completion. */
-public record QueryPacket(String id, ClientInfo client, List<Setting> settings, int stage, boolean compressed,
+public record QueryPacket(
+        String id,
+        ClientInfo client,
+        List<Setting> settings,
+        int stage,
+        boolean compressed,
         String statement) {
 
     /** Run the statement to its end. */
     public static final int COMPLETE = 2;
+
     private static final int STAGES = 8;
+
     /** Settings that older clients write as a number; all others that they may send are texts. */
-    private static final Set<String> NUMBERS = Set.of("max_execution_time", "max_block_size", "max_threads",
-            "max_memory_usage", "priority", "max_result_rows", "max_rows_to_read", "connect_timeout",
-            "receive_timeout", "send_timeout", "extremes", "log_queries", "readonly", "insert_block_size",
-            "max_insert_block_size", "insert_quorum", "use_client_time_zone");
+    private static final Set<String> NUMBERS =
+            Set.of(
+                    "max_execution_time",
+                    "max_block_size",
+                    "max_threads",
+                    "max_memory_usage",
+                    "priority",
+                    "max_result_rows",
+                    "max_rows_to_read",
+                    "connect_timeout",
+                    "receive_timeout",
+                    "send_timeout",
+                    "extremes",
+                    "log_queries",
+                    "readonly",
+                    "insert_block_size",
+                    "max_insert_block_size",
+                    "insert_quorum",
+                    "use_client_time_zone");
 
     /** Reads what follows the kind, as a peer of that revision writes it. */
-    public static QueryPacket read(ByteSource in, int revision, WireLimits limits) throws IOException {
+    public static QueryPacket read(ByteSource in, int revision, WireLimits limits)
+            throws IOException {
         String id = in.readString("query id", limits.nameBytes());
         ClientInfo client = ClientInfo.read(in, revision, limits);
-        List<Setting> settings = revision >= Revision.SETTINGS_AS_STRINGS
-                ? settings(in, limits) : oldSettings(in, limits);
-        if (revision >= Revision.INTERSERVER_SECRET && !in.readString("secret", limits.nameBytes()).isEmpty()) {
-            throw new WireException(WireException.Reason.MALFORMED, "a secret between servers is not taken here");
+        List<Setting> settings =
+                revision >= Revision.SETTINGS_AS_STRINGS
+                        ? settings(in, limits)
+                        : oldSettings(in, limits);
+        if (revision >= Revision.INTERSERVER_SECRET
+                && !in.readString("secret", limits.nameBytes()).isEmpty()) {
+            throw new WireException(
+                    WireException.Reason.MALFORMED, "a secret between servers is not taken here");
         }
         int stage = (int) in.readCount("stage", STAGES);
         boolean compressed = in.readFlag();
-        return new QueryPacket(id, client, settings, stage, compressed, in.readString("statement", limits.textBytes()));
+        return new QueryPacket(
+                id,
+                client,
+                settings,
+                stage,
+                compressed,
+                in.readString("statement", limits.textBytes()));
     }
 
     private static List<Setting> settings(ByteSource in, WireLimits limits) throws IOException {
@@ -37,7 +70,9 @@
         for (String name = name(in, limits); !name.isEmpty(); name = name(in, limits)) {
             more(settings, limits);
             long flags = in.readVarUInt();
-            settings.add(new Setting(name, flags, in.readString("value of " + name, limits.textBytes())));
+            settings.add(
+                    new Setting(
+                            name, flags, in.readString("value of " + name, limits.textBytes())));
         }
         return List.copyOf(settings);
     }
@@ -46,8 +81,10 @@
         List<Setting> settings = new ArrayList<>();
         for (String name = name(in, limits); !name.isEmpty(); name = name(in, limits)) {
             more(settings, limits);
-            String value = NUMBERS.contains(name) ? Long.toString(in.readVarUInt())
-                    : in.readString("value of " + name, limits.textBytes());
+            String value =
+                    NUMBERS.contains(name)
+                            ? Long.toString(in.readVarUInt())
+                            : in.readString("value of " + name, limits.textBytes());
             settings.add(new Setting(name, 0, value));
         }
         return List.copyOf(settings);
@@ -59,11 +96,16 @@
 
     private static void more(List<Setting> settings, WireLimits limits) throws WireException {
         if (settings.size() >= limits.settings()) {
-            throw new WireException(WireException.Reason.TOO_LARGE, "a query has over " + limits.settings() + " settings");
+            throw new WireException(
+                    WireException.Reason.TOO_LARGE,
+                    "a query has over " + limits.settings() + " settings");
         }
     }
 
-    /** Appends kind and content for a peer of that revision, {@link Revision#SETTINGS_AS_STRINGS} or more. */
+    /**
+     * Appends kind and content for a peer of that revision, {@link Revision#SETTINGS_AS_STRINGS} or
+     * more.
+     */
     public void write(int peer, ByteBuf to) throws WireException {
         to.putVarUInt(ClientPacket.QUERY.ordinal()).putString(id);
         client.write(peer, to);
--- a/wire/src/main/java/ashlink/wire/Quota.java
+++ b/wire/src/main/java/ashlink/wire/Quota.java
@@ -4,15 +4,16 @@
 public interface Quota {
 
     /** Grants all that is asked for. */
-    Quota NONE = new Quota() {
-        @Override
-        public boolean take(long bytes) {
-            return true;
-        }
+    Quota NONE =
+            new Quota() {
+                @Override
+                public boolean take(long bytes) {
+                    return true;
+                }
 
-        @Override
-        public void give(long bytes) { }
-    };
+                @Override
+                public void give(long bytes) {}
+            };
 
     /** Takes that many bytes, or none where they are not there. */
     boolean take(long bytes);
--- a/wire/src/main/java/ashlink/wire/Revision.java
+++ b/wire/src/main/java/ashlink/wire/Revision.java
@@ -1,15 +1,17 @@
 package ashlink.wire;
 
 /**
- * Revisions of the protocol at which a field came in, as the public specification names them. Both ends use the lesser
- * of their two revisions.
+ * Revisions of the protocol at which a field came in, as the public specification names them. Both
+ * ends use the lesser of their two revisions.
  */
 public final class Revision {
 
     /** The highest that is spoken: from the next one on blocks have another layout. */
     public static final int HIGHEST = 54453;
+
     /** From here settings are strings; the lowest that is served in full. */
     public static final int SETTINGS_AS_STRINGS = 54429;
+
     /** The lowest that is let in: older public clients, whose settings have a layout by type. */
     public static final int LOWEST = 54372;
 
@@ -29,7 +31,7 @@
     static final int PROFILE_EVENTS = 54451;
     static final int PARALLEL_REPLICAS = 54453;
 
-    private Revision() { }
+    private Revision() {}
 
     /** True if a peer of that revision understands {@code Log} packets. */
     public static boolean hasLogs(int revision) {
--- a/wire/src/main/java/ashlink/wire/ServerError.java
+++ b/wire/src/main/java/ashlink/wire/ServerError.java
@@ -17,23 +17,30 @@
         return read(in, limits, 0);
     }
 
-    private static ServerError read(ByteSource in, WireLimits limits, int depth) throws IOException {
+    private static ServerError read(ByteSource in, WireLimits limits, int depth)
+            throws IOException {
         int code = in.readInt();
         String name = in.readString("an exception's name", limits.nameBytes());
         String message = in.readString("an exception's message", limits.textBytes());
         String stack = in.readString("an exception's stack", limits.textBytes());
         boolean more = in.readFlag();
         if (more && depth >= DEEPEST) {
-            throw new WireException(WireException.Reason.TOO_LARGE, "over " + DEEPEST + " nested exceptions");
+            throw new WireException(
+                    WireException.Reason.TOO_LARGE, "over " + DEEPEST + " nested exceptions");
         }
-        return new ServerError(code, name, message, stack, more ? read(in, limits, depth + 1) : null);
+        return new ServerError(
+                code, name, message, stack, more ? read(in, limits, depth + 1) : null);
     }
 
     /** Appends kind and content. */
     public void write(ByteBuf to) throws WireException {
         to.putVarUInt(ServerPacket.EXCEPTION.ordinal());
         for (ServerError e = this; e != null; e = e.nested) {
-            to.putInt(e.code).putString(e.name).putString(e.message).putString(e.stack).putFlag(e.nested != null);
+            to.putInt(e.code)
+                    .putString(e.name)
+                    .putString(e.message)
+                    .putString(e.stack)
+                    .putFlag(e.nested != null);
         }
     }
 }
--- a/wire/src/main/java/ashlink/wire/ServerPacket.java
+++ b/wire/src/main/java/ashlink/wire/ServerPacket.java
@@ -33,7 +33,9 @@
     /** A block of counters and gauges. */
     PROFILE_EVENTS;
 
-    /** The kind of that number; kinds that only servers exchange, and anything else, are malformed. */
+    /**
+     * The kind of that number; kinds that only servers exchange, and anything else, are malformed.
+     */
     public static ServerPacket of(long number) throws WireException {
         if (number >= 0 && number < values().length) {
             ServerPacket p = values()[(int) number];
@@ -41,12 +43,18 @@
                 return p;
             }
         }
-        throw new WireException(WireException.Reason.MALFORMED, "a server's packet of kind " + number + " is unknown");
+        throw new WireException(
+                WireException.Reason.MALFORMED,
+                "a server's packet of kind " + number + " is unknown");
     }
 
     /** True for kinds that carry a block. */
     public boolean hasBlock() {
-        return this == DATA || this == TOTALS || this == EXTREMES || this == LOG || this == PROFILE_EVENTS;
+        return this == DATA
+                || this == TOTALS
+                || this == EXTREMES
+                || this == LOG
+                || this == PROFILE_EVENTS;
     }
 
     /** True for kinds whose block is compressed where the statement asks for compression. */
--- a/wire/src/main/java/ashlink/wire/Setting.java
+++ b/wire/src/main/java/ashlink/wire/Setting.java
@@ -1,4 +1,4 @@
 package ashlink.wire;
 
 /** A setting of a query, as text; {@code flags} are passed on as they came. */
-public record Setting(String name, long flags, String value) { }
+public record Setting(String name, long flags, String value) {}
--- a/wire/src/main/java/ashlink/wire/StreamSource.java
+++ b/wire/src/main/java/ashlink/wire/StreamSource.java
@@ -4,8 +4,8 @@
 import java.io.InputStream;
 
 /**
- * Reads from a stream, and copies what is read to a tap while one is set: a relay passes packets on as they came, and
- * reads them only to find where they end.
+ * Reads from a stream, and copies what is read to a tap while one is set: a relay passes packets on
+ * as they came, and reads them only to find where they end.
  */
 public final class StreamSource extends ByteSource {
 
--- a/wire/src/main/java/ashlink/wire/TypeParser.java
+++ b/wire/src/main/java/ashlink/wire/TypeParser.java
@@ -6,30 +6,68 @@
 import java.util.Set;
 
 /**
- * Reads the text of a column's type by recursive descent:
- * {@code type = name [ "(" argument { "," argument } ")" ]}, where an argument is a type, a named type, a number or a
- * quoted text.
+ * Reads the text of a column's type by recursive descent: {@code type = name [ "(" argument { ","
+ * argument } ")" ]}, where an argument is a type, a named type, a number or a quoted text.
  */
 public final class TypeParser {
 
     /** Types within types; deeper is malformed, long before the stack of a thread ends. */
     private static final int DEEPEST = 32;
+
     private static final ColumnType TEXT = new ColumnType.Text();
     private static final ColumnType POINT = new ColumnType.Fixed(16);
-    private static final Map<String, ColumnType> PLAIN = Map.ofEntries(
-            fixed("Int8", 1), fixed("Int16", 2), fixed("Int32", 4), fixed("Int64", 8), fixed("Int128", 16),
-            fixed("Int256", 32), fixed("UInt8", 1), fixed("UInt16", 2), fixed("UInt32", 4), fixed("UInt64", 8),
-            fixed("UInt128", 16), fixed("UInt256", 32), fixed("Float32", 4), fixed("Float64", 8), fixed("Bool", 1),
-            fixed("Date", 2), fixed("Date32", 4), fixed("UUID", 16), fixed("IPv4", 4), fixed("IPv6", 16),
-            fixed("Nothing", 1), fixed("DateTime", 4), fixed("DateTime32", 4), Map.entry("String", TEXT),
-            Map.entry("Point", POINT), Map.entry("Ring", new ColumnType.Array(POINT)),
-            Map.entry("Polygon", new ColumnType.Array(new ColumnType.Array(POINT))),
-            Map.entry("MultiPolygon", new ColumnType.Array(new ColumnType.Array(new ColumnType.Array(POINT)))));
-    private static final Set<String> INTERVALS = Set.of("Nanosecond", "Microsecond", "Millisecond", "Second", "Minute",
-            "Hour", "Day", "Week", "Month", "Quarter", "Year");
-
-    /** A word, number or text with its arguments, as it stands; {@code value} is that of an element of an enumeration. */
-    record Term(String name, List<Term> arguments, boolean quoted, String value) { }
+    private static final Map<String, ColumnType> PLAIN =
+            Map.ofEntries(
+                    fixed("Int8", 1),
+                    fixed("Int16", 2),
+                    fixed("Int32", 4),
+                    fixed("Int64", 8),
+                    fixed("Int128", 16),
+                    fixed("Int256", 32),
+                    fixed("UInt8", 1),
+                    fixed("UInt16", 2),
+                    fixed("UInt32", 4),
+                    fixed("UInt64", 8),
+                    fixed("UInt128", 16),
+                    fixed("UInt256", 32),
+                    fixed("Float32", 4),
+                    fixed("Float64", 8),
+                    fixed("Bool", 1),
+                    fixed("Date", 2),
+                    fixed("Date32", 4),
+                    fixed("UUID", 16),
+                    fixed("IPv4", 4),
+                    fixed("IPv6", 16),
+                    fixed("Nothing", 1),
+                    fixed("DateTime", 4),
+                    fixed("DateTime32", 4),
+                    Map.entry("String", TEXT),
+                    Map.entry("Point", POINT),
+                    Map.entry("Ring", new ColumnType.Array(POINT)),
+                    Map.entry("Polygon", new ColumnType.Array(new ColumnType.Array(POINT))),
+                    Map.entry(
+                            "MultiPolygon",
+                            new ColumnType.Array(
+                                    new ColumnType.Array(new ColumnType.Array(POINT)))));
+    private static final Set<String> INTERVALS =
+            Set.of(
+                    "Nanosecond",
+                    "Microsecond",
+                    "Millisecond",
+                    "Second",
+                    "Minute",
+                    "Hour",
+                    "Day",
+                    "Week",
+                    "Month",
+                    "Quarter",
+                    "Year");
+
+    /**
+     * A word, number or text with its arguments, as it stands; {@code value} is that of an element
+     * of an enumeration.
+     */
+    record Term(String name, List<Term> arguments, boolean quoted, String value) {}
 
     private final String text;
     private int pos;
@@ -42,7 +80,10 @@
         return Map.entry(name, new ColumnType.Fixed(bytes));
     }
 
-    /** Reads a type; {@code UNKNOWN_TYPE} where it is well formed but not known, else {@code MALFORMED}. */
+    /**
+     * Reads a type; {@code UNKNOWN_TYPE} where it is well formed but not known, else {@code
+     * MALFORMED}.
+     */
     public static ColumnType parse(String text) throws WireException {
         ColumnType plain = PLAIN.get(text);
         if (plain != null) {
@@ -67,13 +108,15 @@
 
     private WireException malformed(String what) {
         String shown = text.length() > 100 ? text.substring(0, 100) + "..." : text;
-        return new WireException(WireException.Reason.MALFORMED,
+        return new WireException(
+                WireException.Reason.MALFORMED,
                 "type " + shown + ": " + what + " at character " + Math.min(pos, text.length()));
     }
 
     private WireException unknown(String name) {
         String shown = name.length() > 100 ? name.substring(0, 100) + "..." : name;
-        return new WireException(WireException.Reason.UNKNOWN_TYPE, "column type " + shown + " is unknown");
+        return new WireException(
+                WireException.Reason.UNKNOWN_TYPE, "column type " + shown + " is unknown");
     }
 
     // ---- Text to terms
@@ -87,7 +130,10 @@
         }
         String name = word();
         blanks();
-        if (pos < text.length() && text.charAt(pos) != '(' && text.charAt(pos) != ',' && text.charAt(pos) != ')'
+        if (pos < text.length()
+                && text.charAt(pos) != '('
+                && text.charAt(pos) != ','
+                && text.charAt(pos) != ')'
                 && text.charAt(pos) != '=') {
             name = word(); // the name of an element came first
             blanks();
@@ -126,7 +172,9 @@
             return quoted(text.charAt(pos));
         }
         int from = pos;
-        while (pos < text.length() && (Character.isLetterOrDigit(text.charAt(pos)) || "_-+.".indexOf(text.charAt(pos)) >= 0)) {
+        while (pos < text.length()
+                && (Character.isLetterOrDigit(text.charAt(pos))
+                        || "_-+.".indexOf(text.charAt(pos)) >= 0)) {
             pos++;
         }
         if (pos == from) {
@@ -162,7 +210,8 @@
         if (plain != null && (a.isEmpty() || t.name.startsWith("DateTime"))) {
             return plain;
         }
-        if (t.name.startsWith("Interval") && INTERVALS.contains(t.name.substring("Interval".length()))) {
+        if (t.name.startsWith("Interval")
+                && INTERVALS.contains(t.name.substring("Interval".length()))) {
             return new ColumnType.Fixed(Long.BYTES);
         }
         return switch (t.name) {
@@ -177,8 +226,10 @@
             case "FixedString" -> new ColumnType.Fixed(number(t, 0, 1 << 24));
             case "Nullable" -> new ColumnType.Nullable(type(argument(t, 0)));
             case "Array" -> new ColumnType.Array(type(argument(t, 0)));
-            case "Map" -> new ColumnType.Array(new ColumnType.Tuple(
-                    List.of(type(argument(t, 0)), type(argument(t, 1)))));
+            case "Map" ->
+                    new ColumnType.Array(
+                            new ColumnType.Tuple(
+                                    List.of(type(argument(t, 0)), type(argument(t, 1)))));
             case "Tuple" -> tuple(t);
             case "Nested" -> new ColumnType.Array(tuple(t));
             case "LowCardinality" -> lowCardinality(argument(t, 0));
--- a/wire/src/main/java/ashlink/wire/ValueReaders.java
+++ b/wire/src/main/java/ashlink/wire/ValueReaders.java
@@ -31,7 +31,7 @@
         Object read(ByteSource in) throws IOException;
     }
 
-    private ValueReaders() { }
+    private ValueReaders() {}
 
     static ValueReader of(Term t) throws WireException {
         List<Term> a = t.arguments();
@@ -65,7 +65,8 @@
             }
             case "LowCardinality" -> {
                 boolean nullable = a.get(0).name().equals("Nullable");
-                return new DictionaryReader(of(nullable ? a.get(0).arguments().get(0) : a.get(0)), nullable);
+                return new DictionaryReader(
+                        of(nullable ? a.get(0).arguments().get(0) : a.get(0)), nullable);
             }
             case "SimpleAggregateFunction" -> {
                 return of(a.get(1));
@@ -120,28 +121,46 @@
             case "FixedString" -> fixedText(Integer.parseInt(t.arguments().get(0).name()));
             case "Date" -> in -> LocalDate.ofEpochDay(readShort(in)).toString();
             case "Date32" -> in -> LocalDate.ofEpochDay(in.readInt()).toString();
-            case "DateTime", "DateTime32" -> time(t.arguments().isEmpty() ? "" : t.arguments().get(0).name());
+            case "DateTime", "DateTime32" ->
+                    time(t.arguments().isEmpty() ? "" : t.arguments().get(0).name());
             case "DateTime64" -> fineTime(t);
             case "Enum8" -> names(t, in -> (long) (byte) in.readByte());
             case "Enum16" -> names(t, in -> (long) (short) readShort(in));
-            case "Decimal32", "Decimal64", "Decimal128", "Decimal256" -> decimal(
-                    Integer.parseInt(t.name().substring("Decimal".length())) / 8, scale(t, 0));
-            case "Decimal" -> decimal(TypeParser.decimalBytes(Integer.parseInt(t.arguments().get(0).name())), scale(t, 1));
+            case "Decimal32", "Decimal64", "Decimal128", "Decimal256" ->
+                    decimal(
+                            Integer.parseInt(t.name().substring("Decimal".length())) / 8,
+                            scale(t, 0));
+            case "Decimal" ->
+                    decimal(
+                            TypeParser.decimalBytes(Integer.parseInt(t.arguments().get(0).name())),
+                            scale(t, 1));
             case "UUID" -> in -> new UUID(in.readLong(), in.readLong()).toString();
-            case "IPv4" -> in -> {
-                int v = in.readInt();
-                return (v >>> 24) + "." + (v >>> 16 & 255) + "." + (v >>> 8 & 255) + "." + (v & 255);
-            };
-            case "IPv6" -> in -> {
-                byte[] b = new byte[16];
-                in.readFully(b, 0, 16);
-                return InetAddress.getByAddress(b).getHostAddress();
-            };
-            case "Nothing" -> in -> {
-                in.readByte();
-                return null;
-            };
-            default -> throw new WireException(WireException.Reason.UNKNOWN_TYPE, "values of type " + t.name() + " are not read");
+            case "IPv4" ->
+                    in -> {
+                        int v = in.readInt();
+                        return (v >>> 24)
+                                + "."
+                                + (v >>> 16 & 255)
+                                + "."
+                                + (v >>> 8 & 255)
+                                + "."
+                                + (v & 255);
+                    };
+            case "IPv6" ->
+                    in -> {
+                        byte[] b = new byte[16];
+                        in.readFully(b, 0, 16);
+                        return InetAddress.getByAddress(b).getHostAddress();
+                    };
+            case "Nothing" ->
+                    in -> {
+                        in.readByte();
+                        return null;
+                    };
+            default ->
+                    throw new WireException(
+                            WireException.Reason.UNKNOWN_TYPE,
+                            "values of type " + t.name() + " are not read");
         };
     }
 
@@ -177,27 +196,42 @@
         try {
             return name.isEmpty() ? ZoneOffset.UTC : ZoneId.of(name);
         } catch (DateTimeException e) {
-            return ZoneOffset.UTC; // a zone that is not known here: the moment is right all the same, by its offset
+            return ZoneOffset
+                    .UTC; // a zone that is not known here: the moment is right all the same, by its
+            // offset
         }
     }
 
     private static One time(String zone) {
         ZoneId id = zone(zone);
-        return in -> DateTimeFormatter.ISO_OFFSET_DATE_TIME.format(
-                Instant.ofEpochSecond(in.readInt() & 0xffffffffL).atZone(id).toOffsetDateTime());
+        return in ->
+                DateTimeFormatter.ISO_OFFSET_DATE_TIME.format(
+                        Instant.ofEpochSecond(in.readInt() & 0xffffffffL)
+                                .atZone(id)
+                                .toOffsetDateTime());
     }
 
     private static One fineTime(Term t) {
         int digits = scale(t, 0);
         ZoneId id = zone(t.arguments().size() > 1 ? t.arguments().get(1).name() : "");
-        DateTimeFormatter format = new DateTimeFormatterBuilder().appendPattern("uuuu-MM-dd'T'HH:mm:ss")
-                .appendFraction(ChronoField.NANO_OF_SECOND, Math.min(9, digits), Math.min(9, digits), true)
-                .appendOffsetId().toFormatter(Locale.ROOT);
+        DateTimeFormatter format =
+                new DateTimeFormatterBuilder()
+                        .appendPattern("uuuu-MM-dd'T'HH:mm:ss")
+                        .appendFraction(
+                                ChronoField.NANO_OF_SECOND,
+                                Math.min(9, digits),
+                                Math.min(9, digits),
+                                true)
+                        .appendOffsetId()
+                        .toFormatter(Locale.ROOT);
         long unit = (long) Math.pow(10, Math.min(9, digits));
         return in -> {
             long ticks = in.readLong();
             long nanos = Math.floorMod(ticks, unit) * (1_000_000_000L / unit);
-            return format.format(Instant.ofEpochSecond(Math.floorDiv(ticks, unit), nanos).atZone(id).toOffsetDateTime());
+            return format.format(
+                    Instant.ofEpochSecond(Math.floorDiv(ticks, unit), nanos)
+                            .atZone(id)
+                            .toOffsetDateTime());
         };
     }
 
@@ -218,7 +252,10 @@
     private static String unescaped(String quoted) {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < quoted.length(); i++) {
-            text.append(quoted.charAt(i) == '\\' && i + 1 < quoted.length() ? quoted.charAt(++i) : quoted.charAt(i));
+            text.append(
+                    quoted.charAt(i) == '\\' && i + 1 < quoted.length()
+                            ? quoted.charAt(++i)
+                            : quoted.charAt(i));
         }
         return text.toString();
     }
@@ -254,7 +291,9 @@
             for (int i = 0; i < rows; i++) {
                 ends[i] = in.readLong();
                 if (ends[i] < before || ends[i] > MOST_TEXT) {
-                    throw new WireException(WireException.Reason.MALFORMED, "arrays end at " + before + ", then at " + ends[i]);
+                    throw new WireException(
+                            WireException.Reason.MALFORMED,
+                            "arrays end at " + before + ", then at " + ends[i]);
                 }
                 before = ends[i];
             }
@@ -299,7 +338,8 @@
     private record DictionaryReader(ValueReader inner, boolean nullable) implements ValueReader {
         @Override
         public void readPrefix(ByteSource in) throws IOException {
-            in.readLong(); // the version, which TypeParser's types check when they pass over a column
+            in.readLong(); // the version, which TypeParser's types check when they pass over
+            // a column
         }
 
         @Override
@@ -311,18 +351,21 @@
                 Object[] dictionary = inner.read(in, count(in.readLong(), MOST_TEXT));
                 int here = count(in.readLong(), rows - done);
                 if (here == 0) {
-                    throw new WireException(WireException.Reason.MALFORMED, "a dictionary without values");
+                    throw new WireException(
+                            WireException.Reason.MALFORMED, "a dictionary without values");
                 }
                 for (int i = 0; i < here; i++) {
-                    int at = switch (width) {
-                        case 0 -> in.readByte();
-                        case 1 -> readShort(in);
-                        case 2 -> in.readInt();
-                        default -> (int) in.readLong();
-                    };
+                    int at =
+                            switch (width) {
+                                case 0 -> in.readByte();
+                                case 1 -> readShort(in);
+                                case 2 -> in.readInt();
+                                default -> (int) in.readLong();
+                            };
                     if (at < 0 || at >= dictionary.length) {
-                        throw new WireException(WireException.Reason.MALFORMED, "value " + at + " of a dictionary of "
-                                + dictionary.length);
+                        throw new WireException(
+                                WireException.Reason.MALFORMED,
+                                "value " + at + " of a dictionary of " + dictionary.length);
                     }
                     values[done++] = nullable && at == 0 ? null : dictionary[at];
                 }
@@ -332,7 +375,8 @@
 
         private static int count(long n, long most) throws WireException {
             if (n < 0 || n > most) {
-                throw new WireException(WireException.Reason.MALFORMED, "a dictionary has " + n + " values");
+                throw new WireException(
+                        WireException.Reason.MALFORMED, "a dictionary has " + n + " values");
             }
             return (int) n;
         }
--- a/wire/src/main/java/ashlink/wire/WireException.java
+++ b/wire/src/main/java/ashlink/wire/WireException.java
@@ -2,7 +2,9 @@
 
 import java.io.IOException;
 
-/** Bytes that are not what the protocol says; the one exception that the codec throws for bad input. */
+/**
+ * Bytes that are not what the protocol says; the one exception that the codec throws for bad input.
+ */
 public final class WireException extends IOException {
 
     /** What was wrong. */
--- a/wire/src/main/java/ashlink/wire/WireLimits.java
+++ b/wire/src/main/java/ashlink/wire/WireLimits.java
@@ -10,7 +10,8 @@
  * @param packetBytes one packet, as it crosses the socket
  * @param frameBytes a compressed frame, before and after compression
  */
-public record WireLimits(int nameBytes, int textBytes, int settings, int columns, long packetBytes, int frameBytes) {
+public record WireLimits(
+        int nameBytes, int textBytes, int settings, int columns, long packetBytes, int frameBytes) {
 
     /** Room for all that public clients send by default. */
     public static final WireLimits DEFAULT =
--- a/wire/src/test/java/ashlink/wire/CityHashTest.java
+++ b/wire/src/test/java/ashlink/wire/CityHashTest.java
@@ -13,12 +13,17 @@
         byte[] bytes = new byte[5000];
         new Random(1).nextBytes(bytes);
         for (int i = 0; i < 30; i++) {
-            bytes[i] &= 0x7f; // that client takes bytes over 127 for negative at the end of texts of 1 to 3 or 17 to 19 bytes
+            bytes[i] &=
+                    0x7f; // that client takes bytes over 127 for negative at the end of texts of 1
+            // to 3 or 17 to 19 bytes
         }
         for (int length = 0; length < 1000; length++) {
-            assertArrayEquals(ClickHouseCityHash.cityHash128(bytes, 3, length), CityHash.hash128(bytes, 3, length),
+            assertArrayEquals(
+                    ClickHouseCityHash.cityHash128(bytes, 3, length),
+                    CityHash.hash128(bytes, 3, length),
                     "length " + length);
         }
-        assertArrayEquals(ClickHouseCityHash.cityHash128(bytes, 0, 5000), CityHash.hash128(bytes, 0, 5000));
+        assertArrayEquals(
+                ClickHouseCityHash.cityHash128(bytes, 0, 5000), CityHash.hash128(bytes, 0, 5000));
     }
 }
