--- a/wire/src/test/java/ashlink/wire/CodecProperties.java
+++ b/wire/src/test/java/ashlink/wire/CodecProperties.java
@@ -18,13 +18,19 @@
 import net.jqwik.api.constraints.Size;
 import net.jqwik.api.constraints.StringLength;
 
-/** Round trips, and bytes that were tampered with: never a hang, an overrun, or anything thrown but what is stated. */
+/**
+ * Round trips, and bytes that were tampered with: never a hang, an overrun, or anything thrown but
+ * what is stated.
+ */
 class CodecProperties {
 
-    private static final WireLimits SMALL = new WireLimits(1 << 10, 1 << 16, 16, 64, 1 << 20, 1 << 20);
+    private static final WireLimits SMALL =
+            new WireLimits(1 << 10, 1 << 16, 16, 64, 1 << 20, 1 << 20);
 
     private static StreamSource source(ByteBuf b) {
-        return new StreamSource(new ByteArrayInputStream(b.array(), 0, b.size()), 7); // every value straddles a refill
+        return new StreamSource(
+                new ByteArrayInputStream(b.array(), 0, b.size()),
+                7); // every value straddles a refill
     }
 
     @Property(seed = "101")
@@ -34,53 +40,98 @@
     }
 
     @Property(tries = 200, seed = "102")
-    void queriesComeBack(@ForAll @StringLength(max = 300) String statement, @ForAll @StringLength(max = 20) String id,
-            @ForAll boolean compressed, @ForAll @IntRange(min = Revision.SETTINGS_AS_STRINGS, max = Revision.HIGHEST) int at)
+    void queriesComeBack(
+            @ForAll @StringLength(max = 300) String statement,
+            @ForAll @StringLength(max = 20) String id,
+            @ForAll boolean compressed,
+            @ForAll @IntRange(min = Revision.SETTINGS_AS_STRINGS, max = Revision.HIGHEST) int at)
             throws IOException {
         ClientInfo info = new ClientInfo("u", id, "a:1", "os", "h", "n", 1, 2, at, 3, "q");
-        QueryPacket q = new QueryPacket(id, info, List.of(new Setting("a", 1, "b")), QueryPacket.COMPLETE, compressed,
-                statement.replace('\ud800', ' '));
+        QueryPacket q =
+                new QueryPacket(
+                        id,
+                        info,
+                        List.of(new Setting("a", 1, "b")),
+                        QueryPacket.COMPLETE,
+                        compressed,
+                        statement.replace('\ud800', ' '));
         ByteBuf bytes = new ByteBuf();
         q.write(at, bytes);
         StreamSource in = source(bytes);
         assertEquals(ClientPacket.QUERY.ordinal(), in.readVarUInt());
         QueryPacket back = QueryPacket.read(in, at, SMALL);
-        assertEquals(new String(q.statement().getBytes(java.nio.charset.StandardCharsets.UTF_8),
-                java.nio.charset.StandardCharsets.UTF_8), back.statement());
+        assertEquals(
+                new String(
+                        q.statement().getBytes(java.nio.charset.StandardCharsets.UTF_8),
+                        java.nio.charset.StandardCharsets.UTF_8),
+                back.statement());
         assertEquals(q.settings(), back.settings());
         assertEquals(-1, in.readByteOrEnd());
     }
 
     @Provide
     Arbitrary<String> types() {
-        Arbitrary<String> plain = Arbitraries.of("UInt8", "Int256", "String", "Float64", "Date", "DateTime('UTC')", "UUID",
-                "FixedString(3)", "Decimal(18, 4)", "Decimal256(2)", "Enum8('a, (' = 1, 'b\\'' = -2)", "DateTime64(3, 'UTC')",
-                "IPv6", "Bool", "IntervalDay", "Nothing", "LowCardinality(String)", "LowCardinality(Nullable(String))");
-        return Arbitraries.recursive(() -> plain, inner -> Arbitraries.oneOf(inner.map(t -> "Array(" + t + ")"),
-                inner.map(t -> t.startsWith("Low") ? t : "Nullable(" + t + ")"),
-                inner.map(t -> "Tuple(x " + t + ", `y z` UInt8)"), inner.map(t -> "Map(String, " + t + ")")), 0, 8);
+        Arbitrary<String> plain =
+                Arbitraries.of(
+                        "UInt8",
+                        "Int256",
+                        "String",
+                        "Float64",
+                        "Date",
+                        "DateTime('UTC')",
+                        "UUID",
+                        "FixedString(3)",
+                        "Decimal(18, 4)",
+                        "Decimal256(2)",
+                        "Enum8('a, (' = 1, 'b\\'' = -2)",
+                        "DateTime64(3, 'UTC')",
+                        "IPv6",
+                        "Bool",
+                        "IntervalDay",
+                        "Nothing",
+                        "LowCardinality(String)",
+                        "LowCardinality(Nullable(String))");
+        return Arbitraries.recursive(
+                () -> plain,
+                inner ->
+                        Arbitraries.oneOf(
+                                inner.map(t -> "Array(" + t + ")"),
+                                inner.map(t -> t.startsWith("Low") ? t : "Nullable(" + t + ")"),
+                                inner.map(t -> "Tuple(x " + t + ", `y z` UInt8)"),
+                                inner.map(t -> "Map(String, " + t + ")")),
+                0,
+                8);
     }
 
     @Property(tries = 300, seed = "103")
-    void typesAreReadAndTruncatedOnesAreMalformed(@ForAll("types") String type, @ForAll @IntRange(min = 1, max = 200) int cut)
+    void typesAreReadAndTruncatedOnesAreMalformed(
+            @ForAll("types") String type, @ForAll @IntRange(min = 1, max = 200) int cut)
             throws WireException {
         TypeParser.parse(type);
         String less = type.substring(0, Math.max(0, type.length() - cut));
         try {
             TypeParser.parse(less);
         } catch (WireException e) {
-            assertEquals(true, e.reason() == WireException.Reason.MALFORMED
-                    || e.reason() == WireException.Reason.UNKNOWN_TYPE, e.reason().toString());
+            assertEquals(
+                    true,
+                    e.reason() == WireException.Reason.MALFORMED
+                            || e.reason() == WireException.Reason.UNKNOWN_TYPE,
+                    e.reason().toString());
         }
     }
 
     @Property(tries = 200, seed = "104")
-    void blocksAreFoundToTheirEnd(@ForAll @Size(max = 20) List<@StringLength(max = 200) String> texts,
-            @ForAll @IntRange(min = 0, max = 3) int how) throws IOException {
+    void blocksAreFoundToTheirEnd(
+            @ForAll @Size(max = 20) List<@StringLength(max = 200) String> texts,
+            @ForAll @IntRange(min = 0, max = 3) int how)
+            throws IOException {
         List<Object> strings = new ArrayList<>(texts);
         List<Object> longs = new ArrayList<>();
         texts.forEach(t -> longs.add((long) t.length()));
-        Block block = Block.of(new Block.Column("s", "String", strings), new Block.Column("n", "UInt64", longs));
+        Block block =
+                Block.of(
+                        new Block.Column("s", "String", strings),
+                        new Block.Column("n", "UInt64", longs));
         Compression c = how == 0 ? null : Compression.values()[how - 1];
         ByteBuf bytes = new ByteBuf();
         block.write(c, bytes);
@@ -93,10 +144,18 @@
     }
 
     @Property(tries = 2000, seed = "105")
-    void tamperedBlocksThrowNothingButTheirOwn(@ForAll @Size(min = 1, max = 8) List<@IntRange(min = 0, max = 400) Integer> at,
-            @ForAll byte by, @ForAll @IntRange(min = 0, max = 3) int how) throws IOException {
-        Block block = Block.of(new Block.Column("s", "Array(String)".substring(6, 12), List.of("one", "two", "three")),
-                new Block.Column("n", "UInt64", List.of(1L, 2L, 3L)));
+    void tamperedBlocksThrowNothingButTheirOwn(
+            @ForAll @Size(min = 1, max = 8) List<@IntRange(min = 0, max = 400) Integer> at,
+            @ForAll byte by,
+            @ForAll @IntRange(min = 0, max = 3) int how)
+            throws IOException {
+        Block block =
+                Block.of(
+                        new Block.Column(
+                                "s",
+                                "Array(String)".substring(6, 12),
+                                List.of("one", "two", "three")),
+                        new Block.Column("n", "UInt64", List.of(1L, 2L, 3L)));
         Compression c = how == 0 ? null : Compression.values()[how - 1];
         ByteBuf bytes = new ByteBuf();
         block.write(c, bytes);
@@ -114,10 +173,12 @@
     }
 
     @Property(tries = 500, seed = "106")
-    void anyFlippedBitOfAFrameIsFound(@ForAll @IntRange(min = 0, max = 100_000) int bit,
-            @ForAll("methods") Compression c) throws IOException {
+    void anyFlippedBitOfAFrameIsFound(
+            @ForAll @IntRange(min = 0, max = 100_000) int bit, @ForAll("methods") Compression c)
+            throws IOException {
         ByteBuf bytes = new ByteBuf();
-        Block.of(new Block.Column("s", "String", List.of("a".repeat(100), "b".repeat(50)))).write(c, bytes);
+        Block.of(new Block.Column("s", "String", List.of("a".repeat(100), "b".repeat(50))))
+                .write(c, bytes);
         int i = bit % (bytes.size() * 8);
         bytes.array()[i / 8] ^= (byte) (1 << i % 8);
         assertThrows(WireException.class, () -> new Blocks(source(bytes), SMALL).skip(true));
@@ -147,7 +208,8 @@
     }
 
     @Property(tries = 100, seed = "108")
-    void aTapHasWhatWasRead(@ForAll @Size(max = 30) List<@StringLength(max = 30) String> texts) throws IOException {
+    void aTapHasWhatWasRead(@ForAll @Size(max = 30) List<@StringLength(max = 30) String> texts)
+            throws IOException {
         ByteBuf bytes = new ByteBuf();
         for (String t : texts) {
             bytes.putString(t);
@@ -157,6 +219,7 @@
         in.startTap(tap);
         in.skipStrings(texts.size(), 1000);
         in.endTap();
-        assertEquals(true, Arrays.equals(bytes.array(), 0, bytes.size(), tap.array(), 0, tap.size()));
+        assertEquals(
+                true, Arrays.equals(bytes.array(), 0, bytes.size(), tap.array(), 0, tap.size()));
     }
 }
