--- a/capture/src/main/java/ashlink/capture/CaptureSummary.java
+++ b/capture/src/main/java/ashlink/capture/CaptureSummary.java
@@ -1,14 +1,14 @@
 package ashlink.capture;
 
-import ashlink.Gateway.Action;
-import ashlink.Gateway.ClientGone;
-import ashlink.Gateway.Ended;
-import ashlink.Gateway.Fail;
-import ashlink.Gateway.Outcome;
-import ashlink.Gateway.Refuse;
-import ashlink.Gateway.Request;
-import ashlink.Gateway.Send;
 import ashlink.capture.events.Entry;
+import ashlink.decisions.api.Action;
+import ashlink.decisions.api.Action.Fail;
+import ashlink.decisions.api.Action.Reject;
+import ashlink.decisions.api.Action.StartAttempt;
+import ashlink.decisions.api.Event.AttemptEnded;
+import ashlink.decisions.api.Event.ClientDisconnected;
+import ashlink.decisions.api.Event.QuerySubmitted;
+import ashlink.decisions.api.Outcome;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -129,21 +129,21 @@
         Second second =
                 seconds.computeIfAbsent(
                         offset + (int) ((s.nowNs() - firstNs) / S), k -> new Second());
-        if (s.event() instanceof Request r) {
+        if (s.event() instanceof QuerySubmitted r) {
             of(r.queryClass()).taken++;
             second.taken++;
             open.put(r.id(), r.queryClass());
-        } else if (s.event() instanceof Ended e) {
+        } else if (s.event() instanceof AttemptEnded e) {
             second.ended++;
             sentTo.remove(e.id());
             engines.computeIfAbsent(e.engine(), k -> new TreeMap<>())
                     .merge(e.outcome().name(), 1L, Long::sum);
-            if (e.over() && open.containsKey(e.id())) {
+            if (e.clientAnswered() && open.containsKey(e.id())) {
                 ClassCount c = of(open.remove(e.id()));
                 c.served += e.outcome() == Outcome.SERVED || e.outcome() == Outcome.ERROR ? 1 : 0;
                 c.failed += e.outcome() == Outcome.SERVED || e.outcome() == Outcome.ERROR ? 0 : 1;
             }
-        } else if (s.event() instanceof ClientGone g && open.containsKey(g.id())) {
+        } else if (s.event() instanceof ClientDisconnected g && open.containsKey(g.id())) {
             of(open.remove(g.id())).gone++;
         }
         s.actions().forEach(this::did);
@@ -154,9 +154,9 @@
     }
 
     private void did(Action a) {
-        if (a instanceof Send s) {
+        if (a instanceof StartAttempt s) {
             sentTo.put(s.id(), s.engine());
-        } else if (a instanceof Refuse r && open.containsKey(r.id())) {
+        } else if (a instanceof Reject r && open.containsKey(r.id())) {
             of(open.remove(r.id())).refused++;
         } else if (a instanceof Fail f && open.containsKey(f.id())) {
             of(open.remove(f.id())).failed++;
--- a/capture/src/main/java/ashlink/capture/ModuleHash.java
+++ b/capture/src/main/java/ashlink/capture/ModuleHash.java
@@ -21,7 +21,8 @@
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
             String folder = "/" + module.getPackageName().replace('.', '/') + "/";
-            for (String name : new String[] {module.getSimpleName(), "State", "Gateway"}) {
+            for (String name :
+                    new String[] {module.getSimpleName(), "State", "api/WorkloadManager"}) {
                 try (InputStream in = module.getResourceAsStream(folder + name + ".class")) {
                     if (in != null) {
                         digest.update(in.readAllBytes());
--- a/capture/src/main/java/ashlink/capture/Replay.java
+++ b/capture/src/main/java/ashlink/capture/Replay.java
@@ -1,9 +1,9 @@
 package ashlink.capture;
 
-import ashlink.Gateway;
-import ashlink.Gateway.Action;
-import ashlink.Gateway.Settings;
 import ashlink.capture.events.Entry;
+import ashlink.decisions.api.Action;
+import ashlink.decisions.api.Settings;
+import ashlink.decisions.api.WorkloadManager;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
@@ -20,8 +20,8 @@
     public record Divergence(long entry, Entry.Step recorded, List<Action> replayed) {}
 
     private static final int SHOWN = 20;
-    private final Function<Settings, Gateway> module;
-    private Gateway gateway;
+    private final Function<Settings, WorkloadManager> module;
+    private WorkloadManager gateway;
     private long entries;
     private long decided;
     private long passedOver;
@@ -35,7 +35,7 @@
     private long spanNs;
 
     /** A replay by a module of that hash. */
-    public Replay(Function<Settings, Gateway> module, String hash) {
+    public Replay(Function<Settings, WorkloadManager> module, String hash) {
         this.module = module;
         this.hash = hash;
     }
@@ -64,7 +64,7 @@
         }
         firstNs = firstNs == 0 ? s.nowNs() : firstNs;
         lastNs = s.nowNs();
-        List<Action> done = gateway.on(s.event(), s.nowNs());
+        List<Action> done = gateway.onEvent(s.event(), s.nowNs());
         decided++;
         if (!done.equals(s.actions())) {
             differing++;
--- a/capture/src/main/java/ashlink/capture/Story.java
+++ b/capture/src/main/java/ashlink/capture/Story.java
@@ -1,23 +1,23 @@
 package ashlink.capture;
 
-import ashlink.Gateway.Action;
-import ashlink.Gateway.Cancel;
-import ashlink.Gateway.ClientGone;
-import ashlink.Gateway.Effect;
-import ashlink.Gateway.Ended;
-import ashlink.Gateway.Fail;
-import ashlink.Gateway.ListEntry;
-import ashlink.Gateway.ListForm;
-import ashlink.Gateway.ListNews;
-import ashlink.Gateway.Log;
-import ashlink.Gateway.Probed;
-import ashlink.Gateway.Progress;
-import ashlink.Gateway.QueryClass;
-import ashlink.Gateway.Refuse;
-import ashlink.Gateway.Report;
-import ashlink.Gateway.Request;
-import ashlink.Gateway.Send;
 import ashlink.capture.events.Entry;
+import ashlink.decisions.api.Action;
+import ashlink.decisions.api.Action.CancelAttempt;
+import ashlink.decisions.api.Action.Fail;
+import ashlink.decisions.api.Action.Log;
+import ashlink.decisions.api.Action.Reject;
+import ashlink.decisions.api.Action.StartAttempt;
+import ashlink.decisions.api.Endpoint;
+import ashlink.decisions.api.EndpointListKind;
+import ashlink.decisions.api.Event.AttemptEnded;
+import ashlink.decisions.api.Event.AttemptProgress;
+import ashlink.decisions.api.Event.ClientDisconnected;
+import ashlink.decisions.api.Event.EndpointsChanged;
+import ashlink.decisions.api.Event.HealthCheckCompleted;
+import ashlink.decisions.api.Event.QuerySubmitted;
+import ashlink.decisions.api.LoadReport;
+import ashlink.decisions.api.QueryClass;
+import ashlink.decisions.api.RetrySafety;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -36,8 +36,8 @@
 
     /** What the module had been told of an engine. */
     private static final class Known {
-        ListEntry listed;
-        Report report = Report.NONE;
+        Endpoint listed;
+        LoadReport report = LoadReport.NONE;
         long reportNs;
         int out;
         String lastEnd = "";
@@ -48,7 +48,7 @@
     private final Map<String, Known> engines = new LinkedHashMap<>();
     private final Map<String, QueryClass> classes = new HashMap<>();
     private final Map<Long, String> sentTo = new HashMap<>();
-    private Request request;
+    private QuerySubmitted request;
     private long takenNs;
     private boolean mayHaveRun;
     private boolean ended;
@@ -93,7 +93,7 @@
     // ---- What the module was told
     private void told(Entry.Step s) {
         long now = s.nowNs();
-        if (s.event() instanceof Request r && r.id() == id) {
+        if (s.event() instanceof QuerySubmitted r && r.id() == id) {
             request = r;
             takenNs = now;
             QueryClass c = classes.get(r.queryClass());
@@ -105,19 +105,19 @@
                             id,
                             r.queryClass(),
                             r.key() == null ? "" : " with key " + r.key(),
-                            c == null ? 0 : c.worth(),
-                            c == null ? 0 : c.aimNs() / MS,
+                            c == null ? 0 : c.priorityWeight(),
+                            c == null ? 0 : c.latencyObjectiveNs() / MS,
                             (r.deadlineNs() - now) / MS,
-                            r.workNs() / MS,
-                            r.memoryMb(),
+                            r.estimatedWorkNs() / MS,
+                            r.estimatedMemoryMb(),
                             rules(c)));
-        } else if (s.event() instanceof Ended e) {
+        } else if (s.event() instanceof AttemptEnded e) {
             Known k = known(e.engine());
             if (sentTo.remove(e.id()) != null) {
                 k.out--;
             }
-            k.lastEnd = e.outcome() + " after " + Math.round(e.tookNs() / MS) + " ms";
-            news(e.engine(), e.report(), now);
+            k.lastEnd = e.outcome() + " after " + Math.round(e.durationNs() / MS) + " ms";
+            news(e.engine(), e.loadReport(), now);
             if (e.id() == id) {
                 mayHaveRun |= e.outcome().mayHaveRun();
                 lines.add(
@@ -129,27 +129,27 @@
                                 + " ended: "
                                 + e.outcome()
                                 + (e.outcome().mayHaveRun() ? ", may have run" : ", has not run")
-                                + (e.over() ? "; the client has its answer" : ""));
-                ended = e.over();
+                                + (e.clientAnswered() ? "; the client has its answer" : ""));
+                ended = e.clientAnswered();
             }
-        } else if (s.event() instanceof Probed p) {
-            news(p.engine(), p.report(), now);
-        } else if (s.event() instanceof Progress p && p.id() == id) {
+        } else if (s.event() instanceof HealthCheckCompleted p) {
+            news(p.engine(), p.loadReport(), now);
+        } else if (s.event() instanceof AttemptProgress p && p.id() == id) {
             lines.add(at(now) + "progress at " + p.engine() + ": " + p.kind() + " " + p.amount());
-        } else if (s.event() instanceof ClientGone g && g.id() == id) {
+        } else if (s.event() instanceof ClientDisconnected g && g.id() == id) {
             lines.add(at(now) + "the client no longer waits");
             ended = true;
-        } else if (s.event() instanceof ListNews n) {
-            if (n.form() != ListForm.CHANGES) {
+        } else if (s.event() instanceof EndpointsChanged n) {
+            if (n.kind() != EndpointListKind.DELTA) {
                 engines.values().forEach(k -> k.listed = null);
             }
-            n.entries().forEach(e -> known(e.engine()).listed = e);
+            n.endpoints().forEach(e -> known(e.engine()).listed = e);
             if (request != null) {
                 lines.add(
                         at(now)
                                 + "news of the list: "
-                                + n.entries().stream()
-                                        .map(e -> e.engine() + " " + e.phase())
+                                + n.endpoints().stream()
+                                        .map(e -> e.engine() + " " + e.state())
                                         .toList());
             }
         }
@@ -159,13 +159,13 @@
         if (c == null) {
             return "";
         }
-        String effect = c.effect() == Effect.AT_MOST_ONCE ? "; never to run twice" : "";
-        String place = c.kinds().isEmpty() ? "" : "; only on " + c.kinds();
-        return effect + place + (c.inOrder() ? "; in order of its key" : "");
+        String effect = c.retrySafety() == RetrySafety.AT_MOST_ONCE ? "; never to run twice" : "";
+        String place = c.engineKinds().isEmpty() ? "" : "; only on " + c.engineKinds();
+        return effect + place + (c.ordered() ? "; in order of its key" : "");
     }
 
-    private void news(String engine, Report report, long now) {
-        if (!report.equals(Report.NONE)) {
+    private void news(String engine, LoadReport report, long now) {
+        if (!report.equals(LoadReport.NONE)) {
             known(engine).report = report;
             known(engine).reportNs = now;
         }
@@ -173,7 +173,7 @@
 
     // ---- What it did
     private void did(Action action, long now) {
-        if (action instanceof Send a) {
+        if (action instanceof StartAttempt a) {
             known(a.engine()).out++;
             sentTo.put(a.id(), a.engine());
             if (a.id() == id) {
@@ -187,7 +187,7 @@
                 engines.forEach(
                         (name, k) -> lines.add("              " + name + ": " + shown(k, now)));
             }
-        } else if (action instanceof Refuse a && a.id() == id) {
+        } else if (action instanceof Reject a && a.id() == id) {
             lines.add(
                     at(now)
                             + "refused: trying again is harmless"
@@ -199,7 +199,7 @@
         } else if (action instanceof Fail a && a.id() == id) {
             lines.add(at(now) + "failed: it may have run and must not run twice");
             ended = true;
-        } else if (action instanceof Cancel a && a.id() == id) {
+        } else if (action instanceof CancelAttempt a && a.id() == id) {
             lines.add(at(now) + "attempt " + a.attempt() + " called off");
         } else if (action instanceof Log a && request != null) {
             lines.add(at(now) + "log: " + a.text());
@@ -210,7 +210,7 @@
         String listed =
                 k.listed == null
                         ? "not listed"
-                        : k.listed.phase()
+                        : k.listed.state()
                                 + ", "
                                 + k.listed.kind()
                                 + ", "
@@ -222,17 +222,17 @@
                                                 + " s"
                                         : "");
         String report =
-                k.report.equals(Report.NONE)
+                k.report.equals(LoadReport.NONE)
                         ? "no report"
                         : String.format(
                                 Locale.ROOT,
                                 "report %.0f ms old: waiting %.0f, cores %.2f, memory %.2f, disks"
                                         + " %.2f",
                                 (now - k.reportNs) / MS,
-                                k.report.waiting(),
-                                k.report.coresBusy(),
-                                k.report.memoryGranted(),
-                                k.report.disksBusy());
+                                k.report.queued(),
+                                k.report.cpuUtilization(),
+                                k.report.memoryUtilization(),
+                                k.report.diskUtilization());
         return listed
                 + "; "
                 + k.out
--- a/capture/src/main/java/ashlink/capture/events/Entry.java
+++ b/capture/src/main/java/ashlink/capture/events/Entry.java
@@ -1,8 +1,8 @@
 package ashlink.capture.events;
 
-import ashlink.Gateway.Action;
-import ashlink.Gateway.Event;
-import ashlink.Gateway.Settings;
+import ashlink.decisions.api.Action;
+import ashlink.decisions.api.Event;
+import ashlink.decisions.api.Settings;
 import java.util.List;
 
 /** What a capture holds, in order. */
--- a/capture/src/main/java/ashlink/capture/events/EntryReader.java
+++ b/capture/src/main/java/ashlink/capture/events/EntryReader.java
@@ -1,37 +1,37 @@
 package ashlink.capture.events;
 
-import ashlink.Gateway.Action;
-import ashlink.Gateway.Alarm;
-import ashlink.Gateway.Allowed;
-import ashlink.Gateway.Cancel;
-import ashlink.Gateway.ClientGone;
-import ashlink.Gateway.Effect;
-import ashlink.Gateway.Ended;
-import ashlink.Gateway.EngineKind;
-import ashlink.Gateway.Event;
-import ashlink.Gateway.Fail;
-import ashlink.Gateway.Limits;
-import ashlink.Gateway.ListEntry;
-import ashlink.Gateway.ListForm;
-import ashlink.Gateway.ListNews;
-import ashlink.Gateway.Log;
-import ashlink.Gateway.NoteKind;
-import ashlink.Gateway.Outcome;
-import ashlink.Gateway.Phase;
-import ashlink.Gateway.Probe;
-import ashlink.Gateway.Probed;
-import ashlink.Gateway.Progress;
-import ashlink.Gateway.QueryClass;
-import ashlink.Gateway.Refuse;
-import ashlink.Gateway.RepeatGroup;
-import ashlink.Gateway.Report;
-import ashlink.Gateway.Request;
-import ashlink.Gateway.Send;
-import ashlink.Gateway.SetAlarm;
-import ashlink.Gateway.Settings;
-import ashlink.Gateway.Subscribe;
-import ashlink.Gateway.Tenant;
-import ashlink.Gateway.Terms;
+import ashlink.decisions.api.Action;
+import ashlink.decisions.api.Action.CancelAttempt;
+import ashlink.decisions.api.Action.CheckHealth;
+import ashlink.decisions.api.Action.Fail;
+import ashlink.decisions.api.Action.Log;
+import ashlink.decisions.api.Action.Reject;
+import ashlink.decisions.api.Action.SetAttemptResources;
+import ashlink.decisions.api.Action.SetTimer;
+import ashlink.decisions.api.Action.StartAttempt;
+import ashlink.decisions.api.Action.WatchEndpoints;
+import ashlink.decisions.api.Capabilities;
+import ashlink.decisions.api.DeduplicationScope;
+import ashlink.decisions.api.Endpoint;
+import ashlink.decisions.api.EndpointListKind;
+import ashlink.decisions.api.EndpointState;
+import ashlink.decisions.api.EngineKind;
+import ashlink.decisions.api.Event;
+import ashlink.decisions.api.Event.AttemptEnded;
+import ashlink.decisions.api.Event.AttemptProgress;
+import ashlink.decisions.api.Event.ClientDisconnected;
+import ashlink.decisions.api.Event.EndpointsChanged;
+import ashlink.decisions.api.Event.HealthCheckCompleted;
+import ashlink.decisions.api.Event.QuerySubmitted;
+import ashlink.decisions.api.Event.TimerFired;
+import ashlink.decisions.api.LoadReport;
+import ashlink.decisions.api.Outcome;
+import ashlink.decisions.api.PolicyLimits;
+import ashlink.decisions.api.ProgressKind;
+import ashlink.decisions.api.QueryClass;
+import ashlink.decisions.api.RetrySafety;
+import ashlink.decisions.api.Settings;
+import ashlink.decisions.api.Tenant;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -92,7 +92,7 @@
         int form = in.get();
         return switch (form) {
             case 1 ->
-                    new Request(
+                    new QuerySubmitted(
                             id(),
                             in.text(),
                             in.text(),
@@ -102,7 +102,7 @@
                             in.fraction(),
                             in.text());
             case 2 ->
-                    new Ended(
+                    new AttemptEnded(
                             id(),
                             in.count(MOST),
                             in.text(),
@@ -112,53 +112,55 @@
                             in.fraction(),
                             in.fraction(),
                             report());
-            case 3 -> new Alarm(in.signed());
-            case 4 -> new Probed(in.text(), in.choice(Outcome.values()), in.signed(), report());
+            case 3 -> new TimerFired(in.signed());
+            case 4 ->
+                    new HealthCheckCompleted(
+                            in.text(), in.choice(Outcome.values()), in.signed(), report());
             case 5 -> news();
-            case 6 -> new ClientGone(id());
+            case 6 -> new ClientDisconnected(id());
             case 7 ->
-                    new Progress(
+                    new AttemptProgress(
                             id(),
                             in.count(MOST),
                             in.text(),
-                            in.choice(NoteKind.values()),
+                            in.choice(ProgressKind.values()),
                             in.fraction());
             default -> throw new IOException("an event of form " + form + " is unknown");
         };
     }
 
-    private Report report() throws IOException {
-        return new Report(
+    private LoadReport report() throws IOException {
+        return new LoadReport(
                 in.fraction(), in.fraction(), in.fraction(), in.fraction(), in.fraction());
     }
 
-    private ListNews news() throws IOException {
-        ListForm form = in.choice(ListForm.values());
-        List<ListEntry> entries = new ArrayList<>();
+    private EndpointsChanged news() throws IOException {
+        EndpointListKind form = in.choice(EndpointListKind.values());
+        List<Endpoint> entries = new ArrayList<>();
         for (int n = in.count(MOST); n > 0; n--) {
             entries.add(
-                    new ListEntry(
+                    new Endpoint(
                             in.text(),
-                            in.choice(Phase.values()),
+                            in.choice(EndpointState.values()),
                             in.text(),
                             in.text(),
                             in.signed(),
                             in.signed()));
         }
-        return new ListNews(form, entries);
+        return new EndpointsChanged(form, entries);
     }
 
     private Action action() throws IOException {
         int form = in.get();
         return switch (form) {
-            case 1 -> new Send(id(), in.text(), in.signed());
-            case 2 -> new Terms(id(), (int) in.signed(), in.signed());
-            case 3 -> new Refuse(id(), in.signed());
+            case 1 -> new StartAttempt(id(), in.text(), in.signed());
+            case 2 -> new SetAttemptResources(id(), (int) in.signed(), in.signed());
+            case 3 -> new Reject(id(), in.signed());
             case 4 -> new Fail(id());
-            case 5 -> new Cancel(id(), in.count(MOST));
-            case 6 -> new Probe(in.text());
-            case 7 -> new SetAlarm(in.signed(), in.signed() + lastNs);
-            case 8 -> new Subscribe();
+            case 5 -> new CancelAttempt(id(), in.count(MOST));
+            case 6 -> new CheckHealth(in.text());
+            case 7 -> new SetTimer(in.signed(), in.signed() + lastNs);
+            case 8 -> new WatchEndpoints();
             case 9 -> new Log(in.text());
             default -> throw new IOException("an action of form " + form + " is unknown");
         };
@@ -177,8 +179,8 @@
                             in.signed(),
                             in.fraction(),
                             in.signed(),
-                            in.choice(Effect.values()),
-                            in.choice(RepeatGroup.values()),
+                            in.choice(RetrySafety.values()),
+                            in.choice(DeduplicationScope.values()),
                             in.signed(),
                             in.fraction(),
                             in.fraction(),
@@ -193,8 +195,8 @@
         for (int n = in.count(MOST); n > 0; n--) {
             kinds.add(new EngineKind(in.text(), in.count(MOST), in.fraction()));
         }
-        Allowed allowed =
-                new Allowed(
+        Capabilities allowed =
+                new Capabilities(
                         in.flag(),
                         in.flag(),
                         in.count(MOST),
@@ -207,8 +209,8 @@
                         in.flag(),
                         in.flag(),
                         in.flag());
-        Limits limits =
-                new Limits(
+        PolicyLimits limits =
+                new PolicyLimits(
                         in.signed(),
                         in.fraction(),
                         in.signed(),
--- a/capture/src/main/java/ashlink/capture/events/EntryWriter.java
+++ b/capture/src/main/java/ashlink/capture/events/EntryWriter.java
@@ -1,31 +1,31 @@
 package ashlink.capture.events;
 
-import ashlink.Gateway.Action;
-import ashlink.Gateway.Alarm;
-import ashlink.Gateway.Allowed;
-import ashlink.Gateway.Cancel;
-import ashlink.Gateway.ClientGone;
-import ashlink.Gateway.Ended;
-import ashlink.Gateway.EngineKind;
-import ashlink.Gateway.Event;
-import ashlink.Gateway.Fail;
-import ashlink.Gateway.Limits;
-import ashlink.Gateway.ListEntry;
-import ashlink.Gateway.ListNews;
-import ashlink.Gateway.Log;
-import ashlink.Gateway.Probe;
-import ashlink.Gateway.Probed;
-import ashlink.Gateway.Progress;
-import ashlink.Gateway.QueryClass;
-import ashlink.Gateway.Refuse;
-import ashlink.Gateway.Report;
-import ashlink.Gateway.Request;
-import ashlink.Gateway.Send;
-import ashlink.Gateway.SetAlarm;
-import ashlink.Gateway.Settings;
-import ashlink.Gateway.Subscribe;
-import ashlink.Gateway.Tenant;
-import ashlink.Gateway.Terms;
+import ashlink.decisions.api.Action;
+import ashlink.decisions.api.Action.CancelAttempt;
+import ashlink.decisions.api.Action.CheckHealth;
+import ashlink.decisions.api.Action.Fail;
+import ashlink.decisions.api.Action.Log;
+import ashlink.decisions.api.Action.Reject;
+import ashlink.decisions.api.Action.SetAttemptResources;
+import ashlink.decisions.api.Action.SetTimer;
+import ashlink.decisions.api.Action.StartAttempt;
+import ashlink.decisions.api.Action.WatchEndpoints;
+import ashlink.decisions.api.Capabilities;
+import ashlink.decisions.api.Endpoint;
+import ashlink.decisions.api.EngineKind;
+import ashlink.decisions.api.Event;
+import ashlink.decisions.api.Event.AttemptEnded;
+import ashlink.decisions.api.Event.AttemptProgress;
+import ashlink.decisions.api.Event.ClientDisconnected;
+import ashlink.decisions.api.Event.EndpointsChanged;
+import ashlink.decisions.api.Event.HealthCheckCompleted;
+import ashlink.decisions.api.Event.QuerySubmitted;
+import ashlink.decisions.api.Event.TimerFired;
+import ashlink.decisions.api.LoadReport;
+import ashlink.decisions.api.PolicyLimits;
+import ashlink.decisions.api.QueryClass;
+import ashlink.decisions.api.Settings;
+import ashlink.decisions.api.Tenant;
 import java.util.Set;
 import java.util.function.UnaryOperator;
 
@@ -100,45 +100,45 @@
 
     // ---- Events
     private void event(Event event) {
-        if (event instanceof Request e) {
+        if (event instanceof QuerySubmitted e) {
             out.put(1);
             id(e.id());
             out.text(e.queryClass());
             out.text(e.key() == null ? null : hideKey.apply(e.key()));
-            out.signed(e.tables());
+            out.signed(e.tableGroup());
             out.signed(e.deadlineNs() - lastNs);
-            out.signed(e.workNs());
-            out.fraction(e.memoryMb());
+            out.signed(e.estimatedWorkNs());
+            out.fraction(e.estimatedMemoryMb());
             out.text(e.tenant());
-        } else if (event instanceof Ended e) {
+        } else if (event instanceof AttemptEnded e) {
             out.put(2);
             id(e.id());
             out.whole(e.attempt());
             out.text(e.engine());
             out.put(e.outcome().ordinal());
-            out.signed(e.tookNs());
-            out.flag(e.over());
+            out.signed(e.durationNs());
+            out.flag(e.clientAnswered());
             out.fraction(e.workMs());
             out.fraction(e.memoryMb());
-            report(e.report());
-        } else if (event instanceof Alarm e) {
+            report(e.loadReport());
+        } else if (event instanceof TimerFired e) {
             out.put(3);
             out.signed(e.label());
-        } else if (event instanceof Probed e) {
+        } else if (event instanceof HealthCheckCompleted e) {
             out.put(4);
             out.text(e.engine());
             out.put(e.outcome().ordinal());
-            out.signed(e.tookNs());
-            report(e.report());
-        } else if (event instanceof ListNews e) {
+            out.signed(e.durationNs());
+            report(e.loadReport());
+        } else if (event instanceof EndpointsChanged e) {
             out.put(5);
-            out.put(e.form().ordinal());
-            out.whole(e.entries().size());
-            e.entries().forEach(this::listEntry);
-        } else if (event instanceof ClientGone e) {
+            out.put(e.kind().ordinal());
+            out.whole(e.endpoints().size());
+            e.endpoints().forEach(this::listEntry);
+        } else if (event instanceof ClientDisconnected e) {
             out.put(6);
             id(e.id());
-        } else if (event instanceof Progress e) {
+        } else if (event instanceof AttemptProgress e) {
             out.put(7);
             id(e.id());
             out.whole(e.attempt());
@@ -148,17 +148,17 @@
         }
     }
 
-    private void report(Report r) {
-        out.fraction(r.waiting());
-        out.fraction(r.coresBusy());
-        out.fraction(r.memoryGranted());
-        out.fraction(r.disksBusy());
-        out.fraction(r.inHand());
+    private void report(LoadReport r) {
+        out.fraction(r.queued());
+        out.fraction(r.cpuUtilization());
+        out.fraction(r.memoryUtilization());
+        out.fraction(r.diskUtilization());
+        out.fraction(r.inFlight());
     }
 
-    private void listEntry(ListEntry e) {
+    private void listEntry(Endpoint e) {
         out.text(e.engine());
-        out.put(e.phase().ordinal());
+        out.put(e.state().ordinal());
         out.text(e.zone());
         out.text(e.kind());
         out.signed(e.cell());
@@ -167,35 +167,35 @@
 
     // ---- Actions
     private void action(Action action) {
-        if (action instanceof Send a) {
+        if (action instanceof StartAttempt a) {
             out.put(1);
             id(a.id());
             out.text(a.engine());
             out.signed(a.timeoutNs());
-        } else if (action instanceof Terms a) {
+        } else if (action instanceof SetAttemptResources a) {
             out.put(2);
             id(a.id());
             out.signed(a.priority());
             out.signed(a.memoryMb());
-        } else if (action instanceof Refuse a) {
+        } else if (action instanceof Reject a) {
             out.put(3);
             id(a.id());
             out.signed(a.retryAfterNs());
         } else if (action instanceof Fail a) {
             out.put(4);
             id(a.id());
-        } else if (action instanceof Cancel a) {
+        } else if (action instanceof CancelAttempt a) {
             out.put(5);
             id(a.id());
             out.whole(a.attempt());
-        } else if (action instanceof Probe a) {
+        } else if (action instanceof CheckHealth a) {
             out.put(6);
             out.text(a.engine());
-        } else if (action instanceof SetAlarm a) {
+        } else if (action instanceof SetTimer a) {
             out.put(7);
             out.signed(a.label());
             out.signed(a.timeNs() - lastNs);
-        } else if (action instanceof Subscribe) {
+        } else if (action instanceof WatchEndpoints) {
             out.put(8);
         } else if (action instanceof Log a) {
             out.put(9);
@@ -206,8 +206,8 @@
     // ---- Settings
     private void settings(Settings s) {
         out.signed(s.seed());
-        out.whole(s.gateways());
-        out.whole(s.position());
+        out.whole(s.routerCount());
+        out.whole(s.routerIndex());
         out.text(s.zone());
         out.whole(s.classes().size());
         s.classes().forEach(this::queryClass);
@@ -217,32 +217,32 @@
             out.whole(k.cores());
             out.fraction(k.memoryMb());
         }
-        allowed(s.allowed());
+        allowed(s.capabilities());
         limits(s.limits());
         out.whole(s.tenants().size());
         for (Tenant t : s.tenants()) {
             out.text(t.name());
             out.fraction(t.quotaPerS());
         }
-        out.fraction(s.overShareWorth());
+        out.fraction(s.overQuotaWeight());
     }
 
     private void queryClass(QueryClass c) {
         out.text(c.name());
-        out.signed(c.aimNs());
-        out.fraction(c.aimStretch());
+        out.signed(c.latencyObjectiveNs());
+        out.fraction(c.objectivePerWork());
         out.signed(c.deadlineNs());
-        out.put(c.effect().ordinal());
-        out.put(c.repeatGroup().ordinal());
-        out.signed(c.repeatSpanNs());
-        out.fraction(c.worth());
-        out.fraction(c.lateShare());
-        out.flag(c.inOrder());
-        texts(c.kinds());
+        out.put(c.retrySafety().ordinal());
+        out.put(c.deduplicationScope().ordinal());
+        out.signed(c.deduplicationWindowNs());
+        out.fraction(c.priorityWeight());
+        out.fraction(c.lateWeightFraction());
+        out.flag(c.ordered());
+        texts(c.engineKinds());
         texts(c.zones());
         out.whole(c.threads());
-        out.flag(c.holdsTables());
-        out.flag(c.waitsForTables());
+        out.flag(c.locksTables());
+        out.flag(c.waitsForTableLocks());
     }
 
     private void texts(Set<String> texts) {
@@ -250,30 +250,30 @@
         texts.forEach(out::text);
     }
 
-    private void allowed(Allowed a) {
-        out.flag(a.probes());
-        out.flag(a.cancels());
-        out.whole(a.attempts());
-        out.signed(a.longestRetryAfterNs());
-        out.flag(a.grants());
+    private void allowed(Capabilities a) {
+        out.flag(a.healthChecks());
+        out.flag(a.cancellation());
+        out.whole(a.maxAttempts());
+        out.signed(a.maxRetryAfterNs());
+        out.flag(a.memoryGrants());
         out.flag(a.priorities());
-        out.fraction(a.largestGrant());
-        out.flag(a.memoryQueues());
-        out.signed(a.noteEveryNs());
-        out.flag(a.costInAnswers());
-        out.flag(a.reportsInline());
-        out.flag(a.listMustBeAsked());
+        out.fraction(a.maxGrantFraction());
+        out.flag(a.queuesForMemory());
+        out.signed(a.progressIntervalNs());
+        out.flag(a.reportsCost());
+        out.flag(a.inlineLoadReports());
+        out.flag(a.endpointsMustBeWatched());
     }
 
-    private void limits(Limits l) {
+    private void limits(PolicyLimits l) {
         out.signed(l.drainGraceNs());
-        out.fraction(l.coldFrom());
-        out.signed(l.coldNs());
-        out.fraction(l.coldMultiple());
-        out.signed(l.coldWindowNs());
-        out.signed(l.keyRestNs());
-        out.fraction(l.freeResends());
-        out.fraction(l.resendsPerRequest());
-        out.signed(l.budgetSpanNs());
+        out.fraction(l.slowStartFraction());
+        out.signed(l.slowStartNs());
+        out.fraction(l.slowStartOverloadFactor());
+        out.signed(l.slowStartWindowNs());
+        out.signed(l.keyQuietPeriodNs());
+        out.fraction(l.freeRetries());
+        out.fraction(l.retriesPerQuery());
+        out.signed(l.retryBudgetWindowNs());
     }
 }
--- a/capture/src/main/java/ashlink/capture/events/package-info.java
+++ b/capture/src/main/java/ashlink/capture/events/package-info.java
@@ -1,5 +1,5 @@
 /**
  * What a module is told and does, as bytes: events, actions and settings of {@link
- * ashlink.Gateway}.
+ * ashlink.decisions.api}.
  */
 package ashlink.capture.events;
--- a/capture/src/test/java/ashlink/capture/CaptureRun.java
+++ b/capture/src/test/java/ashlink/capture/CaptureRun.java
@@ -1,9 +1,9 @@
 package ashlink.capture;
 
-import ashlink.Rules;
 import ashlink.capture.events.Entry;
 import ashlink.capture.log.FaultyDisk;
 import ashlink.capture.log.FolderDisk;
+import ashlink.decisions.DefaultWorkloadManager;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Arrays;
@@ -58,7 +58,7 @@
                 found.size(),
                 (System.nanoTime() - from) / 1e9,
                 found.get(found.size() - 1).state());
-        Replay replay = new Replay(Rules::new, "");
+        Replay replay = new Replay(DefaultWorkloadManager::new, "");
         day.forEach(replay);
         System.out.println("differing " + replay.differing());
     }
--- a/capture/src/test/java/ashlink/capture/CaptureTest.java
+++ b/capture/src/test/java/ashlink/capture/CaptureTest.java
@@ -5,35 +5,35 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.Gateway;
-import ashlink.Gateway.Action;
-import ashlink.Gateway.Alarm;
-import ashlink.Gateway.Allowed;
-import ashlink.Gateway.Effect;
-import ashlink.Gateway.Ended;
-import ashlink.Gateway.EngineKind;
-import ashlink.Gateway.Event;
-import ashlink.Gateway.Limits;
-import ashlink.Gateway.ListEntry;
-import ashlink.Gateway.ListForm;
-import ashlink.Gateway.ListNews;
-import ashlink.Gateway.Outcome;
-import ashlink.Gateway.Phase;
-import ashlink.Gateway.Probe;
-import ashlink.Gateway.Probed;
-import ashlink.Gateway.QueryClass;
-import ashlink.Gateway.RepeatGroup;
-import ashlink.Gateway.Report;
-import ashlink.Gateway.Request;
-import ashlink.Gateway.Send;
-import ashlink.Gateway.SetAlarm;
-import ashlink.Gateway.Settings;
-import ashlink.Gateway.Tenant;
-import ashlink.Rules;
 import ashlink.capture.events.Entry;
 import ashlink.capture.log.FaultyDisk;
 import ashlink.capture.log.FolderDisk;
 import ashlink.capture.log.Segment;
+import ashlink.decisions.DefaultWorkloadManager;
+import ashlink.decisions.api.Action;
+import ashlink.decisions.api.Action.CheckHealth;
+import ashlink.decisions.api.Action.SetTimer;
+import ashlink.decisions.api.Action.StartAttempt;
+import ashlink.decisions.api.Capabilities;
+import ashlink.decisions.api.DeduplicationScope;
+import ashlink.decisions.api.Endpoint;
+import ashlink.decisions.api.EndpointListKind;
+import ashlink.decisions.api.EndpointState;
+import ashlink.decisions.api.EngineKind;
+import ashlink.decisions.api.Event;
+import ashlink.decisions.api.Event.AttemptEnded;
+import ashlink.decisions.api.Event.EndpointsChanged;
+import ashlink.decisions.api.Event.HealthCheckCompleted;
+import ashlink.decisions.api.Event.QuerySubmitted;
+import ashlink.decisions.api.Event.TimerFired;
+import ashlink.decisions.api.LoadReport;
+import ashlink.decisions.api.Outcome;
+import ashlink.decisions.api.PolicyLimits;
+import ashlink.decisions.api.QueryClass;
+import ashlink.decisions.api.RetrySafety;
+import ashlink.decisions.api.Settings;
+import ashlink.decisions.api.Tenant;
+import ashlink.decisions.api.WorkloadManager;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -62,8 +62,8 @@
                                     500 * MS,
                                     1.5,
                                     2500 * MS,
-                                    Effect.IDEMPOTENT,
-                                    RepeatGroup.ALL,
+                                    RetrySafety.IDEMPOTENT,
+                                    DeduplicationScope.ALL,
                                     0,
                                     1,
                                     0.1,
@@ -78,8 +78,8 @@
                                     3000 * MS,
                                     3,
                                     25_000 * MS,
-                                    Effect.AT_MOST_ONCE,
-                                    RepeatGroup.ALL,
+                                    RetrySafety.AT_MOST_ONCE,
+                                    DeduplicationScope.ALL,
                                     0,
                                     10,
                                     0.5,
@@ -90,9 +90,9 @@
                                     true,
                                     false)),
                     List.of(new EngineKind("a", 8, 16384)),
-                    new Allowed(
+                    new Capabilities(
                             true, true, 4, 500 * MS, true, true, 0.4, true, 0, false, true, false),
-                    new Limits(
+                    new PolicyLimits(
                             2000 * MS,
                             0.35,
                             14_000 * MS,
@@ -109,22 +109,27 @@
     static List<Entry> day(long seed, int steps) {
         List<Entry> entries =
                 new ArrayList<>(
-                        List.of(new Entry.Start(ModuleHash.of(Rules.class), SETTINGS, "r1")));
-        Gateway g = new Rules(SETTINGS);
+                        List.of(
+                                new Entry.Start(
+                                        ModuleHash.of(DefaultWorkloadManager.class),
+                                        SETTINGS,
+                                        "r1")));
+        WorkloadManager g = new DefaultWorkloadManager(SETTINGS);
         SplittableRandom random = new SplittableRandom(seed);
-        PriorityQueue<SetAlarm> alarms =
-                new PriorityQueue<>(java.util.Comparator.comparingLong(SetAlarm::timeNs));
-        List<Send> out = new ArrayList<>();
+        PriorityQueue<SetTimer> alarms =
+                new PriorityQueue<>(java.util.Comparator.comparingLong(SetTimer::timeNs));
+        List<StartAttempt> out = new ArrayList<>();
         List<Event> due =
                 new ArrayList<>(
                         List.of(
-                                new ListNews(
-                                        ListForm.WHOLE,
+                                new EndpointsChanged(
+                                        EndpointListKind.SNAPSHOT,
                                         List.of(
-                                                new ListEntry("q1", Phase.READY, "z", "a", 0, 0),
-                                                new ListEntry(
+                                                new Endpoint(
+                                                        "q1", EndpointState.READY, "z", "a", 0, 0),
+                                                new Endpoint(
                                                         "q2",
-                                                        Phase.READY,
+                                                        EndpointState.READY,
                                                         "z",
                                                         "a",
                                                         1,
@@ -138,16 +143,16 @@
             if (!due.isEmpty()) {
                 event = due.remove(0);
             } else if (!alarms.isEmpty() && alarms.peek().timeNs() <= now) {
-                event = new Alarm(alarms.poll().label());
+                event = new TimerFired(alarms.poll().label());
             } else if (!out.isEmpty() && random.nextInt(3) == 0) {
-                Send s = out.remove(random.nextInt(out.size()));
+                StartAttempt s = out.remove(random.nextInt(out.size()));
                 Outcome o =
                         Outcome.values()[
                                 random.nextInt(4) > 0
                                         ? 0
                                         : random.nextInt(Outcome.values().length)];
                 event =
-                        new Ended(
+                        new AttemptEnded(
                                 s.id(),
                                 shots.get(s.id()),
                                 s.engine(),
@@ -156,7 +161,7 @@
                                 o == Outcome.SERVED,
                                 120.5,
                                 64,
-                                new Report(
+                                new LoadReport(
                                         random.nextInt(3),
                                         Double.NaN,
                                         random.nextDouble(),
@@ -164,7 +169,7 @@
             } else {
                 boolean load = random.nextInt(5) == 0;
                 event =
-                        new Request(
+                        new QuerySubmitted(
                                 ++id,
                                 load ? "load" : "look",
                                 load ? "customer-" + random.nextInt(3) : null,
@@ -174,21 +179,21 @@
                                 100,
                                 "t");
             }
-            List<Action> actions = g.on(event, now);
+            List<Action> actions = g.onEvent(event, now);
             entries.add(new Entry.Step(event, now, List.copyOf(actions)));
             for (Action a : actions) {
-                if (a instanceof Send s) {
+                if (a instanceof StartAttempt s) {
                     out.add(s);
                     shots.merge(s.id(), 1, (x, y) -> x + 1);
-                } else if (a instanceof SetAlarm s) {
+                } else if (a instanceof SetTimer s) {
                     alarms.add(s);
-                } else if (a instanceof Probe p) {
+                } else if (a instanceof CheckHealth p) {
                     due.add(
-                            new Probed(
+                            new HealthCheckCompleted(
                                     p.engine(),
                                     Outcome.SERVED,
                                     1000,
-                                    new Report(0, 0.5, 0.25, Double.NaN)));
+                                    new LoadReport(0, 0.5, 0.25, Double.NaN)));
                 }
             }
         }
@@ -230,7 +235,9 @@
                         .mapToObj(
                                 i -> {
                                     Replay replay =
-                                            new Replay(Rules::new, ModuleHash.of(Rules.class));
+                                            new Replay(
+                                                    DefaultWorkloadManager::new,
+                                                    ModuleHash.of(DefaultWorkloadManager.class));
                                     try {
                                         new CaptureReader(disk).read(replay);
                                     } catch (IOException e) {
@@ -252,7 +259,9 @@
         try (CaptureCut cut = new CaptureCut(head, 42, 0, 1_500)) {
             new CaptureReader(whole).read(cut);
         }
-        Replay replay = new Replay(Rules::new, ModuleHash.of(Rules.class));
+        Replay replay =
+                new Replay(
+                        DefaultWorkloadManager::new, ModuleHash.of(DefaultWorkloadManager.class));
         new CaptureReader(head).read(replay);
         assertEquals(1_499, replay.decided());
         assertEquals(0, replay.differing());
@@ -267,7 +276,9 @@
         assertTrue(
                 read(whole).subList(1_000, 1_500).equals(part.subList(2, part.size())),
                 "the part is as it was");
-        Replay none = new Replay(Rules::new, ModuleHash.of(Rules.class));
+        Replay none =
+                new Replay(
+                        DefaultWorkloadManager::new, ModuleHash.of(DefaultWorkloadManager.class));
         part.forEach(none);
         assertEquals(0, none.decided());
         assertEquals(500, none.passedOver());
@@ -359,7 +370,7 @@
             assertTrue(
                     gap >= acknowledged,
                     "trial " + trial + ": " + gap + " of " + acknowledged + " acknowledged");
-            Replay replay = new Replay(Rules::new, "");
+            Replay replay = new Replay(DefaultWorkloadManager::new, "");
             entries.forEach(replay);
             assertEquals(0, replay.differing(), "trial " + trial);
         }
@@ -393,7 +404,7 @@
         List<Entry> entries = read(disk);
         long gaps = entries.stream().filter(e -> e instanceof Entry.Gap).count();
         assertTrue(gaps >= 3 && r.gaps() >= 3, gaps + " gaps");
-        Replay replay = new Replay(Rules::new, "");
+        Replay replay = new Replay(DefaultWorkloadManager::new, "");
         entries.forEach(replay);
         assertEquals(0, replay.differing());
         assertTrue(replay.decided() > 0);
@@ -419,7 +430,7 @@
         }
         assertTrue(bytes < 64 << 10, bytes + " bytes kept");
         assertTrue(read(disk).get(0) instanceof Entry.Gap);
-        Replay replay = new Replay(Rules::new, "");
+        Replay replay = new Replay(DefaultWorkloadManager::new, "");
         new CaptureReader(disk).read(replay);
         assertEquals(0, replay.decided());
         assertTrue(replay.passedOver() > 0);
@@ -448,9 +459,9 @@
                         .filter(
                                 e ->
                                         e instanceof Entry.Step s
-                                                && s.event() instanceof Ended x
-                                                && x.over())
-                        .mapToLong(e -> ((Ended) ((Entry.Step) e).event()).id())
+                                                && s.event() instanceof AttemptEnded x
+                                                && x.clientAnswered())
+                        .mapToLong(e -> ((AttemptEnded) ((Entry.Step) e).event()).id())
                         .findFirst()
                         .orElseThrow();
         Story story = new Story(id);
--- a/capture/src/test/java/ashlink/capture/EntryText.java
+++ b/capture/src/test/java/ashlink/capture/EntryText.java
@@ -1,32 +1,32 @@
 package ashlink.capture;
 
-import ashlink.Gateway.Action;
-import ashlink.Gateway.Alarm;
-import ashlink.Gateway.Allowed;
-import ashlink.Gateway.Cancel;
-import ashlink.Gateway.ClientGone;
-import ashlink.Gateway.Ended;
-import ashlink.Gateway.EngineKind;
-import ashlink.Gateway.Event;
-import ashlink.Gateway.Fail;
-import ashlink.Gateway.Limits;
-import ashlink.Gateway.ListEntry;
-import ashlink.Gateway.ListNews;
-import ashlink.Gateway.Log;
-import ashlink.Gateway.Probe;
-import ashlink.Gateway.Probed;
-import ashlink.Gateway.Progress;
-import ashlink.Gateway.QueryClass;
-import ashlink.Gateway.Refuse;
-import ashlink.Gateway.Report;
-import ashlink.Gateway.Request;
-import ashlink.Gateway.Send;
-import ashlink.Gateway.SetAlarm;
-import ashlink.Gateway.Settings;
-import ashlink.Gateway.Subscribe;
-import ashlink.Gateway.Tenant;
-import ashlink.Gateway.Terms;
 import ashlink.capture.events.Entry;
+import ashlink.decisions.api.Action;
+import ashlink.decisions.api.Action.CancelAttempt;
+import ashlink.decisions.api.Action.CheckHealth;
+import ashlink.decisions.api.Action.Fail;
+import ashlink.decisions.api.Action.Log;
+import ashlink.decisions.api.Action.Reject;
+import ashlink.decisions.api.Action.SetAttemptResources;
+import ashlink.decisions.api.Action.SetTimer;
+import ashlink.decisions.api.Action.StartAttempt;
+import ashlink.decisions.api.Action.WatchEndpoints;
+import ashlink.decisions.api.Capabilities;
+import ashlink.decisions.api.Endpoint;
+import ashlink.decisions.api.EngineKind;
+import ashlink.decisions.api.Event;
+import ashlink.decisions.api.Event.AttemptEnded;
+import ashlink.decisions.api.Event.AttemptProgress;
+import ashlink.decisions.api.Event.ClientDisconnected;
+import ashlink.decisions.api.Event.EndpointsChanged;
+import ashlink.decisions.api.Event.HealthCheckCompleted;
+import ashlink.decisions.api.Event.QuerySubmitted;
+import ashlink.decisions.api.Event.TimerFired;
+import ashlink.decisions.api.LoadReport;
+import ashlink.decisions.api.PolicyLimits;
+import ashlink.decisions.api.QueryClass;
+import ashlink.decisions.api.Settings;
+import ashlink.decisions.api.Tenant;
 import java.util.List;
 
 /**
@@ -68,64 +68,69 @@
 
     // ---- Events
     private void event(Event event) {
-        if (event instanceof Request e) {
+        if (event instanceof QuerySubmitted e) {
             line(
                     "  request",
                     e.id(),
                     e.queryClass(),
                     e.key(),
-                    e.tables(),
+                    e.tableGroup(),
                     e.deadlineNs(),
-                    e.workNs(),
-                    e.memoryMb(),
+                    e.estimatedWorkNs(),
+                    e.estimatedMemoryMb(),
                     e.tenant());
-        } else if (event instanceof Ended e) {
+        } else if (event instanceof AttemptEnded e) {
             line(
                     "  ended",
                     e.id(),
                     e.attempt(),
                     e.engine(),
                     e.outcome().ordinal(),
-                    e.tookNs(),
-                    e.over(),
+                    e.durationNs(),
+                    e.clientAnswered(),
                     e.workMs(),
                     e.memoryMb(),
-                    report(e.report()));
-        } else if (event instanceof Alarm e) {
+                    report(e.loadReport()));
+        } else if (event instanceof TimerFired e) {
             line("  alarm", e.label());
-        } else if (event instanceof Probed e) {
-            line("  probed", e.engine(), e.outcome().ordinal(), e.tookNs(), report(e.report()));
-        } else if (event instanceof ListNews e) {
-            line("  list", e.form().ordinal(), e.entries().size());
-            e.entries().forEach(this::listEntry);
-        } else if (event instanceof ClientGone e) {
+        } else if (event instanceof HealthCheckCompleted e) {
+            line(
+                    "  probed",
+                    e.engine(),
+                    e.outcome().ordinal(),
+                    e.durationNs(),
+                    report(e.loadReport()));
+        } else if (event instanceof EndpointsChanged e) {
+            line("  list", e.kind().ordinal(), e.endpoints().size());
+            e.endpoints().forEach(this::listEntry);
+        } else if (event instanceof ClientDisconnected e) {
             line("  gone", e.id());
-        } else if (event instanceof Progress e) {
+        } else if (event instanceof AttemptProgress e) {
             line("  progress", e.id(), e.attempt(), e.engine(), e.kind().ordinal(), e.amount());
         } else {
             throw new AssertionError("an event that has no text: " + event);
         }
     }
 
-    private static String report(Report r) {
+    private static String report(LoadReport r) {
         return "("
-                + r.waiting()
+                + r.queued()
                 + " "
-                + r.coresBusy()
+                + r.cpuUtilization()
                 + " "
-                + r.memoryGranted()
+                + r.memoryUtilization()
                 + " "
-                + r.disksBusy()
+                + r.diskUtilization()
                 + " "
-                + r.inHand()
+                + r.inFlight()
                 + ")";
     }
 
-    private void listEntry(ListEntry e) {
+    private void listEntry(Endpoint e) {
         line(
                 "    engine",
                 e.engine(),
-                e.phase().ordinal(),
+                e.state().ordinal(),
                 e.zone(),
                 e.kind(),
                 e.cell(),
@@ -134,21 +139,21 @@
 
     // ---- Actions
     private void action(Action action) {
-        if (action instanceof Send a) {
+        if (action instanceof StartAttempt a) {
             line("  > send", a.id(), a.engine(), a.timeoutNs());
-        } else if (action instanceof Terms a) {
+        } else if (action instanceof SetAttemptResources a) {
             line("  > terms", a.id(), a.priority(), a.memoryMb());
-        } else if (action instanceof Refuse a) {
+        } else if (action instanceof Reject a) {
             line("  > refuse", a.id(), a.retryAfterNs());
         } else if (action instanceof Fail a) {
             line("  > fail", a.id());
-        } else if (action instanceof Cancel a) {
+        } else if (action instanceof CancelAttempt a) {
             line("  > cancel", a.id(), a.attempt());
-        } else if (action instanceof Probe a) {
+        } else if (action instanceof CheckHealth a) {
             line("  > probe", a.engine());
-        } else if (action instanceof SetAlarm a) {
+        } else if (action instanceof SetTimer a) {
             line("  > set-alarm", a.label(), a.timeNs());
-        } else if (action instanceof Subscribe) {
+        } else if (action instanceof WatchEndpoints) {
             line("  > subscribe");
         } else if (action instanceof Log a) {
             line("  > log", a.text());
@@ -159,12 +164,18 @@
 
     // ---- Settings
     private void settings(Settings s) {
-        line("  settings", s.seed(), s.gateways(), s.position(), s.zone(), s.overShareWorth());
+        line(
+                "  settings",
+                s.seed(),
+                s.routerCount(),
+                s.routerIndex(),
+                s.zone(),
+                s.overQuotaWeight());
         s.classes().forEach(this::queryClass);
         for (EngineKind kind : s.kinds()) {
             line("  kind", kind.name(), kind.cores(), kind.memoryMb());
         }
-        allowed(s.allowed());
+        allowed(s.capabilities());
         limits(s.limits());
         for (Tenant tenant : s.tenants()) {
             line("  tenant", tenant.name(), tenant.quotaPerS());
@@ -175,50 +186,50 @@
         line(
                 "  class",
                 c.name(),
-                c.aimNs(),
-                c.aimStretch(),
+                c.latencyObjectiveNs(),
+                c.objectivePerWork(),
                 c.deadlineNs(),
-                c.effect().ordinal(),
-                c.repeatGroup().ordinal(),
-                c.repeatSpanNs(),
-                c.worth(),
-                c.lateShare(),
-                c.inOrder(),
-                String.join(",", c.kinds()) + ";",
+                c.retrySafety().ordinal(),
+                c.deduplicationScope().ordinal(),
+                c.deduplicationWindowNs(),
+                c.priorityWeight(),
+                c.lateWeightFraction(),
+                c.ordered(),
+                String.join(",", c.engineKinds()) + ";",
                 String.join(",", c.zones()) + ";",
                 c.threads(),
-                c.holdsTables(),
-                c.waitsForTables());
+                c.locksTables(),
+                c.waitsForTableLocks());
     }
 
-    private void allowed(Allowed a) {
+    private void allowed(Capabilities a) {
         line(
                 "  allowed",
-                a.probes(),
-                a.cancels(),
-                a.attempts(),
-                a.longestRetryAfterNs(),
-                a.grants(),
+                a.healthChecks(),
+                a.cancellation(),
+                a.maxAttempts(),
+                a.maxRetryAfterNs(),
+                a.memoryGrants(),
                 a.priorities(),
-                a.largestGrant(),
-                a.memoryQueues(),
-                a.noteEveryNs(),
-                a.costInAnswers(),
-                a.reportsInline(),
-                a.listMustBeAsked());
+                a.maxGrantFraction(),
+                a.queuesForMemory(),
+                a.progressIntervalNs(),
+                a.reportsCost(),
+                a.inlineLoadReports(),
+                a.endpointsMustBeWatched());
     }
 
-    private void limits(Limits l) {
+    private void limits(PolicyLimits l) {
         line(
                 "  limits",
                 l.drainGraceNs(),
-                l.coldFrom(),
-                l.coldNs(),
-                l.coldMultiple(),
-                l.coldWindowNs(),
-                l.keyRestNs(),
-                l.freeResends(),
-                l.resendsPerRequest(),
-                l.budgetSpanNs());
+                l.slowStartFraction(),
+                l.slowStartNs(),
+                l.slowStartOverloadFactor(),
+                l.slowStartWindowNs(),
+                l.keyQuietPeriodNs(),
+                l.freeRetries(),
+                l.retriesPerQuery(),
+                l.retryBudgetWindowNs());
     }
 }
--- a/capture/src/test/java/ashlink/capture/StoredCaptureTest.java
+++ b/capture/src/test/java/ashlink/capture/StoredCaptureTest.java
@@ -3,18 +3,18 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.Gateway.Action;
-import ashlink.Gateway.Effect;
-import ashlink.Gateway.Event;
-import ashlink.Gateway.ListForm;
-import ashlink.Gateway.NoteKind;
-import ashlink.Gateway.Outcome;
-import ashlink.Gateway.Phase;
-import ashlink.Gateway.RepeatGroup;
-import ashlink.Rules;
 import ashlink.capture.events.Entry;
 import ashlink.capture.log.FolderDisk;
 import ashlink.capture.log.Segment;
+import ashlink.decisions.DefaultWorkloadManager;
+import ashlink.decisions.api.Action;
+import ashlink.decisions.api.DeduplicationScope;
+import ashlink.decisions.api.EndpointListKind;
+import ashlink.decisions.api.EndpointState;
+import ashlink.decisions.api.Event;
+import ashlink.decisions.api.Outcome;
+import ashlink.decisions.api.ProgressKind;
+import ashlink.decisions.api.RetrySafety;
 import java.io.IOException;
 import java.net.URISyntaxException;
 import java.nio.file.Files;
@@ -51,7 +51,7 @@
     }
 
     private static Replay replay() throws IOException, URISyntaxException {
-        Replay replay = new Replay(Rules::new, "");
+        Replay replay = new Replay(DefaultWorkloadManager::new, "");
         new CaptureReader(FolderDisk.reading(stored("day"))).read(replay);
         return replay;
     }
@@ -94,29 +94,35 @@
     @Test
     void constantsKeepTheOrderInWhichTheirNumbersWereStored() {
         assertEquals(
-                List.of(Effect.IDEMPOTENT, Effect.DEDUPLICATED, Effect.AT_MOST_ONCE),
-                List.of(Effect.values()));
+                List.of(RetrySafety.IDEMPOTENT, RetrySafety.DEDUPLICATED, RetrySafety.AT_MOST_ONCE),
+                List.of(RetrySafety.values()));
         assertEquals(
-                List.of(RepeatGroup.ALL, RepeatGroup.ZONE, RepeatGroup.CELL),
-                List.of(RepeatGroup.values()));
-        assertEquals(List.of(Phase.READY, Phase.DRAINING, Phase.GONE), List.of(Phase.values()));
+                List.of(DeduplicationScope.ALL, DeduplicationScope.ZONE, DeduplicationScope.CELL),
+                List.of(DeduplicationScope.values()));
+        assertEquals(
+                List.of(EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED),
+                List.of(EndpointState.values()));
         assertEquals(
                 List.of(
                         Outcome.SERVED,
                         Outcome.ERROR,
-                        Outcome.TURNED_AWAY,
+                        Outcome.REJECTED,
                         Outcome.TIMED_OUT,
-                        Outcome.NO_CONNECTION,
+                        Outcome.CONNECT_FAILED,
                         Outcome.RESET,
                         Outcome.CANCELLED,
-                        Outcome.NEVER_SENT),
+                        Outcome.NOT_SENT),
                 List.of(Outcome.values()));
         assertEquals(
-                List.of(NoteKind.SHARE_DONE, NoteKind.SPILLS_MB, NoteKind.WAITS),
-                List.of(NoteKind.values()));
+                List.of(ProgressKind.FRACTION_DONE, ProgressKind.SPILLED_MB, ProgressKind.WAITING),
+                List.of(ProgressKind.values()));
         assertEquals(
-                List.of(ListForm.WHOLE, ListForm.CHANGES, ListForm.REMEMBERED, ListForm.REFUSED),
-                List.of(ListForm.values()));
+                List.of(
+                        EndpointListKind.SNAPSHOT,
+                        EndpointListKind.DELTA,
+                        EndpointListKind.CACHED,
+                        EndpointListKind.UNAVAILABLE),
+                List.of(EndpointListKind.values()));
     }
 
     @Test
--- a/capture/src/test/java/ashlink/capture/StoredDataRecorder.java
+++ b/capture/src/test/java/ashlink/capture/StoredDataRecorder.java
@@ -1,41 +1,41 @@
 package ashlink.capture;
 
-import ashlink.Gateway;
-import ashlink.Gateway.Action;
-import ashlink.Gateway.Alarm;
-import ashlink.Gateway.Allowed;
-import ashlink.Gateway.Cancel;
-import ashlink.Gateway.ClientGone;
-import ashlink.Gateway.Effect;
-import ashlink.Gateway.Ended;
-import ashlink.Gateway.EngineKind;
-import ashlink.Gateway.Event;
-import ashlink.Gateway.Fail;
-import ashlink.Gateway.Limits;
-import ashlink.Gateway.ListEntry;
-import ashlink.Gateway.ListForm;
-import ashlink.Gateway.ListNews;
-import ashlink.Gateway.Log;
-import ashlink.Gateway.NoteKind;
-import ashlink.Gateway.Outcome;
-import ashlink.Gateway.Phase;
-import ashlink.Gateway.Probe;
-import ashlink.Gateway.Probed;
-import ashlink.Gateway.Progress;
-import ashlink.Gateway.QueryClass;
-import ashlink.Gateway.Refuse;
-import ashlink.Gateway.RepeatGroup;
-import ashlink.Gateway.Report;
-import ashlink.Gateway.Request;
-import ashlink.Gateway.Send;
-import ashlink.Gateway.SetAlarm;
-import ashlink.Gateway.Settings;
-import ashlink.Gateway.Subscribe;
-import ashlink.Gateway.Tenant;
-import ashlink.Gateway.Terms;
-import ashlink.Rules;
 import ashlink.capture.events.Entry;
 import ashlink.capture.log.FolderDisk;
+import ashlink.decisions.DefaultWorkloadManager;
+import ashlink.decisions.api.Action;
+import ashlink.decisions.api.Action.CancelAttempt;
+import ashlink.decisions.api.Action.CheckHealth;
+import ashlink.decisions.api.Action.Fail;
+import ashlink.decisions.api.Action.Log;
+import ashlink.decisions.api.Action.Reject;
+import ashlink.decisions.api.Action.SetAttemptResources;
+import ashlink.decisions.api.Action.SetTimer;
+import ashlink.decisions.api.Action.StartAttempt;
+import ashlink.decisions.api.Action.WatchEndpoints;
+import ashlink.decisions.api.Capabilities;
+import ashlink.decisions.api.DeduplicationScope;
+import ashlink.decisions.api.Endpoint;
+import ashlink.decisions.api.EndpointListKind;
+import ashlink.decisions.api.EndpointState;
+import ashlink.decisions.api.EngineKind;
+import ashlink.decisions.api.Event;
+import ashlink.decisions.api.Event.AttemptEnded;
+import ashlink.decisions.api.Event.AttemptProgress;
+import ashlink.decisions.api.Event.ClientDisconnected;
+import ashlink.decisions.api.Event.EndpointsChanged;
+import ashlink.decisions.api.Event.HealthCheckCompleted;
+import ashlink.decisions.api.Event.QuerySubmitted;
+import ashlink.decisions.api.Event.TimerFired;
+import ashlink.decisions.api.LoadReport;
+import ashlink.decisions.api.Outcome;
+import ashlink.decisions.api.PolicyLimits;
+import ashlink.decisions.api.ProgressKind;
+import ashlink.decisions.api.QueryClass;
+import ashlink.decisions.api.RetrySafety;
+import ashlink.decisions.api.Settings;
+import ashlink.decisions.api.Tenant;
+import ashlink.decisions.api.WorkloadManager;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -101,8 +101,8 @@
                 500 * MS,
                 1.5,
                 2500 * MS,
-                Effect.IDEMPOTENT,
-                RepeatGroup.ALL,
+                RetrySafety.IDEMPOTENT,
+                DeduplicationScope.ALL,
                 0,
                 1,
                 0.125,
@@ -120,8 +120,8 @@
                 3 * SECOND,
                 3,
                 25 * SECOND,
-                Effect.AT_MOST_ONCE,
-                RepeatGroup.CELL,
+                RetrySafety.AT_MOST_ONCE,
+                DeduplicationScope.CELL,
                 0,
                 10,
                 0.5,
@@ -139,8 +139,8 @@
                 SECOND,
                 2.25,
                 9 * SECOND,
-                Effect.DEDUPLICATED,
-                RepeatGroup.ZONE,
+                RetrySafety.DEDUPLICATED,
+                DeduplicationScope.ZONE,
                 60 * SECOND,
                 4,
                 0.25,
@@ -160,10 +160,10 @@
                 "z",
                 List.of(look(), load()),
                 List.of(new EngineKind("a", 8, 16384)),
-                new Allowed(
+                new Capabilities(
                         true, true, 4, 500 * MS, true, true, 0.5, true, 100 * MS, false, true,
                         false),
-                new Limits(
+                new PolicyLimits(
                         2 * SECOND,
                         0.375,
                         14 * SECOND,
@@ -185,8 +185,8 @@
                 "y",
                 List.of(upsert(), look(), load()),
                 List.of(new EngineKind("a", 8, 16384), new EngineKind("b", 64, 262144.5)),
-                new Allowed(false, false, 2, 0, false, false, 0, false, 0, true, false, true),
-                new Limits(0, 0, 0, 0, 0, 0, 0, 0, 0),
+                new Capabilities(false, false, 2, 0, false, false, 0, false, 0, true, false, true),
+                new PolicyLimits(0, 0, 0, 0, 0, 0, 0, 0, 0),
                 List.of(),
                 1);
     }
@@ -203,22 +203,24 @@
         entries.add(new Entry.Gap(7));
         for (Action action : actions()) {
             now += 89 * SECOND;
-            entries.add(new Entry.Step(new Alarm(now), now, List.of(action)));
+            entries.add(new Entry.Step(new TimerFired(now), now, List.of(action)));
         }
         entries.add(new Entry.Start("fedcba9876543210", wideSettings(), "router-two"));
-        entries.add(new Entry.Step(new Alarm(-1), 3, actions()));
+        entries.add(new Entry.Step(new TimerFired(-1), 3, actions()));
         return entries;
     }
 
     private static List<Event> events() {
         List<Event> events = new ArrayList<>();
-        events.add(new Request(1, "look", null, 0, 5_002 * SECOND, 0, 0, ""));
-        events.add(new Request(2, "load", "customer-1", 511, 5_025 * SECOND, 80 * MS, 100.5, "t"));
-        events.add(new Request(3, "load", "customer-1", -1, 1, 1L << 50, 1e12, "mañana"));
+        events.add(new QuerySubmitted(1, "look", null, 0, 5_002 * SECOND, 0, 0, ""));
+        events.add(
+                new QuerySubmitted(
+                        2, "load", "customer-1", 511, 5_025 * SECOND, 80 * MS, 100.5, "t"));
+        events.add(new QuerySubmitted(3, "load", "customer-1", -1, 1, 1L << 50, 1e12, "mañana"));
         for (Outcome outcome : Outcome.values()) {
             int number = outcome.ordinal();
             events.add(
-                    new Ended(
+                    new AttemptEnded(
                             2,
                             number,
                             "q" + number,
@@ -227,38 +229,39 @@
                             number % 2 == 0,
                             120.5 + number,
                             64 * number,
-                            new Report(number, 0.5, 0.25, Double.NaN, 3)));
-            events.add(new Probed("q" + number, outcome, 7 + number, Report.NONE));
+                            new LoadReport(number, 0.5, 0.25, Double.NaN, 3)));
+            events.add(
+                    new HealthCheckCompleted("q" + number, outcome, 7 + number, LoadReport.NONE));
         }
-        for (ListForm form : ListForm.values()) {
-            events.add(new ListNews(form, listEntries(form.ordinal())));
+        for (EndpointListKind form : EndpointListKind.values()) {
+            events.add(new EndpointsChanged(form, listEntries(form.ordinal())));
         }
-        for (NoteKind kind : NoteKind.values()) {
-            events.add(new Progress(3, kind.ordinal(), "q1", kind, -0.75 + kind.ordinal()));
+        for (ProgressKind kind : ProgressKind.values()) {
+            events.add(new AttemptProgress(3, kind.ordinal(), "q1", kind, -0.75 + kind.ordinal()));
         }
-        events.add(new ClientGone(3));
+        events.add(new ClientDisconnected(3));
         return events;
     }
 
-    private static List<ListEntry> listEntries(int count) {
-        List<ListEntry> entries = new ArrayList<>();
+    private static List<Endpoint> listEntries(int count) {
+        List<Endpoint> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             String zone = i == 0 ? "z" : "y";
-            entries.add(new ListEntry("q" + i, Phase.values()[i], zone, "a", i, i * SECOND));
+            entries.add(new Endpoint("q" + i, EndpointState.values()[i], zone, "a", i, i * SECOND));
         }
         return entries;
     }
 
     private static List<Action> actions() {
         return List.of(
-                new Send(2, "q1", 900 * MS),
-                new Terms(2, -5, 4096),
-                new Refuse(3, 250 * MS),
+                new StartAttempt(2, "q1", 900 * MS),
+                new SetAttemptResources(2, -5, 4096),
+                new Reject(3, 250 * MS),
                 new Fail(1),
-                new Cancel(2, 3),
-                new Probe("q9"),
-                new SetAlarm(77, 1_000 * SECOND),
-                new Subscribe(),
+                new CancelAttempt(2, 3),
+                new CheckHealth("q9"),
+                new SetTimer(77, 1_000 * SECOND),
+                new WatchEndpoints(),
                 new Log("engine q1 refuses, Größe 5"));
     }
 
@@ -266,26 +269,27 @@
     private static final class Day {
         private final Settings settings;
         private final SplittableRandom random;
-        private final Gateway gateway;
+        private final WorkloadManager gateway;
         private final List<Entry> entries = new ArrayList<>();
         private final List<Event> due = new ArrayList<>();
-        private final List<Send> sent = new ArrayList<>();
+        private final List<StartAttempt> sent = new ArrayList<>();
         private final Map<Long, Integer> attempts = new HashMap<>();
-        private final PriorityQueue<SetAlarm> alarms =
-                new PriorityQueue<>(Comparator.comparingLong(SetAlarm::timeNs));
+        private final PriorityQueue<SetTimer> alarms =
+                new PriorityQueue<>(Comparator.comparingLong(SetTimer::timeNs));
         private long nowNs = 1_000 * SECOND;
         private long lastRequest;
 
         Day(Settings settings, long seed) {
             this.settings = settings;
             this.random = new SplittableRandom(seed);
-            this.gateway = new Rules(settings);
+            this.gateway = new DefaultWorkloadManager(settings);
         }
 
         List<Entry> entries() {
-            entries.add(new Entry.Start(ModuleHash.of(Rules.class), settings, "r1"));
-            due.add(news(ListForm.REMEMBERED, Phase.READY));
-            due.add(news(ListForm.WHOLE, Phase.READY));
+            entries.add(
+                    new Entry.Start(ModuleHash.of(DefaultWorkloadManager.class), settings, "r1"));
+            due.add(news(EndpointListKind.CACHED, EndpointState.READY));
+            due.add(news(EndpointListKind.SNAPSHOT, EndpointState.READY));
             while (entries.size() <= DAY_STEPS) {
                 nowNs += random.nextInt(9_000_000);
                 step(next());
@@ -293,30 +297,30 @@
             return entries;
         }
 
-        private static ListNews news(ListForm form, Phase second) {
-            return new ListNews(
+        private static EndpointsChanged news(EndpointListKind form, EndpointState second) {
+            return new EndpointsChanged(
                     form,
                     List.of(
-                            new ListEntry("q1", Phase.READY, "z", "a", 0, 0),
-                            new ListEntry("q2", second, "y", "a", 1, 990 * SECOND)));
+                            new Endpoint("q1", EndpointState.READY, "z", "a", 0, 0),
+                            new Endpoint("q2", second, "y", "a", 1, 990 * SECOND)));
         }
 
         private void step(Event event) {
-            List<Action> actions = gateway.on(event, nowNs);
+            List<Action> actions = gateway.onEvent(event, nowNs);
             entries.add(new Entry.Step(event, nowNs, List.copyOf(actions)));
             for (Action action : actions) {
-                if (action instanceof Send send) {
+                if (action instanceof StartAttempt send) {
                     sent.add(send);
                     attempts.merge(send.id(), 1, Integer::sum);
-                } else if (action instanceof SetAlarm alarm) {
+                } else if (action instanceof SetTimer alarm) {
                     alarms.add(alarm);
-                } else if (action instanceof Probe probe) {
+                } else if (action instanceof CheckHealth probe) {
                     due.add(
-                            new Probed(
+                            new HealthCheckCompleted(
                                     probe.engine(),
                                     Outcome.SERVED,
                                     1_000,
-                                    new Report(0, 0.5, 0.25, Double.NaN, 2)));
+                                    new LoadReport(0, 0.5, 0.25, Double.NaN, 2)));
                 }
             }
         }
@@ -325,29 +329,31 @@
             if (!due.isEmpty()) {
                 return due.remove(0);
             } else if (!alarms.isEmpty() && alarms.peek().timeNs() <= nowNs) {
-                return new Alarm(alarms.poll().label());
+                return new TimerFired(alarms.poll().label());
             } else if (entries.size() % 40 == 0) {
-                Phase second = entries.size() % 80 == 0 ? Phase.READY : Phase.DRAINING;
-                return news(ListForm.CHANGES, second);
+                EndpointState second =
+                        entries.size() % 80 == 0 ? EndpointState.READY : EndpointState.DRAINING;
+                return news(EndpointListKind.DELTA, second);
             } else if (!sent.isEmpty() && random.nextInt(2) == 0) {
                 return ofSent(sent.get(random.nextInt(sent.size())));
             }
             return request();
         }
 
-        private Event ofSent(Send send) {
+        private Event ofSent(StartAttempt send) {
             int attempt = attempts.get(send.id()) - 1;
             int what = random.nextInt(8);
             if (what == 0) {
-                return new Progress(send.id(), attempt, send.engine(), NoteKind.SHARE_DONE, 0.25);
+                return new AttemptProgress(
+                        send.id(), attempt, send.engine(), ProgressKind.FRACTION_DONE, 0.25);
             }
             sent.remove(send);
             if (what == 1) {
-                return new ClientGone(send.id());
+                return new ClientDisconnected(send.id());
             }
             Outcome[] outcomes = Outcome.values();
             Outcome outcome = what < 6 ? Outcome.SERVED : outcomes[random.nextInt(outcomes.length)];
-            return new Ended(
+            return new AttemptEnded(
                     send.id(),
                     attempt,
                     send.engine(),
@@ -356,17 +362,17 @@
                     outcome == Outcome.SERVED,
                     random.nextInt(9_000) * SIXTY_FOURTH,
                     64,
-                    new Report(
+                    new LoadReport(
                             random.nextInt(3),
                             Double.NaN,
                             random.nextInt(65) * SIXTY_FOURTH,
                             Double.NaN));
         }
 
-        private Request request() {
+        private QuerySubmitted request() {
             QueryClass ofClass = settings.classes().get(random.nextInt(settings.classes().size()));
-            String key = ofClass.inOrder() ? "customer-" + random.nextInt(3) : null;
-            return new Request(
+            String key = ofClass.ordered() ? "customer-" + random.nextInt(3) : null;
+            return new QuerySubmitted(
                     ++lastRequest,
                     ofClass.name(),
                     key,
--- a/cli/src/main/java/ashlink/cli/BadDayCommand.java
+++ b/cli/src/main/java/ashlink/cli/BadDayCommand.java
@@ -1,8 +1,8 @@
 package ashlink.cli;
 
-import ashlink.Rules;
 import ashlink.config.DayConfig;
 import ashlink.config.DayConfigReader;
+import ashlink.decisions.DefaultWorkloadManager;
 import ashlink.rig.baseline.Baseline;
 import ashlink.rig.check.Checker;
 import ashlink.rig.check.Service;
@@ -150,7 +150,12 @@
 
     private boolean play(DayConfig day, String name, Baseline.Policy baseline) throws Exception {
         DayFacts facts =
-                new DayRun(day, s -> baseline == null ? new Rules(s) : new Baseline(baseline, s))
+                new DayRun(
+                                day,
+                                s ->
+                                        baseline == null
+                                                ? new DefaultWorkloadManager(s)
+                                                : new Baseline(baseline, s))
                         .run();
         Service s = Service.of(facts);
         System.out.printf(
--- a/cli/src/main/java/ashlink/cli/ExplainCommand.java
+++ b/cli/src/main/java/ashlink/cli/ExplainCommand.java
@@ -79,9 +79,9 @@
                 "class        "
                         + d.queryClass().name()
                         + ", repeat "
-                        + d.queryClass().effect()
+                        + d.queryClass().retrySafety()
                         + ", kinds "
-                        + d.queryClass().kinds()
+                        + d.queryClass().engineKinds()
                         + ", zones "
                         + d.queryClass().zones());
         return 0;
--- a/cli/src/main/java/ashlink/cli/ReplayCommand.java
+++ b/cli/src/main/java/ashlink/cli/ReplayCommand.java
@@ -1,12 +1,12 @@
 package ashlink.cli;
 
-import ashlink.Gateway;
-import ashlink.Gateway.Settings;
-import ashlink.Rules;
 import ashlink.capture.CaptureReader;
 import ashlink.capture.ModuleHash;
 import ashlink.capture.Replay;
 import ashlink.capture.log.FolderDisk;
+import ashlink.decisions.DefaultWorkloadManager;
+import ashlink.decisions.api.Settings;
+import ashlink.decisions.api.WorkloadManager;
 import ashlink.rig.baseline.Baseline;
 import java.net.URL;
 import java.net.URLClassLoader;
@@ -40,7 +40,7 @@
 
     @Option(
             names = "--module",
-            defaultValue = "ashlink.Rules",
+            defaultValue = "ashlink.decisions.DefaultWorkloadManager",
             description = "Class of the module in that jar, made from Settings: ${DEFAULT-VALUE}.")
     private String moduleClass;
 
@@ -58,7 +58,8 @@
 
         @Override
         protected Class<?> loadClass(String name, boolean resolve) throws ClassNotFoundException {
-            boolean shared = !name.startsWith("ashlink.") || name.startsWith("ashlink.Gateway");
+            boolean shared =
+                    !name.startsWith("ashlink.") || name.startsWith("ashlink.decisions.api.");
             synchronized (getClassLoadingLock(name)) {
                 Class<?> c = shared ? super.loadClass(name, resolve) : findLoadedClass(name);
                 return c != null ? c : findClass(name);
@@ -66,18 +67,18 @@
         }
     }
 
-    private Class<? extends Gateway> module() throws Exception {
+    private Class<? extends WorkloadManager> module() throws Exception {
         if (jar == null) {
-            return baseline == null ? Rules.class : Baseline.class;
+            return baseline == null ? DefaultWorkloadManager.class : Baseline.class;
         }
-        return new OtherBuild(jar).loadClass(moduleClass).asSubclass(Gateway.class);
+        return new OtherBuild(jar).loadClass(moduleClass).asSubclass(WorkloadManager.class);
     }
 
     @Override
     public Integer call() throws Exception {
         boolean same = true;
-        Class<? extends Gateway> type = module();
-        Function<Settings, Gateway> module =
+        Class<? extends WorkloadManager> type = module();
+        Function<Settings, WorkloadManager> module =
                 s -> {
                     try {
                         return baseline != null && jar == null
--- a/cli/src/test/java/ashlink/cli/ArchitectureTest.java
+++ b/cli/src/test/java/ashlink/cli/ArchitectureTest.java
@@ -21,7 +21,7 @@
             layeredArchitecture()
                     .consideringOnlyDependenciesInLayers()
                     .layer("decisions")
-                    .definedBy("ashlink")
+                    .definedBy("ashlink.decisions..")
                     .layer("drill")
                     .definedBy("ashlink.drill..")
                     .layer("wire")
@@ -186,7 +186,7 @@
             noClasses()
                     .that()
                     .resideInAnyPackage(
-                            "ashlink",
+                            "ashlink.decisions..",
                             "ashlink.router.classify..",
                             "ashlink.sql..",
                             "ashlink.standin.model..",
--- a/cli/src/test/java/ashlink/cli/KilledRouterTest.java
+++ b/cli/src/test/java/ashlink/cli/KilledRouterTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.Rules;
 import ashlink.capture.CaptureReader;
 import ashlink.capture.ModuleHash;
 import ashlink.capture.Replay;
 import ashlink.capture.log.FolderDisk;
+import ashlink.decisions.DefaultWorkloadManager;
 import ashlink.rig.client.NativeClient;
 import ashlink.rig.fleet.BriefSettings;
 import ashlink.rig.fleet.Engines;
@@ -87,7 +87,9 @@
             }
         }
         engines.forEach(StandInEngine::crash);
-        Replay replay = new Replay(Rules::new, ModuleHash.of(Rules.class));
+        Replay replay =
+                new Replay(
+                        DefaultWorkloadManager::new, ModuleHash.of(DefaultWorkloadManager.class));
         new CaptureReader(FolderDisk.reading(dir.resolve("capture"))).read(replay);
         assertEquals(KILLS, replay.starts());
         assertEquals(0, replay.differing(), replay.divergences().toString());
--- a/config/src/main/java/ashlink/config/RouterConfig.java
+++ b/config/src/main/java/ashlink/config/RouterConfig.java
@@ -1,13 +1,13 @@
 package ashlink.config;
 
-import ashlink.Gateway.Allowed;
-import ashlink.Gateway.Effect;
-import ashlink.Gateway.EngineKind;
-import ashlink.Gateway.Limits;
-import ashlink.Gateway.Phase;
-import ashlink.Gateway.QueryClass;
-import ashlink.Gateway.Settings;
-import ashlink.Gateway.Tenant;
+import ashlink.decisions.api.Capabilities;
+import ashlink.decisions.api.EndpointState;
+import ashlink.decisions.api.EngineKind;
+import ashlink.decisions.api.PolicyLimits;
+import ashlink.decisions.api.QueryClass;
+import ashlink.decisions.api.RetrySafety;
+import ashlink.decisions.api.Settings;
+import ashlink.decisions.api.Tenant;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
@@ -36,8 +36,8 @@
         Map<String, UserSpec> users,
         List<Tenant> tenants,
         double overShareWorth,
-        Allowed allowed,
-        Limits limits,
+        Capabilities allowed,
+        PolicyLimits limits,
         Gauges gauges,
         EngineLogin engineLogin,
         CaptureSpec capture,
@@ -51,7 +51,7 @@
             String zone,
             String kind,
             long cell,
-            Phase phase) {}
+            EndpointState phase) {}
 
     /**
      * A user: salted hash of the password (bcrypt), empty for one without, and the tenant that it
@@ -219,26 +219,26 @@
     public Map<String, QueryClass> allClasses() {
         Map<String, QueryClass> all = new LinkedHashMap<>(classes);
         for (QueryClass c : classes.values()) {
-            if (c.effect() != Effect.AT_MOST_ONCE
-                    && !(c.kinds().isEmpty() && c.zones().isEmpty())) {
+            if (c.retrySafety() != RetrySafety.AT_MOST_ONCE
+                    && !(c.engineKinds().isEmpty() && c.zones().isEmpty())) {
                 all.put(
                         strictName(c.name()),
                         new QueryClass(
                                 strictName(c.name()),
-                                c.aimNs(),
-                                c.aimStretch(),
+                                c.latencyObjectiveNs(),
+                                c.objectivePerWork(),
                                 c.deadlineNs(),
-                                Effect.AT_MOST_ONCE,
-                                c.repeatGroup(),
+                                RetrySafety.AT_MOST_ONCE,
+                                c.deduplicationScope(),
                                 0,
-                                c.worth(),
-                                c.lateShare(),
-                                c.inOrder(),
-                                c.kinds(),
+                                c.priorityWeight(),
+                                c.lateWeightFraction(),
+                                c.ordered(),
+                                c.engineKinds(),
                                 c.zones(),
                                 c.threads(),
-                                c.holdsTables(),
-                                c.waitsForTables()));
+                                c.locksTables(),
+                                c.waitsForTableLocks()));
             }
         }
         return all;
--- a/config/src/main/java/ashlink/config/RouterConfigReader.java
+++ b/config/src/main/java/ashlink/config/RouterConfigReader.java
@@ -1,13 +1,5 @@
 package ashlink.config;
 
-import ashlink.Gateway.Allowed;
-import ashlink.Gateway.Effect;
-import ashlink.Gateway.EngineKind;
-import ashlink.Gateway.Limits;
-import ashlink.Gateway.Phase;
-import ashlink.Gateway.QueryClass;
-import ashlink.Gateway.RepeatGroup;
-import ashlink.Gateway.Tenant;
 import ashlink.config.RouterConfig.Bounds;
 import ashlink.config.RouterConfig.CaptureSpec;
 import ashlink.config.RouterConfig.ClassRule;
@@ -18,6 +10,14 @@
 import ashlink.config.RouterConfig.Gauges;
 import ashlink.config.RouterConfig.HttpSpec;
 import ashlink.config.RouterConfig.UserSpec;
+import ashlink.decisions.api.Capabilities;
+import ashlink.decisions.api.DeduplicationScope;
+import ashlink.decisions.api.EndpointState;
+import ashlink.decisions.api.EngineKind;
+import ashlink.decisions.api.PolicyLimits;
+import ashlink.decisions.api.QueryClass;
+import ashlink.decisions.api.RetrySafety;
+import ashlink.decisions.api.Tenant;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -115,13 +115,16 @@
         oneOf(top, "default-class", defaultClass, classes.keySet());
         String defaultWrite = top.text("default-write-class", null);
         QueryClass write = classes.get(defaultWrite);
-        if (write == null || write.effect() != Effect.AT_MOST_ONCE) {
+        if (write == null || write.retrySafety() != RetrySafety.AT_MOST_ONCE) {
             top.problem(
                     "default-write-class",
                     "a class with (repeat never): "
                             + names(
                                     classes.values().stream()
-                                            .filter(c -> c.effect() == Effect.AT_MOST_ONCE)
+                                            .filter(
+                                                    c ->
+                                                            c.retrySafety()
+                                                                    == RetrySafety.AT_MOST_ONCE)
                                             .toList()));
         }
         InetSocketAddress listen;
@@ -221,8 +224,8 @@
                                                 s.whole("cell", 0L, 0, Integer.MAX_VALUE),
                                                 s.choice("phase", Listed.READY, Listed.class)
                                                                 == Listed.READY
-                                                        ? Phase.READY
-                                                        : Phase.DRAINING);
+                                                        ? EndpointState.READY
+                                                        : EndpointState.DRAINING);
                                 oneOf(s, "zone", e.zone(), zones);
                                 oneOf(s, "kind", e.kind(), names);
                                 engines.put(name, e);
@@ -238,11 +241,11 @@
                         (name, s) -> {
                             try (s) {
                                 Repeat repeat = s.choice("repeat", null, Repeat.class);
-                                Effect effect =
+                                RetrySafety effect =
                                         switch (repeat) {
-                                            case SAFE -> Effect.IDEMPOTENT;
-                                            case DEDUPLICATED -> Effect.DEDUPLICATED;
-                                            case NEVER -> Effect.AT_MOST_ONCE;
+                                            case SAFE -> RetrySafety.IDEMPOTENT;
+                                            case DEDUPLICATED -> RetrySafety.DEDUPLICATED;
+                                            case NEVER -> RetrySafety.AT_MOST_ONCE;
                                         };
                                 QueryClass c =
                                         new QueryClass(
@@ -253,8 +256,8 @@
                                                 effect,
                                                 s.choice(
                                                         "repeat-group",
-                                                        RepeatGroup.ALL,
-                                                        RepeatGroup.class),
+                                                        DeduplicationScope.ALL,
+                                                        DeduplicationScope.class),
                                                 s.duration("repeat-span", 0L, 0, 24 * HOUR),
                                                 s.number("worth", 1.0, 0, 1e6),
                                                 s.number("late-share", 0.0, 0, 1),
@@ -267,7 +270,7 @@
                                 allOf(
                                         s,
                                         "only-kinds",
-                                        c.kinds(),
+                                        c.engineKinds(),
                                         kinds.stream().map(EngineKind::name).toList());
                                 allOf(s, "only-zones", c.zones(), zones);
                                 if (name.contains("/")) {
@@ -363,9 +366,9 @@
                         .collect(Collectors.joining(".*")));
     }
 
-    private Allowed allowed() {
+    private Capabilities allowed() {
         try (Section s = top.section("allowed")) {
-            return new Allowed(
+            return new Capabilities(
                     s.flag("probes", true),
                     s.flag("cancels", true),
                     (int) s.whole("attempts", 3L, 1, 100),
@@ -381,9 +384,9 @@
         }
     }
 
-    private Limits limits() {
+    private PolicyLimits limits() {
         try (Section s = top.section("limits")) {
-            return new Limits(
+            return new PolicyLimits(
                     s.duration("drain-grace", 2 * S, 0, HOUR),
                     s.number("cold-from", 0.0, 0, 1),
                     s.duration("cold-time", 0L, 0, HOUR),
--- a/config/src/main/java/ashlink/config/flat/ReportReader.java
+++ b/config/src/main/java/ashlink/config/flat/ReportReader.java
@@ -1,6 +1,6 @@
 package ashlink.config.flat;
 
-import ashlink.Gateway.Report;
+import ashlink.decisions.api.LoadReport;
 import java.util.OptionalDouble;
 import java.util.function.Consumer;
 
@@ -17,7 +17,7 @@
      * never 0, and so is a value below 0 or without end, as late and noisy reports may have; a pair
      * without a number is told to {@code complain}, which may throw, and is missing.
      */
-    public static Report read(String text, char separator, Consumer<String> complain) {
+    public static LoadReport read(String text, char separator, Consumer<String> complain) {
         double waiting = Double.NaN;
         double cores = Double.NaN;
         double memory = Double.NaN;
@@ -47,7 +47,7 @@
                 default -> {}
             }
         }
-        return new Report(waiting, cores, memory, disks, inHand);
+        return new LoadReport(waiting, cores, memory, disks, inHand);
     }
 
     private static OptionalDouble number(String text) {
--- a/config/src/main/java/ashlink/config/flat/SettingsReader.java
+++ b/config/src/main/java/ashlink/config/flat/SettingsReader.java
@@ -1,13 +1,13 @@
 package ashlink.config.flat;
 
-import ashlink.Gateway.Allowed;
-import ashlink.Gateway.Effect;
-import ashlink.Gateway.EngineKind;
-import ashlink.Gateway.Limits;
-import ashlink.Gateway.QueryClass;
-import ashlink.Gateway.RepeatGroup;
-import ashlink.Gateway.Settings;
-import ashlink.Gateway.Tenant;
+import ashlink.decisions.api.Capabilities;
+import ashlink.decisions.api.DeduplicationScope;
+import ashlink.decisions.api.EngineKind;
+import ashlink.decisions.api.PolicyLimits;
+import ashlink.decisions.api.QueryClass;
+import ashlink.decisions.api.RetrySafety;
+import ashlink.decisions.api.Settings;
+import ashlink.decisions.api.Tenant;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -80,14 +80,14 @@
     }
 
     private QueryClass queryClass(String at, int threads, boolean holds, boolean waits) {
-        Effect effect = effect(at + "effect");
+        RetrySafety effect = effect(at + "effect");
         return new QueryClass(
                 fields.needed(at + "name"),
                 fields.whole(at + "promise-ns"),
                 fields.number(at + "aim-stretch", 0),
                 fields.whole(at + "deadline-ns"),
                 effect,
-                effect == Effect.DEDUPLICATED ? group(at + "group") : RepeatGroup.ALL,
+                effect == RetrySafety.DEDUPLICATED ? group(at + "group") : DeduplicationScope.ALL,
                 fields.whole(at + "memory-span-ns", 0),
                 fields.number(at + "gain"),
                 fields.number(at + "late-share", 0),
@@ -99,20 +99,20 @@
                 waits);
     }
 
-    private Effect effect(String name) {
+    private RetrySafety effect(String name) {
         return switch (fields.needed(name)) {
-            case "idempotent" -> Effect.IDEMPOTENT;
-            case "deduplicated" -> Effect.DEDUPLICATED;
-            case "at_most_once" -> Effect.AT_MOST_ONCE;
+            case "idempotent" -> RetrySafety.IDEMPOTENT;
+            case "deduplicated" -> RetrySafety.DEDUPLICATED;
+            case "at_most_once" -> RetrySafety.AT_MOST_ONCE;
             default -> throw unknown(name);
         };
     }
 
-    private RepeatGroup group(String name) {
+    private DeduplicationScope group(String name) {
         return switch (fields.needed(name)) {
-            case "all" -> RepeatGroup.ALL;
-            case "zone" -> RepeatGroup.ZONE;
-            case "cell" -> RepeatGroup.CELL;
+            case "all" -> DeduplicationScope.ALL;
+            case "zone" -> DeduplicationScope.ZONE;
+            case "cell" -> DeduplicationScope.CELL;
             default -> throw unknown(name);
         };
     }
@@ -137,8 +137,8 @@
         return kinds;
     }
 
-    private Allowed allowed() {
-        return new Allowed(
+    private Capabilities allowed() {
+        return new Capabilities(
                 fields.flag("ceilings.may-probe"),
                 fields.flag("ceilings.cancel"),
                 (int) fields.whole("ceilings.attempts-cap"),
@@ -155,8 +155,8 @@
                 fields.text("discovery", "push").equals("ask"));
     }
 
-    private Limits limits() {
-        return new Limits(
+    private PolicyLimits limits() {
+        return new PolicyLimits(
                 fields.whole("rules.stop-sending-within-ns", 0),
                 fields.number("rules.cold-from", 0),
                 fields.whole("rules.cold-ns", 0),
--- a/config/src/test/java/ashlink/config/RouterConfigTest.java
+++ b/config/src/test/java/ashlink/config/RouterConfigTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.Gateway.Effect;
+import ashlink.decisions.api.RetrySafety;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -32,7 +32,7 @@
         RouterConfig c = RouterConfigReader.read("f.sexp", GOOD);
         assertEquals(16384, c.kinds().get(0).memoryMb());
         assertEquals(2_500_000_000L, c.classes().get("look").deadlineNs());
-        assertEquals(Effect.AT_MOST_ONCE, c.classes().get("load").effect());
+        assertEquals(RetrySafety.AT_MOST_ONCE, c.classes().get("load").retrySafety());
         assertEquals(1.5, c.tenants().get(0).quotaPerS());
         assertEquals(
                 List.of("load", "look"),
--- a/decisions/src/main/java/ashlink/Rules.java
+++ b/decisions/src/main/java/ashlink/decisions/DefaultWorkloadManager.java
@@ -1,14 +1,46 @@
 // Interface: Gateway.java, next to this file, declares settings, events and actions. All decisions
 // are here.
-package ashlink;
-
-import ashlink.State.Bound;
-import ashlink.State.ClassFacts;
-import ashlink.State.Engine;
-import ashlink.State.Ghost;
-import ashlink.State.KeyLine;
-import ashlink.State.Query;
-import ashlink.State.TenantFacts;
+package ashlink.decisions;
+
+import ashlink.decisions.State.Bound;
+import ashlink.decisions.State.ClassFacts;
+import ashlink.decisions.State.Engine;
+import ashlink.decisions.State.Ghost;
+import ashlink.decisions.State.KeyLine;
+import ashlink.decisions.State.Query;
+import ashlink.decisions.State.TenantFacts;
+import ashlink.decisions.api.Action;
+import ashlink.decisions.api.Action.CancelAttempt;
+import ashlink.decisions.api.Action.CheckHealth;
+import ashlink.decisions.api.Action.Fail;
+import ashlink.decisions.api.Action.Log;
+import ashlink.decisions.api.Action.Reject;
+import ashlink.decisions.api.Action.SetAttemptResources;
+import ashlink.decisions.api.Action.SetTimer;
+import ashlink.decisions.api.Action.StartAttempt;
+import ashlink.decisions.api.Action.WatchEndpoints;
+import ashlink.decisions.api.Capabilities;
+import ashlink.decisions.api.DeduplicationScope;
+import ashlink.decisions.api.Endpoint;
+import ashlink.decisions.api.EndpointListKind;
+import ashlink.decisions.api.EndpointState;
+import ashlink.decisions.api.EngineKind;
+import ashlink.decisions.api.Event;
+import ashlink.decisions.api.Event.AttemptEnded;
+import ashlink.decisions.api.Event.AttemptProgress;
+import ashlink.decisions.api.Event.ClientDisconnected;
+import ashlink.decisions.api.Event.EndpointsChanged;
+import ashlink.decisions.api.Event.HealthCheckCompleted;
+import ashlink.decisions.api.Event.QuerySubmitted;
+import ashlink.decisions.api.Event.TimerFired;
+import ashlink.decisions.api.LoadReport;
+import ashlink.decisions.api.Outcome;
+import ashlink.decisions.api.PolicyLimits;
+import ashlink.decisions.api.ProgressKind;
+import ashlink.decisions.api.QueryClass;
+import ashlink.decisions.api.RetrySafety;
+import ashlink.decisions.api.Settings;
+import ashlink.decisions.api.WorkloadManager;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -27,7 +59,7 @@
  * the lighter of two random engines within a bound on threads, watched, ended; then the feedback
  * that moves the bounds, and what is believed of the engines. docs/design.md tells why.
  */
-public final class Rules implements Gateway {
+public final class DefaultWorkloadManager implements WorkloadManager {
 
     // ---- Constants: unit and reason
     private static final long MS = 1_000_000L;
@@ -237,8 +269,8 @@
             Set.of(Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED);
 
     private final Settings settings;
-    private final Limits limits;
-    private final Allowed allowed;
+    private final PolicyLimits limits;
+    private final Capabilities allowed;
     private final SplittableRandom random;
     private final Map<String, ClassFacts> classes = new LinkedHashMap<>();
     private final Map<String, Engine> engines = new LinkedHashMap<>();
@@ -246,7 +278,7 @@
     private final Map<Long, List<Engine>> homesOf = new HashMap<>();
     private final Map<String, TenantFacts> tenants = new HashMap<>();
     private final Map<String, KeyLine> keys = new HashMap<>();
-    private final TreeSet<Query> held = new TreeSet<>(Rules::releaseOrder);
+    private final TreeSet<Query> held = new TreeSet<>(DefaultWorkloadManager::releaseOrder);
     private final ArrayDeque<Long> taken = new ArrayDeque<>();
     private final ArrayDeque<Long> resent = new ArrayDeque<>();
     private List<Action> out = new ArrayList<>();
@@ -266,72 +298,73 @@
     private long now;
 
     /** Starts a gateway that knows nothing but its settings. */
-    public Rules(Settings settings) {
+    public DefaultWorkloadManager(Settings settings) {
         this.settings = settings;
         this.limits = settings.limits();
-        this.allowed = settings.allowed();
+        this.allowed = settings.capabilities();
         this.random = new SplittableRandom(settings.seed());
         this.apart =
-                settings.classes().stream().anyMatch(QueryClass::holdsTables)
-                        && settings.classes().stream().anyMatch(QueryClass::waitsForTables);
+                settings.classes().stream().anyMatch(QueryClass::locksTables)
+                        && settings.classes().stream().anyMatch(QueryClass::waitsForTableLocks);
         settings.tenants().stream()
                 .filter(t -> t.quotaPerS() > 0)
                 .forEach(t -> tenants.put(t.name(), new TenantFacts(t.quotaPerS())));
         for (QueryClass c : settings.classes()) {
             classes.put(c.name(), new ClassFacts(c));
-            boundKinds.addAll(c.kinds());
+            boundKinds.addAll(c.engineKinds());
         }
     }
 
     @Override
-    public List<Action> on(Event event, long nowNs) {
+    public List<Action> onEvent(Event event, long nowNs) {
         out = new ArrayList<>();
         now = nowNs;
         if (!ticking) {
             ticking = true;
-            if (allowed.listMustBeAsked()) {
-                out.add(new Subscribe());
+            if (allowed.endpointsMustBeWatched()) {
+                out.add(new WatchEndpoints());
             }
-            out.add(new SetAlarm(TICK_LABEL, now + TICK_NS));
+            out.add(new SetTimer(TICK_LABEL, now + TICK_NS));
         }
-        if (event instanceof Request r) {
+        if (event instanceof QuerySubmitted r) {
             take(r);
-        } else if (event instanceof Ended e) {
+        } else if (event instanceof AttemptEnded e) {
             ended(e);
-        } else if (event instanceof Progress p) {
+        } else if (event instanceof AttemptProgress p) {
             progress(p);
-        } else if (event instanceof Probed p) {
+        } else if (event instanceof HealthCheckCompleted p) {
             probed(p);
-        } else if (event instanceof ClientGone g) {
+        } else if (event instanceof ClientDisconnected g) {
             clientGone(g);
-        } else if (event instanceof ListNews news) {
+        } else if (event instanceof EndpointsChanged news) {
             listNews(news);
-        } else if (event instanceof Alarm a && a.label() == TICK_LABEL) {
+        } else if (event instanceof TimerFired a && a.label() == TICK_LABEL) {
             tick();
-        } else if (event instanceof Alarm) {
+        } else if (event instanceof TimerFired) {
             release();
         }
         return out;
     }
 
     // ---- A query is taken and held
-    private void take(Request r) {
+    private void take(QuerySubmitted r) {
         ClassFacts cls = classes.get(r.queryClass());
         if (cls == null || queries.containsKey(r.id())) {
-            out.add(new Refuse(r.id(), 0)); // a class that the settings don't know can go nowhere
+            out.add(new Reject(r.id(), 0)); // a class that the settings don't know can go nowhere
             return;
         }
         taken.add(now);
-        double estimate = r.workNs() > 0 ? r.workNs() / (double) MS : priorMs(cls);
-        if (r.workNs() > 0) {
+        double estimate =
+                r.estimatedWorkNs() > 0 ? r.estimatedWorkNs() / (double) MS : priorMs(cls);
+        if (r.estimatedWorkNs() > 0) {
             double weight = Math.max(CLASS_WEIGHT, 1.0 / ++cls.estimates);
             cls.meanEstimateMs += weight * (estimate - cls.meanEstimateMs);
         }
         probes = Math.min(PROBES_SAVED, probes + PROBES_PER_QUERY);
-        boolean ordered = cls.spec.inOrder() && r.key() != null;
+        boolean ordered = cls.spec.ordered() && r.key() != null;
         KeyLine line = ordered ? keys.computeIfAbsent(r.key(), k -> new KeyLine()) : null;
         double part = tenants.containsKey(r.tenant()) ? worthOf(tenants.get(r.tenant())) : 1;
-        double worth = cls.spec.worth() * part;
+        double worth = cls.spec.priorityWeight() * part;
         double work = estimate * Math.exp(cls.usualLog);
         Query q = new Query(r, cls, line, sequence++, estimate, work, worth, now);
         queries.put(q.id, q);
@@ -352,12 +385,12 @@
         t.lastNs = now;
         double quota =
                 t.quotaPerS
-                        * (share + 1.0 / settings.gateways())
+                        * (share + 1.0 / settings.routerCount())
                         / 2
                         * TENANT_FADE_NS
                         / (1_000 * MS);
         double within = Math.min(1, quota / t.count);
-        return within + (1 - within) * settings.overShareWorth();
+        return within + (1 - within) * settings.overQuotaWeight();
     }
 
     /**
@@ -373,7 +406,7 @@
      * late.
      */
     private static double priorMs(ClassFacts c) {
-        return (double) c.spec.aimNs() / MS * c.spec.threads();
+        return (double) c.spec.latencyObjectiveNs() / MS * c.spec.threads();
     }
 
     /**
@@ -451,7 +484,7 @@
      * stale.
      */
     private boolean scout(Query q, List<Engine> pair) {
-        if (!allowed.probes() || pair.stream().noneMatch(this::stale)) {
+        if (!allowed.healthChecks() || pair.stream().noneMatch(this::stale)) {
             return false;
         }
         if (probes < (brief(q) ? PROBES_SAVED / 2 : pair.size())) {
@@ -464,7 +497,7 @@
         }
         q.scouted = pair;
         q.scoutUntilNs = now + SCOUT_NS;
-        out.add(new SetAlarm(SCOUT_LABEL, q.scoutUntilNs));
+        out.add(new SetTimer(SCOUT_LABEL, q.scoutUntilNs));
         return true;
     }
 
@@ -476,16 +509,16 @@
         probes--;
         e.probing = true;
         e.probedNs = now;
-        out.add(new Probe(e.name));
+        out.add(new CheckHealth(e.name));
     }
 
     /**
      * Narrows the candidates to those that keep loads and readers apart, where any of them is left.
      */
     private void prefer(Query q, List<Engine> candidates) {
-        if (apart && (q.cls.spec.holdsTables() || q.cls.spec.waitsForTables())) {
+        if (apart && (q.cls.spec.locksTables() || q.cls.spec.waitsForTableLocks())) {
             List<Engine> homes = homesOf.computeIfAbsent(q.tables, this::homes);
-            Predicate<Engine> right = e -> homes.contains(e) == q.cls.spec.holdsTables();
+            Predicate<Engine> right = e -> homes.contains(e) == q.cls.spec.locksTables();
             if (candidates.stream().anyMatch(right)) {
                 candidates.removeIf(right.negate());
             }
@@ -513,18 +546,18 @@
      */
     private double load(Engine e, Query q) {
         double own = (e.workMs + q.workMs) / e.cores / OWN_WORK_MS;
-        Report r = e.report;
+        LoadReport r = e.report;
         for (double told :
                 List.of(
-                        r.coresBusy(),
-                        r.memoryGranted(),
-                        r.waiting() / e.cores,
-                        r.disksBusy(),
+                        r.cpuUtilization(),
+                        r.memoryUtilization(),
+                        r.queued() / e.cores,
+                        r.diskUtilization(),
                         threadsACore(e))) {
             own += fresh(e) && told > 0 ? told : 0;
         }
         own *=
-                !calm && q.cls.spec.kinds().isEmpty() && boundKinds.contains(e.entry.kind())
+                !calm && q.cls.spec.engineKinds().isEmpty() && boundKinds.contains(e.entry.kind())
                         ? WANTED
                         : 1;
         return own * Math.exp(Math.max(0, slowness(e)));
@@ -543,7 +576,7 @@
             limit += BRIEF_LANE * seed(b);
         }
         limit /= b == pool ? Math.max(1, crowd / SEED_THREADS) : 1;
-        boolean line = !stale(e) && e.report.waiting() > LINE_A_CORE * e.cores && !brief(q);
+        boolean line = !stale(e) && e.report.queued() > LINE_A_CORE * e.cores && !brief(q);
         boolean fits =
                 b == pool && crowded() ? fits(q, limit) : b.threads == 0 || b.threads < limit;
         boolean room =
@@ -580,7 +613,7 @@
     }
 
     private double seed(Bound b) {
-        double equal = 1.0 / settings.gateways();
+        double equal = 1.0 / settings.routerCount();
         double part =
                 crowd > 0 ? (share + equal) / 2 : Math.max(share, equal); // adds up to 1 over all
         return Math.max(1, SEED_THREADS * b.cores * part);
@@ -593,7 +626,7 @@
     private void allotBounds() {
         List<Engine> ready = ready();
         pool.cores = ready.stream().mapToInt(e -> e.cores).sum();
-        boolean pooled = SEED_THREADS * pool.cores < (double) settings.gateways() * ready.size();
+        boolean pooled = SEED_THREADS * pool.cores < (double) settings.routerCount() * ready.size();
         pool.threads = 0;
         for (Engine e : engines.values()) {
             pool.threads += e.threads;
@@ -618,7 +651,9 @@
             runTicks += e.running.size();
             e.running.forEach(q -> runThreadTicks += q.cls.spec.threads());
             double told =
-                    e.report.inHand() > 0 ? threadsACore(e) : e.report.coresBusy() * SEED_THREADS;
+                    e.report.inFlight() > 0
+                            ? threadsACore(e)
+                            : e.report.cpuUtilization() * SEED_THREADS;
             if (e.entry != null && fresh(e) && told > 0) {
                 own += e.threads;
                 busy += told * e.cores;
@@ -627,7 +662,7 @@
         share += SHARE_WEIGHT * ((busy > 0 ? Math.min(1, own / busy) : 0) - share);
         crowd =
                 engines.values().stream()
-                        .filter(e -> fresh(e) && e.report.inHand() >= 0)
+                        .filter(e -> fresh(e) && e.report.inFlight() >= 0)
                         .mapToDouble(this::threadsACore)
                         .average()
                         .orElse(0);
@@ -642,7 +677,11 @@
      * room.
      */
     private boolean brief(Query q) {
-        double longest = classes.values().stream().mapToDouble(Rules::usualMs).max().orElse(0);
+        double longest =
+                classes.values().stream()
+                        .mapToDouble(DefaultWorkloadManager::usualMs)
+                        .max()
+                        .orElse(0);
         return (q.estimated ? q.workMs : usualMs(q.cls)) < BRIEF_SHARE * longest;
     }
 
@@ -652,10 +691,10 @@
     private boolean pressed(Engine e) {
         boolean busy =
                 fresh(e)
-                        && (e.report.waiting() >= 1
-                                || e.report.coresBusy() >= BUSY
-                                || e.report.memoryGranted() >= BUSY
-                                || e.report.disksBusy() >= BUSY
+                        && (e.report.queued() >= 1
+                                || e.report.cpuUtilization() >= BUSY
+                                || e.report.memoryUtilization() >= BUSY
+                                || e.report.diskUtilization() >= BUSY
                                 || threadsACore(e) >= SEED_THREADS);
         return busy || now - e.fullNs < FRESH_NS || slowness(e) > PRESSED_LOG;
     }
@@ -670,7 +709,7 @@
      * end.
      */
     private double threadsACore(Engine e) {
-        return e.report.inHand() * (runTicks > 0 ? runThreadTicks / runTicks : 1) / e.cores;
+        return e.report.inFlight() * (runTicks > 0 ? runThreadTicks / runTicks : 1) / e.cores;
     }
 
     private boolean fresh(Engine e) {
@@ -709,8 +748,9 @@
         return ready(e)
                 && !q.over
                 && q.out == null
-                && q.attempts < allowed.attempts()
-                && (q.cls.spec.kinds().isEmpty() || q.cls.spec.kinds().contains(e.entry.kind()))
+                && q.attempts < allowed.maxAttempts()
+                && (q.cls.spec.engineKinds().isEmpty()
+                        || q.cls.spec.engineKinds().contains(e.entry.kind()))
                 && (q.cls.spec.zones().isEmpty() || q.cls.spec.zones().contains(e.entry.zone()))
                 && hasTurn(q)
                 && effectAllows(q, e)
@@ -719,11 +759,12 @@
     }
 
     private static boolean ready(Engine e) {
-        return e.entry != null && e.entry.phase() == Phase.READY;
+        return e.entry != null && e.entry.state() == EndpointState.READY;
     }
 
     private List<Engine> ready() {
-        return new ArrayList<>(engines.values().stream().filter(Rules::ready).toList());
+        return new ArrayList<>(
+                engines.values().stream().filter(DefaultWorkloadManager::ready).toList());
     }
 
     private boolean hasTurn(Query q) {
@@ -735,18 +776,18 @@
      * An unsafe query that may have run stays; a deduplicated one goes where repeats are dropped.
      */
     private boolean effectAllows(Query q, Engine e) {
-        if (q.mayHaveRunOn == null || q.cls.spec.effect() == Effect.IDEMPOTENT) {
+        if (q.mayHaveRunOn == null || q.cls.spec.retrySafety() == RetrySafety.IDEMPOTENT) {
             return true;
         }
         boolean group =
-                switch (q.cls.spec.repeatGroup()) {
+                switch (q.cls.spec.deduplicationScope()) {
                     case ALL -> true;
                     case ZONE -> e.entry.zone().equals(q.mayHaveRunOn.zone());
                     case CELL -> e.entry.cell() == q.mayHaveRunOn.cell();
                 };
-        return q.cls.spec.effect() == Effect.DEDUPLICATED
+        return q.cls.spec.retrySafety() == RetrySafety.DEDUPLICATED
                 && group
-                && now - q.mayHaveRunNs < q.cls.spec.repeatSpanNs() - TICK_NS;
+                && now - q.mayHaveRunNs < q.cls.spec.deduplicationWindowNs() - TICK_NS;
     }
 
     /**
@@ -758,13 +799,13 @@
         if (!cold(e)) {
             return true;
         }
-        double window = limits.coldWindowNs();
+        double window = limits.slowStartWindowNs();
         double gap = coldGapNs(q, e);
         if (gap <= window) {
             e.coldNextNs = Double.isNaN(e.coldNextNs) ? now - COLD_BURST * window : e.coldNextNs;
             return now >= e.coldNextNs + gap;
         }
-        if (gap * COLD_PARTS >= window * settings.gateways()) {
+        if (gap * COLD_PARTS >= window * settings.routerCount()) {
             return false;
         }
         if (!(now <= e.coldNextNs + window && e.coldNextNs <= now + gap)) {
@@ -780,8 +821,12 @@
     private double coldGapNs(Query q, Engine e) {
         return heavyMs(q.cls)
                 * MS
-                * settings.gateways()
-                / (COLD_MARGIN * limits.coldMultiple() * limits.coldFrom() * e.cores * CAPACITY);
+                * settings.routerCount()
+                / (COLD_MARGIN
+                        * limits.slowStartOverloadFactor()
+                        * limits.slowStartFraction()
+                        * e.cores
+                        * CAPACITY);
     }
 
     /** Usual work, on the safe side while few queries were seen. */
@@ -792,16 +837,16 @@
 
     private boolean cold(Engine e) {
         return e.entry.startedNs() > 0
-                && limits.coldMultiple() > 0
-                && now < e.entry.startedNs() + limits.coldNs();
+                && limits.slowStartOverloadFactor() > 0
+                && now < e.entry.startedNs() + limits.slowStartNs();
     }
 
     private boolean withinResendBudget(Query q) {
-        forgetBefore(now - limits.budgetSpanNs());
-        return limits.budgetSpanNs() <= 0
+        forgetBefore(now - limits.retryBudgetWindowNs());
+        return limits.retryBudgetWindowNs() <= 0
                 || q.attempts == 0
                 || resent.size() + 1
-                        <= limits.freeResends() + limits.resendsPerRequest() * taken.size();
+                        <= limits.freeRetries() + limits.retriesPerQuery() * taken.size();
     }
 
     /**
@@ -823,15 +868,16 @@
         }
         if (cold(e)) {
             double gap = coldGapNs(q, e);
-            double saved = gap <= limits.coldWindowNs() ? COLD_BURST * limits.coldWindowNs() : 0;
+            double saved =
+                    gap <= limits.slowStartWindowNs() ? COLD_BURST * limits.slowStartWindowNs() : 0;
             e.coldNextNs = Math.max(e.coldNextNs, now - saved) + gap;
         }
         if (e.bound.threads == 0 && e.bound.completions == 0) {
             e.bound.periodStartNs = now;
         }
-        q.grantMb = allowed.grants() && q.memoryMb > 0 ? grant(q, e) : 0;
-        if (allowed.grants() || allowed.priorities()) {
-            out.add(new Terms(q.id, priority(q), q.grantMb));
+        q.grantMb = allowed.memoryGrants() && q.memoryMb > 0 ? grant(q, e) : 0;
+        if (allowed.memoryGrants() || allowed.priorities()) {
+            out.add(new SetAttemptResources(q.id, priority(q), q.grantMb));
         }
         q.out = e;
         q.sentTo = e.entry;
@@ -841,7 +887,7 @@
         q.cancelled = false;
         e.running.add(q);
         count(e, q, 1);
-        out.add(new Send(q.id, e.name, Math.max(MS, q.deadlineNs - now - CUT_NS)));
+        out.add(new StartAttempt(q.id, e.name, Math.max(MS, q.deadlineNs - now - CUT_NS)));
     }
 
     private void count(Engine e, Query q, int sign) {
@@ -851,7 +897,7 @@
     }
 
     private long grant(Query q, Engine e) {
-        double most = e.memoryMb > 0 ? allowed.largestGrant() * e.memoryMb : Double.MAX_VALUE;
+        double most = e.memoryMb > 0 ? allowed.maxGrantFraction() * e.memoryMb : Double.MAX_VALUE;
         double need = q.needMb > 0 ? q.needMb : q.memoryMb * q.cls.memoryBias;
         return Math.max(1, Math.round(Math.min(most, need * GRANT_MARGIN)));
     }
@@ -865,18 +911,18 @@
     }
 
     // ---- A running query is watched
-    private void progress(Progress p) {
+    private void progress(AttemptProgress p) {
         Query q = queries.get(p.id());
         Engine e = engines.get(p.engine());
         if (q == null || q.out == null || q.out != e || p.attempt() != q.attempts - 1) {
             return;
         }
         e.heardNs = now;
-        if (p.kind() == NoteKind.WAITS) {
+        if (p.kind() == ProgressKind.WAITING) {
             q.workingFromNs = now;
-        } else if (p.kind() == NoteKind.SPILLS_MB) {
+        } else if (p.kind() == ProgressKind.SPILLED_MB) {
             regrant(q, q.grantMb + p.amount());
-        } else if (p.kind() == NoteKind.SHARE_DONE && p.amount() > 0) {
+        } else if (p.kind() == ProgressKind.FRACTION_DONE && p.amount() > 0) {
             restartBadPlan(q, p.amount());
         }
     }
@@ -914,7 +960,7 @@
      */
     private void restartLongRunner(Query q) {
         double far = (Math.log(BAD_PLAN) + Math.max(0, slowLog - PRESSED_LOG)) / evenness(q.cls);
-        if (allowed.noteEveryNs() == 0
+        if (allowed.progressIntervalNs() == 0
                 && !brief(q)
                 && now > q.aimNs()
                 && now - q.sentNs > q.usualNs() * Math.exp(far)) {
@@ -931,16 +977,16 @@
 
     private void cancel(Query q) {
         q.cancelled = true;
-        out.add(new Cancel(q.id, q.attempts - 1));
+        out.add(new CancelAttempt(q.id, q.attempts - 1));
     }
 
     // ---- An attempt ends
-    private void ended(Ended e) {
+    private void ended(AttemptEnded e) {
         Query q = queries.get(e.id());
         Engine engine = engines.get(e.engine());
         if (engine != null) {
-            if (!e.report().equals(Report.NONE)) {
-                engine.report = e.report();
+            if (!e.loadReport().equals(LoadReport.NONE)) {
+                engine.report = e.loadReport();
                 engine.reportNs = now;
             }
             judge(engine, e.outcome());
@@ -960,13 +1006,13 @@
         }
         boolean mayStillRun = MAY_STILL_RUN.contains(e.outcome());
         if (q.line != null && mayStillRun) {
-            q.line.restUntilNs = now + limits.keyRestNs();
+            q.line.restUntilNs = now + limits.keyQuietPeriodNs();
         }
         // Guards against an engine that looks idle while it still works on what was given up there.
-        boolean haunts = mayStillRun && !allowed.cancels();
+        boolean haunts = mayStillRun && !allowed.cancellation();
         ran.ghosts.add(new Ghost(haunts ? now + (long) (GHOST_SHARE * (now - q.sentNs)) : now, q));
         layGhosts(ran);
-        q.over |= e.over();
+        q.over |= e.clientAnswered();
         if (q.over) {
             forget(q);
         } else {
@@ -983,8 +1029,9 @@
 
     /** Another attempt where the rules allow one and time is left, else the final answer. */
     private void again(Query q) {
-        boolean repeatable = q.mayHaveRunOn == null || q.cls.spec.effect() != Effect.AT_MOST_ONCE;
-        if (repeatable && q.attempts < allowed.attempts() && now + ANSWER_NS < q.deadlineNs) {
+        boolean repeatable =
+                q.mayHaveRunOn == null || q.cls.spec.retrySafety() != RetrySafety.AT_MOST_ONCE;
+        if (repeatable && q.attempts < allowed.maxAttempts() && now + ANSWER_NS < q.deadlineNs) {
             held.add(q);
         } else {
             answer(q);
@@ -1008,10 +1055,10 @@
         q.over = true;
         boolean harmless =
                 q.mayHaveRunOn == null
-                        || q.cls.spec.effect() == Effect.IDEMPOTENT
-                        || q.cls.spec.effect() == Effect.DEDUPLICATED
-                                && q.cls.spec.repeatGroup() == RepeatGroup.ALL;
-        out.add(harmless ? new Refuse(q.id, allowed.longestRetryAfterNs()) : new Fail(q.id));
+                        || q.cls.spec.retrySafety() == RetrySafety.IDEMPOTENT
+                        || q.cls.spec.retrySafety() == RetrySafety.DEDUPLICATED
+                                && q.cls.spec.deduplicationScope() == DeduplicationScope.ALL;
+        out.add(harmless ? new Reject(q.id, allowed.maxRetryAfterNs()) : new Fail(q.id));
         forget(q);
     }
 
@@ -1027,7 +1074,7 @@
         }
     }
 
-    private void clientGone(ClientGone g) {
+    private void clientGone(ClientDisconnected g) {
         Query q = queries.get(g.id());
         if (q != null) {
             if (q.out != null && movable(q)) {
@@ -1040,12 +1087,12 @@
     }
 
     // ---- Feedback: what answers teach, and the steps of the bound
-    private void learn(Query q, Engine e, Ended end) {
+    private void learn(Query q, Engine e, AttemptEnded end) {
         double stretch =
                 Math.log(
                         Math.max(
                                 1e-3,
-                                end.tookNs()
+                                end.durationNs()
                                         / (double) MS
                                         * q.cls.spec.threads()
                                         / Math.max(1e-3, q.estimateMs)));
@@ -1068,7 +1115,7 @@
         e.slowNs = now;
         slowLog += MEAN_WEIGHT * (excess - slowLog);
         e.bound.completions++;
-        e.bound.responseSumNs += end.tookNs();
+        e.bound.responseSumNs += end.durationNs();
         if (q.grantMb > 0 && q.needMb == 0) {
             learnGrant(q, end.memoryMb() > 0 ? end.memoryMb() : 0);
         }
@@ -1121,7 +1168,7 @@
 
     // ---- What is believed of the engines
     private void judge(Engine e, Outcome outcome) {
-        boolean sign = Set.of(Outcome.SERVED, Outcome.ERROR, Outcome.TURNED_AWAY).contains(outcome);
+        boolean sign = Set.of(Outcome.SERVED, Outcome.ERROR, Outcome.REJECTED).contains(outcome);
         e.heardNs = sign ? now : e.heardNs;
         if (outcome == Outcome.SERVED || outcome == Outcome.ERROR) {
             // Guards against an engine whose answers are errors: they are so fast that it looks
@@ -1132,19 +1179,19 @@
             } else if (outcome == Outcome.ERROR && now >= e.avoidUntilNs) {
                 avoid(e);
             }
-        } else if (outcome == Outcome.TURNED_AWAY) {
+        } else if (outcome == Outcome.REJECTED) {
             e.fullNs = now;
             e.bound.fullNs = now;
-        } else if (outcome == Outcome.NO_CONNECTION || outcome == Outcome.RESET) {
+        } else if (outcome == Outcome.CONNECT_FAILED || outcome == Outcome.RESET) {
             avoid(e);
         }
     }
 
-    private void probed(Probed p) {
+    private void probed(HealthCheckCompleted p) {
         Engine e = engines.get(p.engine());
         if (e != null) {
             if (p.outcome() == Outcome.SERVED) {
-                e.report = p.report();
+                e.report = p.loadReport();
                 e.reportNs = now;
             }
             e.probing = false;
@@ -1162,8 +1209,8 @@
     private boolean silent(Engine e) {
         for (Query q : e.running) {
             double patience =
-                    allowed.noteEveryNs() > 0
-                            ? SILENT_NOTES * allowed.noteEveryNs()
+                    allowed.progressIntervalNs() > 0
+                            ? SILENT_NOTES * allowed.progressIntervalNs()
                             : q.usualNs()
                                     * Math.exp(
                                             (SILENT_LOG + Math.max(0, slowLog)) / evenness(q.cls));
@@ -1174,28 +1221,31 @@
         return false;
     }
 
-    private void listNews(ListNews news) {
-        if (news.form() == ListForm.REFUSED) {
-            out.add(new Subscribe());
+    private void listNews(EndpointsChanged news) {
+        if (news.kind() == EndpointListKind.UNAVAILABLE) {
+            out.add(new WatchEndpoints());
             return;
         }
         Set<String> named = new HashSet<>();
-        for (ListEntry entry : news.entries()) {
+        for (Endpoint entry : news.endpoints()) {
             named.add(entry.engine());
             listed(entry);
         }
         for (Engine e : engines.values()) {
-            e.entry = news.form() == ListForm.CHANGES || named.contains(e.name) ? e.entry : null;
+            e.entry =
+                    news.kind() == EndpointListKind.DELTA || named.contains(e.name)
+                            ? e.entry
+                            : null;
         }
         homesOf.clear();
         allotBounds();
         release();
     }
 
-    private void listed(ListEntry entry) {
+    private void listed(Endpoint entry) {
         Engine e = engines.computeIfAbsent(entry.engine(), Engine::new);
         boolean restarted = e.entry == null || entry.startedNs() > e.entry.startedNs();
-        e.entry = entry.phase() == Phase.GONE ? null : entry;
+        e.entry = entry.state() == EndpointState.REMOVED ? null : entry;
         for (EngineKind k : settings.kinds()) {
             if (k.name().equals(entry.kind())) {
                 e.cores = k.cores();
@@ -1214,8 +1264,8 @@
 
     // ---- House-keeping
     private void tick() {
-        out.add(new SetAlarm(TICK_LABEL, now + TICK_NS));
-        forgetBefore(now - limits.budgetSpanNs());
+        out.add(new SetTimer(TICK_LABEL, now + TICK_NS));
+        forgetBefore(now - limits.retryBudgetWindowNs());
         learnShare();
         luck = random.nextDouble();
         probes = Math.min(PROBES_SAVED, probes + PROBES_A_TICK);
@@ -1229,11 +1279,11 @@
         for (Query q : List.copyOf(held)) {
             answerIfDue(q);
             boolean late = now + q.usualNs() >= q.aimNs();
-            if (held.contains(q) && late && (contended || q.cls.spec.lateShare() == 0)) {
+            if (held.contains(q) && late && (contended || q.cls.spec.lateWeightFraction() == 0)) {
                 answer(q); // given up for those that can still be in time
             } else if (held.contains(q) && late && q.worth == q.fullWorth) {
                 held.remove(q);
-                q.worth = q.fullWorth * q.cls.spec.lateShare();
+                q.worth = q.fullWorth * q.cls.spec.lateWeightFraction();
                 held.add(q);
             }
         }
@@ -1241,7 +1291,7 @@
         engines.values()
                 .removeIf(e -> e.entry == null && e.running.isEmpty() && e.ghosts.isEmpty());
         for (Engine e : engines.values()) {
-            if (allowed.probes()
+            if (allowed.healthChecks()
                     && ready(e)
                     && !e.probing
                     && probes >= PROBES_SAVED / 2
@@ -1267,10 +1317,10 @@
     }
 
     private boolean movable(Query q) {
-        return allowed.cancels()
-                && q.cls.spec.effect() == Effect.IDEMPOTENT
+        return allowed.cancellation()
+                && q.cls.spec.retrySafety() == RetrySafety.IDEMPOTENT
                 && !q.over
                 && !q.cancelled
-                && q.attempts < allowed.attempts();
+                && q.attempts < allowed.maxAttempts();
     }
 }
--- a/decisions/src/main/java/ashlink/State.java
+++ b/decisions/src/main/java/ashlink/decisions/State.java
@@ -1,9 +1,9 @@
-package ashlink;
+package ashlink.decisions;
 
-import ashlink.Gateway.ListEntry;
-import ashlink.Gateway.QueryClass;
-import ashlink.Gateway.Report;
-import ashlink.Gateway.Request;
+import ashlink.decisions.api.Endpoint;
+import ashlink.decisions.api.Event.QuerySubmitted;
+import ashlink.decisions.api.LoadReport;
+import ashlink.decisions.api.QueryClass;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
@@ -74,7 +74,7 @@
         /** Engine of the attempt that is out, and what the list said of it when it was sent. */
         Engine out;
 
-        ListEntry sentTo;
+        Endpoint sentTo;
         long sentNs;
 
         /** When it was sent or last seen to wait. */
@@ -95,12 +95,12 @@
         long scoutUntilNs;
 
         /** Where and since when an earlier attempt may have run. */
-        ListEntry mayHaveRunOn;
+        Endpoint mayHaveRunOn;
 
         long mayHaveRunNs;
 
         Query(
-                Request r,
+                QuerySubmitted r,
                 ClassFacts cls,
                 KeyLine line,
                 long seq,
@@ -111,14 +111,14 @@
             this.id = r.id();
             this.cls = cls;
             this.line = line;
-            this.tables = r.tables();
+            this.tables = r.tableGroup();
             this.seq = seq;
             this.takenNs = now;
             this.deadlineNs = r.deadlineNs();
             this.estimateMs = estimateMs;
             this.workMs = workMs;
-            this.memoryMb = r.memoryMb();
-            this.estimated = r.workNs() > 0;
+            this.memoryMb = r.estimatedMemoryMb();
+            this.estimated = r.estimatedWorkNs() > 0;
             this.fullWorth = worth;
             this.worth = worth;
         }
@@ -130,7 +130,9 @@
 
         /** Time until which its answer earns full worth. */
         long aimNs() {
-            return takenNs + cls.spec.aimNs() + (long) (cls.spec.aimStretch() * usualNs());
+            return takenNs
+                    + cls.spec.latencyObjectiveNs()
+                    + (long) (cls.spec.objectivePerWork() * usualNs());
         }
     }
 
@@ -186,7 +188,7 @@
         final String name;
 
         /** What the list says of it; null when it has left the list. */
-        ListEntry entry;
+        Endpoint entry;
 
         int cores = 1;
         double memoryMb;
@@ -208,7 +210,7 @@
         double slowWeight;
         long slowNs;
         long fullNs = NEVER;
-        Report report = Report.NONE;
+        LoadReport report = LoadReport.NONE;
         long reportNs = NEVER;
         long heardNs = NEVER;
         long probedNs = NEVER;
--- /dev/null
+++ b/decisions/src/main/java/ashlink/decisions/api/EngineKind.java
@@ -0,0 +1,10 @@
+package ashlink.decisions.api;
+
+/**
+ * A kind of engine.
+ *
+ * @param name unique name in the settings
+ * @param cores processor cores of an engine of this kind
+ * @param memoryMb memory of an engine of this kind, in MB; 0 if unknown
+ */
+public record EngineKind(String name, int cores, double memoryMb) {}
--- /dev/null
+++ b/decisions/src/main/java/ashlink/decisions/api/Settings.java
@@ -0,0 +1,93 @@
+package ashlink.decisions.api;
+
+import java.util.List;
+
+/**
+ * The configuration of a workload manager.
+ *
+ * @param seed seed of all random choices
+ * @param routerCount routers of the fleet, this one included
+ * @param routerIndex position of this router in the fleet, from 0
+ * @param zone zone of this router
+ * @param classes the query classes; not empty
+ * @param kinds the kinds of engine
+ * @param capabilities what the router may do and the engines support
+ * @param limits limits of the site's rules
+ * @param tenants the tenants with a quota
+ * @param overQuotaWeight fraction of its weight that a query beyond its tenant's quota keeps
+ */
+public record Settings(
+        long seed,
+        int routerCount,
+        int routerIndex,
+        String zone,
+        List<QueryClass> classes,
+        List<EngineKind> kinds,
+        Capabilities capabilities,
+        PolicyLimits limits,
+        List<Tenant> tenants,
+        double overQuotaWeight) {
+
+    /** Settings of a site without tenants. */
+    public Settings(
+            long seed,
+            int routerCount,
+            int routerIndex,
+            String zone,
+            List<QueryClass> classes,
+            List<EngineKind> kinds,
+            Capabilities capabilities,
+            PolicyLimits limits) {
+        this(
+                seed,
+                routerCount,
+                routerIndex,
+                zone,
+                classes,
+                kinds,
+                capabilities,
+                limits,
+                List.of(),
+                1);
+    }
+
+    /**
+     * Validates the settings.
+     *
+     * @throws IllegalArgumentException if a value is out of range; the message names the setting
+     */
+    public Settings {
+        require(routerCount > 0, "gateways", routerCount);
+        require(!classes.isEmpty(), "classes", "none");
+        for (QueryClass c : classes) {
+            require(c.latencyObjectiveNs() >= 0, c.name() + ".aimNs", c.latencyObjectiveNs());
+            require(c.threads() > 0, c.name() + ".threads", c.threads());
+            require(c.priorityWeight() >= 0, c.name() + ".worth", c.priorityWeight());
+            require(
+                    c.deduplicationWindowNs() >= 0,
+                    c.name() + ".repeatSpanNs",
+                    c.deduplicationWindowNs());
+        }
+        for (EngineKind k : kinds) {
+            require(k.cores() > 0, k.name() + ".cores", k.cores());
+        }
+        require(capabilities.maxAttempts() > 0, "allowed.attempts", capabilities.maxAttempts());
+        require(limits.slowStartFraction() >= 0, "limits.coldFrom", limits.slowStartFraction());
+        require(
+                limits.retriesPerQuery() >= 0,
+                "limits.resendsPerRequest",
+                limits.retriesPerQuery());
+        for (Tenant t : tenants) {
+            require(t.quotaPerS() >= 0, t.name() + ".quotaPerS", t.quotaPerS());
+        }
+        tenants = List.copyOf(tenants);
+        classes = List.copyOf(classes);
+        kinds = List.copyOf(kinds);
+    }
+
+    private static void require(boolean holds, String setting, Object value) {
+        if (!holds) {
+            throw new IllegalArgumentException("setting " + setting + " is invalid: " + value);
+        }
+    }
+}
--- a/decisions/src/test/java/ashlink/AuditTest.java
+++ b/decisions/src/test/java/ashlink/decisions/AuditTest.java
@@ -1,23 +1,23 @@
-package ashlink;
+package ashlink.decisions;
 
-import static ashlink.Router.ALLOWED;
-import static ashlink.Router.LIMITS;
-import static ashlink.Router.MS;
+import static ashlink.decisions.Router.ALLOWED;
+import static ashlink.decisions.Router.LIMITS;
+import static ashlink.decisions.Router.MS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.Gateway.Action;
-import ashlink.Gateway.Effect;
-import ashlink.Gateway.Fail;
-import ashlink.Gateway.ListForm;
-import ashlink.Gateway.Outcome;
-import ashlink.Gateway.Phase;
-import ashlink.Gateway.Probed;
-import ashlink.Gateway.Refuse;
-import ashlink.Gateway.RepeatGroup;
-import ashlink.Gateway.Report;
-import ashlink.Gateway.Send;
-import ashlink.Gateway.Settings;
+import ashlink.decisions.api.Action;
+import ashlink.decisions.api.Action.Fail;
+import ashlink.decisions.api.Action.Reject;
+import ashlink.decisions.api.Action.StartAttempt;
+import ashlink.decisions.api.DeduplicationScope;
+import ashlink.decisions.api.EndpointListKind;
+import ashlink.decisions.api.EndpointState;
+import ashlink.decisions.api.Event.HealthCheckCompleted;
+import ashlink.decisions.api.LoadReport;
+import ashlink.decisions.api.Outcome;
+import ashlink.decisions.api.RetrySafety;
+import ashlink.decisions.api.Settings;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -49,14 +49,14 @@
                 LIMITS,
                 Router.look("look"),
                 Router.report(Set.of("big"), Set.of()),
-                Router.load(Effect.AT_MOST_ONCE, RepeatGroup.ALL, true));
+                Router.load(RetrySafety.AT_MOST_ONCE, DeduplicationScope.ALL, true));
     }
 
     /** Plays the stream of that seed and returns all actions as text. */
     private static String play(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Router r = new Router(settings());
-        Map<Long, Send> out = new HashMap<>();
+        Map<Long, StartAttempt> out = new HashMap<>();
         Map<Long, Integer> sent = new HashMap<>();
         Map<Long, Long> deadlines = new HashMap<>();
         Set<Long> loads = new HashSet<>();
@@ -66,10 +66,10 @@
         Set<String> closed = new HashSet<>();
         String[] names = {"a", "b", "c", "d"};
         r.list(
-                ListForm.REMEMBERED,
+                EndpointListKind.CACHED,
                 Router.ready("a"),
                 Router.ready("b"),
-                Router.entry("c", "z1", "small", Phase.READY, 0));
+                Router.entry("c", "z1", "small", EndpointState.READY, 0));
         int checked = 0;
         for (long id = 0; id < 3_000; id++) {
             int kind = random.nextInt(10);
@@ -93,7 +93,7 @@
                                 .findFirst()
                                 .orElseThrow();
                 Outcome o = OUTCOMES[random.nextInt(OUTCOMES.length)];
-                Send s = out.remove(which);
+                StartAttempt s = out.remove(which);
                 if (o.mayHaveRun()) {
                     ran.add(which);
                 }
@@ -103,22 +103,22 @@
                 r.end(which, sent.get(which) - 1, s.engine(), o, 1 + random.nextInt(2_000));
             } else if (kind == 8) {
                 String name = names[random.nextInt(names.length)];
-                Phase phase = Phase.values()[random.nextInt(3)];
-                if (phase == Phase.READY) {
+                EndpointState phase = EndpointState.values()[random.nextInt(3)];
+                if (phase == EndpointState.READY) {
                     closed.remove(name);
                 } else {
                     closed.add(name);
                 }
                 r.list(
-                        ListForm.CHANGES,
+                        EndpointListKind.DELTA,
                         Router.entry(name, "z1", name.equals("c") ? "small" : "big", phase, 0));
             } else {
                 r.on(
-                        new Probed(
+                        new HealthCheckCompleted(
                                 names[random.nextInt(3)],
                                 OUTCOMES[random.nextInt(OUTCOMES.length)],
                                 MS,
-                                new Report(
+                                new LoadReport(
                                         random.nextInt(3),
                                         random.nextDouble(),
                                         Double.NaN,
@@ -142,7 +142,7 @@
 
     private static void timeOut(
             Router r,
-            Map<Long, Send> out,
+            Map<Long, StartAttempt> out,
             Map<Long, Integer> sent,
             Map<Long, Long> deadlines,
             Set<Long> ran) {
@@ -157,7 +157,7 @@
     private static int audit(
             Router r,
             int from,
-            Map<Long, Send> out,
+            Map<Long, StartAttempt> out,
             Map<Long, Integer> sent,
             Set<Long> loads,
             Set<Long> reports,
@@ -165,7 +165,7 @@
             Set<Long> answered,
             Set<String> closed) {
         for (Action a : r.actions.subList(from, r.actions.size())) {
-            if (a instanceof Send s) {
+            if (a instanceof StartAttempt s) {
                 assertTrue(!answered.contains(s.id()), "sent after its answer");
                 assertTrue(out.put(s.id(), s) == null, "two attempts out");
                 assertTrue(!closed.contains(s.engine()), "sent to a draining engine");
@@ -176,9 +176,9 @@
                         !reports.contains(s.id()) || !s.engine().equals("c"),
                         "sent to a wrong kind");
                 assertTrue(
-                        sent.merge(s.id(), 1, Integer::sum) <= ALLOWED.attempts(),
+                        sent.merge(s.id(), 1, Integer::sum) <= ALLOWED.maxAttempts(),
                         "too many attempts");
-            } else if (a instanceof Refuse f) {
+            } else if (a instanceof Reject f) {
                 assertTrue(
                         !loads.contains(f.id()) || !ran.contains(f.id()),
                         "refused though it may have run");
--- a/decisions/src/test/java/ashlink/CrowdTest.java
+++ b/decisions/src/test/java/ashlink/decisions/CrowdTest.java
@@ -1,28 +1,30 @@
-package ashlink;
-
-import static ashlink.Router.LIMITS;
-import static ashlink.Router.MS;
-import static ashlink.Router.enginesOf;
-import static ashlink.Router.entry;
-import static ashlink.Router.look;
-import static ashlink.Router.only;
-import static ashlink.Router.report;
+package ashlink.decisions;
+
+import static ashlink.decisions.Router.LIMITS;
+import static ashlink.decisions.Router.MS;
+import static ashlink.decisions.Router.enginesOf;
+import static ashlink.decisions.Router.entry;
+import static ashlink.decisions.Router.look;
+import static ashlink.decisions.Router.only;
+import static ashlink.decisions.Router.report;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.Gateway.Allowed;
-import ashlink.Gateway.Cancel;
-import ashlink.Gateway.Ended;
-import ashlink.Gateway.Limits;
-import ashlink.Gateway.ListForm;
-import ashlink.Gateway.Outcome;
-import ashlink.Gateway.Phase;
-import ashlink.Gateway.Probed;
-import ashlink.Gateway.Report;
-import ashlink.Gateway.Request;
-import ashlink.Gateway.Send;
-import ashlink.Gateway.Settings;
+import ashlink.decisions.api.Action.CancelAttempt;
+import ashlink.decisions.api.Action.StartAttempt;
+import ashlink.decisions.api.Capabilities;
+import ashlink.decisions.api.EndpointListKind;
+import ashlink.decisions.api.EndpointState;
+import ashlink.decisions.api.EngineKind;
+import ashlink.decisions.api.Event.AttemptEnded;
+import ashlink.decisions.api.Event.HealthCheckCompleted;
+import ashlink.decisions.api.Event.QuerySubmitted;
+import ashlink.decisions.api.LoadReport;
+import ashlink.decisions.api.Outcome;
+import ashlink.decisions.api.PolicyLimits;
+import ashlink.decisions.api.Settings;
+import ashlink.decisions.api.Tenant;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
@@ -33,16 +35,17 @@
     private static final int GATEWAYS = 200;
 
     /** Cancels heeded, no notes of progress, cost told in answers. */
-    private static final Allowed NO_NOTES =
-            new Allowed(true, true, 4, 500 * MS, true, true, 0.4, false, 0, true, true, false);
+    private static final Capabilities NO_NOTES =
+            new Capabilities(true, true, 4, 500 * MS, true, true, 0.4, false, 0, true, true, false);
 
-    private static final Limits RATION = new Limits(0, 0, 0, 0, 0, 0, 0, 0.1, 10_000 * MS);
+    private static final PolicyLimits RATION =
+            new PolicyLimits(0, 0, 0, 0, 0, 0, 0, 0.1, 10_000 * MS);
 
-    private static Report inHand(double queries) {
-        return new Report(Double.NaN, Double.NaN, Double.NaN, Double.NaN, queries);
+    private static LoadReport inHand(double queries) {
+        return new LoadReport(Double.NaN, Double.NaN, Double.NaN, Double.NaN, queries);
     }
 
-    private static Router router(int position, Limits limits, double queriesInHand) {
+    private static Router router(int position, PolicyLimits limits, double queriesInHand) {
         Router r =
                 new Router(
                         new Settings(
@@ -51,7 +54,7 @@
                                 position,
                                 "z1",
                                 List.of(look("look"), report(Set.of(), Set.of())),
-                                List.of(new Gateway.EngineKind("big", 8, 8_000)),
+                                List.of(new EngineKind("big", 8, 8_000)),
                                 NO_NOTES,
                                 limits));
         r.engines("a", "b");
@@ -62,7 +65,7 @@
     private static void tell(Router r, double queriesInHand) {
         for (String e : List.of("a", "b")) {
             r.reports.put(e, inHand(queriesInHand));
-            r.on(new Probed(e, Outcome.SERVED, MS, inHand(queriesInHand)));
+            r.on(new HealthCheckCompleted(e, Outcome.SERVED, MS, inHand(queriesInHand)));
         }
         r.pass(60); // one round of house-keeping takes it up
     }
@@ -93,7 +96,7 @@
         assertEquals(1, r.sends().size());
         tell(r, 60);
         r.ask(2, "look", null, 20);
-        assertEquals(List.of(1L, 2L), r.sends().stream().map(Send::id).toList());
+        assertEquals(List.of(1L, 2L), r.sends().stream().map(StartAttempt::id).toList());
         r.ask(3, "look", null, 20);
         assertEquals(
                 2, r.sends().size(), "the lane holds this gateway's part, not all its look-ups");
@@ -108,23 +111,25 @@
         }
         String engine = enginesOf(r.ask(1, "report", null, 1_000)).get(0);
         for (int s = 0; s < 5; s++) {
-            assertTrue(only(Cancel.class, r.pass(1_000)).isEmpty(), "not while it can be in time");
+            assertTrue(
+                    only(CancelAttempt.class, r.pass(1_000)).isEmpty(),
+                    "not while it can be in time");
             r.end(77, 0, engine, Outcome.SERVED, 5); // the engine is not silent
         }
-        assertEquals(List.of(new Cancel(1, 0)), only(Cancel.class, r.pass(1_500)));
+        assertEquals(List.of(new CancelAttempt(1, 0)), only(CancelAttempt.class, r.pass(1_500)));
     }
 
     @Test
     void busyDisksAndManyQueriesInHandArePressure() {
-        for (Report busy :
+        for (LoadReport busy :
                 List.of(
-                        new Report(Double.NaN, Double.NaN, Double.NaN, 0.99, 1),
+                        new LoadReport(Double.NaN, Double.NaN, Double.NaN, 0.99, 1),
                         inHand(12),
                         inHand(1))) {
             Router r = router(0, LIMITS, 1);
             for (String e : List.of("a", "b")) {
                 r.reports.put(e, busy);
-                r.on(new Probed(e, Outcome.SERVED, MS, busy));
+                r.on(new HealthCheckCompleted(e, Outcome.SERVED, MS, busy));
             }
             r.pass(60);
             for (int i = 0; i < 6; i++) {
@@ -141,7 +146,7 @@
         r.end(1, 0, r.sends().get(0).engine(), Outcome.ERROR, 10);
         assertEquals(1, r.sends().size(), "one query earns a tenth of a further attempt");
         r.ask(2, "report", null, 1_500);
-        assertEquals(List.of(1L, 2L), r.sends().stream().map(Send::id).toList());
+        assertEquals(List.of(1L, 2L), r.sends().stream().map(StartAttempt::id).toList());
     }
 
     @Test
@@ -170,21 +175,25 @@
                                         0,
                                         "z1",
                                         List.of(report(Set.of(), Set.of())),
-                                        List.of(new Gateway.EngineKind("big", 8, 8_000)),
+                                        List.of(new EngineKind("big", 8, 8_000)),
                                         NO_NOTES,
                                         LIMITS,
-                                        List.of(
-                                                new Gateway.Tenant("loud", 2),
-                                                new Gateway.Tenant("calm", 2)),
+                                        List.of(new Tenant("loud", 2), new Tenant("calm", 2)),
                                         0.2))
                         .engines();
         for (int i = 0; i < 60; i++) {
-            r.on(new Request(i, "report", null, 1, r.now + 20_000 * MS, 1_000 * MS, 100, "loud"));
+            r.on(
+                    new QuerySubmitted(
+                            i, "report", null, 1, r.now + 20_000 * MS, 1_000 * MS, 100, "loud"));
         }
-        r.on(new Request(99, "report", null, 1, r.now + 20_000 * MS, 1_000 * MS, 100, "calm"));
-        r.on(new Request(100, "report", null, 1, r.now + 20_000 * MS, 1_000 * MS, 100, "unlisted"));
+        r.on(
+                new QuerySubmitted(
+                        99, "report", null, 1, r.now + 20_000 * MS, 1_000 * MS, 100, "calm"));
+        r.on(
+                new QuerySubmitted(
+                        100, "report", null, 1, r.now + 20_000 * MS, 1_000 * MS, 100, "unlisted"));
         r.engines("a");
-        List<Long> first = r.sends().stream().map(Send::id).toList();
+        List<Long> first = r.sends().stream().map(StartAttempt::id).toList();
         assertEquals(List.of(0L, 1L), first.subList(0, 2)); // what came first was within the share
         assertTrue(first.contains(99L) && first.contains(100L), "sent: " + first);
         assertTrue(first.size() < 62, "not all find room");
@@ -200,20 +209,20 @@
                                         0,
                                         "z1",
                                         List.of(look("look"), report(Set.of(), Set.of())),
-                                        List.of(new Gateway.EngineKind("big", 8, 8_000)),
+                                        List.of(new EngineKind("big", 8, 8_000)),
                                         NO_NOTES,
                                         LIMITS))
                         .engines("a");
         long id = 0;
         for (; id < 200; id++) {
-            r.on(new Request(id, "look", null, 1, r.now + 3_000 * MS, 0, 0));
-            r.on(new Ended(id, 0, "a", Outcome.SERVED, 20 * MS, true, 10, 40, inHand(1)));
+            r.on(new QuerySubmitted(id, "look", null, 1, r.now + 3_000 * MS, 0, 0));
+            r.on(new AttemptEnded(id, 0, "a", Outcome.SERVED, 20 * MS, true, 10, 40, inHand(1)));
         }
         // The engine starts anew: by the prior of 500 ms it bears little, by the learnt 10 ms many.
-        r.list(ListForm.CHANGES, entry("a", "z1", "big", Phase.READY, r.now));
+        r.list(EndpointListKind.DELTA, entry("a", "z1", "big", EndpointState.READY, r.now));
         int before = r.sends().size();
         for (int i = 0; i < 8; i++) {
-            r.on(new Request(++id, "look", null, 1, r.now + 3_000 * MS, 0, 0));
+            r.on(new QuerySubmitted(++id, "look", null, 1, r.now + 3_000 * MS, 0, 0));
         }
         assertEquals(before + 8, r.sends().size());
     }
@@ -224,7 +233,7 @@
         for (int i = 0; i < 300; i++) {
             r.ask(i, "look", null, 100);
             r.on(
-                    new Ended(
+                    new AttemptEnded(
                             i,
                             0,
                             r.sends().get(i).engine(),
--- a/decisions/src/test/java/ashlink/ManyGatewaysTest.java
+++ b/decisions/src/test/java/ashlink/decisions/ManyGatewaysTest.java
@@ -1,30 +1,32 @@
-package ashlink;
+package ashlink.decisions;
 
-import static ashlink.Router.LIMITS;
-import static ashlink.Router.MS;
-import static ashlink.Router.enginesOf;
-import static ashlink.Router.entry;
-import static ashlink.Router.look;
-import static ashlink.Router.only;
-import static ashlink.Router.report;
+import static ashlink.decisions.Router.LIMITS;
+import static ashlink.decisions.Router.MS;
+import static ashlink.decisions.Router.enginesOf;
+import static ashlink.decisions.Router.entry;
+import static ashlink.decisions.Router.look;
+import static ashlink.decisions.Router.only;
+import static ashlink.decisions.Router.report;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.Gateway.Allowed;
-import ashlink.Gateway.Cancel;
-import ashlink.Gateway.Limits;
-import ashlink.Gateway.ListForm;
-import ashlink.Gateway.NoteKind;
-import ashlink.Gateway.Outcome;
-import ashlink.Gateway.Phase;
-import ashlink.Gateway.Probe;
-import ashlink.Gateway.Probed;
-import ashlink.Gateway.Progress;
-import ashlink.Gateway.Report;
-import ashlink.Gateway.Send;
-import ashlink.Gateway.Settings;
-import ashlink.Gateway.Terms;
+import ashlink.decisions.api.Action;
+import ashlink.decisions.api.Action.CancelAttempt;
+import ashlink.decisions.api.Action.CheckHealth;
+import ashlink.decisions.api.Action.SetAttemptResources;
+import ashlink.decisions.api.Action.StartAttempt;
+import ashlink.decisions.api.Capabilities;
+import ashlink.decisions.api.EndpointListKind;
+import ashlink.decisions.api.EndpointState;
+import ashlink.decisions.api.EngineKind;
+import ashlink.decisions.api.Event.AttemptProgress;
+import ashlink.decisions.api.Event.HealthCheckCompleted;
+import ashlink.decisions.api.LoadReport;
+import ashlink.decisions.api.Outcome;
+import ashlink.decisions.api.PolicyLimits;
+import ashlink.decisions.api.ProgressKind;
+import ashlink.decisions.api.Settings;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -37,9 +39,9 @@
 class ManyGatewaysTest {
 
     private static final int GATEWAYS = 200;
-    private static final Report BUSY = new Report(1, 1, 1, 1);
-    private static final Allowed NO_PRIORITIES =
-            new Allowed(
+    private static final LoadReport BUSY = new LoadReport(1, 1, 1, 1);
+    private static final Capabilities NO_PRIORITIES =
+            new Capabilities(
                     true,
                     true,
                     4,
@@ -53,14 +55,15 @@
                     false,
                     false);
 
-    private static Settings settings(int gateways, int position, Allowed allowed, Limits limits) {
+    private static Settings settings(
+            int gateways, int position, Capabilities allowed, PolicyLimits limits) {
         return new Settings(
                 7 + position,
                 gateways,
                 position,
                 "z1",
                 List.of(look("look"), report(Set.of(), Set.of())),
-                List.of(new Gateway.EngineKind("big", 8, 8_000)),
+                List.of(new EngineKind("big", 8, 8_000)),
                 allowed,
                 limits);
     }
@@ -128,10 +131,10 @@
     @Test
     void aBlindChoiceAsksBothCandidatesAndTakesTheLighter() {
         Router r = router(GATEWAYS, 0, 2);
-        r.reports.put("e0", new Report(0, 0.9, Double.NaN, Double.NaN));
-        r.reports.put("e1", new Report(0, 0.2, Double.NaN, Double.NaN));
-        List<Gateway.Action> decided = r.ask(1, "report", null, 1_000);
-        assertEquals(2, only(Probe.class, decided).size());
+        r.reports.put("e0", new LoadReport(0, 0.9, Double.NaN, Double.NaN));
+        r.reports.put("e1", new LoadReport(0, 0.2, Double.NaN, Double.NaN));
+        List<Action> decided = r.ask(1, "report", null, 1_000);
+        assertEquals(2, only(CheckHealth.class, decided).size());
         assertEquals(List.of("e1"), enginesOf(decided));
     }
 
@@ -139,7 +142,7 @@
     void freshNewsIsNotAskedForAgain() {
         Router r = router(GATEWAYS, 0, 2);
         r.ask(1, "report", null, 1_000);
-        assertTrue(only(Probe.class, r.ask(2, "report", null, 1_000)).isEmpty());
+        assertTrue(only(CheckHealth.class, r.ask(2, "report", null, 1_000)).isEmpty());
     }
 
     @Test
@@ -158,7 +161,7 @@
             r.pass(300);
             r.serve(1, 50);
         }
-        int probes = only(Probe.class, r.actions).size();
+        int probes = only(CheckHealth.class, r.actions).size();
         assertTrue(
                 probes > 20 && probes <= 20 + 200 + 60,
                 probes + " probes"); // saved, by query, by second
@@ -184,7 +187,7 @@
         for (int g = 0; g < GATEWAYS; g++) {
             Router r = router(GATEWAYS, g, 3);
             long start = r.now;
-            r.list(ListForm.CHANGES, entry("e0", "z1", "big", Phase.READY, start));
+            r.list(EndpointListKind.DELTA, entry("e0", "z1", "big", EndpointState.READY, start));
             for (int i = 0; i < 30; i++) { // three queries a second, one in five of them long
                 boolean brief = i % 5 != 0;
                 r.ask(
@@ -194,7 +197,7 @@
                         1,
                         brief ? 100 : 3_000,
                         brief ? 2_500 : 20_000);
-                for (Send s : List.copyOf(r.outstanding.values())) {
+                for (StartAttempt s : List.copyOf(r.outstanding.values())) {
                     if (s.engine().equals("e0")) {
                         sends.add(new long[] {r.now, s.id() % 5 != 0 ? 100 : 3_000});
                     }
@@ -227,15 +230,15 @@
             int each = g % 10 == 0 ? 120 : 20; // ten seconds of traffic
             long gapMs = 10_000 / each;
             r.pass(g % 2 == 0 ? 0 : 1_500);
-            r.list(ListForm.CHANGES, entry("e0", "z1", "big", Phase.READY, start));
+            r.list(EndpointListKind.DELTA, entry("e0", "z1", "big", EndpointState.READY, start));
             for (int i = 0; r.now < start + 10_000 * MS; i++) {
                 if (g % 3 == 0 && i == each / 4) {
                     long now = r.now;
                     r = new Router(settings(gateways, g, NO_PRIORITIES, LIMITS));
                     r.now = now;
                     r.list(
-                            ListForm.WHOLE,
-                            entry("e0", "z1", "big", Phase.READY, start),
+                            EndpointListKind.SNAPSHOT,
+                            entry("e0", "z1", "big", EndpointState.READY, start),
                             Router.ready("e1"),
                             Router.ready("e2"));
                 }
@@ -249,7 +252,7 @@
                         1,
                         brief ? 100 : 3_000,
                         brief ? 2_500 : 20_000);
-                for (Send s : List.copyOf(r.outstanding.values())) {
+                for (StartAttempt s : List.copyOf(r.outstanding.values())) {
                     if (s.engine().equals("e0")) {
                         sends.add(new long[] {r.now, s.id() % 5 != 0 ? 100 : 3_000});
                     }
@@ -282,7 +285,9 @@
     void withoutFactsOfItsClassesAGatewaySendsAColdEngineNothingLong() {
         for (int g = 0; g < 40; g++) {
             Router r = new Router(settings(GATEWAYS, g, NO_PRIORITIES, LIMITS));
-            r.list(ListForm.REMEMBERED, entry("cold", "z1", "big", Phase.READY, r.now - MS));
+            r.list(
+                    EndpointListKind.CACHED,
+                    entry("cold", "z1", "big", EndpointState.READY, r.now - MS));
             r.ask(1, "report", null, 1, 50, 5_000); // looks brief, its class is not
             r.pass(4_000);
             assertTrue(r.sends().isEmpty());
@@ -293,14 +298,17 @@
     void aSpillToldAtTheStartRestartsTheQueryWithItsTrueNeed() {
         Router r = router(1, 0, 2);
         String engine = enginesOf(r.ask(1, "report", null, 1_000)).get(0);
-        List<Gateway.Action> decided = r.on(new Progress(1, 0, engine, NoteKind.SPILLS_MB, 900));
-        assertEquals(List.of(new Cancel(1, 0)), only(Cancel.class, decided));
-        long first = only(Terms.class, r.actions).get(0).memoryMb();
+        List<Action> decided =
+                r.on(new AttemptProgress(1, 0, engine, ProgressKind.SPILLED_MB, 900));
+        assertEquals(List.of(new CancelAttempt(1, 0)), only(CancelAttempt.class, decided));
+        long first = only(SetAttemptResources.class, r.actions).get(0).memoryMb();
         long second =
-                only(Terms.class, r.end(1, 0, engine, Outcome.CANCELLED, 10)).get(0).memoryMb();
+                only(SetAttemptResources.class, r.end(1, 0, engine, Outcome.CANCELLED, 10))
+                        .get(0)
+                        .memoryMb();
         assertTrue(second >= first + 900, second + " MB");
         assertTrue(
-                only(Terms.class, r.ask(2, "report", null, 1_000)).get(0).memoryMb()
+                only(SetAttemptResources.class, r.ask(2, "report", null, 1_000)).get(0).memoryMb()
                         >= first + 900);
     }
 
@@ -309,11 +317,19 @@
         Router r = router(1, 0, 2);
         String engine = enginesOf(r.ask(1, "report", null, 1_000)).get(0);
         assertTrue(
-                only(Cancel.class, r.on(new Progress(1, 0, engine, NoteKind.SPILLS_MB, 10)))
+                only(
+                                CancelAttempt.class,
+                                r.on(
+                                        new AttemptProgress(
+                                                1, 0, engine, ProgressKind.SPILLED_MB, 10)))
                         .isEmpty());
         r.pass(500);
         assertTrue(
-                only(Cancel.class, r.on(new Progress(1, 0, engine, NoteKind.SPILLS_MB, 900)))
+                only(
+                                CancelAttempt.class,
+                                r.on(
+                                        new AttemptProgress(
+                                                1, 0, engine, ProgressKind.SPILLED_MB, 900)))
                         .isEmpty());
     }
 
@@ -323,23 +339,29 @@
         String engine = enginesOf(r.ask(1, "report", null, 1_000)).get(0);
         for (int i = 0; i < 5; i++) {
             r.pass(1_000);
-            r.on(new Progress(1, 0, engine, NoteKind.WAITS, 1));
+            r.on(new AttemptProgress(1, 0, engine, ProgressKind.WAITING, 1));
         }
         r.pass(200);
         assertTrue(
-                only(Cancel.class, r.on(new Progress(1, 0, engine, NoteKind.SHARE_DONE, 0.2)))
+                only(
+                                CancelAttempt.class,
+                                r.on(
+                                        new AttemptProgress(
+                                                1, 0, engine, ProgressKind.FRACTION_DONE, 0.2)))
                         .isEmpty());
     }
 
     @Test
     void aMemoryLineClosesAnEngineToLongQueriesOnly() {
         Router r = router(1, 0, 1);
-        r.on(new Probed("e0", Outcome.SERVED, MS, new Report(6, 0.5, 0.5, Double.NaN)));
-        r.reports.put("e0", new Report(6, 0.5, 0.5, Double.NaN));
+        r.on(
+                new HealthCheckCompleted(
+                        "e0", Outcome.SERVED, MS, new LoadReport(6, 0.5, 0.5, Double.NaN)));
+        r.reports.put("e0", new LoadReport(6, 0.5, 0.5, Double.NaN));
         r.ask(1, "report", null, 3_000);
         assertTrue(r.sends().isEmpty());
         r.ask(2, "look", null, 50);
-        assertEquals(List.of(2L), r.sends().stream().map(Send::id).toList());
+        assertEquals(List.of(2L), r.sends().stream().map(StartAttempt::id).toList());
     }
 
     @Test
--- a/decisions/src/test/java/ashlink/MechanismTest.java
+++ b/decisions/src/test/java/ashlink/decisions/MechanismTest.java
@@ -1,29 +1,33 @@
-package ashlink;
-
-import static ashlink.Router.ALLOWED;
-import static ashlink.Router.LIMITS;
-import static ashlink.Router.MS;
-import static ashlink.Router.enginesOf;
-import static ashlink.Router.load;
-import static ashlink.Router.look;
-import static ashlink.Router.only;
-import static ashlink.Router.report;
+package ashlink.decisions;
+
+import static ashlink.decisions.Router.ALLOWED;
+import static ashlink.decisions.Router.LIMITS;
+import static ashlink.decisions.Router.MS;
+import static ashlink.decisions.Router.enginesOf;
+import static ashlink.decisions.Router.load;
+import static ashlink.decisions.Router.look;
+import static ashlink.decisions.Router.only;
+import static ashlink.decisions.Router.report;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.Gateway.Allowed;
-import ashlink.Gateway.Cancel;
-import ashlink.Gateway.Effect;
-import ashlink.Gateway.NoteKind;
-import ashlink.Gateway.Outcome;
-import ashlink.Gateway.Probed;
-import ashlink.Gateway.Progress;
-import ashlink.Gateway.Refuse;
-import ashlink.Gateway.RepeatGroup;
-import ashlink.Gateway.Report;
-import ashlink.Gateway.Send;
-import ashlink.Gateway.Terms;
+import ashlink.decisions.api.Action;
+import ashlink.decisions.api.Action.CancelAttempt;
+import ashlink.decisions.api.Action.Log;
+import ashlink.decisions.api.Action.Reject;
+import ashlink.decisions.api.Action.SetAttemptResources;
+import ashlink.decisions.api.Action.StartAttempt;
+import ashlink.decisions.api.Capabilities;
+import ashlink.decisions.api.DeduplicationScope;
+import ashlink.decisions.api.EndpointListKind;
+import ashlink.decisions.api.EndpointState;
+import ashlink.decisions.api.Event.AttemptProgress;
+import ashlink.decisions.api.Event.HealthCheckCompleted;
+import ashlink.decisions.api.LoadReport;
+import ashlink.decisions.api.Outcome;
+import ashlink.decisions.api.ProgressKind;
+import ashlink.decisions.api.RetrySafety;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -32,12 +36,12 @@
 /** The parts of the mechanism and the guards around it. */
 class MechanismTest {
 
-    private static final Report BUSY = new Report(1, 1, 1, 1);
+    private static final LoadReport BUSY = new LoadReport(1, 1, 1, 1);
 
     private static void busy(Router r, String... engines) {
         for (String e : engines) {
             r.reports.put(e, BUSY);
-            r.on(new Probed(e, Outcome.SERVED, MS, BUSY));
+            r.on(new HealthCheckCompleted(e, Outcome.SERVED, MS, BUSY));
         }
     }
 
@@ -99,11 +103,7 @@
     @Test
     void aFurtherAttemptGoesElsewhereIfItCan() {
         for (Outcome outcome :
-                List.of(
-                        Outcome.ERROR,
-                        Outcome.TURNED_AWAY,
-                        Outcome.TIMED_OUT,
-                        Outcome.NEVER_SENT)) {
+                List.of(Outcome.ERROR, Outcome.REJECTED, Outcome.TIMED_OUT, Outcome.NOT_SENT)) {
             Router r = Router.with(look("look")).engines("a", "b", "c");
             for (int i = 0; i < 20; i++) {
                 r.ask(i, "look", null, 20);
@@ -142,13 +142,13 @@
                 Router.with(
                                 look("plain"),
                                 report(Set.of(), Set.of()),
-                                load(Effect.AT_MOST_ONCE, RepeatGroup.ALL, false))
+                                load(RetrySafety.AT_MOST_ONCE, DeduplicationScope.ALL, false))
                         .engines();
         r.ask(1, "plain", null, 1_000);
         r.ask(2, "load", null, 1_000);
         r.ask(3, "report", null, 1_000);
         r.engines("a");
-        assertEquals(List.of(3L, 2L, 1L), r.sends().stream().map(Send::id).toList());
+        assertEquals(List.of(3L, 2L, 1L), r.sends().stream().map(StartAttempt::id).toList());
     }
 
     @Test
@@ -158,7 +158,7 @@
         r.ask(2, "report", null, 1_000);
         r.ask(3, "report", null, 2_000);
         r.engines("a");
-        assertEquals(List.of(2L, 3L, 1L), r.sends().stream().map(Send::id).toList());
+        assertEquals(List.of(2L, 3L, 1L), r.sends().stream().map(StartAttempt::id).toList());
     }
 
     @Test
@@ -176,7 +176,7 @@
             r.now += MS;
             r.serve(1, 2);
         }
-        List<Long> order = r.sends().stream().map(Send::id).toList();
+        List<Long> order = r.sends().stream().map(StartAttempt::id).toList();
         assertEquals(80, order.size());
         assertEquals(order.stream().sorted().toList(), order);
     }
@@ -265,15 +265,15 @@
     void aRefusalPausesTheEngine() {
         Router r = reports("a");
         r.ask(1, "report", null, 100);
-        assertTrue(only(Send.class, r.end(1, 0, "a", Outcome.TURNED_AWAY, 1)).isEmpty());
-        assertTrue(only(Send.class, r.pass(190)).isEmpty());
-        assertEquals(1, only(Send.class, r.pass(200)).size());
+        assertTrue(only(StartAttempt.class, r.end(1, 0, "a", Outcome.REJECTED, 1)).isEmpty());
+        assertTrue(only(StartAttempt.class, r.pass(190)).isEmpty());
+        assertEquals(1, only(StartAttempt.class, r.pass(200)).size());
     }
 
     @Test
     void whatWasGivenUpButRunsOnStillCounts() {
-        Allowed noCancel =
-                new Allowed(true, false, 4, 0, false, false, 1, false, 0, false, true, false);
+        Capabilities noCancel =
+                new Capabilities(true, false, 4, 0, false, false, 1, false, 0, false, true, false);
         Router r =
                 new Router(Router.settings(6, noCancel, LIMITS, report(Set.of(), Set.of())))
                         .engines("a");
@@ -281,8 +281,8 @@
         r.ask(1, "report", null, 1_000);
         r.pass(1_000);
         busy(r, "a");
-        assertTrue(only(Send.class, r.end(1, 0, "a", Outcome.TIMED_OUT, 1_000)).isEmpty());
-        assertEquals(1, only(Send.class, r.pass(600)).size());
+        assertTrue(only(StartAttempt.class, r.end(1, 0, "a", Outcome.TIMED_OUT, 1_000)).isEmpty());
+        assertEquals(1, only(StartAttempt.class, r.pass(600)).size());
     }
 
     @Test
@@ -302,11 +302,15 @@
         String silent = enginesOf(r.ask(1, "report", null, 5_000)).get(0);
         r.pass(1_000);
         assertTrue(
-                only(Cancel.class, r.on(new Progress(1, 0, silent, NoteKind.SHARE_DONE, 0.2)))
+                only(
+                                CancelAttempt.class,
+                                r.on(
+                                        new AttemptProgress(
+                                                1, 0, silent, ProgressKind.FRACTION_DONE, 0.2)))
                         .isEmpty());
-        assertTrue(only(Cancel.class, r.pass(1_500)).isEmpty());
-        assertEquals(List.of(new Cancel(1, 0)), only(Cancel.class, r.pass(200)));
-        List<Gateway.Log> lines = only(Gateway.Log.class, r.actions);
+        assertTrue(only(CancelAttempt.class, r.pass(1_500)).isEmpty());
+        assertEquals(List.of(new CancelAttempt(1, 0)), only(CancelAttempt.class, r.pass(200)));
+        List<Log> lines = only(Log.class, r.actions);
         assertEquals(1, lines.size());
         assertTrue(lines.get(0).text().contains(silent), lines.get(0).text());
         r.end(1, 0, silent, Outcome.CANCELLED, 1_000);
@@ -317,7 +321,7 @@
     void whereMostEnginesLookBadNoneIsAvoided() {
         Router r = reports("a", "b");
         for (int i = 0; i < 2; i++) {
-            r.end(i, 0, enginesOf(r.ask(i, "report", null, 100)).get(0), Outcome.NO_CONNECTION, 1);
+            r.end(i, 0, enginesOf(r.ask(i, "report", null, 100)).get(0), Outcome.CONNECT_FAILED, 1);
         }
         assertEquals(1, enginesOf(r.ask(9, "report", null, 100)).size());
     }
@@ -327,8 +331,9 @@
         Router r = reports("a", "b");
         String engine = enginesOf(r.ask(1, "report", null, 1_000)).get(0);
         r.pass(1_000);
-        List<Gateway.Action> decided = r.on(new Progress(1, 0, engine, NoteKind.SHARE_DONE, 0.05));
-        assertEquals(List.of(new Cancel(1, 0)), only(Cancel.class, decided));
+        List<Action> decided =
+                r.on(new AttemptProgress(1, 0, engine, ProgressKind.FRACTION_DONE, 0.05));
+        assertEquals(List.of(new CancelAttempt(1, 0)), only(CancelAttempt.class, decided));
         r.end(1, 0, engine, Outcome.CANCELLED, 1_000);
         assertEquals(2, r.sends().size());
     }
@@ -339,7 +344,11 @@
         String engine = enginesOf(r.ask(1, "report", null, 1_000)).get(0);
         r.pass(1_000);
         assertTrue(
-                only(Cancel.class, r.on(new Progress(1, 0, engine, NoteKind.SHARE_DONE, 0.8)))
+                only(
+                                CancelAttempt.class,
+                                r.on(
+                                        new AttemptProgress(
+                                                1, 0, engine, ProgressKind.FRACTION_DONE, 0.8)))
                         .isEmpty());
     }
 
@@ -348,7 +357,7 @@
         Router r =
                 Router.with(
                                 report(Set.of(), Set.of()),
-                                load(Effect.AT_MOST_ONCE, RepeatGroup.ALL, false))
+                                load(RetrySafety.AT_MOST_ONCE, DeduplicationScope.ALL, false))
                         .engines("a", "b", "c", "d");
         Set<String> loads = new HashSet<>();
         Set<String> readers = new HashSet<>();
@@ -367,14 +376,14 @@
     void underPressureFreeClassesLeaveTheKindsThatBoundClassesNeed() {
         Router r = Router.with(look("look"), report(Set.of("big"), Set.of()));
         r.list(
-                Gateway.ListForm.WHOLE,
+                EndpointListKind.SNAPSHOT,
                 Router.ready("a"),
-                Router.entry("b", "z1", "small", Gateway.Phase.READY, 0),
-                Router.entry("drains", "z1", "small", Gateway.Phase.DRAINING, 0));
-        r.reports.put("a", new Report(0, 0.5, Double.NaN, Double.NaN));
+                Router.entry("b", "z1", "small", EndpointState.READY, 0),
+                Router.entry("drains", "z1", "small", EndpointState.DRAINING, 0));
+        r.reports.put("a", new LoadReport(0, 0.5, Double.NaN, Double.NaN));
         r.reports.put("b", r.reports.get("a"));
         for (String e : List.of("a", "b")) {
-            r.on(new Probed(e, Outcome.SERVED, MS, r.reports.get(e)));
+            r.on(new HealthCheckCompleted(e, Outcome.SERVED, MS, r.reports.get(e)));
         }
         busy(r, "drains"); // one of three is under pressure
         r.pass(60);
@@ -382,7 +391,7 @@
             assertEquals(List.of("b"), enginesOf(r.ask(i, "look", null, 50)));
             r.serve(1, 50);
         }
-        r.reports.put("b", new Report(0, 0.9, Double.NaN, Double.NaN));
+        r.reports.put("b", new LoadReport(0, 0.9, Double.NaN, Double.NaN));
         r.pass(1_000);
         assertEquals(List.of("a"), enginesOf(r.ask(30, "look", null, 50)));
     }
@@ -394,19 +403,20 @@
         r.pass(400);
         r.ask(2, "report", null, 50);
         assertEquals(
-                List.of(1L), only(Refuse.class, r.pass(300)).stream().map(Refuse::id).toList());
+                List.of(1L), only(Reject.class, r.pass(300)).stream().map(Reject::id).toList());
     }
 
     @Test
     void spillsRaiseTheGrantAndItStaysUnderTheLargest() {
         Router r = reports("a");
-        long first = only(Terms.class, r.ask(0, "report", null, 100)).get(0).memoryMb();
+        long first =
+                only(SetAttemptResources.class, r.ask(0, "report", null, 100)).get(0).memoryMb();
         for (int i = 0; i < 100; i++) {
-            r.on(new Progress(i, 0, "a", NoteKind.SPILLS_MB, 50));
+            r.on(new AttemptProgress(i, 0, "a", ProgressKind.SPILLED_MB, 50));
             r.end(i, 0, "a", Outcome.SERVED, 50);
             r.ask(i + 1, "report", null, 100);
         }
-        List<Terms> terms = only(Terms.class, r.actions);
+        List<SetAttemptResources> terms = only(SetAttemptResources.class, r.actions);
         assertTrue(terms.get(100).memoryMb() > first);
         assertTrue(terms.get(100).memoryMb() <= 0.4 * 8_000);
     }
@@ -416,12 +426,12 @@
         Router r =
                 new Router(Router.settings(6, ALLOWED, LIMITS, report(Set.of(), Set.of())))
                         .engines("a");
-        Report half = new Report(0, 0.5, 0.5, Double.NaN);
-        r.on(new Probed("a", Outcome.SERVED, MS, half));
+        LoadReport half = new LoadReport(0, 0.5, 0.5, Double.NaN);
+        r.on(new HealthCheckCompleted("a", Outcome.SERVED, MS, half));
         r.ask(1, "report", null, 20_000);
         for (int i = 0; i < 50; i++) {
             r.pass(100);
-            r.on(new Probed("a", Outcome.SERVED, MS, half));
+            r.on(new HealthCheckCompleted("a", Outcome.SERVED, MS, half));
         }
         for (int i = 2; i < 20; i++) {
             r.ask(i, "report", null, 20_000);
--- a/decisions/src/test/java/ashlink/Router.java
+++ b/decisions/src/test/java/ashlink/decisions/Router.java
@@ -1,27 +1,28 @@
-package ashlink;
+package ashlink.decisions;
 
-import ashlink.Gateway.Action;
-import ashlink.Gateway.Alarm;
-import ashlink.Gateway.Allowed;
-import ashlink.Gateway.Effect;
-import ashlink.Gateway.Ended;
-import ashlink.Gateway.EngineKind;
-import ashlink.Gateway.Event;
-import ashlink.Gateway.Limits;
-import ashlink.Gateway.ListEntry;
-import ashlink.Gateway.ListForm;
-import ashlink.Gateway.ListNews;
-import ashlink.Gateway.Outcome;
-import ashlink.Gateway.Phase;
-import ashlink.Gateway.Probe;
-import ashlink.Gateway.Probed;
-import ashlink.Gateway.QueryClass;
-import ashlink.Gateway.RepeatGroup;
-import ashlink.Gateway.Report;
-import ashlink.Gateway.Request;
-import ashlink.Gateway.Send;
-import ashlink.Gateway.SetAlarm;
-import ashlink.Gateway.Settings;
+import ashlink.decisions.api.Action;
+import ashlink.decisions.api.Action.CheckHealth;
+import ashlink.decisions.api.Action.SetTimer;
+import ashlink.decisions.api.Action.StartAttempt;
+import ashlink.decisions.api.Capabilities;
+import ashlink.decisions.api.DeduplicationScope;
+import ashlink.decisions.api.Endpoint;
+import ashlink.decisions.api.EndpointListKind;
+import ashlink.decisions.api.EndpointState;
+import ashlink.decisions.api.EngineKind;
+import ashlink.decisions.api.Event;
+import ashlink.decisions.api.Event.AttemptEnded;
+import ashlink.decisions.api.Event.EndpointsChanged;
+import ashlink.decisions.api.Event.HealthCheckCompleted;
+import ashlink.decisions.api.Event.QuerySubmitted;
+import ashlink.decisions.api.Event.TimerFired;
+import ashlink.decisions.api.LoadReport;
+import ashlink.decisions.api.Outcome;
+import ashlink.decisions.api.PolicyLimits;
+import ashlink.decisions.api.QueryClass;
+import ashlink.decisions.api.RetrySafety;
+import ashlink.decisions.api.Settings;
+import ashlink.decisions.api.WorkloadManager;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -40,8 +41,8 @@
 final class Router {
 
     static final long MS = 1_000_000L;
-    static final Allowed ALLOWED =
-            new Allowed(
+    static final Capabilities ALLOWED =
+            new Capabilities(
                     true,
                     true,
                     4,
@@ -54,29 +55,29 @@
                     false,
                     false,
                     false);
-    static final Report HALF = new Report(0, 0.5, 0.5, Double.NaN);
-    static final Limits LIMITS =
-            new Limits(1_000 * MS, 0.3, 10_000 * MS, 3, 2_000 * MS, 300 * MS, 0, 0, 0);
+    static final LoadReport HALF = new LoadReport(0, 0.5, 0.5, Double.NaN);
+    static final PolicyLimits LIMITS =
+            new PolicyLimits(1_000 * MS, 0.3, 10_000 * MS, 3, 2_000 * MS, 300 * MS, 0, 0, 0);
 
-    final Gateway gateway;
+    final WorkloadManager gateway;
     final List<Action> actions = new ArrayList<>();
 
     /** What probes of an engine tell; one that is not named here is half busy. */
-    final Map<String, Report> reports = new HashMap<>();
+    final Map<String, LoadReport> reports = new HashMap<>();
 
     /** Engines whose probes are left without an answer. */
     final Set<String> mute = new HashSet<>();
 
     /** Attempts that are out, by query. */
-    final Map<Long, Send> outstanding = new LinkedHashMap<>();
+    final Map<Long, StartAttempt> outstanding = new LinkedHashMap<>();
 
     long now = 100_000 * MS;
     private final Map<Long, Integer> attempts = new HashMap<>();
-    private final PriorityQueue<SetAlarm> alarms =
-            new PriorityQueue<>(Comparator.comparingLong(SetAlarm::timeNs));
+    private final PriorityQueue<SetTimer> alarms =
+            new PriorityQueue<>(Comparator.comparingLong(SetTimer::timeNs));
 
     Router(Settings settings) {
-        gateway = new Rules(settings);
+        gateway = new DefaultWorkloadManager(settings);
     }
 
     static QueryClass look(String name) {
@@ -85,8 +86,8 @@
                 500 * MS,
                 1,
                 3_000 * MS,
-                Effect.IDEMPOTENT,
-                RepeatGroup.ALL,
+                RetrySafety.IDEMPOTENT,
+                DeduplicationScope.ALL,
                 0,
                 1,
                 0.1,
@@ -104,8 +105,8 @@
                 5_000 * MS,
                 1,
                 20_000 * MS,
-                Effect.IDEMPOTENT,
-                RepeatGroup.ALL,
+                RetrySafety.IDEMPOTENT,
+                DeduplicationScope.ALL,
                 0,
                 8,
                 0.4,
@@ -117,7 +118,7 @@
                 true);
     }
 
-    static QueryClass load(Effect effect, RepeatGroup group, boolean inOrder) {
+    static QueryClass load(RetrySafety effect, DeduplicationScope group, boolean inOrder) {
         return new QueryClass(
                 "load",
                 5_000 * MS,
@@ -136,7 +137,8 @@
                 false);
     }
 
-    static Settings settings(int gateways, Allowed allowed, Limits limits, QueryClass... classes) {
+    static Settings settings(
+            int gateways, Capabilities allowed, PolicyLimits limits, QueryClass... classes) {
         return new Settings(
                 7,
                 gateways,
@@ -152,41 +154,43 @@
         return new Router(settings(1, ALLOWED, LIMITS, classes));
     }
 
-    static ListEntry entry(String engine, String zone, String kind, Phase phase, long startedNs) {
-        return new ListEntry(engine, phase, zone, kind, zone.hashCode(), startedNs);
+    static Endpoint entry(
+            String engine, String zone, String kind, EndpointState phase, long startedNs) {
+        return new Endpoint(engine, phase, zone, kind, zone.hashCode(), startedNs);
     }
 
-    static ListEntry ready(String engine) {
-        return entry(engine, "z1", "big", Phase.READY, 0);
+    static Endpoint ready(String engine) {
+        return entry(engine, "z1", "big", EndpointState.READY, 0);
     }
 
-    Router list(ListForm form, ListEntry... entries) {
-        on(new ListNews(form, Arrays.asList(entries)));
+    Router list(EndpointListKind form, Endpoint... entries) {
+        on(new EndpointsChanged(form, Arrays.asList(entries)));
         return this;
     }
 
     Router engines(String... names) {
         return list(
-                ListForm.WHOLE, Arrays.stream(names).map(Router::ready).toArray(ListEntry[]::new));
+                EndpointListKind.SNAPSHOT,
+                Arrays.stream(names).map(Router::ready).toArray(Endpoint[]::new));
     }
 
     List<Action> on(Event event) {
-        if (event instanceof Ended e) {
+        if (event instanceof AttemptEnded e) {
             outstanding.remove(e.id());
         }
-        List<Action> decided = gateway.on(event, now);
+        List<Action> decided = gateway.onEvent(event, now);
         actions.addAll(decided);
         List<Action> all = new ArrayList<>(decided);
         for (Action a : decided) {
-            if (a instanceof SetAlarm alarm) {
+            if (a instanceof SetTimer alarm) {
                 alarms.add(alarm);
-            } else if (a instanceof Send s) {
+            } else if (a instanceof StartAttempt s) {
                 outstanding.put(s.id(), s);
                 attempts.merge(s.id(), 1, Integer::sum);
-            } else if (a instanceof Probe p && !mute.contains(p.engine())) {
+            } else if (a instanceof CheckHealth p && !mute.contains(p.engine())) {
                 all.addAll(
                         on(
-                                new Probed(
+                                new HealthCheckCompleted(
                                         p.engine(),
                                         Outcome.SERVED,
                                         MS,
@@ -202,17 +206,19 @@
 
     List<Action> ask(
             long id, String queryClass, String key, long tables, long workMs, long withinMs) {
-        return on(new Request(id, queryClass, key, tables, now + withinMs * MS, workMs * MS, 100));
+        return on(
+                new QuerySubmitted(
+                        id, queryClass, key, tables, now + withinMs * MS, workMs * MS, 100));
     }
 
     List<Action> end(long id, int attempt, String engine, Outcome outcome, long tookMs) {
-        return end(id, attempt, engine, outcome, tookMs, Report.NONE);
+        return end(id, attempt, engine, outcome, tookMs, LoadReport.NONE);
     }
 
     List<Action> end(
-            long id, int attempt, String engine, Outcome outcome, long tookMs, Report report) {
+            long id, int attempt, String engine, Outcome outcome, long tookMs, LoadReport report) {
         return on(
-                new Ended(
+                new AttemptEnded(
                         id,
                         attempt,
                         engine,
@@ -229,7 +235,7 @@
      * each.
      */
     void serve(int most, long tookMs) {
-        for (Send s :
+        for (StartAttempt s :
                 List.copyOf(outstanding.values()).subList(0, Math.min(most, outstanding.size()))) {
             end(s.id(), attempts.get(s.id()) - 1, s.engine(), Outcome.SERVED, tookMs);
         }
@@ -240,9 +246,9 @@
         int from = actions.size();
         long until = now + ms * MS;
         while (!alarms.isEmpty() && alarms.peek().timeNs() <= until) {
-            SetAlarm due = alarms.poll();
+            SetTimer due = alarms.poll();
             now = due.timeNs();
-            on(new Alarm(due.label()));
+            on(new TimerFired(due.label()));
         }
         now = until;
         return List.copyOf(actions.subList(from, actions.size()));
@@ -252,11 +258,11 @@
         return actions.stream().filter(type::isInstance).map(type::cast).toList();
     }
 
-    List<Send> sends() {
-        return only(Send.class, actions);
+    List<StartAttempt> sends() {
+        return only(StartAttempt.class, actions);
     }
 
     static List<String> enginesOf(List<Action> actions) {
-        return only(Send.class, actions).stream().map(Send::engine).toList();
+        return only(StartAttempt.class, actions).stream().map(StartAttempt::engine).toList();
     }
 }
