--- a/drill/src/main/java/ashlink/drill/Codec.java
+++ b/drill/src/main/java/ashlink/drill/Codec.java
@@ -1,31 +1,31 @@
 package ashlink.drill;
 
-import ashlink.Gateway.Action;
-import ashlink.Gateway.Alarm;
-import ashlink.Gateway.Cancel;
-import ashlink.Gateway.ClientGone;
-import ashlink.Gateway.Ended;
-import ashlink.Gateway.Event;
-import ashlink.Gateway.Fail;
-import ashlink.Gateway.ListEntry;
-import ashlink.Gateway.ListForm;
-import ashlink.Gateway.ListNews;
-import ashlink.Gateway.Log;
-import ashlink.Gateway.NoteKind;
-import ashlink.Gateway.Outcome;
-import ashlink.Gateway.Phase;
-import ashlink.Gateway.Probe;
-import ashlink.Gateway.Probed;
-import ashlink.Gateway.Progress;
-import ashlink.Gateway.Refuse;
-import ashlink.Gateway.Report;
-import ashlink.Gateway.Request;
-import ashlink.Gateway.Send;
-import ashlink.Gateway.SetAlarm;
-import ashlink.Gateway.Subscribe;
-import ashlink.Gateway.Terms;
 import ashlink.config.flat.Fields;
 import ashlink.config.flat.ReportReader;
+import ashlink.decisions.api.Action;
+import ashlink.decisions.api.Action.CancelAttempt;
+import ashlink.decisions.api.Action.CheckHealth;
+import ashlink.decisions.api.Action.Fail;
+import ashlink.decisions.api.Action.Log;
+import ashlink.decisions.api.Action.Reject;
+import ashlink.decisions.api.Action.SetAttemptResources;
+import ashlink.decisions.api.Action.SetTimer;
+import ashlink.decisions.api.Action.StartAttempt;
+import ashlink.decisions.api.Action.WatchEndpoints;
+import ashlink.decisions.api.Endpoint;
+import ashlink.decisions.api.EndpointListKind;
+import ashlink.decisions.api.EndpointState;
+import ashlink.decisions.api.Event;
+import ashlink.decisions.api.Event.AttemptEnded;
+import ashlink.decisions.api.Event.AttemptProgress;
+import ashlink.decisions.api.Event.ClientDisconnected;
+import ashlink.decisions.api.Event.EndpointsChanged;
+import ashlink.decisions.api.Event.HealthCheckCompleted;
+import ashlink.decisions.api.Event.QuerySubmitted;
+import ashlink.decisions.api.Event.TimerFired;
+import ashlink.decisions.api.LoadReport;
+import ashlink.decisions.api.Outcome;
+import ashlink.decisions.api.ProgressKind;
 import java.util.List;
 
 /** Turns lines of the wire into events and actions into lines; it decides nothing. */
@@ -37,8 +37,8 @@
     private Codec() {}
 
     /** Reads an {@code M} line. */
-    static ListEntry entry(Fields f) {
-        return new ListEntry(
+    static Endpoint entry(Fields f) {
+        return new Endpoint(
                 f.needed("engine"),
                 phase(f.needed("phase")),
                 f.text("zone", ""),
@@ -47,22 +47,22 @@
                 f.whole("came-up-ns", 0));
     }
 
-    private static Phase phase(String text) {
+    private static EndpointState phase(String text) {
         return switch (text) {
-            case "ready" -> Phase.READY;
-            case "draining" -> Phase.DRAINING;
-            case "gone" -> Phase.GONE;
+            case "ready" -> EndpointState.READY;
+            case "draining" -> EndpointState.DRAINING;
+            case "gone" -> EndpointState.REMOVED;
             default -> throw new WireException("M: phase=" + text + " is unknown");
         };
     }
 
     /** Reads an {@code ANNOUNCE} line; {@code entries} are those of the list that it names. */
-    static ListNews news(Fields f, List<ListEntry> entries) {
+    static EndpointsChanged news(Fields f, List<Endpoint> entries) {
         return switch (f.needed("form")) {
-            case "all" -> new ListNews(ListForm.WHOLE, entries);
-            case "changes" -> new ListNews(ListForm.CHANGES, entries);
-            case "remembered" -> new ListNews(ListForm.REMEMBERED, entries);
-            case "refused" -> new ListNews(ListForm.REFUSED, List.of());
+            case "all" -> new EndpointsChanged(EndpointListKind.SNAPSHOT, entries);
+            case "changes" -> new EndpointsChanged(EndpointListKind.DELTA, entries);
+            case "remembered" -> new EndpointsChanged(EndpointListKind.CACHED, entries);
+            case "refused" -> new EndpointsChanged(EndpointListKind.UNAVAILABLE, List.of());
             default -> throw new WireException("ANNOUNCE: form=" + f.text("form") + " is unknown");
         };
     }
@@ -74,7 +74,7 @@
     static Event event(String name, Fields f, boolean costInAnswers) {
         return switch (name) {
             case "INGRESS" ->
-                    new Request(
+                    new QuerySubmitted(
                             f.whole("op-id"),
                             f.needed("class"),
                             f.text("relation"),
@@ -83,18 +83,18 @@
                             f.whole("guess-ns", 0),
                             f.number("want-mb", 0),
                             f.text("tenant", ""));
-            case "CLIENT_GONE" -> new ClientGone(f.whole("op-id"));
+            case "CLIENT_GONE" -> new ClientDisconnected(f.whole("op-id"));
             case "UPDATE_OF" ->
-                    new Progress(
+                    new AttemptProgress(
                             f.whole("op-id"),
                             (int) f.whole("shot", 0),
                             f.needed("engine"),
                             noteKind(f.whole("sort")),
                             f.number("amount", 0));
-            case "FIRED" -> new Alarm(f.whole("label"));
+            case "FIRED" -> new TimerFired(f.whole("label"));
             case "RESOLVED" -> ended(f, costInAnswers);
             case "PONG" ->
-                    new Probed(
+                    new HealthCheckCompleted(
                             f.needed("engine"),
                             outcome(f.needed("verdict")),
                             f.whole("lag-ns", 0),
@@ -103,9 +103,9 @@
         };
     }
 
-    private static Ended ended(Fields f, boolean costInAnswers) {
+    private static AttemptEnded ended(Fields f, boolean costInAnswers) {
         long note = costInAnswers ? f.whole("note", 0) : 0;
-        return new Ended(
+        return new AttemptEnded(
                 f.whole("op-id"),
                 (int) f.whole("shot", 0),
                 f.needed("engine"),
@@ -117,11 +117,11 @@
                 report(f.text("gauge")));
     }
 
-    private static NoteKind noteKind(long sort) {
+    private static ProgressKind noteKind(long sort) {
         return switch ((int) sort) {
-            case 1 -> NoteKind.SHARE_DONE;
-            case 2 -> NoteKind.SPILLS_MB;
-            case 3 -> NoteKind.WAITS;
+            case 1 -> ProgressKind.FRACTION_DONE;
+            case 2 -> ProgressKind.SPILLED_MB;
+            case 3 -> ProgressKind.WAITING;
             default -> throw new WireException("UPDATE_OF: sort=" + sort + " is unknown");
         };
     }
@@ -130,20 +130,20 @@
         return switch (text) {
             case "delivered" -> Outcome.SERVED;
             case "app_error" -> Outcome.ERROR;
-            case "shed" -> Outcome.TURNED_AWAY;
+            case "shed" -> Outcome.REJECTED;
             case "expired" -> Outcome.TIMED_OUT;
-            case "dial_failed" -> Outcome.NO_CONNECTION;
+            case "dial_failed" -> Outcome.CONNECT_FAILED;
             case "dropped" -> Outcome.RESET;
             case "revoked" -> Outcome.CANCELLED;
-            case "unused" -> Outcome.NEVER_SENT;
+            case "unused" -> Outcome.NOT_SENT;
             default -> throw new WireException("verdict=" + text + " is unknown");
         };
     }
 
     /** Reads a load report, skipping values it does not know. */
-    static Report report(String text) {
+    static LoadReport report(String text) {
         if (text == null || text.isEmpty() || text.equals("-")) {
-            return Report.NONE;
+            return LoadReport.NONE;
         }
         return ReportReader.read(
                 text,
@@ -156,7 +156,7 @@
 
     /** Appends the line of an action of that instance. */
     static void write(long instance, Action action, StringBuilder out) {
-        if (action instanceof Send a) {
+        if (action instanceof StartAttempt a) {
             line("FORWARD", instance, out)
                     .append(" op-id=")
                     .append(a.id())
@@ -164,7 +164,7 @@
                     .append(a.timeoutNs())
                     .append(" engine=")
                     .append(a.engine());
-        } else if (action instanceof Terms a) {
+        } else if (action instanceof SetAttemptResources a) {
             line("LIMITS_FOR", instance, out)
                     .append(" op-id=")
                     .append(a.id())
@@ -172,7 +172,7 @@
                     .append(a.priority())
                     .append(" mem-mb=")
                     .append(a.memoryMb());
-        } else if (action instanceof Refuse a) {
+        } else if (action instanceof Reject a) {
             line("REFUSE", instance, out)
                     .append(" op-id=")
                     .append(a.id())
@@ -180,21 +180,21 @@
                     .append(a.retryAfterNs());
         } else if (action instanceof Fail a) {
             line("REPORT_FAILURE", instance, out).append(" op-id=").append(a.id());
-        } else if (action instanceof Cancel a) {
+        } else if (action instanceof CancelAttempt a) {
             line("CALL_OFF", instance, out)
                     .append(" op-id=")
                     .append(a.id())
                     .append(" shot=")
                     .append(a.attempt());
-        } else if (action instanceof Probe a) {
+        } else if (action instanceof CheckHealth a) {
             line("PING", instance, out).append(" engine=").append(a.engine());
-        } else if (action instanceof SetAlarm a) {
+        } else if (action instanceof SetTimer a) {
             line("SET_ALARM", instance, out)
                     .append(" label=")
                     .append(a.label())
                     .append(" time-ns=")
                     .append(a.timeNs());
-        } else if (action instanceof Subscribe) {
+        } else if (action instanceof WatchEndpoints) {
             line("TAIL", instance, out).append(" enable=1");
         } else if (action instanceof Log a) {
             line("REMARK", instance, out).append(" reason-text=").append(a.text());
--- a/drill/src/main/java/ashlink/drill/Drill.java
+++ b/drill/src/main/java/ashlink/drill/Drill.java
@@ -1,14 +1,14 @@
 package ashlink.drill;
 
-import ashlink.Gateway;
-import ashlink.Gateway.Action;
-import ashlink.Gateway.Event;
-import ashlink.Gateway.ListEntry;
-import ashlink.Gateway.Settings;
-import ashlink.Rules;
 import ashlink.config.flat.FieldException;
 import ashlink.config.flat.Fields;
 import ashlink.config.flat.SettingsReader;
+import ashlink.decisions.DefaultWorkloadManager;
+import ashlink.decisions.api.Action;
+import ashlink.decisions.api.Endpoint;
+import ashlink.decisions.api.Event;
+import ashlink.decisions.api.Settings;
+import ashlink.decisions.api.WorkloadManager;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.Writer;
@@ -23,10 +23,10 @@
  */
 final class Drill {
 
-    private record Instance(Gateway gateway, Settings settings) {}
+    private record Instance(WorkloadManager gateway, Settings settings) {}
 
     private final Map<Long, Instance> instances = new HashMap<>();
-    private final Map<Long, List<ListEntry>> lists = new HashMap<>();
+    private final Map<Long, List<Endpoint>> lists = new HashMap<>();
     private final StringBuilder reply = new StringBuilder();
     private long lineNumber;
     private long now;
@@ -92,7 +92,7 @@
 
     private void readList(Fields f, BufferedReader in) throws IOException {
         long count = f.whole("lines");
-        List<ListEntry> entries = new ArrayList<>();
+        List<Endpoint> entries = new ArrayList<>();
         for (long i = 0; i < count; i++) {
             String line = need(in);
             if (!line.startsWith("M ")) {
@@ -108,7 +108,7 @@
         instances.remove(id);
         try {
             Settings settings = SettingsReader.read(f);
-            instances.put(id, new Instance(new Rules(settings), settings));
+            instances.put(id, new Instance(new DefaultWorkloadManager(settings), settings));
         } catch (IllegalArgumentException e) {
             Codec.writeBroken(id, e.getMessage(), reply);
         }
@@ -123,9 +123,9 @@
         Event event =
                 name.equals("ANNOUNCE")
                         ? Codec.news(f, lists.getOrDefault(f.whole("list", -1), List.of()))
-                        : Codec.event(name, f, instance.settings().allowed().costInAnswers());
+                        : Codec.event(name, f, instance.settings().capabilities().reportsCost());
         if (event != null) {
-            for (Action action : instance.gateway().on(event, now)) {
+            for (Action action : instance.gateway().onEvent(event, now)) {
                 Codec.write(id, action, reply);
             }
         }
--- a/drill/src/test/java/ashlink/drill/CodecTest.java
+++ b/drill/src/test/java/ashlink/drill/CodecTest.java
@@ -5,20 +5,20 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.Gateway.Cancel;
-import ashlink.Gateway.Ended;
-import ashlink.Gateway.Fail;
-import ashlink.Gateway.Log;
-import ashlink.Gateway.Outcome;
-import ashlink.Gateway.Probe;
-import ashlink.Gateway.Refuse;
-import ashlink.Gateway.Report;
-import ashlink.Gateway.Request;
-import ashlink.Gateway.Send;
-import ashlink.Gateway.SetAlarm;
-import ashlink.Gateway.Subscribe;
-import ashlink.Gateway.Terms;
 import ashlink.config.flat.FieldException;
+import ashlink.decisions.api.Action.CancelAttempt;
+import ashlink.decisions.api.Action.CheckHealth;
+import ashlink.decisions.api.Action.Fail;
+import ashlink.decisions.api.Action.Log;
+import ashlink.decisions.api.Action.Reject;
+import ashlink.decisions.api.Action.SetAttemptResources;
+import ashlink.decisions.api.Action.SetTimer;
+import ashlink.decisions.api.Action.StartAttempt;
+import ashlink.decisions.api.Action.WatchEndpoints;
+import ashlink.decisions.api.Event.AttemptEnded;
+import ashlink.decisions.api.Event.QuerySubmitted;
+import ashlink.decisions.api.LoadReport;
+import ashlink.decisions.api.Outcome;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.StringReader;
@@ -51,7 +51,7 @@
     @Test
     void readsARequest() {
         assertEquals(
-                new Request(5, "q", "k.1", 3, 900, 700, 12.5),
+                new QuerySubmitted(5, "q", "k.1", 3, 900, 700, 12.5),
                 event(
                         "INGRESS router-id=1 op-id=5 class=q relation=k.1 data-group=3"
                                 + " drop-dead-ns=900 guess-ns=700 want-mb=12.5 unheard-of=1"));
@@ -61,7 +61,7 @@
     void readsTenantsAndNamesANegativeQuota() throws IOException {
         assertEquals(
                 "gold",
-                ((Request)
+                ((QuerySubmitted)
                                 event(
                                         "INGRESS router-id=1 op-id=5 class=q drop-dead-ns=900"
                                                 + " tenant=gold"))
@@ -77,14 +77,14 @@
     @Test
     void readsTheQueriesInHandAndBusyDisks() {
         assertEquals(
-                new Report(Double.NaN, Double.NaN, Double.NaN, 0.7, 12),
+                new LoadReport(Double.NaN, Double.NaN, Double.NaN, 0.7, 12),
                 Codec.report("busy_reqs:12,x1:0.7"));
     }
 
     @Test
     void aNoisyReportIsReadAndABrokenOneRefused() {
         assertEquals(
-                new Report(Double.NaN, 0.5, Double.NaN, Double.NaN, 3),
+                new LoadReport(Double.NaN, 0.5, Double.NaN, Double.NaN, 3),
                 Codec.report("pending:-0.1,cpu_share:0.5,x0:NaN,busy_reqs:3,"));
         assertThrows(WireException.class, () -> Codec.report("pending:many"));
         assertThrows(WireException.class, () -> Codec.report("pending"));
@@ -93,7 +93,7 @@
     @Test
     void readsAnOutcomeWithItsNoteAndReport() {
         assertEquals(
-                new Ended(
+                new AttemptEnded(
                         5,
                         2,
                         "h:1",
@@ -102,7 +102,7 @@
                         true,
                         17,
                         8,
-                        new Report(3, Double.NaN, 0.5, Double.NaN)),
+                        new LoadReport(3, Double.NaN, 0.5, Double.NaN)),
                 event(
                         "RESOLVED op-id=5 shot=2 note="
                                 + (17 * 4096 + 2)
@@ -122,14 +122,14 @@
     @Test
     void writesEveryAction() {
         StringBuilder out = new StringBuilder();
-        Codec.write(4, new Send(1, "h:1", 80), out);
-        Codec.write(4, new Terms(1, 2, 640), out);
-        Codec.write(4, new Refuse(1, 250), out);
+        Codec.write(4, new StartAttempt(1, "h:1", 80), out);
+        Codec.write(4, new SetAttemptResources(1, 2, 640), out);
+        Codec.write(4, new Reject(1, 250), out);
         Codec.write(4, new Fail(1), out);
-        Codec.write(4, new Cancel(1, 0), out);
-        Codec.write(4, new Probe("h:1"), out);
-        Codec.write(4, new SetAlarm(7, 99), out);
-        Codec.write(4, new Subscribe(), out);
+        Codec.write(4, new CancelAttempt(1, 0), out);
+        Codec.write(4, new CheckHealth("h:1"), out);
+        Codec.write(4, new SetTimer(7, 99), out);
+        Codec.write(4, new WatchEndpoints(), out);
         Codec.write(4, new Log("two engines"), out);
         assertEquals(
                 """
--- a/report/src/test/java/ashlink/report/CaptureReportTest.java
+++ b/report/src/test/java/ashlink/report/CaptureReportTest.java
@@ -2,14 +2,14 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.Gateway.Ended;
-import ashlink.Gateway.Outcome;
-import ashlink.Gateway.Refuse;
-import ashlink.Gateway.Report;
-import ashlink.Gateway.Request;
-import ashlink.Gateway.Send;
 import ashlink.capture.CaptureSummary;
 import ashlink.capture.events.Entry;
+import ashlink.decisions.api.Action.Reject;
+import ashlink.decisions.api.Action.StartAttempt;
+import ashlink.decisions.api.Event.AttemptEnded;
+import ashlink.decisions.api.Event.QuerySubmitted;
+import ashlink.decisions.api.LoadReport;
+import ashlink.decisions.api.Outcome;
 import java.io.StringWriter;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -24,17 +24,18 @@
         CaptureSummary summary = new CaptureSummary();
         summary.accept(
                 new Entry.Step(
-                        new Request(1, "a<b", null, 0, 9 * S, 0, 0),
+                        new QuerySubmitted(1, "a<b", null, 0, 9 * S, 0, 0),
                         S,
-                        List.of(new Send(1, "q1", S))));
+                        List.of(new StartAttempt(1, "q1", S))));
         summary.accept(
                 new Entry.Step(
-                        new Request(2, "a<b", null, 0, 9 * S, 0, 0),
+                        new QuerySubmitted(2, "a<b", null, 0, 9 * S, 0, 0),
                         2 * S,
-                        List.of(new Refuse(2, 0))));
+                        List.of(new Reject(2, 0))));
         summary.accept(
                 new Entry.Step(
-                        new Ended(1, 0, "q1", Outcome.SERVED, S, true, 0, 0, Report.NONE),
+                        new AttemptEnded(
+                                1, 0, "q1", Outcome.SERVED, S, true, 0, 0, LoadReport.NONE),
                         3 * S,
                         List.of()));
         StringWriter page = new StringWriter();
--- a/rig/src/main/java/ashlink/rig/baseline/Baseline.java
+++ b/rig/src/main/java/ashlink/rig/baseline/Baseline.java
@@ -1,6 +1,24 @@
 package ashlink.rig.baseline;
 
-import ashlink.Gateway;
+import ashlink.decisions.api.Action;
+import ashlink.decisions.api.Action.Fail;
+import ashlink.decisions.api.Action.Reject;
+import ashlink.decisions.api.Action.SetTimer;
+import ashlink.decisions.api.Action.StartAttempt;
+import ashlink.decisions.api.Endpoint;
+import ashlink.decisions.api.EndpointListKind;
+import ashlink.decisions.api.EndpointState;
+import ashlink.decisions.api.EngineKind;
+import ashlink.decisions.api.Event;
+import ashlink.decisions.api.Event.AttemptEnded;
+import ashlink.decisions.api.Event.ClientDisconnected;
+import ashlink.decisions.api.Event.EndpointsChanged;
+import ashlink.decisions.api.Event.QuerySubmitted;
+import ashlink.decisions.api.Event.TimerFired;
+import ashlink.decisions.api.QueryClass;
+import ashlink.decisions.api.RetrySafety;
+import ashlink.decisions.api.Settings;
+import ashlink.decisions.api.WorkloadManager;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -13,7 +31,7 @@
  * class allows up to the limit of attempts and answers what is out of time; it knows no health, no
  * worth and no cold engines.
  */
-public final class Baseline implements Gateway {
+public final class Baseline implements WorkloadManager {
 
     /** Policies. */
     public enum Policy {
@@ -30,7 +48,7 @@
     private static final int MOST_A_CORE = 2;
 
     private static final class Query {
-        Request request;
+        QuerySubmitted request;
         QueryClass cls;
         int attempts;
         boolean mayHaveRun;
@@ -41,7 +59,7 @@
     private final Policy policy;
     private final Settings settings;
     private final Map<String, QueryClass> classes = new HashMap<>();
-    private final Map<String, ListEntry> engines = new LinkedHashMap<>();
+    private final Map<String, Endpoint> engines = new LinkedHashMap<>();
     private final Map<String, Integer> running = new HashMap<>();
     private final Map<Long, Query> queries = new LinkedHashMap<>();
     private final ArrayDeque<Query> held = new ArrayDeque<>();
@@ -59,23 +77,23 @@
     }
 
     @Override
-    public List<Action> on(Event event, long nowNs) {
+    public List<Action> onEvent(Event event, long nowNs) {
         out = new ArrayList<>();
         now = nowNs;
         if (!ticking) {
             ticking = true;
-            out.add(new SetAlarm(1, now + TICK_NS));
+            out.add(new SetTimer(1, now + TICK_NS));
         }
-        if (event instanceof Request r) {
+        if (event instanceof QuerySubmitted r) {
             take(r);
-        } else if (event instanceof Ended e) {
+        } else if (event instanceof AttemptEnded e) {
             ended(e);
-        } else if (event instanceof ClientGone g && queries.containsKey(g.id())) {
+        } else if (event instanceof ClientDisconnected g && queries.containsKey(g.id())) {
             over(queries.get(g.id()));
-        } else if (event instanceof ListNews n) {
+        } else if (event instanceof EndpointsChanged n) {
             list(n);
-        } else if (event instanceof Alarm) {
-            out.add(new SetAlarm(1, now + TICK_NS));
+        } else if (event instanceof TimerFired) {
+            out.add(new SetTimer(1, now + TICK_NS));
             for (Query q : List.copyOf(held)) {
                 if (now + ANSWER_NS >= q.request.deadlineNs()) {
                     answer(q);
@@ -86,17 +104,17 @@
         return out;
     }
 
-    private void take(Request r) {
+    private void take(QuerySubmitted r) {
         Query q = new Query();
         q.request = r;
         q.cls = classes.get(r.queryClass());
         if (q.cls == null) {
-            out.add(new Refuse(r.id(), 0));
+            out.add(new Reject(r.id(), 0));
             return;
         }
         queries.put(r.id(), q);
         held.add(q);
-        if (q.cls.inOrder() && r.key() != null) {
+        if (q.cls.ordered() && r.key() != null) {
             lines.computeIfAbsent(r.key(), k -> new ArrayDeque<>()).add(q);
         }
     }
@@ -111,7 +129,7 @@
                 q.attempts++;
                 running.merge(engine, q.cls.threads(), Integer::sum);
                 out.add(
-                        new Send(
+                        new StartAttempt(
                                 q.request.id(),
                                 engine,
                                 Math.max(MS, q.request.deadlineNs() - now - CUT_NS)));
@@ -121,10 +139,10 @@
 
     private String choose(QueryClass c) {
         List<String> open = new ArrayList<>();
-        for (ListEntry e : engines.values()) {
+        for (Endpoint e : engines.values()) {
             boolean allowed =
-                    e.phase() == Phase.READY
-                            && (c.kinds().isEmpty() || c.kinds().contains(e.kind()))
+                    e.state() == EndpointState.READY
+                            && (c.engineKinds().isEmpty() || c.engineKinds().contains(e.kind()))
                             && (c.zones().isEmpty() || c.zones().contains(e.zone()));
             if (allowed
                     && (policy == Policy.ROUND_ROBIN
@@ -143,17 +161,17 @@
                 .orElseThrow();
     }
 
-    private int most(ListEntry e) {
+    private int most(Endpoint e) {
         int cores =
                 settings.kinds().stream()
                         .filter(k -> k.name().equals(e.kind()))
                         .mapToInt(EngineKind::cores)
                         .findFirst()
                         .orElse(1);
-        return Math.max(1, MOST_A_CORE * cores / settings.gateways());
+        return Math.max(1, MOST_A_CORE * cores / settings.routerCount());
     }
 
-    private void ended(Ended e) {
+    private void ended(AttemptEnded e) {
         Query q = queries.get(e.id());
         if (q == null || q.out == null) {
             return;
@@ -161,10 +179,10 @@
         running.merge(q.out, -q.cls.threads(), Integer::sum);
         q.out = null;
         q.mayHaveRun |= e.outcome().mayHaveRun();
-        if (e.over() || q.over) {
+        if (e.clientAnswered() || q.over) {
             over(q);
-        } else if ((!q.mayHaveRun || q.cls.effect() == Effect.IDEMPOTENT)
-                && q.attempts < settings.allowed().attempts()
+        } else if ((!q.mayHaveRun || q.cls.retrySafety() == RetrySafety.IDEMPOTENT)
+                && q.attempts < settings.capabilities().maxAttempts()
                 && now + ANSWER_NS < q.request.deadlineNs()) {
             held.addLast(q);
         } else {
@@ -173,10 +191,10 @@
     }
 
     private void answer(Query q) {
-        boolean harmless = !q.mayHaveRun || q.cls.effect() == Effect.IDEMPOTENT;
+        boolean harmless = !q.mayHaveRun || q.cls.retrySafety() == RetrySafety.IDEMPOTENT;
         out.add(
                 harmless
-                        ? new Refuse(q.request.id(), settings.allowed().longestRetryAfterNs())
+                        ? new Reject(q.request.id(), settings.capabilities().maxRetryAfterNs())
                         : new Fail(q.request.id()));
         over(q);
     }
@@ -193,10 +211,10 @@
         }
     }
 
-    private void list(ListNews n) {
-        if (n.form() == ListForm.WHOLE || n.form() == ListForm.REMEMBERED) {
+    private void list(EndpointsChanged n) {
+        if (n.kind() == EndpointListKind.SNAPSHOT || n.kind() == EndpointListKind.CACHED) {
             engines.clear();
         }
-        n.entries().forEach(e -> engines.put(e.engine(), e));
+        n.endpoints().forEach(e -> engines.put(e.engine(), e));
     }
 }
--- a/rig/src/main/java/ashlink/rig/bench/RouterBench.java
+++ b/rig/src/main/java/ashlink/rig/bench/RouterBench.java
@@ -1,7 +1,7 @@
 package ashlink.rig.bench;
 
-import ashlink.Gateway.Action;
-import ashlink.Rules;
+import ashlink.decisions.DefaultWorkloadManager;
+import ashlink.decisions.api.Action;
 import ashlink.rig.client.NativeClient;
 import ashlink.rig.client.Reply;
 import ashlink.rig.fleet.BriefSettings;
@@ -54,10 +54,10 @@
                                 engines,
                                 "(limits (drain-grace 2s))" + more),
                         s -> {
-                            Rules rules = new Rules(s);
+                            DefaultWorkloadManager rules = new DefaultWorkloadManager(s);
                             return (event, now) -> {
                                 long from = System.nanoTime();
-                                List<Action> actions = rules.on(event, now);
+                                List<Action> actions = rules.onEvent(event, now);
                                 decidingNs.addAndGet(System.nanoTime() - from);
                                 return actions;
                             };
--- a/rig/src/main/java/ashlink/rig/check/Checker.java
+++ b/rig/src/main/java/ashlink/rig/check/Checker.java
@@ -1,8 +1,8 @@
 package ashlink.rig.check;
 
-import ashlink.Gateway.Effect;
-import ashlink.Gateway.QueryClass;
 import ashlink.config.EngineConfig;
+import ashlink.decisions.api.QueryClass;
+import ashlink.decisions.api.RetrySafety;
 import ashlink.rig.client.Reply;
 import ashlink.rig.day.DayFacts;
 import ashlink.rig.day.DayFacts.Drain;
@@ -116,7 +116,7 @@
         Map<Long, Integer> ran = new HashMap<>();
         for (Try t : facts.tries()) {
             List<Sent> entries = byTag.getOrDefault(t.tag(), List.of());
-            boolean unsafe = cls(t).effect() == Effect.AT_MOST_ONCE;
+            boolean unsafe = cls(t).retrySafety() == RetrySafety.AT_MOST_ONCE;
             long runs =
                     entries.stream()
                             .filter(e -> e.ranNs() > 0 && e.how() != How.TURNED_AWAY)
@@ -202,11 +202,11 @@
                                             e.engine().equals(down.name())
                                                     && e.beganNs() >= down.untilNs()
                                                     && e.beganNs()
-                                                            < down.untilNs() + limits.coldNs())
+                                                            < down.untilNs() + limits.slowStartNs())
                             .sorted(Comparator.comparingLong(e -> e.beganNs()))
                             .toList();
             stake += sent.size();
-            double windowMs = limits.coldWindowNs() / (double) MS;
+            double windowMs = limits.slowStartWindowNs() / (double) MS;
             for (Sent last : sent) {
                 double work =
                         sent.stream()
@@ -215,12 +215,13 @@
                                                 e.beganNs() <= last.beganNs()
                                                         && e.beganNs()
                                                                 > last.beganNs()
-                                                                        - limits.coldWindowNs())
+                                                                        - limits
+                                                                                .slowStartWindowNs())
                                 .mapToDouble(e -> e.workMs())
                                 .sum();
                 double warm = Math.min(1, (last.beganNs() - down.untilNs()) / (double) c.coldNs());
                 double can = c.cores() * c.speed() * (c.coldFrom() + (1 - c.coldFrom()) * warm);
-                if (work > limits.coldMultiple() * can * windowMs) {
+                if (work > limits.slowStartOverloadFactor() * can * windowMs) {
                     broken.add(
                             last.tag()
                                     + ": "
@@ -242,7 +243,7 @@
         int stake = 0;
         Map<String, List<Try>> lines = new HashMap<>();
         for (Try t : facts.tries()) {
-            if (t.key() != null && cls(t).inOrder() && t.sent()) {
+            if (t.key() != null && cls(t).ordered() && t.sent()) {
                 lines.computeIfAbsent(t.router() + " " + t.key(), k -> new ArrayList<>()).add(t);
             }
         }
@@ -297,7 +298,7 @@
         int stake = 0;
         for (Try t : facts.tries()) {
             QueryClass c = cls(t);
-            if (c.kinds().isEmpty() && c.zones().isEmpty()) {
+            if (c.engineKinds().isEmpty() && c.zones().isEmpty()) {
                 continue;
             }
             for (Sent e : byTag.getOrDefault(t.tag(), List.of())) {
@@ -306,7 +307,7 @@
                                         .anyMatch(
                                                 s ->
                                                         s.touches(e.beganNs(), e.beganNs())
-                                                                && c.kinds()
+                                                                && c.engineKinds()
                                                                         .contains(
                                                                                 facts.day()
                                                                                         .engines()
@@ -317,7 +318,7 @@
                                 || facts.engineDowns().stream()
                                         .anyMatch(s -> s.touches(e.beganNs(), e.beganNs()));
                 stake += pressed ? 1 : 0;
-                if (!c.kinds().isEmpty() && !c.kinds().contains(e.kind())
+                if (!c.engineKinds().isEmpty() && !c.engineKinds().contains(e.kind())
                         || !c.zones().isEmpty() && !c.zones().contains(e.zone())) {
                     broken.add(
                             t.tag()
@@ -345,7 +346,7 @@
         Map<String, List<Long>> further = new HashMap<>();
         for (Try t : facts.tries()) {
             List<Sent> entries = byTag.getOrDefault(t.tag(), List.of());
-            if (entries.size() > facts.settings().allowed().attempts()) {
+            if (entries.size() > facts.settings().allowed().maxAttempts()) {
                 broken.add(t.tag() + " had " + entries.size() + " attempts");
             }
             for (Sent e : entries.subList(Math.min(1, entries.size()), entries.size())) {
@@ -353,7 +354,7 @@
                 further.computeIfAbsent(e.router(), k -> new ArrayList<>()).add(e.beganNs());
             }
         }
-        if (limits.budgetSpanNs() > 0) {
+        if (limits.retryBudgetWindowNs() > 0) {
             further.forEach(
                     (router, times) -> {
                         List<Long> taken =
@@ -362,13 +363,13 @@
                                         .map(Try::sentNs)
                                         .toList();
                         for (long last : times) {
-                            long from = last - limits.budgetSpanNs();
+                            long from = last - limits.retryBudgetWindowNs();
                             long used = times.stream().filter(x -> x > from && x <= last).count();
                             long had =
                                     taken.stream()
                                             .filter(x -> x > from - SKEW_NS && x <= last)
                                             .count();
-                            if (used > limits.freeResends() + limits.resendsPerRequest() * had) {
+                            if (used > limits.freeRetries() + limits.retriesPerQuery() * had) {
                                 broken.add(
                                         router
                                                 + " made "
--- a/rig/src/main/java/ashlink/rig/check/Service.java
+++ b/rig/src/main/java/ashlink/rig/check/Service.java
@@ -1,6 +1,6 @@
 package ashlink.rig.check;
 
-import ashlink.Gateway.QueryClass;
+import ashlink.decisions.api.QueryClass;
 import ashlink.rig.client.Reply;
 import ashlink.rig.day.DayFacts;
 import ashlink.rig.load.Try;
@@ -49,15 +49,17 @@
             served += good ? 1 : 0;
             refused += !good && last.isRefused() ? 1 : 0;
             failed += !good && !last.isRefused() ? 1 : 0;
-            double aim = c.aimNs() + c.aimStretch() * last.workMs() / last.threads() * 1e6;
+            double aim =
+                    c.latencyObjectiveNs()
+                            + c.objectivePerWork() * last.workMs() / last.threads() * 1e6;
             boolean inTime = last.reply().endNs() - last.firstNs() <= aim;
             all.add(
                     new Earned(
                             c.name(),
                             last.front(),
                             last.firstNs(),
-                            c.worth(),
-                            good ? c.worth() * (inTime ? 1 : c.lateShare()) : 0));
+                            c.priorityWeight(),
+                            good ? c.priorityWeight() * (inTime ? 1 : c.lateWeightFraction()) : 0));
         }
         Map<String, Double> byClass = new LinkedHashMap<>();
         facts.settings()
--- a/rig/src/main/java/ashlink/rig/day/DayRun.java
+++ b/rig/src/main/java/ashlink/rig/day/DayRun.java
@@ -1,13 +1,13 @@
 package ashlink.rig.day;
 
-import ashlink.Gateway;
-import ashlink.Gateway.Phase;
-import ashlink.Gateway.Settings;
 import ashlink.config.DayConfig;
 import ashlink.config.DayConfig.RouterSpec;
 import ashlink.config.DayConfig.Trouble;
 import ashlink.config.EngineConfig;
 import ashlink.config.RouterConfig;
+import ashlink.decisions.api.EndpointState;
+import ashlink.decisions.api.Settings;
+import ashlink.decisions.api.WorkloadManager;
 import ashlink.rig.day.DayFacts.Drain;
 import ashlink.rig.day.DayFacts.Span;
 import ashlink.rig.fleet.BriefSettings;
@@ -40,7 +40,7 @@
     private static final long AGE_STEP_NS = 200_000_000L;
 
     private final DayConfig day;
-    private final Function<Settings, Gateway> module;
+    private final Function<Settings, WorkloadManager> module;
     private final Map<String, StandInEngine> engines = new LinkedHashMap<>();
     private final Map<String, Router> routers = new ConcurrentHashMap<>();
     private final Map<String, InetSocketAddress> addresses = new ConcurrentHashMap<>();
@@ -62,7 +62,7 @@
     private final LoadConditions conditions = new LoadConditions();
 
     /** A day whose routers decide by that module. */
-    public DayRun(DayConfig day, Function<Settings, Gateway> module) {
+    public DayRun(DayConfig day, Function<Settings, WorkloadManager> module) {
         this.day = day;
         this.module = module;
     }
@@ -238,7 +238,9 @@
             }
             case DRAIN ->
                     script.schedule(
-                            () -> routers.forEach((name, r) -> r.phase(t.target(), Phase.READY)),
+                            () ->
+                                    routers.forEach(
+                                            (name, r) -> r.phase(t.target(), EndpointState.READY)),
                             listLagNs,
                             TimeUnit.NANOSECONDS);
             case LIST_LATE -> listLagNs = 0;
@@ -272,7 +274,7 @@
     }
 
     private synchronized void tellDrain(String router, String engine, long until) {
-        routers.get(router).phase(engine, Phase.DRAINING);
+        routers.get(router).phase(engine, EndpointState.DRAINING);
         drains.add(new Drain(router, engine, System.nanoTime(), until));
     }
 }
--- a/rig/src/test/java/ashlink/rig/CaptureDayTest.java
+++ b/rig/src/test/java/ashlink/rig/CaptureDayTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.Rules;
 import ashlink.capture.CaptureReader;
 import ashlink.capture.ModuleHash;
 import ashlink.capture.Replay;
 import ashlink.capture.log.FolderDisk;
 import ashlink.config.DayConfigReader;
+import ashlink.decisions.DefaultWorkloadManager;
 import ashlink.rig.day.DayRun;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
@@ -38,10 +38,13 @@
                                   (settings "(capture (dir \\"%s/{router}\\") (segment 32KiB) (sync 20ms))"))\
                                 """
                                         .formatted(dir)),
-                        Rules::new)
+                        DefaultWorkloadManager::new)
                 .run();
         for (String router : new String[] {"r1", "r2"}) {
-            Replay replay = new Replay(Rules::new, ModuleHash.of(Rules.class));
+            Replay replay =
+                    new Replay(
+                            DefaultWorkloadManager::new,
+                            ModuleHash.of(DefaultWorkloadManager.class));
             new CaptureReader(FolderDisk.reading(dir.resolve(router))).read(replay);
             assertEquals(0, replay.differing(), router + ": " + replay.divergences());
             assertTrue(replay.decided() > 300, router + ": " + replay.decided() + " steps");
--- a/rig/src/test/java/ashlink/rig/CheckerTest.java
+++ b/rig/src/test/java/ashlink/rig/CheckerTest.java
@@ -4,14 +4,15 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.Gateway;
-import ashlink.Gateway.Effect;
-import ashlink.Gateway.QueryClass;
-import ashlink.Gateway.Settings;
-import ashlink.Rules;
 import ashlink.config.DayConfig;
 import ashlink.config.DayConfigReader;
 import ashlink.config.RouterConfig;
+import ashlink.decisions.DefaultWorkloadManager;
+import ashlink.decisions.api.Action.StartAttempt;
+import ashlink.decisions.api.QueryClass;
+import ashlink.decisions.api.RetrySafety;
+import ashlink.decisions.api.Settings;
+import ashlink.decisions.api.WorkloadManager;
 import ashlink.rig.check.Checker;
 import ashlink.rig.check.Service;
 import ashlink.rig.check.Verdict;
@@ -267,21 +268,21 @@
      * Rules that were told that everything may be repeated, anywhere and in any order, and that
      * give up early.
      */
-    private static Gateway reckless(Settings s) {
+    private static WorkloadManager reckless(Settings s) {
         List<QueryClass> classes =
                 s.classes().stream()
                         .map(
                                 c ->
                                         new QueryClass(
                                                 c.name(),
-                                                c.aimNs(),
-                                                c.aimStretch(),
+                                                c.latencyObjectiveNs(),
+                                                c.objectivePerWork(),
                                                 c.deadlineNs(),
-                                                Effect.IDEMPOTENT,
-                                                c.repeatGroup(),
+                                                RetrySafety.IDEMPOTENT,
+                                                c.deduplicationScope(),
                                                 0,
-                                                c.worth(),
-                                                c.lateShare(),
+                                                c.priorityWeight(),
+                                                c.lateWeightFraction(),
                                                 false,
                                                 Set.of(),
                                                 Set.of(),
@@ -289,23 +290,23 @@
                                                 false,
                                                 false))
                         .toList();
-        Gateway inner =
-                new Rules(
+        WorkloadManager inner =
+                new DefaultWorkloadManager(
                         new Settings(
                                 s.seed(),
-                                s.gateways(),
-                                s.position(),
+                                s.routerCount(),
+                                s.routerIndex(),
                                 s.zone(),
                                 classes,
                                 s.kinds(),
-                                s.allowed(),
+                                s.capabilities(),
                                 s.limits()));
         return (event, now) ->
-                inner.on(event, now).stream()
+                inner.onEvent(event, now).stream()
                         .map(
                                 a ->
-                                        a instanceof Gateway.Send send
-                                                ? new Gateway.Send(
+                                        a instanceof StartAttempt send
+                                                ? new StartAttempt(
                                                         send.id(),
                                                         send.engine(),
                                                         Math.min(send.timeoutNs(), 400 * MS))
--- a/rig/src/test/java/ashlink/rig/ClassesTest.java
+++ b/rig/src/test/java/ashlink/rig/ClassesTest.java
@@ -80,8 +80,8 @@
                     .core()
                     .observe(
                             (e, now, a) -> {
-                                if (e instanceof ashlink.Gateway.Request r) {
-                                    groups.add(r.tables());
+                                if (e instanceof ashlink.decisions.api.Event.QuerySubmitted r) {
+                                    groups.add(r.tableGroup());
                                 }
                             });
             for (String s :
--- a/rig/src/test/java/ashlink/rig/Fleet.java
+++ b/rig/src/test/java/ashlink/rig/Fleet.java
@@ -1,9 +1,9 @@
 package ashlink.rig;
 
-import ashlink.Gateway;
-import ashlink.Gateway.Settings;
-import ashlink.Rules;
 import ashlink.config.EngineConfig;
+import ashlink.decisions.DefaultWorkloadManager;
+import ashlink.decisions.api.Settings;
+import ashlink.decisions.api.WorkloadManager;
 import ashlink.rig.client.NativeClient;
 import ashlink.rig.client.Reply;
 import ashlink.rig.fleet.BriefSettings;
@@ -73,10 +73,10 @@
     }
 
     Fleet start() throws Exception {
-        return start(Rules::new);
+        return start(DefaultWorkloadManager::new);
     }
 
-    Fleet start(Function<Settings, Gateway> module) throws Exception {
+    Fleet start(Function<Settings, WorkloadManager> module) throws Exception {
         router =
                 new Router(
                         BriefSettings.of("r1", "halle-1", 0, 1, 7, 0, engines.values(), extra),
--- a/rig/src/test/java/ashlink/rig/LifecycleTest.java
+++ b/rig/src/test/java/ashlink/rig/LifecycleTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.Gateway.ListForm;
-import ashlink.Gateway.ListNews;
-import ashlink.Gateway.Phase;
 import ashlink.config.ConfigException;
 import ashlink.config.RouterConfigReader;
+import ashlink.decisions.api.EndpointListKind;
+import ashlink.decisions.api.EndpointState;
+import ashlink.decisions.api.Event.EndpointsChanged;
 import ashlink.rig.client.NativeClient;
 import ashlink.rig.client.Reply;
 import ashlink.rig.client.Reply.Kind;
@@ -41,7 +41,7 @@
                 clients.add(c);
             }
             Fleet.await("some run", () -> f.ledger().size() >= 4);
-            f.router.phase("q1", Phase.DRAINING);
+            f.router.phase("q1", EndpointState.DRAINING);
             long told = System.nanoTime();
             int refused = 0;
             for (NativeClient c : clients) {
@@ -61,9 +61,9 @@
         String state = "(state-dir \"" + dir + "\")";
         try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-b").with(state).start()) {
             assertEquals(Kind.SERVED, f.query("portal", "SELECT 1").kind());
-            f.router.phase("q2", Phase.DRAINING);
+            f.router.phase("q2", EndpointState.DRAINING);
             f.router.stop();
-            List<ListNews> news = Collections.synchronizedList(new ArrayList<>());
+            List<EndpointsChanged> news = Collections.synchronizedList(new ArrayList<>());
             Router again =
                     new Router(
                             BriefSettings.of(
@@ -71,16 +71,16 @@
             again.core()
                     .observe(
                             (e, now, a) -> {
-                                if (e instanceof ListNews n) {
+                                if (e instanceof EndpointsChanged n) {
                                     news.add(n);
                                 }
                             });
             again.start();
             Fleet.await("the list", () -> news.size() >= 2);
             again.kill();
-            assertEquals(ListForm.REMEMBERED, news.get(0).form());
-            assertEquals(Phase.DRAINING, news.get(0).entries().get(1).phase());
-            assertEquals(ListForm.WHOLE, news.get(1).form());
+            assertEquals(EndpointListKind.CACHED, news.get(0).kind());
+            assertEquals(EndpointState.DRAINING, news.get(0).endpoints().get(1).state());
+            assertEquals(EndpointListKind.SNAPSHOT, news.get(1).kind());
         }
     }
 
--- a/rig/src/test/java/ashlink/rig/PastDaysTest.java
+++ b/rig/src/test/java/ashlink/rig/PastDaysTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.Rules;
 import ashlink.capture.CaptureReader;
 import ashlink.capture.ModuleHash;
 import ashlink.capture.Replay;
 import ashlink.capture.log.FolderDisk;
 import ashlink.capture.log.Segment;
+import ashlink.decisions.DefaultWorkloadManager;
 import java.net.URI;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -45,7 +45,9 @@
     @ParameterizedTest
     @MethodSource("captures")
     void isDecidedAgainExactly(Path capture) throws Exception {
-        Replay replay = new Replay(Rules::new, ModuleHash.of(Rules.class));
+        Replay replay =
+                new Replay(
+                        DefaultWorkloadManager::new, ModuleHash.of(DefaultWorkloadManager.class));
         List<CaptureReader.Found> found =
                 new CaptureReader(FolderDisk.reading(capture)).read(replay);
         assertTrue(
--- a/router/src/main/java/ashlink/router/Router.java
+++ b/router/src/main/java/ashlink/router/Router.java
@@ -1,15 +1,15 @@
 package ashlink.router;
 
-import ashlink.Gateway;
-import ashlink.Gateway.ListEntry;
-import ashlink.Gateway.Phase;
-import ashlink.Gateway.Settings;
-import ashlink.Rules;
 import ashlink.background.Scheduler;
 import ashlink.background.plan.Limits;
 import ashlink.background.plan.Priority;
 import ashlink.background.plan.TaskSpec;
 import ashlink.config.RouterConfig;
+import ashlink.decisions.DefaultWorkloadManager;
+import ashlink.decisions.api.Endpoint;
+import ashlink.decisions.api.EndpointState;
+import ashlink.decisions.api.Settings;
+import ashlink.decisions.api.WorkloadManager;
 import ashlink.router.classify.Classifier;
 import ashlink.router.classify.Statements;
 import ashlink.router.core.Core;
@@ -65,19 +65,20 @@
     private final ListStore store;
     private final HTTPServer metrics;
     private final PrometheusRegistry registry = new PrometheusRegistry();
-    private final Gateway gateway;
+    private final WorkloadManager gateway;
     private volatile RouterConfig config;
     private volatile Classifier classifier;
     private RouterCapture capture;
-    private List<ListEntry> kept = List.of();
+    private List<Endpoint> kept = List.of();
 
-    /** A router that decides by {@link Rules}. */
+    /** A router that decides by {@link DefaultWorkloadManager}. */
     public Router(RouterConfig config) throws IOException {
-        this(config, Rules::new);
+        this(config, DefaultWorkloadManager::new);
     }
 
     /** A router that decides by another module: a baseline. */
-    public Router(RouterConfig config, Function<Settings, Gateway> module) throws IOException {
+    public Router(RouterConfig config, Function<Settings, WorkloadManager> module)
+            throws IOException {
         this.config = config;
         this.classifier = new Classifier(config);
         RouterConfig.Bounds b = config.bounds();
@@ -200,7 +201,7 @@
 
     /** Keeps the list where it has changed. */
     private void keep() throws IOException {
-        List<ListEntry> now = engines.entries();
+        List<Endpoint> now = engines.entries();
         if (store != null && !now.equals(kept)) {
             store.save(now, clock.nowNs(), System.currentTimeMillis());
             kept = now;
@@ -233,7 +234,7 @@
     }
 
     /** The list says that of an engine. */
-    public void phase(String engine, Phase phase) {
+    public void phase(String engine, EndpointState phase) {
         engines.phase(engine, phase);
     }
 
--- a/router/src/main/java/ashlink/router/RouterCapture.java
+++ b/router/src/main/java/ashlink/router/RouterCapture.java
@@ -1,12 +1,12 @@
 package ashlink.router;
 
-import ashlink.Gateway;
 import ashlink.capture.ModuleHash;
 import ashlink.capture.Recorder;
 import ashlink.capture.events.Entry;
 import ashlink.capture.log.FolderDisk;
 import ashlink.config.RouterConfig;
 import ashlink.config.RouterConfig.CaptureSpec;
+import ashlink.decisions.api.WorkloadManager;
 import ashlink.router.core.Core;
 import io.prometheus.metrics.core.metrics.GaugeWithCallback;
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
@@ -40,7 +40,7 @@
      */
     static RouterCapture start(
             RouterConfig config,
-            Class<? extends Gateway> module,
+            Class<? extends WorkloadManager> module,
             Core core,
             PrometheusRegistry registry) {
         CaptureSpec spec = config.capture();
--- a/router/src/main/java/ashlink/router/classify/Classifier.java
+++ b/router/src/main/java/ashlink/router/classify/Classifier.java
@@ -1,9 +1,9 @@
 package ashlink.router.classify;
 
-import ashlink.Gateway.Effect;
-import ashlink.Gateway.QueryClass;
 import ashlink.config.RouterConfig;
 import ashlink.config.RouterConfig.ClassRule;
+import ashlink.decisions.api.QueryClass;
+import ashlink.decisions.api.RetrySafety;
 import ashlink.sql.Kind;
 import ashlink.sql.Reading;
 import java.util.Locale;
@@ -45,11 +45,11 @@
                 QueryClass c = classes.get(r.queryClass());
                 boolean named = !r.keywords().isEmpty() || !r.kinds().isEmpty();
                 boolean dropped =
-                        c.effect() == Effect.DEDUPLICATED
+                        c.retrySafety() == RetrySafety.DEDUPLICATED
                                 && named
                                 && reading.kind() != Kind.UNKNOWN
                                 && reading.kind() != Kind.SEVERAL;
-                if (reading.harmless() || c.effect() == Effect.AT_MOST_ONCE || dropped) {
+                if (reading.harmless() || c.retrySafety() == RetrySafety.AT_MOST_ONCE || dropped) {
                     return new Decision(c, number, false);
                 }
                 return new Decision(strict(c), number, true);
--- a/router/src/main/java/ashlink/router/core/AnswerSink.java
+++ b/router/src/main/java/ashlink/router/core/AnswerSink.java
@@ -1,6 +1,6 @@
 package ashlink.router.core;
 
-import ashlink.Gateway.Outcome;
+import ashlink.decisions.api.Outcome;
 
 /**
  * Where the answer of a request goes. No method may wait: all are called by threads that others
--- a/router/src/main/java/ashlink/router/core/Attempt.java
+++ b/router/src/main/java/ashlink/router/core/Attempt.java
@@ -1,7 +1,7 @@
 package ashlink.router.core;
 
-import ashlink.Gateway.Outcome;
-import ashlink.Gateway.Report;
+import ashlink.decisions.api.LoadReport;
+import ashlink.decisions.api.Outcome;
 import java.util.concurrent.Future;
 import java.util.function.BiConsumer;
 
@@ -12,11 +12,13 @@
  */
 public final class Attempt {
 
-    /** What an answer told besides its content; 0 and {@link Report#NONE} where it told nothing. */
-    public record Told(double workMs, double memoryMb, Report report) {
+    /**
+     * What an answer told besides its content; 0 and {@link LoadReport#NONE} where it told nothing.
+     */
+    public record Told(double workMs, double memoryMb, LoadReport report) {
 
         /** An answer that told nothing. */
-        public static final Told NOTHING = new Told(0, 0, Report.NONE);
+        public static final Told NOTHING = new Told(0, 0, LoadReport.NONE);
     }
 
     /** How an attempt ended. */
--- a/router/src/main/java/ashlink/router/core/Cause.java
+++ b/router/src/main/java/ashlink/router/core/Cause.java
@@ -1,6 +1,6 @@
 package ashlink.router.core;
 
-import ashlink.Gateway.Outcome;
+import ashlink.decisions.api.Outcome;
 
 /**
  * Why an attempt ended. {@link #outcome} is the table of phases and causes in
@@ -40,14 +40,14 @@
     public Outcome outcome(Phase phase) {
         return switch (this) {
             case SERVED -> Outcome.SERVED;
-            case STATEMENT_ERROR -> phase.mayRun() ? Outcome.ERROR : Outcome.NEVER_SENT;
-            case ENGINE_ERROR -> phase.mayRun() ? Outcome.ERROR : Outcome.NO_CONNECTION;
-            case TURNED_AWAY -> phase == Phase.ANSWERING ? Outcome.RESET : Outcome.TURNED_AWAY;
-            case NOT_WANTED -> phase == Phase.ANSWERING ? Outcome.RESET : Outcome.NEVER_SENT;
-            case NO_MEANS, DRAINED -> phase.mayRun() ? Outcome.RESET : Outcome.NEVER_SENT;
-            case NO_CONNECTION, BROKEN -> phase.mayRun() ? Outcome.RESET : Outcome.NO_CONNECTION;
-            case TIMED_OUT -> phase.mayRun() ? Outcome.TIMED_OUT : Outcome.NEVER_SENT;
-            case CALLED_OFF -> phase.mayRun() ? Outcome.CANCELLED : Outcome.NEVER_SENT;
+            case STATEMENT_ERROR -> phase.mayRun() ? Outcome.ERROR : Outcome.NOT_SENT;
+            case ENGINE_ERROR -> phase.mayRun() ? Outcome.ERROR : Outcome.CONNECT_FAILED;
+            case TURNED_AWAY -> phase == Phase.ANSWERING ? Outcome.RESET : Outcome.REJECTED;
+            case NOT_WANTED -> phase == Phase.ANSWERING ? Outcome.RESET : Outcome.NOT_SENT;
+            case NO_MEANS, DRAINED -> phase.mayRun() ? Outcome.RESET : Outcome.NOT_SENT;
+            case NO_CONNECTION, BROKEN -> phase.mayRun() ? Outcome.RESET : Outcome.CONNECT_FAILED;
+            case TIMED_OUT -> phase.mayRun() ? Outcome.TIMED_OUT : Outcome.NOT_SENT;
+            case CALLED_OFF -> phase.mayRun() ? Outcome.CANCELLED : Outcome.NOT_SENT;
         };
     }
 
--- a/router/src/main/java/ashlink/router/core/Core.java
+++ b/router/src/main/java/ashlink/router/core/Core.java
@@ -1,23 +1,24 @@
 package ashlink.router.core;
 
-import ashlink.Gateway;
-import ashlink.Gateway.Action;
-import ashlink.Gateway.Alarm;
-import ashlink.Gateway.Cancel;
-import ashlink.Gateway.ClientGone;
-import ashlink.Gateway.Ended;
-import ashlink.Gateway.Event;
-import ashlink.Gateway.Fail;
-import ashlink.Gateway.ListNews;
-import ashlink.Gateway.Log;
-import ashlink.Gateway.Probe;
-import ashlink.Gateway.Probed;
-import ashlink.Gateway.QueryClass;
-import ashlink.Gateway.Refuse;
-import ashlink.Gateway.Request;
-import ashlink.Gateway.Send;
-import ashlink.Gateway.SetAlarm;
-import ashlink.Gateway.Terms;
+import ashlink.decisions.api.Action;
+import ashlink.decisions.api.Action.CancelAttempt;
+import ashlink.decisions.api.Action.CheckHealth;
+import ashlink.decisions.api.Action.Fail;
+import ashlink.decisions.api.Action.Log;
+import ashlink.decisions.api.Action.Reject;
+import ashlink.decisions.api.Action.SetAttemptResources;
+import ashlink.decisions.api.Action.SetTimer;
+import ashlink.decisions.api.Action.StartAttempt;
+import ashlink.decisions.api.Event;
+import ashlink.decisions.api.Event.AttemptEnded;
+import ashlink.decisions.api.Event.ClientDisconnected;
+import ashlink.decisions.api.Event.EndpointsChanged;
+import ashlink.decisions.api.Event.HealthCheckCompleted;
+import ashlink.decisions.api.Event.QuerySubmitted;
+import ashlink.decisions.api.Event.TimerFired;
+import ashlink.decisions.api.Outcome;
+import ashlink.decisions.api.QueryClass;
+import ashlink.decisions.api.WorkloadManager;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -64,7 +65,7 @@
         }
     }
 
-    private final Gateway gateway;
+    private final WorkloadManager gateway;
     private final Map<String, QueryClass> classes;
     private final Transport transport;
     private final CoreClock clock;
@@ -85,7 +86,7 @@
     /** A core that is not started; {@code classes} are those of the module's settings, by name. */
     public Core(
             String name,
-            Gateway gateway,
+            WorkloadManager gateway,
             Map<String, QueryClass> classes,
             Transport transport,
             CoreClock clock,
@@ -171,13 +172,13 @@
                     Open o = open.get(id);
                     if (o != null && !o.answered) {
                         answered(o, "client gone");
-                        hand(new ClientGone(id));
+                        hand(new ClientDisconnected(id));
                     }
                 });
     }
 
     /** News of the list of engines. */
-    public void announce(ListNews news) {
+    public void announce(EndpointsChanged news) {
         queue.add(() -> hand(news));
     }
 
@@ -210,7 +211,7 @@
                         TimeUnit.NANOSECONDS);
         CoreRequest r = o.request;
         if (!hand(
-                        new Request(
+                        new QuerySubmitted(
                                 o.id,
                                 r.queryClass(),
                                 r.key(),
@@ -229,7 +230,7 @@
         List<Action> actions;
         long now = clock.nowNs();
         try {
-            actions = gateway.on(event, now);
+            actions = gateway.onEvent(event, now);
         } catch (RuntimeException e) {
             metrics.moduleError();
             LOG.error("the decision module threw on {}", event, e);
@@ -243,12 +244,12 @@
     }
 
     private void perform(Action action) {
-        if (action instanceof Send a) {
+        if (action instanceof StartAttempt a) {
             send(a);
-        } else if (action instanceof Terms a && open.containsKey(a.id())) {
+        } else if (action instanceof SetAttemptResources a && open.containsKey(a.id())) {
             open.get(a.id()).priority = a.priority();
             open.get(a.id()).memoryMb = a.memoryMb();
-        } else if (action instanceof Refuse a && isOwed(a.id())) {
+        } else if (action instanceof Reject a && isOwed(a.id())) {
             Open o = open.get(a.id());
             answered(o, "refused");
             o.sink.refused(a.retryAfterNs());
@@ -256,16 +257,16 @@
             Open o = open.get(a.id());
             answered(o, "failed");
             o.sink.failed();
-        } else if (action instanceof Cancel a) {
+        } else if (action instanceof CancelAttempt a) {
             Open o = open.get(a.id());
             if (o != null && o.out != null && o.out.shot() == a.attempt()) {
                 o.out.abort(Cause.CALLED_OFF);
             }
-        } else if (action instanceof Probe a) {
+        } else if (action instanceof CheckHealth a) {
             probe(a.engine());
-        } else if (action instanceof SetAlarm a) {
+        } else if (action instanceof SetTimer a) {
             timer.schedule(
-                    () -> queue.add(() -> hand(new Alarm(a.label()))),
+                    () -> queue.add(() -> hand(new TimerFired(a.label()))),
                     a.timeNs() - clock.nowNs(),
                     TimeUnit.NANOSECONDS);
         } else if (action instanceof Log a) {
@@ -277,7 +278,7 @@
         return open.containsKey(id) && !open.get(id).answered;
     }
 
-    private void send(Send s) {
+    private void send(StartAttempt s) {
         Open o = open.get(s.id());
         if (o == null || o.answered || o.out != null) {
             LOG.error(
@@ -296,7 +297,7 @@
                         o.memoryMb,
                         (attempt, end) -> {
                             if (end.answered()
-                                    && end.outcome() != Gateway.Outcome.SERVED
+                                    && end.outcome() != Outcome.SERVED
                                     && end.cause() != Cause.STATEMENT_ERROR) {
                                 o.sink.broken(end.outcome());
                             }
@@ -329,7 +330,7 @@
             open.remove(o.id);
         }
         hand(
-                new Ended(
+                new AttemptEnded(
                         a.id(),
                         a.shot(),
                         a.engine(),
@@ -349,7 +350,7 @@
                         queue.add(
                                 () ->
                                         hand(
-                                                new Probed(
+                                                new HealthCheckCompleted(
                                                         engine,
                                                         outcome,
                                                         clock.nowNs() - from,
@@ -392,7 +393,7 @@
         } else {
             o.sink.failed();
         }
-        hand(new ClientGone(o.id));
+        hand(new ClientDisconnected(o.id));
     }
 
     // ---- Stop
--- a/router/src/main/java/ashlink/router/core/LastResort.java
+++ b/router/src/main/java/ashlink/router/core/LastResort.java
@@ -1,8 +1,8 @@
 package ashlink.router.core;
 
-import ashlink.Gateway.Effect;
-import ashlink.Gateway.QueryClass;
-import ashlink.Gateway.RepeatGroup;
+import ashlink.decisions.api.DeduplicationScope;
+import ashlink.decisions.api.QueryClass;
+import ashlink.decisions.api.RetrySafety;
 
 /**
  * What a request is told where the module cannot be asked any more: it has thrown, its answer is
@@ -16,8 +16,9 @@
     static boolean refuse(QueryClass queryClass, boolean mayHaveRun) {
         return !mayHaveRun
                 || queryClass != null
-                        && (queryClass.effect() == Effect.IDEMPOTENT
-                                || queryClass.effect() == Effect.DEDUPLICATED
-                                        && queryClass.repeatGroup() == RepeatGroup.ALL);
+                        && (queryClass.retrySafety() == RetrySafety.IDEMPOTENT
+                                || queryClass.retrySafety() == RetrySafety.DEDUPLICATED
+                                        && queryClass.deduplicationScope()
+                                                == DeduplicationScope.ALL);
     }
 }
--- a/router/src/main/java/ashlink/router/core/Transport.java
+++ b/router/src/main/java/ashlink/router/core/Transport.java
@@ -1,7 +1,7 @@
 package ashlink.router.core;
 
-import ashlink.Gateway.Outcome;
-import ashlink.Gateway.Report;
+import ashlink.decisions.api.LoadReport;
+import ashlink.decisions.api.Outcome;
 
 /** Reaches engines for the core. */
 public interface Transport {
@@ -10,7 +10,7 @@
     @FunctionalInterface
     interface ProbeSink {
         /** The probe came back. */
-        void probed(Outcome outcome, Report report);
+        void probed(Outcome outcome, LoadReport report);
     }
 
     /** Asks an engine whether it answers, and for its report; does not wait. */
--- a/router/src/main/java/ashlink/router/front/Answers.java
+++ b/router/src/main/java/ashlink/router/front/Answers.java
@@ -1,6 +1,6 @@
 package ashlink.router.front;
 
-import ashlink.Gateway.Outcome;
+import ashlink.decisions.api.Outcome;
 import ashlink.wire.ServerError;
 import ashlink.wire.WireException;
 
--- a/router/src/main/java/ashlink/router/front/Exchange.java
+++ b/router/src/main/java/ashlink/router/front/Exchange.java
@@ -1,7 +1,7 @@
 package ashlink.router.front;
 
-import ashlink.Gateway.Outcome;
-import ashlink.Gateway.QueryClass;
+import ashlink.decisions.api.Outcome;
+import ashlink.decisions.api.QueryClass;
 import ashlink.router.classify.Classifier;
 import ashlink.router.core.AnswerSink;
 import ashlink.router.core.Attempt;
--- a/router/src/main/java/ashlink/router/front/Intake.java
+++ b/router/src/main/java/ashlink/router/front/Intake.java
@@ -1,8 +1,8 @@
 package ashlink.router.front;
 
-import ashlink.Gateway.QueryClass;
 import ashlink.config.RouterConfig;
 import ashlink.config.RouterConfig.UserSpec;
+import ashlink.decisions.api.QueryClass;
 import ashlink.router.core.CoreRequest;
 import ashlink.router.core.Ending;
 import ashlink.sql.Kind;
@@ -69,7 +69,7 @@
             }
             long id = context.core().submit(request, exchange);
             if (id < 0) {
-                long retryAfterNs = context.config().allowed().longestRetryAfterNs();
+                long retryAfterNs = context.config().allowed().maxRetryAfterNs();
                 exchange.finish(
                         Answers.refused(retryAfterNs, "the router is full or stops"),
                         Ending.TURNED_AWAY,
--- a/router/src/main/java/ashlink/router/front/RequestHints.java
+++ b/router/src/main/java/ashlink/router/front/RequestHints.java
@@ -1,6 +1,6 @@
 package ashlink.router.front;
 
-import ashlink.Gateway.QueryClass;
+import ashlink.decisions.api.QueryClass;
 import ashlink.router.core.CoreRequest;
 import ashlink.sql.Reading;
 import java.nio.charset.StandardCharsets;
--- a/router/src/main/java/ashlink/router/list/ListStore.java
+++ b/router/src/main/java/ashlink/router/list/ListStore.java
@@ -1,7 +1,7 @@
 package ashlink.router.list;
 
-import ashlink.Gateway.ListEntry;
-import ashlink.Gateway.Phase;
+import ashlink.decisions.api.Endpoint;
+import ashlink.decisions.api.EndpointState;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -28,6 +28,7 @@
 
     private static final int MAGIC = 0x41534c4b;
     private static final int VERSION = 1;
+    private static final String STORED_REMOVED = "GONE";
     private static final int HEADER_BYTES = 16;
     private static final int MOST_ENTRIES = 100_000;
     private static final long MS = 1_000_000L;
@@ -40,7 +41,7 @@
     }
 
     /** The list kept, empty where there is none; an exception tells why a file cannot be used. */
-    public List<ListEntry> load(long nowNs, long nowEpochMs) throws IOException {
+    public List<Endpoint> load(long nowNs, long nowEpochMs) throws IOException {
         byte[] bytes;
         try {
             bytes = Files.readAllBytes(file);
@@ -62,28 +63,28 @@
         if (count < 0 || count > MOST_ENTRIES) {
             throw new IOException(file + " says that it holds " + count + " engines");
         }
-        List<ListEntry> entries = new ArrayList<>();
+        List<Endpoint> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             String engine = in.readUTF();
-            Phase phase = Phase.valueOf(in.readUTF());
+            EndpointState phase = state(in.readUTF());
             String zone = in.readUTF();
             String kind = in.readUTF();
             long cell = in.readLong();
             long startedMs = in.readLong();
             long started = startedMs == 0 ? 0 : Math.max(1, nowNs - (nowEpochMs - startedMs) * MS);
-            entries.add(new ListEntry(engine, phase, zone, kind, cell, started));
+            entries.add(new Endpoint(engine, phase, zone, kind, cell, started));
         }
         return entries;
     }
 
     /** Keeps a list; when this returns it is on the disk. */
-    public void save(List<ListEntry> entries, long nowNs, long nowEpochMs) throws IOException {
+    public void save(List<Endpoint> entries, long nowNs, long nowEpochMs) throws IOException {
         ByteArrayOutputStream payload = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(payload);
         out.writeInt(entries.size());
-        for (ListEntry e : entries) {
+        for (Endpoint e : entries) {
             out.writeUTF(e.engine());
-            out.writeUTF(e.phase().name());
+            out.writeUTF(storedName(e.state()));
             out.writeUTF(e.zone());
             out.writeUTF(e.kind());
             out.writeLong(e.cell());
@@ -118,6 +119,17 @@
         }
     }
 
+    /** The name under which a state is stored; files of all versions have the same names. */
+    private static String storedName(EndpointState state) {
+        return state == EndpointState.REMOVED ? STORED_REMOVED : state.name();
+    }
+
+    private static EndpointState state(String storedName) {
+        return storedName.equals(STORED_REMOVED)
+                ? EndpointState.REMOVED
+                : EndpointState.valueOf(storedName);
+    }
+
     private static int checksum(byte[] bytes, int from, int length) {
         CRC32C crc = new CRC32C();
         crc.update(bytes, from, length);
--- a/router/src/main/java/ashlink/router/list/Roster.java
+++ b/router/src/main/java/ashlink/router/list/Roster.java
@@ -1,10 +1,10 @@
 package ashlink.router.list;
 
-import ashlink.Gateway.ListEntry;
-import ashlink.Gateway.ListForm;
-import ashlink.Gateway.ListNews;
-import ashlink.Gateway.Phase;
 import ashlink.config.RouterConfig.EngineSpec;
+import ashlink.decisions.api.Endpoint;
+import ashlink.decisions.api.EndpointListKind;
+import ashlink.decisions.api.EndpointState;
+import ashlink.decisions.api.Event.EndpointsChanged;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -29,7 +29,7 @@
 
     private static final class Known {
         EngineSpec spec;
-        Phase phase;
+        EndpointState phase;
         long startedNs;
         boolean unreachable;
         boolean assumed;
@@ -44,7 +44,7 @@
     }
 
     /** The whole list is now this one. */
-    public ListNews configure(Iterable<EngineSpec> specs) {
+    public EndpointsChanged configure(Iterable<EngineSpec> specs) {
         Map<String, Known> before = new LinkedHashMap<>(engines);
         engines.clear();
         for (EngineSpec s : specs) {
@@ -57,13 +57,13 @@
             k.phase = s.phase();
             engines.put(s.name(), k);
         }
-        return new ListNews(ListForm.WHOLE, entries());
+        return new EndpointsChanged(EndpointListKind.SNAPSHOT, entries());
     }
 
     /**
      * The list says that of one engine; nothing where the engine is not known or nothing changes.
      */
-    public Optional<ListNews> phase(String engine, Phase phase) {
+    public Optional<EndpointsChanged> phase(String engine, EndpointState phase) {
         Known k = engines.get(engine);
         if (k == null || k.phase == phase) {
             return Optional.empty();
@@ -73,7 +73,7 @@
     }
 
     /** An engine told how long it has been up. */
-    public Optional<ListNews> uptime(String engine, long upNs, long now) {
+    public Optional<EndpointsChanged> uptime(String engine, long upNs, long now) {
         Known k = engines.get(engine);
         if (k == null || upNs < 0) {
             return Optional.empty();
@@ -105,7 +105,7 @@
      * A connection was made; after one that failed the engine counts as just started, until it
      * tells otherwise.
      */
-    public Optional<ListNews> connected(String engine, long now) {
+    public Optional<EndpointsChanged> connected(String engine, long now) {
         Known k = engines.get(engine);
         if (k == null || !k.unreachable) {
             return Optional.empty();
@@ -120,10 +120,10 @@
     }
 
     /** The start times in hand, for a list that is kept; 0 is long ago. */
-    public List<ListEntry> entries() {
-        List<ListEntry> entries = new ArrayList<>();
+    public List<Endpoint> entries() {
+        List<Endpoint> entries = new ArrayList<>();
         for (Known k : engines.values()) {
-            if (k.phase != Phase.GONE) {
+            if (k.phase != EndpointState.REMOVED) {
                 entries.add(entry(k));
             }
         }
@@ -134,8 +134,8 @@
      * Believes a list that was kept through a restart, where the engines in it are still configured
      * alike.
      */
-    public void remember(Iterable<ListEntry> kept) {
-        for (ListEntry e : kept) {
+    public void remember(Iterable<Endpoint> kept) {
+        for (Endpoint e : kept) {
             Known k = engines.get(e.engine());
             if (k != null && k.startedNs == 0) {
                 k.startedNs = Math.max(0, e.startedNs());
@@ -143,12 +143,12 @@
         }
     }
 
-    private static ListNews changed(Known k) {
-        return new ListNews(ListForm.CHANGES, List.of(entry(k)));
+    private static EndpointsChanged changed(Known k) {
+        return new EndpointsChanged(EndpointListKind.DELTA, List.of(entry(k)));
     }
 
-    private static ListEntry entry(Known k) {
+    private static Endpoint entry(Known k) {
         EngineSpec s = k.spec;
-        return new ListEntry(s.name(), k.phase, s.zone(), s.kind(), s.cell(), k.startedNs);
+        return new Endpoint(s.name(), k.phase, s.zone(), s.kind(), s.cell(), k.startedNs);
     }
 }
--- a/router/src/main/java/ashlink/router/upstream/Engines.java
+++ b/router/src/main/java/ashlink/router/upstream/Engines.java
@@ -1,13 +1,13 @@
 package ashlink.router.upstream;
 
-import ashlink.Gateway.ListEntry;
-import ashlink.Gateway.ListForm;
-import ashlink.Gateway.ListNews;
-import ashlink.Gateway.Outcome;
-import ashlink.Gateway.Phase;
-import ashlink.Gateway.Report;
 import ashlink.config.RouterConfig;
 import ashlink.config.RouterConfig.EngineSpec;
+import ashlink.decisions.api.Endpoint;
+import ashlink.decisions.api.EndpointListKind;
+import ashlink.decisions.api.EndpointState;
+import ashlink.decisions.api.Event.EndpointsChanged;
+import ashlink.decisions.api.LoadReport;
+import ashlink.decisions.api.Outcome;
 import ashlink.router.core.CoreClock;
 import ashlink.router.core.Transport;
 import ashlink.router.list.Roster;
@@ -52,13 +52,13 @@
     private final WireLimits limits;
     private final String probeStatement;
     private final Map<String, EnginePool> pools = new ConcurrentHashMap<>();
-    private final Map<String, Phase> phases = new ConcurrentHashMap<>();
+    private final Map<String, EndpointState> phases = new ConcurrentHashMap<>();
 
     /** What the list says, without what operators want. */
-    private final Map<String, Phase> listed = new HashMap<>();
+    private final Map<String, EndpointState> listed = new HashMap<>();
 
     private Set<String> drained = Set.of();
-    private volatile Consumer<ListNews> news = n -> {};
+    private volatile Consumer<EndpointsChanged> news = n -> {};
 
     /** Reaches engines with threads of {@code workers}. */
     public Engines(RouterConfig config, CoreClock clock, Executor workers, WireLimits limits) {
@@ -66,7 +66,7 @@
         this.clock = clock;
         this.workers = workers;
         this.limits = limits;
-        this.roster = new Roster(config.limits().coldNs());
+        this.roster = new Roster(config.limits().slowStartNs());
         this.gauges = new GaugeReader(config.gauges());
         String uptime =
                 config.gauges().uptimeS().stream()
@@ -92,11 +92,11 @@
      * Where news of the list go; what was known before is told as remembered, then as it is
      * configured.
      */
-    public synchronized void start(Consumer<ListNews> to, List<ListEntry> kept) {
+    public synchronized void start(Consumer<EndpointsChanged> to, List<Endpoint> kept) {
         news = to;
         if (!kept.isEmpty()) {
-            kept.forEach(e -> phases.put(e.engine(), e.phase()));
-            to.accept(new ListNews(ListForm.REMEMBERED, kept));
+            kept.forEach(e -> phases.put(e.engine(), e.state()));
+            to.accept(new EndpointsChanged(EndpointListKind.CACHED, kept));
         }
         roster.configure(config.engines().values());
         roster.remember(kept);
@@ -138,7 +138,7 @@
     }
 
     /** The list says that of an engine. */
-    public synchronized void phase(String engine, Phase phase) {
+    public synchronized void phase(String engine, EndpointState phase) {
         listed.put(engine, phase);
         tell(engine);
     }
@@ -153,8 +153,10 @@
     }
 
     /** A drain from anywhere holds. */
-    private Phase phase(String engine) {
-        return drained.contains(engine) ? Phase.DRAINING : listed.getOrDefault(engine, Phase.READY);
+    private EndpointState phase(String engine) {
+        return drained.contains(engine)
+                ? EndpointState.DRAINING
+                : listed.getOrDefault(engine, EndpointState.READY);
     }
 
     private void tell(String engine) {
@@ -165,13 +167,13 @@
     }
 
     /** The list in hand. */
-    public synchronized List<ListEntry> entries() {
+    public synchronized List<Endpoint> entries() {
         return roster.entries();
     }
 
     /** True while the list says that new work may go there; asked just before the first byte. */
     public boolean isReady(String engine) {
-        return phases.get(engine) == Phase.READY;
+        return phases.get(engine) == EndpointState.READY;
     }
 
     private synchronized void believe(String engine, boolean reached) {
@@ -238,13 +240,13 @@
         try {
             workers.execute(() -> probeNow(engine, back));
         } catch (RejectedExecutionException e) {
-            back.probed(Outcome.NEVER_SENT, Report.NONE);
+            back.probed(Outcome.NOT_SENT, LoadReport.NONE);
         }
     }
 
     private void probeNow(String engine, ProbeSink back) {
-        Outcome outcome = Outcome.NO_CONNECTION;
-        Report report = Report.NONE;
+        Outcome outcome = Outcome.CONNECT_FAILED;
+        LoadReport report = LoadReport.NONE;
         EngineConnection c = null;
         boolean clean = false;
         try {
@@ -258,9 +260,9 @@
                 believeUptime(engine, gauges.uptimeS(values));
             }
         } catch (EnginePool.Full e) {
-            outcome = Outcome.NEVER_SENT;
+            outcome = Outcome.NOT_SENT;
         } catch (java.net.SocketTimeoutException e) {
-            outcome = c == null ? Outcome.NO_CONNECTION : Outcome.TIMED_OUT;
+            outcome = c == null ? Outcome.CONNECT_FAILED : Outcome.TIMED_OUT;
         } catch (IOException e) {
             LOG.debug("probe of engine {} failed: {}", engine, e.toString());
         } finally {
--- a/router/src/main/java/ashlink/router/upstream/GaugeReader.java
+++ b/router/src/main/java/ashlink/router/upstream/GaugeReader.java
@@ -1,8 +1,8 @@
 package ashlink.router.upstream;
 
-import ashlink.Gateway.Report;
 import ashlink.config.RouterConfig.Gauge;
 import ashlink.config.RouterConfig.Gauges;
+import ashlink.decisions.api.LoadReport;
 import ashlink.router.core.Attempt.Told;
 import ashlink.wire.Block;
 import java.util.HashMap;
@@ -41,8 +41,8 @@
     }
 
     /** The load that the values tell. */
-    public Report report(Map<String, Double> values) {
-        return new Report(
+    public LoadReport report(Map<String, Double> values) {
+        return new LoadReport(
                 of(values, names.waiting()),
                 of(values, names.coresBusy()),
                 of(values, names.memoryGranted()),
--- a/router/src/test/java/ashlink/router/StoredDataRecorder.java
+++ b/router/src/test/java/ashlink/router/StoredDataRecorder.java
@@ -1,8 +1,8 @@
 package ashlink.router;
 
-import ashlink.Gateway.ListEntry;
-import ashlink.Gateway.Phase;
 import ashlink.capture.log.FolderDisk;
+import ashlink.decisions.api.Endpoint;
+import ashlink.decisions.api.EndpointState;
 import ashlink.router.core.Ending;
 import ashlink.router.list.ListStore;
 import ashlink.router.spool.KeyJournal;
@@ -99,17 +99,18 @@
         new ListStore(file)
                 .save(
                         List.of(
-                                new ListEntry(
+                                new Endpoint(
                                         "q1",
-                                        Phase.READY,
+                                        EndpointState.READY,
                                         "z",
                                         "large",
                                         3,
                                         nowNs - 2 * SECOND_MS * MS),
-                                new ListEntry("q2", Phase.DRAINING, "mañana", "small", -1, 0),
-                                new ListEntry(
+                                new Endpoint(
+                                        "q2", EndpointState.DRAINING, "mañana", "small", -1, 0),
+                                new Endpoint(
                                         "q3",
-                                        Phase.GONE,
+                                        EndpointState.REMOVED,
                                         "",
                                         "",
                                         Long.MAX_VALUE,
--- a/router/src/test/java/ashlink/router/core/CauseTest.java
+++ b/router/src/test/java/ashlink/router/core/CauseTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.Gateway.Outcome;
+import ashlink.decisions.api.Outcome;
 import java.util.ArrayList;
 import java.util.EnumSet;
 import java.util.List;
@@ -62,7 +62,7 @@
             failed.end(
                     Cause.BROKEN,
                     Attempt.Told.NOTHING); // the write threw: its last byte never left
-            assertEquals(Outcome.NEVER_SENT, ends.get(0).outcome());
+            assertEquals(Outcome.NOT_SENT, ends.get(0).outcome());
             ends.clear();
             Attempt written = attempt(phase);
             written.abort(Cause.TIMED_OUT);
--- a/router/src/test/java/ashlink/router/list/RosterTest.java
+++ b/router/src/test/java/ashlink/router/list/RosterTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.Gateway.ListEntry;
-import ashlink.Gateway.Phase;
 import ashlink.config.RouterConfig.EngineSpec;
+import ashlink.decisions.api.Endpoint;
+import ashlink.decisions.api.EndpointState;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -24,7 +24,12 @@
 
     private static EngineSpec spec(int port) {
         return new EngineSpec(
-                "q1", InetSocketAddress.createUnresolved("h", port), "z", "k", 0, Phase.READY);
+                "q1",
+                InetSocketAddress.createUnresolved("h", port),
+                "z",
+                "k",
+                0,
+                EndpointState.READY);
     }
 
     private long started() {
@@ -75,9 +80,9 @@
         assertEquals(NOW - 3 * S, started());
         roster.configure(List.of(spec(2)));
         assertEquals(0, started());
-        assertTrue(roster.phase("q1", Phase.DRAINING).isPresent());
-        assertTrue(roster.phase("q1", Phase.DRAINING).isEmpty());
-        assertTrue(roster.phase("unknown", Phase.DRAINING).isEmpty());
+        assertTrue(roster.phase("q1", EndpointState.DRAINING).isPresent());
+        assertTrue(roster.phase("q1", EndpointState.DRAINING).isEmpty());
+        assertTrue(roster.phase("unknown", EndpointState.DRAINING).isEmpty());
     }
 
     @Test
@@ -85,10 +90,10 @@
         Path file = dir.resolve("list");
         ListStore store = new ListStore(file);
         assertEquals(List.of(), store.load(NOW, 5_000_000));
-        List<ListEntry> list =
+        List<Endpoint> list =
                 List.of(
-                        new ListEntry("q1", Phase.DRAINING, "z", "k", 3, NOW - 2 * S),
-                        new ListEntry("q2", Phase.READY, "z", "k", 0, 0));
+                        new Endpoint("q1", EndpointState.DRAINING, "z", "k", 3, NOW - 2 * S),
+                        new Endpoint("q2", EndpointState.READY, "z", "k", 0, 0));
         store.save(list, NOW, 5_000_000);
         assertEquals(list, store.load(NOW, 5_000_000));
         assertEquals(NOW - 12 * S, store.load(NOW, 5_010_000).get(0).startedNs());
--- a/router/src/test/java/ashlink/router/list/StoredListTest.java
+++ b/router/src/test/java/ashlink/router/list/StoredListTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import ashlink.Gateway.ListEntry;
-import ashlink.Gateway.Phase;
+import ashlink.decisions.api.Endpoint;
+import ashlink.decisions.api.EndpointState;
 import ashlink.router.StoredFiles;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -32,11 +32,11 @@
 
     @TempDir Path folder;
 
-    private static List<ListEntry> expected(long startedOfFirst, long startedOfThird) {
+    private static List<Endpoint> expected(long startedOfFirst, long startedOfThird) {
         return List.of(
-                new ListEntry("q1", Phase.READY, "z", "large", 3, startedOfFirst),
-                new ListEntry("q2", Phase.DRAINING, "mañana", "small", -1, 0),
-                new ListEntry("q3", Phase.GONE, "", "", Long.MAX_VALUE, startedOfThird));
+                new Endpoint("q1", EndpointState.READY, "z", "large", 3, startedOfFirst),
+                new Endpoint("q2", EndpointState.DRAINING, "mañana", "small", -1, 0),
+                new Endpoint("q3", EndpointState.REMOVED, "", "", Long.MAX_VALUE, startedOfThird));
     }
 
     private IOException refused(byte[] bytes) throws IOException {
