--- a/background/src/main/java/ashlink/background/Scheduler.java
+++ b/background/src/main/java/ashlink/background/Scheduler.java
@@ -34,7 +34,7 @@
     private final String name;
     private final Planner planner;
     private final DoubleSupplier pressure;
-    private final Map<String, Work> work = new HashMap<>();
+    private final Map<String, BackgroundWork> work = new HashMap<>();
     private final Map<Long, Running> running = new HashMap<>();
     private final Thread thread;
     private final AtomicLong failed = new AtomicLong();
@@ -60,7 +60,7 @@
 
     // ---- Tasks
     /** Takes a task; false where one of that name is there, there are too many, or all stops. */
-    public synchronized boolean add(TaskSpec spec, Work doing) {
+    public synchronized boolean add(TaskSpec spec, BackgroundWork doing) {
         List<Decision> out = new ArrayList<>();
         boolean taken = planner.add(spec, System.nanoTime(), out);
         if (taken) {
@@ -179,14 +179,14 @@
     }
 
     private void begin(Start s) {
-        Work doing = work.get(s.task());
+        BackgroundWork doing = work.get(s.task());
         Thread t = new Thread(null, () -> run(s, doing), name + "-" + s.task(), STACK_BYTES);
         t.setDaemon(true);
         running.put(s.run(), new Running(t, null));
         t.start();
     }
 
-    private void run(Start s, Work doing) {
+    private void run(Start s, BackgroundWork doing) {
         Lease lease = new Lease(this, s.run());
         synchronized (this) {
             running.put(s.run(), new Running(Thread.currentThread(), lease));
--- a/capture/src/main/java/ashlink/capture/CaptureCut.java
+++ b/capture/src/main/java/ashlink/capture/CaptureSlice.java
@@ -13,7 +13,7 @@
  * as the whole does; one that begins later begins with that start and a gap, and is for reading
  * only: the module gives no state to begin from.
  */
-public final class CaptureCut implements Consumer<Entry>, AutoCloseable {
+public final class CaptureSlice implements Consumer<Entry>, AutoCloseable {
 
     private static final long SEGMENT_BYTES = 64L << 20;
     private static final long FRAME_BYTES = 32 << 10;
@@ -32,7 +32,7 @@
     /**
      * A part of {@code count} entries at most, from number {@code from} on, into an empty folder.
      */
-    public CaptureCut(Disk to, long boot, long from, long count) throws IOException {
+    public CaptureSlice(Disk to, long boot, long from, long count) throws IOException {
         if (to.list().stream().anyMatch(n -> n.endsWith(".seg"))) {
             throw new IOException("there is a capture in that folder already");
         }
--- a/capture/src/main/java/ashlink/capture/Story.java
+++ b/capture/src/main/java/ashlink/capture/QueryTimeline.java
@@ -30,7 +30,7 @@
  * The story of one request: when it came, what was known when it was sent, how its attempts ended,
  * what it was answered.
  */
-public final class Story implements Consumer<Entry> {
+public final class QueryTimeline implements Consumer<Entry> {
 
     private static final double MS = 1e6;
 
@@ -54,7 +54,7 @@
     private boolean ended;
 
     /** The story of the request of that number. */
-    public Story(long id) {
+    public QueryTimeline(long id) {
         this.id = id;
     }
 
--- a/capture/src/main/java/ashlink/capture/events/EntryReader.java
+++ b/capture/src/main/java/ashlink/capture/events/EntryReader.java
@@ -43,7 +43,7 @@
 public final class EntryReader {
 
     private static final int MOST = 1 << 20;
-    private final In in = new In();
+    private final EventDecoder in = new EventDecoder();
     private long lastNs;
     private long lastId;
 
--- a/capture/src/main/java/ashlink/capture/events/EntryWriter.java
+++ b/capture/src/main/java/ashlink/capture/events/EntryWriter.java
@@ -39,7 +39,7 @@
     static final int STEP = 2;
     static final int GAP = 3;
 
-    private final Out out = new Out();
+    private final EventEncoder out = new EventEncoder();
     private final UnaryOperator<String> hideKey;
     private long lastNs;
     private long lastId;
--- a/capture/src/main/java/ashlink/capture/events/In.java
+++ b/capture/src/main/java/ashlink/capture/events/EventDecoder.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /** Reads what {@link Out} wrote; an exception where it is not that. */
-final class In {
+final class EventDecoder {
 
     private byte[] bytes = new byte[0];
     private int pos;
--- a/capture/src/main/java/ashlink/capture/events/Out.java
+++ b/capture/src/main/java/ashlink/capture/events/EventEncoder.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** Writes values in few bytes: numbers by their size, texts once a segment. */
-final class Out {
+final class EventEncoder {
 
     private byte[] bytes = new byte[4096];
     private int size;
--- a/capture/src/main/java/ashlink/capture/log/TableLog.java
+++ b/capture/src/main/java/ashlink/capture/log/KeyValueLog.java
@@ -10,7 +10,7 @@
  * new is on the disk; a crash between leaves both, and the later records hold. Not for use by
  * several threads at once.
  */
-public final class TableLog implements AutoCloseable {
+public final class KeyValueLog implements AutoCloseable {
 
     /** Takes a record as it was written. */
     public interface Reader {
@@ -25,7 +25,7 @@
     private long written;
 
     /** A log on that disk, which is not read. */
-    public TableLog(Disk disk, long segmentBytes, long nowMs) {
+    public KeyValueLog(Disk disk, long segmentBytes, long nowMs) {
         this.disk = disk;
         this.segmentBytes = segmentBytes;
         this.boot = nowMs;
--- a/capture/src/test/java/ashlink/capture/CaptureTest.java
+++ b/capture/src/test/java/ashlink/capture/CaptureTest.java
@@ -256,7 +256,7 @@
         List<Entry> day = day(3, 4_000);
         FaultyDisk whole = written(day, 64 << 10);
         FaultyDisk head = new FaultyDisk();
-        try (CaptureCut cut = new CaptureCut(head, 42, 0, 1_500)) {
+        try (CaptureSlice cut = new CaptureSlice(head, 42, 0, 1_500)) {
             new CaptureReader(whole).read(cut);
         }
         Replay replay =
@@ -267,7 +267,7 @@
         assertEquals(0, replay.differing());
 
         FaultyDisk middle = new FaultyDisk();
-        try (CaptureCut cut = new CaptureCut(middle, 42, 1_000, 500)) {
+        try (CaptureSlice cut = new CaptureSlice(middle, 42, 1_000, 500)) {
             new CaptureReader(whole).read(cut);
         }
         List<Entry> part = read(middle);
@@ -284,7 +284,7 @@
         assertEquals(500, none.passedOver());
         assertThrows(
                 IOException.class,
-                () -> new CaptureCut(middle, 42, 0, 1),
+                () -> new CaptureSlice(middle, 42, 0, 1),
                 "a capture is not written over");
     }
 
@@ -464,7 +464,7 @@
                         .mapToLong(e -> ((AttemptEnded) ((Entry.Step) e).event()).id())
                         .findFirst()
                         .orElseThrow();
-        Story story = new Story(id);
+        QueryTimeline story = new QueryTimeline(id);
         day.forEach(story);
         String text = String.join("\n", story.lines());
         assertTrue(
@@ -472,7 +472,7 @@
                         && text.contains("sent to q")
                         && text.contains("the client has its" + " answer"),
                 text);
-        Story none = new Story(1 << 30);
+        QueryTimeline none = new QueryTimeline(1 << 30);
         day.forEach(none);
         assertEquals(List.of(), none.lines());
     }
--- a/cli/src/main/java/ashlink/cli/CaptureCommand.java
+++ b/cli/src/main/java/ashlink/cli/CaptureCommand.java
@@ -1,7 +1,7 @@
 package ashlink.cli;
 
-import ashlink.capture.CaptureCut;
 import ashlink.capture.CaptureReader;
+import ashlink.capture.CaptureSlice;
 import ashlink.capture.CaptureSummary;
 import ashlink.capture.JsonExport;
 import ashlink.capture.events.Entry;
@@ -157,7 +157,7 @@
             long written;
             Files.createDirectories(to);
             try (FolderDisk disk = FolderDisk.writing(to);
-                    CaptureCut cut = new CaptureCut(disk, boot, part.from, part.count)) {
+                    CaptureSlice cut = new CaptureSlice(disk, boot, part.from, part.count)) {
                 new CaptureReader(FolderDisk.reading(folder)).read(cut);
                 written = cut.written();
             }
--- a/cli/src/main/java/ashlink/cli/DemoCommand.java
+++ b/cli/src/main/java/ashlink/cli/DemoCommand.java
@@ -1,14 +1,14 @@
 package ashlink.cli;
 
-import ashlink.client.Answer;
 import ashlink.client.StatementClient;
+import ashlink.client.StatementResult;
 import ashlink.rig.client.NativeClient;
 import ashlink.rig.client.Reply;
-import ashlink.rig.fleet.BriefSettings;
-import ashlink.rig.fleet.Engines;
+import ashlink.rig.fleet.EmulatedEngines;
+import ashlink.rig.fleet.TestSettings;
 import ashlink.router.Router;
+import ashlink.standin.EmulatedEngine;
 import ashlink.standin.Ledger;
-import ashlink.standin.StandInEngine;
 import java.net.URI;
 import java.util.List;
 import java.util.Map;
@@ -45,10 +45,10 @@
 
     @Override
     public Integer call() throws Exception {
-        List<StandInEngine> engines = Engines.demo();
+        List<EmulatedEngine> engines = EmulatedEngines.demo();
         Router router =
                 new Router(
-                        BriefSettings.of(
+                        TestSettings.of(
                                 "demo",
                                 "halle-1",
                                 0,
@@ -76,7 +76,7 @@
         return good ? 0 : 1;
     }
 
-    private static boolean show(Router router, List<StandInEngine> engines) throws Exception {
+    private static boolean show(Router router, List<EmulatedEngine> engines) throws Exception {
         boolean good = true;
         try (NativeClient portal = NativeClient.connect(router.address(), "portal");
                 NativeClient billing = NativeClient.connect(router.address(), "billing")) {
@@ -98,7 +98,7 @@
                             "INSERT /* sim work_ms=60 threads=2 */ INTO readings SELECT * FROM"
                                     + " inbox");
         }
-        Answer a =
+        StatementResult a =
                 new StatementClient(
                                 URI.create("http://127.0.0.1:" + router.httpAddress().getPort()),
                                 "portal",
@@ -113,8 +113,8 @@
                                 page -> {});
         System.out.printf(
                 "%-8s %-9s %3d rows over HTTP   %s%n", "look-up", a.kind(), a.rows(), a.detail());
-        good &= a.kind() == Answer.Kind.SERVED;
-        for (StandInEngine e : engines) {
+        good &= a.kind() == StatementResult.Kind.SERVED;
+        for (EmulatedEngine e : engines) {
             for (Ledger.Entry entry : e.ledger().entries()) {
                 System.out.printf(
                         "  engine %s (%s, %s) ran %s: %s%n",
--- a/cli/src/main/java/ashlink/cli/EngineCommand.java
+++ b/cli/src/main/java/ashlink/cli/EngineCommand.java
@@ -2,7 +2,7 @@
 
 import ashlink.config.EngineConfig;
 import ashlink.config.EngineConfigReader;
-import ashlink.standin.StandInEngine;
+import ashlink.standin.EmulatedEngine;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
@@ -23,7 +23,7 @@
     @Override
     public Integer call() throws Exception {
         for (EngineConfig c : EngineConfigReader.read(file)) {
-            StandInEngine e = new StandInEngine(c);
+            EmulatedEngine e = new EmulatedEngine(c);
             e.start();
             System.out.println(c.name() + " listening on " + e.address());
         }
--- a/cli/src/main/java/ashlink/cli/ExplainCommand.java
+++ b/cli/src/main/java/ashlink/cli/ExplainCommand.java
@@ -3,7 +3,7 @@
 import ashlink.config.RouterConfig;
 import ashlink.config.RouterConfigReader;
 import ashlink.router.classify.Classifier;
-import ashlink.sql.Reading;
+import ashlink.sql.StatementAnalysis;
 import ashlink.sql.StatementReader;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
@@ -51,7 +51,7 @@
                 sql.equals("-")
                         ? new String(System.in.readAllBytes(), StandardCharsets.UTF_8)
                         : sql;
-        Reading r = new StatementReader().read(text, database);
+        StatementAnalysis r = new StatementReader().read(text, database);
         Classifier.Decision d = new Classifier(config).decide(user, database, r, settings);
         System.out.println(
                 "kind         "
--- a/cli/src/main/java/ashlink/cli/FleetCommand.java
+++ b/cli/src/main/java/ashlink/cli/FleetCommand.java
@@ -2,13 +2,13 @@
 
 import ashlink.config.FleetConfig;
 import ashlink.config.FleetConfig.Member;
-import ashlink.control.node.Codec;
+import ashlink.control.node.ControlCodec;
 import ashlink.control.tls.Identity;
-import ashlink.control.tool.FleetTool;
-import ashlink.control.tool.FleetTool.Result;
+import ashlink.control.tool.FleetClient;
+import ashlink.control.tool.FleetClient.Result;
 import ashlink.fleet.notice.Intent;
-import ashlink.fleet.notice.Notice;
-import ashlink.fleet.notice.NoticeSet.Held;
+import ashlink.fleet.notice.OperatorCommand;
+import ashlink.fleet.notice.ReplicatedCommandSet.CommandWithTtl;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -116,10 +116,10 @@
                     .toList();
         }
 
-        FleetTool tool(List<Member> of) throws Exception {
+        FleetClient tool(List<Member> of) throws Exception {
             Map<String, InetSocketAddress> at = new LinkedHashMap<>();
             of.forEach(m -> at.put(m.name(), m.control()));
-            return new FleetTool(
+            return new FleetClient(
                     new Identity(fleet().keys(), fleet().operator()),
                     at,
                     atOnce,
@@ -188,7 +188,7 @@
         }
         n.put("missing", gone);
         List<String> wants = new ArrayList<>();
-        for (Held h : Codec.notices(r.answer())) {
+        for (CommandWithTtl h : ControlCodec.notices(r.answer())) {
             if (h.leftMs() > 0 && h.notice().intent() != Intent.NONE) {
                 wants.add(
                         h.notice().intent().name().toLowerCase()
@@ -221,7 +221,7 @@
 
         @Override
         public Integer call() throws Exception {
-            try (FleetTool t = common.tool(common.routers())) {
+            try (FleetClient t = common.tool(common.routers())) {
                 return common.show(t.status(), Result::isReached, FleetCommand::rowOfState);
             }
         }
@@ -241,7 +241,7 @@
         @Override
         public Integer call() throws Exception {
             int status = 0;
-            try (FleetTool t = common.tool(common.routers())) {
+            try (FleetClient t = common.tool(common.routers())) {
                 for (int i = 0; i < count; i++) {
                     System.out.print(System.console() != null ? "\033[H\033[2J" : "");
                     status = common.show(t.status(), Result::isReached, FleetCommand::rowOfState);
@@ -282,7 +282,7 @@
         private double waitTimeout = 10;
 
         String subject() {
-            return subject.startsWith("router:") ? subject : Notice.engine(subject);
+            return subject.startsWith("router:") ? subject : OperatorCommand.engine(subject);
         }
 
         abstract List<String> owners(Map<String, Result> known, String operator) throws IOException;
@@ -291,9 +291,9 @@
 
         @Override
         public Integer call() throws Exception {
-            try (FleetTool t = common.tool(common.routers())) {
+            try (FleetClient t = common.tool(common.routers())) {
                 Map<String, Result> known = t.status();
-                List<Notice> notices = new ArrayList<>();
+                List<OperatorCommand> notices = new ArrayList<>();
                 for (String owner : owners(known, common.fleet().operator())) {
                     notices.add(t.next(subject(), owner, intent(), why, known));
                 }
@@ -308,11 +308,11 @@
                     return 0;
                 }
                 Map<String, Result> told = new LinkedHashMap<>();
-                for (Notice n : notices) {
+                for (OperatorCommand n : notices) {
                     told.putAll(t.put(n, (long) (hours * 3_600_000)));
                 }
                 Predicate<Result> knows =
-                        r -> notices.stream().allMatch(n -> FleetTool.knows(r, n));
+                        r -> notices.stream().allMatch(n -> FleetClient.knows(r, n));
                 Map<String, Result> now = t.await(share, (long) (waitTimeout * S), knows);
                 int status =
                         common.show(
@@ -368,7 +368,7 @@
 
         @Override
         List<String> owners(Map<String, Result> known, String operator) throws IOException {
-            List<String> owners = FleetTool.owners(subject(), known);
+            List<String> owners = FleetClient.owners(subject(), known);
             if (!all && owners.stream().anyMatch(o -> !o.equals(operator))) {
                 System.err.println(
                         "it stays drained by "
@@ -413,7 +413,7 @@
 
         @Override
         public Integer call() throws Exception {
-            try (FleetTool t = common.tool(common.routers())) {
+            try (FleetClient t = common.tool(common.routers())) {
                 Map<String, Result> before = t.status();
                 for (Member m : common.routers()) {
                     boolean up = before.get(m.name()).isReached();
@@ -435,14 +435,14 @@
 
     /** Stops one router: it drains, ends, and is gone; false where it did not within the time. */
     private static boolean stop(Common common, Member m, long timeoutNs) throws Exception {
-        try (FleetTool t = common.tool(List.of(m))) {
+        try (FleetClient t = common.tool(List.of(m))) {
             Map<String, Result> known = t.status();
             if (!known.get(m.name()).isReached()) {
                 return true;
             }
             t.put(
                     t.next(
-                            Notice.router(m.name()),
+                            OperatorCommand.router(m.name()),
                             common.fleet().operator(),
                             Intent.STOP,
                             "stop",
@@ -528,7 +528,7 @@
                     break;
                 }
                 launch(m);
-                try (FleetTool t = common.tool(List.of(m))) {
+                try (FleetClient t = common.tool(List.of(m))) {
                     if (!t.await(1, (long) (waitTimeout * S), Result::isReached)
                             .get(m.name())
                             .isReached()) {
@@ -545,7 +545,7 @@
 
         private boolean enough() throws Exception {
             List<Member> all = List.copyOf(common.fleet().routers().values());
-            try (FleetTool t = common.tool(all)) {
+            try (FleetClient t = common.tool(all)) {
                 return t.status().values().stream().filter(Result::isReached).count()
                         >= Math.floor(up * all.size());
             }
--- a/cli/src/main/java/ashlink/cli/RouterNode.java
+++ b/cli/src/main/java/ashlink/cli/FleetRouter.java
@@ -1,10 +1,10 @@
 package ashlink.cli;
 
 import ashlink.config.RouterConfig;
-import ashlink.control.node.Controlled;
-import ashlink.control.node.Node;
+import ashlink.control.node.FleetMember;
+import ashlink.control.node.RouterControl;
 import ashlink.control.tls.Identity;
-import ashlink.fleet.member.Terms;
+import ashlink.fleet.member.SwimConfig;
 import ashlink.router.Router;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
@@ -12,13 +12,13 @@
 import java.util.Set;
 
 /** A router as its node sees it. */
-final class RouterNode implements Controlled {
+final class FleetRouter implements RouterControl {
 
     private final Router router;
     private final Runnable stop;
     private final long startedMs = System.currentTimeMillis();
 
-    private RouterNode(Router router, Runnable stop) {
+    private FleetRouter(Router router, Runnable stop) {
         this.router = router;
         this.stop = stop;
     }
@@ -27,23 +27,23 @@
      * Makes the node of a router that is not started, with the notices that it knows from before in
      * force; null where the settings have no control channel.
      */
-    static Node of(RouterConfig config, Router router, Runnable stop)
+    static FleetMember of(RouterConfig config, Router router, Runnable stop)
             throws IOException, GeneralSecurityException {
         if (config.control().listen() == null) {
             return null;
         }
-        Node.Spec spec =
-                new Node.Spec(
+        FleetMember.Spec spec =
+                new FleetMember.Spec(
                         config.name(),
                         config.control().listen(),
                         config.stateDir().resolve("notices"),
                         config.control().peers(),
-                        Terms.DEFAULT,
+                        SwimConfig.DEFAULT,
                         config.seed() ^ System.nanoTime());
-        return new Node(
+        return new FleetMember(
                 spec,
                 new Identity(config.control().keys(), config.name()),
-                new RouterNode(router, stop));
+                new FleetRouter(router, stop));
     }
 
     @Override
--- a/cli/src/main/java/ashlink/cli/KeysCommand.java
+++ b/cli/src/main/java/ashlink/cli/KeysCommand.java
@@ -1,6 +1,6 @@
 package ashlink.cli;
 
-import ashlink.control.tls.Authority;
+import ashlink.control.tls.CertificateAuthority;
 import ashlink.control.tls.Identity;
 import ashlink.control.tls.Pem;
 import ashlink.control.tls.Role;
@@ -58,7 +58,7 @@
 
         @Override
         public Integer call() throws Exception {
-            new Authority(dir).renew(Duration.ofDays(days));
+            new CertificateAuthority(dir).renew(Duration.ofDays(days));
             return 0;
         }
     }
@@ -74,7 +74,7 @@
 
         @Override
         public Integer call() throws Exception {
-            new Authority(dir).retire();
+            new CertificateAuthority(dir).retire();
             return 0;
         }
     }
@@ -109,7 +109,7 @@
                 of.add(Role.OBSERVE);
             }
             for (String name : names) {
-                new Authority(dir).issue(name, of, Duration.ofDays(days));
+                new CertificateAuthority(dir).issue(name, of, Duration.ofDays(days));
             }
             return 0;
         }
--- a/cli/src/main/java/ashlink/cli/Main.java
+++ b/cli/src/main/java/ashlink/cli/Main.java
@@ -17,7 +17,7 @@
             RouteCommand.class,
             EngineCommand.class,
             DemoCommand.class,
-            BadDayCommand.class,
+            ScenarioCommand.class,
             CheckCommand.class,
             ExplainCommand.class,
             ReplayCommand.class,
@@ -29,7 +29,7 @@
             SuperviseCommand.class,
             BenchCommand.class,
             HashPasswordCommand.class,
-            DrillCommand.class
+            SimulatorCommand.class
         })
 public final class Main implements Runnable {
 
--- a/cli/src/main/java/ashlink/cli/QueryCommand.java
+++ b/cli/src/main/java/ashlink/cli/QueryCommand.java
@@ -1,7 +1,7 @@
 package ashlink.cli;
 
-import ashlink.client.Answer;
 import ashlink.client.StatementClient;
+import ashlink.client.StatementResult;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.PrintStream;
@@ -76,7 +76,7 @@
         Thread hook = new Thread(() -> cancel(client, id.get()));
         Runtime.getRuntime().addShutdownHook(hook);
         JsonNode data = rows == null ? null : new ObjectMapper().readTree(rows);
-        Answer a =
+        StatementResult a =
                 client.run(
                         statement,
                         settings,
@@ -91,11 +91,11 @@
         if (terminal != null) {
             terminal.print("\r\033[K");
         }
-        if (a.kind() == Answer.Kind.SERVED) {
+        if (a.kind() == StatementResult.Kind.SERVED) {
             return 0;
         }
         System.err.println(
-                a.kind() == Answer.Kind.PROBLEM
+                a.kind() == StatementResult.Kind.PROBLEM
                         ? a.problem()
                                 + ": "
                                 + a.detail()
@@ -103,10 +103,10 @@
                                         ? "; come back in " + a.retryAfterMs() + " ms"
                                         : "")
                         : a.kind() + " " + a.detail());
-        if (a.kind() == Answer.Kind.TIMED_OUT) {
+        if (a.kind() == StatementResult.Kind.TIMED_OUT) {
             cancel(client, id.get());
         }
-        return a.isRefused() || a.kind() == Answer.Kind.NOT_SENT
+        return a.isRefused() || a.kind() == StatementResult.Kind.NOT_SENT
                 ? REFUSED
                 : a.problem().equals("statement-error") ? 1 : MAYBE;
     }
--- a/cli/src/main/java/ashlink/cli/RouteCommand.java
+++ b/cli/src/main/java/ashlink/cli/RouteCommand.java
@@ -3,7 +3,7 @@
 import ashlink.config.ConfigException;
 import ashlink.config.RouterConfig;
 import ashlink.config.RouterConfigReader;
-import ashlink.control.node.Node;
+import ashlink.control.node.FleetMember;
 import ashlink.platform.Signals;
 import ashlink.router.Router;
 import java.io.IOException;
@@ -40,8 +40,8 @@
         RouterConfig config = RouterConfigReader.read(file);
         FileLock lock = config.stateDir() == null ? null : lock(config.stateDir());
         Router router = new Router(config);
-        Node node =
-                RouterNode.of(
+        FleetMember node =
+                FleetRouter.of(
                         config,
                         router,
                         told::countDown); // what it knows of drains holds before the first query
--- a/cli/src/main/java/ashlink/cli/BadDayCommand.java
+++ b/cli/src/main/java/ashlink/cli/ScenarioCommand.java
@@ -1,18 +1,18 @@
 package ashlink.cli;
 
-import ashlink.config.DayConfig;
-import ashlink.config.DayConfigReader;
+import ashlink.config.ScenarioConfig;
+import ashlink.config.ScenarioConfigReader;
 import ashlink.decisions.DefaultWorkloadManager;
 import ashlink.rig.baseline.Baseline;
-import ashlink.rig.check.Checker;
+import ashlink.rig.check.InvariantChecker;
 import ashlink.rig.check.Service;
 import ashlink.rig.check.Verdict;
-import ashlink.rig.day.DayFacts;
-import ashlink.rig.day.DayRun;
-import ashlink.rig.day.Sent;
-import ashlink.rig.day.Troubles;
-import ashlink.rig.fleet.BriefSettings;
-import ashlink.rig.load.Try;
+import ashlink.rig.day.FaultCatalog;
+import ashlink.rig.day.ScenarioFacts;
+import ashlink.rig.day.ScenarioRunner;
+import ashlink.rig.day.SentQuery;
+import ashlink.rig.fleet.TestSettings;
+import ashlink.rig.load.ClientAttempt;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -30,7 +30,7 @@
         description =
                 "Plays a scripted bad day on loopback and prints the verdict on each rule, and the"
                         + " service.")
-final class BadDayCommand implements Callable<Integer> {
+final class ScenarioCommand implements Callable<Integer> {
 
     private static final int SHOWN = 10;
     private static final long MS = 1_000_000L;
@@ -77,12 +77,12 @@
     public Integer call() throws Exception {
         if ("all".equals(trouble)) {
             boolean kept = true;
-            for (String name : Troubles.NAMES) {
-                kept &= play(Troubles.day(name, captureSetting(name)), "rules", null);
+            for (String name : FaultCatalog.NAMES) {
+                kept &= play(FaultCatalog.day(name, captureSetting(name)), "rules", null);
             }
             return kept ? 0 : 1;
         }
-        DayConfig day = day();
+        ScenarioConfig day = day();
         boolean kept = play(day, "rules", null);
         for (Baseline.Policy p : baselines) {
             play(day, p.name().toLowerCase(java.util.Locale.ROOT), p);
@@ -90,13 +90,13 @@
         return kept ? 0 : 1;
     }
 
-    private void write(DayFacts facts, String name) throws java.io.IOException {
-        Map<String, List<Sent>> byTag =
-                facts.ledger().stream().collect(Collectors.groupingBy(Sent::tag));
+    private void write(ScenarioFacts facts, String name) throws java.io.IOException {
+        Map<String, List<SentQuery>> byTag =
+                facts.ledger().stream().collect(Collectors.groupingBy(SentQuery::tag));
         StringBuilder text =
                 new StringBuilder(
                         "tag\tclass\trouter\tsent_ms\tended_ms\tkind\tcode\twork_ms\tattempts\n");
-        for (Try t : facts.tries()) {
+        for (ClientAttempt t : facts.tries()) {
             text.append(
                     String.format(
                             "%s\t%s\t%s\t%d\t%d\t%s\t%d\t%.0f",
@@ -108,7 +108,7 @@
                             t.reply().kind(),
                             t.reply().code(),
                             t.workMs()));
-            for (Sent s : byTag.getOrDefault(t.tag(), List.of())) {
+            for (SentQuery s : byTag.getOrDefault(t.tag(), List.of())) {
                 text.append(
                         String.format(
                                 "\t%s:%d-%d:%s",
@@ -127,15 +127,15 @@
         return capture == null ? "" : " (capture (dir \"" + capture.resolve(name) + "/{router}\"))";
     }
 
-    private DayConfig day() throws Exception {
+    private ScenarioConfig day() throws Exception {
         if (trouble != null) {
-            return Troubles.day(trouble, captureSetting(trouble));
+            return FaultCatalog.day(trouble, captureSetting(trouble));
         }
         String name = quick ? "bad-day-quick.sexp" : "bad-day.sexp";
-        DayConfig d =
+        ScenarioConfig d =
                 script != null
-                        ? DayConfigReader.read(script)
-                        : DayConfigReader.read(name, BriefSettings.resource(name));
+                        ? ScenarioConfigReader.read(script)
+                        : ScenarioConfigReader.read(name, TestSettings.resource(name));
         return d.with(
                 seed == null ? d.seed() : seed,
                 http == null ? d.httpShare() : http,
@@ -148,9 +148,10 @@
                 .toList();
     }
 
-    private boolean play(DayConfig day, String name, Baseline.Policy baseline) throws Exception {
-        DayFacts facts =
-                new DayRun(
+    private boolean play(ScenarioConfig day, String name, Baseline.Policy baseline)
+            throws Exception {
+        ScenarioFacts facts =
+                new ScenarioRunner(
                                 day,
                                 s ->
                                         baseline == null
@@ -180,8 +181,9 @@
         }
         boolean kept = true;
         boolean single =
-                Troubles.NAMES.contains(day.name()); // one kind of trouble puts few rules at stake
-        for (Verdict v : new Checker(facts).verdicts()) {
+                FaultCatalog.NAMES.contains(
+                        day.name()); // one kind of trouble puts few rules at stake
+        for (Verdict v : new InvariantChecker(facts).verdicts()) {
             kept &= v.isKept() || single && v.broken().isEmpty();
             System.out.printf(
                     "  %-30s %-6s at stake %5d, broken %d%n",
--- a/cli/src/main/java/ashlink/cli/DrillCommand.java
+++ b/cli/src/main/java/ashlink/cli/SimulatorCommand.java
@@ -8,7 +8,7 @@
         name = "drill",
         mixinStandardHelpOptions = true,
         description = "Plays the simulator's wire on standard input and output (the bench).")
-final class DrillCommand implements Callable<Integer> {
+final class SimulatorCommand implements Callable<Integer> {
 
     @Override
     public Integer call() throws Exception {
--- a/cli/src/main/java/ashlink/cli/SuperviseCommand.java
+++ b/cli/src/main/java/ashlink/cli/SuperviseCommand.java
@@ -1,7 +1,7 @@
 package ashlink.cli;
 
-import ashlink.fleet.supervise.Restarts;
-import ashlink.fleet.supervise.Restarts.Decision;
+import ashlink.fleet.supervise.RestartPolicy;
+import ashlink.fleet.supervise.RestartPolicy.Decision;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
@@ -43,7 +43,7 @@
 
     @Override
     public Integer call() throws Exception {
-        Restarts restarts = new Restarts(Restarts.Terms.DEFAULT);
+        RestartPolicy restarts = new RestartPolicy(RestartPolicy.RestartLimits.DEFAULT);
         Runtime.getRuntime().addShutdownHook(new Thread(this::end, "end"));
         while (true) {
             long from = System.nanoTime();
--- a/cli/src/main/java/ashlink/cli/WhyCommand.java
+++ b/cli/src/main/java/ashlink/cli/WhyCommand.java
@@ -1,7 +1,7 @@
 package ashlink.cli;
 
 import ashlink.capture.CaptureReader;
-import ashlink.capture.Story;
+import ashlink.capture.QueryTimeline;
 import ashlink.capture.log.FolderDisk;
 import java.nio.file.Path;
 import java.util.List;
@@ -29,7 +29,7 @@
 
     @Override
     public Integer call() throws Exception {
-        Story story = new Story(request);
+        QueryTimeline story = new QueryTimeline(request);
         new CaptureReader(FolderDisk.reading(folder)).read(story);
         List<String> lines = story.lines();
         lines.forEach(System.out::println);
--- a/cli/src/test/java/ashlink/cli/FleetProcessTest.java
+++ b/cli/src/test/java/ashlink/cli/FleetProcessTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.control.tls.Authority;
+import ashlink.control.tls.CertificateAuthority;
 import ashlink.control.tls.Role;
 import ashlink.rig.client.NativeClient;
-import ashlink.rig.fleet.BriefSettings;
-import ashlink.rig.fleet.Engines;
-import ashlink.standin.StandInEngine;
+import ashlink.rig.fleet.EmulatedEngines;
+import ashlink.rig.fleet.TestSettings;
+import ashlink.standin.EmulatedEngine;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.ByteArrayOutputStream;
@@ -68,8 +68,8 @@
     }
 
     /** Keys, settings of so many routers, and the inventory. */
-    private void setUp(Path dir, List<StandInEngine> engines, int routers) throws Exception {
-        Authority authority = new Authority(dir.resolve("keys"));
+    private void setUp(Path dir, List<EmulatedEngine> engines, int routers) throws Exception {
+        CertificateAuthority authority = new CertificateAuthority(dir.resolve("keys"));
         authority.renew(DAY);
         authority.issue("ann", Set.of(Role.OBSERVE, Role.DRAIN, Role.STOP), DAY);
         int[] free = free(2 * routers);
@@ -89,7 +89,7 @@
             }
             Files.writeString(
                     dir.resolve("r" + i + ".sexp"),
-                    BriefSettings.text(
+                    TestSettings.text(
                             "r" + i,
                             "halle-1",
                             i,
@@ -174,7 +174,7 @@
     }
 
     /** When the last fresh work came there: of that router, or of all others. */
-    private static long lastFresh(StandInEngine e, String router, boolean of) {
+    private static long lastFresh(EmulatedEngine e, String router, boolean of) {
         return e.ledger().entries().stream()
                 .filter(x -> x.tag.equals("load") && x.router.equals("ashlink " + router) == of)
                 .mapToLong(x -> x.beganNs)
@@ -203,7 +203,7 @@
 
     @Test
     void noFreshWorkTwoSecondsAfterADrainThatReachedHalf(@TempDir Path dir) throws Exception {
-        List<StandInEngine> engines = Engines.demo();
+        List<EmulatedEngine> engines = EmulatedEngines.demo();
         setUp(dir, engines, ROUTERS);
         List<Thread> clients = new ArrayList<>();
         List<Long> times = new ArrayList<>();
@@ -223,7 +223,7 @@
                 clients.add(t);
             }
             for (int d = 0; d < DRAINS; d++) {
-                StandInEngine engine = busiest(engines);
+                EmulatedEngine engine = busiest(engines);
                 String name = engine.config().name();
                 List<String> half =
                         new ArrayList<>(List.of("drain", name, "--wait", "0", "--for", "1"));
@@ -282,7 +282,7 @@
             for (Process p : processes) {
                 p.destroyForcibly().waitFor(20, TimeUnit.SECONDS);
             }
-            engines.forEach(StandInEngine::crash);
+            engines.forEach(EmulatedEngine::crash);
         }
         System.out.printf(
                 "%d routers, %d drains that reached half of them, one of these killed at once or"
@@ -298,7 +298,7 @@
 
     @Test
     void routersAreStartedRolledRevivedAndStopped(@TempDir Path dir) throws Exception {
-        List<StandInEngine> engines = Engines.demo();
+        List<EmulatedEngine> engines = EmulatedEngines.demo();
         setUp(dir, engines, 2);
         Set<ProcessHandle> before =
                 ProcessHandle.current().descendants().collect(Collectors.toSet());
@@ -331,7 +331,7 @@
                     .descendants()
                     .filter(h -> !before.contains(h))
                     .forEach(ProcessHandle::destroyForcibly);
-            engines.forEach(StandInEngine::crash);
+            engines.forEach(EmulatedEngine::crash);
         }
     }
 
@@ -340,14 +340,15 @@
     }
 
     /** The engine with the most work of the last second: it is at stake. */
-    private static StandInEngine busiest(List<StandInEngine> engines) throws InterruptedException {
+    private static EmulatedEngine busiest(List<EmulatedEngine> engines)
+            throws InterruptedException {
         long until = System.nanoTime() + 60 * S;
         while (true) {
             Thread.sleep(1_000);
             long since = System.nanoTime() - S;
-            StandInEngine most = null;
+            EmulatedEngine most = null;
             long count = 20;
-            for (StandInEngine e : engines) {
+            for (EmulatedEngine e : engines) {
                 long n =
                         e.ledger().entries().stream()
                                 .filter(x -> x.tag.equals("load") && x.beganNs > since)
--- a/cli/src/test/java/ashlink/cli/KilledRouterTest.java
+++ b/cli/src/test/java/ashlink/cli/KilledRouterTest.java
@@ -9,9 +9,9 @@
 import ashlink.capture.log.FolderDisk;
 import ashlink.decisions.DefaultWorkloadManager;
 import ashlink.rig.client.NativeClient;
-import ashlink.rig.fleet.BriefSettings;
-import ashlink.rig.fleet.Engines;
-import ashlink.standin.StandInEngine;
+import ashlink.rig.fleet.EmulatedEngines;
+import ashlink.rig.fleet.TestSettings;
+import ashlink.standin.EmulatedEngine;
 import java.io.BufferedReader;
 import java.io.InputStreamReader;
 import java.net.InetSocketAddress;
@@ -35,11 +35,11 @@
 
     @Test
     void aKilledProcessLeavesACaptureThatReplays(@TempDir Path dir) throws Exception {
-        List<StandInEngine> engines = Engines.demo();
+        List<EmulatedEngine> engines = EmulatedEngines.demo();
         Path config = dir.resolve("r1.sexp");
         Files.writeString(
                 config,
-                BriefSettings.text(
+                TestSettings.text(
                         "r1",
                         "halle-1",
                         0,
@@ -86,7 +86,7 @@
                 assertTrue(p.waitFor(20, TimeUnit.SECONDS));
             }
         }
-        engines.forEach(StandInEngine::crash);
+        engines.forEach(EmulatedEngine::crash);
         Replay replay =
                 new Replay(
                         DefaultWorkloadManager::new, ModuleHash.of(DefaultWorkloadManager.class));
--- a/cli/src/test/java/ashlink/cli/KilledStatementsTest.java
+++ b/cli/src/test/java/ashlink/cli/KilledStatementsTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.rig.fleet.BriefSettings;
-import ashlink.rig.fleet.Engines;
+import ashlink.rig.fleet.EmulatedEngines;
+import ashlink.rig.fleet.TestSettings;
+import ashlink.standin.EmulatedEngine;
 import ashlink.standin.Ledger;
-import ashlink.standin.StandInEngine;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.BufferedReader;
@@ -90,7 +90,7 @@
 
     @Test
     void noLoadRunsTwiceNoKeyIsLostAndNoFileStays(@TempDir Path dir) throws Exception {
-        List<StandInEngine> engines = Engines.demo();
+        List<EmulatedEngine> engines = EmulatedEngines.demo();
         try (ServerSocket free = new ServerSocket(0)) {
             port = free.getLocalPort();
         }
@@ -98,7 +98,7 @@
         Path config = dir.resolve("r1.sexp");
         Files.writeString(
                 config,
-                BriefSettings.text(
+                TestSettings.text(
                         "r1",
                         "halle-1",
                         0,
@@ -171,7 +171,7 @@
             }
         }
         Map<String, Integer> runs = new HashMap<>();
-        for (StandInEngine e : engines) {
+        for (EmulatedEngine e : engines) {
             for (Ledger.Entry x : e.ledger().entries()) {
                 if (x.ranNs() > 0 && x.how() != Ledger.How.TURNED_AWAY) {
                     runs.merge(x.tag, 1, Integer::sum);
--- a/client/src/main/java/ashlink/client/StatementClient.java
+++ b/client/src/main/java/ashlink/client/StatementClient.java
@@ -65,7 +65,7 @@
      * @param key under which it runs once, or null
      * @param pages is given each page, and what is known while there is none yet
      */
-    public Answer run(
+    public StatementResult run(
             String statement,
             Map<String, String> settings,
             JsonNode rows,
@@ -103,13 +103,14 @@
                 pages.accept(n);
                 seen += n.path("rows").isArray() ? n.get("rows").size() : 0;
                 if (r.statusCode() == 200 && !n.has("nextUri")) {
-                    return new Answer(Answer.Kind.SERVED, 200, "", "", 0, 0, seen, bytes);
+                    return new StatementResult(
+                            StatementResult.Kind.SERVED, 200, "", "", 0, 0, seen, bytes);
                 }
                 r = send(request(n.get("nextUri").asText(), until).GET());
             }
         } catch (HttpConnectTimeoutException | ConnectException e) {
-            return new Answer(
-                    sent ? Answer.Kind.LOST : Answer.Kind.NOT_SENT,
+            return new StatementResult(
+                    sent ? StatementResult.Kind.LOST : StatementResult.Kind.NOT_SENT,
                     0,
                     "",
                     String.valueOf(e),
@@ -118,9 +119,11 @@
                     seen,
                     bytes);
         } catch (HttpTimeoutException e) {
-            return new Answer(Answer.Kind.TIMED_OUT, 0, "", "", 0, 0, seen, bytes);
+            return new StatementResult(
+                    StatementResult.Kind.TIMED_OUT, 0, "", "", 0, 0, seen, bytes);
         } catch (IOException e) {
-            return new Answer(Answer.Kind.LOST, 0, "", String.valueOf(e), 0, 0, seen, bytes);
+            return new StatementResult(
+                    StatementResult.Kind.LOST, 0, "", String.valueOf(e), 0, 0, seen, bytes);
         }
     }
 
@@ -148,10 +151,11 @@
         return http.send(r.build(), BodyHandlers.ofByteArray());
     }
 
-    private static Answer problem(int status, JsonNode n, long rows, long bytes) {
+    private static StatementResult problem(int status, JsonNode n, long rows, long bytes) {
         String type = n.path("type").asText().replace("/problems/", "");
-        Answer.Kind kind = status == 404 ? Answer.Kind.LOST : Answer.Kind.PROBLEM;
-        return new Answer(
+        StatementResult.Kind kind =
+                status == 404 ? StatementResult.Kind.LOST : StatementResult.Kind.PROBLEM;
+        return new StatementResult(
                 kind,
                 status,
                 type,
--- a/client/src/main/java/ashlink/client/Answer.java
+++ b/client/src/main/java/ashlink/client/StatementResult.java
@@ -9,7 +9,7 @@
  * @param retryAfterMs when to come back, 0 where that was not told
  * @param rows that were given
  */
-public record Answer(
+public record StatementResult(
         Kind kind,
         int status,
         String problem,
--- a/config/src/main/java/ashlink/config/ConfigException.java
+++ b/config/src/main/java/ashlink/config/ConfigException.java
@@ -6,16 +6,16 @@
 /** A settings file was refused whole; tells all that is wrong with it. */
 public final class ConfigException extends Exception {
 
-    private final transient List<Problem> problems;
+    private final transient List<ConfigProblem> problems;
 
     /** An error of that many problems, one at least. */
-    public ConfigException(List<Problem> problems) {
-        super(problems.stream().map(Problem::toString).collect(Collectors.joining("\n")));
+    public ConfigException(List<ConfigProblem> problems) {
+        super(problems.stream().map(ConfigProblem::toString).collect(Collectors.joining("\n")));
         this.problems = List.copyOf(problems);
     }
 
     /** All that is wrong, in the order of the file. */
-    public List<Problem> problems() {
+    public List<ConfigProblem> problems() {
         return problems;
     }
 }
--- a/config/src/main/java/ashlink/config/Problem.java
+++ b/config/src/main/java/ashlink/config/ConfigProblem.java
@@ -7,7 +7,7 @@
  * @param value the value as it stands
  * @param accepted what would be accepted there
  */
-public record Problem(
+public record ConfigProblem(
         String file, int line, int column, String setting, String value, String accepted) {
 
     @Override
--- a/config/src/main/java/ashlink/config/EngineConfigReader.java
+++ b/config/src/main/java/ashlink/config/EngineConfigReader.java
@@ -15,7 +15,7 @@
 
     /** Reads a file whole; an exception tells all that is wrong with it. */
     public static List<EngineConfig> read(Path path) throws ConfigException {
-        List<Problem> problems = new ArrayList<>();
+        List<ConfigProblem> problems = new ArrayList<>();
         List<Node> nodes = SExprReader.read(path, problems);
         List<EngineConfig> engines = new ArrayList<>();
         Section top = Section.top(path.toString(), nodes, "engines", problems);
--- a/config/src/main/java/ashlink/config/FleetConfig.java
+++ b/config/src/main/java/ashlink/config/FleetConfig.java
@@ -23,7 +23,7 @@
      * wrong with it.
      */
     public static FleetConfig read(Path file) throws ConfigException {
-        List<Problem> problems = new ArrayList<>();
+        List<ConfigProblem> problems = new ArrayList<>();
         List<Node> nodes = SExprReader.read(file, problems);
         Section top = Section.top(file.toString(), nodes, "fleet", problems);
         FleetConfig fleet = null;
--- a/config/src/main/java/ashlink/config/RouterConfigReader.java
+++ b/config/src/main/java/ashlink/config/RouterConfigReader.java
@@ -68,7 +68,7 @@
         DRAINING
     }
 
-    private final List<Problem> problems = new ArrayList<>();
+    private final List<ConfigProblem> problems = new ArrayList<>();
     private Section top;
 
     private RouterConfigReader() {}
--- a/config/src/main/java/ashlink/config/SExprReader.java
+++ b/config/src/main/java/ashlink/config/SExprReader.java
@@ -23,19 +23,19 @@
     private static final long MOST_BYTES = 4 << 20;
 
     private final String file;
-    private final List<Problem> problems;
+    private final List<ConfigProblem> problems;
 
-    private SExprReader(String file, List<Problem> problems) {
+    private SExprReader(String file, List<ConfigProblem> problems) {
         this.file = file;
         this.problems = problems;
     }
 
     /** Reads a file; what is wrong with its form is added to {@code problems}. */
-    static List<Node> read(Path path, List<Problem> problems) {
+    static List<Node> read(Path path, List<ConfigProblem> problems) {
         try {
             if (Files.size(path) > MOST_BYTES) {
                 problems.add(
-                        new Problem(
+                        new ConfigProblem(
                                 path.toString(),
                                 1,
                                 1,
@@ -47,7 +47,7 @@
             return read(path.toString(), Files.readString(path), problems);
         } catch (IOException e) {
             problems.add(
-                    new Problem(
+                    new ConfigProblem(
                             path.toString(),
                             1,
                             1,
@@ -59,7 +59,7 @@
     }
 
     /** Reads a text that came from that file. */
-    static List<Node> read(String file, String text, List<Problem> problems) {
+    static List<Node> read(String file, String text, List<ConfigProblem> problems) {
         return new SExprReader(file, problems).read(text);
     }
 
@@ -75,7 +75,7 @@
                             String message,
                             RecognitionException e) {
                         problems.add(
-                                new Problem(
+                                new ConfigProblem(
                                         file,
                                         line,
                                         column + 1,
@@ -95,7 +95,7 @@
             depth += t.getType() == SExprLexer.OPEN ? 1 : t.getType() == SExprLexer.CLOSE ? -1 : 0;
             if (depth > DEEPEST) {
                 problems.add(
-                        new Problem(
+                        new ConfigProblem(
                                 file,
                                 t.getLine(),
                                 t.getCharPositionInLine() + 1,
--- a/config/src/main/java/ashlink/config/DayConfig.java
+++ b/config/src/main/java/ashlink/config/ScenarioConfig.java
@@ -9,7 +9,7 @@
  * @param httpShare of queries that come by the statement API over HTTP, from 0 to 1
  * @param settings further settings of all routers, as text
  */
-public record DayConfig(
+public record ScenarioConfig(
         String name,
         long durationNs,
         long seed,
@@ -18,12 +18,12 @@
         double ratePerS,
         double httpShare,
         List<LoadClass> load,
-        List<Trouble> troubles,
+        List<Fault> troubles,
         String settings) {
 
     /** The same with another seed, share of HTTP, and more settings of all routers. */
-    public DayConfig with(long newSeed, double newHttpShare, String more) {
-        return new DayConfig(
+    public ScenarioConfig with(long newSeed, double newHttpShare, String more) {
+        return new ScenarioConfig(
                 name,
                 durationNs,
                 newSeed,
@@ -66,7 +66,7 @@
             int groups) {}
 
     /** What can go wrong. */
-    public enum TroubleKind {
+    public enum FaultKind {
         /** An engine takes all and answers nothing. */
         HANG,
         /** An engine works at {@code factor} of its speed. */
@@ -98,5 +98,5 @@
     }
 
     /** Something that goes wrong; {@code factor} is a speed, a share or a multiple of the load. */
-    public record Trouble(TroubleKind kind, long atNs, long forNs, String target, double factor) {}
+    public record Fault(FaultKind kind, long atNs, long forNs, String target, double factor) {}
 }
--- a/config/src/main/java/ashlink/config/DayConfigReader.java
+++ b/config/src/main/java/ashlink/config/ScenarioConfigReader.java
@@ -1,9 +1,9 @@
 package ashlink.config;
 
-import ashlink.config.DayConfig.LoadClass;
-import ashlink.config.DayConfig.RouterSpec;
-import ashlink.config.DayConfig.Trouble;
-import ashlink.config.DayConfig.TroubleKind;
+import ashlink.config.ScenarioConfig.Fault;
+import ashlink.config.ScenarioConfig.FaultKind;
+import ashlink.config.ScenarioConfig.LoadClass;
+import ashlink.config.ScenarioConfig.RouterSpec;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -13,36 +13,36 @@
 import java.util.stream.Collectors;
 
 /** Reads scripted days: {@code (day ...)}. */
-public final class DayConfigReader {
+public final class ScenarioConfigReader {
 
     private static final long MS = 1_000_000L;
     private static final long S = 1_000 * MS;
 
-    private DayConfigReader() {}
+    private ScenarioConfigReader() {}
 
     /** Reads a file whole; an exception tells all that is wrong with it. */
-    public static DayConfig read(Path path) throws ConfigException {
-        List<Problem> problems = new ArrayList<>();
+    public static ScenarioConfig read(Path path) throws ConfigException {
+        List<ConfigProblem> problems = new ArrayList<>();
         return read(path.toString(), SExprReader.read(path, problems), problems);
     }
 
     /** Reads a text that is named {@code file} in errors. */
-    public static DayConfig read(String file, String text) throws ConfigException {
-        List<Problem> problems = new ArrayList<>();
+    public static ScenarioConfig read(String file, String text) throws ConfigException {
+        List<ConfigProblem> problems = new ArrayList<>();
         return read(file, SExprReader.read(file, text, problems), problems);
     }
 
-    private static DayConfig read(String file, List<Node> nodes, List<Problem> problems)
+    private static ScenarioConfig read(String file, List<Node> nodes, List<ConfigProblem> problems)
             throws ConfigException {
         Section top = Section.top(file, nodes, "day", problems);
-        DayConfig day = problems.isEmpty() ? day(top) : null;
+        ScenarioConfig day = problems.isEmpty() ? day(top) : null;
         if (!problems.isEmpty()) {
             throw new ConfigException(problems);
         }
         return day;
     }
 
-    private static DayConfig day(Section top) {
+    private static ScenarioConfig day(Section top) {
         List<RouterSpec> routers = new ArrayList<>();
         top.named("router")
                 .forEach(
@@ -59,12 +59,12 @@
         Set<String> zones =
                 engines.values().stream().map(EngineConfig::zone).collect(Collectors.toSet());
         Set<String> names = routers.stream().map(RouterSpec::name).collect(Collectors.toSet());
-        List<Trouble> troubles = new ArrayList<>();
+        List<Fault> troubles = new ArrayList<>();
         for (Section s : top.each("trouble")) {
             try (s) {
-                Trouble t =
-                        new Trouble(
-                                s.choice("kind", null, TroubleKind.class),
+                Fault t =
+                        new Fault(
+                                s.choice("kind", null, FaultKind.class),
                                 s.duration("at", null, 0, 3600 * S),
                                 s.duration("for", null, 0, 3600 * S),
                                 s.text("target", ""),
@@ -87,8 +87,8 @@
         if (routers.isEmpty() || engines.isEmpty() || load.isEmpty()) {
             top.problem("day", "a router, an engine and a load at least");
         }
-        DayConfig day =
-                new DayConfig(
+        ScenarioConfig day =
+                new ScenarioConfig(
                         top.text("name", null),
                         top.duration("duration", null, 100 * MS, 3600 * S),
                         top.whole("seed", 1L, 0, Long.MAX_VALUE / 2),
--- a/config/src/main/java/ashlink/config/Section.java
+++ b/config/src/main/java/ashlink/config/Section.java
@@ -24,12 +24,12 @@
     private final String file;
     private final String path;
     private final Form form;
-    private final List<Problem> problems;
+    private final List<ConfigProblem> problems;
     private final Map<String, List<Form>> settings = new LinkedHashMap<>();
     private final Set<String> known = new LinkedHashSet<>();
     private final List<Atom> words = new ArrayList<>();
 
-    Section(String file, String path, Form form, int from, List<Problem> problems) {
+    Section(String file, String path, Form form, int from, List<ConfigProblem> problems) {
         this.file = file;
         this.path = path;
         this.form = form;
@@ -47,13 +47,13 @@
     }
 
     /** The file's one top list, which must have that name. */
-    static Section top(String file, List<Node> nodes, String name, List<Problem> problems) {
+    static Section top(String file, List<Node> nodes, String name, List<ConfigProblem> problems) {
         if (nodes.size() == 1 && nodes.get(0) instanceof Form f && f.head().equals(name)) {
             return new Section(file, name, f, 1, problems);
         }
         if (problems.isEmpty()) {
             problems.add(
-                    new Problem(
+                    new ConfigProblem(
                             file, 1, 1, "", "what the file holds", "one list (" + name + " ...)"));
         }
         return new Section(file, name, new Form(List.of(), 1, 1), 0, problems);
@@ -61,7 +61,8 @@
 
     // ---- Problems
     void problem(Node at, String setting, String accepted) {
-        problems.add(new Problem(file, at.line(), at.column(), setting, at.shown(), accepted));
+        problems.add(
+                new ConfigProblem(file, at.line(), at.column(), setting, at.shown(), accepted));
     }
 
     void problem(String name, String accepted) {
@@ -98,7 +99,7 @@
     private void missing(String name, String accepted) {
         if (!settings.containsKey(name)) {
             problems.add(
-                    new Problem(
+                    new ConfigProblem(
                             file,
                             form.line(),
                             form.column(),
@@ -336,7 +337,7 @@
                     if (!known.contains(name)) {
                         for (Form f : forms) {
                             problems.add(
-                                    new Problem(
+                                    new ConfigProblem(
                                             file,
                                             f.line(),
                                             f.column(),
--- a/config/src/main/java/ashlink/config/flat/ReportReader.java
+++ b/config/src/main/java/ashlink/config/flat/LoadReportParser.java
@@ -8,9 +8,9 @@
  * Reads an engine's load report, pairs of a name and a number, by the names of the settings; the
  * rest is skipped.
  */
-public final class ReportReader {
+public final class LoadReportParser {
 
-    private ReportReader() {}
+    private LoadReportParser() {}
 
     /**
      * The report of a text whose pairs stand apart by {@code separator}. What is missing is NaN,
--- a/config/src/test/java/ashlink/config/RouterConfigTest.java
+++ b/config/src/test/java/ashlink/config/RouterConfigTest.java
@@ -22,7 +22,7 @@
               (tenant t (quota 90/m)) (user u (tenant t)))
             """;
 
-    private static List<Problem> problems(String text) {
+    private static List<ConfigProblem> problems(String text) {
         return assertThrows(ConfigException.class, () -> RouterConfigReader.read("f.sexp", text))
                 .problems();
     }
@@ -41,7 +41,7 @@
 
     @Test
     void allProblemsAreToldAtOnceWithPlaceValueAndWhatIsAccepted() {
-        List<Problem> found =
+        List<ConfigProblem> found =
                 problems(
                         GOOD.replace("aim 500ms", "aim 5parsecs")
                                 .replace("16GiB", "lots")
@@ -49,7 +49,7 @@
                                 .replace("(worth 1)", "(wroth 1)")
                                 .replace("9101", "910100"));
         assertEquals(6, found.size(), found.toString());
-        Problem aim =
+        ConfigProblem aim =
                 found.stream()
                         .filter(p -> p.setting().endsWith("look.aim"))
                         .findFirst()
@@ -57,7 +57,7 @@
         assertEquals(4, aim.line());
         assertEquals("5parsecs", aim.value());
         assertTrue(aim.accepted().contains("ms"), aim.accepted());
-        Problem typo =
+        ConfigProblem typo =
                 found.stream().filter(p -> p.value().equals("wroth")).findFirst().orElseThrow();
         assertTrue(typo.accepted().startsWith("worth (the nearest)"), typo.accepted());
         assertTrue(aim.toString().startsWith("f.sexp:4:"), aim.toString());
@@ -74,7 +74,7 @@
 
     @Test
     void writesNeedAClassThatIsNeverRepeated() {
-        List<Problem> found =
+        List<ConfigProblem> found =
                 problems(GOOD.replace("(default-write-class load)", "(default-write-class look)"));
         assertEquals(1, found.size());
         assertTrue(found.get(0).accepted().contains("load"), found.toString());
--- a/control/src/main/java/ashlink/control/node/NoticeJournal.java
+++ b/control/src/main/java/ashlink/control/node/CommandLog.java
@@ -1,10 +1,10 @@
 package ashlink.control.node;
 
 import ashlink.capture.log.Disk;
-import ashlink.capture.log.TableLog;
+import ashlink.capture.log.KeyValueLog;
 import ashlink.fleet.notice.Intent;
-import ashlink.fleet.notice.Notice;
-import ashlink.fleet.notice.NoticeSet;
+import ashlink.fleet.notice.OperatorCommand;
+import ashlink.fleet.notice.ReplicatedCommandSet;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -20,19 +20,19 @@
  * done upon it, so that what a router has once heard it knows after a crash. Times are kept as of
  * the wall clock of this machine.
  */
-final class NoticeJournal implements AutoCloseable {
+final class CommandLog implements AutoCloseable {
 
-    private static final Logger LOG = LoggerFactory.getLogger(NoticeJournal.class);
+    private static final Logger LOG = LoggerFactory.getLogger(CommandLog.class);
     private static final long SEGMENT_BYTES = 4L << 20;
     private static final int SLACK = 1_000;
 
-    private final TableLog log;
-    private final NoticeSet set;
+    private final KeyValueLog log;
+    private final ReplicatedCommandSet set;
 
     /** Reads what the disk has into the set, and goes on from there. */
-    NoticeJournal(Disk disk, NoticeSet set, long nowMs) throws IOException {
+    CommandLog(Disk disk, ReplicatedCommandSet set, long nowMs) throws IOException {
         this.set = set;
-        this.log = new TableLog(disk, SEGMENT_BYTES, nowMs);
+        this.log = new KeyValueLog(disk, SEGMENT_BYTES, nowMs);
         for (String damage :
                 log.read(r -> read(new DataInputStream(new ByteArrayInputStream(r)), nowMs))) {
             LOG.error(
@@ -43,8 +43,8 @@
     }
 
     private void read(DataInputStream in, long nowMs) throws IOException {
-        Notice n =
-                new Notice(
+        OperatorCommand n =
+                new OperatorCommand(
                         in.readUTF(),
                         in.readUTF(),
                         in.readLong(),
@@ -54,7 +54,7 @@
         set.add(n, in.readLong() - nowMs, nowMs);
     }
 
-    private static byte[] record(Notice n, long untilMs) throws IOException {
+    private static byte[] record(OperatorCommand n, long untilMs) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
         out.writeUTF(n.subject());
@@ -68,7 +68,7 @@
     }
 
     /** Keeps a notice; returns once it is on the disk. */
-    void put(Notice n, long leftMs, long nowMs) throws IOException {
+    void put(OperatorCommand n, long leftMs, long nowMs) throws IOException {
         if (log.written() > SLACK + 4L * set.size()) {
             rewrite(nowMs);
         }
@@ -79,7 +79,7 @@
     /** Writes the set anew; what was written before goes once that is on the disk. */
     void rewrite(long nowMs) throws IOException {
         List<byte[]> records = new ArrayList<>();
-        for (NoticeSet.Held h : set.all(nowMs)) {
+        for (ReplicatedCommandSet.CommandWithTtl h : set.all(nowMs)) {
             records.add(record(h.notice(), nowMs + h.leftMs()));
         }
         log.rewrite(records);
--- a/control/src/main/java/ashlink/control/node/Codec.java
+++ b/control/src/main/java/ashlink/control/node/ControlCodec.java
@@ -1,14 +1,14 @@
 package ashlink.control.node;
 
+import ashlink.fleet.member.MembershipUpdate;
 import ashlink.fleet.member.Message;
 import ashlink.fleet.member.Message.Ack;
 import ashlink.fleet.member.Message.Ping;
 import ashlink.fleet.member.Message.PingFor;
-import ashlink.fleet.member.Rumor;
 import ashlink.fleet.notice.Intent;
-import ashlink.fleet.notice.Notice;
-import ashlink.fleet.notice.NoticeSet.Held;
-import ashlink.fleet.notice.NoticeSet.Say;
+import ashlink.fleet.notice.OperatorCommand;
+import ashlink.fleet.notice.ReplicatedCommandSet.CommandKey;
+import ashlink.fleet.notice.ReplicatedCommandSet.CommandWithTtl;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -20,12 +20,12 @@
 import java.util.TreeMap;
 
 /** Frames of the control channel, to and from what they say. */
-public final class Codec {
+public final class ControlCodec {
 
     private static final JsonNodeFactory JSON = JsonNodeFactory.instance;
     private static final int MOST = 2_000;
 
-    private Codec() {}
+    private ControlCodec() {}
 
     /** A frame that asks for something. */
     public static ObjectNode op(String name) {
@@ -34,11 +34,11 @@
 
     // ---- Notices
     /** Notices as a frame of that name. */
-    public static ObjectNode notices(String op, List<Held> held) {
+    public static ObjectNode notices(String op, List<CommandWithTtl> held) {
         ObjectNode n = op(op);
         ArrayNode all = n.putArray("notices");
-        for (Held h : held) {
-            Notice x = h.notice();
+        for (CommandWithTtl h : held) {
+            OperatorCommand x = h.notice();
             all.addObject()
                     .put("subject", x.subject())
                     .put("owner", x.owner())
@@ -52,13 +52,13 @@
     }
 
     /** The notices of a frame; an exception where one makes no sense. */
-    public static List<Held> notices(JsonNode n) throws IOException {
-        List<Held> held = new ArrayList<>();
+    public static List<CommandWithTtl> notices(JsonNode n) throws IOException {
+        List<CommandWithTtl> held = new ArrayList<>();
         for (JsonNode x : list(n, "notices")) {
             try {
                 held.add(
-                        new Held(
-                                new Notice(
+                        new CommandWithTtl(
+                                new OperatorCommand(
                                         text(x, "subject"),
                                         text(x, "owner"),
                                         x.path("revision").asLong(),
@@ -73,7 +73,7 @@
         return held;
     }
 
-    static ObjectNode digest(Map<Say, Integer> digest, boolean back) {
+    static ObjectNode digest(Map<CommandKey, Integer> digest, boolean back) {
         ObjectNode n = op("digest").put("back", back);
         ArrayNode all = n.putArray("digest");
         digest.forEach(
@@ -85,10 +85,11 @@
         return n;
     }
 
-    static Map<Say, Integer> digest(JsonNode n) throws IOException {
-        Map<Say, Integer> digest = new TreeMap<>();
+    static Map<CommandKey, Integer> digest(JsonNode n) throws IOException {
+        Map<CommandKey, Integer> digest = new TreeMap<>();
         for (JsonNode x : list(n, "digest")) {
-            digest.put(new Say(text(x, "subject"), text(x, "owner")), x.path("hash").asInt());
+            digest.put(
+                    new CommandKey(text(x, "subject"), text(x, "owner")), x.path("hash").asInt());
         }
         return digest;
     }
@@ -104,7 +105,7 @@
             n.put("kind", "ack").put("number", a.number()).put("of", a.of());
         }
         ArrayNode rumors = n.putArray("rumors");
-        for (Rumor r : m.rumors()) {
+        for (MembershipUpdate r : m.rumors()) {
             rumors.addObject()
                     .put("member", r.member())
                     .put("address", r.address())
@@ -115,15 +116,15 @@
     }
 
     static Message swim(JsonNode n) throws IOException {
-        List<Rumor> rumors = new ArrayList<>();
+        List<MembershipUpdate> rumors = new ArrayList<>();
         try {
             for (JsonNode r : list(n, "rumors")) {
                 rumors.add(
-                        new Rumor(
+                        new MembershipUpdate(
                                 text(r, "member"),
                                 text(r, "address"),
                                 r.path("incarnation").asLong(),
-                                Rumor.State.valueOf(text(r, "state"))));
+                                MembershipUpdate.State.valueOf(text(r, "state"))));
             }
         } catch (IllegalArgumentException e) {
             throw new IOException("a rumor makes no sense: " + e.getMessage());
@@ -140,12 +141,12 @@
 
     static String text(JsonNode n, String field) throws IOException {
         JsonNode v = n.path(field);
-        if (!v.isTextual() || v.textValue().length() > Notice.MOST_CHARS) {
+        if (!v.isTextual() || v.textValue().length() > OperatorCommand.MOST_CHARS) {
             throw new IOException(
                     "field "
                             + field
                             + " is no text of at most "
-                            + Notice.MOST_CHARS
+                            + OperatorCommand.MOST_CHARS
                             + " characters");
         }
         return v.textValue();
--- a/control/src/main/java/ashlink/control/node/Node.java
+++ b/control/src/main/java/ashlink/control/node/FleetMember.java
@@ -6,14 +6,14 @@
 import ashlink.control.channel.ControlServer.Peer;
 import ashlink.control.tls.Identity;
 import ashlink.control.tls.Role;
-import ashlink.fleet.member.Rumor;
+import ashlink.fleet.member.MembershipUpdate;
 import ashlink.fleet.member.Swim;
-import ashlink.fleet.member.Terms;
-import ashlink.fleet.notice.Carrier;
+import ashlink.fleet.member.SwimConfig;
+import ashlink.fleet.notice.CommandDisseminator;
 import ashlink.fleet.notice.Intent;
-import ashlink.fleet.notice.Notice;
-import ashlink.fleet.notice.NoticeSet;
-import ashlink.fleet.notice.NoticeSet.Held;
+import ashlink.fleet.notice.OperatorCommand;
+import ashlink.fleet.notice.ReplicatedCommandSet;
+import ashlink.fleet.notice.ReplicatedCommandSet.CommandWithTtl;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -34,9 +34,9 @@
  * peers at once, and by comparing with one peer a second, whatever is held of it, so that what was
  * lost on the way arrives all the same.
  */
-public final class Node implements AutoCloseable {
+public final class FleetMember implements AutoCloseable {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Node.class);
+    private static final Logger LOG = LoggerFactory.getLogger(FleetMember.class);
     private static final Logger AUDIT = LoggerFactory.getLogger("ashlink.control.audit");
     private static final long MS = 1_000_000L;
     private static final long LOOK_NS = 10 * MS;
@@ -50,36 +50,38 @@
             InetSocketAddress listen,
             Path state,
             Map<String, InetSocketAddress> peers,
-            Terms terms,
+            SwimConfig terms,
             long seed) {}
 
     private final Spec spec;
     private final Identity identity;
-    private final Controlled controlled;
+    private final RouterControl controlled;
     private final ControlServer server;
-    private final Map<String, PeerLink> links = new HashMap<>();
-    private final NoticeSet notices = new NoticeSet(MOST_NOTICES, 30 * DAY_MS, 60 * DAY_MS);
-    private final NoticeJournal journal;
-    private final Carrier carrier;
-    private final Set<Notice> obeyed = new HashSet<>();
-    private final Map<Notice, Long> learntMs = new HashMap<>();
+    private final Map<String, PeerConnection> links = new HashMap<>();
+    private final ReplicatedCommandSet notices =
+            new ReplicatedCommandSet(MOST_NOTICES, 30 * DAY_MS, 60 * DAY_MS);
+    private final CommandLog journal;
+    private final CommandDisseminator carrier;
+    private final Set<OperatorCommand> obeyed = new HashSet<>();
+    private final Map<OperatorCommand, Long> learntMs = new HashMap<>();
     private final Thread thread;
     private Swim swim;
     private boolean unsaved;
     private volatile boolean closed;
 
     /** A node that knows its notices from before: they are in force when this returns. */
-    public Node(Spec spec, Identity identity, Controlled controlled) throws IOException {
+    public FleetMember(Spec spec, Identity identity, RouterControl controlled) throws IOException {
         this(spec, identity, controlled, FolderDisk.writing(spec.state()));
     }
 
     /** The same with another disk. */
-    public Node(Spec spec, Identity identity, Controlled controlled, Disk disk) throws IOException {
+    public FleetMember(Spec spec, Identity identity, RouterControl controlled, Disk disk)
+            throws IOException {
         this.spec = spec;
         this.identity = identity;
         this.controlled = controlled;
-        this.carrier = new Carrier(notices, spec.seed());
-        this.journal = new NoticeJournal(disk, notices, System.currentTimeMillis());
+        this.carrier = new CommandDisseminator(notices, spec.seed());
+        this.journal = new CommandLog(disk, notices, System.currentTimeMillis());
         notices.all(nowMs()).stream()
                 .filter(h -> h.notice().intent() == Intent.STOP)
                 .forEach(h -> obeyed.add(h.notice()));
@@ -100,7 +102,7 @@
                 .forEach(
                         (peer, at) -> {
                             seeds.put(peer, at.getHostString() + ":" + at.getPort());
-                            links.put(peer, new PeerLink(identity, peer, at));
+                            links.put(peer, new PeerConnection(identity, peer, at));
                         });
         swim =
                 new Swim(
@@ -144,18 +146,18 @@
     private void send(Swim.Send s) {
         link(s.member(), s.address())
                 .send(
-                        Codec.swim(
+                        ControlCodec.swim(
                                 s.message(),
                                 address().getHostString() + ":" + address().getPort()));
     }
 
     /** The way to a peer; one that no setting names is reached where it says that it is. */
-    private PeerLink link(String peer, String address) {
+    private PeerConnection link(String peer, String address) {
         return links.computeIfAbsent(
                 peer,
                 p -> {
                     int colon = address.lastIndexOf(':');
-                    return new PeerLink(
+                    return new PeerConnection(
                             identity,
                             p,
                             new InetSocketAddress(
@@ -164,22 +166,22 @@
                 });
     }
 
-    private void carry(List<Carrier.Out> all) {
-        for (Carrier.Out o : all) {
-            PeerLink link = links.get(o.peer());
-            if (link != null && o instanceof Carrier.Out.Tell t) {
-                link.send(Codec.notices("notices", t.notices()));
-            } else if (link != null && o instanceof Carrier.Out.Compare c) {
-                link.send(Codec.digest(c.digest(), c.back()));
+    private void carry(List<CommandDisseminator.Transmission> all) {
+        for (CommandDisseminator.Transmission o : all) {
+            PeerConnection link = links.get(o.peer());
+            if (link != null && o instanceof CommandDisseminator.Transmission.SendCommands t) {
+                link.send(ControlCodec.notices("notices", t.notices()));
+            } else if (link != null && o instanceof CommandDisseminator.Transmission.SendDigest c) {
+                link.send(ControlCodec.digest(c.digest(), c.back()));
             }
         }
     }
 
     /** Takes notices: on the disk first, then in force, then carried on. */
-    private synchronized List<Held> take(List<Held> held, String from) {
-        List<Held> fresh = new ArrayList<>();
+    private synchronized List<CommandWithTtl> take(List<CommandWithTtl> held, String from) {
+        List<CommandWithTtl> fresh = new ArrayList<>();
         long now = nowMs();
-        for (Held h : held) {
+        for (CommandWithTtl h : held) {
             if (notices.add(h.notice(), h.leftMs(), now)) {
                 save(h, now);
                 learntMs.put(h.notice(), now);
@@ -200,7 +202,7 @@
      * A disk that fails is no reason to send fresh work to an engine that drains: the notice is in
      * force, told on, and said not to be safe from a crash, until the disk takes it.
      */
-    private void save(Held h, long now) {
+    private void save(CommandWithTtl h, long now) {
         try {
             journal.put(h.notice(), h.leftMs(), now);
         } catch (IOException e) {
@@ -231,7 +233,7 @@
         for (Map.Entry<String, Intent> e : notices.intents(nowMs()).entrySet()) {
             if (e.getKey().startsWith("engine:")) {
                 engines.add(e.getKey().substring("engine:".length()));
-            } else if (e.getKey().equals(Notice.router(spec.name()))) {
+            } else if (e.getKey().equals(OperatorCommand.router(spec.name()))) {
                 self = e.getValue();
             }
         }
@@ -249,7 +251,7 @@
         return notices.all(nowMs()).stream()
                 .anyMatch(
                         h ->
-                                h.notice().subject().equals(Notice.router(spec.name()))
+                                h.notice().subject().equals(OperatorCommand.router(spec.name()))
                                         && h.notice().intent() == Intent.STOP
                                         && h.leftMs() > 0
                                         && !obeyed.contains(h.notice()));
@@ -257,15 +259,15 @@
 
     // ---- Frames
     private JsonNode handle(Peer from, JsonNode frame) throws IOException {
-        String op = Codec.text(frame, "op");
+        String op = ControlCodec.text(frame, "op");
         switch (op) {
             case "swim" -> {
                 need(from, Role.ROUTER);
                 synchronized (this) {
                     swim.receive(
                                     from.name(),
-                                    Codec.text(frame, "address"),
-                                    Codec.swim(frame),
+                                    ControlCodec.text(frame, "address"),
+                                    ControlCodec.swim(frame),
                                     System.nanoTime())
                             .forEach(this::send);
                 }
@@ -273,7 +275,7 @@
             }
             case "notices" -> {
                 need(from, Role.ROUTER);
-                take(Codec.notices(frame), from.name());
+                take(ControlCodec.notices(frame), from.name());
                 return null;
             }
             case "digest" -> {
@@ -282,7 +284,7 @@
                 return null;
             }
             case "put" -> {
-                return put(from, Codec.notices(frame));
+                return put(from, ControlCodec.notices(frame));
             }
             case "status" -> {
                 need(from, Role.OBSERVE);
@@ -304,20 +306,22 @@
     }
 
     private synchronized void compared(String peer, JsonNode frame) throws IOException {
-        carry(carrier.compared(peer, Codec.digest(frame), frame.path("back").asBoolean(), nowMs()));
+        carry(
+                carrier.compared(
+                        peer, ControlCodec.digest(frame), frame.path("back").asBoolean(), nowMs()));
     }
 
     /** A command: its notices say who issued them, and that is who sent them. */
-    private JsonNode put(Peer from, List<Held> held) throws IOException {
-        for (Held h : held) {
+    private JsonNode put(Peer from, List<CommandWithTtl> held) throws IOException {
+        for (CommandWithTtl h : held) {
             need(from, h.notice().intent() == Intent.STOP ? Role.STOP : Role.DRAIN);
             if (!h.notice().by().equals(from.name())) {
                 throw new IOException(
                         "a notice by " + h.notice().by() + " comes from " + from.name());
             }
         }
-        List<Held> fresh = take(held, "");
-        for (Held h : held) {
+        List<CommandWithTtl> fresh = take(held, "");
+        for (CommandWithTtl h : held) {
             AUDIT.atInfo()
                     .addKeyValue("by", from.name())
                     .addKeyValue("address", from.address())
@@ -329,7 +333,7 @@
                     .addKeyValue("fresh", fresh.contains(h))
                     .log("command");
         }
-        return Codec.op("known")
+        return ControlCodec.op("known")
                 .put("router", spec.name())
                 .put("fresh", fresh.size())
                 .put("durable", isSaved());
@@ -341,7 +345,7 @@
 
     private synchronized ObjectNode status() {
         ObjectNode n =
-                Codec.notices("status", notices.all(nowMs()))
+                ControlCodec.notices("status", notices.all(nowMs()))
                         .put("router", spec.name())
                         .put("atMs", nowMs())
                         .put("durable", isSaved())
@@ -357,7 +361,7 @@
                     });
         }
         ArrayNode members = n.putArray("members");
-        for (Rumor r : swim.members().values()) {
+        for (MembershipUpdate r : swim.members().values()) {
             members.addObject()
                     .put("member", r.member())
                     .put("state", r.state().name())
@@ -373,7 +377,7 @@
         thread.interrupt();
         server.close();
         synchronized (this) {
-            links.values().forEach(PeerLink::close);
+            links.values().forEach(PeerConnection::close);
             try {
                 journal.close();
             } catch (IOException e) {
--- a/control/src/main/java/ashlink/control/node/PeerLink.java
+++ b/control/src/main/java/ashlink/control/node/PeerConnection.java
@@ -14,9 +14,9 @@
  * The way to another router: a connection when there is something to say, and a bounded queue whose
  * oldest goes first.
  */
-final class PeerLink {
+final class PeerConnection {
 
-    private static final Logger LOG = LoggerFactory.getLogger(PeerLink.class);
+    private static final Logger LOG = LoggerFactory.getLogger(PeerConnection.class);
     private static final int QUEUE = 64;
     private static final int CONNECT_MS = 1_000;
     private static final long REST_MS = 200;
@@ -30,7 +30,7 @@
     private volatile boolean closed;
     private volatile ControlClient client;
 
-    PeerLink(Identity identity, String peer, InetSocketAddress address) {
+    PeerConnection(Identity identity, String peer, InetSocketAddress address) {
         this.identity = identity;
         this.peer = peer;
         this.address = address;
--- a/control/src/main/java/ashlink/control/node/Controlled.java
+++ b/control/src/main/java/ashlink/control/node/RouterControl.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 
 /** What a node does to its router. */
-public interface Controlled {
+public interface RouterControl {
 
     /** These engines get no fresh work, whatever the list says. */
     void drained(Set<String> engines);
--- a/control/src/main/java/ashlink/control/tls/Authority.java
+++ b/control/src/main/java/ashlink/control/tls/CertificateAuthority.java
@@ -36,7 +36,7 @@
  * The authority of a fleet, in a folder: {@code ca.crt} has the certificates that are trusted, the
  * newest first, and {@code ca.key} the key of the newest. While it changes over there are two.
  */
-public final class Authority {
+public final class CertificateAuthority {
 
     private static final String SIGNATURE = "SHA256withECDSA";
     private static final Duration BACKDATED = Duration.ofMinutes(30); // clocks may be apart
@@ -46,7 +46,7 @@
     private final Path dir;
 
     /** The authority of that folder, which may be still to be made. */
-    public Authority(Path dir) {
+    public CertificateAuthority(Path dir) {
         this.dir = dir;
     }
 
--- a/control/src/main/java/ashlink/control/tool/FleetTool.java
+++ b/control/src/main/java/ashlink/control/tool/FleetClient.java
@@ -1,11 +1,11 @@
 package ashlink.control.tool;
 
 import ashlink.control.channel.ControlClient;
-import ashlink.control.node.Codec;
+import ashlink.control.node.ControlCodec;
 import ashlink.control.tls.Identity;
 import ashlink.fleet.notice.Intent;
-import ashlink.fleet.notice.Notice;
-import ashlink.fleet.notice.NoticeSet.Held;
+import ashlink.fleet.notice.OperatorCommand;
+import ashlink.fleet.notice.ReplicatedCommandSet.CommandWithTtl;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -21,7 +21,7 @@
 import java.util.function.Predicate;
 
 /** Asks and tells many routers at once, so many in parallel; each has its own result. */
-public final class FleetTool implements AutoCloseable {
+public final class FleetClient implements AutoCloseable {
 
     private static final long POLL_MS = 50;
 
@@ -45,7 +45,7 @@
     private final ExecutorService pool;
 
     /** A tool for those routers, by name; each has so long to answer. */
-    public FleetTool(
+    public FleetClient(
             Identity identity, Map<String, InetSocketAddress> routers, int atOnce, int timeoutMs) {
         this.identity = identity;
         this.routers = new LinkedHashMap<>(routers);
@@ -92,24 +92,24 @@
 
     /** The state of all routers. */
     public Map<String, Result> status() throws InterruptedException {
-        return ask(Codec.op("status"));
+        return ask(ControlCodec.op("status"));
     }
 
     /** The notice that follows on all that the reached routers know of this say. */
-    public Notice next(
+    public OperatorCommand next(
             String subject, String owner, Intent intent, String why, Map<String, Result> known)
             throws IOException {
         long revision = 0;
         for (Result r : known.values()) {
             if (r.isReached()) {
-                for (Held h : Codec.notices(r.answer())) {
+                for (CommandWithTtl h : ControlCodec.notices(r.answer())) {
                     if (h.notice().subject().equals(subject) && h.notice().owner().equals(owner)) {
                         revision = Math.max(revision, h.notice().revision());
                     }
                 }
             }
         }
-        return new Notice(subject, owner, revision + 1, intent, identity.name(), why);
+        return new OperatorCommand(subject, owner, revision + 1, intent, identity.name(), why);
     }
 
     /** Owners who want something of a subject, as the reached routers know it. */
@@ -118,7 +118,7 @@
         List<String> owners = new ArrayList<>();
         for (Result r : known.values()) {
             if (r.isReached()) {
-                for (Held h : Codec.notices(r.answer())) {
+                for (CommandWithTtl h : ControlCodec.notices(r.answer())) {
                     if (h.notice().subject().equals(subject)
                             && h.leftMs() > 0
                             && h.notice().intent() != Intent.NONE
@@ -132,15 +132,15 @@
     }
 
     /** Tells all routers of a notice. */
-    public Map<String, Result> put(Notice n, long leftMs) throws InterruptedException {
-        return ask(Codec.notices("put", List.of(new Held(n, leftMs))));
+    public Map<String, Result> put(OperatorCommand n, long leftMs) throws InterruptedException {
+        return ask(ControlCodec.notices("put", List.of(new CommandWithTtl(n, leftMs))));
     }
 
     /** True if a router's state has that notice, or a newer one of the same say. */
-    public static boolean knows(Result r, Notice n) {
+    public static boolean knows(Result r, OperatorCommand n) {
         try {
             return r.isReached()
-                    && Codec.notices(r.answer()).stream()
+                    && ControlCodec.notices(r.answer()).stream()
                             .anyMatch(
                                     h ->
                                             h.notice().subject().equals(n.subject())
--- a/control/src/test/java/ashlink/control/ControlTest.java
+++ b/control/src/test/java/ashlink/control/ControlTest.java
@@ -9,17 +9,17 @@
 import ashlink.capture.log.FaultyDisk;
 import ashlink.capture.log.FolderDisk;
 import ashlink.control.channel.ControlClient;
-import ashlink.control.node.Codec;
-import ashlink.control.node.Controlled;
-import ashlink.control.node.Node;
-import ashlink.control.tls.Authority;
+import ashlink.control.node.ControlCodec;
+import ashlink.control.node.FleetMember;
+import ashlink.control.node.RouterControl;
+import ashlink.control.tls.CertificateAuthority;
 import ashlink.control.tls.Identity;
 import ashlink.control.tls.Role;
-import ashlink.control.tool.FleetTool;
-import ashlink.control.tool.FleetTool.Result;
-import ashlink.fleet.member.Terms;
+import ashlink.control.tool.FleetClient;
+import ashlink.control.tool.FleetClient.Result;
+import ashlink.fleet.member.SwimConfig;
 import ashlink.fleet.notice.Intent;
-import ashlink.fleet.notice.Notice;
+import ashlink.fleet.notice.OperatorCommand;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
@@ -53,12 +53,12 @@
 
     @TempDir Path dir;
     private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
-    private final Map<String, Node> nodes = new HashMap<>();
+    private final Map<String, FleetMember> nodes = new HashMap<>();
     private final Map<String, Fake> routers = new HashMap<>();
-    private Authority authority;
+    private CertificateAuthority authority;
 
     /** A router that only notes what it is told. */
-    private static final class Fake implements Controlled {
+    private static final class Fake implements RouterControl {
         volatile Set<String> drained = Set.of();
         volatile boolean refuses;
         volatile boolean stopped;
@@ -86,7 +86,7 @@
 
     @BeforeEach
     void keys() throws Exception {
-        authority = new Authority(dir.resolve("keys"));
+        authority = new CertificateAuthority(dir.resolve("keys"));
         authority.renew(DAY);
         authority.issue("ann", Set.of(Role.OBSERVE, Role.DRAIN, Role.STOP), DAY);
         authority.issue("ben", Set.of(Role.OBSERVE, Role.DRAIN), DAY);
@@ -95,7 +95,7 @@
 
     @AfterEach
     void end() {
-        nodes.values().forEach(Node::close);
+        nodes.values().forEach(FleetMember::close);
     }
 
     private void fleet(int count) throws Exception {
@@ -122,14 +122,14 @@
         Map<String, InetSocketAddress> peers = new HashMap<>(addresses);
         peers.remove(r);
         Fake router = new Fake();
-        Node n =
-                new Node(
-                        new Node.Spec(
+        FleetMember n =
+                new FleetMember(
+                        new FleetMember.Spec(
                                 r,
                                 addresses.get(r),
                                 dir.resolve(r),
                                 peers,
-                                Terms.DEFAULT,
+                                SwimConfig.DEFAULT,
                                 r.hashCode()),
                         new Identity(dir.resolve("keys"), r),
                         router,
@@ -143,17 +143,18 @@
         nodes.remove(r).close();
     }
 
-    private FleetTool tool(String operator, String... reached) throws Exception {
+    private FleetClient tool(String operator, String... reached) throws Exception {
         Map<String, InetSocketAddress> of = new LinkedHashMap<>();
         for (String r : reached.length == 0 ? addresses.keySet().toArray(new String[0]) : reached) {
             of.put(r, addresses.get(r));
         }
-        return new FleetTool(new Identity(dir.resolve("keys"), operator), of, 8, 2_000);
+        return new FleetClient(new Identity(dir.resolve("keys"), operator), of, 8, 2_000);
     }
 
-    private Notice tell(String operator, Intent intent, String... reached) throws Exception {
-        try (FleetTool t = tool(operator, reached)) {
-            Notice n = t.next("engine:q1", operator, intent, "test", t.status());
+    private OperatorCommand tell(String operator, Intent intent, String... reached)
+            throws Exception {
+        try (FleetClient t = tool(operator, reached)) {
+            OperatorCommand n = t.next("engine:q1", operator, intent, "test", t.status());
             t.put(n, HOUR_MS);
             return n;
         }
@@ -201,19 +202,20 @@
     @Test
     void aToolThatIsRunAgainAndTwoOperatorsDoNotUndoEachOther() throws Exception {
         fleet(3);
-        Notice first = tell("ann", Intent.DRAIN);
-        Notice again = tell("ann", Intent.DRAIN);
+        OperatorCommand first = tell("ann", Intent.DRAIN);
+        OperatorCommand again = tell("ann", Intent.DRAIN);
         assertEquals(first.revision() + 1, again.revision());
         tell("ben", Intent.DRAIN, "r2");
         await(
                 "all know both",
                 () -> {
-                    try (FleetTool t = tool("ann")) {
+                    try (FleetClient t = tool("ann")) {
                         return t.status().values().stream()
                                 .allMatch(
                                         r -> {
                                             try {
-                                                return FleetTool.owners("engine:q1", Map.of("r", r))
+                                                return FleetClient.owners(
+                                                                "engine:q1", Map.of("r", r))
                                                         .equals(List.of("ann", "ben"));
                                             } catch (IOException e) {
                                                 return false;
@@ -226,7 +228,7 @@
         tell("ann", Intent.NONE);
         Thread.sleep(300);
         assertTrue(all(true), "ben still wants it");
-        try (FleetTool t = tool("ann")) {
+        try (FleetClient t = tool("ann")) {
             t.put(t.next("engine:q1", "ben", Intent.NONE, "overruled", t.status()), HOUR_MS);
         }
         await("nobody wants it", () -> all(false));
@@ -235,13 +237,13 @@
     @Test
     void aReplayedNoticeAndDataFromABackupUndoNothing() throws Exception {
         fleet(3);
-        Notice drain = tell("ann", Intent.DRAIN);
+        OperatorCommand drain = tell("ann", Intent.DRAIN);
         await("all know it", () -> all(true));
         kill("r3");
         copy(dir.resolve("r3"), dir.resolve("backup"));
         tell("ann", Intent.NONE, "r1", "r2");
         await("the others know that it is over", () -> all(false));
-        try (FleetTool t = tool("ann", "r1")) {
+        try (FleetClient t = tool("ann", "r1")) {
             t.put(drain, HOUR_MS);
         }
         delete(dir.resolve("r3"));
@@ -274,7 +276,7 @@
     @Test
     void aRouterIsDrainedAndStoppedOnce() throws Exception {
         fleet(2);
-        try (FleetTool t = tool("ann")) {
+        try (FleetClient t = tool("ann")) {
             t.put(t.next("router:r2", "ann", Intent.DRAIN, "", t.status()), HOUR_MS);
             await("it refuses", () -> routers.get("r2").refuses && !routers.get("r1").refuses);
             t.put(t.next("router:r2", "ann", Intent.STOP, "", t.status()), HOUR_MS);
@@ -292,24 +294,33 @@
     @Test
     void onlyThoseOfTheFleetAreHeardAndEachInItsRole() throws Exception {
         fleet(1);
-        try (FleetTool t = tool("eve")) {
+        try (FleetClient t = tool("eve")) {
             assertTrue(t.status().get("r1").isReached());
             Result r =
-                    t.put(new Notice("engine:q1", "eve", 1, Intent.DRAIN, "eve", ""), HOUR_MS)
+                    t.put(
+                                    new OperatorCommand(
+                                            "engine:q1", "eve", 1, Intent.DRAIN, "eve", ""),
+                                    HOUR_MS)
                             .get("r1");
             assertTrue(r.error().contains("no role drain"), r.error());
         }
-        try (FleetTool t = tool("ben")) {
+        try (FleetClient t = tool("ben")) {
             Result r =
-                    t.put(new Notice("router:r1", "ben", 1, Intent.STOP, "ben", ""), HOUR_MS)
+                    t.put(
+                                    new OperatorCommand(
+                                            "router:r1", "ben", 1, Intent.STOP, "ben", ""),
+                                    HOUR_MS)
                             .get("r1");
             assertTrue(r.error().contains("no role stop"), r.error());
             r =
-                    t.put(new Notice("engine:q1", "ann", 1, Intent.DRAIN, "ann", ""), HOUR_MS)
+                    t.put(
+                                    new OperatorCommand(
+                                            "engine:q1", "ann", 1, Intent.DRAIN, "ann", ""),
+                                    HOUR_MS)
                             .get("r1");
             assertTrue(r.error().contains("by ann comes from ben"), r.error());
         }
-        Authority foreign = new Authority(dir.resolve("foreign"));
+        CertificateAuthority foreign = new CertificateAuthority(dir.resolve("foreign"));
         foreign.renew(DAY);
         foreign.issue("ann", Set.of(Role.OBSERVE, Role.DRAIN), DAY);
         Files.copy(
@@ -322,7 +333,7 @@
                 () -> {
                     try (ControlClient c =
                             new ControlClient(stranger, addresses.get("r1"), "r1", 2_000)) {
-                        c.ask(Codec.op("status"));
+                        c.ask(ControlCodec.op("status"));
                     }
                 });
         authority.issue("old", Set.of(Role.OBSERVE), Duration.ofMinutes(-10));
@@ -332,7 +343,7 @@
                 () -> {
                     try (ControlClient c =
                             new ControlClient(expired, addresses.get("r1"), "r1", 2_000)) {
-                        c.ask(Codec.op("status"));
+                        c.ask(ControlCodec.op("status"));
                     }
                 });
         assertTrue(routers.get("r1").drained.isEmpty());
@@ -354,7 +365,10 @@
                         addresses.get("r1"),
                         "r1",
                         2_000)) {
-            assertEquals("r1", c.ask(Codec.op("status")).get("router").asText(), "a new operator");
+            assertEquals(
+                    "r1",
+                    c.ask(ControlCodec.op("status")).get("router").asText(),
+                    "a new operator");
         }
         try (ControlClient c =
                 new ControlClient(
@@ -362,7 +376,8 @@
                         addresses.get("r1"),
                         "r1",
                         2_000)) {
-            assertEquals("r1", c.ask(Codec.op("status")).get("router").asText(), "an old one");
+            assertEquals(
+                    "r1", c.ask(ControlCodec.op("status")).get("router").asText(), "an old one");
         }
         authority.retire();
         authority.issue("r1", Set.of(Role.ROUTER), DAY);
@@ -377,7 +392,7 @@
                                     addresses.get("r1"),
                                     "r1",
                                     2_000)) {
-                        c.ask(Codec.op("status"));
+                        c.ask(ControlCodec.op("status"));
                     }
                 },
                 "the old authority is not trusted any more");
@@ -421,7 +436,7 @@
                                 try (ControlClient c =
                                         new ControlClient(ann, addresses.get("r1"), "r1", 5_000)) {
                                     for (int n = 0; n < 2_000; n++) {
-                                        c.send(Codec.op("nonsense"));
+                                        c.send(ControlCodec.op("nonsense"));
                                     }
                                 } catch (IOException e) {
                                     // cut off
@@ -444,8 +459,8 @@
         FaultyDisk disk = new FaultyDisk();
         start("r1", disk);
         disk.full(true);
-        Notice n = new Notice("engine:q1", "ann", 1, Intent.DRAIN, "ann", "");
-        try (FleetTool t = tool("ann", "r1")) {
+        OperatorCommand n = new OperatorCommand("engine:q1", "ann", 1, Intent.DRAIN, "ann", "");
+        try (FleetClient t = tool("ann", "r1")) {
             JsonNode known = t.put(n, HOUR_MS).get("r1").answer();
             assertFalse(
                     known.get("durable").asBoolean(),
--- a/control/src/test/java/ashlink/control/node/StoredNoticesTest.java
+++ b/control/src/test/java/ashlink/control/node/StoredNoticesTest.java
@@ -4,8 +4,8 @@
 
 import ashlink.capture.log.FolderDisk;
 import ashlink.fleet.notice.Intent;
-import ashlink.fleet.notice.Notice;
-import ashlink.fleet.notice.NoticeSet;
+import ashlink.fleet.notice.OperatorCommand;
+import ashlink.fleet.notice.ReplicatedCommandSet;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -58,17 +58,17 @@
         }
     }
 
-    private NoticeSet open() throws IOException {
-        NoticeSet set = StoredDataRecorder.emptySet();
-        new NoticeJournal(FolderDisk.writing(folder), set, NOW_MS).close();
+    private ReplicatedCommandSet open() throws IOException {
+        ReplicatedCommandSet set = StoredDataRecorder.emptySet();
+        new CommandLog(FolderDisk.writing(folder), set, NOW_MS).close();
         return set;
     }
 
-    private static List<String> lines(NoticeSet set) {
+    private static List<String> lines(ReplicatedCommandSet set) {
         return set.all(NOW_MS).stream().map(held -> line(held.notice(), held.leftMs())).toList();
     }
 
-    private static String line(Notice n, long leftMs) {
+    private static String line(OperatorCommand n, long leftMs) {
         return String.join(
                 "|",
                 n.subject(),
--- a/control/src/test/java/ashlink/control/tls/StoredDataRecorder.java
+++ b/control/src/test/java/ashlink/control/tls/StoredDataRecorder.java
@@ -21,7 +21,7 @@
     /** Writes the folder {@code keys} and the text of it into the folder that is named. */
     public static void main(String[] arguments) throws IOException, GeneralSecurityException {
         Path folder = Path.of(arguments[0]).resolve("keys");
-        Authority authority = new Authority(folder);
+        CertificateAuthority authority = new CertificateAuthority(folder);
         authority.renew(CENTURY);
         authority.issue("old", Set.of(Role.ROUTER), CENTURY);
         authority.renew(CENTURY);
--- a/control/src/test/java/ashlink/control/tls/StoredKeysAndCertificatesTest.java
+++ b/control/src/test/java/ashlink/control/tls/StoredKeysAndCertificatesTest.java
@@ -129,14 +129,14 @@
 
     @Test
     void onceTheOldAuthorityRetiresOnlyTheNewOneIsTrusted(@TempDir Path folder) throws Exception {
-        new Authority(copy(folder)).retire();
+        new CertificateAuthority(copy(folder)).retire();
         checkTrusted(folder, "r1");
         assertThrows(CertPathValidatorException.class, () -> checkTrusted(folder, "old"));
     }
 
     @Test
     void theStoredAuthorityIssuesFurtherCertificates(@TempDir Path folder) throws Exception {
-        new Authority(copy(folder)).issue("r9", Set.of(Role.ROUTER), Duration.ofDays(1));
+        new CertificateAuthority(copy(folder)).issue("r9", Set.of(Role.ROUTER), Duration.ofDays(1));
         assertEquals("r9", new Identity(folder, "r9").name());
         certificate(folder, "r9").verify(certificate(stored("keys"), "ca").getPublicKey());
     }
--- a/drill/src/main/java/ashlink/drill/LineFields.java
+++ b/drill/src/main/java/ashlink/drill/LineFields.java
@@ -20,7 +20,7 @@
             int stop = space < 0 ? line.length() : space;
             int equals = line.indexOf('=', start);
             if (equals < 0 || equals >= stop) {
-                throw new WireException(
+                throw new SimulatorProtocolException(
                         what + ": '" + line.substring(start, stop) + "' is no name=value pair");
             }
             values.put(line.substring(start, equals), line.substring(equals + 1, stop));
--- a/drill/src/main/java/ashlink/drill/Main.java
+++ b/drill/src/main/java/ashlink/drill/Main.java
@@ -27,8 +27,8 @@
                 new BufferedWriter(
                         new OutputStreamWriter(System.out, StandardCharsets.UTF_8), 1 << 16);
         try {
-            new Drill().run(in, out);
-        } catch (WireException e) {
+            new SimulatorAdapter().run(in, out);
+        } catch (SimulatorProtocolException e) {
             System.err.println("ashlink: " + e.getMessage());
             System.exit(1);
         }
--- a/drill/src/main/java/ashlink/drill/Drill.java
+++ b/drill/src/main/java/ashlink/drill/SimulatorAdapter.java
@@ -21,7 +21,7 @@
  * Plays the simulator's wire: reads batches, hands each event to its instance, writes one reply a
  * batch.
  */
-final class Drill {
+final class SimulatorAdapter {
 
     private record Instance(WorkloadManager gateway, Settings settings) {}
 
@@ -32,8 +32,8 @@
     private long now;
 
     /**
-     * Reads batches until the input ends; throws {@link WireException} for a line that cannot be
-     * read.
+     * Reads batches until the input ends; throws {@link SimulatorProtocolException} for a line that
+     * cannot be read.
      */
     void run(BufferedReader in, Writer out) throws IOException {
         try {
@@ -42,7 +42,7 @@
                 out.flush();
             }
         } catch (FieldException e) {
-            throw new WireException("line " + lineNumber + ": " + e.getMessage());
+            throw new SimulatorProtocolException("line " + lineNumber + ": " + e.getMessage());
         }
     }
 
@@ -56,7 +56,7 @@
             return false;
         }
         if (!line.startsWith("SYNC ")) {
-            throw new WireException("expected SYNC");
+            throw new SimulatorProtocolException("expected SYNC");
         }
         now = LineFields.of(line).whole("moment-ns");
         for (line = need(in); !line.equals("END"); line = need(in)) {
@@ -73,7 +73,7 @@
     private String need(BufferedReader in) throws IOException {
         String line = next(in);
         if (line == null) {
-            throw new WireException("input ends within a batch");
+            throw new SimulatorProtocolException("input ends within a batch");
         }
         return line;
     }
@@ -96,9 +96,9 @@
         for (long i = 0; i < count; i++) {
             String line = need(in);
             if (!line.startsWith("M ")) {
-                throw new WireException("expected M");
+                throw new SimulatorProtocolException("expected M");
             }
-            entries.add(Codec.entry(LineFields.of(line)));
+            entries.add(SimulatorCodec.entry(LineFields.of(line)));
         }
         lists.put(f.whole("list"), List.copyOf(entries));
     }
@@ -110,7 +110,7 @@
             Settings settings = SettingsReader.read(f);
             instances.put(id, new Instance(new DefaultWorkloadManager(settings), settings));
         } catch (IllegalArgumentException e) {
-            Codec.writeBroken(id, e.getMessage(), reply);
+            SimulatorCodec.writeBroken(id, e.getMessage(), reply);
         }
     }
 
@@ -122,11 +122,12 @@
         }
         Event event =
                 name.equals("ANNOUNCE")
-                        ? Codec.news(f, lists.getOrDefault(f.whole("list", -1), List.of()))
-                        : Codec.event(name, f, instance.settings().capabilities().reportsCost());
+                        ? SimulatorCodec.news(f, lists.getOrDefault(f.whole("list", -1), List.of()))
+                        : SimulatorCodec.event(
+                                name, f, instance.settings().capabilities().reportsCost());
         if (event != null) {
             for (Action action : instance.gateway().onEvent(event, now)) {
-                Codec.write(id, action, reply);
+                SimulatorCodec.write(id, action, reply);
             }
         }
     }
--- a/drill/src/main/java/ashlink/drill/Codec.java
+++ b/drill/src/main/java/ashlink/drill/SimulatorCodec.java
@@ -1,7 +1,7 @@
 package ashlink.drill;
 
 import ashlink.config.flat.Fields;
-import ashlink.config.flat.ReportReader;
+import ashlink.config.flat.LoadReportParser;
 import ashlink.decisions.api.Action;
 import ashlink.decisions.api.Action.CancelAttempt;
 import ashlink.decisions.api.Action.CheckHealth;
@@ -29,12 +29,12 @@
 import java.util.List;
 
 /** Turns lines of the wire into events and actions into lines; it decides nothing. */
-final class Codec {
+final class SimulatorCodec {
 
     private static final int NOTE_WORK_UNIT = 4096;
     private static final int NOTE_MEMORY_MB = 4;
 
-    private Codec() {}
+    private SimulatorCodec() {}
 
     /** Reads an {@code M} line. */
     static Endpoint entry(Fields f) {
@@ -52,7 +52,7 @@
             case "ready" -> EndpointState.READY;
             case "draining" -> EndpointState.DRAINING;
             case "gone" -> EndpointState.REMOVED;
-            default -> throw new WireException("M: phase=" + text + " is unknown");
+            default -> throw new SimulatorProtocolException("M: phase=" + text + " is unknown");
         };
     }
 
@@ -63,7 +63,9 @@
             case "changes" -> new EndpointsChanged(EndpointListKind.DELTA, entries);
             case "remembered" -> new EndpointsChanged(EndpointListKind.CACHED, entries);
             case "refused" -> new EndpointsChanged(EndpointListKind.UNAVAILABLE, List.of());
-            default -> throw new WireException("ANNOUNCE: form=" + f.text("form") + " is unknown");
+            default ->
+                    throw new SimulatorProtocolException(
+                            "ANNOUNCE: form=" + f.text("form") + " is unknown");
         };
     }
 
@@ -122,7 +124,8 @@
             case 1 -> ProgressKind.FRACTION_DONE;
             case 2 -> ProgressKind.SPILLED_MB;
             case 3 -> ProgressKind.WAITING;
-            default -> throw new WireException("UPDATE_OF: sort=" + sort + " is unknown");
+            default ->
+                    throw new SimulatorProtocolException("UPDATE_OF: sort=" + sort + " is unknown");
         };
     }
 
@@ -136,7 +139,7 @@
             case "dropped" -> Outcome.RESET;
             case "revoked" -> Outcome.CANCELLED;
             case "unused" -> Outcome.NOT_SENT;
-            default -> throw new WireException("verdict=" + text + " is unknown");
+            default -> throw new SimulatorProtocolException("verdict=" + text + " is unknown");
         };
     }
 
@@ -145,11 +148,11 @@
         if (text == null || text.isEmpty() || text.equals("-")) {
             return LoadReport.NONE;
         }
-        return ReportReader.read(
+        return LoadReportParser.read(
                 text,
                 ',',
                 pair -> {
-                    throw new WireException(
+                    throw new SimulatorProtocolException(
                             "gauge: '" + pair + "' is no name:value pair with a number");
                 });
     }
--- a/drill/src/main/java/ashlink/drill/WireException.java
+++ b/drill/src/main/java/ashlink/drill/SimulatorProtocolException.java
@@ -3,11 +3,11 @@
 import ashlink.config.flat.FieldException;
 
 /** A line or a batch that the wire does not allow. */
-final class WireException extends FieldException {
+final class SimulatorProtocolException extends FieldException {
 
     private static final long serialVersionUID = 1L;
 
-    WireException(String message) {
+    SimulatorProtocolException(String message) {
         super(message);
     }
 }
--- a/drill/src/test/java/ashlink/drill/DecisionTranscriptTest.java
+++ b/drill/src/test/java/ashlink/drill/DecisionTranscriptTest.java
@@ -94,7 +94,7 @@
                         .map(line -> line.substring(Transcript.IN.length()) + "\n")
                         .collect(Collectors.joining());
         StringWriter replies = new StringWriter();
-        new Drill().run(new BufferedReader(new StringReader(input)), replies);
+        new SimulatorAdapter().run(new BufferedReader(new StringReader(input)), replies);
         return replies.toString().lines().toList();
     }
 
--- a/drill/src/test/java/ashlink/drill/ScriptedWorld.java
+++ b/drill/src/test/java/ashlink/drill/ScriptedWorld.java
@@ -126,7 +126,7 @@
     private final Scenario scenario;
     private final Fields settings;
     private final SplittableRandom random;
-    private final Drill drill = new Drill();
+    private final SimulatorAdapter drill = new SimulatorAdapter();
     private final List<String> transcript = new ArrayList<>();
     private final PriorityQueue<Happening> agenda =
             new PriorityQueue<>(
--- a/drill/src/test/java/ashlink/drill/CodecTest.java
+++ b/drill/src/test/java/ashlink/drill/SimulatorCodecTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The wire's lines in both directions, and what the adapter makes of whole batches. */
-class CodecTest {
+class SimulatorCodecTest {
 
     private static final String START =
             "NEW_INSTANCE router-id=1 nonce64=9 balancers=2 position=0 zone=z classes.count=1"
@@ -40,12 +40,13 @@
 
     private static String play(String input) throws IOException {
         StringWriter out = new StringWriter();
-        new Drill().run(new BufferedReader(new StringReader(input)), out);
+        new SimulatorAdapter().run(new BufferedReader(new StringReader(input)), out);
         return out.toString();
     }
 
     private static Object event(String line) {
-        return Codec.event(line.substring(0, line.indexOf(' ')), LineFields.of(line), true);
+        return SimulatorCodec.event(
+                line.substring(0, line.indexOf(' ')), LineFields.of(line), true);
     }
 
     @Test
@@ -78,16 +79,16 @@
     void readsTheQueriesInHandAndBusyDisks() {
         assertEquals(
                 new LoadReport(Double.NaN, Double.NaN, Double.NaN, 0.7, 12),
-                Codec.report("busy_reqs:12,x1:0.7"));
+                SimulatorCodec.report("busy_reqs:12,x1:0.7"));
     }
 
     @Test
     void aNoisyReportIsReadAndABrokenOneRefused() {
         assertEquals(
                 new LoadReport(Double.NaN, 0.5, Double.NaN, Double.NaN, 3),
-                Codec.report("pending:-0.1,cpu_share:0.5,x0:NaN,busy_reqs:3,"));
-        assertThrows(WireException.class, () -> Codec.report("pending:many"));
-        assertThrows(WireException.class, () -> Codec.report("pending"));
+                SimulatorCodec.report("pending:-0.1,cpu_share:0.5,x0:NaN,busy_reqs:3,"));
+        assertThrows(SimulatorProtocolException.class, () -> SimulatorCodec.report("pending:many"));
+        assertThrows(SimulatorProtocolException.class, () -> SimulatorCodec.report("pending"));
     }
 
     @Test
@@ -115,22 +116,23 @@
         assertNull(event("WHISPER router-id=1 neighbour=2 body=00"));
         assertThrows(FieldException.class, () -> event("FIRED router-id=1 label=soon"));
         assertThrows(
-                WireException.class, () -> event("PONG router-id=1 engine=h:1 verdict=perhaps"));
-        assertThrows(WireException.class, () -> event("FIRED label"));
+                SimulatorProtocolException.class,
+                () -> event("PONG router-id=1 engine=h:1 verdict=perhaps"));
+        assertThrows(SimulatorProtocolException.class, () -> event("FIRED label"));
     }
 
     @Test
     void writesEveryAction() {
         StringBuilder out = new StringBuilder();
-        Codec.write(4, new StartAttempt(1, "h:1", 80), out);
-        Codec.write(4, new SetAttemptResources(1, 2, 640), out);
-        Codec.write(4, new Reject(1, 250), out);
-        Codec.write(4, new Fail(1), out);
-        Codec.write(4, new CancelAttempt(1, 0), out);
-        Codec.write(4, new CheckHealth("h:1"), out);
-        Codec.write(4, new SetTimer(7, 99), out);
-        Codec.write(4, new WatchEndpoints(), out);
-        Codec.write(4, new Log("two engines"), out);
+        SimulatorCodec.write(4, new StartAttempt(1, "h:1", 80), out);
+        SimulatorCodec.write(4, new SetAttemptResources(1, 2, 640), out);
+        SimulatorCodec.write(4, new Reject(1, 250), out);
+        SimulatorCodec.write(4, new Fail(1), out);
+        SimulatorCodec.write(4, new CancelAttempt(1, 0), out);
+        SimulatorCodec.write(4, new CheckHealth("h:1"), out);
+        SimulatorCodec.write(4, new SetTimer(7, 99), out);
+        SimulatorCodec.write(4, new WatchEndpoints(), out);
+        SimulatorCodec.write(4, new Log("two engines"), out);
         assertEquals(
                 """
                 FORWARD router-id=4 op-id=1 timeout-ns=80 engine=h:1
@@ -175,10 +177,12 @@
 
     @Test
     void namesTheLineThatCannotBeRead() {
-        WireException e =
-                assertThrows(WireException.class, () -> play("SYNC moment-ns=0\nEND\nHELLO\n"));
+        SimulatorProtocolException e =
+                assertThrows(
+                        SimulatorProtocolException.class,
+                        () -> play("SYNC moment-ns=0\nEND\nHELLO\n"));
         assertTrue(e.getMessage().startsWith("line 3: "));
-        assertThrows(WireException.class, () -> play("SYNC moment-ns=0\n"));
+        assertThrows(SimulatorProtocolException.class, () -> play("SYNC moment-ns=0\n"));
     }
 
     @Test
--- a/fleet/src/main/java/ashlink/fleet/member/Rumor.java
+++ b/fleet/src/main/java/ashlink/fleet/member/MembershipUpdate.java
@@ -1,7 +1,7 @@
 package ashlink.fleet.member;
 
 /** What is said of a member, as far as its incarnation: only the member itself raises that. */
-public record Rumor(String member, String address, long incarnation, State state) {
+public record MembershipUpdate(String member, String address, long incarnation, State state) {
 
     /** What a member is held for. */
     public enum State {
@@ -17,7 +17,7 @@
      * True if this is to be believed where that other is known (the order of the paper; one that is
      * gone may come back).
      */
-    boolean overrides(Rumor known) {
+    boolean overrides(MembershipUpdate known) {
         if (incarnation != known.incarnation) {
             return incarnation > known.incarnation;
         }
--- a/fleet/src/main/java/ashlink/fleet/member/Message.java
+++ b/fleet/src/main/java/ashlink/fleet/member/Message.java
@@ -6,14 +6,14 @@
 public sealed interface Message {
 
     /** Rumors that ride along. */
-    List<Rumor> rumors();
+    List<MembershipUpdate> rumors();
 
     /** Are you there? */
-    record Ping(long number, List<Rumor> rumors) implements Message {}
+    record Ping(long number, List<MembershipUpdate> rumors) implements Message {}
 
     /** Ask that one for me. */
-    record PingFor(long number, String target, List<Rumor> rumors) implements Message {}
+    record PingFor(long number, String target, List<MembershipUpdate> rumors) implements Message {}
 
     /** Yes, or: that one is. {@code of} is the member that is there. */
-    record Ack(long number, String of, List<Rumor> rumors) implements Message {}
+    record Ack(long number, String of, List<MembershipUpdate> rumors) implements Message {}
 }
--- a/fleet/src/main/java/ashlink/fleet/member/Swim.java
+++ b/fleet/src/main/java/ashlink/fleet/member/Swim.java
@@ -1,9 +1,9 @@
 package ashlink.fleet.member;
 
+import ashlink.fleet.member.MembershipUpdate.State;
 import ashlink.fleet.member.Message.Ack;
 import ashlink.fleet.member.Message.Ping;
 import ashlink.fleet.member.Message.PingFor;
-import ashlink.fleet.member.Rumor.State;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -22,19 +22,19 @@
     public record Send(String member, String address, Message message) {}
 
     private static final class Known {
-        Rumor rumor;
+        MembershipUpdate rumor;
         long suspectUntilNs;
 
-        Known(Rumor rumor) {
+        Known(MembershipUpdate rumor) {
             this.rumor = rumor;
         }
     }
 
     private static final class Told {
-        final Rumor rumor;
+        final MembershipUpdate rumor;
         int times;
 
-        Told(Rumor rumor) {
+        Told(MembershipUpdate rumor) {
             this.rumor = rumor;
         }
     }
@@ -42,13 +42,13 @@
     /** A ping on behalf of another. */
     private record Relayed(String asker, String askerAddress, long theirNumber, String target) {}
 
-    private final Terms terms;
+    private final SwimConfig terms;
     private final SplittableRandom random;
     private final Map<String, Known> members = new TreeMap<>();
     private final Map<String, Told> rumors = new TreeMap<>();
     private final Map<Long, Relayed> relayed = new HashMap<>();
     private final List<String> order = new ArrayList<>();
-    private Rumor self;
+    private MembershipUpdate self;
     private long numbers;
     private long periods;
     private long nextPeriodNs;
@@ -61,14 +61,17 @@
     private long falseAlarms;
 
     /** A member of that name and address, which knows some others by address. */
-    public Swim(String name, String address, Map<String, String> seeds, Terms terms, long seed) {
+    public Swim(
+            String name, String address, Map<String, String> seeds, SwimConfig terms, long seed) {
         this.terms = terms;
         this.random = new SplittableRandom(seed);
-        this.self = new Rumor(name, address, 0, State.ALIVE);
+        this.self = new MembershipUpdate(name, address, 0, State.ALIVE);
         seeds.forEach(
                 (member, at) -> {
                     if (!member.equals(name)) {
-                        members.put(member, new Known(new Rumor(member, at, 0, State.ALIVE)));
+                        members.put(
+                                member,
+                                new Known(new MembershipUpdate(member, at, 0, State.ALIVE)));
                     }
                 });
         tell(self);
@@ -135,7 +138,7 @@
                             .toList();
             if (!gone.isEmpty()) {
                 String one = gone.get(random.nextInt(gone.size()));
-                List<Rumor> with = new ArrayList<>(gossip());
+                List<MembershipUpdate> with = new ArrayList<>(gossip());
                 with.add(
                         members.get(one)
                                 .rumor); // it learns what is said of it, and can refute that
@@ -194,11 +197,11 @@
         List<Send> out = new ArrayList<>();
         Known sender = members.get(from);
         if (sender == null && !from.equals(self.member())) {
-            believe(new Rumor(from, address, 0, State.ALIVE), now);
+            believe(new MembershipUpdate(from, address, 0, State.ALIVE), now);
         }
         m.rumors().forEach(r -> believe(r, now));
         if (m instanceof Ping p) {
-            List<Rumor> with = new ArrayList<>(gossip());
+            List<MembershipUpdate> with = new ArrayList<>(gossip());
             if (sender != null && sender.rumor.state() != State.ALIVE) {
                 with.add(sender.rumor); // who is taken for gone and speaks is told so
             }
@@ -220,12 +223,12 @@
         return out;
     }
 
-    private void believe(Rumor r, long now) {
+    private void believe(MembershipUpdate r, long now) {
         if (r.member().equals(self.member())) {
             if (r.incarnation() >= self.incarnation() && r.state() != State.ALIVE) {
                 falseAlarms++;
                 self =
-                        new Rumor(
+                        new MembershipUpdate(
                                 self.member(),
                                 self.address(),
                                 r.incarnation() + 1,
@@ -233,7 +236,7 @@
                 tell(self);
             } else if (r.incarnation() > self.incarnation()) {
                 self =
-                        new Rumor(
+                        new MembershipUpdate(
                                 self.member(),
                                 self.address(),
                                 r.incarnation() + 1,
@@ -261,9 +264,9 @@
     }
 
     private void suspect(String member, long now) {
-        Rumor r = members.get(member).rumor;
+        MembershipUpdate r = members.get(member).rumor;
         if (r.state() == State.ALIVE) {
-            believe(new Rumor(member, r.address(), r.incarnation(), State.SUSPECT), now);
+            believe(new MembershipUpdate(member, r.address(), r.incarnation(), State.SUSPECT), now);
         }
     }
 
@@ -271,7 +274,7 @@
         for (Known k : members.values()) {
             if (k.rumor.state() == State.SUSPECT && now >= k.suspectUntilNs) {
                 k.rumor =
-                        new Rumor(
+                        new MembershipUpdate(
                                 k.rumor.member(),
                                 k.rumor.address(),
                                 k.rumor.incarnation(),
@@ -290,12 +293,12 @@
     }
 
     // ---- Rumors
-    private void tell(Rumor r) {
+    private void tell(MembershipUpdate r) {
         rumors.put(r.member(), new Told(r));
     }
 
     /** The rumors told least often so far, each as often as the paper has it. */
-    private List<Rumor> gossip() {
+    private List<MembershipUpdate> gossip() {
         int most = (int) Math.ceil(terms.spread() * logOfMembers());
         List<Told> chosen =
                 rumors.values().stream()
@@ -304,7 +307,7 @@
                                         .thenComparing(t -> t.rumor.member()))
                         .limit(terms.rumors())
                         .toList();
-        List<Rumor> out = new ArrayList<>();
+        List<MembershipUpdate> out = new ArrayList<>();
         for (Told t : chosen) {
             out.add(t.rumor);
             if (++t.times >= most) {
@@ -316,8 +319,8 @@
 
     // ---- What is known
     /** What is held of each member, this one left out. */
-    public Map<String, Rumor> members() {
-        Map<String, Rumor> all = new TreeMap<>();
+    public Map<String, MembershipUpdate> members() {
+        Map<String, MembershipUpdate> all = new TreeMap<>();
         members.forEach((m, k) -> all.put(m, k.rumor));
         return all;
     }
--- a/fleet/src/main/java/ashlink/fleet/member/Terms.java
+++ b/fleet/src/main/java/ashlink/fleet/member/SwimConfig.java
@@ -12,7 +12,7 @@
  *     (lambda)
  * @param regainPeriods periods between two pings of a member that is gone: how a cut heals
  */
-public record Terms(
+public record SwimConfig(
         long periodNs,
         long ackNs,
         int indirect,
@@ -22,5 +22,6 @@
         int regainPeriods) {
 
     /** A member asked each 250 ms. */
-    public static final Terms DEFAULT = new Terms(250_000_000L, 80_000_000L, 3, 3, 12, 3, 8);
+    public static final SwimConfig DEFAULT =
+            new SwimConfig(250_000_000L, 80_000_000L, 3, 3, 12, 3, 8);
 }
--- a/fleet/src/main/java/ashlink/fleet/notice/Carrier.java
+++ b/fleet/src/main/java/ashlink/fleet/notice/CommandDisseminator.java
@@ -1,7 +1,7 @@
 package ashlink.fleet.notice;
 
-import ashlink.fleet.notice.NoticeSet.Held;
-import ashlink.fleet.notice.NoticeSet.Say;
+import ashlink.fleet.notice.ReplicatedCommandSet.CommandKey;
+import ashlink.fleet.notice.ReplicatedCommandSet.CommandWithTtl;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -14,7 +14,7 @@
  * that it knows with one peer, whatever is held of that peer, so that what was lost on the way
  * arrives all the same.
  */
-public final class Carrier {
+public final class CommandDisseminator {
 
     /** Peers that are told at once. */
     private static final int ALL = 32;
@@ -23,32 +23,34 @@
     private static final int CHUNK = 200;
 
     /** What is to be sent. */
-    public sealed interface Out {
+    public sealed interface Transmission {
 
         /** To whom. */
         String peer();
 
         /** These notices. */
-        record Tell(String peer, List<Held> notices) implements Out {}
+        record SendCommands(String peer, List<CommandWithTtl> notices) implements Transmission {}
 
         /**
          * What is known, for the peer to send what is lacked; {@code back}: an answer to a
          * comparison, which is not answered.
          */
-        record Compare(String peer, Map<Say, Integer> digest, boolean back) implements Out {}
+        record SendDigest(String peer, Map<CommandKey, Integer> digest, boolean back)
+                implements Transmission {}
     }
 
-    private final NoticeSet set;
+    private final ReplicatedCommandSet set;
     private final SplittableRandom random;
 
     /** Carries the notices of that set. */
-    public Carrier(NoticeSet set, long seed) {
+    public CommandDisseminator(ReplicatedCommandSet set, long seed) {
         this.set = set;
         this.random = new SplittableRandom(seed);
     }
 
     /** Something is new here; it came from that peer, or empty. */
-    public List<Out> spread(List<Held> fresh, Collection<String> peers, String from) {
+    public List<Transmission> spread(
+            List<CommandWithTtl> fresh, Collection<String> peers, String from) {
         List<String> to = new ArrayList<>(peers);
         to.remove(from);
         boolean many = to.size() > ALL;
@@ -57,30 +59,35 @@
         }
         return fresh.isEmpty()
                 ? List.of()
-                : to.stream().map(p -> (Out) new Out.Tell(p, fresh)).toList();
+                : to.stream()
+                        .map(p -> (Transmission) new Transmission.SendCommands(p, fresh))
+                        .toList();
     }
 
     /** It is time to compare with somebody. */
-    public List<Out> compare(Collection<String> peers) {
+    public List<Transmission> compare(Collection<String> peers) {
         if (peers.isEmpty()) {
             return List.of();
         }
         List<String> all = new ArrayList<>(peers);
-        return List.of(new Out.Compare(all.get(random.nextInt(all.size())), set.digest(), false));
+        return List.of(
+                new Transmission.SendDigest(
+                        all.get(random.nextInt(all.size())), set.digest(), false));
     }
 
     /** A peer told what it knows: it gets what it lacks, and is asked for what it has otherwise. */
-    public List<Out> compared(String peer, Map<Say, Integer> theirs, boolean back, long nowMs) {
-        List<Out> out = new ArrayList<>();
-        List<Held> lacked = set.lackedBy(theirs, nowMs);
+    public List<Transmission> compared(
+            String peer, Map<CommandKey, Integer> theirs, boolean back, long nowMs) {
+        List<Transmission> out = new ArrayList<>();
+        List<CommandWithTtl> lacked = set.lackedBy(theirs, nowMs);
         for (int i = 0; i < lacked.size(); i += CHUNK) {
             out.add(
-                    new Out.Tell(
+                    new Transmission.SendCommands(
                             peer,
                             List.copyOf(lacked.subList(i, Math.min(lacked.size(), i + CHUNK)))));
         }
         if (!back && !theirs.equals(set.digest())) {
-            out.add(new Out.Compare(peer, set.digest(), true));
+            out.add(new Transmission.SendDigest(peer, set.digest(), true));
         }
         return out;
     }
--- a/fleet/src/main/java/ashlink/fleet/notice/Notice.java
+++ b/fleet/src/main/java/ashlink/fleet/notice/OperatorCommand.java
@@ -15,21 +15,21 @@
  * @param by who issued it: the owner, or who overruled it
  * @param why for people
  */
-public record Notice(
+public record OperatorCommand(
         String subject, String owner, long revision, Intent intent, String by, String why)
-        implements Comparable<Notice> {
+        implements Comparable<OperatorCommand> {
 
     /** Longest text of any part. */
     public static final int MOST_CHARS = 256;
 
-    private static final Comparator<Notice> ORDER =
-            Comparator.comparingLong(Notice::revision)
-                    .thenComparing(Notice::intent)
-                    .thenComparing(Notice::by)
-                    .thenComparing(Notice::why);
+    private static final Comparator<OperatorCommand> ORDER =
+            Comparator.comparingLong(OperatorCommand::revision)
+                    .thenComparing(OperatorCommand::intent)
+                    .thenComparing(OperatorCommand::by)
+                    .thenComparing(OperatorCommand::why);
 
     /** Checks the form. */
-    public Notice {
+    public OperatorCommand {
         if (!subject.matches("(engine|router):.+") || owner.isEmpty() || revision < 1) {
             throw new IllegalArgumentException(
                     "a notice on " + subject + " of " + owner + ", revision " + revision);
@@ -62,7 +62,7 @@
 
     /** Which of two notices of the same owner and subject holds: the greater. */
     @Override
-    public int compareTo(Notice other) {
+    public int compareTo(OperatorCommand other) {
         return ORDER.compare(this, other);
     }
 }
--- a/fleet/src/main/java/ashlink/fleet/notice/NoticeSet.java
+++ b/fleet/src/main/java/ashlink/fleet/notice/ReplicatedCommandSet.java
@@ -14,26 +14,26 @@
  * life again. Times are of the router's own clock, in milliseconds: what travels is how long a
  * notice still has, not when it ends.
  */
-public final class NoticeSet {
+public final class ReplicatedCommandSet {
 
     /** A notice and how long it still holds, in milliseconds; 0 or less is over. */
-    public record Held(Notice notice, long leftMs) {}
+    public record CommandWithTtl(OperatorCommand notice, long leftMs) {}
 
     /** Names a say: that of an owner on a subject. */
-    public record Say(String subject, String owner) implements Comparable<Say> {
+    public record CommandKey(String subject, String owner) implements Comparable<CommandKey> {
         @Override
-        public int compareTo(Say o) {
+        public int compareTo(CommandKey o) {
             int c = subject.compareTo(o.subject);
             return c != 0 ? c : owner.compareTo(o.owner);
         }
     }
 
-    private record Entry(Notice notice, long untilMs) {}
+    private record Entry(OperatorCommand notice, long untilMs) {}
 
     private final int most;
     private final long longestMs;
     private final long rememberedMs;
-    private final Map<Say, Entry> entries = new TreeMap<>();
+    private final Map<CommandKey, Entry> entries = new TreeMap<>();
 
     /**
      * An empty set.
@@ -44,7 +44,7 @@
      *     longestMs}, so that whoever still has an older one has it no longer than the newer is
      *     remembered
      */
-    public NoticeSet(int most, long longestMs, long rememberedMs) {
+    public ReplicatedCommandSet(int most, long longestMs, long rememberedMs) {
         if (rememberedMs < longestMs) {
             throw new IllegalArgumentException(
                     "remembered for "
@@ -57,12 +57,12 @@
         this.rememberedMs = rememberedMs;
     }
 
-    private static Say say(Notice n) {
-        return new Say(n.subject(), n.owner());
+    private static CommandKey say(OperatorCommand n) {
+        return new CommandKey(n.subject(), n.owner());
     }
 
     /** Adds a notice that still holds for that long; true if anything is otherwise than before. */
-    public boolean add(Notice n, long leftMs, long nowMs) {
+    public boolean add(OperatorCommand n, long leftMs, long nowMs) {
         long until = nowMs + Math.min(leftMs, longestMs);
         Entry held = entries.get(say(n));
         if (held == null && entries.size() >= most) {
@@ -108,7 +108,7 @@
 
     /** The next revision for a say: more than any that is known of it. */
     public long nextRevision(String subject, String owner) {
-        Entry e = entries.get(new Say(subject, owner));
+        Entry e = entries.get(new CommandKey(subject, owner));
         return e == null ? 1 : e.notice.revision() + 1;
     }
 
@@ -125,26 +125,28 @@
     }
 
     /** All notices, also those that are over and remembered. */
-    public List<Held> all(long nowMs) {
-        return entries.values().stream().map(e -> new Held(e.notice, e.untilMs - nowMs)).toList();
+    public List<CommandWithTtl> all(long nowMs) {
+        return entries.values().stream()
+                .map(e -> new CommandWithTtl(e.notice, e.untilMs - nowMs))
+                .toList();
     }
 
     /** What the holder of that digest lacks. */
-    public List<Held> lackedBy(Map<Say, Integer> digest, long nowMs) {
-        List<Held> lacked = new ArrayList<>();
+    public List<CommandWithTtl> lackedBy(Map<CommandKey, Integer> digest, long nowMs) {
+        List<CommandWithTtl> lacked = new ArrayList<>();
         entries.forEach(
                 (say, e) -> {
                     Integer theirs = digest.get(say);
                     if (theirs == null || theirs != e.notice.digest()) {
-                        lacked.add(new Held(e.notice, e.untilMs - nowMs));
+                        lacked.add(new CommandWithTtl(e.notice, e.untilMs - nowMs));
                     }
                 });
         return lacked;
     }
 
     /** Says with a hash of what is known of each, for who compares. */
-    public Map<Say, Integer> digest() {
-        Map<Say, Integer> digest = new TreeMap<>();
+    public Map<CommandKey, Integer> digest() {
+        Map<CommandKey, Integer> digest = new TreeMap<>();
         entries.forEach((say, e) -> digest.put(say, e.notice.digest()));
         return digest;
     }
--- a/fleet/src/main/java/ashlink/fleet/supervise/Restarts.java
+++ b/fleet/src/main/java/ashlink/fleet/supervise/RestartPolicy.java
@@ -7,7 +7,7 @@
  * short ones. Many short runs within a while are a loop: it goes on at the longest pause, and is
  * said to be one.
  */
-public final class Restarts {
+public final class RestartPolicy {
 
     /** What is done about an end. */
     public enum What {
@@ -30,23 +30,25 @@
      * @param goodNs a run of that length counts as good
      * @param loopRuns short runs within {@code loopNs} that make a loop
      */
-    public record Terms(long firstNs, long longestNs, long goodNs, int loopRuns, long loopNs) {
+    public record RestartLimits(
+            long firstNs, long longestNs, long goodNs, int loopRuns, long loopNs) {
 
         /**
          * Half a second to half a minute; a minute is good; five within five minutes are a loop.
          */
-        public static final Terms DEFAULT =
-                new Terms(500_000_000L, 30_000_000_000L, 60_000_000_000L, 5, 300_000_000_000L);
+        public static final RestartLimits DEFAULT =
+                new RestartLimits(
+                        500_000_000L, 30_000_000_000L, 60_000_000_000L, 5, 300_000_000_000L);
     }
 
     private static final int BAD_SETTINGS = 2;
 
-    private final Terms terms;
+    private final RestartLimits terms;
     private final ArrayDeque<Long> shortEnds = new ArrayDeque<>();
     private int inARow;
 
     /** Restarts by those terms. */
-    public Restarts(Terms terms) {
+    public RestartPolicy(RestartLimits terms) {
         this.terms = terms;
     }
 
--- a/fleet/src/test/java/ashlink/fleet/member/FleetSim.java
+++ b/fleet/src/test/java/ashlink/fleet/member/MembershipSimulation.java
@@ -1,6 +1,6 @@
 package ashlink.fleet.member;
 
-import ashlink.fleet.member.Rumor.State;
+import ashlink.fleet.member.MembershipUpdate.State;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -13,7 +13,7 @@
  * Many members in simulated time: messages that take their time, get lost, or do not pass. From a
  * seed.
  */
-final class FleetSim {
+final class MembershipSimulation {
 
     static final long MS = 1_000_000L;
     static final long S = 1_000 * MS;
@@ -38,7 +38,7 @@
     long messages;
     int mostRumors;
 
-    FleetSim(int count, double loss, long seed) {
+    MembershipSimulation(int count, double loss, long seed) {
         this.random = new SplittableRandom(seed);
         this.loss = loss;
         Map<String, String> seeds = new HashMap<>();
@@ -47,7 +47,7 @@
         }
         for (int i = 0; i < count; i++) {
             String n = name(i);
-            members.put(n, new Swim(n, "at-" + n, seeds, Terms.DEFAULT, seed * 10_007 + i));
+            members.put(n, new Swim(n, "at-" + n, seeds, SwimConfig.DEFAULT, seed * 10_007 + i));
             at(random.nextLong(250 * MS), () -> tick(n));
         }
     }
--- a/fleet/src/test/java/ashlink/fleet/member/SwimRun.java
+++ b/fleet/src/test/java/ashlink/fleet/member/SwimRun.java
@@ -1,6 +1,6 @@
 package ashlink.fleet.member;
 
-import ashlink.fleet.member.Rumor.State;
+import ashlink.fleet.member.MembershipUpdate.State;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -9,13 +9,13 @@
  */
 class SwimRun {
 
-    private static final long S = FleetSim.S;
+    private static final long S = MembershipSimulation.S;
 
     @Test
     void aThousand() {
         int n = 1_000;
         for (double loss : new double[] {0.01, 0.05, 0.2}) {
-            FleetSim sim = new FleetSim(n, loss, 1);
+            MembershipSimulation sim = new MembershipSimulation(n, loss, 1);
             sim.run(10 * S);
             long messages = sim.messages;
             sim.run(20 * S);
@@ -47,7 +47,7 @@
                     alarms,
                     wrong,
                     first,
-                    Math.E / (Math.E - 1) * Terms.DEFAULT.periodNs() / 1e9,
+                    Math.E / (Math.E - 1) * SwimConfig.DEFAULT.periodNs() / 1e9,
                     half,
                     (sim.now - from) / 1e9,
                     sim.mostRumors);
--- a/fleet/src/test/java/ashlink/fleet/member/SwimTest.java
+++ b/fleet/src/test/java/ashlink/fleet/member/SwimTest.java
@@ -3,29 +3,29 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.fleet.member.Rumor.State;
+import ashlink.fleet.member.MembershipUpdate.State;
 import org.junit.jupiter.api.Test;
 
 class SwimTest {
 
-    private static final long S = FleetSim.S;
+    private static final long S = MembershipSimulation.S;
 
     @Test
     void aMemberThatDiesIsHeldForGoneByAllAndNobodyElseIs() {
-        FleetSim sim = new FleetSim(24, 0.01, 1);
+        MembershipSimulation sim = new MembershipSimulation(24, 0.01, 1);
         sim.run(10 * S);
         assertEquals(0, sim.wronglyGone());
         sim.dead.add("r0007");
         sim.run(15 * S);
         assertEquals(23, sim.holding("r0007", State.GONE));
         assertEquals(0, sim.wronglyGone());
-        assertTrue(sim.mostRumors <= Terms.DEFAULT.rumors() + 1, "messages are bounded");
+        assertTrue(sim.mostRumors <= SwimConfig.DEFAULT.rumors() + 1, "messages are bounded");
     }
 
     @Test
     void theSameSeedGivesTheSameStory() {
-        FleetSim a = new FleetSim(24, 0.05, 3);
-        FleetSim b = new FleetSim(24, 0.05, 3);
+        MembershipSimulation a = new MembershipSimulation(24, 0.05, 3);
+        MembershipSimulation b = new MembershipSimulation(24, 0.05, 3);
         a.run(20 * S);
         b.run(20 * S);
         assertEquals(a.messages, b.messages);
@@ -34,7 +34,7 @@
 
     @Test
     void aCutBetweenHallsHealsInBothDirections() {
-        FleetSim sim = new FleetSim(24, 0.01, 2);
+        MembershipSimulation sim = new MembershipSimulation(24, 0.01, 2);
         sim.run(5 * S);
         sim.passes =
                 (from, to) ->
@@ -49,7 +49,7 @@
 
     @Test
     void oneThatHearsAndIsNotHeardIsSavedByOthers() {
-        FleetSim sim = new FleetSim(24, 0.01, 4);
+        MembershipSimulation sim = new MembershipSimulation(24, 0.01, 4);
         sim.passes = (from, to) -> !(from.equals("r0001") && to.equals("r0002"));
         sim.run(60 * S);
         assertEquals(0, sim.wronglyGone(), "indirect pings go around the broken way");
@@ -57,7 +57,7 @@
 
     @Test
     void oneThatWasPausedComesBackAndDoesNotBelieveThatTheWorldHasDied() {
-        FleetSim sim = new FleetSim(24, 0.01, 5);
+        MembershipSimulation sim = new MembershipSimulation(24, 0.01, 5);
         sim.run(5 * S);
         sim.paused.add("r0003");
         sim.run(30 * S);
@@ -75,7 +75,7 @@
 
     @Test
     void allThatRestartAtOnceFindEachOther() {
-        FleetSim sim = new FleetSim(48, 0.05, 6);
+        MembershipSimulation sim = new MembershipSimulation(48, 0.05, 6);
         sim.run(20 * S);
         assertEquals(0, sim.wronglyGone());
     }
--- a/fleet/src/test/java/ashlink/fleet/notice/CarrierTest.java
+++ b/fleet/src/test/java/ashlink/fleet/notice/CommandDisseminatorTest.java
@@ -6,16 +6,16 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class CarrierTest {
+class CommandDisseminatorTest {
 
-    private static Notice notice(String owner, long revision, Intent intent) {
-        return new Notice("engine:q1", owner, revision, intent, owner, "");
+    private static OperatorCommand notice(String owner, long revision, Intent intent) {
+        return new OperatorCommand("engine:q1", owner, revision, intent, owner, "");
     }
 
     @Test
     void aDrainReachesAllOfManyWithinTheGraceThoughHalfOfTheToldDieAndMessagesAreLost() {
         for (long seed = 1; seed <= 5; seed++) {
-            NoticeSim sim = new NoticeSim(300, 0.05, seed);
+            DisseminationSimulation sim = new DisseminationSimulation(300, 0.05, seed);
             sim.run(2_000);
             long from = sim.nowMs;
             sim.tell("r1", notice("ann", 1, Intent.DRAIN));
@@ -32,7 +32,7 @@
     @Test
     void drainAndUndrainOnBothSidesOfACutHealTheSameWhicheverComesFirst() {
         for (boolean drainLast : new boolean[] {true, false}) {
-            NoticeSim sim = new NoticeSim(24, 0.05, 7);
+            DisseminationSimulation sim = new DisseminationSimulation(24, 0.05, 7);
             sim.tell("r0", notice("ann", 1, Intent.DRAIN));
             sim.run(5_000);
             assertEquals(Map.of("DRAIN", 24L), sim.holding("engine:q1"));
@@ -64,7 +64,7 @@
 
     @Test
     void oneThatHearsNobodyLearnsOnceItDoes() {
-        NoticeSim sim = new NoticeSim(24, 0.01, 9);
+        DisseminationSimulation sim = new DisseminationSimulation(24, 0.01, 9);
         sim.passes = (a, b) -> !b.equals("r7"); // it is heard, and hears nothing
         sim.tell("r0", notice("ann", 1, Intent.DRAIN));
         sim.run(60_000);
@@ -78,7 +78,7 @@
     @Test
     void aThousandAreToldOfOneNoticeInATimeThatDoesNotGrowWithThem() {
         for (double loss : new double[] {0.01, 0.05, 0.2}) {
-            NoticeSim sim = new NoticeSim(1_000, loss, 3);
+            DisseminationSimulation sim = new DisseminationSimulation(1_000, loss, 3);
             sim.run(2_000);
             long from = sim.nowMs;
             long before = sim.messages;
--- a/fleet/src/test/java/ashlink/fleet/notice/NoticeSim.java
+++ b/fleet/src/test/java/ashlink/fleet/notice/DisseminationSimulation.java
@@ -1,6 +1,6 @@
 package ashlink.fleet.notice;
 
-import ashlink.fleet.notice.NoticeSet.Held;
+import ashlink.fleet.notice.ReplicatedCommandSet.CommandWithTtl;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -13,20 +13,20 @@
 import java.util.function.BiPredicate;
 
 /** Notices between many routers in simulated time, with clocks that are apart. From a seed. */
-final class NoticeSim {
+final class DisseminationSimulation {
 
     private static final long DAY = 86_400_000L;
 
     private record Event(long atMs, long number, Runnable what) {}
 
     private static final class Router {
-        final NoticeSet set = new NoticeSet(1_000, 30 * DAY, 60 * DAY);
-        final Carrier carrier;
+        final ReplicatedCommandSet set = new ReplicatedCommandSet(1_000, 30 * DAY, 60 * DAY);
+        final CommandDisseminator carrier;
         final long clockMs;
         long learntMs = -1;
 
         Router(long seed, long clockMs) {
-            this.carrier = new Carrier(set, seed);
+            this.carrier = new CommandDisseminator(set, seed);
             this.clockMs = clockMs;
         }
     }
@@ -44,7 +44,7 @@
                     java.util.Comparator.comparingLong(Event::atMs)
                             .thenComparingLong(Event::number));
 
-    NoticeSim(int count, double loss, long seed) {
+    DisseminationSimulation(int count, double loss, long seed) {
         this.random = new SplittableRandom(seed);
         this.loss = loss;
         for (int i = 0; i < count; i++) {
@@ -71,8 +71,8 @@
         at(1_000, () -> compare(r));
     }
 
-    private void send(String from, List<Carrier.Out> all) {
-        for (Carrier.Out o : all) {
+    private void send(String from, List<CommandDisseminator.Transmission> all) {
+        for (CommandDisseminator.Transmission o : all) {
             messages++;
             if (random.nextDouble() >= loss && passes.test(from, o.peer())) {
                 at(1 + random.nextInt(10), () -> deliver(from, o));
@@ -80,23 +80,23 @@
         }
     }
 
-    private void deliver(String from, Carrier.Out o) {
+    private void deliver(String from, CommandDisseminator.Transmission o) {
         Router r = routers.get(o.peer());
         if (dead.contains(o.peer())) {
             return;
         }
-        if (o instanceof Carrier.Out.Tell t) {
+        if (o instanceof CommandDisseminator.Transmission.SendCommands t) {
             learn(o.peer(), t.notices(), from);
-        } else if (o instanceof Carrier.Out.Compare c) {
+        } else if (o instanceof CommandDisseminator.Transmission.SendDigest c) {
             send(o.peer(), r.carrier.compared(from, c.digest(), c.back(), nowMs + r.clockMs));
         }
     }
 
     /** A router hears of notices: from a peer, or from the tool. */
-    void learn(String name, List<Held> held, String from) {
+    void learn(String name, List<CommandWithTtl> held, String from) {
         Router r = routers.get(name);
-        List<Held> fresh = new ArrayList<>();
-        for (Held h : held) {
+        List<CommandWithTtl> fresh = new ArrayList<>();
+        for (CommandWithTtl h : held) {
             if (r.set.add(h.notice(), h.leftMs(), nowMs + r.clockMs)) {
                 fresh.add(h);
                 r.learntMs = nowMs;
@@ -105,8 +105,8 @@
         send(name, r.carrier.spread(fresh, peers(name), from));
     }
 
-    void tell(String router, Notice n) {
-        learn(router, List.of(new Held(n, DAY)), "");
+    void tell(String router, OperatorCommand n) {
+        learn(router, List.of(new CommandWithTtl(n, DAY)), "");
     }
 
     void run(long ms) {
--- a/fleet/src/test/java/ashlink/fleet/notice/ModelCheckTest.java
+++ b/fleet/src/test/java/ashlink/fleet/notice/ModelCheckTest.java
@@ -20,8 +20,10 @@
 
     private static final int ROUTERS = 3;
     private static final int MOST_IN_FLIGHT = 3;
-    private static final Notice DRAIN = new Notice("engine:q1", "ann", 1, Intent.DRAIN, "ann", "");
-    private static final Notice UNDRAIN = new Notice("engine:q1", "ann", 2, Intent.NONE, "ann", "");
+    private static final OperatorCommand DRAIN =
+            new OperatorCommand("engine:q1", "ann", 1, Intent.DRAIN, "ann", "");
+    private static final OperatorCommand UNDRAIN =
+            new OperatorCommand("engine:q1", "ann", 2, Intent.NONE, "ann", "");
 
     /** Bits 1 and 2 stand for the notices. */
     private record Message(int to, int notices) implements Comparable<Message> {
@@ -44,8 +46,8 @@
 
     private record Found(int states, int wrong) {}
 
-    private static NoticeSet set(int notices) {
-        NoticeSet s = new NoticeSet(10, 1_000, 1_000);
+    private static ReplicatedCommandSet set(int notices) {
+        ReplicatedCommandSet s = new ReplicatedCommandSet(10, 1_000, 1_000);
         if ((notices & 2) != 0) {
             s.add(UNDRAIN, 1_000, 0); // in an order that is not theirs
         }
--- a/fleet/src/test/java/ashlink/fleet/notice/NoticeProperties.java
+++ b/fleet/src/test/java/ashlink/fleet/notice/ReplicatedCommandSetProperties.java
@@ -13,24 +13,25 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-class NoticeProperties {
+class ReplicatedCommandSetProperties {
 
     private static final long DAY = 86_400_000L;
 
     /** Worked out apart from the code, by the definitions of Objects.hash and String.hashCode. */
     private static final int DIGEST = 1912168615;
 
-    private static NoticeSet set() {
-        return new NoticeSet(1_000, 7 * DAY, 14 * DAY);
+    private static ReplicatedCommandSet set() {
+        return new ReplicatedCommandSet(1_000, 7 * DAY, 14 * DAY);
     }
 
-    private static Notice notice(String subject, String owner, long revision, Intent intent) {
-        return new Notice(subject, owner, revision, intent, owner, "");
+    private static OperatorCommand notice(
+            String subject, String owner, long revision, Intent intent) {
+        return new OperatorCommand(subject, owner, revision, intent, owner, "");
     }
 
     /** Few subjects, owners and revisions, so that they meet. */
-    private static List<Notice> some(SplittableRandom random, int count) {
-        List<Notice> all = new ArrayList<>();
+    private static List<OperatorCommand> some(SplittableRandom random, int count) {
+        List<OperatorCommand> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             all.add(
                     notice(
@@ -42,8 +43,8 @@
         return all;
     }
 
-    private static NoticeSet of(List<Notice> notices) {
-        NoticeSet s = set();
+    private static ReplicatedCommandSet of(List<OperatorCommand> notices) {
+        ReplicatedCommandSet s = set();
         notices.forEach(n -> s.add(n, DAY, 0));
         return s;
     }
@@ -51,8 +52,8 @@
     @Property(tries = 300, seed = "1")
     void anyOrderAndAnyNumberOfTimesGiveTheSame(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<Notice> notices = some(random, 1 + random.nextInt(12));
-        List<Notice> shuffled = new ArrayList<>(notices);
+        List<OperatorCommand> notices = some(random, 1 + random.nextInt(12));
+        List<OperatorCommand> shuffled = new ArrayList<>(notices);
         shuffled.addAll(some(new SplittableRandom(seed), 0));
         shuffled.addAll(notices.subList(0, random.nextInt(notices.size())));
         Collections.shuffle(shuffled, new Random(seed));
@@ -63,9 +64,9 @@
     @Property(tries = 300, seed = "2")
     void setsThatTellEachOtherWhatTheyLackAreTheSameAfterwards(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        NoticeSet a = of(some(random, random.nextInt(10)));
-        NoticeSet b = of(some(random, random.nextInt(10)));
-        List<NoticeSet.Held> toB = a.lackedBy(b.digest(), 0);
+        ReplicatedCommandSet a = of(some(random, random.nextInt(10)));
+        ReplicatedCommandSet b = of(some(random, random.nextInt(10)));
+        List<ReplicatedCommandSet.CommandWithTtl> toB = a.lackedBy(b.digest(), 0);
         b.lackedBy(a.digest(), 0).forEach(h -> a.add(h.notice(), h.leftMs(), 0));
         toB.forEach(h -> b.add(h.notice(), h.leftMs(), 0));
         assertEquals(a.all(0), b.all(0));
@@ -75,11 +76,11 @@
     @Property(tries = 300, seed = "3")
     void anOlderNoticeNeverChangesANewer(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        NoticeSet s = of(some(random, 8));
-        List<NoticeSet.Held> before = s.all(0);
-        for (NoticeSet.Held h : before) {
+        ReplicatedCommandSet s = of(some(random, 8));
+        List<ReplicatedCommandSet.CommandWithTtl> before = s.all(0);
+        for (ReplicatedCommandSet.CommandWithTtl h : before) {
             if (h.notice().revision() > 1) {
-                Notice old =
+                OperatorCommand old =
                         notice(
                                 h.notice().subject(),
                                 h.notice().owner(),
@@ -98,14 +99,14 @@
 
     @Example
     void eachOwnerHasASayAndTheStrongestHolds() {
-        NoticeSet s = set();
+        ReplicatedCommandSet s = set();
         s.add(notice("engine:q1", "ann", 1, Intent.DRAIN), DAY, 0);
         s.add(notice("engine:q1", "ben", 1, Intent.DRAIN), DAY, 0);
         s.add(notice("engine:q1", "ann", 2, Intent.NONE), DAY, 0);
         assertEquals(Intent.DRAIN, s.intent("engine:q1", 1), "ben still wants it");
         assertEquals(List.of("ben"), s.owners("engine:q1", 1));
         s.add(
-                new Notice(
+                new OperatorCommand(
                         "engine:q1",
                         "ben",
                         s.nextRevision("engine:q1", "ben"),
@@ -119,7 +120,7 @@
 
     @Example
     void aNoticeEndsByItsTimeAndAnOlderOneStaysDead() {
-        NoticeSet s = set();
+        ReplicatedCommandSet s = set();
         s.add(notice("engine:q1", "ann", 2, Intent.DRAIN), 1_000, 0);
         assertEquals(Intent.DRAIN, s.intent("engine:q1", 999));
         assertEquals(Intent.NONE, s.intent("engine:q1", 1_000));
@@ -138,7 +139,7 @@
 
     @Example
     void aFullSetTakesNoNewSayButNewerOnesOfThoseItHas() {
-        NoticeSet s = new NoticeSet(2, DAY, DAY);
+        ReplicatedCommandSet s = new ReplicatedCommandSet(2, DAY, DAY);
         assertTrue(s.add(notice("engine:a", "o", 1, Intent.DRAIN), DAY, 0));
         assertTrue(s.add(notice("engine:b", "o", 1, Intent.DRAIN), DAY, 0));
         assertFalse(s.add(notice("engine:c", "o", 1, Intent.DRAIN), DAY, 0));
--- a/fleet/src/test/java/ashlink/fleet/supervise/RestartsTest.java
+++ b/fleet/src/test/java/ashlink/fleet/supervise/RestartPolicyTest.java
@@ -2,17 +2,17 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import ashlink.fleet.supervise.Restarts.Decision;
-import ashlink.fleet.supervise.Restarts.What;
+import ashlink.fleet.supervise.RestartPolicy.Decision;
+import ashlink.fleet.supervise.RestartPolicy.What;
 import org.junit.jupiter.api.Test;
 
-class RestartsTest {
+class RestartPolicyTest {
 
     private static final long S = 1_000_000_000L;
 
     @Test
     void shortRunsPauseLongerUntilTheyAreALoopAndAGoodOneMakesGood() {
-        Restarts r = new Restarts(Restarts.Terms.DEFAULT);
+        RestartPolicy r = new RestartPolicy(RestartPolicy.RestartLimits.DEFAULT);
         assertEquals(new Decision(What.AGAIN, S / 2), r.ended(0, S, 137, false));
         assertEquals(new Decision(What.AGAIN, S), r.ended(2 * S, 3 * S, 137, false));
         assertEquals(new Decision(What.AGAIN, 2 * S), r.ended(4 * S, 5 * S, 1, false));
@@ -30,7 +30,7 @@
 
     @Test
     void whoWasToldToEndStaysEndedAndWhoCannotStartIsLeft() {
-        Restarts r = new Restarts(Restarts.Terms.DEFAULT);
+        RestartPolicy r = new RestartPolicy(RestartPolicy.RestartLimits.DEFAULT);
         assertEquals(What.DONE, r.ended(0, S, 0, false).what());
         assertEquals(What.DONE, r.ended(0, S, 143, true).what());
         assertEquals(What.GIVE_UP, r.ended(0, S, 2, false).what());
--- a/rig/src/main/java/ashlink/rig/bench/BackgroundBench.java
+++ b/rig/src/main/java/ashlink/rig/bench/BackgroundBench.java
@@ -3,9 +3,9 @@
 import ashlink.background.Lease;
 import ashlink.background.plan.Priority;
 import ashlink.background.plan.TaskSpec;
-import ashlink.rig.fleet.BriefSettings;
+import ashlink.rig.fleet.TestSettings;
 import ashlink.router.Router;
-import ashlink.standin.StandInEngine;
+import ashlink.standin.EmulatedEngine;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.util.List;
@@ -32,10 +32,10 @@
 
     /** Runs it. */
     public void run() throws IOException, InterruptedException {
-        StandInEngine engine = Figures.engine("q1");
+        EmulatedEngine engine = Figures.engine("q1");
         Router router =
                 new Router(
-                        BriefSettings.of(
+                        TestSettings.of(
                                 "r1",
                                 "halle-1",
                                 0,
--- a/rig/src/main/java/ashlink/rig/bench/Figures.java
+++ b/rig/src/main/java/ashlink/rig/bench/Figures.java
@@ -1,7 +1,7 @@
 package ashlink.rig.bench;
 
 import ashlink.config.EngineConfig;
-import ashlink.standin.StandInEngine;
+import ashlink.standin.EmulatedEngine;
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
 import java.net.InetSocketAddress;
@@ -12,10 +12,10 @@
 
     private Figures() {}
 
-    static StandInEngine engine(String name) throws IOException {
+    static EmulatedEngine engine(String name) throws IOException {
         // Cores without number: what is measured is the way to the engine, not the engine.
-        StandInEngine e =
-                new StandInEngine(
+        EmulatedEngine e =
+                new EmulatedEngine(
                         new EngineConfig(
                                 name,
                                 new InetSocketAddress("127.0.0.1", 0),
--- a/rig/src/main/java/ashlink/rig/bench/HttpBench.java
+++ b/rig/src/main/java/ashlink/rig/bench/HttpBench.java
@@ -2,9 +2,9 @@
 
 import ashlink.rig.client.NativeClient;
 import ashlink.rig.client.Reply;
-import ashlink.rig.fleet.BriefSettings;
+import ashlink.rig.fleet.TestSettings;
 import ashlink.router.Router;
-import ashlink.standin.StandInEngine;
+import ashlink.standin.EmulatedEngine;
 import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -50,11 +50,11 @@
 
     /** Runs all of it. */
     public void run() throws IOException, InterruptedException {
-        StandInEngine engine = Figures.engine("q1");
+        EmulatedEngine engine = Figures.engine("q1");
         Path spool = Files.createTempDirectory("ashlink-bench");
         Router router =
                 new Router(
-                        BriefSettings.of(
+                        TestSettings.of(
                                 "r1",
                                 "halle-1",
                                 0,
--- a/rig/src/main/java/ashlink/rig/bench/RouterBench.java
+++ b/rig/src/main/java/ashlink/rig/bench/RouterBench.java
@@ -4,9 +4,9 @@
 import ashlink.decisions.api.Action;
 import ashlink.rig.client.NativeClient;
 import ashlink.rig.client.Reply;
-import ashlink.rig.fleet.BriefSettings;
+import ashlink.rig.fleet.TestSettings;
 import ashlink.router.Router;
-import ashlink.standin.StandInEngine;
+import ashlink.standin.EmulatedEngine;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
@@ -40,11 +40,11 @@
     }
 
     private Router router(
-            String name, int position, int gateways, List<StandInEngine> engines, String more)
+            String name, int position, int gateways, List<EmulatedEngine> engines, String more)
             throws IOException {
         Router r =
                 new Router(
-                        BriefSettings.of(
+                        TestSettings.of(
                                 name,
                                 "halle-1",
                                 position,
@@ -68,7 +68,7 @@
 
     /** Runs all of it. */
     public void run() throws IOException, InterruptedException {
-        StandInEngine engine = Figures.engine("q1");
+        EmulatedEngine engine = Figures.engine("q1");
         try (Relay relay = new Relay(engine.address())) {
             Router router = router("r1", 0, 1, List.of(engine), "");
             Path folder = Files.createTempDirectory("ashlink-bench");
@@ -249,7 +249,7 @@
 
     /** 660 queries a second over three routers, and the CPU that a query costs. */
     private void three() throws IOException, InterruptedException {
-        List<StandInEngine> engines = new ArrayList<>();
+        List<EmulatedEngine> engines = new ArrayList<>();
         for (int i = 1; i <= 4; i++) {
             engines.add(Figures.engine("q" + i));
         }
@@ -274,6 +274,6 @@
                 each,
                 (decidingNs.get() - deciding) / 1e3 / seen.times().getTotalCount());
         routers.forEach(Router::kill);
-        engines.forEach(StandInEngine::crash);
+        engines.forEach(EmulatedEngine::crash);
     }
 }
--- a/rig/src/main/java/ashlink/rig/check/Checker.java
+++ b/rig/src/main/java/ashlink/rig/check/InvariantChecker.java
@@ -4,11 +4,11 @@
 import ashlink.decisions.api.QueryClass;
 import ashlink.decisions.api.RetrySafety;
 import ashlink.rig.client.Reply;
-import ashlink.rig.day.DayFacts;
-import ashlink.rig.day.DayFacts.Drain;
-import ashlink.rig.day.DayFacts.Span;
-import ashlink.rig.day.Sent;
-import ashlink.rig.load.Try;
+import ashlink.rig.day.ScenarioFacts;
+import ashlink.rig.day.ScenarioFacts.Drain;
+import ashlink.rig.day.ScenarioFacts.Span;
+import ashlink.rig.day.SentQuery;
+import ashlink.rig.load.ClientAttempt;
 import ashlink.standin.Ledger.How;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -17,7 +17,7 @@
 import java.util.Map;
 
 /** The seven rules of the brief, each by what was seen from outside. */
-public final class Checker {
+public final class InvariantChecker {
 
     private static final long MS = 1_000_000L;
 
@@ -30,13 +30,13 @@
     /** Time before a drain in which the engine was in use by that router. */
     private static final long IN_USE_NS = 2_000 * MS;
 
-    private final DayFacts facts;
-    private final Map<String, List<Sent>> byTag = new HashMap<>();
+    private final ScenarioFacts facts;
+    private final Map<String, List<SentQuery>> byTag = new HashMap<>();
 
     /** A checker of a day. */
-    public Checker(DayFacts facts) {
+    public InvariantChecker(ScenarioFacts facts) {
         this.facts = facts;
-        for (Sent e : facts.ledger()) {
+        for (SentQuery e : facts.ledger()) {
             byTag.computeIfAbsent(e.tag(), k -> new ArrayList<>()).add(e);
         }
         byTag.values().forEach(l -> l.sort(Comparator.comparingLong(e -> e.beganNs())));
@@ -54,11 +54,11 @@
                 budget());
     }
 
-    private QueryClass cls(Try t) {
+    private QueryClass cls(ClientAttempt t) {
         return facts.settings().classes().get(t.queryClass());
     }
 
-    private boolean routerDied(Try t) {
+    private boolean routerDied(ClientAttempt t) {
         return facts.routerKills().stream()
                 .anyMatch(
                         k ->
@@ -74,7 +74,7 @@
     private Verdict oneAnswer() {
         List<String> broken = new ArrayList<>();
         int stake = 0;
-        for (Try t : facts.tries()) {
+        for (ClientAttempt t : facts.tries()) {
             if (!t.sent() || routerDied(t)) {
                 continue;
             }
@@ -114,8 +114,8 @@
         List<String> broken = new ArrayList<>();
         int stake = 0;
         Map<Long, Integer> ran = new HashMap<>();
-        for (Try t : facts.tries()) {
-            List<Sent> entries = byTag.getOrDefault(t.tag(), List.of());
+        for (ClientAttempt t : facts.tries()) {
+            List<SentQuery> entries = byTag.getOrDefault(t.tag(), List.of());
             boolean unsafe = cls(t).retrySafety() == RetrySafety.AT_MOST_ONCE;
             long runs =
                     entries.stream()
@@ -162,7 +162,7 @@
         long grace = facts.settings().limits().drainGraceNs();
         for (Drain d : facts.drains()) {
             boolean used = false;
-            for (Sent e : facts.ledger()) {
+            for (SentQuery e : facts.ledger()) {
                 if (e.engine().equals(d.engine()) && e.router().equals(d.router())) {
                     used |= e.beganNs() > d.toldNs() - IN_USE_NS && e.beganNs() < d.toldNs();
                     if (e.beganNs() > d.toldNs() + grace && e.beganNs() < d.untilNs()) {
@@ -195,7 +195,7 @@
         var limits = facts.settings().limits();
         for (Span down : facts.engineDowns()) {
             EngineConfig c = facts.day().engines().get(down.name());
-            List<Sent> sent =
+            List<SentQuery> sent =
                     facts.ledger().stream()
                             .filter(
                                     e ->
@@ -207,7 +207,7 @@
                             .toList();
             stake += sent.size();
             double windowMs = limits.slowStartWindowNs() / (double) MS;
-            for (Sent last : sent) {
+            for (SentQuery last : sent) {
                 double work =
                         sent.stream()
                                 .filter(
@@ -241,14 +241,14 @@
     private Verdict order() {
         List<String> broken = new ArrayList<>();
         int stake = 0;
-        Map<String, List<Try>> lines = new HashMap<>();
-        for (Try t : facts.tries()) {
+        Map<String, List<ClientAttempt>> lines = new HashMap<>();
+        for (ClientAttempt t : facts.tries()) {
             if (t.key() != null && cls(t).ordered() && t.sent()) {
                 lines.computeIfAbsent(t.router() + " " + t.key(), k -> new ArrayList<>()).add(t);
             }
         }
-        for (List<Try> line : lines.values()) {
-            line.sort(Comparator.comparingLong(Try::sentNs));
+        for (List<ClientAttempt> line : lines.values()) {
+            line.sort(Comparator.comparingLong(ClientAttempt::sentNs));
             for (int i = 0; i < line.size(); i++) {
                 for (int j = i + 1;
                         j < line.size() && line.get(j).sentNs() < line.get(i).reply().endNs();
@@ -263,9 +263,9 @@
         return new Verdict("5 order kept", stake, broken);
     }
 
-    private void compare(Try first, Try second, List<String> broken) {
-        for (Sent a : byTag.getOrDefault(first.tag(), List.of())) {
-            for (Sent b : byTag.getOrDefault(second.tag(), List.of())) {
+    private void compare(ClientAttempt first, ClientAttempt second, List<String> broken) {
+        for (SentQuery a : byTag.getOrDefault(first.tag(), List.of())) {
+            for (SentQuery b : byTag.getOrDefault(second.tag(), List.of())) {
                 if (a.beganNs() <= b.beganNs()
                         ? b.beganNs() + SKEW_NS < a.outUntilNs()
                         : a.beganNs() + SKEW_NS < b.outUntilNs()) {
@@ -296,12 +296,12 @@
     private Verdict placement() {
         List<String> broken = new ArrayList<>();
         int stake = 0;
-        for (Try t : facts.tries()) {
+        for (ClientAttempt t : facts.tries()) {
             QueryClass c = cls(t);
             if (c.engineKinds().isEmpty() && c.zones().isEmpty()) {
                 continue;
             }
-            for (Sent e : byTag.getOrDefault(t.tag(), List.of())) {
+            for (SentQuery e : byTag.getOrDefault(t.tag(), List.of())) {
                 boolean pressed =
                         facts.sick().stream()
                                         .anyMatch(
@@ -344,12 +344,12 @@
         int stake = 0;
         var limits = facts.settings().limits();
         Map<String, List<Long>> further = new HashMap<>();
-        for (Try t : facts.tries()) {
-            List<Sent> entries = byTag.getOrDefault(t.tag(), List.of());
+        for (ClientAttempt t : facts.tries()) {
+            List<SentQuery> entries = byTag.getOrDefault(t.tag(), List.of());
             if (entries.size() > facts.settings().allowed().maxAttempts()) {
                 broken.add(t.tag() + " had " + entries.size() + " attempts");
             }
-            for (Sent e : entries.subList(Math.min(1, entries.size()), entries.size())) {
+            for (SentQuery e : entries.subList(Math.min(1, entries.size()), entries.size())) {
                 stake++;
                 further.computeIfAbsent(e.router(), k -> new ArrayList<>()).add(e.beganNs());
             }
@@ -360,7 +360,7 @@
                         List<Long> taken =
                                 facts.tries().stream()
                                         .filter(t -> t.router().equals(router) && t.sent())
-                                        .map(Try::sentNs)
+                                        .map(ClientAttempt::sentNs)
                                         .toList();
                         for (long last : times) {
                             long from = last - limits.retryBudgetWindowNs();
--- a/rig/src/main/java/ashlink/rig/check/Service.java
+++ b/rig/src/main/java/ashlink/rig/check/Service.java
@@ -2,8 +2,8 @@
 
 import ashlink.decisions.api.QueryClass;
 import ashlink.rig.client.Reply;
-import ashlink.rig.day.DayFacts;
-import ashlink.rig.load.Try;
+import ashlink.rig.day.ScenarioFacts;
+import ashlink.rig.load.ClientAttempt;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -33,17 +33,17 @@
             String queryClass, String front, long atNs, double asked, double earned) {}
 
     /** The service of a day. */
-    public static Service of(DayFacts facts) {
-        Map<Long, List<Try>> requests = new HashMap<>();
+    public static Service of(ScenarioFacts facts) {
+        Map<Long, List<ClientAttempt>> requests = new HashMap<>();
         facts.tries()
                 .forEach(t -> requests.computeIfAbsent(t.request(), k -> new ArrayList<>()).add(t));
         List<Earned> all = new ArrayList<>();
         long served = 0;
         long refused = 0;
         long failed = 0;
-        for (List<Try> tries : requests.values()) {
-            tries.sort(Comparator.comparingInt(Try::number));
-            Try last = tries.get(tries.size() - 1);
+        for (List<ClientAttempt> tries : requests.values()) {
+            tries.sort(Comparator.comparingInt(ClientAttempt::number));
+            ClientAttempt last = tries.get(tries.size() - 1);
             QueryClass c = facts.settings().classes().get(last.queryClass());
             boolean good = last.reply().kind() == Reply.Kind.SERVED;
             served += good ? 1 : 0;
--- a/rig/src/main/java/ashlink/rig/day/Troubles.java
+++ b/rig/src/main/java/ashlink/rig/day/FaultCatalog.java
@@ -1,13 +1,13 @@
 package ashlink.rig.day;
 
 import ashlink.config.ConfigException;
-import ashlink.config.DayConfig;
-import ashlink.config.DayConfigReader;
-import ashlink.rig.fleet.BriefSettings;
+import ashlink.config.ScenarioConfig;
+import ashlink.config.ScenarioConfigReader;
+import ashlink.rig.fleet.TestSettings;
 import java.util.List;
 
 /** Days of one kind of trouble each, as the operators' pages name them, scaled to one machine. */
-public final class Troubles {
+public final class FaultCatalog {
 
     /** Their names. */
     public static final List<String> NAMES =
@@ -32,15 +32,15 @@
                     "shift",
                     "list-late");
 
-    private Troubles() {}
+    private FaultCatalog() {}
 
     /** The day of that name; {@code more} is further settings of its routers. */
-    public static DayConfig day(String name, String more) throws ConfigException {
+    public static ScenarioConfig day(String name, String more) throws ConfigException {
         String text =
-                BriefSettings.resource("troubles/base.sexp")
+                TestSettings.resource("troubles/base.sexp")
                         .replace("NAME", name)
-                        .replace("TROUBLES", BriefSettings.resource("troubles/" + name + ".sexp"));
-        DayConfig d = DayConfigReader.read(name, text);
+                        .replace("TROUBLES", TestSettings.resource("troubles/" + name + ".sexp"));
+        ScenarioConfig d = ScenarioConfigReader.read(name, text);
         return d.with(d.seed(), d.httpShare(), more);
     }
 }
--- a/rig/src/main/java/ashlink/rig/day/DayFacts.java
+++ b/rig/src/main/java/ashlink/rig/day/ScenarioFacts.java
@@ -1,8 +1,8 @@
 package ashlink.rig.day;
 
-import ashlink.config.DayConfig;
 import ashlink.config.RouterConfig;
-import ashlink.rig.load.Try;
+import ashlink.config.ScenarioConfig;
+import ashlink.rig.load.ClientAttempt;
 import java.util.List;
 
 /**
@@ -11,12 +11,12 @@
  *
  * @param settings of one of the routers: the classes and figures that the rules go by
  */
-public record DayFacts(
-        DayConfig day,
+public record ScenarioFacts(
+        ScenarioConfig day,
         RouterConfig settings,
         long fromNs,
-        List<Try> tries,
-        List<Sent> ledger,
+        List<ClientAttempt> tries,
+        List<SentQuery> ledger,
         List<Drain> drains,
         List<Span> routerKills,
         List<Span> engineDowns,
--- a/rig/src/main/java/ashlink/rig/day/DayRun.java
+++ b/rig/src/main/java/ashlink/rig/day/ScenarioRunner.java
@@ -1,21 +1,21 @@
 package ashlink.rig.day;
 
-import ashlink.config.DayConfig;
-import ashlink.config.DayConfig.RouterSpec;
-import ashlink.config.DayConfig.Trouble;
 import ashlink.config.EngineConfig;
 import ashlink.config.RouterConfig;
+import ashlink.config.ScenarioConfig;
+import ashlink.config.ScenarioConfig.Fault;
+import ashlink.config.ScenarioConfig.RouterSpec;
 import ashlink.decisions.api.EndpointState;
 import ashlink.decisions.api.Settings;
 import ashlink.decisions.api.WorkloadManager;
-import ashlink.rig.day.DayFacts.Drain;
-import ashlink.rig.day.DayFacts.Span;
-import ashlink.rig.fleet.BriefSettings;
+import ashlink.rig.day.ScenarioFacts.Drain;
+import ashlink.rig.day.ScenarioFacts.Span;
+import ashlink.rig.fleet.TestSettings;
+import ashlink.rig.load.ClientAttempt;
 import ashlink.rig.load.LoadConditions;
 import ashlink.rig.load.LoadRun;
-import ashlink.rig.load.Try;
 import ashlink.router.Router;
-import ashlink.standin.StandInEngine;
+import ashlink.standin.EmulatedEngine;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -34,14 +34,14 @@
  * Plays a day: engines and routers in this process, on loopback; each router is killed and started
  * like a process.
  */
-public final class DayRun {
+public final class ScenarioRunner {
 
-    private static final Logger LOG = LoggerFactory.getLogger(DayRun.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ScenarioRunner.class);
     private static final long AGE_STEP_NS = 200_000_000L;
 
-    private final DayConfig day;
+    private final ScenarioConfig day;
     private final Function<Settings, WorkloadManager> module;
-    private final Map<String, StandInEngine> engines = new LinkedHashMap<>();
+    private final Map<String, EmulatedEngine> engines = new LinkedHashMap<>();
     private final Map<String, Router> routers = new ConcurrentHashMap<>();
     private final Map<String, InetSocketAddress> addresses = new ConcurrentHashMap<>();
     private final Map<String, InetSocketAddress> httpAddresses = new ConcurrentHashMap<>();
@@ -62,15 +62,15 @@
     private final LoadConditions conditions = new LoadConditions();
 
     /** A day whose routers decide by that module. */
-    public DayRun(DayConfig day, Function<Settings, WorkloadManager> module) {
+    public ScenarioRunner(ScenarioConfig day, Function<Settings, WorkloadManager> module) {
         this.day = day;
         this.module = module;
     }
 
     /** Plays it to its end. */
-    public DayFacts run() throws IOException, InterruptedException {
+    public ScenarioFacts run() throws IOException, InterruptedException {
         for (EngineConfig c : day.engines().values()) {
-            StandInEngine e = new StandInEngine(c);
+            EmulatedEngine e = new EmulatedEngine(c);
             e.start();
             engines.put(c.name(), e);
         }
@@ -80,7 +80,8 @@
         }
         long from = System.nanoTime();
         day.troubles().forEach(this::schedule);
-        List<Try> tries = new LoadRun(day, addresses::get, httpAddresses::get, conditions).run();
+        List<ClientAttempt> tries =
+                new LoadRun(day, addresses::get, httpAddresses::get, conditions).run();
         script.shutdownNow();
         script.awaitTermination(5, TimeUnit.SECONDS);
         for (Router r : routers.values()) {
@@ -88,16 +89,16 @@
         }
         List<String> fallen =
                 engines.values().stream()
-                        .filter(StandInEngine::hasFallen)
+                        .filter(EmulatedEngine::hasFallen)
                         .map(e -> e.config().name())
                         .toList();
-        List<Sent> ledger = new ArrayList<>();
-        for (StandInEngine e : engines.values()) {
+        List<SentQuery> ledger = new ArrayList<>();
+        for (EmulatedEngine e : engines.values()) {
             e.crash();
-            e.ledger().entries().forEach(x -> ledger.add(Sent.of(x)));
+            e.ledger().entries().forEach(x -> ledger.add(SentQuery.of(x)));
         }
         synchronized (this) {
-            return new DayFacts(
+            return new ScenarioFacts(
                     day,
                     settings(day.routers().get(0), 0, 0),
                     from,
@@ -112,7 +113,7 @@
     }
 
     private RouterConfig settings(RouterSpec r, int position, int port) {
-        return BriefSettings.of(
+        return TestSettings.of(
                 r.name(),
                 r.zone(),
                 position,
@@ -149,10 +150,10 @@
     }
 
     // ---- Troubles
-    private void schedule(Trouble t) {
+    private void schedule(Fault t) {
         at(t.atNs(), () -> begin(t));
         at(t.atNs() + t.forNs(), () -> end(t));
-        if (t.kind() == DayConfig.TroubleKind.AGE) {
+        if (t.kind() == ScenarioConfig.FaultKind.AGE) {
             for (long d = AGE_STEP_NS; d < t.forNs(); d += AGE_STEP_NS) {
                 double speed = 1 + (t.factor() - 1) * d / t.forNs();
                 at(t.atNs() + d, () -> engines.get(t.target()).speed(speed));
@@ -177,9 +178,9 @@
                 TimeUnit.NANOSECONDS);
     }
 
-    private synchronized void begin(Trouble t) throws InterruptedException {
+    private synchronized void begin(Fault t) throws InterruptedException {
         long now = System.nanoTime();
-        StandInEngine e = engines.get(t.target());
+        EmulatedEngine e = engines.get(t.target());
         LOG.info("trouble begins: {} {}", t.kind(), t.target());
         switch (t.kind()) {
             case HANG -> e.hang(true);
@@ -209,11 +210,11 @@
             case HOT_GROUP -> conditions.hotGroup(t.factor());
             case HOT_CALLER -> conditions.hotRouter(t.target(), t.factor());
         }
-        if (t.kind() == DayConfig.TroubleKind.REFUSE) {
+        if (t.kind() == ScenarioConfig.FaultKind.REFUSE) {
             e.faults()
                     .breakAt(
-                            ashlink.standin.Faults.Place.ACCEPT,
-                            ashlink.standin.Faults.Break.CLOSE,
+                            ashlink.standin.FaultInjection.Place.ACCEPT,
+                            ashlink.standin.FaultInjection.Break.CLOSE,
                             Integer.MAX_VALUE);
         }
         if (e != null) {
@@ -221,8 +222,8 @@
         }
     }
 
-    private synchronized void end(Trouble t) throws IOException {
-        StandInEngine e = engines.get(t.target());
+    private synchronized void end(Fault t) throws IOException {
+        EmulatedEngine e = engines.get(t.target());
         LOG.info("trouble ends: {} {}", t.kind(), t.target());
         switch (t.kind()) {
             case HANG -> e.hang(false);
@@ -230,7 +231,7 @@
             case LOST_ANSWERS, REFUSE -> e.faults().heal();
             case CRASH -> restart(t.target());
             case HALL_LOST -> {
-                for (StandInEngine x : engines.values()) {
+                for (EmulatedEngine x : engines.values()) {
                     if (x.config().zone().equals(t.target())) {
                         restart(x.config().name());
                     }
--- a/rig/src/main/java/ashlink/rig/fleet/Engines.java
+++ b/rig/src/main/java/ashlink/rig/fleet/EmulatedEngines.java
@@ -1,24 +1,24 @@
 package ashlink.rig.fleet;
 
 import ashlink.config.EngineConfig;
-import ashlink.standin.StandInEngine;
+import ashlink.standin.EmulatedEngine;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 
 /** Makes stand-in engines on loopback. */
-public final class Engines {
+public final class EmulatedEngines {
 
     private static final long S = 1_000_000_000L;
 
-    private Engines() {}
+    private EmulatedEngines() {}
 
     /** An engine as the brief tells of them, started and warm. */
-    public static StandInEngine start(String name, String zone, String kind, int cores, long seed)
+    public static EmulatedEngine start(String name, String zone, String kind, int cores, long seed)
             throws IOException {
-        StandInEngine e =
-                new StandInEngine(
+        EmulatedEngine e =
+                new EmulatedEngine(
                         new EngineConfig(
                                 name,
                                 new InetSocketAddress("127.0.0.1", 0),
@@ -45,8 +45,8 @@
     }
 
     /** The three engines of the demo, in two halls. */
-    public static List<StandInEngine> demo() throws IOException {
-        List<StandInEngine> engines = new ArrayList<>();
+    public static List<EmulatedEngine> demo() throws IOException {
+        List<EmulatedEngine> engines = new ArrayList<>();
         engines.add(start("q1", "halle-1", "typ-a", 8, 1));
         engines.add(start("q2", "halle-1", "typ-b", 8, 2));
         engines.add(start("q3", "halle-2", "typ-a", 8, 3));
--- a/rig/src/main/java/ashlink/rig/fleet/BriefSettings.java
+++ b/rig/src/main/java/ashlink/rig/fleet/TestSettings.java
@@ -3,22 +3,22 @@
 import ashlink.config.ConfigException;
 import ashlink.config.RouterConfig;
 import ashlink.config.RouterConfigReader;
-import ashlink.standin.StandInEngine;
+import ashlink.standin.EmulatedEngine;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.Collection;
 
 /** Settings of routers for the halls of the brief, with engines where they listen. */
-public final class BriefSettings {
+public final class TestSettings {
 
     private static final String FOLDER = "/ashlink/rig/";
 
-    private BriefSettings() {}
+    private TestSettings() {}
 
     /** A text that comes with the rig. */
     public static String resource(String name) {
-        try (InputStream in = BriefSettings.class.getResourceAsStream(FOLDER + name)) {
+        try (InputStream in = TestSettings.class.getResourceAsStream(FOLDER + name)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
             throw new IllegalStateException(e);
@@ -33,7 +33,7 @@
             int gateways,
             long seed,
             int port,
-            Collection<StandInEngine> engines,
+            Collection<EmulatedEngine> engines,
             String extra) {
         StringBuilder text =
                 new StringBuilder(
@@ -52,7 +52,7 @@
                                 + "))\n"
                                 + resource("brief.sexp")
                                 + (extra.contains("(limits") ? "" : resource("brief-limits.sexp")));
-        for (StandInEngine e : engines) {
+        for (EmulatedEngine e : engines) {
             text.append("  (engine ")
                     .append(e.config().name())
                     .append(" (address 127.0.0.1:")
@@ -74,7 +74,7 @@
             int gateways,
             long seed,
             int port,
-            Collection<StandInEngine> engines,
+            Collection<EmulatedEngine> engines,
             String extra) {
         try {
             return RouterConfigReader.read(
--- a/rig/src/main/java/ashlink/rig/load/Try.java
+++ b/rig/src/main/java/ashlink/rig/load/ClientAttempt.java
@@ -11,7 +11,7 @@
  * @param front by which it came: native or http
  * @param stray true if the router sent more after its final answer
  */
-public record Try(
+public record ClientAttempt(
         long request,
         String tag,
         int number,
--- a/rig/src/main/java/ashlink/rig/load/HttpLoad.java
+++ b/rig/src/main/java/ashlink/rig/load/HttpLoad.java
@@ -1,8 +1,8 @@
 package ashlink.rig.load;
 
-import ashlink.client.Answer;
 import ashlink.client.StatementClient;
-import ashlink.config.DayConfig.LoadClass;
+import ashlink.client.StatementResult;
+import ashlink.config.ScenarioConfig.LoadClass;
 import ashlink.rig.client.Reply;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -59,7 +59,7 @@
                                         c.user(),
                                         ""));
         try {
-            Answer a =
+            StatementResult a =
                     client.run(
                             statement,
                             settings,
@@ -67,7 +67,7 @@
                             c.write() ? key : null,
                             patience,
                             page -> {});
-            return new Seen(reply(a), a.kind() != Answer.Kind.NOT_SENT);
+            return new Seen(reply(a), a.kind() != StatementResult.Kind.NOT_SENT);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return new Seen(
@@ -75,7 +75,7 @@
         }
     }
 
-    private static Reply reply(Answer a) {
+    private static Reply reply(StatementResult a) {
         Reply.Kind kind =
                 switch (a.kind()) {
                     case SERVED -> Reply.Kind.SERVED;
@@ -84,7 +84,7 @@
                     case NOT_SENT, LOST -> Reply.Kind.LOST;
                 };
         int code =
-                a.kind() != Answer.Kind.PROBLEM
+                a.kind() != StatementResult.Kind.PROBLEM
                         ? 0
                         : a.isRefused() ? REFUSED : a.code() != 0 ? a.code() : FAILED;
         return new Reply(
--- a/rig/src/main/java/ashlink/rig/load/LoadRun.java
+++ b/rig/src/main/java/ashlink/rig/load/LoadRun.java
@@ -1,7 +1,7 @@
 package ashlink.rig.load;
 
-import ashlink.config.DayConfig;
-import ashlink.config.DayConfig.LoadClass;
+import ashlink.config.ScenarioConfig;
+import ashlink.config.ScenarioConfig.LoadClass;
 import ashlink.rig.client.NativeClient;
 import ashlink.rig.client.Reply;
 import ashlink.wire.Block;
@@ -47,23 +47,23 @@
             long group,
             boolean http) {}
 
-    private final DayConfig day;
+    private final ScenarioConfig day;
     private final List<String> routers;
     private final Function<String, InetSocketAddress> addresses;
     private final HttpLoad http;
     private final LoadConditions conditions;
-    private final List<Try> tries = new ArrayList<>();
+    private final List<ClientAttempt> tries = new ArrayList<>();
     private final Map<String, ArrayDeque<NativeClient>> idle = new ConcurrentHashMap<>();
     private final ExecutorService clients;
 
     /** A load on the routers of a day, under conditions that change meanwhile. */
     public LoadRun(
-            DayConfig day,
+            ScenarioConfig day,
             Function<String, InetSocketAddress> addresses,
             Function<String, InetSocketAddress> httpAddresses,
             LoadConditions conditions) {
         this.day = day;
-        this.routers = day.routers().stream().map(DayConfig.RouterSpec::name).toList();
+        this.routers = day.routers().stream().map(ScenarioConfig.RouterSpec::name).toList();
         this.addresses = addresses;
         this.http = new HttpLoad(httpAddresses);
         this.conditions = conditions;
@@ -77,7 +77,7 @@
     }
 
     /** Runs until the day is over and every client has its end; returns what they noted. */
-    public List<Try> run() throws InterruptedException {
+    public List<ClientAttempt> run() throws InterruptedException {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(day.seed());
         ZigguratSampler.NormalizedGaussian gauss = ZigguratSampler.NormalizedGaussian.of(random);
         ZigguratSampler.Exponential gaps = ZigguratSampler.Exponential.of(random);
@@ -152,7 +152,7 @@
         long firstNs = System.nanoTime();
         for (int n = 0; n <= a.cls().retries(); n++) {
             String router = routers.get((a.router() + (a.key() == null ? n : 0)) % routers.size());
-            Try t = attempt(a, n, router, firstNs);
+            ClientAttempt t = attempt(a, n, router, firstNs);
             synchronized (tries) {
                 tries.add(t);
             }
@@ -168,7 +168,7 @@
         }
     }
 
-    private Try attempt(Arrival a, int n, String router, long firstNs) {
+    private ClientAttempt attempt(Arrival a, int n, String router, long firstNs) {
         String tag = a.request() + "." + n;
         long patience = (long) (a.cls().timeoutNs() * a.patience());
         return a.http()
@@ -188,7 +188,8 @@
         return settings;
     }
 
-    private Try overHttp(Arrival a, int n, String tag, String router, long firstNs, long patience) {
+    private ClientAttempt overHttp(
+            Arrival a, int n, String tag, String router, long firstNs, long patience) {
         long from = System.nanoTime();
         HttpLoad.Seen seen =
                 http.run(
@@ -198,7 +199,7 @@
                         settings(a, patience),
                         "request-" + a.request(),
                         patience);
-        return new Try(
+        return new ClientAttempt(
                 a.request(),
                 tag,
                 n,
@@ -216,7 +217,7 @@
                 "http");
     }
 
-    private Try overNative(
+    private ClientAttempt overNative(
             Arrival a, int n, String tag, String router, long firstNs, long patience) {
         LoadClass c = a.cls();
         NativeClient client = null;
@@ -249,7 +250,7 @@
         } else if (client != null) {
             client.close();
         }
-        return new Try(
+        return new ClientAttempt(
                 a.request(),
                 tag,
                 n,
--- a/rig/src/test/java/ashlink/rig/CaptureDayTest.java
+++ b/rig/src/test/java/ashlink/rig/CaptureScenarioTest.java
@@ -7,9 +7,9 @@
 import ashlink.capture.ModuleHash;
 import ashlink.capture.Replay;
 import ashlink.capture.log.FolderDisk;
-import ashlink.config.DayConfigReader;
+import ashlink.config.ScenarioConfigReader;
 import ashlink.decisions.DefaultWorkloadManager;
-import ashlink.rig.day.DayRun;
+import ashlink.rig.day.ScenarioRunner;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -18,12 +18,12 @@
  * Captures of real routers under faults, one of them killed in the middle, are decided again
  * exactly.
  */
-class CaptureDayTest {
+class CaptureScenarioTest {
 
     @Test
     void aDayWithAKilledRouterIsReplayedWithoutADifference(@TempDir Path dir) throws Exception {
-        new DayRun(
-                        DayConfigReader.read(
+        new ScenarioRunner(
+                        ScenarioConfigReader.read(
                                 "day.sexp",
                                 """
                                 (day (name captured) (duration 4s) (rate 100/s) (router r1 (zone halle-1)) (router r2 (zone halle-1))
--- a/rig/src/test/java/ashlink/rig/ClassesTest.java
+++ b/rig/src/test/java/ashlink/rig/ClassesTest.java
@@ -5,8 +5,8 @@
 
 import ashlink.rig.client.Reply;
 import ashlink.rig.client.Reply.Kind;
-import ashlink.standin.Faults.Break;
-import ashlink.standin.Faults.Place;
+import ashlink.standin.FaultInjection.Break;
+import ashlink.standin.FaultInjection.Place;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
--- a/rig/src/test/java/ashlink/rig/Fleet.java
+++ b/rig/src/test/java/ashlink/rig/Fleet.java
@@ -6,10 +6,10 @@
 import ashlink.decisions.api.WorkloadManager;
 import ashlink.rig.client.NativeClient;
 import ashlink.rig.client.Reply;
-import ashlink.rig.fleet.BriefSettings;
+import ashlink.rig.fleet.TestSettings;
 import ashlink.router.Router;
+import ashlink.standin.EmulatedEngine;
 import ashlink.standin.Ledger;
-import ashlink.standin.StandInEngine;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -24,7 +24,7 @@
     static final long S = 1_000_000_000L;
     static final long MS = 1_000_000L;
 
-    final Map<String, StandInEngine> engines = new LinkedHashMap<>();
+    final Map<String, EmulatedEngine> engines = new LinkedHashMap<>();
     final List<NativeClient> clients = new ArrayList<>();
     String extra = "";
     Router router;
@@ -39,8 +39,8 @@
     }
 
     Fleet engine(String name, String kind, boolean heedsCancel) throws Exception {
-        StandInEngine e =
-                new StandInEngine(
+        EmulatedEngine e =
+                new EmulatedEngine(
                         new EngineConfig(
                                 name,
                                 new InetSocketAddress("127.0.0.1", 0),
@@ -79,7 +79,7 @@
     Fleet start(Function<Settings, WorkloadManager> module) throws Exception {
         router =
                 new Router(
-                        BriefSettings.of("r1", "halle-1", 0, 1, 7, 0, engines.values(), extra),
+                        TestSettings.of("r1", "halle-1", 0, 1, 7, 0, engines.values(), extra),
                         module);
         router.start();
         return this;
@@ -95,7 +95,7 @@
         return client(user).query("", statement, Map.of(), 30 * S);
     }
 
-    StandInEngine engine(String name) {
+    EmulatedEngine engine(String name) {
         return engines.get(name);
     }
 
@@ -127,6 +127,6 @@
         if (router != null) {
             router.kill();
         }
-        engines.values().forEach(StandInEngine::crash);
+        engines.values().forEach(EmulatedEngine::crash);
     }
 }
--- a/rig/src/test/java/ashlink/rig/HttpFrontTest.java
+++ b/rig/src/test/java/ashlink/rig/HttpFrontTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.standin.Faults.Break;
-import ashlink.standin.Faults.Place;
+import ashlink.standin.FaultInjection.Break;
+import ashlink.standin.FaultInjection.Place;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.net.http.HttpRequest;
