--- a/rig/src/test/java/ashlink/rig/CheckerTest.java
+++ b/rig/src/test/java/ashlink/rig/InvariantCheckerTest.java
@@ -4,26 +4,26 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.config.DayConfig;
-import ashlink.config.DayConfigReader;
 import ashlink.config.RouterConfig;
+import ashlink.config.ScenarioConfig;
+import ashlink.config.ScenarioConfigReader;
 import ashlink.decisions.DefaultWorkloadManager;
 import ashlink.decisions.api.Action.StartAttempt;
 import ashlink.decisions.api.QueryClass;
 import ashlink.decisions.api.RetrySafety;
 import ashlink.decisions.api.Settings;
 import ashlink.decisions.api.WorkloadManager;
-import ashlink.rig.check.Checker;
+import ashlink.rig.check.InvariantChecker;
 import ashlink.rig.check.Service;
 import ashlink.rig.check.Verdict;
 import ashlink.rig.client.Reply;
-import ashlink.rig.day.DayFacts;
-import ashlink.rig.day.DayFacts.Drain;
-import ashlink.rig.day.DayFacts.Span;
-import ashlink.rig.day.DayRun;
-import ashlink.rig.day.Sent;
-import ashlink.rig.fleet.BriefSettings;
-import ashlink.rig.load.Try;
+import ashlink.rig.day.ScenarioFacts;
+import ashlink.rig.day.ScenarioFacts.Drain;
+import ashlink.rig.day.ScenarioFacts.Span;
+import ashlink.rig.day.ScenarioRunner;
+import ashlink.rig.day.SentQuery;
+import ashlink.rig.fleet.TestSettings;
+import ashlink.rig.load.ClientAttempt;
 import ashlink.standin.Ledger.How;
 import java.util.ArrayList;
 import java.util.List;
@@ -34,12 +34,12 @@
  * Each rule is broken on purpose and the checker finds it; a rule that was never at stake is no
  * proof.
  */
-class CheckerTest {
+class InvariantCheckerTest {
 
     private static final long MS = 1_000_000L;
     private static final long FROM = 1_000_000 * MS;
-    private final List<Try> tries = new ArrayList<>();
-    private final List<Sent> ledger = new ArrayList<>();
+    private final List<ClientAttempt> tries = new ArrayList<>();
+    private final List<SentQuery> ledger = new ArrayList<>();
     private final List<Drain> drains = new ArrayList<>();
     private final List<Span> kills = new ArrayList<>();
     private final List<Span> downs = new ArrayList<>();
@@ -55,7 +55,7 @@
             Reply.Kind kind,
             int code) {
         tries.add(
-                new Try(
+                new ClientAttempt(
                         Long.parseLong(tag.substring(0, tag.indexOf('.'))),
                         tag,
                         0,
@@ -76,7 +76,7 @@
     private void engine(String tag, String engine, long beganMs, long untilMs, How how) {
         boolean ran = how != How.NO_DATA && how != How.TURNED_AWAY;
         ledger.add(
-                new Sent(
+                new SentQuery(
                         engine,
                         engine.startsWith("a") ? "typ-a" : "typ-b",
                         "halle-1",
@@ -90,8 +90,8 @@
     }
 
     private Verdict verdict(int rule) throws Exception {
-        DayConfig day =
-                DayConfigReader.read(
+        ScenarioConfig day =
+                ScenarioConfigReader.read(
                         "day.sexp",
                         """
                         (day (name d) (duration 20s) (rate 10/s) (router r1 (zone halle-1))
@@ -99,7 +99,7 @@
                           (load abfrage (share 1) (work 80ms) (timeout 2s)))\
                         """);
         RouterConfig settings =
-                BriefSettings.of(
+                TestSettings.of(
                         "r1",
                         "halle-1",
                         0,
@@ -110,8 +110,8 @@
                         "(limits (drain-grace 2s) (cold-from 0.35) (cold-time 14s) (cold-multiple"
                                 + " 2.5) (cold-window 3s) (free-resends 1) (resends-per-request 0)"
                                 + " (resend-span 10s))");
-        return new Checker(
-                        new DayFacts(
+        return new InvariantChecker(
+                        new ScenarioFacts(
                                 day, settings, FROM, tries, ledger, drains, kills, downs, sick,
                                 fallen))
                 .verdicts()
@@ -242,8 +242,8 @@
      */
     @Test
     void aRouterThatBreaksRulesIsFoundOnRealSockets() throws Exception {
-        DayConfig day =
-                DayConfigReader.read(
+        ScenarioConfig day =
+                ScenarioConfigReader.read(
                         "day.sexp",
                         """
                         (day (name broken) (duration 4s) (rate 60/s) (router r1 (zone halle-1))
@@ -254,8 +254,8 @@
                           (trouble (kind lost-answers) (at 500ms) (for 3s) (target q2) (factor 0.5))
                           (trouble (kind slow) (at 500ms) (for 3s) (target q1) (factor 0.5)))\
                         """);
-        DayFacts facts = new DayRun(day, CheckerTest::reckless).run();
-        List<Verdict> verdicts = new Checker(facts).verdicts();
+        ScenarioFacts facts = new ScenarioRunner(day, InvariantCheckerTest::reckless).run();
+        List<Verdict> verdicts = new InvariantChecker(facts).verdicts();
         assertFalse(
                 verdicts.get(1).broken().isEmpty(),
                 "no effect twice: " + verdicts.get(1).atStake());
--- a/rig/src/test/java/ashlink/rig/LifecycleTest.java
+++ b/rig/src/test/java/ashlink/rig/LifecycleTest.java
@@ -12,7 +12,7 @@
 import ashlink.rig.client.NativeClient;
 import ashlink.rig.client.Reply;
 import ashlink.rig.client.Reply.Kind;
-import ashlink.rig.fleet.BriefSettings;
+import ashlink.rig.fleet.TestSettings;
 import ashlink.router.Router;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -66,7 +66,7 @@
             List<EndpointsChanged> news = Collections.synchronizedList(new ArrayList<>());
             Router again =
                     new Router(
-                            BriefSettings.of(
+                            TestSettings.of(
                                     "r1", "halle-1", 0, 1, 7, 0, f.engines.values(), state));
             again.core()
                     .observe(
@@ -109,7 +109,7 @@
             f.engine("q2", "typ-b", true);
             Files.writeString(
                     file,
-                    BriefSettings.text("r1", "halle-1", 0, 1, 7, 0, List.of(f.engine("q2")), ""));
+                    TestSettings.text("r1", "halle-1", 0, 1, 7, 0, List.of(f.engine("q2")), ""));
             f.router.reload(RouterConfigReader.read(file));
             f.engine("q1").crash();
             assertEquals(Kind.SERVED, f.query("portal", "SELECT /* sim tag=t */ 2").kind());
--- a/rig/src/test/java/ashlink/rig/PastDaysTest.java
+++ b/rig/src/test/java/ashlink/rig/RegressionScenariosTest.java
@@ -22,10 +22,10 @@
  * decisions shows here first; where it is meant, the captures are recorded anew by {@code ./ashlink
  * badday --trouble NAME --capture DIR}.
  */
-class PastDaysTest {
+class RegressionScenariosTest {
 
     static Stream<Path> captures() throws Exception {
-        URI folder = PastDaysTest.class.getResource("/ashlink/rig/captures").toURI();
+        URI folder = RegressionScenariosTest.class.getResource("/ashlink/rig/captures").toURI();
         try (Stream<Path> days = Files.list(Path.of(folder))) {
             List<Path> routers =
                     days.flatMap(
--- a/rig/src/test/java/ashlink/rig/SmokeTest.java
+++ b/rig/src/test/java/ashlink/rig/SmokeTest.java
@@ -5,10 +5,10 @@
 
 import ashlink.rig.client.NativeClient;
 import ashlink.rig.client.Reply;
-import ashlink.rig.fleet.BriefSettings;
-import ashlink.rig.fleet.Engines;
+import ashlink.rig.fleet.EmulatedEngines;
+import ashlink.rig.fleet.TestSettings;
 import ashlink.router.Router;
-import ashlink.standin.StandInEngine;
+import ashlink.standin.EmulatedEngine;
 import ashlink.wire.Block;
 import java.sql.Connection;
 import java.sql.DriverManager;
@@ -25,8 +25,8 @@
 
     @Test
     void selectsAndInsertsPassThroughARouter() throws Exception {
-        List<StandInEngine> engines = Engines.demo();
-        Router router = new Router(BriefSettings.of("r1", "halle-1", 0, 1, 7, 0, engines, ""));
+        List<EmulatedEngine> engines = EmulatedEngines.demo();
+        Router router = new Router(TestSettings.of("r1", "halle-1", 0, 1, 7, 0, engines, ""));
         router.start();
         try (NativeClient c = NativeClient.connect(router.address(), "portal")) {
             for (int i = 0; i < 5; i++) {
@@ -42,14 +42,14 @@
             assertEquals(Reply.Kind.SERVED, r.kind(), r.message());
         } finally {
             router.stop();
-            engines.forEach(StandInEngine::crash);
+            engines.forEach(EmulatedEngine::crash);
         }
     }
 
     @Test
     void thePublicJdbcDriverIsServed() throws Exception {
-        List<StandInEngine> engines = Engines.demo();
-        Router router = new Router(BriefSettings.of("r1", "halle-1", 0, 1, 7, 0, engines, ""));
+        List<EmulatedEngine> engines = EmulatedEngines.demo();
+        Router router = new Router(TestSettings.of("r1", "halle-1", 0, 1, 7, 0, engines, ""));
         router.start();
         Class.forName("com.github.housepower.jdbc.ClickHouseDriver");
         String url =
@@ -73,7 +73,7 @@
             }
         } finally {
             router.stop();
-            engines.forEach(StandInEngine::crash);
+            engines.forEach(EmulatedEngine::crash);
         }
     }
 }
--- a/router/src/main/java/ashlink/router/Router.java
+++ b/router/src/main/java/ashlink/router/Router.java
@@ -14,14 +14,14 @@
 import ashlink.router.classify.Statements;
 import ashlink.router.core.Core;
 import ashlink.router.core.CoreClock;
-import ashlink.router.core.CoreMetrics;
-import ashlink.router.front.FrontContext;
+import ashlink.router.core.PrometheusRequestMetrics;
+import ashlink.router.front.ListenerContext;
 import ashlink.router.front.MemoryQuota;
 import ashlink.router.front.NativeListener;
-import ashlink.router.front.Unknowns;
-import ashlink.router.http.HttpFront;
-import ashlink.router.list.ListStore;
-import ashlink.router.upstream.Engines;
+import ashlink.router.front.UnknownTableLog;
+import ashlink.router.http.HttpListener;
+import ashlink.router.list.EndpointListStore;
+import ashlink.router.upstream.EngineConnections;
 import ashlink.wire.WireLimits;
 import io.prometheus.metrics.exporter.httpserver.HTTPServer;
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
@@ -58,11 +58,11 @@
     private final ThreadPoolExecutor workers;
     private final ScheduledThreadPoolExecutor timer;
     private final Core core;
-    private final Engines engines;
+    private final EngineConnections engines;
     private final NativeListener listener;
     private final Scheduler background;
-    private final HttpFront http;
-    private final ListStore store;
+    private final HttpListener http;
+    private final EndpointListStore store;
     private final HTTPServer metrics;
     private final PrometheusRegistry registry = new PrometheusRegistry();
     private final WorkloadManager gateway;
@@ -120,7 +120,7 @@
                         d.columns(),
                         b.packet(),
                         d.frameBytes());
-        engines = new Engines(config, clock, workers, limits);
+        engines = new EngineConnections(config, clock, workers, limits);
         gateway = module.apply(config.settings());
         core =
                 new Core(
@@ -131,10 +131,10 @@
                         clock,
                         b.queue(),
                         b.openRequests(),
-                        new CoreMetrics(registry));
+                        new PrometheusRequestMetrics(registry));
         String boot = Long.toString(System.currentTimeMillis(), Character.MAX_RADIX);
-        FrontContext context =
-                new FrontContext(
+        ListenerContext context =
+                new ListenerContext(
                         () -> this.config,
                         core,
                         engines,
@@ -145,15 +145,18 @@
                         new MemoryQuota(b.heldInserts()),
                         () -> classifier,
                         new Statements(),
-                        new Unknowns(),
+                        new UnknownTableLog(),
                         boot);
         listener = new NativeListener(context);
         background = new Scheduler(config.name(), Limits.DEFAULT, config.seed(), this::pressure);
-        http = config.http().listen() == null ? null : new HttpFront(context, background, registry);
+        http =
+                config.http().listen() == null
+                        ? null
+                        : new HttpListener(context, background, registry);
         store =
                 config.stateDir() == null
                         ? null
-                        : new ListStore(config.stateDir().resolve(LIST_FILE));
+                        : new EndpointListStore(config.stateDir().resolve(LIST_FILE));
         InetSocketAddress at = config.metrics();
         metrics =
                 at == null
@@ -219,7 +222,7 @@
     }
 
     /** The front over HTTP, or null. */
-    public HttpFront http() {
+    public HttpListener http() {
         return http;
     }
 
@@ -245,7 +248,7 @@
 
     /** Takes no fresh requests, or does again. */
     public void refuse(boolean refuses) {
-        core.refuse(refuses);
+        core.rejectNew(refuses);
     }
 
     /** Takes new settings: engines, users, and rules of classes; the rest needs a restart. */
--- a/router/src/main/java/ashlink/router/classify/Classifier.java
+++ b/router/src/main/java/ashlink/router/classify/Classifier.java
@@ -5,7 +5,7 @@
 import ashlink.decisions.api.QueryClass;
 import ashlink.decisions.api.RetrySafety;
 import ashlink.sql.Kind;
-import ashlink.sql.Reading;
+import ashlink.sql.StatementAnalysis;
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
@@ -37,7 +37,7 @@
 
     /** The class of a statement; {@code settings} are all that came with it. */
     public Decision decide(
-            String user, String database, Reading reading, Map<String, String> settings) {
+            String user, String database, StatementAnalysis reading, Map<String, String> settings) {
         int number = 0;
         for (ClassRule r : config.rules()) {
             number++;
@@ -71,7 +71,7 @@
             ClassRule r,
             String user,
             String database,
-            Reading reading,
+            StatementAnalysis reading,
             Map<String, String> settings) {
         return (r.users().isEmpty() || r.users().contains(user))
                 && (r.databases().isEmpty() || r.databases().contains(database))
@@ -94,7 +94,7 @@
     }
 
     /** The leading keyword in capitals, also of a statement that was not understood otherwise. */
-    static String keyword(Reading reading) {
+    static String keyword(StatementAnalysis reading) {
         String normal =
                 reading.kind() == Kind.UNKNOWN
                         ? reading.normal().substring("unknown ".length())
@@ -104,13 +104,13 @@
     }
 
     /** True if the client may be asked for the data of an insert. */
-    public static boolean mayTakeData(Reading reading) {
+    public static boolean mayTakeData(StatementAnalysis reading) {
         return reading.takesData()
                 || reading.kind() == Kind.UNKNOWN && keyword(reading).equals("INSERT");
     }
 
     /** True if the statement plainly waits for data, and cannot run before its end. */
-    public static boolean waitsForData(Reading reading) {
+    public static boolean waitsForData(StatementAnalysis reading) {
         return reading.kind() == Kind.LOAD && reading.takesData();
     }
 }
--- a/router/src/main/java/ashlink/router/classify/Statements.java
+++ b/router/src/main/java/ashlink/router/classify/Statements.java
@@ -1,6 +1,6 @@
 package ashlink.router.classify;
 
-import ashlink.sql.Reading;
+import ashlink.sql.StatementAnalysis;
 import ashlink.sql.StatementReader;
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
@@ -22,14 +22,14 @@
     private record Key(String text, String database) {}
 
     private final StatementReader reader = new StatementReader();
-    private final Cache<Key, Reading> known =
+    private final Cache<Key, StatementAnalysis> known =
             Caffeine.newBuilder()
                     .maximumWeight(MOST_WEIGHT)
-                    .weigher((Key k, Reading r) -> ENTRY_WEIGHT + 4 * k.text.length())
+                    .weigher((Key k, StatementAnalysis r) -> ENTRY_WEIGHT + 4 * k.text.length())
                     .build();
 
     /** The reading of a statement. */
-    public Reading read(String text, String database) {
+    public StatementAnalysis read(String text, String database) {
         if (text.length() > MOST_CHARS) {
             return reader.read(text, database);
         }
--- a/router/src/main/java/ashlink/router/core/Attempt.java
+++ b/router/src/main/java/ashlink/router/core/Attempt.java
@@ -15,24 +15,25 @@
     /**
      * What an answer told besides its content; 0 and {@link LoadReport#NONE} where it told nothing.
      */
-    public record Told(double workMs, double memoryMb, LoadReport report) {
+    public record AttemptReport(double workMs, double memoryMb, LoadReport loadReport) {
 
         /** An answer that told nothing. */
-        public static final Told NOTHING = new Told(0, 0, LoadReport.NONE);
+        public static final AttemptReport NONE = new AttemptReport(0, 0, LoadReport.NONE);
     }
 
     /** How an attempt ended. */
-    record End(Cause cause, Outcome outcome, boolean answered, Told told) {}
+    record AttemptEnd(
+            AttemptEndReason reason, Outcome outcome, boolean answered, AttemptReport report) {}
 
     private final long id;
-    private final int shot;
+    private final int attemptNumber;
     private final String engine;
     private final long startNs;
     private final int priority;
     private final long memoryMb;
-    private final BiConsumer<Attempt, End> whenEnded;
-    private Phase phase = Phase.QUEUED;
-    private Cause aborted;
+    private final BiConsumer<Attempt, AttemptEnd> whenEnded;
+    private AttemptPhase phase = AttemptPhase.QUEUED;
+    private AttemptEndReason aborted;
     private boolean ended;
     private Runnable closer;
     private Future<?> timer;
@@ -44,9 +45,9 @@
             long startNs,
             int priority,
             long memoryMb,
-            BiConsumer<Attempt, End> whenEnded) {
+            BiConsumer<Attempt, AttemptEnd> whenEnded) {
         this.id = id;
-        this.shot = shot;
+        this.attemptNumber = shot;
         this.engine = engine;
         this.startNs = startNs;
         this.priority = priority;
@@ -60,8 +61,8 @@
     }
 
     /** Number of the attempt, 0 for the first. */
-    public int shot() {
-        return shot;
+    public int attemptNumber() {
+        return attemptNumber;
     }
 
     /** Name of the engine that it goes to. */
@@ -85,7 +86,7 @@
     }
 
     /** How far it has come. */
-    public synchronized Phase phase() {
+    public synchronized AttemptPhase phase() {
         return phase;
     }
 
@@ -114,7 +115,7 @@
      * Goes on to a phase, before the bytes that make it true are written. False where the attempt
      * is over: the worker then calls {@link #end}, which makes sure that it is told, and stops.
      */
-    public synchronized boolean advance(Phase to) {
+    public synchronized boolean advance(AttemptPhase to) {
         if (!ended) {
             phase = to;
         }
@@ -130,7 +131,7 @@
      * Ends it from outside. While a write decides whether the statement can run, its worker tells
      * the end.
      */
-    public void abort(Cause cause) {
+    public void abort(AttemptEndReason cause) {
         Runnable close;
         boolean atOnce;
         synchronized (this) {
@@ -142,7 +143,7 @@
             close = closer;
         }
         if (atOnce) {
-            end(cause, Told.NOTHING);
+            end(cause, AttemptReport.NONE);
         }
         if (close != null) {
             close.run();
@@ -153,22 +154,22 @@
      * Ends it, unless it has ended; true for the one call that did. An attempt ended from outside
      * keeps that cause.
      */
-    public boolean end(Cause cause, Told told) {
-        End end;
+    public boolean end(AttemptEndReason cause, AttemptReport told) {
+        AttemptEnd end;
         Future<?> t;
         synchronized (this) {
             if (ended) {
                 return false;
             }
             ended = true;
-            Cause first = aborted != null ? aborted : cause;
-            end = new End(first, first.outcome(phase), first.answers(phase), told);
+            AttemptEndReason first = aborted != null ? aborted : cause;
+            end = new AttemptEnd(first, first.outcome(phase), first.answers(phase), told);
             t = timer;
         }
         if (t != null) {
             t.cancel(false);
         }
         whenEnded.accept(this, end);
-        return end.cause == cause;
+        return end.reason == cause;
     }
 }
--- a/router/src/main/java/ashlink/router/core/Phase.java
+++ b/router/src/main/java/ashlink/router/core/AttemptPhase.java
@@ -1,7 +1,7 @@
 package ashlink.router.core;
 
 /** How far an attempt has come, as far as it matters to whether its statement can have run. */
-public enum Phase {
+public enum AttemptPhase {
     /** Decided, and waiting for a thread. */
     QUEUED,
     /** Waiting for a connection to the engine. */
--- a/router/src/main/java/ashlink/router/core/Core.java
+++ b/router/src/main/java/ashlink/router/core/Core.java
@@ -46,10 +46,10 @@
     private static final Logger LOG = LoggerFactory.getLogger(Core.class);
 
     /** A request without a final answer, or whose attempt is still out. */
-    private static final class Open {
+    private static final class OpenRequest {
         final long id;
         final CoreRequest request;
-        final AnswerSink sink;
+        final ResponseSink sink;
         Attempt out;
         int attempts;
         boolean answered;
@@ -58,7 +58,7 @@
         long memoryMb;
         Future<?> overdue;
 
-        Open(long id, CoreRequest request, AnswerSink sink) {
+        OpenRequest(long id, CoreRequest request, ResponseSink sink) {
             this.id = id;
             this.request = request;
             this.sink = sink;
@@ -67,14 +67,14 @@
 
     private final WorkloadManager gateway;
     private final Map<String, QueryClass> classes;
-    private final Transport transport;
+    private final EngineTransport transport;
     private final CoreClock clock;
     private final int queueBound;
     private final int openBound;
-    private final CoreMeter metrics;
+    private final RequestMetrics metrics;
     private final LinkedBlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
     private final ScheduledThreadPoolExecutor timer;
-    private final Map<Long, Open> open = new HashMap<>();
+    private final Map<Long, OpenRequest> open = new HashMap<>();
     private final AtomicInteger openCount = new AtomicInteger();
     private final AtomicLong ids = new AtomicLong();
     private final Thread thread;
@@ -88,11 +88,11 @@
             String name,
             WorkloadManager gateway,
             Map<String, QueryClass> classes,
-            Transport transport,
+            EngineTransport transport,
             CoreClock clock,
             int queueBound,
             int openBound,
-            CoreMeter metrics) {
+            RequestMetrics metrics) {
         this.gateway = gateway;
         this.classes = Map.copyOf(classes);
         this.transport = transport;
@@ -100,7 +100,7 @@
         this.queueBound = queueBound;
         this.openBound = openBound;
         this.metrics = metrics;
-        metrics.watch(queue::size, openCount::get);
+        metrics.registerGauges(queue::size, openCount::get);
         this.thread = new Thread(this::run, name + "-decisions");
         thread.setDaemon(true);
         timer =
@@ -126,7 +126,7 @@
          * The module was told an event at that time, and did that; called on the decision thread,
          * and must not wait.
          */
-        void saw(Event event, long nowNs, List<Action> actions);
+        void onDecision(Event event, long nowNs, List<Action> actions);
     }
 
     /** Shows each event and what the module did upon it, in order. */
@@ -149,19 +149,19 @@
      * Takes a request and owes it one final answer; returns its number. A negative number is a
      * request turned away at the door, of which the module never heard: the caller refuses it.
      */
-    public long submit(CoreRequest request, AnswerSink sink) {
+    public long submit(CoreRequest request, ResponseSink sink) {
         if (!taking || refusing || queue.size() >= queueBound) {
-            metrics.answered(request.queryClass(), "turned away");
+            metrics.onAnswered(request.queryClass(), "turned away");
             return -1;
         }
         if (openCount.incrementAndGet() > openBound) {
             openCount.decrementAndGet();
-            metrics.answered(request.queryClass(), "turned away");
+            metrics.onAnswered(request.queryClass(), "turned away");
             return -1;
         }
         long id = ids.incrementAndGet();
-        long deadlineNs = clock.nowNs() + request.allowedNs();
-        queue.add(() -> take(new Open(id, request, sink), deadlineNs));
+        long deadlineNs = clock.nowNs() + request.timeLimitNs();
+        queue.add(() -> take(new OpenRequest(id, request, sink), deadlineNs));
         return id;
     }
 
@@ -169,7 +169,7 @@
     public void clientGone(long id) {
         queue.add(
                 () -> {
-                    Open o = open.get(id);
+                    OpenRequest o = open.get(id);
                     if (o != null && !o.answered) {
                         answered(o, "client gone");
                         hand(new ClientDisconnected(id));
@@ -182,7 +182,7 @@
         queue.add(() -> hand(news));
     }
 
-    private void attemptEnded(Attempt a, Attempt.End end) {
+    private void attemptEnded(Attempt a, Attempt.AttemptEnd end) {
         queue.add(() -> ended(a, end));
     }
 
@@ -201,9 +201,9 @@
         }
     }
 
-    private void take(Open o, long deadlineNs) {
+    private void take(OpenRequest o, long deadlineNs) {
         open.put(o.id, o);
-        metrics.taken(o.request.queryClass());
+        metrics.onAdmitted(o.request.queryClass());
         o.overdue =
                 timer.schedule(
                         () -> queue.add(() -> overdue(o)),
@@ -215,10 +215,10 @@
                                 o.id,
                                 r.queryClass(),
                                 r.key(),
-                                r.tables(),
+                                r.tableGroup(),
                                 deadlineNs,
-                                r.workNs(),
-                                r.memoryMb(),
+                                r.estimatedWorkNs(),
+                                r.estimatedMemoryMb(),
                                 r.tenant()))
                 && !o.answered) {
             lastResort(o, "module error");
@@ -232,11 +232,11 @@
         try {
             actions = gateway.onEvent(event, now);
         } catch (RuntimeException e) {
-            metrics.moduleError();
+            metrics.onDecisionError();
             LOG.error("the decision module threw on {}", event, e);
             return false;
         }
-        observer.saw(event, now, actions);
+        observer.onDecision(event, now, actions);
         for (Action a : actions) {
             perform(a);
         }
@@ -250,17 +250,17 @@
             open.get(a.id()).priority = a.priority();
             open.get(a.id()).memoryMb = a.memoryMb();
         } else if (action instanceof Reject a && isOwed(a.id())) {
-            Open o = open.get(a.id());
+            OpenRequest o = open.get(a.id());
             answered(o, "refused");
-            o.sink.refused(a.retryAfterNs());
+            o.sink.reject(a.retryAfterNs());
         } else if (action instanceof Fail a && isOwed(a.id())) {
-            Open o = open.get(a.id());
+            OpenRequest o = open.get(a.id());
             answered(o, "failed");
-            o.sink.failed();
+            o.sink.fail();
         } else if (action instanceof CancelAttempt a) {
-            Open o = open.get(a.id());
-            if (o != null && o.out != null && o.out.shot() == a.attempt()) {
-                o.out.abort(Cause.CALLED_OFF);
+            OpenRequest o = open.get(a.id());
+            if (o != null && o.out != null && o.out.attemptNumber() == a.attempt()) {
+                o.out.abort(AttemptEndReason.CANCELLED);
             }
         } else if (action instanceof CheckHealth a) {
             probe(a.engine());
@@ -279,7 +279,7 @@
     }
 
     private void send(StartAttempt s) {
-        Open o = open.get(s.id());
+        OpenRequest o = open.get(s.id());
         if (o == null || o.answered || o.out != null) {
             LOG.error(
                     "the decision module sent request {}, which is {}",
@@ -298,21 +298,23 @@
                         (attempt, end) -> {
                             if (end.answered()
                                     && end.outcome() != Outcome.SERVED
-                                    && end.cause() != Cause.STATEMENT_ERROR) {
-                                o.sink.broken(end.outcome());
+                                    && end.reason() != AttemptEndReason.STATEMENT_ERROR) {
+                                o.sink.abortPartial(end.outcome());
                             }
                             attemptEnded(attempt, end);
                         });
         o.out = a;
         a.timer(
                 timer.schedule(
-                        () -> a.abort(Cause.TIMED_OUT), s.timeoutNs(), TimeUnit.NANOSECONDS));
-        o.sink.attempt(a);
+                        () -> a.abort(AttemptEndReason.TIMED_OUT),
+                        s.timeoutNs(),
+                        TimeUnit.NANOSECONDS));
+        o.sink.start(a);
     }
 
-    private void ended(Attempt a, Attempt.End end) {
-        Open o = open.get(a.id());
-        metrics.attempted(a.engine(), end.outcome().name());
+    private void ended(Attempt a, Attempt.AttemptEnd end) {
+        OpenRequest o = open.get(a.id());
+        metrics.onAttemptEnded(a.engine(), end.outcome().name());
         if (o == null || o.out != a) {
             return;
         }
@@ -322,9 +324,11 @@
         if (!o.answered && end.answered()) {
             answered(
                     o,
-                    end.cause() == Cause.SERVED
+                    end.reason() == AttemptEndReason.SERVED
                             ? "served"
-                            : end.cause() == Cause.STATEMENT_ERROR ? "error" : "broken");
+                            : end.reason() == AttemptEndReason.STATEMENT_ERROR
+                                    ? "error"
+                                    : "broken");
         }
         if (o.answered) {
             open.remove(o.id);
@@ -332,19 +336,19 @@
         hand(
                 new AttemptEnded(
                         a.id(),
-                        a.shot(),
+                        a.attemptNumber(),
                         a.engine(),
                         end.outcome(),
                         clock.nowNs() - a.startNs(),
                         over,
-                        end.told().workMs(),
-                        end.told().memoryMb(),
-                        end.told().report()));
+                        end.report().workMs(),
+                        end.report().memoryMb(),
+                        end.report().loadReport()));
     }
 
     private void probe(String engine) {
         long from = clock.nowNs();
-        transport.probe(
+        transport.checkHealth(
                 engine,
                 (outcome, report) ->
                         queue.add(
@@ -357,11 +361,11 @@
                                                         report))));
     }
 
-    private void answered(Open o, String how) {
+    private void answered(OpenRequest o, String how) {
         o.answered = true;
         o.overdue.cancel(false);
         openCount.decrementAndGet();
-        metrics.answered(o.request.queryClass(), how);
+        metrics.onAnswered(o.request.queryClass(), how);
         if (o.out == null) {
             open.remove(o.id);
         }
@@ -371,12 +375,14 @@
      * Guards against a module that forgets a request: the answer comes before the client gives up
      * all the same.
      */
-    private void overdue(Open o) {
+    private void overdue(OpenRequest o) {
         if (!o.answered) {
             if (o.out != null) {
-                o.out.abort(Cause.TIMED_OUT); // its end, which waits in the queue, is told first
+                o.out.abort(
+                        AttemptEndReason
+                                .TIMED_OUT); // its end, which waits in the queue, is told first
                 // where it answers
-                if (o.out.phase() == Phase.ANSWERING) {
+                if (o.out.phase() == AttemptPhase.ANSWERING) {
                     return;
                 }
             }
@@ -385,20 +391,20 @@
         }
     }
 
-    private void lastResort(Open o, String how) {
+    private void lastResort(OpenRequest o, String how) {
         boolean maybe = o.mayHaveRun || o.out != null && o.out.phase().mayRun();
         answered(o, how);
-        if (LastResort.refuse(classes.get(o.request.queryClass()), maybe)) {
-            o.sink.refused(0);
+        if (FallbackResponse.refuse(classes.get(o.request.queryClass()), maybe)) {
+            o.sink.reject(0);
         } else {
-            o.sink.failed();
+            o.sink.fail();
         }
         hand(new ClientDisconnected(o.id));
     }
 
     // ---- Stop
     /** Turns fresh requests away, or takes them again; what is open goes on. */
-    public void refuse(boolean refuses) {
+    public void rejectNew(boolean refuses) {
         refusing = refuses;
     }
 
@@ -417,10 +423,11 @@
                                         .forEach(
                                                 o -> {
                                                     if (o.out != null) {
-                                                        o.out.abort(Cause.CALLED_OFF);
+                                                        o.out.abort(AttemptEndReason.CANCELLED);
                                                     }
                                                     if (o.out == null
-                                                            || o.out.phase() != Phase.ANSWERING) {
+                                                            || o.out.phase()
+                                                                    != AttemptPhase.ANSWERING) {
                                                         lastResort(o, "stopped");
                                                     }
                                                 }));
--- a/router/src/main/java/ashlink/router/core/Transport.java
+++ b/router/src/main/java/ashlink/router/core/EngineTransport.java
@@ -4,15 +4,15 @@
 import ashlink.decisions.api.Outcome;
 
 /** Reaches engines for the core. */
-public interface Transport {
+public interface EngineTransport {
 
     /** Takes the result of a probe, once. */
     @FunctionalInterface
-    interface ProbeSink {
+    interface HealthCheckListener {
         /** The probe came back. */
-        void probed(Outcome outcome, LoadReport report);
+        void onHealthCheckCompleted(Outcome outcome, LoadReport report);
     }
 
     /** Asks an engine whether it answers, and for its report; does not wait. */
-    void probe(String engine, ProbeSink back);
+    void checkHealth(String engine, HealthCheckListener back);
 }
--- a/router/src/main/java/ashlink/router/core/LastResort.java
+++ b/router/src/main/java/ashlink/router/core/FallbackResponse.java
@@ -8,9 +8,9 @@
  * What a request is told where the module cannot be asked any more: it has thrown, its answer is
  * overdue, or the router stops. The same line that the module draws, on the safe side.
  */
-final class LastResort {
+final class FallbackResponse {
 
-    private LastResort() {}
+    private FallbackResponse() {}
 
     /** True where trying again is harmless: a refusal; else a failure, which promises nothing. */
     static boolean refuse(QueryClass queryClass, boolean mayHaveRun) {
--- a/router/src/main/java/ashlink/router/core/CoreMetrics.java
+++ b/router/src/main/java/ashlink/router/core/PrometheusRequestMetrics.java
@@ -6,7 +6,7 @@
 import java.util.function.IntSupplier;
 
 /** What the core counts, in a registry. */
-public final class CoreMetrics implements CoreMeter {
+public final class PrometheusRequestMetrics implements RequestMetrics {
 
     private final Counter requests;
     private final Counter answers;
@@ -16,7 +16,7 @@
     private final PrometheusRegistry registry;
 
     /** Counts into that registry. */
-    public CoreMetrics(PrometheusRegistry registry) {
+    public PrometheusRequestMetrics(PrometheusRegistry registry) {
         this.registry = registry;
         requests =
                 Counter.builder()
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public void watch(IntSupplier queued, IntSupplier open) {
+    public void registerGauges(IntSupplier queued, IntSupplier open) {
         GaugeWithCallback.builder()
                 .name("ashlink_queue")
                 .help("Events waiting for the decision thread")
@@ -58,22 +58,22 @@
     }
 
     @Override
-    public void taken(String queryClass) {
+    public void onAdmitted(String queryClass) {
         requests.labelValues(queryClass).inc();
     }
 
     @Override
-    public void answered(String queryClass, String answer) {
+    public void onAnswered(String queryClass, String answer) {
         answers.labelValues(queryClass, answer).inc();
     }
 
     @Override
-    public void attempted(String engine, String outcome) {
+    public void onAttemptEnded(String engine, String outcome) {
         attempts.labelValues(engine, outcome).inc();
     }
 
     @Override
-    public void moduleError() {
+    public void onDecisionError() {
         moduleErrors.inc();
     }
 }
--- a/router/src/main/java/ashlink/router/core/Ending.java
+++ b/router/src/main/java/ashlink/router/core/StatementOutcome.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** How a statement was answered. */
-public enum Ending {
+public enum StatementOutcome {
     /** The engine's whole answer. */
     SERVED,
     /** The engine's exception, or one of this router about what the engine answered. */
--- a/router/src/main/java/ashlink/router/front/Logins.java
+++ b/router/src/main/java/ashlink/router/front/CredentialCache.java
@@ -17,7 +17,7 @@
  * Checks users and passwords. A check is dear on purpose, so few run at once, and one that
  * succeeded is remembered under a keyed digest; one that failed never is.
  */
-public final class Logins {
+public final class CredentialCache {
 
     private static final int AT_ONCE = 4;
     private static final int REMEMBERED = 10_000;
@@ -29,7 +29,7 @@
     private final SecretKeySpec key;
 
     /** Remembers nothing yet. */
-    public Logins() {
+    public CredentialCache() {
         byte[] secret = new byte[32];
         new SecureRandom().nextBytes(secret);
         key = new SecretKeySpec(secret, MAC);
--- a/router/src/main/java/ashlink/router/front/FrontContext.java
+++ b/router/src/main/java/ashlink/router/front/ListenerContext.java
@@ -4,7 +4,7 @@
 import ashlink.router.classify.Classifier;
 import ashlink.router.classify.Statements;
 import ashlink.router.core.Core;
-import ashlink.router.upstream.Engines;
+import ashlink.router.upstream.EngineConnections;
 import ashlink.wire.Quota;
 import ashlink.wire.WireLimits;
 import java.util.concurrent.Executor;
@@ -18,10 +18,10 @@
  * @param classifier that of the settings in force, made once for them
  * @param boot text that no other start of this router has
  */
-public record FrontContext(
+public record ListenerContext(
         Supplier<RouterConfig> settings,
         Core core,
-        Engines engines,
+        EngineConnections engines,
         Executor workers,
         ScheduledExecutorService timer,
         WireLimits limits,
@@ -29,7 +29,7 @@
         Quota insertQuota,
         Supplier<Classifier> classifier,
         Statements statements,
-        Unknowns unknowns,
+        UnknownTableLog unknowns,
         String boot) {
 
     /** The settings in force. */
--- a/router/src/main/java/ashlink/router/front/NativeAttempt.java
+++ b/router/src/main/java/ashlink/router/front/NativeAttempt.java
@@ -1,14 +1,14 @@
 package ashlink.router.front;
 
 import ashlink.router.core.Attempt;
-import ashlink.router.core.Attempt.Told;
-import ashlink.router.core.Cause;
-import ashlink.router.core.Ending;
-import ashlink.router.core.Phase;
-import ashlink.router.upstream.EngineConnection;
+import ashlink.router.core.Attempt.AttemptReport;
+import ashlink.router.core.AttemptEndReason;
+import ashlink.router.core.AttemptPhase;
+import ashlink.router.core.StatementOutcome;
 import ashlink.router.upstream.EngineErrors;
-import ashlink.router.upstream.EnginePool;
-import ashlink.router.upstream.GaugeReader;
+import ashlink.router.upstream.LoadReportReader;
+import ashlink.router.upstream.NativeConnectionPool;
+import ashlink.router.upstream.NativeEngineConnection;
 import ashlink.wire.Blocks;
 import ashlink.wire.ByteBuf;
 import ashlink.wire.ClientInfo;
@@ -49,15 +49,15 @@
     private static final int HIGHEST_PRIORITY = 4;
     private static final String OWN_SETTINGS = "ashlink_";
 
-    private final FrontContext context;
-    private final Exchange exchange;
+    private final ListenerContext context;
+    private final RequestExchange exchange;
     private final Attempt attempt;
     private final ByteBuf answer;
     private final Map<String, Double> told = new HashMap<>();
-    private EngineConnection engine;
+    private NativeEngineConnection engine;
     private boolean bound;
 
-    NativeAttempt(FrontContext context, Exchange exchange, Attempt attempt) {
+    NativeAttempt(ListenerContext context, RequestExchange exchange, Attempt attempt) {
         this.context = context;
         this.exchange = exchange;
         this.attempt = attempt;
@@ -66,31 +66,34 @@
 
     @Override
     public void run() {
-        Cause cause = Cause.BROKEN;
+        AttemptEndReason cause = AttemptEndReason.CONNECTION_BROKEN;
         try {
             cause = drive();
-        } catch (EnginePool.Full e) {
-            cause = Cause.NO_MEANS;
+        } catch (NativeConnectionPool.Full e) {
+            cause = AttemptEndReason.NO_CAPACITY;
         } catch (WireException e) {
             cause = garbled(e);
         } catch (IOException e) {
-            cause = engine == null ? Cause.NO_CONNECTION : Cause.BROKEN;
+            cause =
+                    engine == null
+                            ? AttemptEndReason.CONNECT_FAILED
+                            : AttemptEndReason.CONNECTION_BROKEN;
             exchange.lastError(attempt.engine() + ": " + e.getMessage());
         } catch (InterruptedException e) {
-            cause = Cause.NO_MEANS;
+            cause = AttemptEndReason.NO_CAPACITY;
         } catch (RuntimeException e) {
             LOG.error(
                     "attempt {} of request {} ends by an error of this router",
-                    attempt.shot(),
+                    attempt.attemptNumber(),
                     attempt.id(),
                     e);
         } finally {
             answer.release();
             if (engine != null) {
-                giveBack(cause == Cause.DRAINED);
+                giveBack(cause == AttemptEndReason.ENGINE_DRAINING);
             }
             if (cause != null) {
-                attempt.end(cause, Told.NOTHING);
+                attempt.end(cause, AttemptReport.NONE);
             }
         }
     }
@@ -99,31 +102,31 @@
      * Bytes of the engine that make no sense, or too many: what cannot be passed on is the
      * statement's end.
      */
-    private Cause garbled(WireException e) {
+    private AttemptEndReason garbled(WireException e) {
         exchange.lastError(attempt.engine() + ": " + e.getMessage());
         boolean own =
                 e.reason() == WireException.Reason.UNKNOWN_TYPE
                         || e.reason() == WireException.Reason.TOO_LARGE;
         if (own
                 && !bound
-                && attempt.phase() == Phase.RUNNING
-                && attempt.end(Cause.STATEMENT_ERROR, Told.NOTHING)) {
-            exchange.finish(Answers.wire(e), Ending.ERROR);
+                && attempt.phase() == AttemptPhase.RUNNING
+                && attempt.end(AttemptEndReason.STATEMENT_ERROR, AttemptReport.NONE)) {
+            exchange.finish(ResponseWriter.wire(e), StatementOutcome.ERROR);
             return null;
         }
-        return Cause.BROKEN;
+        return AttemptEndReason.CONNECTION_BROKEN;
     }
 
     /** Returns why the attempt ended, or null where that is told already. */
-    private Cause drive() throws IOException, InterruptedException {
+    private AttemptEndReason drive() throws IOException, InterruptedException {
         InsertFeed feed = exchange.feed();
         if (feed != null && !feed.rewind()) {
-            return Cause.NO_MEANS;
+            return AttemptEndReason.NO_CAPACITY;
         }
-        if (!attempt.advance(Phase.CONNECTING)) {
-            return Cause.CALLED_OFF;
+        if (!attempt.advance(AttemptPhase.CONNECTING)) {
+            return AttemptEndReason.CANCELLED;
         }
-        EngineConnection c = context.engines().take(attempt.engine(), exchange.database());
+        NativeEngineConnection c = context.engines().take(attempt.engine(), exchange.database());
         engine = c;
         attempt.closer(
                 () -> {
@@ -133,15 +136,18 @@
                     }
                 });
         ByteBuf query = query(c.revision());
-        if (!attempt.advance(Phase.SENDING)) {
-            return Cause.CALLED_OFF;
+        if (!attempt.advance(AttemptPhase.SENDING)) {
+            return AttemptEndReason.CANCELLED;
         }
         if (!context.engines().isReady(attempt.engine())) {
-            return Cause.DRAINED; // asked last of all, so that the grace holds for the first byte
+            return AttemptEndReason
+                    .ENGINE_DRAINING; // asked last of all, so that the grace holds for the first
+            // byte
         }
         c.write(query);
-        if (!attempt.advance(exchange.waitsForData() ? Phase.FEEDING : Phase.RUNNING)) {
-            return Cause.CALLED_OFF;
+        if (!attempt.advance(
+                exchange.waitsForData() ? AttemptPhase.FEEDING : AttemptPhase.RUNNING)) {
+            return AttemptEndReason.CANCELLED;
         }
         return relay();
     }
@@ -172,7 +178,7 @@
                         + "-"
                         + attempt.id()
                         + "-"
-                        + attempt.shot();
+                        + attempt.attemptNumber();
         ClientInfo by = q.client();
         ClientInfo info =
                 new ClientInfo(
@@ -194,7 +200,7 @@
     }
 
     // ---- The answer
-    private Cause relay() throws IOException, InterruptedException {
+    private AttemptEndReason relay() throws IOException, InterruptedException {
         StreamSource in = engine.in();
         boolean fed = exchange.feed() == null;
         while (true) {
@@ -214,16 +220,16 @@
                     exchange.lastError(
                             attempt.engine()
                                     + " has other columns than the engine that was asked first");
-                    return Cause.ENGINE_ERROR;
+                    return AttemptEndReason.ENGINE_ERROR;
                 }
                 answer.clear();
-                Cause broken = feed();
+                AttemptEndReason broken = feed();
                 if (broken != null || attempt.isOver()) {
                     return broken;
                 }
                 fed = true;
             } else if (!passOn()) {
-                return Cause.CALLED_OFF;
+                return AttemptEndReason.CANCELLED;
             }
         }
     }
@@ -236,7 +242,7 @@
         boolean wanted = true;
         if (kind == ServerPacket.PROFILE_EVENTS) {
             in.readString("table", context.limits().nameBytes());
-            told.putAll(GaugeReader.values(engine.blocks().read(false, MOST_EVENT_ROWS)));
+            told.putAll(LoadReportReader.values(engine.blocks().read(false, MOST_EVENT_ROWS)));
             wanted = Revision.hasProfileEvents(peer);
         } else if (kind.hasBlock()) {
             in.readString("table", context.limits().nameBytes());
@@ -268,7 +274,7 @@
     /** Passes on what is in hand once it is too much to keep; false where the attempt is over. */
     private boolean passOn() {
         if (!bound && answer.size() > context.config().bounds().heldAnswer()) {
-            if (!attempt.advance(Phase.ANSWERING)) {
+            if (!attempt.advance(AttemptPhase.ANSWERING)) {
                 return false;
             }
             bound = true;
@@ -282,14 +288,16 @@
         return !attempt.isOver();
     }
 
-    private Cause endOfStream(boolean fed) throws IOException {
+    private AttemptEndReason endOfStream(boolean fed) throws IOException {
         if (!fed && exchange.waitsForData()) {
-            return Cause.BROKEN; // an insert that ends before its data came: nothing of ours ran
+            return AttemptEndReason
+                    .CONNECTION_BROKEN; // an insert that ends before its data came: nothing of ours
+            // ran
         }
-        boolean first = attempt.end(Cause.SERVED, context.engines().gauges().told(told));
+        boolean first = attempt.end(AttemptEndReason.SERVED, context.engines().gauges().told(told));
         giveBack(first);
         if (first) {
-            exchange.finish(answer, Ending.SERVED);
+            exchange.finish(answer, StatementOutcome.SERVED);
         }
         return null;
     }
@@ -298,14 +306,15 @@
      * Ends the attempt by an engine's exception; the connection is clean but where data was still
      * expected.
      */
-    private Cause exception(ServerError e, boolean fed) throws IOException {
+    private AttemptEndReason exception(ServerError e, boolean fed) throws IOException {
         engine.in().endTap();
-        Cause cause = bound ? Cause.STATEMENT_ERROR : EngineErrors.cause(e.code());
+        AttemptEndReason cause =
+                bound ? AttemptEndReason.STATEMENT_ERROR : EngineErrors.cause(e.code());
         exchange.lastError(attempt.engine() + ": code " + e.code() + ": " + e.message());
         boolean first = attempt.end(cause, context.engines().gauges().told(told));
         giveBack(first && fed);
-        if (first && cause == Cause.STATEMENT_ERROR) {
-            exchange.finish(answer, Ending.ERROR);
+        if (first && cause == AttemptEndReason.STATEMENT_ERROR) {
+            exchange.finish(answer, StatementOutcome.ERROR);
         }
         return null;
     }
@@ -317,12 +326,13 @@
 
     // ---- The data of an insert
     /** Feeds the engine; null once it has all, else why not. */
-    private Cause feed() throws IOException, InterruptedException {
+    private AttemptEndReason feed() throws IOException, InterruptedException {
         InsertFeed feed = exchange.feed();
         while (true) {
             byte[] packet = feed.next(attempt);
             if (packet == null) {
-                return Cause.CALLED_OFF; // the client is gone, or the attempt's time was up
+                return AttemptEndReason
+                        .CANCELLED; // the client is gone, or the attempt's time was up
             }
             while (engine.hasSomething()) {
                 if (!early()) {
@@ -330,12 +340,12 @@
                 }
             }
             boolean last = feed.isAtEnd();
-            if (last && exchange.waitsForData() && !attempt.advance(Phase.ENDING)) {
-                return Cause.CALLED_OFF;
+            if (last && exchange.waitsForData() && !attempt.advance(AttemptPhase.ENDING)) {
+                return AttemptEndReason.CANCELLED;
             }
             engine.write(packet);
             if (last) {
-                return attempt.advance(Phase.RUNNING) ? null : Cause.CALLED_OFF;
+                return attempt.advance(AttemptPhase.RUNNING) ? null : AttemptEndReason.CANCELLED;
             }
         }
     }
--- a/router/src/main/java/ashlink/router/front/ClientConnection.java
+++ b/router/src/main/java/ashlink/router/front/NativeClientConnection.java
@@ -22,33 +22,34 @@
  * One client's connection, read by its own thread. Its states: login; idle; a statement is open; an
  * insert is being fed; what is left of an insert that was answered early is passed over; closed.
  */
-final class ClientConnection implements Runnable {
+final class NativeClientConnection implements Runnable {
 
-    private static final Logger LOG = LoggerFactory.getLogger(ClientConnection.class);
+    private static final Logger LOG = LoggerFactory.getLogger(NativeClientConnection.class);
     private static final int READ_BYTES = 16 << 10;
     private static final long MS = 1_000_000L;
     private static final long S = 1_000 * MS;
     private static final int VERSION_MAJOR = 22;
     private static final int VERSION_MINOR = 4;
 
-    private final FrontContext context;
-    private final Logins logins;
+    private final ListenerContext context;
+    private final CredentialCache logins;
     private final Socket socket;
-    private final ClientChannel client;
+    private final NativeResponseChannel client;
     private final StreamSource in;
     private final Blocks blocks;
     private final Runnable whenClosed;
     private Hello.Client hello;
     private int revision;
-    private Exchange exchange;
+    private RequestExchange exchange;
     private boolean fed = true;
 
-    ClientConnection(FrontContext context, Logins logins, Socket socket, Runnable whenClosed)
+    NativeClientConnection(
+            ListenerContext context, CredentialCache logins, Socket socket, Runnable whenClosed)
             throws IOException {
         this.context = context;
         this.logins = logins;
         this.socket = socket;
-        this.client = new ClientChannel(socket);
+        this.client = new NativeResponseChannel(socket);
         this.in = new StreamSource(socket.getInputStream(), READ_BYTES);
         this.blocks = new Blocks(in, context.limits());
         this.whenClosed = whenClosed;
@@ -95,7 +96,7 @@
             if (exchange != null && !exchange.isDone()) {
                 exchange.refuseInput(e);
             } else if (e.reason() != WireException.Reason.TRUNCATED) {
-                client.write(Answers.wire(e));
+                client.write(ResponseWriter.wire(e));
             }
         } catch (IOException gone) {
             LOG.debug("client {} is gone", client.peer());
@@ -135,7 +136,7 @@
                     .addKeyValue("client", client.peer())
                     .addKeyValue("user", hello.user())
                     .log("login refused");
-            client.write(Answers.login());
+            client.write(ResponseWriter.login());
             return false;
         }
         ByteBuf answer = new ByteBuf();
@@ -260,7 +261,7 @@
                         query.compressed(),
                         query.statement());
         exchange =
-                Intake.begin(
+                RequestAdmission.begin(
                         context, client, revision, hello.user(), hello.database(), named, tables);
         fed = exchange.feed() == null;
     }
--- a/router/src/main/java/ashlink/router/front/NativeListener.java
+++ b/router/src/main/java/ashlink/router/front/NativeListener.java
@@ -19,15 +19,15 @@
     private static final int BACKLOG = 1024;
     private static final long REST_MS = 50;
 
-    private final FrontContext context;
-    private final Logins logins = new Logins();
+    private final ListenerContext context;
+    private final CredentialCache logins = new CredentialCache();
     private final ServerSocket server;
     private final Thread thread;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private volatile boolean closed;
 
     /** Listens at the address of the settings; port 0 is any. */
-    public NativeListener(FrontContext context) throws IOException {
+    public NativeListener(ListenerContext context) throws IOException {
         this.context = context;
         server = new ServerSocket();
         server.setReuseAddress(true);
@@ -80,8 +80,9 @@
             }
             socket.setTcpNoDelay(true);
             sockets.add(socket);
-            ClientConnection c =
-                    new ClientConnection(context, logins, socket, () -> sockets.remove(socket));
+            NativeClientConnection c =
+                    new NativeClientConnection(
+                            context, logins, socket, () -> sockets.remove(socket));
             Thread t =
                     new Thread(
                             null,
--- a/router/src/main/java/ashlink/router/front/ClientChannel.java
+++ b/router/src/main/java/ashlink/router/front/NativeResponseChannel.java
@@ -1,6 +1,6 @@
 package ashlink.router.front;
 
-import ashlink.router.core.Ending;
+import ashlink.router.core.StatementOutcome;
 import ashlink.wire.ByteBuf;
 import ashlink.wire.ServerError;
 import java.io.IOException;
@@ -8,12 +8,12 @@
 import java.net.Socket;
 
 /** The way to a client of the native protocol: its socket. */
-final class ClientChannel implements AnswerChannel {
+final class NativeResponseChannel implements ResponseChannel {
 
     private final Socket socket;
     private final OutputStream out;
 
-    ClientChannel(Socket socket) throws IOException {
+    NativeResponseChannel(Socket socket) throws IOException {
         this.socket = socket;
         this.out = socket.getOutputStream();
     }
@@ -24,7 +24,7 @@
     }
 
     @Override
-    public void end(ByteBuf packets, Ending how, long retryAfterNs) throws IOException {
+    public void end(ByteBuf packets, StatementOutcome how, long retryAfterNs) throws IOException {
         write(packets);
     }
 
--- a/router/src/main/java/ashlink/router/front/Intake.java
+++ b/router/src/main/java/ashlink/router/front/RequestAdmission.java
@@ -4,26 +4,26 @@
 import ashlink.config.RouterConfig.UserSpec;
 import ashlink.decisions.api.QueryClass;
 import ashlink.router.core.CoreRequest;
-import ashlink.router.core.Ending;
+import ashlink.router.core.StatementOutcome;
 import ashlink.sql.Kind;
-import ashlink.sql.Reading;
+import ashlink.sql.StatementAnalysis;
 import ashlink.wire.QueryPacket;
 import ashlink.wire.Setting;
 import java.util.HashMap;
 import java.util.Map;
 
 /** Turns a statement into a request of the core: the same for every front. */
-public final class Intake {
+public final class RequestAdmission {
 
-    private Intake() {}
+    private RequestAdmission() {}
 
     /**
      * Reads and classifies a statement, and puts it to the core; its answer goes to the channel,
      * maybe before this returns.
      */
-    public static Exchange begin(
-            FrontContext context,
-            AnswerChannel client,
+    public static RequestExchange begin(
+            ListenerContext context,
+            ResponseChannel client,
             int revision,
             String userName,
             String database,
@@ -36,43 +36,48 @@
 
     /** A statement that was read and classified, and not yet put to the core. */
     public static final class Prepared {
-        private final FrontContext context;
-        private final Exchange exchange;
+        private final ListenerContext context;
+        private final RequestExchange exchange;
         private final CoreRequest request;
 
-        private Prepared(FrontContext context, Exchange exchange, CoreRequest request) {
+        private Prepared(ListenerContext context, RequestExchange exchange, CoreRequest request) {
             this.context = context;
             this.exchange = exchange;
             this.request = request;
         }
 
         /** The statement. */
-        public Exchange exchange() {
+        public RequestExchange exchange() {
             return exchange;
         }
 
         /** Time from now until its client gives up, by its class and its own limit. */
         public long allowedNs() {
-            return request.allowedNs();
+            return request.timeLimitNs();
         }
 
         /** Answers it here: it is not put to the core. */
         public void refuse(String why, long retryAfterNs) {
-            exchange.finish(Answers.refused(retryAfterNs, why), Ending.TURNED_AWAY, retryAfterNs);
+            exchange.finish(
+                    ResponseWriter.refused(retryAfterNs, why),
+                    StatementOutcome.TURNED_AWAY,
+                    retryAfterNs);
         }
 
         /** Puts it to the core. */
         public void submit() {
-            if (request.allowedNs() <= 0) {
-                exchange.finish(Answers.refused(0, "its time was up when it came"), Ending.REFUSED);
+            if (request.timeLimitNs() <= 0) {
+                exchange.finish(
+                        ResponseWriter.refused(0, "its time was up when it came"),
+                        StatementOutcome.REFUSED);
                 return;
             }
             long id = context.core().submit(request, exchange);
             if (id < 0) {
                 long retryAfterNs = context.config().allowed().maxRetryAfterNs();
                 exchange.finish(
-                        Answers.refused(retryAfterNs, "the router is full or stops"),
-                        Ending.TURNED_AWAY,
+                        ResponseWriter.refused(retryAfterNs, "the router is full or stops"),
+                        StatementOutcome.TURNED_AWAY,
                         retryAfterNs);
             } else {
                 exchange.id(id);
@@ -82,8 +87,8 @@
 
     /** Reads and classifies a statement. */
     public static Prepared prepare(
-            FrontContext context,
-            AnswerChannel client,
+            ListenerContext context,
+            ResponseChannel client,
             int revision,
             String userName,
             String database,
@@ -94,7 +99,7 @@
         for (Setting s : query.settings()) {
             settings.put(s.name(), s.value());
         }
-        Reading reading = context.statements().read(query.statement(), database);
+        StatementAnalysis reading = context.statements().read(query.statement(), database);
         if (reading.kind() == Kind.UNKNOWN) {
             context.unknowns().tell(reading, userName);
         }
@@ -113,7 +118,7 @@
                         config.bounds().answerMarginNs());
         return new Prepared(
                 context,
-                new Exchange(context, client, revision, database, query, tables, c, reading),
+                new RequestExchange(context, client, revision, database, query, tables, c, reading),
                 request);
     }
 }
--- a/router/src/main/java/ashlink/router/front/Exchange.java
+++ b/router/src/main/java/ashlink/router/front/RequestExchange.java
@@ -3,11 +3,11 @@
 import ashlink.decisions.api.Outcome;
 import ashlink.decisions.api.QueryClass;
 import ashlink.router.classify.Classifier;
-import ashlink.router.core.AnswerSink;
 import ashlink.router.core.Attempt;
-import ashlink.router.core.Cause;
-import ashlink.router.core.Ending;
-import ashlink.sql.Reading;
+import ashlink.router.core.AttemptEndReason;
+import ashlink.router.core.ResponseSink;
+import ashlink.router.core.StatementOutcome;
+import ashlink.sql.StatementAnalysis;
 import ashlink.wire.ByteBuf;
 import ashlink.wire.QueryPacket;
 import ashlink.wire.ServerError;
@@ -25,15 +25,15 @@
  * A statement and its one final answer. Whoever is first to claim the answer writes it; after that
  * nothing is written for this statement.
  */
-public final class Exchange implements AnswerSink {
+public final class RequestExchange implements ResponseSink {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Exchange.class);
+    private static final Logger LOG = LoggerFactory.getLogger(RequestExchange.class);
 
     /** Time for the final answer to leave; a client that does not read it by then is cut off. */
     private static final long FINAL_MS = 2_000;
 
-    private final FrontContext context;
-    private final AnswerChannel client;
+    private final ListenerContext context;
+    private final ResponseChannel client;
     private final int clientRevision;
     private final String database;
     private final QueryPacket query;
@@ -48,15 +48,15 @@
     private byte[] header;
     private volatile String lastError = "";
 
-    Exchange(
-            FrontContext context,
-            AnswerChannel client,
+    RequestExchange(
+            ListenerContext context,
+            ResponseChannel client,
             int clientRevision,
             String database,
             QueryPacket query,
             byte[] externalTables,
             QueryClass queryClass,
-            Reading reading) {
+            StatementAnalysis reading) {
         this.context = context;
         this.client = client;
         this.clientRevision = clientRevision;
@@ -112,30 +112,33 @@
 
     // ---- From the core; none of these waits
     @Override
-    public void attempt(Attempt a) {
+    public void start(Attempt a) {
         try {
             context.workers().execute(new NativeAttempt(context, this, a));
         } catch (RejectedExecutionException e) {
-            a.end(Cause.NO_MEANS, Attempt.Told.NOTHING);
+            a.end(AttemptEndReason.NO_CAPACITY, Attempt.AttemptReport.NONE);
         }
     }
 
     @Override
-    public void refused(long retryAfterNs) {
-        later(Answers.refused(retryAfterNs, lastError), Ending.REFUSED, retryAfterNs);
+    public void reject(long retryAfterNs) {
+        later(
+                ResponseWriter.refused(retryAfterNs, lastError),
+                StatementOutcome.REFUSED,
+                retryAfterNs);
     }
 
     @Override
-    public void failed() {
-        later(Answers.failed(lastError), Ending.FAILED, 0);
+    public void fail() {
+        later(ResponseWriter.failed(lastError), StatementOutcome.FAILED, 0);
     }
 
     @Override
-    public void broken(Outcome how) {
-        later(Answers.broken(how), Ending.BROKEN, 0);
+    public void abortPartial(Outcome how) {
+        later(ResponseWriter.broken(how), StatementOutcome.BROKEN, 0);
     }
 
-    private void later(ServerError error, Ending how, long retryAfterNs) {
+    private void later(ServerError error, StatementOutcome how, long retryAfterNs) {
         Future<?> cut = context.timer().schedule(client::close, FINAL_MS, TimeUnit.MILLISECONDS);
         try {
             context.workers()
@@ -161,11 +164,11 @@
     }
 
     /** Writes the rest of the answer, which ends it. */
-    void finish(ByteBuf packets, Ending how) {
+    void finish(ByteBuf packets, StatementOutcome how) {
         finish(packets, how, 0);
     }
 
-    private void finish(ByteBuf packets, Ending how, long retryAfterNs) {
+    private void finish(ByteBuf packets, StatementOutcome how, long retryAfterNs) {
         synchronized (client) {
             if (claimed) {
                 return;
@@ -181,12 +184,12 @@
     }
 
     /** Ends it with an exception. */
-    void finish(ServerError error, Ending how) {
+    void finish(ServerError error, StatementOutcome how) {
         finish(error, how, 0);
     }
 
     /** Ends it with an exception, which tells when to come back. */
-    void finish(ServerError error, Ending how, long retryAfterNs) {
+    void finish(ServerError error, StatementOutcome how, long retryAfterNs) {
         ByteBuf packet = new ByteBuf();
         try {
             error.write(packet);
@@ -224,7 +227,7 @@
     /** The client called it off: it is told at once, and the core that nobody waits any more. */
     public void cancel() {
         context.core().clientGone(id);
-        finish(Answers.cancelled(), Ending.CANCELLED);
+        finish(ResponseWriter.cancelled(), StatementOutcome.CANCELLED);
     }
 
     /**
@@ -232,7 +235,7 @@
      */
     public void refuseInput(WireException e) {
         context.core().clientGone(id);
-        finish(Answers.wire(e), Ending.BAD_INPUT);
+        finish(ResponseWriter.wire(e), StatementOutcome.BAD_INPUT);
     }
 
     /** The client is gone; nothing more is written. */
@@ -244,17 +247,17 @@
             }
             claimed = true;
         }
-        ended(Ending.GONE);
+        ended(StatementOutcome.GONE);
     }
 
-    private void ended(Ending how) {
+    private void ended(StatementOutcome how) {
         if (feed != null) {
             feed.close();
         }
         done.countDown();
-        if (LOG.isDebugEnabled() || how != Ending.SERVED) {
+        if (LOG.isDebugEnabled() || how != StatementOutcome.SERVED) {
             LOG.atLevel(
-                            how == Ending.SERVED
+                            how == StatementOutcome.SERVED
                                     ? org.slf4j.event.Level.DEBUG
                                     : org.slf4j.event.Level.INFO)
                     .addKeyValue("request", id)
--- a/router/src/main/java/ashlink/router/front/RequestHints.java
+++ b/router/src/main/java/ashlink/router/front/RequestHints.java
@@ -2,7 +2,7 @@
 
 import ashlink.decisions.api.QueryClass;
 import ashlink.router.core.CoreRequest;
-import ashlink.sql.Reading;
+import ashlink.sql.StatementAnalysis;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.zip.CRC32C;
@@ -26,7 +26,7 @@
     /** The request that the core is given; what is told wrongly is as if it was not told. */
     static CoreRequest request(
             QueryClass c,
-            Reading reading,
+            StatementAnalysis reading,
             Map<String, String> settings,
             String tenant,
             long marginNs) {
@@ -48,7 +48,7 @@
      * table that is written, or read where none is. Loads and readers of a table meet on the same
      * number.
      */
-    private static long tables(Reading reading, String told) {
+    private static long tables(StatementAnalysis reading, String told) {
         String text =
                 told != null
                         ? told
--- a/router/src/main/java/ashlink/router/front/AnswerChannel.java
+++ b/router/src/main/java/ashlink/router/front/ResponseChannel.java
@@ -1,6 +1,6 @@
 package ashlink.router.front;
 
-import ashlink.router.core.Ending;
+import ashlink.router.core.StatementOutcome;
 import ashlink.wire.ByteBuf;
 import java.io.IOException;
 
@@ -8,7 +8,7 @@
  * The way of answers to a client, in packets of the native protocol. Who holds its lock writes
  * whole packets.
  */
-public interface AnswerChannel {
+public interface ResponseChannel {
 
     /** Takes whole packets of an answer; may wait for the client. */
     void write(ByteBuf packets) throws IOException;
@@ -16,7 +16,7 @@
     /**
      * Takes the last packets of a statement's answer, and how it ended; may wait for the client.
      */
-    void end(ByteBuf packets, Ending how, long retryAfterNs) throws IOException;
+    void end(ByteBuf packets, StatementOutcome how, long retryAfterNs) throws IOException;
 
     /** Who the client is, for logs and for engines. */
     String peer();
--- a/router/src/main/java/ashlink/router/front/Answers.java
+++ b/router/src/main/java/ashlink/router/front/ResponseWriter.java
@@ -8,7 +8,7 @@
  * What clients are told that did not get an engine's answer. Each kind has a code of the public
  * list of its own.
  */
-public final class Answers {
+public final class ResponseWriter {
 
     /** Not run: trying again is harmless (TOO_MANY_SIMULTANEOUS_QUERIES). */
     public static final int REFUSED = 202;
@@ -33,7 +33,7 @@
 
     private static final long MS = 1_000_000L;
 
-    private Answers() {}
+    private ResponseWriter() {}
 
     static ServerError refused(long retryAfterNs, String why) {
         String when =
--- a/router/src/main/java/ashlink/router/front/Unknowns.java
+++ b/router/src/main/java/ashlink/router/front/UnknownTableLog.java
@@ -1,6 +1,6 @@
 package ashlink.router.front;
 
-import ashlink.sql.Reading;
+import ashlink.sql.StatementAnalysis;
 import java.util.concurrent.atomic.AtomicLong;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -9,9 +9,9 @@
  * Logs statements that were not understood: fingerprint, place and reason, never their text; so
  * many a second at most.
  */
-public final class Unknowns {
+public final class UnknownTableLog {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Unknowns.class);
+    private static final Logger LOG = LoggerFactory.getLogger(UnknownTableLog.class);
     private static final int MOST_A_SECOND = 5;
     private static final long S = 1_000_000_000L;
 
@@ -19,7 +19,7 @@
     private long secondFrom = System.nanoTime();
     private int told;
 
-    void tell(Reading reading, String user) {
+    void tell(StatementAnalysis reading, String user) {
         long missed;
         synchronized (this) {
             long now = System.nanoTime();
--- a/router/src/main/java/ashlink/router/http/HeaderWatch.java
+++ b/router/src/main/java/ashlink/router/http/HeaderTimeoutGuard.java
@@ -8,7 +8,7 @@
  * Closes connections whose next request does not come whole in time: bytes that drip in keep a
  * connection from being idle, and so need a limit of their own.
  */
-final class HeaderWatch implements Connection.Listener {
+final class HeaderTimeoutGuard implements Connection.Listener {
 
     private static final class Seen {
         long messages;
@@ -19,7 +19,7 @@
     private final long limitNs;
     private final Map<Connection, Seen> connections = new ConcurrentHashMap<>();
 
-    HeaderWatch(long limitNs) {
+    HeaderTimeoutGuard(long limitNs) {
         this.limitNs = limitNs;
     }
 
--- a/router/src/main/java/ashlink/router/http/Login.java
+++ b/router/src/main/java/ashlink/router/http/HttpAuthenticator.java
@@ -1,7 +1,7 @@
 package ashlink.router.http;
 
 import ashlink.config.RouterConfig.UserSpec;
-import ashlink.router.front.Logins;
+import ashlink.router.front.CredentialCache;
 import java.nio.charset.StandardCharsets;
 import java.util.Base64;
 import java.util.Map;
@@ -12,37 +12,39 @@
  * default}. A check of a new password is dear: only a few threads of the server may be in one, so
  * that a flood of them costs the others nothing.
  */
-final class Login {
+final class HttpAuthenticator {
 
     private static final int AT_ONCE = 4;
     private static final int MOST_BYTES = 4_096;
 
     /** Who asks; {@code user} null: not known, or {@code busy} with the checks of others. */
-    record Who(String user, boolean busy) {}
+    record AuthenticationResult(String user, boolean busy) {}
 
-    private final Logins logins = new Logins();
+    private final CredentialCache logins = new CredentialCache();
     private final Semaphore checks = new Semaphore(AT_ONCE);
 
-    Who check(Map<String, UserSpec> users, String authorization) throws InterruptedException {
+    AuthenticationResult check(Map<String, UserSpec> users, String authorization)
+            throws InterruptedException {
         String user = "default";
         String password = "";
         if (authorization != null) {
             String pair = pair(authorization);
             int colon = pair.indexOf(':');
             if (colon < 0) {
-                return new Who(null, false);
+                return new AuthenticationResult(null, false);
             }
             user = pair.substring(0, colon);
             password = pair.substring(colon + 1);
         }
         if (logins.isKnown(users, user, password)) {
-            return new Who(user, false);
+            return new AuthenticationResult(user, false);
         }
         if (!checks.tryAcquire()) {
-            return new Who(null, true);
+            return new AuthenticationResult(null, true);
         }
         try {
-            return new Who(logins.check(users, user, password) ? user : null, false);
+            return new AuthenticationResult(
+                    logins.check(users, user, password) ? user : null, false);
         } finally {
             checks.release();
         }
--- a/router/src/main/java/ashlink/router/http/HttpFront.java
+++ b/router/src/main/java/ashlink/router/http/HttpListener.java
@@ -6,13 +6,13 @@
 import ashlink.capture.log.FolderDisk;
 import ashlink.config.RouterConfig;
 import ashlink.config.RouterConfig.HttpSpec;
-import ashlink.router.front.FrontContext;
+import ashlink.router.front.ListenerContext;
 import ashlink.router.front.MemoryQuota;
-import ashlink.router.spool.KeyJournal;
+import ashlink.router.spool.IdempotencyKeyLog;
 import ashlink.router.spool.PageStore;
+import ashlink.router.spool.SpoolDirectory;
 import ashlink.router.spool.SpoolFiles;
-import ashlink.router.spool.SpoolFolder;
-import ashlink.router.statement.KeyTable;
+import ashlink.router.statement.IdempotencyKeyTable;
 import ashlink.router.statement.SpoolBudget;
 import io.prometheus.metrics.core.metrics.GaugeWithCallback;
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
@@ -30,9 +30,9 @@
 import org.slf4j.LoggerFactory;
 
 /** The HTTP server of a router: put together, started and stopped. */
-public final class HttpFront {
+public final class HttpListener {
 
-    private static final Logger LOG = LoggerFactory.getLogger(HttpFront.class);
+    private static final Logger LOG = LoggerFactory.getLogger(HttpListener.class);
     private static final long MS = 1_000_000L;
     private static final long S = 1_000 * MS;
     private static final int THREADS = 64;
@@ -41,18 +41,18 @@
     private final Server server;
     private final ServerConnector connector;
     private final PageStore store;
-    private final Registry registry;
-    private final HeaderWatch watch;
+    private final StatementRegistry registry;
+    private final HeaderTimeoutGuard watch;
     private final Scheduler background;
 
     /** A front that is not started; {@code stateDir} null: keys live as long as the router. */
-    public HttpFront(FrontContext context, Scheduler background, PrometheusRegistry metrics)
+    public HttpListener(ListenerContext context, Scheduler background, PrometheusRegistry metrics)
             throws IOException {
         this(context, background, metrics, files(context));
     }
 
-    private HttpFront(
-            FrontContext context,
+    private HttpListener(
+            ListenerContext context,
             Scheduler background,
             PrometheusRegistry metrics,
             SpoolFiles files)
@@ -73,16 +73,16 @@
                                         all / 8)),
                         new MemoryQuota(spec.memoryAllBytes()),
                         spec.memoryBytes());
-        KeyTable keys = new KeyTable(spec.keys(), spec.keyNs() / MS);
+        IdempotencyKeyTable keys = new IdempotencyKeyTable(spec.keys(), spec.keyNs() / MS);
         Path dir = config.stateDir();
-        KeyJournal journal =
+        IdempotencyKeyLog journal =
                 dir == null
                         ? null
-                        : new KeyJournal(
+                        : new IdempotencyKeyLog(
                                 FolderDisk.writing(dir.resolve("keys")),
                                 keys,
                                 System.currentTimeMillis());
-        registry = new Registry(context, store, keys, journal);
+        registry = new StatementRegistry(context, store, keys, journal);
         QueuedThreadPool threads = new QueuedThreadPool(THREADS, 4);
         threads.setName(config.name() + "-http");
         threads.setDaemon(true);
@@ -92,7 +92,7 @@
         connector.setPort(spec.listen().getPort());
         connector.setIdleTimeout(spec.idleNs() / MS);
         connector.setAcceptQueueSize(1024);
-        watch = new HeaderWatch(spec.headerNs());
+        watch = new HeaderTimeoutGuard(spec.headerNs());
         connector.addBean(watch);
         server.addConnector(connector);
         server.addBean(new NetworkConnectionLimit(spec.connections(), connector));
@@ -112,9 +112,11 @@
                 store::taken);
     }
 
-    private static SpoolFiles files(FrontContext context) throws IOException {
+    private static SpoolFiles files(ListenerContext context) throws IOException {
         Path dir = context.config().http().spool();
-        return dir == null ? null : new SpoolFolder(dir, context.config().name(), context.boot());
+        return dir == null
+                ? null
+                : new SpoolDirectory(dir, context.config().name(), context.boot());
     }
 
     private static void gauge(
--- a/router/src/main/java/ashlink/router/http/HttpStatement.java
+++ b/router/src/main/java/ashlink/router/http/HttpStatement.java
@@ -1,12 +1,12 @@
 package ashlink.router.http;
 
-import ashlink.router.core.Ending;
-import ashlink.router.front.AnswerChannel;
-import ashlink.router.front.Exchange;
+import ashlink.router.core.StatementOutcome;
+import ashlink.router.front.RequestExchange;
+import ashlink.router.front.ResponseChannel;
 import ashlink.router.spool.PageStore;
 import ashlink.router.spool.PageStore.Stored;
-import ashlink.router.statement.Life;
 import ashlink.router.statement.PageWindow;
+import ashlink.router.statement.StatementLifecycle;
 import ashlink.wire.Blocks;
 import ashlink.wire.ByteBuf;
 import ashlink.wire.PlainPackets;
@@ -37,12 +37,12 @@
  * its result by pages, and wakes who waits for one. An attempt's worker writes to it and waits
  * while there is no room; askers never wait in it.
  */
-final class HttpStatement implements AnswerChannel {
+final class HttpStatement implements ResponseChannel {
 
     private static final int READ_BYTES = 64 << 10;
 
     /** What an asker is told. {@code page} below 0: not there yet, or there is a problem. */
-    record Told(int page, byte[] blocks, byte[] header, boolean last, Problem problem) {
+    record Told(int page, byte[] blocks, byte[] header, boolean last, ProblemDetail problem) {
         boolean isPage() {
             return page >= 0;
         }
@@ -50,7 +50,7 @@
 
     /** Does what is due when it is answered, before anybody is told; may wait for the disk. */
     interface WhenAnswered {
-        void answered(HttpStatement s, Ending how) throws IOException;
+        void answered(HttpStatement s, StatementOutcome how) throws IOException;
     }
 
     private static final class Waiter {
@@ -81,21 +81,21 @@
      */
     private final Object state = new Object();
 
-    private final Life life;
+    private final StatementLifecycle life;
     private final PageWindow window = new PageWindow();
     private final List<Stored> stored = new ArrayList<>();
     private List<Waiter> waiters = new ArrayList<>();
     private volatile CountDownLatch keyKept = new CountDownLatch(0);
-    private volatile Exchange exchange;
+    private volatile RequestExchange exchange;
     private volatile boolean closed;
     private volatile Consumer<byte[]> headerTaker;
     private byte[] header = new byte[0];
     private long inMemory;
     private Stored last;
     private boolean settled;
-    private Ending ending;
+    private StatementOutcome ending;
     private ServerError error;
-    private Problem lost;
+    private ProblemDetail lost;
     private long retryAfterNs;
     private volatile long rows;
     private volatile long bytes;
@@ -110,7 +110,7 @@
             Quota memory,
             WireLimits limits,
             long pageBytes,
-            Life.Terms terms,
+            StatementLifecycle.Terms terms,
             WhenAnswered whenAnswered) {
         this.id = id;
         this.user = user;
@@ -120,10 +120,10 @@
         this.pageBytes = pageBytes;
         this.whenAnswered = whenAnswered;
         this.open = new ByteBuf(pageBytes + limits.packetBytes(), memory);
-        this.life = new Life(terms, System.nanoTime());
+        this.life = new StatementLifecycle(terms, System.nanoTime());
     }
 
-    void exchange(Exchange e) {
+    void exchange(RequestExchange e) {
         exchange = e;
     }
 
@@ -178,16 +178,16 @@
             lose(e);
             exchange.vanished(); // nothing of it can be passed on: what runs is called off where
             // that is allowed
-            settle(Ending.BROKEN, 0);
+            settle(StatementOutcome.BROKEN, 0);
             throw e;
         }
     }
 
     @Override
-    public void end(ByteBuf packets, Ending how, long retryAfter) throws IOException {
+    public void end(ByteBuf packets, StatementOutcome how, long retryAfter) throws IOException {
         try {
             take(packets);
-            if (how == Ending.SERVED && !closed) {
+            if (how == StatementOutcome.SERVED && !closed) {
                 last = keepPage(); // maybe empty: whoever was told of a next page finds one
             }
         } catch (IOException e) {
@@ -196,7 +196,7 @@
         settle(how, retryAfter);
     }
 
-    private void settle(Ending how, long retryAfter) {
+    private void settle(StatementOutcome how, long retryAfter) {
         synchronized (state) {
             if (settled) {
                 return;
@@ -233,7 +233,9 @@
     private void lose(IOException e) {
         synchronized (state) {
             if (lost == null && !closed) {
-                lost = Problem.of(Problem.Kind.RESULT_LOST, String.valueOf(e.getMessage()));
+                lost =
+                        ProblemDetail.of(
+                                ProblemDetail.Kind.RESULT_LOST, String.valueOf(e.getMessage()));
             }
         }
     }
@@ -421,12 +423,15 @@
      * What there is to tell of a page now; null while it is still to come. Called under the lock.
      */
     private Told look(int page) {
-        if (life.state() == Life.State.GONE || life.state() == Life.State.FORGOTTEN) {
+        if (life.state() == StatementLifecycle.State.GONE
+                || life.state() == StatementLifecycle.State.FORGOTTEN) {
             return problem(
                     lost != null
                             ? lost
-                            : Problem.of(
-                                    ending == null ? Ending.GONE : ending, error, retryAfterNs));
+                            : ProblemDetail.of(
+                                    ending == null ? StatementOutcome.GONE : ending,
+                                    error,
+                                    retryAfterNs));
         }
         int before = window.first();
         PageWindow.Kind kind = window.ask(page);
@@ -438,8 +443,8 @@
             case THERE -> page(page);
             case GONE ->
                     problem(
-                            Problem.of(
-                                    Problem.Kind.GONE,
+                            ProblemDetail.of(
+                                    ProblemDetail.Kind.GONE,
                                     "page "
                                             + page
                                             + " was let go when page "
@@ -449,11 +454,13 @@
             case NEVER ->
                     page == window.closed() && lost != null
                             ? problem(lost)
-                            : page == window.closed() && ending != null && ending != Ending.SERVED
-                                    ? problem(Problem.of(ending, error, retryAfterNs))
+                            : page == window.closed()
+                                            && ending != null
+                                            && ending != StatementOutcome.SERVED
+                                    ? problem(ProblemDetail.of(ending, error, retryAfterNs))
                                     : problem(
-                                            Problem.of(
-                                                    Problem.Kind.NOT_FOUND,
+                                            ProblemDetail.of(
+                                                    ProblemDetail.Kind.NOT_FOUND,
                                                     "there is no page "
                                                             + page
                                                             + "; pages are asked for in order"));
@@ -469,18 +476,18 @@
                     window.isLast(page) && lost == null,
                     null);
         } catch (IOException e) {
-            lost = Problem.of(Problem.Kind.RESULT_LOST, String.valueOf(e.getMessage()));
+            lost = ProblemDetail.of(ProblemDetail.Kind.RESULT_LOST, String.valueOf(e.getMessage()));
             return problem(lost);
         }
     }
 
-    private static Told problem(Problem p) {
+    private static Told problem(ProblemDetail p) {
         return new Told(-1, null, null, false, p);
     }
 
     // ---- Its end
     /** What is to be done about it now. */
-    Life.Wish wish(long nowNs) {
+    StatementLifecycle.Wish wish(long nowNs) {
         synchronized (state) {
             return life.wish(nowNs);
         }
@@ -490,7 +497,7 @@
     void cancel() {
         boolean running;
         synchronized (state) {
-            running = life.state() == Life.State.RUNNING;
+            running = life.state() == StatementLifecycle.State.RUNNING;
         }
         if (running && exchange != null) {
             close(); // a writer that waits for room ends, so that the cancel finds the way free
@@ -506,7 +513,7 @@
             if (exchange != null) {
                 exchange.vanished();
             }
-            settle(Ending.GONE, 0);
+            settle(StatementOutcome.GONE, 0);
         }
     }
 
@@ -547,20 +554,20 @@
     void stop() {
         synchronized (state) {
             if (lost == null) {
-                lost = Problem.of(Problem.Kind.STOPPING, "");
+                lost = ProblemDetail.of(ProblemDetail.Kind.STOPPING, "");
             }
         }
         discard();
     }
 
     // ---- Figures
-    Life.State state() {
+    StatementLifecycle.State state() {
         synchronized (state) {
             return life.state();
         }
     }
 
-    Ending ending() {
+    StatementOutcome ending() {
         synchronized (state) {
             return ending;
         }
@@ -568,7 +575,7 @@
 
     boolean isEndFetched() {
         synchronized (state) {
-            return ending != null && (ending != Ending.SERVED || window.isEndFetched());
+            return ending != null && (ending != StatementOutcome.SERVED || window.isEndFetched());
         }
     }
 
@@ -578,7 +585,7 @@
      */
     int firstPage() {
         synchronized (state) {
-            return life.state() == Life.State.GONE ? -1 : window.first();
+            return life.state() == StatementLifecycle.State.GONE ? -1 : window.first();
         }
     }
 
@@ -586,10 +593,10 @@
     String word() {
         synchronized (state) {
             return ending == null
-                    ? life.state() == Life.State.GONE ? "cancelled" : "running"
-                    : ending == Ending.SERVED
+                    ? life.state() == StatementLifecycle.State.GONE ? "cancelled" : "running"
+                    : ending == StatementOutcome.SERVED
                             ? "finished"
-                            : ending == Ending.GONE ? "abandoned" : ending.word();
+                            : ending == StatementOutcome.GONE ? "abandoned" : ending.word();
         }
     }
 
--- a/router/src/main/java/ashlink/router/http/Problem.java
+++ b/router/src/main/java/ashlink/router/http/ProblemDetail.java
@@ -1,6 +1,6 @@
 package ashlink.router.http;
 
-import ashlink.router.core.Ending;
+import ashlink.router.core.StatementOutcome;
 import ashlink.wire.ServerError;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -13,7 +13,7 @@
  * @param retryAfterNs when to come back, 0 where that is not told
  * @param code of the engine's exception, 0 where there is none
  */
-public record Problem(Kind kind, String detail, long retryAfterNs, int code) {
+public record ProblemDetail(Kind kind, String detail, long retryAfterNs, int code) {
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long MS = 1_000_000L;
@@ -70,18 +70,19 @@
     }
 
     /** A problem without further figures. */
-    public static Problem of(Kind kind, String detail) {
-        return new Problem(kind, detail, 0, 0);
+    public static ProblemDetail of(Kind kind, String detail) {
+        return new ProblemDetail(kind, detail, 0, 0);
     }
 
     /** The problem of a statement that ended without a result. */
-    public static Problem of(Ending ending, ServerError error, long retryAfterNs) {
+    public static ProblemDetail of(StatementOutcome ending, ServerError error, long retryAfterNs) {
         String text = error == null ? "" : error.message();
         return switch (ending) {
-            case REFUSED, TURNED_AWAY -> new Problem(Kind.REFUSED, text, retryAfterNs, 0);
+            case REFUSED, TURNED_AWAY -> new ProblemDetail(Kind.REFUSED, text, retryAfterNs, 0);
             case FAILED, BROKEN -> of(Kind.FAILED, text);
             case ERROR ->
-                    new Problem(Kind.STATEMENT_ERROR, text, 0, error == null ? 0 : error.code());
+                    new ProblemDetail(
+                            Kind.STATEMENT_ERROR, text, 0, error == null ? 0 : error.code());
             case CANCELLED -> of(Kind.CANCELLED, text);
             case BAD_INPUT -> of(Kind.BAD_INPUT, text);
             case GONE ->
--- a/router/src/main/java/ashlink/router/http/Form.java
+++ b/router/src/main/java/ashlink/router/http/ResultFormat.java
@@ -22,7 +22,7 @@
  * The forms in which a page is given. Values are exact in each: docs/statement-api.md has the table
  * of types.
  */
-enum Form {
+enum ResultFormat {
     JSON("application/json"),
     CSV("text/csv"),
     LINES("application/x-ndjson");
@@ -32,7 +32,7 @@
 
     private final String type;
 
-    Form(String type) {
+    ResultFormat(String type) {
         this.type = type;
     }
 
@@ -41,7 +41,7 @@
     }
 
     /** The first of a client's accepted forms that is offered, or null. */
-    static Form accepted(String accept) {
+    static ResultFormat accepted(String accept) {
         if (accept == null || accept.isBlank()) {
             return JSON;
         }
--- a/router/src/main/java/ashlink/router/http/StatementHandler.java
+++ b/router/src/main/java/ashlink/router/http/StatementHandler.java
@@ -1,13 +1,13 @@
 package ashlink.router.http;
 
 import ashlink.config.RouterConfig.HttpSpec;
-import ashlink.router.core.Ending;
-import ashlink.router.front.FrontContext;
+import ashlink.router.core.StatementOutcome;
+import ashlink.router.front.ListenerContext;
 import ashlink.router.front.MemoryQuota;
 import ashlink.router.http.HttpStatement.Told;
-import ashlink.router.http.Registry.Taken;
-import ashlink.router.statement.KeyTable.Entry;
-import ashlink.router.statement.KeyTable.Fate;
+import ashlink.router.http.StatementRegistry.Taken;
+import ashlink.router.statement.IdempotencyKeyTable.Entry;
+import ashlink.router.statement.IdempotencyKeyTable.Fate;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
@@ -53,16 +53,16 @@
      */
     private static final int GROWTH = 3;
 
-    private final FrontContext context;
+    private final ListenerContext context;
     private final HttpSpec spec;
-    private final Registry registry;
+    private final StatementRegistry registry;
     private final Executor executor;
-    private final Login login = new Login();
+    private final HttpAuthenticator login = new HttpAuthenticator();
     private final MemoryQuota rendering;
     private final AtomicInteger polling = new AtomicInteger();
     private final byte[] description;
 
-    StatementHandler(FrontContext context, Registry registry, Executor executor)
+    StatementHandler(ListenerContext context, StatementRegistry registry, Executor executor)
             throws IOException {
         this.context = context;
         this.spec = context.config().http();
@@ -99,19 +99,19 @@
             response.write(true, ByteBuffer.wrap(body), callback);
         }
 
-        void problem(Problem p, String statement) {
+        void problem(ProblemDetail p, String statement) {
             if (p.retryAfterNs() > 0) {
                 response.getHeaders().put(HttpHeader.RETRY_AFTER, Long.toString(p.retryAfterS()));
             }
-            if (p.kind() == Problem.Kind.LOGIN) {
+            if (p.kind() == ProblemDetail.Kind.LOGIN) {
                 response.getHeaders()
                         .put(
                                 HttpHeader.WWW_AUTHENTICATE,
                                 "Basic realm=\"ashlink\", charset=\"UTF-8\"");
             }
-            if (p.kind() == Problem.Kind.BODY_LATE
-                    || p.kind() == Problem.Kind.TOO_LARGE
-                    || p.kind() == Problem.Kind.STOPPING) {
+            if (p.kind() == ProblemDetail.Kind.BODY_LATE
+                    || p.kind() == ProblemDetail.Kind.TOO_LARGE
+                    || p.kind() == ProblemDetail.Kind.STOPPING) {
                 response.getHeaders().put(HttpHeader.CONNECTION, "close");
             }
             send(p.kind().status(), "application/problem+json", p.json(statement));
@@ -138,10 +138,12 @@
             }
         }
         if (allowed.isEmpty()) {
-            x.problem(Problem.of(Problem.Kind.NOT_FOUND, "paths are in /v1/openapi.json"), null);
+            x.problem(
+                    ProblemDetail.of(ProblemDetail.Kind.NOT_FOUND, "paths are in /v1/openapi.json"),
+                    null);
         } else {
             response.getHeaders().put(HttpHeader.ALLOW, allowed);
-            x.problem(Problem.of(Problem.Kind.METHOD, allowed), null);
+            x.problem(ProblemDetail.of(ProblemDetail.Kind.METHOD, allowed), null);
         }
         return true;
     }
@@ -151,15 +153,16 @@
             x.send(200, "application/json", description);
             return;
         }
-        Login.Who who =
+        HttpAuthenticator.AuthenticationResult who =
                 login.check(
                         context.config().users(),
                         x.request.getHeaders().get(HttpHeader.AUTHORIZATION));
         if (who.user() == null) {
             x.problem(
                     who.busy()
-                            ? new Problem(Problem.Kind.BUSY, "too many logins at once", S, 0)
-                            : Problem.of(Problem.Kind.LOGIN, ""),
+                            ? new ProblemDetail(
+                                    ProblemDetail.Kind.BUSY, "too many logins at once", S, 0)
+                            : ProblemDetail.of(ProblemDetail.Kind.LOGIN, ""),
                     null);
             return;
         }
@@ -198,42 +201,44 @@
             x.send(307, "application/json", "{}".getBytes(java.nio.charset.StandardCharsets.UTF_8));
         } else {
             x.problem(
-                    Problem.of(
-                            Problem.Kind.NOT_FOUND,
+                    ProblemDetail.of(
+                            ProblemDetail.Kind.NOT_FOUND,
                             "no statement of that id is known to this router"),
                     id);
         }
     }
 
-    private static Problem remembered(Entry e) {
+    private static ProblemDetail remembered(Entry e) {
         return e.fate() == Fate.ANSWERED
-                ? e.ending() == Ending.SERVED
-                        ? Problem.of(
-                                Problem.Kind.GONE, "it was served; its result is not kept any more")
-                        : Problem.of(e.ending(), null, 0)
-                : Problem.of(Problem.Kind.FATE_UNKNOWN, "");
+                ? e.ending() == StatementOutcome.SERVED
+                        ? ProblemDetail.of(
+                                ProblemDetail.Kind.GONE,
+                                "it was served; its result is not kept any more")
+                        : ProblemDetail.of(e.ending(), null, 0)
+                : ProblemDetail.of(ProblemDetail.Kind.FATE_UNKNOWN, "");
     }
 
     // ---- POST
     private void post(Exchanged x, String user) {
         String key = x.request.getHeaders().get("Idempotency-Key");
-        Form form = Form.accepted(x.request.getHeaders().get(HttpHeader.ACCEPT));
+        ResultFormat form = ResultFormat.accepted(x.request.getHeaders().get(HttpHeader.ACCEPT));
         if (form == null) {
             x.problem(
-                    Problem.of(
-                            Problem.Kind.NOT_ACCEPTABLE,
+                    ProblemDetail.of(
+                            ProblemDetail.Kind.NOT_ACCEPTABLE,
                             "application/json, text/csv, application/x-ndjson"),
                     null);
         } else if (key != null && (key.isBlank() || key.length() > MOST_KEY)) {
             x.problem(
-                    Problem.of(
-                            Problem.Kind.BAD_REQUEST,
+                    ProblemDetail.of(
+                            ProblemDetail.Kind.BAD_REQUEST,
                             "an Idempotency-Key has 1 to " + MOST_KEY + " characters"),
                     null);
         } else if (x.request.getLength() > spec.bodyBytes()) {
             x.problem(
-                    Problem.of(
-                            Problem.Kind.TOO_LARGE, "the limit is " + spec.bodyBytes() + " bytes"),
+                    ProblemDetail.of(
+                            ProblemDetail.Kind.TOO_LARGE,
+                            "the limit is " + spec.bodyBytes() + " bytes"),
                     null);
         } else {
             CompletableFuture<byte[]> whole = new CompletableFuture<>();
@@ -253,15 +258,16 @@
                                                     : e;
                                     x.problem(
                                             cause instanceof TimeoutException
-                                                    ? Problem.of(Problem.Kind.BODY_LATE, "")
+                                                    ? ProblemDetail.of(
+                                                            ProblemDetail.Kind.BODY_LATE, "")
                                                     : cause instanceof IllegalStateException
-                                                            ? Problem.of(
-                                                                    Problem.Kind.TOO_LARGE,
+                                                            ? ProblemDetail.of(
+                                                                    ProblemDetail.Kind.TOO_LARGE,
                                                                     "the limit is "
                                                                             + spec.bodyBytes()
                                                                             + " bytes")
-                                                            : Problem.of(
-                                                                    Problem.Kind.BAD_REQUEST,
+                                                            : ProblemDetail.of(
+                                                                    ProblemDetail.Kind.BAD_REQUEST,
                                                                     "the body broke off"),
                                             null);
                                 }
@@ -269,15 +275,15 @@
         }
     }
 
-    private void posted(Exchanged x, String user, String key, Form form, byte[] body) {
+    private void posted(Exchanged x, String user, String key, ResultFormat form, byte[] body) {
         try {
             Map<String, String> parameters = parameters(x.request);
             long waitNs =
                     waitNs(
                             parameters.get(
                                     "wait")); // all that can be wrong is found before anything runs
-            Posted p =
-                    Posted.read(
+            StatementSubmission p =
+                    StatementSubmission.read(
                             body, x.request.getHeaders().get(HttpHeader.CONTENT_TYPE), parameters);
             Taken taken = registry.take(p, user, Request.getRemoteAddr(x.request), key);
             if (taken.problem() != null) {
@@ -289,7 +295,7 @@
                 x.response.getHeaders().put(HttpHeader.LOCATION, "/v1/statements/" + s.id());
                 ask(x, s, 0, waitNs, form);
             }
-        } catch (Posted.Wrong e) {
+        } catch (StatementSubmission.InvalidSubmissionException e) {
             x.problem(e.problem(), null);
         } catch (RuntimeException e) {
             LOG.error("a request ends by an error of this router", e);
@@ -297,39 +303,40 @@
         }
     }
 
-    private static Map<String, String> parameters(Request request) throws Posted.Wrong {
+    private static Map<String, String> parameters(Request request)
+            throws StatementSubmission.InvalidSubmissionException {
         Map<String, String> parameters = new LinkedHashMap<>();
         try {
             for (Fields.Field f : Request.extractQueryParameters(request)) {
                 parameters.put(f.getName(), f.getValue());
             }
         } catch (RuntimeException e) {
-            throw new Posted.Wrong(
-                    Problem.Kind.BAD_REQUEST, "the parameters of the URI make no sense");
+            throw new StatementSubmission.InvalidSubmissionException(
+                    ProblemDetail.Kind.BAD_REQUEST, "the parameters of the URI make no sense");
         }
         return parameters;
     }
 
     // ---- Pages
     private void page(Exchanged x, String id, int page, String user) {
-        Form form = Form.accepted(x.request.getHeaders().get(HttpHeader.ACCEPT));
+        ResultFormat form = ResultFormat.accepted(x.request.getHeaders().get(HttpHeader.ACCEPT));
         if (form == null) {
             x.problem(
-                    Problem.of(
-                            Problem.Kind.NOT_ACCEPTABLE,
+                    ProblemDetail.of(
+                            ProblemDetail.Kind.NOT_ACCEPTABLE,
                             "application/json, text/csv, application/x-ndjson"),
                     null);
         } else {
             try {
                 long waitNs = waitNs(parameters(x.request).get("wait"));
                 withStatement(x, id, user, s -> ask(x, s, page, waitNs, form));
-            } catch (Posted.Wrong e) {
+            } catch (StatementSubmission.InvalidSubmissionException e) {
                 x.problem(e.problem(), id);
             }
         }
     }
 
-    private void ask(Exchanged x, HttpStatement s, int page, long waitNs, Form form) {
+    private void ask(Exchanged x, HttpStatement s, int page, long waitNs, ResultFormat form) {
         polling.incrementAndGet();
         s.ask(
                 page,
@@ -348,7 +355,7 @@
                 });
     }
 
-    private long waitNs(String text) throws Posted.Wrong {
+    private long waitNs(String text) throws StatementSubmission.InvalidSubmissionException {
         if (text == null) {
             return 0;
         }
@@ -360,14 +367,14 @@
         } catch (NumberFormatException e) {
             // said below
         }
-        throw new Posted.Wrong(
-                Problem.Kind.BAD_REQUEST, "wait is a number of seconds, such as 0.5");
+        throw new StatementSubmission.InvalidSubmissionException(
+                ProblemDetail.Kind.BAD_REQUEST, "wait is a number of seconds, such as 0.5");
     }
 
-    private void render(Exchanged x, HttpStatement s, Told told, Form form) {
+    private void render(Exchanged x, HttpStatement s, Told told, ResultFormat form) {
         long room = Math.min((long) GROWTH * told.blocks().length + 1024, spec.renderBytes() / 2);
         if (!rendering.take(room)) {
-            x.problem(new Problem(Problem.Kind.BUSY, "", S, 0), s.id());
+            x.problem(new ProblemDetail(ProblemDetail.Kind.BUSY, "", S, 0), s.id());
             return;
         }
         Future<?> cut =
@@ -396,7 +403,7 @@
                             told.blocks(),
                             told.header(),
                             told.page(),
-                            new Form.Around(s.id(), state, next),
+                            new ResultFormat.Around(s.id(), state, next),
                             context.limits());
             x.response.getHeaders().put("Ashlink-Statement", s.id());
             x.response.getHeaders().put("Ashlink-State", state);
@@ -408,14 +415,17 @@
                     .getHeaders()
                     .put(
                             HttpHeader.CONTENT_TYPE,
-                            form.type() + (form == Form.CSV ? "; charset=utf-8" : ""));
+                            form.type() + (form == ResultFormat.CSV ? "; charset=utf-8" : ""));
             x.response.getHeaders().put(HttpHeader.CACHE_CONTROL, "no-store");
             x.response.write(true, ByteBuffer.wrap(body), done);
         } catch (IOException | RuntimeException e) {
             cut.cancel(false);
             rendering.give(room);
             LOG.error("page {} of statement {} could not be rendered", told.page(), s.id(), e);
-            x.problem(Problem.of(Problem.Kind.RESULT_LOST, String.valueOf(e.getMessage())), s.id());
+            x.problem(
+                    ProblemDetail.of(
+                            ProblemDetail.Kind.RESULT_LOST, String.valueOf(e.getMessage())),
+                    s.id());
         }
     }
 
--- a/router/src/main/java/ashlink/router/http/Registry.java
+++ b/router/src/main/java/ashlink/router/http/StatementRegistry.java
@@ -1,18 +1,18 @@
 package ashlink.router.http;
 
 import ashlink.config.RouterConfig.HttpSpec;
-import ashlink.router.core.Ending;
-import ashlink.router.front.Exchange;
-import ashlink.router.front.FrontContext;
+import ashlink.router.core.StatementOutcome;
 import ashlink.router.front.InsertFeed;
-import ashlink.router.front.Intake;
+import ashlink.router.front.ListenerContext;
 import ashlink.router.front.MemoryQuota;
-import ashlink.router.spool.KeyJournal;
+import ashlink.router.front.RequestAdmission;
+import ashlink.router.front.RequestExchange;
+import ashlink.router.spool.IdempotencyKeyLog;
 import ashlink.router.spool.PageStore;
-import ashlink.router.statement.KeyTable;
-import ashlink.router.statement.KeyTable.Claim;
-import ashlink.router.statement.KeyTable.Entry;
-import ashlink.router.statement.Life;
+import ashlink.router.statement.IdempotencyKeyTable;
+import ashlink.router.statement.IdempotencyKeyTable.Claim;
+import ashlink.router.statement.IdempotencyKeyTable.Entry;
+import ashlink.router.statement.StatementLifecycle;
 import ashlink.wire.Block;
 import ashlink.wire.ByteBuf;
 import ashlink.wire.ClientInfo;
@@ -39,9 +39,9 @@
  * The statements of the HTTP front: taken, found, called off, expired; and the keys under which
  * they run once.
  */
-final class Registry {
+final class StatementRegistry {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Registry.class);
+    private static final Logger LOG = LoggerFactory.getLogger(StatementRegistry.class);
     private static final int ID_BYTES = 16;
     private static final long FULL_RETRY_NS = 1_000_000_000L;
 
@@ -49,15 +49,15 @@
      * What came of a posted statement: the statement, what a key tells of an earlier one, or a
      * problem.
      */
-    record Taken(HttpStatement statement, Entry earlier, Problem problem) {}
+    record Taken(HttpStatement statement, Entry earlier, ProblemDetail problem) {}
 
-    private final FrontContext context;
+    private final ListenerContext context;
     private final HttpSpec spec;
     private final PageStore store;
-    private final KeyTable keys;
-    private final KeyJournal journal;
+    private final IdempotencyKeyTable keys;
+    private final IdempotencyKeyLog journal;
     private final MemoryQuota openPages;
-    private final Life.Terms terms;
+    private final StatementLifecycle.Terms terms;
     private final SecureRandom random = new SecureRandom();
     private final Map<String, HttpStatement> statements = new ConcurrentHashMap<>();
     private final Map<String, AtomicInteger> openOfUser = new ConcurrentHashMap<>();
@@ -66,7 +66,11 @@
     private volatile boolean stopping;
 
     /** {@code journal} null: keys live as long as the router. */
-    Registry(FrontContext context, PageStore store, KeyTable keys, KeyJournal journal) {
+    StatementRegistry(
+            ListenerContext context,
+            PageStore store,
+            IdempotencyKeyTable keys,
+            IdempotencyKeyLog journal) {
         this.context = context;
         this.spec = context.config().http();
         this.store = store;
@@ -74,20 +78,21 @@
         this.journal = journal;
         this.openPages = new MemoryQuota(spec.memoryAllBytes());
         this.terms =
-                new Life.Terms(
+                new StatementLifecycle.Terms(
                         spec.unpolledNs(), spec.keptNs(), spec.lingerNs(), spec.tombstoneNs());
     }
 
     // ---- Taking
     /** Takes a statement; with a key, the same statement is taken once. */
-    Taken take(Posted p, String user, String peer, String key) {
+    Taken take(StatementSubmission p, String user, String peer, String key) {
         if (stopping) {
             return new Taken(
                     null,
                     null,
-                    new Problem(Problem.Kind.REFUSED, "the router stops", FULL_RETRY_NS, 0));
+                    new ProblemDetail(
+                            ProblemDetail.Kind.REFUSED, "the router stops", FULL_RETRY_NS, 0));
         }
-        Problem full = admit(user);
+        ProblemDetail full = admit(user);
         if (full != null) {
             return new Taken(null, null, full);
         }
@@ -106,18 +111,18 @@
         if (key != null) {
             synchronized (keys) {
                 c = keys.claim(user, key, p.digest(), s.id(), System.currentTimeMillis());
-                if (c.verdict() == KeyTable.Verdict.NEW) {
+                if (c.verdict() == IdempotencyKeyTable.Verdict.NEW) {
                     s.awaitsKey();
                     statements.put(s.id(), s); // who comes with the key next finds the statement
                 }
             }
-            if (c.verdict() != KeyTable.Verdict.NEW) {
+            if (c.verdict() != IdempotencyKeyTable.Verdict.NEW) {
                 left(s);
                 return held(c);
             }
         }
         statements.put(s.id(), s);
-        Intake.Prepared prepared = prepare(p, s, user);
+        RequestAdmission.Prepared prepared = prepare(p, s, user);
         if (c != null && !keep(c.entry())) {
             prepared.refuse("the key could not be kept", FULL_RETRY_NS);
         } else {
@@ -142,13 +147,14 @@
 
     private Taken held(Claim c) {
         return switch (c.verdict()) {
-            case OTHER -> new Taken(null, null, Problem.of(Problem.Kind.KEY_REUSED, ""));
+            case OTHER ->
+                    new Taken(null, null, ProblemDetail.of(ProblemDetail.Kind.KEY_REUSED, ""));
             case FULL ->
                     new Taken(
                             null,
                             null,
-                            new Problem(
-                                    Problem.Kind.REFUSED,
+                            new ProblemDetail(
+                                    ProblemDetail.Kind.REFUSED,
                                     "there are " + spec.keys() + " keys, which is the limit",
                                     FULL_RETRY_NS,
                                     0));
@@ -162,18 +168,21 @@
         };
     }
 
-    private Problem admit(String user) {
+    private ProblemDetail admit(String user) {
         AtomicInteger mine = openOfUser.computeIfAbsent(user, u -> new AtomicInteger());
         if (mine.incrementAndGet() > spec.openUser()) {
             mine.decrementAndGet();
-            return new Problem(
-                    Problem.Kind.TOO_MANY, "the limit is " + spec.openUser(), FULL_RETRY_NS, 0);
+            return new ProblemDetail(
+                    ProblemDetail.Kind.TOO_MANY,
+                    "the limit is " + spec.openUser(),
+                    FULL_RETRY_NS,
+                    0);
         }
         if (open.incrementAndGet() > spec.open()) {
             open.decrementAndGet();
             mine.decrementAndGet();
-            return new Problem(
-                    Problem.Kind.REFUSED,
+            return new ProblemDetail(
+                    ProblemDetail.Kind.REFUSED,
                     "the router holds " + spec.open() + " statements, which is the limit",
                     FULL_RETRY_NS,
                     0);
@@ -199,7 +208,7 @@
         return name.matches("[A-Za-z0-9._-]+") ? name + "~" + text : text;
     }
 
-    private Intake.Prepared prepare(Posted p, HttpStatement s, String user) {
+    private RequestAdmission.Prepared prepare(StatementSubmission p, HttpStatement s, String user) {
         ByteBuf end = new ByteBuf();
         try {
             end.putVarUInt(ClientPacket.DATA.ordinal()).putString("");
@@ -214,9 +223,10 @@
         QueryPacket query =
                 new QueryPacket(
                         "", info, p.settingList(), QueryPacket.COMPLETE, false, p.statement());
-        Intake.Prepared prepared =
-                Intake.prepare(context, s, Revision.HIGHEST, user, p.database(), query, noTables);
-        Exchange exchange = prepared.exchange();
+        RequestAdmission.Prepared prepared =
+                RequestAdmission.prepare(
+                        context, s, Revision.HIGHEST, user, p.database(), query, noTables);
+        RequestExchange exchange = prepared.exchange();
         s.exchange(exchange);
         if (exchange.feed() != null) {
             s.headerTaker(header -> feedLater(exchange, header, p, noTables));
@@ -228,7 +238,8 @@
      * The data of a load goes from a thread of its own: the one that brought the columns is the one
      * that sends it on.
      */
-    private void feedLater(Exchange exchange, byte[] header, Posted p, byte[] end) {
+    private void feedLater(
+            RequestExchange exchange, byte[] header, StatementSubmission p, byte[] end) {
         try {
             context.workers()
                     .execute(
@@ -263,7 +274,7 @@
      * Keeps how a keyed statement ended before its client is told; the key of one that did not run
      * is free again.
      */
-    private void answered(HttpStatement s, Ending how) throws IOException {
+    private void answered(HttpStatement s, StatementOutcome how) throws IOException {
         Entry e;
         synchronized (keys) {
             e = keys.ofStatement(s.id());
@@ -309,7 +320,9 @@
 
     /** Its client calls it off or drops its result. */
     void cancel(HttpStatement s) {
-        boolean held = s.state() == Life.State.RUNNING || s.state() == Life.State.ANSWERED;
+        boolean held =
+                s.state() == StatementLifecycle.State.RUNNING
+                        || s.state() == StatementLifecycle.State.ANSWERED;
         s.cancel();
         if (held) {
             leave(s);
@@ -344,7 +357,7 @@
                 case FORGET -> forget(s);
                 case NOTHING -> {}
             }
-            if (s.state() == Life.State.GONE) {
+            if (s.state() == StatementLifecycle.State.GONE) {
                 gone.add(s);
             }
         }
@@ -386,7 +399,8 @@
         return statements.values().stream()
                 .allMatch(
                         s ->
-                                s.state() != Life.State.RUNNING && s.state() != Life.State.ANSWERED
+                                s.state() != StatementLifecycle.State.RUNNING
+                                                && s.state() != StatementLifecycle.State.ANSWERED
                                         || s.isEndFetched());
     }
 
--- a/router/src/main/java/ashlink/router/http/Posted.java
+++ b/router/src/main/java/ashlink/router/http/StatementSubmission.java
@@ -25,7 +25,7 @@
  * {@code settings} and, for a load, {@code rows}. Parameters of the URI are settings too, but those
  * that the API itself takes.
  */
-record Posted(
+record StatementSubmission(
         String statement,
         String database,
         Map<String, String> settings,
@@ -48,21 +48,21 @@
     private static final int MOST_SETTINGS = 1_000;
 
     /** A body that makes no sense. */
-    static final class Wrong extends Exception {
-        private final Problem problem;
+    static final class InvalidSubmissionException extends Exception {
+        private final ProblemDetail problem;
 
-        Wrong(Problem.Kind kind, String detail) {
+        InvalidSubmissionException(ProblemDetail.Kind kind, String detail) {
             super(detail);
-            problem = Problem.of(kind, detail);
+            problem = ProblemDetail.of(kind, detail);
         }
 
-        Problem problem() {
+        ProblemDetail problem() {
             return problem;
         }
     }
 
-    static Posted read(byte[] body, String contentType, Map<String, String> parameters)
-            throws Wrong {
+    static StatementSubmission read(byte[] body, String contentType, Map<String, String> parameters)
+            throws InvalidSubmissionException {
         String type =
                 contentType == null
                         ? "text/plain"
@@ -82,8 +82,8 @@
             for (var names = n.fieldNames(); names.hasNext(); ) {
                 String f = names.next();
                 if (!FIELDS.contains(f)) {
-                    throw new Wrong(
-                            Problem.Kind.BAD_REQUEST,
+                    throw new InvalidSubmissionException(
+                            ProblemDetail.Kind.BAD_REQUEST,
                             "field "
                                     + f
                                     + " is unknown; there are statement, database, "
@@ -95,53 +95,63 @@
             settings(n.path("settings"), settings);
             rows = n.path("rows").isMissingNode() ? null : n.get("rows");
             if (rows != null && !rows.isArray()) {
-                throw new Wrong(Problem.Kind.BAD_REQUEST, "rows are an array of arrays");
+                throw new InvalidSubmissionException(
+                        ProblemDetail.Kind.BAD_REQUEST, "rows are an array of arrays");
             }
         } else if (type.startsWith("text/")
                 || type.equals("application/sql")
                 || type.equals("application/x-www-form-urlencoded")) {
             text = utf8(body);
         } else {
-            throw new Wrong(
-                    Problem.Kind.MEDIA_TYPE,
+            throw new InvalidSubmissionException(
+                    ProblemDetail.Kind.MEDIA_TYPE,
                     type + "; a statement is text/plain, application/sql or application/json");
         }
         if (text.isBlank()) {
-            throw new Wrong(Problem.Kind.BAD_REQUEST, "there is no statement");
+            throw new InvalidSubmissionException(
+                    ProblemDetail.Kind.BAD_REQUEST, "there is no statement");
         }
         if (settings.size() > MOST_SETTINGS) {
-            throw new Wrong(Problem.Kind.BAD_REQUEST, "over " + MOST_SETTINGS + " settings");
+            throw new InvalidSubmissionException(
+                    ProblemDetail.Kind.BAD_REQUEST, "over " + MOST_SETTINGS + " settings");
         }
-        return new Posted(text, database, settings, rows, digest(text, database, settings, rows));
+        return new StatementSubmission(
+                text, database, settings, rows, digest(text, database, settings, rows));
     }
 
-    private static JsonNode tree(byte[] body) throws Wrong {
+    private static JsonNode tree(byte[] body) throws InvalidSubmissionException {
         try {
             JsonNode n = JSON.readTree(body);
             if (n != null && n.isObject()) {
                 return n;
             }
         } catch (JsonProcessingException e) {
-            throw new Wrong(
-                    Problem.Kind.BAD_REQUEST, "the body is no JSON: " + e.getOriginalMessage());
+            throw new InvalidSubmissionException(
+                    ProblemDetail.Kind.BAD_REQUEST,
+                    "the body is no JSON: " + e.getOriginalMessage());
         } catch (java.io.IOException e) {
-            throw new Wrong(Problem.Kind.BAD_REQUEST, "the body is no JSON");
+            throw new InvalidSubmissionException(
+                    ProblemDetail.Kind.BAD_REQUEST, "the body is no JSON");
         }
-        throw new Wrong(Problem.Kind.BAD_REQUEST, "the body is no JSON object");
+        throw new InvalidSubmissionException(
+                ProblemDetail.Kind.BAD_REQUEST, "the body is no JSON object");
     }
 
-    private static void settings(JsonNode n, Map<String, String> to) throws Wrong {
+    private static void settings(JsonNode n, Map<String, String> to)
+            throws InvalidSubmissionException {
         if (!n.isMissingNode() && !n.isObject()) {
-            throw new Wrong(Problem.Kind.BAD_REQUEST, "settings are an object");
+            throw new InvalidSubmissionException(
+                    ProblemDetail.Kind.BAD_REQUEST, "settings are an object");
         }
         n.properties().forEach(f -> to.put(f.getKey(), f.getValue().asText()));
     }
 
-    private static String utf8(byte[] body) throws Wrong {
+    private static String utf8(byte[] body) throws InvalidSubmissionException {
         try {
             return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(body)).toString();
         } catch (CharacterCodingException e) {
-            throw new Wrong(Problem.Kind.BAD_REQUEST, "the statement is no UTF-8");
+            throw new InvalidSubmissionException(
+                    ProblemDetail.Kind.BAD_REQUEST, "the statement is no UTF-8");
         }
     }
 
--- a/router/src/main/java/ashlink/router/list/ListStore.java
+++ b/router/src/main/java/ashlink/router/list/EndpointListStore.java
@@ -24,7 +24,7 @@
  * that is not whole is told apart and not used. Start times are kept as milliseconds since 1970,
  * since the router's clock starts anew.
  */
-public final class ListStore {
+public final class EndpointListStore {
 
     private static final int MAGIC = 0x41534c4b;
     private static final int VERSION = 1;
@@ -36,7 +36,7 @@
     private final Path file;
 
     /** Keeps the list in that file. */
-    public ListStore(Path file) {
+    public EndpointListStore(Path file) {
         this.file = file;
     }
 
--- a/router/src/main/java/ashlink/router/list/Roster.java
+++ b/router/src/main/java/ashlink/router/list/EndpointRegistry.java
@@ -20,7 +20,7 @@
  * restart: its time up is shorter than it should be, or it took a connection after one that could
  * not be made. The second comes with the first connection, before any query; the first corrects it.
  */
-public final class Roster {
+public final class EndpointRegistry {
 
     /**
      * Difference of two told start times up to which they are the same: engines tell whole seconds.
@@ -39,7 +39,7 @@
     private final Map<String, Known> engines = new LinkedHashMap<>();
 
     /** A roster for engines that are cold for that long after their start. */
-    public Roster(long coldNs) {
+    public EndpointRegistry(long coldNs) {
         this.coldNs = coldNs;
     }
 
--- a/router/src/main/java/ashlink/router/spool/KeyJournal.java
+++ b/router/src/main/java/ashlink/router/spool/IdempotencyKeyLog.java
@@ -1,11 +1,11 @@
 package ashlink.router.spool;
 
 import ashlink.capture.log.Disk;
-import ashlink.capture.log.TableLog;
-import ashlink.router.core.Ending;
-import ashlink.router.statement.KeyTable;
-import ashlink.router.statement.KeyTable.Entry;
-import ashlink.router.statement.KeyTable.Fate;
+import ashlink.capture.log.KeyValueLog;
+import ashlink.router.core.StatementOutcome;
+import ashlink.router.statement.IdempotencyKeyTable;
+import ashlink.router.statement.IdempotencyKeyTable.Entry;
+import ashlink.router.statement.IdempotencyKeyTable.Fate;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -23,16 +23,16 @@
  * start, the table is written anew and the log before is removed. Whoever else uses the table holds
  * its lock meanwhile, and never while it calls the journal.
  */
-public final class KeyJournal implements AutoCloseable {
+public final class IdempotencyKeyLog implements AutoCloseable {
 
-    private static final Logger LOG = LoggerFactory.getLogger(KeyJournal.class);
+    private static final Logger LOG = LoggerFactory.getLogger(IdempotencyKeyLog.class);
     private static final long SEGMENT_BYTES = 16L << 20;
     private static final int PUT = 1;
     private static final int RELEASE = 2;
     private static final int SLACK = 10_000;
 
-    private final TableLog log;
-    private final KeyTable table;
+    private final KeyValueLog log;
+    private final IdempotencyKeyTable table;
     private final Object syncing = new Object();
     private final List<Pending> pending = new ArrayList<>();
 
@@ -40,8 +40,8 @@
      * Reads the table that the disk has, and goes on from there; what was under way has an unknown
      * fate now.
      */
-    public KeyJournal(Disk disk, KeyTable table, long nowMs) throws IOException {
-        this.log = new TableLog(disk, SEGMENT_BYTES, nowMs);
+    public IdempotencyKeyLog(Disk disk, IdempotencyKeyTable table, long nowMs) throws IOException {
+        this.log = new KeyValueLog(disk, SEGMENT_BYTES, nowMs);
         this.table = table;
         load();
         table.expire(nowMs);
@@ -80,7 +80,7 @@
                         digest,
                         statement,
                         fate,
-                        ending < 0 ? null : Ending.values()[ending],
+                        ending < 0 ? null : StatementOutcome.values()[ending],
                         in.readLong()));
     }
 
--- a/router/src/main/java/ashlink/router/spool/SpoolFolder.java
+++ b/router/src/main/java/ashlink/router/spool/SpoolDirectory.java
@@ -17,7 +17,7 @@
  * A spool in a folder, which routers of other names may share; a second router of the same name is
  * told so.
  */
-public final class SpoolFolder implements SpoolFiles {
+public final class SpoolDirectory implements SpoolFiles {
 
     private final Path dir;
     private final String router;
@@ -27,7 +27,7 @@
     private final FileLock lock;
 
     /** Opens the folder, and makes it where it is not there. */
-    public SpoolFolder(Path dir, String router, String boot) throws IOException {
+    public SpoolDirectory(Path dir, String router, String boot) throws IOException {
         this.dir = dir;
         this.router = router;
         this.boot = boot;
--- a/router/src/main/java/ashlink/router/statement/KeyTable.java
+++ b/router/src/main/java/ashlink/router/statement/IdempotencyKeyTable.java
@@ -1,6 +1,6 @@
 package ashlink.router.statement;
 
-import ashlink.router.core.Ending;
+import ashlink.router.core.StatementOutcome;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -14,7 +14,7 @@
  * statement that was refused provably did not run, and its key is free again. What was under way
  * when a router ended has an unknown fate, and is never run again by itself.
  */
-public final class KeyTable {
+public final class IdempotencyKeyTable {
 
     /** What is known of a key's statement. */
     public enum Fate {
@@ -39,11 +39,11 @@
             String digest,
             String statement,
             Fate fate,
-            Ending ending,
+            StatementOutcome ending,
             long claimedMs) {
 
         /** The same, answered. */
-        public Entry answered(Ending how) {
+        public Entry answered(StatementOutcome how) {
             return new Entry(user, key, digest, statement, Fate.ANSWERED, how, claimedMs);
         }
 
@@ -78,7 +78,7 @@
     private final Map<String, Name> byStatement = new HashMap<>();
 
     /** An empty table of so many keys, each for so long. */
-    public KeyTable(int most, long keptMs) {
+    public IdempotencyKeyTable(int most, long keptMs) {
         this.most = most;
         this.keptMs = keptMs;
     }
--- a/router/src/main/java/ashlink/router/statement/Life.java
+++ b/router/src/main/java/ashlink/router/statement/StatementLifecycle.java
@@ -4,7 +4,7 @@
  * The life of a statement whose client asks for its answer: under way, answered, its result
  * dropped, forgotten. Time only goes on; a statement is never brought back.
  */
-public final class Life {
+public final class StatementLifecycle {
 
     /** Where it stands. */
     public enum State {
@@ -49,7 +49,7 @@
     private boolean endFetched;
 
     /** A statement that begins. */
-    public Life(Terms terms, long nowNs) {
+    public StatementLifecycle(Terms terms, long nowNs) {
         this.terms = terms;
         this.nowNs = nowNs;
         this.askedNs = nowNs;
--- a/router/src/main/java/ashlink/router/upstream/Engines.java
+++ b/router/src/main/java/ashlink/router/upstream/EngineConnections.java
@@ -9,8 +9,8 @@
 import ashlink.decisions.api.LoadReport;
 import ashlink.decisions.api.Outcome;
 import ashlink.router.core.CoreClock;
-import ashlink.router.core.Transport;
-import ashlink.router.list.Roster;
+import ashlink.router.core.EngineTransport;
+import ashlink.router.list.EndpointRegistry;
 import ashlink.wire.Block;
 import ashlink.wire.ByteBuf;
 import ashlink.wire.ClientInfo;
@@ -38,20 +38,20 @@
  * The engines that the list names: their pools, their probes, and what the roster makes of how they
  * fare. News go to the core in the order in which the roster gave them.
  */
-public final class Engines implements Transport {
+public final class EngineConnections implements EngineTransport {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Engines.class);
+    private static final Logger LOG = LoggerFactory.getLogger(EngineConnections.class);
     private static final int MOST_PROBE_ROWS = 10_000;
     private static final long S = 1_000_000_000L;
 
     private final RouterConfig config;
-    private final Roster roster;
+    private final EndpointRegistry roster;
     private final CoreClock clock;
     private final Executor workers;
-    private final GaugeReader gauges;
+    private final LoadReportReader gauges;
     private final WireLimits limits;
     private final String probeStatement;
-    private final Map<String, EnginePool> pools = new ConcurrentHashMap<>();
+    private final Map<String, NativeConnectionPool> pools = new ConcurrentHashMap<>();
     private final Map<String, EndpointState> phases = new ConcurrentHashMap<>();
 
     /** What the list says, without what operators want. */
@@ -61,13 +61,14 @@
     private volatile Consumer<EndpointsChanged> news = n -> {};
 
     /** Reaches engines with threads of {@code workers}. */
-    public Engines(RouterConfig config, CoreClock clock, Executor workers, WireLimits limits) {
+    public EngineConnections(
+            RouterConfig config, CoreClock clock, Executor workers, WireLimits limits) {
         this.config = config;
         this.clock = clock;
         this.workers = workers;
         this.limits = limits;
-        this.roster = new Roster(config.limits().slowStartNs());
-        this.gauges = new GaugeReader(config.gauges());
+        this.roster = new EndpointRegistry(config.limits().slowStartNs());
+        this.gauges = new LoadReportReader(config.gauges());
         String uptime =
                 config.gauges().uptimeS().stream()
                         .map(RouterConfig.Gauge::name)
@@ -83,7 +84,7 @@
     }
 
     /** Reads what answers tell. */
-    public GaugeReader gauges() {
+    public LoadReportReader gauges() {
         return gauges;
     }
 
@@ -105,7 +106,7 @@
 
     /** The whole list is now this one. */
     public synchronized void configure(Collection<EngineSpec> specs) {
-        Map<String, EnginePool> before = new HashMap<>(pools);
+        Map<String, NativeConnectionPool> before = new HashMap<>(pools);
         pools.clear();
         phases.clear();
         listed.clear();
@@ -115,18 +116,18 @@
             effective.add(
                     new EngineSpec(
                             s.name(), s.address(), s.zone(), s.kind(), s.cell(), phase(s.name())));
-            EnginePool old = before.get(s.name());
+            NativeConnectionPool old = before.get(s.name());
             boolean same = old != null && old.address().equals(s.address());
             pools.put(s.name(), same ? before.remove(s.name()) : pool(s));
             phases.put(s.name(), phase(s.name()));
         }
-        before.values().forEach(EnginePool::close);
+        before.values().forEach(NativeConnectionPool::close);
         news.accept(roster.configure(effective));
     }
 
-    private EnginePool pool(EngineSpec s) {
+    private NativeConnectionPool pool(EngineSpec s) {
         RouterConfig.Bounds b = config.bounds();
-        return new EnginePool(
+        return new NativeConnectionPool(
                 s.name(),
                 s.address(),
                 config.name(),
@@ -195,16 +196,16 @@
      * A connection to that engine for that database; an exception where it cannot be reached or
      * none is free.
      */
-    public EngineConnection take(String engine, String database) throws IOException {
-        EnginePool pool = pools.get(engine);
+    public NativeEngineConnection take(String engine, String database) throws IOException {
+        NativeConnectionPool pool = pools.get(engine);
         if (pool == null) {
             throw new IOException("engine " + engine + " is not on the list");
         }
         try {
-            EngineConnection c = pool.take(database);
+            NativeEngineConnection c = pool.take(database);
             believe(engine, true);
             return c;
-        } catch (EnginePool.Full e) {
+        } catch (NativeConnectionPool.Full e) {
             throw e;
         } catch (IOException e) {
             believe(engine, false);
@@ -216,7 +217,7 @@
      * Takes back a connection; {@code clean} only where its last statement ended and nothing else
      * is due.
      */
-    public void giveBack(EngineConnection c, boolean clean) {
+    public void giveBack(NativeEngineConnection c, boolean clean) {
         if (clean) {
             c.pool().giveBack(c, clock.nowNs());
         } else {
@@ -231,23 +232,23 @@
 
     /** Closes all that is idle. */
     public void close() {
-        pools.values().forEach(EnginePool::close);
+        pools.values().forEach(NativeConnectionPool::close);
     }
 
     // ---- Probes
     @Override
-    public void probe(String engine, ProbeSink back) {
+    public void checkHealth(String engine, HealthCheckListener back) {
         try {
             workers.execute(() -> probeNow(engine, back));
         } catch (RejectedExecutionException e) {
-            back.probed(Outcome.NOT_SENT, LoadReport.NONE);
+            back.onHealthCheckCompleted(Outcome.NOT_SENT, LoadReport.NONE);
         }
     }
 
-    private void probeNow(String engine, ProbeSink back) {
+    private void probeNow(String engine, HealthCheckListener back) {
         Outcome outcome = Outcome.CONNECT_FAILED;
         LoadReport report = LoadReport.NONE;
-        EngineConnection c = null;
+        NativeEngineConnection c = null;
         boolean clean = false;
         try {
             c = take(engine, "");
@@ -259,7 +260,7 @@
                 report = gauges.report(values);
                 believeUptime(engine, gauges.uptimeS(values));
             }
-        } catch (EnginePool.Full e) {
+        } catch (NativeConnectionPool.Full e) {
             outcome = Outcome.NOT_SENT;
         } catch (java.net.SocketTimeoutException e) {
             outcome = c == null ? Outcome.CONNECT_FAILED : Outcome.TIMED_OUT;
@@ -269,12 +270,12 @@
             if (c != null) {
                 giveBack(c, clean);
             }
-            back.probed(outcome, report);
+            back.onHealthCheckCompleted(outcome, report);
         }
     }
 
     /** Runs the probe's statement; null where the engine answers with an error. */
-    private Map<String, Double> ask(EngineConnection c) throws IOException {
+    private Map<String, Double> ask(NativeEngineConnection c) throws IOException {
         ByteBuf out = new ByteBuf();
         new QueryPacket("", ClientInfo.NONE, List.of(), QueryPacket.COMPLETE, false, probeStatement)
                 .write(c.revision(), out);
@@ -295,7 +296,7 @@
                 c.in().readString("table", limits.nameBytes());
                 Block b = c.blocks().read(false, MOST_PROBE_ROWS);
                 if (p == ServerPacket.DATA) {
-                    values.putAll(GaugeReader.values(b));
+                    values.putAll(LoadReportReader.values(b));
                 }
             } else {
                 c.skipPlain(p);
--- a/router/src/main/java/ashlink/router/upstream/EngineErrors.java
+++ b/router/src/main/java/ashlink/router/upstream/EngineErrors.java
@@ -1,6 +1,6 @@
 package ashlink.router.upstream;
 
-import ashlink.router.core.Cause;
+import ashlink.router.core.AttemptEndReason;
 import java.util.Set;
 
 /**
@@ -26,9 +26,11 @@
     private EngineErrors() {}
 
     /** What ended an attempt that was answered with that code. */
-    public static Cause cause(int code) {
+    public static AttemptEndReason cause(int code) {
         return TURNED_AWAY.contains(code)
-                ? Cause.TURNED_AWAY
-                : ENGINE.contains(code) ? Cause.ENGINE_ERROR : Cause.STATEMENT_ERROR;
+                ? AttemptEndReason.REJECTED
+                : ENGINE.contains(code)
+                        ? AttemptEndReason.ENGINE_ERROR
+                        : AttemptEndReason.STATEMENT_ERROR;
     }
 }
--- a/router/src/main/java/ashlink/router/upstream/GaugeReader.java
+++ b/router/src/main/java/ashlink/router/upstream/LoadReportReader.java
@@ -3,19 +3,19 @@
 import ashlink.config.RouterConfig.Gauge;
 import ashlink.config.RouterConfig.Gauges;
 import ashlink.decisions.api.LoadReport;
-import ashlink.router.core.Attempt.Told;
+import ashlink.router.core.Attempt.AttemptReport;
 import ashlink.wire.Block;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /** Takes an engine's load, and what a statement needed, out of blocks of names and values. */
-public final class GaugeReader {
+public final class LoadReportReader {
 
     private final Gauges names;
 
     /** Reads the gauges of those names. */
-    public GaugeReader(Gauges names) {
+    public LoadReportReader(Gauges names) {
         this.names = names;
     }
 
@@ -51,10 +51,10 @@
     }
 
     /** All that an answer tells. */
-    public Told told(Map<String, Double> values) {
+    public AttemptReport told(Map<String, Double> values) {
         double work = of(values, names.workMs());
         double memory = of(values, names.memoryMb());
-        return new Told(
+        return new AttemptReport(
                 Double.isNaN(work) ? 0 : work, Double.isNaN(memory) ? 0 : memory, report(values));
     }
 
--- a/router/src/main/java/ashlink/router/upstream/EnginePool.java
+++ b/router/src/main/java/ashlink/router/upstream/NativeConnectionPool.java
@@ -14,7 +14,7 @@
  * and is closed. At the limit of connections nobody waits here: waiting is what the decision module
  * does, by worth.
  */
-public final class EnginePool {
+public final class NativeConnectionPool {
 
     /** No connection is free and no further one is allowed. */
     public static final class Full extends IOException {
@@ -31,12 +31,12 @@
     private final int connectMs;
     private final long idleNs;
     private final WireLimits limits;
-    private final ArrayDeque<EngineConnection> idle = new ArrayDeque<>();
+    private final ArrayDeque<NativeEngineConnection> idle = new ArrayDeque<>();
     private int open;
     private boolean closed;
 
     /** A pool without connections. */
-    EnginePool(
+    NativeConnectionPool(
             String engine,
             InetSocketAddress address,
             String routerName,
@@ -60,14 +60,14 @@
     }
 
     /** A connection for that database that was idle and is still quiet, or a new one. */
-    EngineConnection take(String database) throws IOException {
-        for (EngineConnection c = poll(database); c != null; c = poll(database)) {
+    NativeEngineConnection take(String database) throws IOException {
+        for (NativeEngineConnection c = poll(database); c != null; c = poll(database)) {
             if (c.isQuiet()) {
                 return c;
             }
             discard(c);
         }
-        EngineConnection evicted = null;
+        NativeEngineConnection evicted = null;
         synchronized (this) {
             if (open >= most && !idle.isEmpty()) {
                 evicted = idle.pollLast(); // it is for another database
@@ -81,7 +81,7 @@
             evicted.close(); // its place is the new one's
         }
         try {
-            return EngineConnection.open(
+            return NativeEngineConnection.open(
                     this, engine, address, database, routerName, login, connectMs, limits);
         } catch (IOException | RuntimeException e) {
             synchronized (this) {
@@ -91,9 +91,9 @@
         }
     }
 
-    private synchronized EngineConnection poll(String database) {
-        for (Iterator<EngineConnection> i = idle.iterator(); i.hasNext(); ) {
-            EngineConnection c = i.next();
+    private synchronized NativeEngineConnection poll(String database) {
+        for (Iterator<NativeEngineConnection> i = idle.iterator(); i.hasNext(); ) {
+            NativeEngineConnection c = i.next();
             if (c.database().equals(database)) {
                 i.remove();
                 return c;
@@ -103,7 +103,7 @@
     }
 
     /** Takes back a connection whose last statement ended cleanly. */
-    void giveBack(EngineConnection c, long now) {
+    void giveBack(NativeEngineConnection c, long now) {
         c.idleSince(now);
         synchronized (this) {
             if (!closed) {
@@ -115,7 +115,7 @@
     }
 
     /** Closes a connection whose state is in doubt. */
-    void discard(EngineConnection c) {
+    void discard(NativeEngineConnection c) {
         c.close();
         synchronized (this) {
             open--;
@@ -124,7 +124,7 @@
 
     /** Closes what has been idle for too long. */
     void closeIdle(long now) {
-        List<EngineConnection> old = new ArrayList<>();
+        List<NativeEngineConnection> old = new ArrayList<>();
         synchronized (this) {
             while (!idle.isEmpty() && (closed || now - idle.peekLast().idleSince() > idleNs)) {
                 old.add(idle.pollLast());
--- a/router/src/main/java/ashlink/router/upstream/EngineConnection.java
+++ b/router/src/main/java/ashlink/router/upstream/NativeEngineConnection.java
@@ -22,13 +22,13 @@
  * A connection to an engine that has said Hello. One attempt uses it at a time; closing it is safe
  * from any thread.
  */
-public final class EngineConnection implements AutoCloseable {
+public final class NativeEngineConnection implements AutoCloseable {
 
     private static final int READ_BYTES = 128 << 10;
     private static final int VERSION_MAJOR = 22;
     private static final int VERSION_MINOR = 4;
 
-    private final EnginePool pool;
+    private final NativeConnectionPool pool;
     private final String engine;
     private final String database;
     private final SocketChannel channel;
@@ -39,8 +39,8 @@
     private int revision;
     private long idleSinceNs;
 
-    private EngineConnection(
-            EnginePool pool,
+    private NativeEngineConnection(
+            NativeConnectionPool pool,
             String engine,
             String database,
             SocketChannel channel,
@@ -57,8 +57,8 @@
     }
 
     /** Connects and says Hello; both within that time. */
-    static EngineConnection open(
-            EnginePool pool,
+    static NativeEngineConnection open(
+            NativeConnectionPool pool,
             String engine,
             InetSocketAddress address,
             String database,
@@ -72,7 +72,8 @@
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
             long from = System.nanoTime();
             channel.socket().connect(address, timeoutMs);
-            EngineConnection c = new EngineConnection(pool, engine, database, channel, limits);
+            NativeEngineConnection c =
+                    new NativeEngineConnection(pool, engine, database, channel, limits);
             int left = timeoutMs - (int) ((System.nanoTime() - from) / 1_000_000);
             channel.socket().setSoTimeout(Math.max(1, left));
             c.hello(routerName, login);
@@ -130,7 +131,7 @@
         return engine;
     }
 
-    EnginePool pool() {
+    NativeConnectionPool pool() {
         return pool;
     }
 
--- a/router/src/test/java/ashlink/router/StoredDataRecorder.java
+++ b/router/src/test/java/ashlink/router/StoredDataRecorder.java
@@ -3,12 +3,12 @@
 import ashlink.capture.log.FolderDisk;
 import ashlink.decisions.api.Endpoint;
 import ashlink.decisions.api.EndpointState;
-import ashlink.router.core.Ending;
-import ashlink.router.list.ListStore;
-import ashlink.router.spool.KeyJournal;
+import ashlink.router.core.StatementOutcome;
+import ashlink.router.list.EndpointListStore;
+import ashlink.router.spool.IdempotencyKeyLog;
 import ashlink.router.spool.PageStore;
-import ashlink.router.spool.SpoolFolder;
-import ashlink.router.statement.KeyTable;
+import ashlink.router.spool.SpoolDirectory;
+import ashlink.router.statement.IdempotencyKeyTable;
 import ashlink.router.statement.SpoolBudget;
 import ashlink.wire.Quota;
 import java.io.IOException;
@@ -44,11 +44,12 @@
 
     // ---- Keys
     private static void firstStartOfKeys(Path folder) throws IOException {
-        KeyTable table = new KeyTable(100, DAY_MS);
-        try (KeyJournal journal = new KeyJournal(FolderDisk.writing(folder), table, START_MS)) {
+        IdempotencyKeyTable table = new IdempotencyKeyTable(100, DAY_MS);
+        try (IdempotencyKeyLog journal =
+                new IdempotencyKeyLog(FolderDisk.writing(folder), table, START_MS)) {
             claim(journal, table, "ann", "over-its-time", START_MS - DAY_MS / 2);
             claim(journal, table, "ann", "under-way-at-the-first-end", START_MS + 1);
-            for (Ending ending : Ending.values()) {
+            for (StatementOutcome ending : StatementOutcome.values()) {
                 answer(
                         journal,
                         table,
@@ -64,30 +65,38 @@
     }
 
     private static void secondStartOfKeys(Path folder) throws IOException {
-        KeyTable table = new KeyTable(100, DAY_MS);
+        IdempotencyKeyTable table = new IdempotencyKeyTable(100, DAY_MS);
         long nowMs = START_MS + 3_600 * SECOND_MS;
-        try (KeyJournal journal = new KeyJournal(FolderDisk.writing(folder), table, nowMs)) {
-            KeyTable.Entry free = claim(journal, table, "böb", "free-again", nowMs + 1);
+        try (IdempotencyKeyLog journal =
+                new IdempotencyKeyLog(FolderDisk.writing(folder), table, nowMs)) {
+            IdempotencyKeyTable.Entry free = claim(journal, table, "böb", "free-again", nowMs + 1);
             claim(journal, table, "böb", "ending-0", nowMs + 2);
             table.release(free.user(), free.key());
             journal.release(free);
-            KeyTable.Entry first = claim(journal, table, "", "answered-late", nowMs + 3);
+            IdempotencyKeyTable.Entry first = claim(journal, table, "", "answered-late", nowMs + 3);
             claim(journal, table, "", "under-way", nowMs + 4);
-            answer(journal, table, first, Ending.SERVED);
+            answer(journal, table, first, StatementOutcome.SERVED);
         }
     }
 
-    private static KeyTable.Entry claim(
-            KeyJournal journal, KeyTable table, String user, String key, long nowMs)
+    private static IdempotencyKeyTable.Entry claim(
+            IdempotencyKeyLog journal,
+            IdempotencyKeyTable table,
+            String user,
+            String key,
+            long nowMs)
             throws IOException {
-        KeyTable.Entry entry =
+        IdempotencyKeyTable.Entry entry =
                 table.claim(user, key, "digest of " + key, "r1~" + user + "-" + key, nowMs).entry();
         journal.put(entry);
         return entry;
     }
 
     private static void answer(
-            KeyJournal journal, KeyTable table, KeyTable.Entry entry, Ending ending)
+            IdempotencyKeyLog journal,
+            IdempotencyKeyTable table,
+            IdempotencyKeyTable.Entry entry,
+            StatementOutcome ending)
             throws IOException {
         table.put(entry.answered(ending));
         journal.put(entry.answered(ending));
@@ -96,7 +105,7 @@
     // ---- The list of engines
     private static void list(Path file) throws IOException {
         long nowNs = 5_000 * SECOND_MS * MS;
-        new ListStore(file)
+        new EndpointListStore(file)
                 .save(
                         List.of(
                                 new Endpoint(
@@ -134,7 +143,7 @@
     private static void leave(Path folder, String router, String boot, String statement, int pages)
             throws Exception {
         SpoolBudget budget = new SpoolBudget(new SpoolBudget.Limits(1_000, 1_000, 1_000, 0));
-        try (SpoolFolder files = new SpoolFolder(folder, router, boot)) {
+        try (SpoolDirectory files = new SpoolDirectory(folder, router, boot)) {
             PageStore store = new PageStore(files, budget, Quota.NONE, 30);
             long before = 0;
             for (int page = 0; page <= pages; page++) {
--- a/router/src/test/java/ashlink/router/core/CauseTest.java
+++ b/router/src/test/java/ashlink/router/core/AttemptEndReasonTest.java
@@ -12,27 +12,27 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-class CauseTest {
+class AttemptEndReasonTest {
 
-    private final List<Attempt.End> ends = new ArrayList<>();
+    private final List<Attempt.AttemptEnd> ends = new ArrayList<>();
 
-    private Attempt attempt(Phase phase) {
+    private Attempt attempt(AttemptPhase phase) {
         Attempt a = new Attempt(1, 0, "q1", 0, -1, 0, (at, end) -> ends.add(end));
         a.advance(phase);
         return a;
     }
 
     @ParameterizedTest
-    @EnumSource(Cause.class)
-    void whatProvablyLackedSomethingNeverCountsAsRunAndWhatHadAllMayHave(Cause cause) {
-        for (Phase phase : Phase.values()) {
+    @EnumSource(AttemptEndReason.class)
+    void whatProvablyLackedSomethingNeverCountsAsRunAndWhatHadAllMayHave(AttemptEndReason cause) {
+        for (AttemptPhase phase : AttemptPhase.values()) {
             Outcome o = cause.outcome(phase);
-            if (cause == Cause.SERVED) {
+            if (cause == AttemptEndReason.SERVED) {
                 assertTrue(o.mayHaveRun());
             } else if (!phase.mayRun()) {
                 assertFalse(o.mayHaveRun(), cause + " while " + phase + " is " + o);
-            } else if (cause != Cause.TURNED_AWAY && cause != Cause.NOT_WANTED
-                    || phase == Phase.ANSWERING) {
+            } else if (cause != AttemptEndReason.REJECTED && cause != AttemptEndReason.STALE_REQUEST
+                    || phase == AttemptPhase.ANSWERING) {
                 assertTrue(o.mayHaveRun(), cause + " while " + phase + " is " + o);
             }
         }
@@ -40,36 +40,38 @@
 
     @Test
     void anEndIsToldOnceAndTheFirstCauseHolds() {
-        for (Phase phase : EnumSet.complementOf(EnumSet.of(Phase.SENDING, Phase.ENDING))) {
+        for (AttemptPhase phase :
+                EnumSet.complementOf(EnumSet.of(AttemptPhase.SENDING, AttemptPhase.ENDING))) {
             ends.clear();
             Attempt a = attempt(phase);
-            a.abort(Cause.TIMED_OUT);
-            assertFalse(a.advance(Phase.RUNNING));
-            assertFalse(a.end(Cause.SERVED, Attempt.Told.NOTHING));
-            a.abort(Cause.CALLED_OFF);
+            a.abort(AttemptEndReason.TIMED_OUT);
+            assertFalse(a.advance(AttemptPhase.RUNNING));
+            assertFalse(a.end(AttemptEndReason.SERVED, Attempt.AttemptReport.NONE));
+            a.abort(AttemptEndReason.CANCELLED);
             assertEquals(1, ends.size(), phase.toString());
-            assertEquals(Cause.TIMED_OUT.outcome(phase), ends.get(0).outcome());
+            assertEquals(AttemptEndReason.TIMED_OUT.outcome(phase), ends.get(0).outcome());
         }
     }
 
     @Test
     void whileAWriteDecidesItsWriterTellsTheEnd() {
-        for (Phase phase : List.of(Phase.SENDING, Phase.ENDING)) {
+        for (AttemptPhase phase : List.of(AttemptPhase.SENDING, AttemptPhase.ENDING)) {
             ends.clear();
             Attempt failed = attempt(phase);
-            failed.abort(Cause.TIMED_OUT);
+            failed.abort(AttemptEndReason.TIMED_OUT);
             assertEquals(0, ends.size());
             failed.end(
-                    Cause.BROKEN,
-                    Attempt.Told.NOTHING); // the write threw: its last byte never left
+                    AttemptEndReason.CONNECTION_BROKEN,
+                    Attempt.AttemptReport.NONE); // the write threw: its last byte never left
             assertEquals(Outcome.NOT_SENT, ends.get(0).outcome());
             ends.clear();
             Attempt written = attempt(phase);
-            written.abort(Cause.TIMED_OUT);
+            written.abort(AttemptEndReason.TIMED_OUT);
             assertFalse(
                     written.advance(
-                            Phase.RUNNING)); // the write was through before the socket closed
-            written.end(Cause.CALLED_OFF, Attempt.Told.NOTHING);
+                            AttemptPhase
+                                    .RUNNING)); // the write was through before the socket closed
+            written.end(AttemptEndReason.CANCELLED, Attempt.AttemptReport.NONE);
             assertEquals(Outcome.TIMED_OUT, ends.get(0).outcome());
         }
     }
--- a/router/src/test/java/ashlink/router/http/DescriptionTest.java
+++ b/router/src/test/java/ashlink/router/http/DescriptionTest.java
@@ -47,9 +47,11 @@
         assertEquals(routes, described);
         Set<String> problems = new TreeSet<>();
         Set<String> mine = new TreeSet<>(Set.of("200", "202", "307"));
-        for (Problem.Kind k : Problem.Kind.values()) {
+        for (ProblemDetail.Kind k : ProblemDetail.Kind.values()) {
             problems.add("/problems/" + k.word());
-            if (k != Problem.Kind.METHOD) { // of paths with another method, which are not described
+            if (k
+                    != ProblemDetail.Kind
+                            .METHOD) { // of paths with another method, which are not described
                 mine.add(Integer.toString(k.status()));
             }
         }
--- a/router/src/test/java/ashlink/router/http/FormTest.java
+++ b/router/src/test/java/ashlink/router/http/ResultFormatTest.java
@@ -15,10 +15,11 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-class FormTest {
+class ResultFormatTest {
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final Form.Around AROUND = new Form.Around("s", "finished", null);
+    private static final ResultFormat.Around AROUND =
+            new ResultFormat.Around("s", "finished", null);
 
     private interface Values {
         void put(ByteBuf to) throws IOException;
@@ -41,7 +42,7 @@
 
     private static String json(String type, int rows, Values values) throws IOException {
         byte[] page =
-                Form.JSON.render(
+                ResultFormat.JSON.render(
                         block(type, rows, values), new byte[0], 0, AROUND, WireLimits.DEFAULT);
         JsonNode n = JSON.readTree(page);
         assertEquals(type, n.get("columns").get(0).get("type").asText());
@@ -50,7 +51,7 @@
 
     private static String csv(String type, int rows, Values values) throws IOException {
         return new String(
-                Form.CSV.render(
+                ResultFormat.CSV.render(
                         block(type, rows, values), new byte[0], 1, AROUND, WireLimits.DEFAULT),
                 StandardCharsets.UTF_8);
     }
@@ -143,7 +144,7 @@
                 "[[\"a\\\"b\"],[{\"base64\":\"/w==\"}]]",
                 json("String", 2, b -> b.putString("a\"b").putVarUInt(1).putByte(0xff)));
         byte[] raw =
-                Form.CSV.render(
+                ResultFormat.CSV.render(
                         block("String", 2, b -> b.putString("a\"b").putVarUInt(1).putByte(0xff)),
                         new byte[0],
                         0,
@@ -227,7 +228,7 @@
                             header, JSON.readTree("[[" + c[1] + "]]"), WireLimits.DEFAULT);
             assertEquals(ClientPacket.DATA.ordinal(), packet[0]);
             byte[] page =
-                    Form.JSON.render(
+                    ResultFormat.JSON.render(
                             Arrays.copyOfRange(packet, 2, packet.length),
                             header,
                             0,
--- a/router/src/test/java/ashlink/router/list/RosterTest.java
+++ b/router/src/test/java/ashlink/router/list/EndpointRegistryTest.java
@@ -16,11 +16,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class RosterTest {
+class EndpointRegistryTest {
 
     private static final long S = 1_000_000_000L;
     private static final long NOW = 1_000_000 * S;
-    private final Roster roster = new Roster(14 * S);
+    private final EndpointRegistry roster = new EndpointRegistry(14 * S);
 
     private static EngineSpec spec(int port) {
         return new EngineSpec(
@@ -88,7 +88,7 @@
     @Test
     void aKeptListComesBackAndATornOrDamagedOneIsFound(@TempDir Path dir) throws IOException {
         Path file = dir.resolve("list");
-        ListStore store = new ListStore(file);
+        EndpointListStore store = new EndpointListStore(file);
         assertEquals(List.of(), store.load(NOW, 5_000_000));
         List<Endpoint> list =
                 List.of(
--- a/router/src/test/java/ashlink/router/list/StoredListTest.java
+++ b/router/src/test/java/ashlink/router/list/StoredListTest.java
@@ -41,7 +41,8 @@
 
     private IOException refused(byte[] bytes) throws IOException {
         Path file = Files.write(folder.resolve("engines.list"), bytes);
-        return assertThrows(IOException.class, () -> new ListStore(file).load(NOW, SAVED_MS));
+        return assertThrows(
+                IOException.class, () -> new EndpointListStore(file).load(NOW, SAVED_MS));
     }
 
     private static byte[] stored() throws Exception {
@@ -50,13 +51,13 @@
 
     @Test
     void theListIsReadAsItWasSaved() throws Exception {
-        ListStore store = new ListStore(StoredFiles.stored("engines.list"));
+        EndpointListStore store = new EndpointListStore(StoredFiles.stored("engines.list"));
         assertEquals(expected(NOW - 2 * SECOND, NOW - 90 * DAY), store.load(NOW, SAVED_MS));
     }
 
     @Test
     void startTimesAreOfTheRoutersClockAtTheLoad() throws Exception {
-        ListStore store = new ListStore(StoredFiles.stored("engines.list"));
+        EndpointListStore store = new EndpointListStore(StoredFiles.stored("engines.list"));
         assertEquals(
                 expected(NOW - 12 * SECOND, NOW - 90 * DAY - 10 * SECOND),
                 store.load(NOW, SAVED_MS + 10_000));
@@ -65,7 +66,7 @@
     @Test
     void aSaveOfTheSameListGivesTheSameBytes() throws Exception {
         Path file = folder.resolve("engines.list");
-        new ListStore(file).save(expected(NOW - 2 * SECOND, NOW - 90 * DAY), NOW, SAVED_MS);
+        new EndpointListStore(file).save(expected(NOW - 2 * SECOND, NOW - 90 * DAY), NOW, SAVED_MS);
         assertArrayEquals(stored(), Files.readAllBytes(file));
     }
 
--- a/router/src/test/java/ashlink/router/spool/SpoolTest.java
+++ b/router/src/test/java/ashlink/router/spool/SpoolTest.java
@@ -8,10 +8,10 @@
 
 import ashlink.capture.log.FaultyDisk;
 import ashlink.capture.log.FolderDisk;
-import ashlink.router.core.Ending;
-import ashlink.router.statement.KeyTable;
-import ashlink.router.statement.KeyTable.Entry;
-import ashlink.router.statement.KeyTable.Fate;
+import ashlink.router.core.StatementOutcome;
+import ashlink.router.statement.IdempotencyKeyTable;
+import ashlink.router.statement.IdempotencyKeyTable.Entry;
+import ashlink.router.statement.IdempotencyKeyTable.Fate;
 import ashlink.router.statement.SpoolBudget;
 import ashlink.wire.Quota;
 import java.io.IOException;
@@ -32,36 +32,36 @@
 
     @TempDir Path dir;
 
-    private static KeyTable table() {
-        return new KeyTable(100, 1L << 40);
+    private static IdempotencyKeyTable table() {
+        return new IdempotencyKeyTable(100, 1L << 40);
     }
 
-    private static Entry claim(KeyTable t, String key) {
+    private static Entry claim(IdempotencyKeyTable t, String key) {
         return t.claim("u", key, "d-" + key, "s-" + key, 1).entry();
     }
 
     // ---- Keys
     @Test
     void whatIsKeptIsThereAfterACrashAndTheTableIsWrittenAnew() throws Exception {
-        KeyTable t = table();
-        KeyJournal j = new KeyJournal(FolderDisk.writing(dir), t, 1);
+        IdempotencyKeyTable t = table();
+        IdempotencyKeyLog j = new IdempotencyKeyLog(FolderDisk.writing(dir), t, 1);
         for (int i = 0; i < 20; i++) {
             Entry e = claim(t, "k" + i);
             j.put(e);
             if (i % 4 == 0) {
-                t.put(e.answered(Ending.SERVED));
-                j.put(e.answered(Ending.SERVED));
+                t.put(e.answered(StatementOutcome.SERVED));
+                j.put(e.answered(StatementOutcome.SERVED));
             } else if (i % 4 == 1) {
                 t.release("u", e.key());
                 j.release(e);
             }
         }
         j.close(); // no more is written at a close than before it
-        KeyTable after = table();
-        KeyJournal next = new KeyJournal(FolderDisk.writing(dir), after, 1);
+        IdempotencyKeyTable after = table();
+        IdempotencyKeyLog next = new IdempotencyKeyLog(FolderDisk.writing(dir), after, 1);
         assertEquals(15, after.entries().size());
         assertEquals(Fate.ANSWERED, after.ofStatement("s-k4").fate());
-        assertEquals(Ending.SERVED, after.ofStatement("s-k4").ending());
+        assertEquals(StatementOutcome.SERVED, after.ofStatement("s-k4").ending());
         assertEquals(Fate.UNKNOWN, after.ofStatement("s-k2").fate());
         assertEquals(null, after.ofStatement("s-k5"));
         try (Stream<Path> files = Files.list(dir)) {
@@ -75,8 +75,8 @@
 
     @Test
     void aJournalCutAtAnyByteOpensWithAllThatWasBefore() throws Exception {
-        KeyTable t = table();
-        KeyJournal j = new KeyJournal(FolderDisk.writing(dir), t, 1);
+        IdempotencyKeyTable t = table();
+        IdempotencyKeyLog j = new IdempotencyKeyLog(FolderDisk.writing(dir), t, 1);
         Path file;
         try (Stream<Path> files = Files.list(dir)) {
             file = files.filter(f -> f.toString().endsWith(".seg")).findFirst().orElse(null);
@@ -99,8 +99,8 @@
         for (int cut = 0; cut <= whole.length; cut++) {
             Path copy = Files.createDirectory(dir.resolve("cut" + cut));
             Files.write(copy.resolve(file.getFileName()), Arrays.copyOf(whole, cut));
-            KeyTable after = table();
-            new KeyJournal(FolderDisk.writing(copy), after, 1).close();
+            IdempotencyKeyTable after = table();
+            new IdempotencyKeyLog(FolderDisk.writing(copy), after, 1).close();
             int at = cut;
             assertEquals(
                     sizes.stream().filter(s -> s <= at).count(),
@@ -111,16 +111,16 @@
 
     @Test
     void aKeyWhoseSyncFailsIsNotAcknowledgedAndTheNextIs() throws Exception {
-        KeyTable t = table();
+        IdempotencyKeyTable t = table();
         FaultyDisk disk = new FaultyDisk();
-        KeyJournal j = new KeyJournal(disk, t, 1);
+        IdempotencyKeyLog j = new IdempotencyKeyLog(disk, t, 1);
         j.put(claim(t, "a"));
         disk.syncFails(true);
         assertThrows(IOException.class, () -> j.put(claim(t, "b")));
         disk.syncFails(false);
         j.put(claim(t, "c"));
-        KeyTable after = table();
-        new KeyJournal(disk.afterPowerLoss(new SplittableRandom(1)), after, 1);
+        IdempotencyKeyTable after = table();
+        new IdempotencyKeyLog(disk.afterPowerLoss(new SplittableRandom(1)), after, 1);
         assertTrue(after.ofStatement("s-a") != null && after.ofStatement("s-c") != null);
     }
 
@@ -129,9 +129,9 @@
         SplittableRandom random = new SplittableRandom(3);
         int lost = 0;
         for (int i = 0; i < 200; i++) {
-            KeyTable t = table();
+            IdempotencyKeyTable t = table();
             FaultyDisk disk = new FaultyDisk();
-            KeyJournal j = new KeyJournal(disk, t, 1);
+            IdempotencyKeyLog j = new IdempotencyKeyLog(disk, t, 1);
             List<String> acknowledged = new ArrayList<>();
             int faulty = random.nextInt(20);
             for (int n = 0; n < 20; n++) {
@@ -143,8 +143,8 @@
                     lost++;
                 }
             }
-            KeyTable after = table();
-            new KeyJournal(disk.afterPowerLoss(random), after, 1);
+            IdempotencyKeyTable after = table();
+            new IdempotencyKeyLog(disk.afterPowerLoss(random), after, 1);
             assertTrue(
                     acknowledged.stream().allMatch(s -> after.ofStatement(s) != null), "run " + i);
         }
@@ -162,7 +162,7 @@
 
     @Test
     void pagesComeBackAsTheyWereAndAWrongByteIsFound() throws Exception {
-        try (SpoolFolder files = new SpoolFolder(dir, "r1", "b2")) {
+        try (SpoolDirectory files = new SpoolDirectory(dir, "r1", "b2")) {
             PageStore s = store(files, 1_000, 10);
             PageStore.Stored small = s.store("s", "u", 0, new byte[] {1, 2, 3}, 3, 0, () -> false);
             PageStore.Stored large =
@@ -239,11 +239,13 @@
                         "notes.page")) {
             Files.write(dir.resolve(name), new byte[1]);
         }
-        try (SpoolFolder files = new SpoolFolder(dir, "r1", "b2")) {
+        try (SpoolDirectory files = new SpoolDirectory(dir, "r1", "b2")) {
             assertEquals(1, store(files, 10, 0).clean());
             assertThrows(
-                    IOException.class, () -> new SpoolFolder(dir, "r1", "b3"), "two of one name");
-            new SpoolFolder(dir, "r10", "b3").close();
+                    IOException.class,
+                    () -> new SpoolDirectory(dir, "r1", "b3"),
+                    "two of one name");
+            new SpoolDirectory(dir, "r10", "b3").close();
         }
         assertFalse(Files.exists(dir.resolve("r1.b1.sx.0.page")));
         assertTrue(
--- a/router/src/test/java/ashlink/router/spool/StoredKeysTest.java
+++ b/router/src/test/java/ashlink/router/spool/StoredKeysTest.java
@@ -5,10 +5,10 @@
 
 import ashlink.capture.log.FolderDisk;
 import ashlink.router.StoredFiles;
-import ashlink.router.core.Ending;
-import ashlink.router.statement.KeyTable;
-import ashlink.router.statement.KeyTable.Entry;
-import ashlink.router.statement.KeyTable.Fate;
+import ashlink.router.core.StatementOutcome;
+import ashlink.router.statement.IdempotencyKeyTable;
+import ashlink.router.statement.IdempotencyKeyTable.Entry;
+import ashlink.router.statement.IdempotencyKeyTable.Fate;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -52,14 +52,14 @@
         StoredFiles.copyFolder("keys", folder);
     }
 
-    private KeyTable open(long nowMs) throws IOException {
-        KeyTable table = new KeyTable(100, KEPT_MS);
-        new KeyJournal(FolderDisk.writing(folder), table, nowMs).close();
+    private IdempotencyKeyTable open(long nowMs) throws IOException {
+        IdempotencyKeyTable table = new IdempotencyKeyTable(100, KEPT_MS);
+        new IdempotencyKeyLog(FolderDisk.writing(folder), table, nowMs).close();
         return table;
     }
 
     /** A line an entry: user, key, digest, statement, numbers of fate and ending, time claimed. */
-    private static List<String> lines(KeyTable table) {
+    private static List<String> lines(IdempotencyKeyTable table) {
         return table.entries().stream().map(StoredKeysTest::line).toList();
     }
 
@@ -97,7 +97,7 @@
 
     @Test
     void whatWasUnderWayHasAnUnknownFate() throws Exception {
-        KeyTable table = open(NOW_MS);
+        IdempotencyKeyTable table = open(NOW_MS);
         assertEquals(Fate.UNKNOWN, table.ofStatement("r1~-under-way").fate());
         assertEquals(Fate.UNKNOWN, table.ofStatement("r1~ann-under-way-at-the-first-end").fate());
     }
@@ -108,15 +108,15 @@
         assertEquals(List.of(Fate.OPEN, Fate.ANSWERED, Fate.UNKNOWN), List.of(Fate.values()));
         assertEquals(
                 List.of(
-                        Ending.SERVED,
-                        Ending.ERROR,
-                        Ending.REFUSED,
-                        Ending.TURNED_AWAY,
-                        Ending.FAILED,
-                        Ending.BROKEN,
-                        Ending.CANCELLED,
-                        Ending.BAD_INPUT,
-                        Ending.GONE),
-                List.of(Ending.values()));
+                        StatementOutcome.SERVED,
+                        StatementOutcome.ERROR,
+                        StatementOutcome.REFUSED,
+                        StatementOutcome.TURNED_AWAY,
+                        StatementOutcome.FAILED,
+                        StatementOutcome.BROKEN,
+                        StatementOutcome.CANCELLED,
+                        StatementOutcome.BAD_INPUT,
+                        StatementOutcome.GONE),
+                List.of(StatementOutcome.values()));
     }
 }
--- a/router/src/test/java/ashlink/router/spool/StoredSpoolTest.java
+++ b/router/src/test/java/ashlink/router/spool/StoredSpoolTest.java
@@ -49,8 +49,8 @@
         return new PageStore(files, budget, Quota.NONE, 0);
     }
 
-    private SpoolFolder start(String router, String boot) throws IOException {
-        return new SpoolFolder(folder, router, boot);
+    private SpoolDirectory start(String router, String boot) throws IOException {
+        return new SpoolDirectory(folder, router, boot);
     }
 
     @Test
@@ -61,7 +61,7 @@
 
     @Test
     void pagesOfEarlierStartsAreKnownAsItsOwnAndNotOfThisStart() throws Exception {
-        try (SpoolFolder files = start("r1", NEW_BOOT)) {
+        try (SpoolDirectory files = start("r1", NEW_BOOT)) {
             assertEquals(OWN_LEFTOVERS, files.list().stream().sorted().toList());
             assertTrue(files.list().stream().noneMatch(files::isOwn));
         }
@@ -70,7 +70,7 @@
     @Test
     void aStartRemovesItsOwnLeftoversWholeOrTornAndKeepsAllElse() throws Exception {
         assertEquals(5, Files.size(folder.resolve("r1.ln0b9j5c.sX4.1.page")), "the torn one");
-        try (SpoolFolder files = start("r1", NEW_BOOT)) {
+        try (SpoolDirectory files = start("r1", NEW_BOOT)) {
             assertEquals(OWN_LEFTOVERS.size(), store(files).clean());
             assertEquals(List.of(), files.list());
         }
@@ -82,7 +82,7 @@
         String name = "r1.ln0a0000.b7Zq_-9.1.page";
         byte[] before = Files.readAllBytes(folder.resolve(name));
         Files.delete(folder.resolve(name));
-        try (SpoolFolder files = start("r1", "ln0a0000")) {
+        try (SpoolDirectory files = start("r1", "ln0a0000")) {
             store(files).store("r1~b7Zq_-9", "ann", 1, before, before.length, 0, () -> false);
         }
         assertArrayEquals(before, Files.readAllBytes(folder.resolve(name)));
--- a/router/src/test/java/ashlink/router/statement/StatementDecisionsTest.java
+++ b/router/src/test/java/ashlink/router/statement/StatementDecisionsTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.router.core.Ending;
-import ashlink.router.statement.KeyTable.Entry;
-import ashlink.router.statement.KeyTable.Fate;
-import ashlink.router.statement.KeyTable.Verdict;
-import ashlink.router.statement.Life.State;
-import ashlink.router.statement.Life.Wish;
+import ashlink.router.core.StatementOutcome;
+import ashlink.router.statement.IdempotencyKeyTable.Entry;
+import ashlink.router.statement.IdempotencyKeyTable.Fate;
+import ashlink.router.statement.IdempotencyKeyTable.Verdict;
 import ashlink.router.statement.PageWindow.Kind;
+import ashlink.router.statement.StatementLifecycle.State;
+import ashlink.router.statement.StatementLifecycle.Wish;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -21,11 +21,12 @@
 
 class StatementDecisionsTest {
 
-    private static final Life.Terms TERMS = new Life.Terms(30, 60, 10, 300);
+    private static final StatementLifecycle.Terms TERMS =
+            new StatementLifecycle.Terms(30, 60, 10, 300);
 
     @Test
     void aStatementThatNobodyAsksForIsCalledOffAndOneThatIsAskedForIsNot() {
-        Life l = new Life(TERMS, 0);
+        StatementLifecycle l = new StatementLifecycle(TERMS, 0);
         assertEquals(Wish.NOTHING, l.wish(29));
         assertEquals(Wish.ABANDON, l.wish(30));
         l.asked(30);
@@ -37,7 +38,7 @@
 
     @Test
     void anAnswerIsKeptForItsTimeAndShorterOnceItsEndWasFetched() {
-        Life l = new Life(TERMS, 0);
+        StatementLifecycle l = new StatementLifecycle(TERMS, 0);
         assertTrue(l.answered(100));
         assertFalse(l.answered(101), "once only");
         assertEquals(Wish.NOTHING, l.wish(159));
@@ -129,7 +130,7 @@
 
     @Test
     void aKeyHoldsItsStatementUntilItsTimeIsOver() {
-        KeyTable t = new KeyTable(2, 1_000);
+        IdempotencyKeyTable t = new IdempotencyKeyTable(2, 1_000);
         assertEquals(Verdict.NEW, t.claim("u", "k", "d1", "s1", 0).verdict());
         assertEquals("s1", t.claim("u", "k", "d1", "s2", 1).entry().statement());
         assertEquals(Verdict.SAME, t.claim("u", "k", "d1", "s2", 1).verdict());
@@ -139,7 +140,7 @@
                 t.claim("v", "k", "d2", "s3", 2).verdict(),
                 "keys are each user's own");
         assertEquals(Verdict.FULL, t.claim("u", "l", "d", "s4", 3).verdict());
-        t.put(t.ofStatement("s1").answered(Ending.SERVED));
+        t.put(t.ofStatement("s1").answered(StatementOutcome.SERVED));
         assertEquals(
                 Verdict.FULL,
                 t.claim("u", "l", "d", "s4", 999).verdict(),
@@ -156,8 +157,8 @@
     void afterARestartWhatWasUnderWayHasAnUnknownFate() {
         Entry open = new Entry("u", "k", "d", "s", Fate.OPEN, null, 5);
         assertEquals(Fate.UNKNOWN, open.afterRestart().fate());
-        assertEquals(Fate.ANSWERED, open.answered(Ending.SERVED).afterRestart().fate());
-        KeyTable t = new KeyTable(2, 1_000);
+        assertEquals(Fate.ANSWERED, open.answered(StatementOutcome.SERVED).afterRestart().fate());
+        IdempotencyKeyTable t = new IdempotencyKeyTable(2, 1_000);
         t.put(open.afterRestart());
         assertEquals(Verdict.SAME, t.claim("u", "k", "d", "s9", 6).verdict());
         t.release("u", "k");
--- a/sql/src/main/java/ashlink/sql/Findings.java
+++ b/sql/src/main/java/ashlink/sql/AnalysisBuilder.java
@@ -6,7 +6,7 @@
 import java.util.TreeSet;
 
 /** What the readers of one text have found so far. */
-final class Findings {
+final class AnalysisBuilder {
 
     final TreeSet<String> reads = new TreeSet<>();
     final TreeSet<String> writes = new TreeSet<>();
--- a/sql/src/main/java/ashlink/sql/ExpressionReader.java
+++ b/sql/src/main/java/ashlink/sql/ExpressionReader.java
@@ -14,11 +14,11 @@
     static final int DEEPEST = 240;
 
     private final Tokens tokens;
-    private final Findings found;
+    private final AnalysisBuilder found;
     private final QueryReader queries;
     private int depth;
 
-    ExpressionReader(Tokens tokens, Findings found, QueryReader queries) {
+    ExpressionReader(Tokens tokens, AnalysisBuilder found, QueryReader queries) {
         this.tokens = tokens;
         this.found = found;
         this.queries = queries;
@@ -67,7 +67,7 @@
         tokens.take();
     }
 
-    NotUnderstood unexpected(String wanted) {
+    UnsupportedSyntaxException unexpected(String wanted) {
         Token t = tokens.peek();
         String there =
                 t == null
@@ -78,12 +78,13 @@
                                         ? "a word"
                                         : "'" + t.text
                                                 + "'"; // no name or value of a statement is told
-        return new NotUnderstood(there + " where " + wanted + " was expected", tokens.at());
+        return new UnsupportedSyntaxException(
+                there + " where " + wanted + " was expected", tokens.at());
     }
 
     void deeper() {
         if (++depth > DEEPEST) {
-            throw new NotUnderstood(
+            throw new UnsupportedSyntaxException(
                     "brackets or operators too deep within each other", tokens.at());
         }
     }
--- a/sql/src/main/java/ashlink/sql/NormalText.java
+++ b/sql/src/main/java/ashlink/sql/NormalizedSql.java
@@ -12,12 +12,12 @@
  * The text that a fingerprint is of: one blank between tokens, keywords in capitals, {@code ?} for
  * each literal.
  */
-final class NormalText {
+final class NormalizedSql {
 
     private static final int ROUGH_TOKENS = 10_000;
     private static final Pattern PLAIN = Pattern.compile("[A-Za-z_][A-Za-z_0-9]*");
 
-    private NormalText() {}
+    private NormalizedSql() {}
 
     static String of(List<Token> tokens) {
         StringBuilder text = new StringBuilder();
@@ -62,7 +62,7 @@
                                 || t.type == ashlink.sql.grammar.SqlLexer.NUMBER;
                 rough.append(' ').append(literal ? "?" : t.text);
             }
-        } catch (NotUnderstood e) {
+        } catch (UnsupportedSyntaxException e) {
             rough.append(" ...");
         }
         return rough.toString().strip();
--- a/sql/src/main/java/ashlink/sql/QueryReader.java
+++ b/sql/src/main/java/ashlink/sql/QueryReader.java
@@ -8,11 +8,11 @@
 final class QueryReader {
 
     private final Tokens tokens;
-    private final Findings found;
+    private final AnalysisBuilder found;
     private final String database;
     private final ExpressionReader expressions;
 
-    QueryReader(Tokens tokens, Findings found, String database) {
+    QueryReader(Tokens tokens, AnalysisBuilder found, String database) {
         this.tokens = tokens;
         this.found = found;
         this.database = database;
@@ -499,7 +499,7 @@
      */
     String tableName() {
         if (expressions.at(SqlLexer.OPEN_CURLY)) {
-            throw new NotUnderstood("a table whose name is a parameter", tokens.at());
+            throw new UnsupportedSyntaxException("a table whose name is a parameter", tokens.at());
         }
         String first = expressions.name("a table");
         if (!expressions.at(SqlLexer.DOT)) {
@@ -508,7 +508,7 @@
         tokens.take();
         String second = expressions.name("a table");
         if (expressions.at(SqlLexer.DOT)) {
-            throw new NotUnderstood("a name of three parts", tokens.at());
+            throw new UnsupportedSyntaxException("a name of three parts", tokens.at());
         }
         return qualified(first, second);
     }
@@ -545,7 +545,7 @@
         } else if (Vocabulary.PATTERN_TABLES.contains(lower)) {
             found.allTables = false;
         } else if (!Vocabulary.HARMLESS_TABLES.contains(lower)) {
-            throw new NotUnderstood("an unknown table function", tokens.last().from);
+            throw new UnsupportedSyntaxException("an unknown table function", tokens.last().from);
         }
         found.unstable |= lower.equals("generaterandom") || lower.equals("fuzzjson");
         expressions.parenthesis(scope);
--- a/sql/src/main/java/ashlink/sql/Reading.java
+++ b/sql/src/main/java/ashlink/sql/StatementAnalysis.java
@@ -20,7 +20,7 @@
  * @param reason why it is unknown, or why it is not harmless though it reads; empty otherwise
  * @param at character of the text at which reading ended, -1 where it was understood
  */
-public record Reading(
+public record StatementAnalysis(
         Kind kind,
         SortedSet<String> reads,
         SortedSet<String> writes,
--- a/sql/src/main/java/ashlink/sql/StatementReader.java
+++ b/sql/src/main/java/ashlink/sql/StatementReader.java
@@ -81,15 +81,15 @@
     }
 
     /** Reads a text; {@code database} is the connection's, empty where there is none. */
-    public Reading read(String text, String database) {
+    public StatementAnalysis read(String text, String database) {
         Tokens tokens = new Tokens(text, mostTokens);
-        Findings found = new Findings();
+        AnalysisBuilder found = new AnalysisBuilder();
         Kind kind = Kind.UNKNOWN;
         String reason = "";
         int at = -1;
         try {
             kind = new Statement(tokens, found, database).text();
-        } catch (NotUnderstood e) {
+        } catch (UnsupportedSyntaxException e) {
             reason = e.getMessage();
             at = e.at();
         } catch (StackOverflowError e) {
@@ -102,10 +102,10 @@
         boolean known = kind != Kind.UNKNOWN;
         String normal =
                 known
-                        ? NormalText.of(tokens.taken())
-                        : "unknown " + NormalText.rough(text, mostTokens);
+                        ? NormalizedSql.of(tokens.taken())
+                        : "unknown " + NormalizedSql.rough(text, mostTokens);
         boolean harmless = kind == Kind.READ && found.doubt.isEmpty();
-        return new Reading(
+        return new StatementAnalysis(
                 kind,
                 Collections.unmodifiableSortedSet(known ? found.reads : new TreeSet<>()),
                 Collections.unmodifiableSortedSet(known ? found.writes : new TreeSet<>()),
@@ -114,7 +114,7 @@
                 found.unstable || !known,
                 known && found.takesData,
                 known ? Map.copyOf(new TreeMap<>(found.settings)) : Map.of(),
-                NormalText.fingerprint(normal),
+                NormalizedSql.fingerprint(normal),
                 normal,
                 known && !harmless && kind == Kind.READ ? found.doubt : reason,
                 at);
@@ -123,12 +123,12 @@
     /** One text under reading. */
     private static final class Statement {
         private final Tokens tokens;
-        private final Findings found;
+        private final AnalysisBuilder found;
         private final QueryReader queries;
         private final ExpressionReader words;
         private final String database;
 
-        Statement(Tokens tokens, Findings found, String database) {
+        Statement(Tokens tokens, AnalysisBuilder found, String database) {
             this.tokens = tokens;
             this.found = found;
             this.database = database;
@@ -161,7 +161,7 @@
                 }
             }
             if (statements == 0) {
-                throw new NotUnderstood("there is no statement", 0);
+                throw new UnsupportedSyntaxException("there is no statement", 0);
             }
             return statements > 1 ? Kind.SEVERAL : first;
         }
@@ -234,7 +234,9 @@
                     found.allTables = false;
                     return some(Kind.ADMINISTRATION);
                 }
-                default -> throw new NotUnderstood("no statement starts like this", tokens.at());
+                default ->
+                        throw new UnsupportedSyntaxException(
+                                "no statement starts like this", tokens.at());
             }
         }
 
@@ -503,7 +505,8 @@
                                 || t.type == SqlLexer.CLOSE_CURLY;
                 open += opens ? 1 : closes ? -1 : 0;
                 if (open < 0 || t.type == SqlLexer.SEMICOLON) {
-                    throw new NotUnderstood("a bracket is not closed, or closes nothing", t.from);
+                    throw new UnsupportedSyntaxException(
+                            "a bracket is not closed, or closes nothing", t.from);
                 }
                 t.role =
                         t.type == SqlLexer.NUMBER || t.type == SqlLexer.STRING
@@ -511,7 +514,7 @@
                                 : ExpressionReader.isName(t) ? Role.NAME : Role.SYMBOL;
             }
             if (open > 0) {
-                throw new NotUnderstood("a bracket is not closed", tokens.at());
+                throw new UnsupportedSyntaxException("a bracket is not closed", tokens.at());
             }
             return kind;
         }
--- a/sql/src/main/java/ashlink/sql/Tokens.java
+++ b/sql/src/main/java/ashlink/sql/Tokens.java
@@ -43,7 +43,7 @@
     ashlink.sql.Token take() {
         ashlink.sql.Token t = peek(0);
         if (t == null) {
-            throw new NotUnderstood("the statement ends early", text.length());
+            throw new UnsupportedSyntaxException("the statement ends early", text.length());
         }
         next++;
         return t;
@@ -76,7 +76,7 @@
             return;
         }
         if (made.size() >= most) {
-            throw new NotUnderstood("over " + most + " tokens", t.getStartIndex());
+            throw new UnsupportedSyntaxException("over " + most + " tokens", t.getStartIndex());
         }
         int from = t.getStartIndex();
         int to = t.getStopIndex() + 1;
@@ -85,22 +85,22 @@
             int inner = text.indexOf("/*", from + 2);
             if (inner >= 0 && inner + 1 < to) {
                 // Versions differ on whether such comments end at the first or at the matching end.
-                throw new NotUnderstood("a comment within a comment", inner);
+                throw new UnsupportedSyntaxException("a comment within a comment", inner);
             }
             return;
         }
         if (type == SqlLexer.OPEN_COMMENT) {
-            throw new NotUnderstood("a comment is not closed", from);
+            throw new UnsupportedSyntaxException("a comment is not closed", from);
         }
         if (type == SqlLexer.STRAY) {
-            throw new NotUnderstood(
+            throw new UnsupportedSyntaxException(
                     "a stray character U+" + String.format("%04X", (int) text.charAt(from)), from);
         }
         if (type == SqlLexer.HEREDOC) {
             String tag = text.substring(from, to);
             int close = text.indexOf(tag, to);
             if (close < 0) {
-                throw new NotUnderstood("a heredoc is not closed", from);
+                throw new UnsupportedSyntaxException("a heredoc is not closed", from);
             }
             to = close + tag.length();
             chars.seek(to);
--- a/sql/src/main/java/ashlink/sql/NotUnderstood.java
+++ b/sql/src/main/java/ashlink/sql/UnsupportedSyntaxException.java
@@ -3,12 +3,12 @@
 /**
  * A statement is not understood from here on; no more than a long jump, so it has no stack trace.
  */
-final class NotUnderstood extends RuntimeException {
+final class UnsupportedSyntaxException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
     private final int at;
 
-    NotUnderstood(String reason, int at) {
+    UnsupportedSyntaxException(String reason, int at) {
         super(reason, null, false, false);
         this.at = at;
     }
--- a/sql/src/test/java/ashlink/sql/Corpus.java
+++ b/sql/src/test/java/ashlink/sql/Corpus.java
@@ -56,7 +56,7 @@
         return plain.toString();
     }
 
-    static String flags(Reading r) {
+    static String flags(StatementAnalysis r) {
         return (r.harmless() ? "h" : "")
                 + (r.unstable() ? "u" : "")
                 + (r.takesData() ? "d" : "")
--- a/sql/src/test/java/ashlink/sql/CorpusTest.java
+++ b/sql/src/test/java/ashlink/sql/CorpusTest.java
@@ -16,7 +16,7 @@
         List<String> wrong = new ArrayList<>();
         List<Corpus.Case> cases = Corpus.cases();
         for (Corpus.Case c : cases) {
-            Reading r = reader.read(c.statement(), "");
+            StatementAnalysis r = reader.read(c.statement(), "");
             String got = r.kind() + " " + r.reads() + " " + r.writes() + " " + Corpus.flags(r);
             String wanted = c.kind() + " " + c.reads() + " " + c.writes() + " " + c.flags();
             if (!got.equals(wanted)) {
@@ -43,9 +43,9 @@
     @Test
     void theNormalTextOfAStatementReadsAsItself() throws Exception {
         for (Corpus.Case c : Corpus.cases()) {
-            Reading r = reader.read(c.statement(), "");
+            StatementAnalysis r = reader.read(c.statement(), "");
             if (r.kind() != Kind.UNKNOWN && !r.normal().contains("{")) {
-                Reading again = reader.read(r.normal(), "");
+                StatementAnalysis again = reader.read(r.normal(), "");
                 assertEquals(r.normal(), again.normal(), c.statement());
                 assertEquals(r.kind(), again.kind(), c.statement());
                 assertEquals(r.reads(), again.reads(), c.statement());
--- a/sql/src/test/java/ashlink/sql/FuzzRun.java
+++ b/sql/src/test/java/ashlink/sql/FuzzRun.java
@@ -38,7 +38,7 @@
                     }
                 }
             }
-            Reading r = reader.read(s.toString(), "");
+            StatementAnalysis r = reader.read(s.toString(), "");
             kinds[r.kind().ordinal()]++;
             assertEquals(r, reader.read(s.toString(), ""));
         }
--- a/sql/src/test/java/ashlink/sql/LimitsTest.java
+++ b/sql/src/test/java/ashlink/sql/LimitsTest.java
@@ -11,12 +11,12 @@
     private final StatementReader reader = new StatementReader();
 
     /** Reads on a thread with the stack of a router's client. */
-    private Reading read(String text) throws InterruptedException {
+    private StatementAnalysis read(String text) throws InterruptedException {
         return read(text, 512 << 10);
     }
 
-    private Reading read(String text, long stackBytes) throws InterruptedException {
-        Reading[] read = new Reading[1];
+    private StatementAnalysis read(String text, long stackBytes) throws InterruptedException {
+        StatementAnalysis[] read = new StatementAnalysis[1];
         Throwable[] thrown = new Throwable[1];
         Thread t = new Thread(null, () -> read[0] = reader.read(text, ""), "small", stackBytes);
         t.setUncaughtExceptionHandler((x, e) -> thrown[0] = e);
@@ -39,7 +39,8 @@
                     {"- ", ""},
                     {"CAST(", " AS Int8)"}
                 }) {
-            Reading r = read("SELECT " + way[0].repeat(100_000) + "1" + way[1].repeat(100_000));
+            StatementAnalysis r =
+                    read("SELECT " + way[0].repeat(100_000) + "1" + way[1].repeat(100_000));
             assertTrue(r.kind() == Kind.UNKNOWN, way[0] + " " + r.kind());
         }
         assertEquals(Kind.READ, read("SELECT " + "(".repeat(60) + "1" + ")".repeat(60)).kind());
@@ -54,7 +55,7 @@
         read("SELECT 1", 512 << 10); // classes load on a stack that bears it
         String deep = "SELECT " + "f(".repeat(76) + "1" + ")".repeat(76);
         assertEquals(Kind.READ, read(deep, 512 << 10).kind());
-        Reading r = read(deep, 1 << 10);
+        StatementAnalysis r = read(deep, 1 << 10);
         // How much a frame takes varies with what is compiled; whichever it is, nothing is thrown.
         assertTrue(
                 r.kind() == Kind.READ || r.reason().contains("for this thread"),
@@ -64,7 +65,7 @@
     @Test
     void longListsAreReadUpToALimitAndThenUnknown() throws Exception {
         assertEquals(Kind.READ, read("SELECT 1 IN (" + "1,".repeat(400_000) + "1)").kind());
-        Reading r = read("SELECT 1 IN (" + "1,".repeat(1_000_000) + "1)");
+        StatementAnalysis r = read("SELECT 1 IN (" + "1,".repeat(1_000_000) + "1)");
         assertEquals(Kind.UNKNOWN, r.kind());
         assertTrue(r.reason().contains("tokens"), r.reason());
         assertEquals(Kind.READ, read("SELECT '" + "x".repeat(16 << 20) + "'").kind());
@@ -73,7 +74,7 @@
     @Test
     void dataOfAnInsertIsNotLookedAt() throws Exception {
         String data = "(1, 'a'),".repeat(7 << 20) + " this ' is /* no SQL";
-        Reading r = read("INSERT INTO t VALUES " + data);
+        StatementAnalysis r = read("INSERT INTO t VALUES " + data);
         assertEquals(Kind.LOAD, r.kind());
         assertEquals("INSERT INTO t VALUES", r.normal());
     }
@@ -106,7 +107,7 @@
 
     @Test
     void noNameOrValueOfAStatementIsInAReason() {
-        Reading r = reader.read("SELECT 'Anna Huber' 'Gmunden' FROM", "");
+        StatementAnalysis r = reader.read("SELECT 'Anna Huber' 'Gmunden' FROM", "");
         assertEquals(Kind.UNKNOWN, r.kind());
         assertTrue(!r.reason().contains("Anna") && !r.reason().contains("Gmunden"), r.reason());
     }
