--- a/sql/src/test/java/ashlink/sql/ReaderProperties.java
+++ b/sql/src/test/java/ashlink/sql/ReaderProperties.java
@@ -115,10 +115,10 @@
             @ForAll("blanks") String blank,
             @ForAll boolean upper,
             @ForAll @IntRange(min = 1, max = 60) int length) {
-        Reading first = reader.read(s.text(a, " ", false), "");
+        StatementAnalysis first = reader.read(s.text(a, " ", false), "");
         Shape other =
                 new Shape(s.column(), s.operator(), s.table(), s.function(), s.join(), length);
-        Reading second = reader.read(other.text(b, blank, upper), "");
+        StatementAnalysis second = reader.read(other.text(b, blank, upper), "");
         assertEquals(Kind.READ, first.kind(), first.reason());
         assertEquals(first.normal(), second.normal());
         assertEquals(first.fingerprint(), second.fingerprint());
@@ -152,7 +152,7 @@
                         : how == 1
                                 ? s.substring(0, i) + by + s.substring(i)
                                 : s.substring(0, i) + s.substring(Math.min(s.length(), i + 1));
-        Reading r = reader.read(mutated, "");
+        StatementAnalysis r = reader.read(mutated, "");
         String words =
                 mutated.replaceAll(
                                 "(?s)'.*?'|`.*?`|\".*?\"|/\\*.*?\\*/|--[^\n"
--- a/standin/src/main/java/ashlink/standin/StandInEngine.java
+++ b/standin/src/main/java/ashlink/standin/EmulatedEngine.java
@@ -21,7 +21,7 @@
  * A stand-in engine: a listener, a thread for each connection, and the model that says how long
  * work takes. Faults are set on {@link #faults}; {@link #crash} and {@link #restart} keep the port.
  */
-public final class StandInEngine {
+public final class EmulatedEngine {
 
     private static final double MS = 1e6;
     private static final int BACKLOG = 1024;
@@ -31,7 +31,7 @@
 
     private final EngineConfig config;
     private final Ledger ledger;
-    private final Faults faults = new Faults();
+    private final FaultInjection faults = new FaultInjection();
     private final UniformRandomProvider random;
     private final Map<Job, Runnable> doneHooks = new HashMap<>();
     private final List<Job> late = new ArrayList<>();
@@ -44,7 +44,7 @@
     private boolean down = true;
 
     /** An engine that is not started. */
-    public StandInEngine(EngineConfig config) throws IOException {
+    public EmulatedEngine(EngineConfig config) throws IOException {
         this.config = config;
         this.ledger = new Ledger(config.ledger());
         this.random =
@@ -127,7 +127,7 @@
         } catch (IOException e) {
             // closed all the same
         }
-        sockets.forEach(StandInEngine::close);
+        sockets.forEach(EmulatedEngine::close);
         hooks.forEach(Runnable::run);
     }
 
@@ -152,7 +152,7 @@
                         config.name() + "-session",
                         () -> {
                             try {
-                                new Session(this, c).run();
+                                new EngineSession(this, c).run();
                             } finally {
                                 sockets.remove(c);
                             }
@@ -229,7 +229,7 @@
 
     // ---- Faults
     /** What is wrong with its connections. */
-    public Faults faults() {
+    public FaultInjection faults() {
         return faults;
     }
 
--- a/standin/src/main/java/ashlink/standin/Session.java
+++ b/standin/src/main/java/ashlink/standin/EngineSession.java
@@ -1,8 +1,8 @@
 package ashlink.standin;
 
 import ashlink.config.EngineConfig;
-import ashlink.standin.Faults.Break;
-import ashlink.standin.Faults.Place;
+import ashlink.standin.FaultInjection.Break;
+import ashlink.standin.FaultInjection.Place;
 import ashlink.standin.Ledger.Entry;
 import ashlink.standin.Ledger.How;
 import ashlink.standin.model.Job;
@@ -32,7 +32,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** One connection to a stand-in. */
-final class Session {
+final class EngineSession {
 
     private static final int LOOK_MS = 10;
     private static final int READ_BYTES = 64 << 10;
@@ -48,7 +48,7 @@
         }
     }
 
-    private final StandInEngine engine;
+    private final EmulatedEngine engine;
     private final EngineConfig config;
     private final SocketChannel channel;
     private StreamSource in;
@@ -61,7 +61,7 @@
     /** True while the client has nothing to send but a Cancel. */
     private boolean quiet;
 
-    Session(StandInEngine engine, SocketChannel channel) {
+    EngineSession(EmulatedEngine engine, SocketChannel channel) {
         this.engine = engine;
         this.config = engine.config();
         this.channel = channel;
@@ -169,7 +169,7 @@
         while (!readNextData(q.compressed()).isEnd()) {
             // external tables
         }
-        Hints hints = new Hints(q.statement());
+        WorkHints hints = new WorkHints(q.statement());
         String text = q.statement().replaceAll("(?s)/\\*.*?\\*/", " ").strip();
         if (text.contains("system.metrics")) {
             breakHere(Place.RUN, null);
@@ -219,7 +219,8 @@
         send(packet);
     }
 
-    private void readInsert(QueryPacket q, Hints hints) throws IOException, InterruptedException {
+    private void readInsert(QueryPacket q, WorkHints hints)
+            throws IOException, InterruptedException {
         ByteBuf header = new ByteBuf();
         if (Revision.hasTableColumns(revision)) {
             header.putVarUInt(ServerPacket.TABLE_COLUMNS.ordinal())
@@ -245,7 +246,7 @@
      * Works until the statement is done; false where it has ended otherwise, which is answered or
      * noted.
      */
-    private boolean work(QueryPacket q, Hints hints) throws IOException, InterruptedException {
+    private boolean work(QueryPacket q, WorkHints hints) throws IOException, InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         Job job = engine.submit(demand(q, hints), done::countDown);
         if (job == null) {
@@ -281,7 +282,7 @@
         return true;
     }
 
-    private static Job.Demand demand(QueryPacket q, Hints h) {
+    private static Job.Demand demand(QueryPacket q, WorkHints h) {
         String grant = q.setting("max_memory_usage");
         String priority = q.setting("priority");
         double grantMb = grant == null ? 0 : Double.parseDouble(grant) / (1 << 20);
@@ -329,7 +330,7 @@
         send(packet);
     }
 
-    private void answer(QueryPacket q, Hints hints, String text, String upper)
+    private void answer(QueryPacket q, WorkHints hints, String text, String upper)
             throws IOException, InterruptedException {
         ByteBuf packet = new ByteBuf();
         Compression compression =
@@ -361,7 +362,7 @@
     }
 
     /** Appends and sends blocks of the result; the last stay in the packet. */
-    private long data(Hints hints, String text, Compression compression, ByteBuf packet)
+    private long data(WorkHints hints, String text, Compression compression, ByteBuf packet)
             throws IOException, InterruptedException {
         long blocksWanted = hints.whole("blocks", 1);
         int rows = (int) hints.whole("rows", 1);
@@ -405,7 +406,7 @@
         }
     }
 
-    private Block made(Hints hints, int rows) {
+    private Block made(WorkHints hints, int rows) {
         List<Object> ids = new ArrayList<>();
         List<Object> texts = new ArrayList<>();
         String value = hints.text("value", config.name());
@@ -422,7 +423,7 @@
                 new Block.Column("id", "UInt64", ids), new Block.Column("value", "String", texts));
     }
 
-    private void events(Hints hints, ByteBuf packet) throws IOException {
+    private void events(WorkHints hints, ByteBuf packet) throws IOException {
         if (!Revision.hasProfileEvents(revision)) {
             return;
         }
--- a/standin/src/main/java/ashlink/standin/Faults.java
+++ b/standin/src/main/java/ashlink/standin/FaultInjection.java
@@ -1,7 +1,7 @@
 package ashlink.standin;
 
 /** What is wrong with a stand-in, set by command while it runs. */
-public final class Faults {
+public final class FaultInjection {
 
     /** Places at which a connection can be made to break. */
     public enum Place {
--- a/standin/src/main/java/ashlink/standin/Ledger.java
+++ b/standin/src/main/java/ashlink/standin/Ledger.java
@@ -55,7 +55,7 @@
                 String zone,
                 String router,
                 String queryId,
-                Hints hints,
+                WorkHints hints,
                 long beganNs) {
             this.engine = engine;
             this.kind = kind;
--- a/standin/src/main/java/ashlink/standin/Hints.java
+++ b/standin/src/main/java/ashlink/standin/WorkHints.java
@@ -9,13 +9,13 @@
  * What a statement asks of a stand-in: {@code name=value} pairs in a comment that starts with
  * {@code sim}, as in {@code /* sim work_ms=120 threads=1 rows=10 *}{@code /}.
  */
-public final class Hints {
+public final class WorkHints {
 
     private static final Pattern COMMENT = Pattern.compile("/\\*\\s*sim\\s([^*]*)\\*/");
     private final Map<String, String> values = new HashMap<>();
 
     /** Reads the comment of a statement, where it has one. */
-    public Hints(String statement) {
+    public WorkHints(String statement) {
         Matcher m = COMMENT.matcher(statement);
         if (m.find()) {
             for (String pair : m.group(1).trim().split("\\s+")) {
