--- a/cli/src/main/java/ashlink/cli/BenchCommand.java
+++ b/cli/src/main/java/ashlink/cli/BenchCommand.java
@@ -1,9 +1,9 @@
 package ashlink.cli;
 
-import ashlink.rig.bench.BackgroundBench;
-import ashlink.rig.bench.CodecBench;
-import ashlink.rig.bench.HttpBench;
-import ashlink.rig.bench.RouterBench;
+import ashlink.loadtest.bench.BackgroundBench;
+import ashlink.loadtest.bench.CodecBench;
+import ashlink.loadtest.bench.HttpBench;
+import ashlink.loadtest.bench.RouterBench;
 import java.util.concurrent.Callable;
 import org.openjdk.jmh.runner.Runner;
 import org.openjdk.jmh.runner.options.OptionsBuilder;
--- a/cli/src/main/java/ashlink/cli/EngineCommand.java
+++ b/cli/src/main/java/ashlink/cli/EngineCommand.java
@@ -2,7 +2,7 @@
 
 import ashlink.config.EngineConfig;
 import ashlink.config.EngineConfigReader;
-import ashlink.standin.EmulatedEngine;
+import ashlink.emulator.EmulatedEngine;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
--- a/cli/src/main/java/ashlink/cli/FleetCommand.java
+++ b/cli/src/main/java/ashlink/cli/FleetCommand.java
@@ -2,13 +2,13 @@
 
 import ashlink.config.FleetConfig;
 import ashlink.config.FleetConfig.Member;
-import ashlink.control.node.ControlCodec;
+import ashlink.control.member.ControlCodec;
 import ashlink.control.tls.Identity;
 import ashlink.control.tool.FleetClient;
 import ashlink.control.tool.FleetClient.Result;
-import ashlink.fleet.notice.Intent;
-import ashlink.fleet.notice.OperatorCommand;
-import ashlink.fleet.notice.ReplicatedCommandSet.CommandWithTtl;
+import ashlink.fleet.command.Intent;
+import ashlink.fleet.command.OperatorCommand;
+import ashlink.fleet.command.ReplicatedCommandSet.CommandWithTtl;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
--- a/cli/src/main/java/ashlink/cli/FleetRouter.java
+++ b/cli/src/main/java/ashlink/cli/FleetRouter.java
@@ -1,10 +1,10 @@
 package ashlink.cli;
 
 import ashlink.config.RouterConfig;
-import ashlink.control.node.FleetMember;
-import ashlink.control.node.RouterControl;
+import ashlink.control.member.FleetMember;
+import ashlink.control.member.RouterControl;
 import ashlink.control.tls.Identity;
-import ashlink.fleet.member.SwimConfig;
+import ashlink.fleet.membership.SwimConfig;
 import ashlink.router.Router;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
--- a/cli/src/main/java/ashlink/cli/ReplayCommand.java
+++ b/cli/src/main/java/ashlink/cli/ReplayCommand.java
@@ -7,7 +7,7 @@
 import ashlink.decisions.DefaultWorkloadManager;
 import ashlink.decisions.api.Settings;
 import ashlink.decisions.api.WorkloadManager;
-import ashlink.rig.baseline.Baseline;
+import ashlink.loadtest.baseline.Baseline;
 import java.net.URL;
 import java.net.URLClassLoader;
 import java.nio.file.Path;
--- a/cli/src/main/java/ashlink/cli/RouteCommand.java
+++ b/cli/src/main/java/ashlink/cli/RouteCommand.java
@@ -3,7 +3,7 @@
 import ashlink.config.ConfigException;
 import ashlink.config.RouterConfig;
 import ashlink.config.RouterConfigReader;
-import ashlink.control.node.FleetMember;
+import ashlink.control.member.FleetMember;
 import ashlink.platform.Signals;
 import ashlink.router.Router;
 import java.io.IOException;
--- a/cli/src/main/java/ashlink/cli/ScenarioCommand.java
+++ b/cli/src/main/java/ashlink/cli/ScenarioCommand.java
@@ -3,16 +3,16 @@
 import ashlink.config.ScenarioConfig;
 import ashlink.config.ScenarioConfigReader;
 import ashlink.decisions.DefaultWorkloadManager;
-import ashlink.rig.baseline.Baseline;
-import ashlink.rig.check.InvariantChecker;
-import ashlink.rig.check.Service;
-import ashlink.rig.check.Verdict;
-import ashlink.rig.day.FaultCatalog;
-import ashlink.rig.day.ScenarioFacts;
-import ashlink.rig.day.ScenarioRunner;
-import ashlink.rig.day.SentQuery;
-import ashlink.rig.fleet.TestSettings;
-import ashlink.rig.load.ClientAttempt;
+import ashlink.loadtest.baseline.Baseline;
+import ashlink.loadtest.check.InvariantChecker;
+import ashlink.loadtest.check.Service;
+import ashlink.loadtest.check.Verdict;
+import ashlink.loadtest.fixture.TestSettings;
+import ashlink.loadtest.load.ClientAttempt;
+import ashlink.loadtest.scenario.FaultCatalog;
+import ashlink.loadtest.scenario.ScenarioFacts;
+import ashlink.loadtest.scenario.ScenarioRunner;
+import ashlink.loadtest.scenario.SentQuery;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -25,7 +25,8 @@
 
 /** Plays a scripted day and checks the rules by what crossed the sockets. */
 @Command(
-        name = "badday",
+        name = "scenario",
+        aliases = "badday",
         mixinStandardHelpOptions = true,
         description =
                 "Plays a scripted bad day on loopback and prints the verdict on each rule, and the"
--- a/cli/src/main/java/ashlink/cli/SimulatorCommand.java
+++ b/cli/src/main/java/ashlink/cli/SimulatorCommand.java
@@ -5,14 +5,15 @@
 
 /** The adapter of the simulator's wire. */
 @Command(
-        name = "drill",
+        name = "simulate",
+        aliases = "drill",
         mixinStandardHelpOptions = true,
         description = "Plays the simulator's wire on standard input and output (the bench).")
 final class SimulatorCommand implements Callable<Integer> {
 
     @Override
     public Integer call() throws Exception {
-        ashlink.drill.Main.main(new String[] {"drill"});
+        ashlink.simulator.Main.main(new String[] {"simulate"});
         return 0;
     }
 }
--- a/cli/src/test/java/ashlink/cli/ArchitectureTest.java
+++ b/cli/src/test/java/ashlink/cli/ArchitectureTest.java
@@ -22,26 +22,26 @@
                     .consideringOnlyDependenciesInLayers()
                     .layer("decisions")
                     .definedBy("ashlink.decisions..")
-                    .layer("drill")
-                    .definedBy("ashlink.drill..")
+                    .layer("simulator")
+                    .definedBy("ashlink.simulator..")
                     .layer("wire")
                     .definedBy("ashlink.wire..")
                     .layer("config")
                     .definedBy("ashlink.config")
                     .layer("flat")
                     .definedBy("ashlink.config.flat..")
-                    .layer("frame")
-                    .definedBy("ashlink.platform.frame..")
-                    .layer("line")
-                    .definedBy("ashlink.platform.line..")
+                    .layer("client protocol")
+                    .definedBy("ashlink.platform.client.protocol..")
+                    .layer("engine protocol")
+                    .definedBy("ashlink.platform.engine.protocol..")
                     .layer("socket")
                     .definedBy("ashlink.platform.socket..")
                     .layer("engine")
-                    .definedBy("ashlink.platform.engine..")
-                    .layer("platform front")
-                    .definedBy("ashlink.platform.front..")
-                    .layer("journal")
-                    .definedBy("ashlink.platform.journal..")
+                    .definedBy("ashlink.platform.engine")
+                    .layer("platform client")
+                    .definedBy("ashlink.platform.client")
+                    .layer("platform discovery")
+                    .definedBy("ashlink.platform.discovery..")
                     .layer("platform")
                     .definedBy("ashlink.platform")
                     .layer("sql")
@@ -54,14 +54,14 @@
                     .definedBy("ashlink.report..")
                     .layer("core")
                     .definedBy("ashlink.router.core..")
-                    .layer("list")
-                    .definedBy("ashlink.router.list..")
+                    .layer("discovery")
+                    .definedBy("ashlink.router.discovery..")
                     .layer("classify")
                     .definedBy("ashlink.router.classify..")
                     .layer("upstream")
                     .definedBy("ashlink.router.upstream..")
-                    .layer("front")
-                    .definedBy("ashlink.router.front..")
+                    .layer("frontend")
+                    .definedBy("ashlink.router.frontend..")
                     .layer("statement")
                     .definedBy("ashlink.router.statement..")
                     .layer("spool")
@@ -76,39 +76,39 @@
                     .definedBy("ashlink.control..")
                     .layer("client")
                     .definedBy("ashlink.client..")
-                    .layer("standin")
-                    .definedBy("ashlink.standin..")
-                    .layer("rig")
-                    .definedBy("ashlink.rig..")
+                    .layer("emulator")
+                    .definedBy("ashlink.emulator..")
+                    .layer("loadtest")
+                    .definedBy("ashlink.loadtest..")
                     .layer("cli")
                     .definedBy("ashlink.cli..")
                     .whereLayer("decisions")
                     .mayNotAccessAnyLayer()
-                    .whereLayer("drill")
+                    .whereLayer("simulator")
                     .mayOnlyAccessLayers("decisions", "flat")
                     .whereLayer("flat")
                     .mayOnlyAccessLayers("decisions")
-                    .whereLayer("frame")
+                    .whereLayer("client protocol")
                     .mayNotAccessAnyLayer()
-                    .whereLayer("line")
+                    .whereLayer("engine protocol")
                     .mayNotAccessAnyLayer()
                     .whereLayer("socket")
                     .mayNotAccessAnyLayer()
                     .whereLayer("engine")
-                    .mayOnlyAccessLayers("decisions", "core", "flat", "line", "socket")
-                    .whereLayer("platform front")
-                    .mayOnlyAccessLayers("decisions", "core", "engine", "frame", "socket")
-                    .whereLayer("journal")
+                    .mayOnlyAccessLayers("decisions", "core", "flat", "engine protocol", "socket")
+                    .whereLayer("platform client")
+                    .mayOnlyAccessLayers("decisions", "core", "engine", "client protocol", "socket")
+                    .whereLayer("platform discovery")
                     .mayOnlyAccessLayers("flat", "socket")
                     .whereLayer("platform")
                     .mayOnlyAccessLayers(
                             "decisions",
                             "core",
                             "engine",
-                            "platform front",
+                            "platform client",
                             "flat",
-                            "frame",
-                            "journal",
+                            "client protocol",
+                            "platform discovery",
                             "socket")
                     .whereLayer("platform")
                     .mayOnlyBeAccessedByLayers("cli")
@@ -118,7 +118,7 @@
                     .mayOnlyAccessLayers("decisions")
                     .whereLayer("core")
                     .mayOnlyAccessLayers("decisions")
-                    .whereLayer("list")
+                    .whereLayer("discovery")
                     .mayOnlyAccessLayers("decisions", "config")
                     .whereLayer("classify")
                     .mayOnlyAccessLayers("decisions", "config", "sql")
@@ -136,7 +136,7 @@
                             "capture",
                             "config",
                             "core",
-                            "front",
+                            "frontend",
                             "spool",
                             "statement",
                             "wire")
@@ -145,8 +145,8 @@
                     .whereLayer("capture")
                     .mayOnlyAccessLayers("decisions")
                     .whereLayer("upstream")
-                    .mayOnlyAccessLayers("decisions", "config", "wire", "core", "list")
-                    .whereLayer("front")
+                    .mayOnlyAccessLayers("decisions", "config", "wire", "core", "discovery")
+                    .whereLayer("frontend")
                     .mayOnlyAccessLayers(
                             "decisions", "config", "wire", "core", "classify", "upstream", "sql")
                     .whereLayer("fleet")
@@ -155,7 +155,7 @@
                     .mayOnlyAccessLayers("background", "capture", "fleet")
                     .whereLayer("client")
                     .mayNotAccessAnyLayer()
-                    .whereLayer("standin")
+                    .whereLayer("emulator")
                     .mayOnlyAccessLayers("wire", "config")
                     .whereLayer("cli")
                     .mayNotBeAccessedByAnyLayer();
@@ -175,7 +175,9 @@
     static final ArchRule CODECS_HAVE_NO_SOCKETS =
             noClasses()
                     .that()
-                    .resideInAnyPackage("ashlink.platform.frame..", "ashlink.platform.line..")
+                    .resideInAnyPackage(
+                            "ashlink.platform.client.protocol..",
+                            "ashlink.platform.engine.protocol..")
                     .should()
                     .dependOnClassesThat()
                     .resideInAnyPackage("java.net..", "java.io..", "java.util.concurrent..");
@@ -189,7 +191,7 @@
                             "ashlink.decisions..",
                             "ashlink.router.classify..",
                             "ashlink.sql..",
-                            "ashlink.standin.model..",
+                            "ashlink.emulator.model..",
                             "ashlink.background.plan..",
                             "ashlink.fleet..",
                             "ashlink.router.statement..")
--- a/cli/src/test/java/ashlink/cli/FleetProcessTest.java
+++ b/cli/src/test/java/ashlink/cli/FleetProcessTest.java
@@ -5,10 +5,10 @@
 
 import ashlink.control.tls.CertificateAuthority;
 import ashlink.control.tls.Role;
-import ashlink.rig.client.NativeClient;
-import ashlink.rig.fleet.EmulatedEngines;
-import ashlink.rig.fleet.TestSettings;
-import ashlink.standin.EmulatedEngine;
+import ashlink.emulator.EmulatedEngine;
+import ashlink.loadtest.client.NativeClient;
+import ashlink.loadtest.fixture.EmulatedEngines;
+import ashlink.loadtest.fixture.TestSettings;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.ByteArrayOutputStream;
--- a/cli/src/test/java/ashlink/cli/KilledStatementsTest.java
+++ b/cli/src/test/java/ashlink/cli/KilledStatementsTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.rig.fleet.EmulatedEngines;
-import ashlink.rig.fleet.TestSettings;
-import ashlink.standin.EmulatedEngine;
-import ashlink.standin.Ledger;
+import ashlink.emulator.EmulatedEngine;
+import ashlink.emulator.Ledger;
+import ashlink.loadtest.fixture.EmulatedEngines;
+import ashlink.loadtest.fixture.TestSettings;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.BufferedReader;
--- a/control/src/main/java/ashlink/control/node/CommandLog.java
+++ b/control/src/main/java/ashlink/control/member/CommandLog.java
@@ -1,10 +1,10 @@
-package ashlink.control.node;
+package ashlink.control.member;
 
 import ashlink.capture.log.Disk;
 import ashlink.capture.log.KeyValueLog;
-import ashlink.fleet.notice.Intent;
-import ashlink.fleet.notice.OperatorCommand;
-import ashlink.fleet.notice.ReplicatedCommandSet;
+import ashlink.fleet.command.Intent;
+import ashlink.fleet.command.OperatorCommand;
+import ashlink.fleet.command.ReplicatedCommandSet;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
--- a/control/src/main/java/ashlink/control/node/ControlCodec.java
+++ b/control/src/main/java/ashlink/control/member/ControlCodec.java
@@ -1,14 +1,14 @@
-package ashlink.control.node;
+package ashlink.control.member;
 
-import ashlink.fleet.member.MembershipUpdate;
-import ashlink.fleet.member.Message;
-import ashlink.fleet.member.Message.Ack;
-import ashlink.fleet.member.Message.Ping;
-import ashlink.fleet.member.Message.PingFor;
-import ashlink.fleet.notice.Intent;
-import ashlink.fleet.notice.OperatorCommand;
-import ashlink.fleet.notice.ReplicatedCommandSet.CommandKey;
-import ashlink.fleet.notice.ReplicatedCommandSet.CommandWithTtl;
+import ashlink.fleet.command.Intent;
+import ashlink.fleet.command.OperatorCommand;
+import ashlink.fleet.command.ReplicatedCommandSet.CommandKey;
+import ashlink.fleet.command.ReplicatedCommandSet.CommandWithTtl;
+import ashlink.fleet.membership.MembershipUpdate;
+import ashlink.fleet.membership.Message;
+import ashlink.fleet.membership.Message.Ack;
+import ashlink.fleet.membership.Message.Ping;
+import ashlink.fleet.membership.Message.PingFor;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
--- a/control/src/main/java/ashlink/control/node/FleetMember.java
+++ b/control/src/main/java/ashlink/control/member/FleetMember.java
@@ -1,4 +1,4 @@
-package ashlink.control.node;
+package ashlink.control.member;
 
 import ashlink.capture.log.Disk;
 import ashlink.capture.log.FolderDisk;
@@ -6,14 +6,14 @@
 import ashlink.control.channel.ControlServer.Peer;
 import ashlink.control.tls.Identity;
 import ashlink.control.tls.Role;
-import ashlink.fleet.member.MembershipUpdate;
-import ashlink.fleet.member.Swim;
-import ashlink.fleet.member.SwimConfig;
-import ashlink.fleet.notice.CommandDisseminator;
-import ashlink.fleet.notice.Intent;
-import ashlink.fleet.notice.OperatorCommand;
-import ashlink.fleet.notice.ReplicatedCommandSet;
-import ashlink.fleet.notice.ReplicatedCommandSet.CommandWithTtl;
+import ashlink.fleet.command.CommandDisseminator;
+import ashlink.fleet.command.Intent;
+import ashlink.fleet.command.OperatorCommand;
+import ashlink.fleet.command.ReplicatedCommandSet;
+import ashlink.fleet.command.ReplicatedCommandSet.CommandWithTtl;
+import ashlink.fleet.membership.MembershipUpdate;
+import ashlink.fleet.membership.Swim;
+import ashlink.fleet.membership.SwimConfig;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
--- a/control/src/main/java/ashlink/control/node/PeerConnection.java
+++ b/control/src/main/java/ashlink/control/member/PeerConnection.java
@@ -1,4 +1,4 @@
-package ashlink.control.node;
+package ashlink.control.member;
 
 import ashlink.control.channel.ControlClient;
 import ashlink.control.tls.Identity;
--- a/control/src/main/java/ashlink/control/node/RouterControl.java
+++ b/control/src/main/java/ashlink/control/member/RouterControl.java
@@ -1,4 +1,4 @@
-package ashlink.control.node;
+package ashlink.control.member;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Set;
--- a/control/src/main/java/ashlink/control/tool/FleetClient.java
+++ b/control/src/main/java/ashlink/control/tool/FleetClient.java
@@ -1,11 +1,11 @@
 package ashlink.control.tool;
 
 import ashlink.control.channel.ControlClient;
-import ashlink.control.node.ControlCodec;
+import ashlink.control.member.ControlCodec;
 import ashlink.control.tls.Identity;
-import ashlink.fleet.notice.Intent;
-import ashlink.fleet.notice.OperatorCommand;
-import ashlink.fleet.notice.ReplicatedCommandSet.CommandWithTtl;
+import ashlink.fleet.command.Intent;
+import ashlink.fleet.command.OperatorCommand;
+import ashlink.fleet.command.ReplicatedCommandSet.CommandWithTtl;
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/control/src/test/java/ashlink/control/node/StoredDataRecorder.java
+++ b/control/src/test/java/ashlink/control/member/StoredDataRecorder.java
@@ -1,9 +1,9 @@
-package ashlink.control.node;
+package ashlink.control.member;
 
 import ashlink.capture.log.FolderDisk;
-import ashlink.fleet.notice.Intent;
-import ashlink.fleet.notice.OperatorCommand;
-import ashlink.fleet.notice.ReplicatedCommandSet;
+import ashlink.fleet.command.Intent;
+import ashlink.fleet.command.OperatorCommand;
+import ashlink.fleet.command.ReplicatedCommandSet;
 import java.io.IOException;
 import java.nio.file.Path;
 
--- a/control/src/test/java/ashlink/control/node/StoredNoticesTest.java
+++ b/control/src/test/java/ashlink/control/member/StoredNoticesTest.java
@@ -1,11 +1,11 @@
-package ashlink.control.node;
+package ashlink.control.member;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import ashlink.capture.log.FolderDisk;
-import ashlink.fleet.notice.Intent;
-import ashlink.fleet.notice.OperatorCommand;
-import ashlink.fleet.notice.ReplicatedCommandSet;
+import ashlink.fleet.command.Intent;
+import ashlink.fleet.command.OperatorCommand;
+import ashlink.fleet.command.ReplicatedCommandSet;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/standin/src/main/java/ashlink/standin/EmulatedEngine.java
+++ b/emulator/src/main/java/ashlink/emulator/EmulatedEngine.java
@@ -1,8 +1,8 @@
-package ashlink.standin;
+package ashlink.emulator;
 
 import ashlink.config.EngineConfig;
-import ashlink.standin.model.EngineModel;
-import ashlink.standin.model.Job;
+import ashlink.emulator.model.EngineModel;
+import ashlink.emulator.model.Job;
 import java.io.IOException;
 import java.net.BindException;
 import java.net.InetSocketAddress;
--- a/standin/src/main/java/ashlink/standin/EngineSession.java
+++ b/emulator/src/main/java/ashlink/emulator/EngineSession.java
@@ -1,11 +1,11 @@
-package ashlink.standin;
+package ashlink.emulator;
 
 import ashlink.config.EngineConfig;
-import ashlink.standin.FaultInjection.Break;
-import ashlink.standin.FaultInjection.Place;
-import ashlink.standin.Ledger.Entry;
-import ashlink.standin.Ledger.How;
-import ashlink.standin.model.Job;
+import ashlink.emulator.FaultInjection.Break;
+import ashlink.emulator.FaultInjection.Place;
+import ashlink.emulator.Ledger.Entry;
+import ashlink.emulator.Ledger.How;
+import ashlink.emulator.model.Job;
 import ashlink.wire.Block;
 import ashlink.wire.Blocks;
 import ashlink.wire.ByteBuf;
--- a/standin/src/main/java/ashlink/standin/FaultInjection.java
+++ b/emulator/src/main/java/ashlink/emulator/FaultInjection.java
@@ -1,4 +1,4 @@
-package ashlink.standin;
+package ashlink.emulator;
 
 /** What is wrong with a stand-in, set by command while it runs. */
 public final class FaultInjection {
--- a/standin/src/main/java/ashlink/standin/Ledger.java
+++ b/emulator/src/main/java/ashlink/emulator/Ledger.java
@@ -1,4 +1,4 @@
-package ashlink.standin;
+package ashlink.emulator;
 
 import java.io.BufferedWriter;
 import java.io.IOException;
--- a/standin/src/main/java/ashlink/standin/WorkHints.java
+++ b/emulator/src/main/java/ashlink/emulator/WorkHints.java
@@ -1,4 +1,4 @@
-package ashlink.standin;
+package ashlink.emulator;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/standin/src/main/java/ashlink/standin/model/EngineModel.java
+++ b/emulator/src/main/java/ashlink/emulator/model/EngineModel.java
@@ -1,4 +1,4 @@
-package ashlink.standin.model;
+package ashlink.emulator.model;
 
 import ashlink.config.EngineConfig;
 import java.util.ArrayList;
--- a/standin/src/main/java/ashlink/standin/model/Job.java
+++ b/emulator/src/main/java/ashlink/emulator/model/Job.java
@@ -1,4 +1,4 @@
-package ashlink.standin.model;
+package ashlink.emulator.model;
 
 /** A statement that an engine works on. */
 public final class Job {
--- a/standin/src/main/java/ashlink/standin/model/package-info.java
+++ b/emulator/src/main/java/ashlink/emulator/model/package-info.java
@@ -2,4 +2,4 @@
  * How an engine works off what it is given: cores, disks, memory, held tables, warming up, falling
  * over. No I/O, no clock.
  */
-package ashlink.standin.model;
+package ashlink.emulator.model;
--- a/standin/src/main/java/ashlink/standin/package-info.java
+++ b/emulator/src/main/java/ashlink/emulator/package-info.java
@@ -3,4 +3,4 @@
  * operators tell of their engines. They share the codec with the router and nothing else: what they
  * know, and what they note, is their own.
  */
-package ashlink.standin;
+package ashlink.emulator;
--- a/fleet/src/main/java/ashlink/fleet/notice/CommandDisseminator.java
+++ b/fleet/src/main/java/ashlink/fleet/command/CommandDisseminator.java
@@ -1,7 +1,7 @@
-package ashlink.fleet.notice;
+package ashlink.fleet.command;
 
-import ashlink.fleet.notice.ReplicatedCommandSet.CommandKey;
-import ashlink.fleet.notice.ReplicatedCommandSet.CommandWithTtl;
+import ashlink.fleet.command.ReplicatedCommandSet.CommandKey;
+import ashlink.fleet.command.ReplicatedCommandSet.CommandWithTtl;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
--- a/fleet/src/main/java/ashlink/fleet/notice/Intent.java
+++ b/fleet/src/main/java/ashlink/fleet/command/Intent.java
@@ -1,4 +1,4 @@
-package ashlink.fleet.notice;
+package ashlink.fleet.command;
 
 /** What an operator wants of a subject; the later of these is the stronger. */
 public enum Intent {
--- a/fleet/src/main/java/ashlink/fleet/notice/ReplicatedCommandSet.java
+++ b/fleet/src/main/java/ashlink/fleet/command/ReplicatedCommandSet.java
@@ -1,4 +1,4 @@
-package ashlink.fleet.notice;
+package ashlink.fleet.command;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/fleet/src/main/java/ashlink/fleet/member/MembershipUpdate.java
+++ b/fleet/src/main/java/ashlink/fleet/membership/MembershipUpdate.java
@@ -1,4 +1,4 @@
-package ashlink.fleet.member;
+package ashlink.fleet.membership;
 
 /** What is said of a member, as far as its incarnation: only the member itself raises that. */
 public record MembershipUpdate(String member, String address, long incarnation, State state) {
--- a/fleet/src/main/java/ashlink/fleet/member/Message.java
+++ b/fleet/src/main/java/ashlink/fleet/membership/Message.java
@@ -1,4 +1,4 @@
-package ashlink.fleet.member;
+package ashlink.fleet.membership;
 
 import java.util.List;
 
--- a/fleet/src/main/java/ashlink/fleet/member/Swim.java
+++ b/fleet/src/main/java/ashlink/fleet/membership/Swim.java
@@ -1,9 +1,9 @@
-package ashlink.fleet.member;
+package ashlink.fleet.membership;
 
-import ashlink.fleet.member.MembershipUpdate.State;
-import ashlink.fleet.member.Message.Ack;
-import ashlink.fleet.member.Message.Ping;
-import ashlink.fleet.member.Message.PingFor;
+import ashlink.fleet.membership.MembershipUpdate.State;
+import ashlink.fleet.membership.Message.Ack;
+import ashlink.fleet.membership.Message.Ping;
+import ashlink.fleet.membership.Message.PingFor;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/fleet/src/main/java/ashlink/fleet/member/SwimConfig.java
+++ b/fleet/src/main/java/ashlink/fleet/membership/SwimConfig.java
@@ -1,4 +1,4 @@
-package ashlink.fleet.member;
+package ashlink.fleet.membership;
 
 /**
  * Times and numbers of the protocol, in the terms of the paper.
--- a/fleet/src/main/java/ashlink/fleet/member/package-info.java
+++ b/fleet/src/main/java/ashlink/fleet/membership/package-info.java
@@ -3,4 +3,4 @@
  * Infection-style Process Group Membership Protocol" (Das, Gupta, Motivala). Without I/O, clock or
  * randomness but a seed.
  */
-package ashlink.fleet.member;
+package ashlink.fleet.membership;
--- a/fleet/src/test/java/ashlink/fleet/notice/DisseminationSimulation.java
+++ b/fleet/src/test/java/ashlink/fleet/command/DisseminationSimulation.java
@@ -1,6 +1,6 @@
-package ashlink.fleet.notice;
+package ashlink.fleet.command;
 
-import ashlink.fleet.notice.ReplicatedCommandSet.CommandWithTtl;
+import ashlink.fleet.command.ReplicatedCommandSet.CommandWithTtl;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
--- a/fleet/src/test/java/ashlink/fleet/notice/ModelCheckTest.java
+++ b/fleet/src/test/java/ashlink/fleet/command/ModelCheckTest.java
@@ -1,4 +1,4 @@
-package ashlink.fleet.notice;
+package ashlink.fleet.command;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/fleet/src/test/java/ashlink/fleet/member/MembershipSimulation.java
+++ b/fleet/src/test/java/ashlink/fleet/membership/MembershipSimulation.java
@@ -1,6 +1,6 @@
-package ashlink.fleet.member;
+package ashlink.fleet.membership;
 
-import ashlink.fleet.member.MembershipUpdate.State;
+import ashlink.fleet.membership.MembershipUpdate.State;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
--- a/fleet/src/test/java/ashlink/fleet/member/SwimTest.java
+++ b/fleet/src/test/java/ashlink/fleet/membership/SwimTest.java
@@ -1,9 +1,9 @@
-package ashlink.fleet.member;
+package ashlink.fleet.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.fleet.member.MembershipUpdate.State;
+import ashlink.fleet.membership.MembershipUpdate.State;
 import org.junit.jupiter.api.Test;
 
 class SwimTest {
--- a/rig/src/main/java/ashlink/rig/baseline/Baseline.java
+++ b/loadtest/src/main/java/ashlink/loadtest/baseline/Baseline.java
@@ -1,4 +1,4 @@
-package ashlink.rig.baseline;
+package ashlink.loadtest.baseline;
 
 import ashlink.decisions.api.Action;
 import ashlink.decisions.api.Action.Fail;
--- a/rig/src/main/java/ashlink/rig/baseline/package-info.java
+++ b/loadtest/src/main/java/ashlink/loadtest/baseline/package-info.java
@@ -1,4 +1,4 @@
 /**
  * Policies to compare with: they keep placement and effects, and decide by nothing that they learn.
  */
-package ashlink.rig.baseline;
+package ashlink.loadtest.baseline;
--- a/rig/src/main/java/ashlink/rig/bench/BackgroundBench.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/BackgroundBench.java
@@ -1,11 +1,11 @@
-package ashlink.rig.bench;
+package ashlink.loadtest.bench;
 
 import ashlink.background.Lease;
 import ashlink.background.plan.Priority;
 import ashlink.background.plan.TaskSpec;
-import ashlink.rig.fleet.TestSettings;
+import ashlink.emulator.EmulatedEngine;
+import ashlink.loadtest.fixture.TestSettings;
 import ashlink.router.Router;
-import ashlink.standin.EmulatedEngine;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.util.List;
--- a/rig/src/main/java/ashlink/rig/bench/CodecBench.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/CodecBench.java
@@ -1,4 +1,4 @@
-package ashlink.rig.bench;
+package ashlink.loadtest.bench;
 
 import ashlink.wire.Block;
 import ashlink.wire.Blocks;
--- a/rig/src/main/java/ashlink/rig/bench/Figures.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/Figures.java
@@ -1,7 +1,7 @@
-package ashlink.rig.bench;
+package ashlink.loadtest.bench;
 
 import ashlink.config.EngineConfig;
-import ashlink.standin.EmulatedEngine;
+import ashlink.emulator.EmulatedEngine;
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
 import java.net.InetSocketAddress;
--- a/rig/src/main/java/ashlink/rig/bench/Loads.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/Loads.java
@@ -1,7 +1,7 @@
-package ashlink.rig.bench;
+package ashlink.loadtest.bench;
 
-import ashlink.rig.client.NativeClient;
-import ashlink.rig.client.Reply;
+import ashlink.loadtest.client.NativeClient;
+import ashlink.loadtest.client.Reply;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
--- a/rig/src/main/java/ashlink/rig/bench/Relay.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/Relay.java
@@ -1,4 +1,4 @@
-package ashlink.rig.bench;
+package ashlink.loadtest.bench;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/rig/src/main/java/ashlink/rig/bench/RouterBench.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/RouterBench.java
@@ -1,12 +1,12 @@
-package ashlink.rig.bench;
+package ashlink.loadtest.bench;
 
 import ashlink.decisions.DefaultWorkloadManager;
 import ashlink.decisions.api.Action;
-import ashlink.rig.client.NativeClient;
-import ashlink.rig.client.Reply;
-import ashlink.rig.fleet.TestSettings;
+import ashlink.emulator.EmulatedEngine;
+import ashlink.loadtest.client.NativeClient;
+import ashlink.loadtest.client.Reply;
+import ashlink.loadtest.fixture.TestSettings;
 import ashlink.router.Router;
-import ashlink.standin.EmulatedEngine;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
--- a/rig/src/main/java/ashlink/rig/bench/package-info.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/package-info.java
@@ -1,2 +1,2 @@
 /** Measures the router beside a direct connection and a plain relay, in one run. */
-package ashlink.rig.bench;
+package ashlink.loadtest.bench;
--- a/rig/src/main/java/ashlink/rig/check/InvariantChecker.java
+++ b/loadtest/src/main/java/ashlink/loadtest/check/InvariantChecker.java
@@ -1,15 +1,15 @@
-package ashlink.rig.check;
+package ashlink.loadtest.check;
 
 import ashlink.config.EngineConfig;
 import ashlink.decisions.api.QueryClass;
 import ashlink.decisions.api.RetrySafety;
-import ashlink.rig.client.Reply;
-import ashlink.rig.day.ScenarioFacts;
-import ashlink.rig.day.ScenarioFacts.Drain;
-import ashlink.rig.day.ScenarioFacts.Span;
-import ashlink.rig.day.SentQuery;
-import ashlink.rig.load.ClientAttempt;
-import ashlink.standin.Ledger.How;
+import ashlink.emulator.Ledger.How;
+import ashlink.loadtest.client.Reply;
+import ashlink.loadtest.load.ClientAttempt;
+import ashlink.loadtest.scenario.ScenarioFacts;
+import ashlink.loadtest.scenario.ScenarioFacts.Drain;
+import ashlink.loadtest.scenario.ScenarioFacts.Span;
+import ashlink.loadtest.scenario.SentQuery;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/rig/src/main/java/ashlink/rig/check/Service.java
+++ b/loadtest/src/main/java/ashlink/loadtest/check/Service.java
@@ -1,9 +1,9 @@
-package ashlink.rig.check;
+package ashlink.loadtest.check;
 
 import ashlink.decisions.api.QueryClass;
-import ashlink.rig.client.Reply;
-import ashlink.rig.day.ScenarioFacts;
-import ashlink.rig.load.ClientAttempt;
+import ashlink.loadtest.client.Reply;
+import ashlink.loadtest.load.ClientAttempt;
+import ashlink.loadtest.scenario.ScenarioFacts;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/rig/src/main/java/ashlink/rig/check/Verdict.java
+++ b/loadtest/src/main/java/ashlink/loadtest/check/Verdict.java
@@ -1,4 +1,4 @@
-package ashlink.rig.check;
+package ashlink.loadtest.check;
 
 import java.util.List;
 
--- a/rig/src/main/java/ashlink/rig/check/package-info.java
+++ b/loadtest/src/main/java/ashlink/loadtest/check/package-info.java
@@ -2,4 +2,4 @@
  * Checks the seven rules, and counts service, by what crossed the sockets: clients' notes and
  * engines' ledgers.
  */
-package ashlink.rig.check;
+package ashlink.loadtest.check;
--- a/rig/src/main/java/ashlink/rig/client/NativeClient.java
+++ b/loadtest/src/main/java/ashlink/loadtest/client/NativeClient.java
@@ -1,4 +1,4 @@
-package ashlink.rig.client;
+package ashlink.loadtest.client;
 
 import ashlink.wire.Block;
 import ashlink.wire.Blocks;
--- a/rig/src/main/java/ashlink/rig/client/Reply.java
+++ b/loadtest/src/main/java/ashlink/loadtest/client/Reply.java
@@ -1,4 +1,4 @@
-package ashlink.rig.client;
+package ashlink.loadtest.client;
 
 /**
  * How a statement ended, as its client saw it.
--- a/rig/src/main/java/ashlink/rig/client/package-info.java
+++ b/loadtest/src/main/java/ashlink/loadtest/client/package-info.java
@@ -1,2 +1,2 @@
 /** A client of the native protocol for the rig: keeps its own deadline, and notes what it saw. */
-package ashlink.rig.client;
+package ashlink.loadtest.client;
--- a/rig/src/main/java/ashlink/rig/load/ClientAttempt.java
+++ b/loadtest/src/main/java/ashlink/loadtest/load/ClientAttempt.java
@@ -1,6 +1,6 @@
-package ashlink.rig.load;
+package ashlink.loadtest.load;
 
-import ashlink.rig.client.Reply;
+import ashlink.loadtest.client.Reply;
 
 /**
  * One try of a client, as it noted it. Times are of {@link System#nanoTime}.
--- a/rig/src/main/java/ashlink/rig/load/HttpLoad.java
+++ b/loadtest/src/main/java/ashlink/loadtest/load/HttpLoad.java
@@ -1,9 +1,9 @@
-package ashlink.rig.load;
+package ashlink.loadtest.load;
 
 import ashlink.client.StatementClient;
 import ashlink.client.StatementResult;
 import ashlink.config.ScenarioConfig.LoadClass;
-import ashlink.rig.client.Reply;
+import ashlink.loadtest.client.Reply;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import java.net.InetSocketAddress;
--- a/rig/src/main/java/ashlink/rig/load/LoadConditions.java
+++ b/loadtest/src/main/java/ashlink/loadtest/load/LoadConditions.java
@@ -1,4 +1,4 @@
-package ashlink.rig.load;
+package ashlink.loadtest.load;
 
 /** What is unusual about a load at the moment; set by the script, read as each query is drawn. */
 public final class LoadConditions {
--- a/rig/src/main/java/ashlink/rig/load/LoadRun.java
+++ b/loadtest/src/main/java/ashlink/loadtest/load/LoadRun.java
@@ -1,9 +1,9 @@
-package ashlink.rig.load;
+package ashlink.loadtest.load;
 
 import ashlink.config.ScenarioConfig;
 import ashlink.config.ScenarioConfig.LoadClass;
-import ashlink.rig.client.NativeClient;
-import ashlink.rig.client.Reply;
+import ashlink.loadtest.client.NativeClient;
+import ashlink.loadtest.client.Reply;
 import ashlink.wire.Block;
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/rig/src/main/java/ashlink/rig/load/package-info.java
+++ b/loadtest/src/main/java/ashlink/loadtest/load/package-info.java
@@ -1,2 +1,2 @@
 /** Load as the brief tells of it: clients with deadlines and retries, and what they saw. */
-package ashlink.rig.load;
+package ashlink.loadtest.load;
--- a/rig/src/main/java/ashlink/rig/day/FaultCatalog.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/FaultCatalog.java
@@ -1,9 +1,9 @@
-package ashlink.rig.day;
+package ashlink.loadtest.scenario;
 
 import ashlink.config.ConfigException;
 import ashlink.config.ScenarioConfig;
 import ashlink.config.ScenarioConfigReader;
-import ashlink.rig.fleet.TestSettings;
+import ashlink.loadtest.fixture.TestSettings;
 import java.util.List;
 
 /** Days of one kind of trouble each, as the operators' pages name them, scaled to one machine. */
--- a/rig/src/main/java/ashlink/rig/day/ScenarioFacts.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/ScenarioFacts.java
@@ -1,8 +1,8 @@
-package ashlink.rig.day;
+package ashlink.loadtest.scenario;
 
 import ashlink.config.RouterConfig;
 import ashlink.config.ScenarioConfig;
-import ashlink.rig.load.ClientAttempt;
+import ashlink.loadtest.load.ClientAttempt;
 import java.util.List;
 
 /**
--- a/rig/src/main/java/ashlink/rig/day/ScenarioRunner.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/ScenarioRunner.java
@@ -1,4 +1,4 @@
-package ashlink.rig.day;
+package ashlink.loadtest.scenario;
 
 import ashlink.config.EngineConfig;
 import ashlink.config.RouterConfig;
@@ -8,14 +8,14 @@
 import ashlink.decisions.api.EndpointState;
 import ashlink.decisions.api.Settings;
 import ashlink.decisions.api.WorkloadManager;
-import ashlink.rig.day.ScenarioFacts.Drain;
-import ashlink.rig.day.ScenarioFacts.Span;
-import ashlink.rig.fleet.TestSettings;
-import ashlink.rig.load.ClientAttempt;
-import ashlink.rig.load.LoadConditions;
-import ashlink.rig.load.LoadRun;
+import ashlink.emulator.EmulatedEngine;
+import ashlink.loadtest.fixture.TestSettings;
+import ashlink.loadtest.load.ClientAttempt;
+import ashlink.loadtest.load.LoadConditions;
+import ashlink.loadtest.load.LoadRun;
+import ashlink.loadtest.scenario.ScenarioFacts.Drain;
+import ashlink.loadtest.scenario.ScenarioFacts.Span;
 import ashlink.router.Router;
-import ashlink.standin.EmulatedEngine;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -213,8 +213,8 @@
         if (t.kind() == ScenarioConfig.FaultKind.REFUSE) {
             e.faults()
                     .breakAt(
-                            ashlink.standin.FaultInjection.Place.ACCEPT,
-                            ashlink.standin.FaultInjection.Break.CLOSE,
+                            ashlink.emulator.FaultInjection.Place.ACCEPT,
+                            ashlink.emulator.FaultInjection.Break.CLOSE,
                             Integer.MAX_VALUE);
         }
         if (e != null) {
--- a/rig/src/main/java/ashlink/rig/day/SentQuery.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/SentQuery.java
@@ -1,6 +1,6 @@
-package ashlink.rig.day;
+package ashlink.loadtest.scenario;
 
-import ashlink.standin.Ledger;
+import ashlink.emulator.Ledger;
 
 /**
  * A statement as an engine noted it. Times are of {@link System#nanoTime}.
--- a/rig/src/main/java/ashlink/rig/day/package-info.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/package-info.java
@@ -1,4 +1,4 @@
 /**
  * Scripted days: a fleet under load while things go wrong, and what was seen of it from outside.
  */
-package ashlink.rig.day;
+package ashlink.loadtest.scenario;
--- a/rig/src/test/java/ashlink/rig/AnswersTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/AnswersTest.java
@@ -1,15 +1,15 @@
-package ashlink.rig;
+package ashlink.loadtest;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.rig.client.NativeClient;
-import ashlink.rig.client.Reply;
-import ashlink.rig.client.Reply.Kind;
-import ashlink.standin.FaultInjection.Break;
-import ashlink.standin.FaultInjection.Place;
-import ashlink.standin.Ledger;
+import ashlink.emulator.FaultInjection.Break;
+import ashlink.emulator.FaultInjection.Place;
+import ashlink.emulator.Ledger;
+import ashlink.loadtest.client.NativeClient;
+import ashlink.loadtest.client.Reply;
+import ashlink.loadtest.client.Reply.Kind;
 import ashlink.wire.Block;
 import ashlink.wire.ClientPacket;
 import ashlink.wire.Compression;
--- a/rig/src/test/java/ashlink/rig/CaptureScenarioTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/CaptureScenarioTest.java
@@ -1,4 +1,4 @@
-package ashlink.rig;
+package ashlink.loadtest;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,7 +9,7 @@
 import ashlink.capture.log.FolderDisk;
 import ashlink.config.ScenarioConfigReader;
 import ashlink.decisions.DefaultWorkloadManager;
-import ashlink.rig.day.ScenarioRunner;
+import ashlink.loadtest.scenario.ScenarioRunner;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
--- a/rig/src/test/java/ashlink/rig/ClassesTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/ClassesTest.java
@@ -1,12 +1,12 @@
-package ashlink.rig;
+package ashlink.loadtest;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.rig.client.Reply;
-import ashlink.rig.client.Reply.Kind;
-import ashlink.standin.FaultInjection.Break;
-import ashlink.standin.FaultInjection.Place;
+import ashlink.emulator.FaultInjection.Break;
+import ashlink.emulator.FaultInjection.Place;
+import ashlink.loadtest.client.Reply;
+import ashlink.loadtest.client.Reply.Kind;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
--- a/rig/src/test/java/ashlink/rig/CurlExamplesTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/CurlExamplesTest.java
@@ -1,4 +1,4 @@
-package ashlink.rig;
+package ashlink.loadtest;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/rig/src/test/java/ashlink/rig/Fleet.java
+++ b/loadtest/src/test/java/ashlink/loadtest/Fleet.java
@@ -1,15 +1,15 @@
-package ashlink.rig;
+package ashlink.loadtest;
 
 import ashlink.config.EngineConfig;
 import ashlink.decisions.DefaultWorkloadManager;
 import ashlink.decisions.api.Settings;
 import ashlink.decisions.api.WorkloadManager;
-import ashlink.rig.client.NativeClient;
-import ashlink.rig.client.Reply;
-import ashlink.rig.fleet.TestSettings;
+import ashlink.emulator.EmulatedEngine;
+import ashlink.emulator.Ledger;
+import ashlink.loadtest.client.NativeClient;
+import ashlink.loadtest.client.Reply;
+import ashlink.loadtest.fixture.TestSettings;
 import ashlink.router.Router;
-import ashlink.standin.EmulatedEngine;
-import ashlink.standin.Ledger;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/rig/src/test/java/ashlink/rig/HttpFrontTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/HttpFrontTest.java
@@ -1,12 +1,12 @@
-package ashlink.rig;
+package ashlink.loadtest;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.standin.FaultInjection.Break;
-import ashlink.standin.FaultInjection.Place;
+import ashlink.emulator.FaultInjection.Break;
+import ashlink.emulator.FaultInjection.Place;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.net.http.HttpRequest;
--- a/rig/src/test/java/ashlink/rig/HttpPeer.java
+++ b/loadtest/src/test/java/ashlink/loadtest/HttpPeer.java
@@ -1,4 +1,4 @@
-package ashlink.rig;
+package ashlink.loadtest;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/rig/src/test/java/ashlink/rig/LifecycleTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/LifecycleTest.java
@@ -1,4 +1,4 @@
-package ashlink.rig;
+package ashlink.loadtest;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -9,10 +9,10 @@
 import ashlink.decisions.api.EndpointListKind;
 import ashlink.decisions.api.EndpointState;
 import ashlink.decisions.api.Event.EndpointsChanged;
-import ashlink.rig.client.NativeClient;
-import ashlink.rig.client.Reply;
-import ashlink.rig.client.Reply.Kind;
-import ashlink.rig.fleet.TestSettings;
+import ashlink.loadtest.client.NativeClient;
+import ashlink.loadtest.client.Reply;
+import ashlink.loadtest.client.Reply.Kind;
+import ashlink.loadtest.fixture.TestSettings;
 import ashlink.router.Router;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/rig/src/test/java/ashlink/rig/RegressionScenariosTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/RegressionScenariosTest.java
@@ -1,4 +1,4 @@
-package ashlink.rig;
+package ashlink.loadtest;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -25,7 +25,8 @@
 class RegressionScenariosTest {
 
     static Stream<Path> captures() throws Exception {
-        URI folder = RegressionScenariosTest.class.getResource("/ashlink/rig/captures").toURI();
+        URI folder =
+                RegressionScenariosTest.class.getResource("/ashlink/loadtest/captures").toURI();
         try (Stream<Path> days = Files.list(Path.of(folder))) {
             List<Path> routers =
                     days.flatMap(
--- a/rig/src/test/java/ashlink/rig/SmokeTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/SmokeTest.java
@@ -1,14 +1,14 @@
-package ashlink.rig;
+package ashlink.loadtest;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import ashlink.rig.client.NativeClient;
-import ashlink.rig.client.Reply;
-import ashlink.rig.fleet.EmulatedEngines;
-import ashlink.rig.fleet.TestSettings;
+import ashlink.emulator.EmulatedEngine;
+import ashlink.loadtest.client.NativeClient;
+import ashlink.loadtest.client.Reply;
+import ashlink.loadtest.fixture.EmulatedEngines;
+import ashlink.loadtest.fixture.TestSettings;
 import ashlink.router.Router;
-import ashlink.standin.EmulatedEngine;
 import ashlink.wire.Block;
 import java.sql.Connection;
 import java.sql.DriverManager;
--- a/router/src/main/java/ashlink/router/list/EndpointListStore.java
+++ b/router/src/main/java/ashlink/router/discovery/EndpointListStore.java
@@ -1,4 +1,4 @@
-package ashlink.router.list;
+package ashlink.router.discovery;
 
 import ashlink.decisions.api.Endpoint;
 import ashlink.decisions.api.EndpointState;
--- a/router/src/main/java/ashlink/router/list/EndpointRegistry.java
+++ b/router/src/main/java/ashlink/router/discovery/EndpointRegistry.java
@@ -1,4 +1,4 @@
-package ashlink.router.list;
+package ashlink.router.discovery;
 
 import ashlink.config.RouterConfig.EngineSpec;
 import ashlink.decisions.api.Endpoint;
--- a/router/src/main/java/ashlink/router/front/MemoryQuota.java
+++ b/router/src/main/java/ashlink/router/frontend/MemoryQuota.java
@@ -1,4 +1,4 @@
-package ashlink.router.front;
+package ashlink.router.frontend;
 
 import ashlink.wire.Quota;
 import java.util.concurrent.atomic.AtomicLong;
--- a/router/src/main/java/ashlink/router/front/NativeAttempt.java
+++ b/router/src/main/java/ashlink/router/frontend/NativeAttempt.java
@@ -1,4 +1,4 @@
-package ashlink.router.front;
+package ashlink.router.frontend;
 
 import ashlink.router.core.Attempt;
 import ashlink.router.core.Attempt.AttemptReport;
--- a/router/src/main/java/ashlink/router/front/NativeListener.java
+++ b/router/src/main/java/ashlink/router/frontend/NativeListener.java
@@ -1,4 +1,4 @@
-package ashlink.router.front;
+package ashlink.router.frontend;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/router/src/main/java/ashlink/router/front/ResponseWriter.java
+++ b/router/src/main/java/ashlink/router/frontend/ResponseWriter.java
@@ -1,4 +1,4 @@
-package ashlink.router.front;
+package ashlink.router.frontend;
 
 import ashlink.decisions.api.Outcome;
 import ashlink.wire.ServerError;
--- a/router/src/main/java/ashlink/router/front/UnknownTableLog.java
+++ b/router/src/main/java/ashlink/router/frontend/UnknownTableLog.java
@@ -1,4 +1,4 @@
-package ashlink.router.front;
+package ashlink.router.frontend;
 
 import ashlink.sql.StatementAnalysis;
 import java.util.concurrent.atomic.AtomicLong;
--- a/router/src/main/java/ashlink/router/front/package-info.java
+++ b/router/src/main/java/ashlink/router/frontend/package-info.java
@@ -3,4 +3,4 @@
  * requests of the core, and passes answers on. A connection is read by one thread of its own; an
  * attempt is driven by a worker.
  */
-package ashlink.router.front;
+package ashlink.router.frontend;
--- a/router/src/main/java/ashlink/router/http/HttpAuthenticator.java
+++ b/router/src/main/java/ashlink/router/http/HttpAuthenticator.java
@@ -1,7 +1,7 @@
 package ashlink.router.http;
 
 import ashlink.config.RouterConfig.UserSpec;
-import ashlink.router.front.CredentialCache;
+import ashlink.router.frontend.CredentialCache;
 import java.nio.charset.StandardCharsets;
 import java.util.Base64;
 import java.util.Map;
--- a/router/src/main/java/ashlink/router/http/HttpStatement.java
+++ b/router/src/main/java/ashlink/router/http/HttpStatement.java
@@ -1,8 +1,8 @@
 package ashlink.router.http;
 
 import ashlink.router.core.StatementOutcome;
-import ashlink.router.front.RequestExchange;
-import ashlink.router.front.ResponseChannel;
+import ashlink.router.frontend.RequestExchange;
+import ashlink.router.frontend.ResponseChannel;
 import ashlink.router.spool.PageStore;
 import ashlink.router.spool.PageStore.Stored;
 import ashlink.router.statement.PageWindow;
--- a/router/src/main/java/ashlink/router/http/StatementHandler.java
+++ b/router/src/main/java/ashlink/router/http/StatementHandler.java
@@ -2,8 +2,8 @@
 
 import ashlink.config.RouterConfig.HttpSpec;
 import ashlink.router.core.StatementOutcome;
-import ashlink.router.front.ListenerContext;
-import ashlink.router.front.MemoryQuota;
+import ashlink.router.frontend.ListenerContext;
+import ashlink.router.frontend.MemoryQuota;
 import ashlink.router.http.HttpStatement.Told;
 import ashlink.router.http.StatementRegistry.Taken;
 import ashlink.router.statement.IdempotencyKeyTable.Entry;
--- a/router/src/main/java/ashlink/router/http/StatementRegistry.java
+++ b/router/src/main/java/ashlink/router/http/StatementRegistry.java
@@ -2,11 +2,11 @@
 
 import ashlink.config.RouterConfig.HttpSpec;
 import ashlink.router.core.StatementOutcome;
-import ashlink.router.front.InsertFeed;
-import ashlink.router.front.ListenerContext;
-import ashlink.router.front.MemoryQuota;
-import ashlink.router.front.RequestAdmission;
-import ashlink.router.front.RequestExchange;
+import ashlink.router.frontend.InsertFeed;
+import ashlink.router.frontend.ListenerContext;
+import ashlink.router.frontend.MemoryQuota;
+import ashlink.router.frontend.RequestAdmission;
+import ashlink.router.frontend.RequestExchange;
 import ashlink.router.spool.IdempotencyKeyLog;
 import ashlink.router.spool.PageStore;
 import ashlink.router.statement.IdempotencyKeyTable;
--- a/router/src/main/java/ashlink/router/upstream/EngineConnections.java
+++ b/router/src/main/java/ashlink/router/upstream/EngineConnections.java
@@ -10,7 +10,7 @@
 import ashlink.decisions.api.Outcome;
 import ashlink.router.core.CoreClock;
 import ashlink.router.core.EngineTransport;
-import ashlink.router.list.EndpointRegistry;
+import ashlink.router.discovery.EndpointRegistry;
 import ashlink.wire.Block;
 import ashlink.wire.ByteBuf;
 import ashlink.wire.ClientInfo;
--- a/router/src/test/java/ashlink/router/StoredDataRecorder.java
+++ b/router/src/test/java/ashlink/router/StoredDataRecorder.java
@@ -4,7 +4,7 @@
 import ashlink.decisions.api.Endpoint;
 import ashlink.decisions.api.EndpointState;
 import ashlink.router.core.StatementOutcome;
-import ashlink.router.list.EndpointListStore;
+import ashlink.router.discovery.EndpointListStore;
 import ashlink.router.spool.IdempotencyKeyLog;
 import ashlink.router.spool.PageStore;
 import ashlink.router.spool.SpoolDirectory;
--- a/router/src/test/java/ashlink/router/list/EndpointRegistryTest.java
+++ b/router/src/test/java/ashlink/router/discovery/EndpointRegistryTest.java
@@ -1,4 +1,4 @@
-package ashlink.router.list;
+package ashlink.router.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/drill/src/main/java/ashlink/drill/Main.java
+++ b/simulator/src/main/java/ashlink/simulator/Main.java
@@ -1,4 +1,4 @@
-package ashlink.drill;
+package ashlink.simulator;
 
 import java.io.BufferedReader;
 import java.io.BufferedWriter;
@@ -6,18 +6,23 @@
 import java.io.InputStreamReader;
 import java.io.OutputStreamWriter;
 import java.nio.charset.StandardCharsets;
+import java.util.Set;
 
 /**
- * Command line of the jar: {@code drill} plays the simulator's wire on standard input and output.
+ * Command line of the jar: {@code simulate} plays the simulator's wire on standard input and
+ * output.
  */
 public final class Main {
 
+    /** The command, and the name that it had before 0.3. */
+    private static final Set<String> COMMANDS = Set.of("simulate", "drill");
+
     private Main() {}
 
     /** Runs the named command; exit status 2 is a wrong call, 1 a line that cannot be read. */
     public static void main(String[] args) throws IOException {
-        if (args.length != 1 || !args[0].equals("drill")) {
-            System.err.println("usage: java -jar ashlink.jar drill");
+        if (args.length != 1 || !COMMANDS.contains(args[0])) {
+            System.err.println("usage: java -jar ashlink.jar simulate");
             System.exit(2);
         }
         var in =
--- a/drill/src/main/java/ashlink/drill/SimulatorProtocolException.java
+++ b/simulator/src/main/java/ashlink/simulator/SimulatorProtocolException.java
@@ -1,4 +1,4 @@
-package ashlink.drill;
+package ashlink.simulator;
 
 import ashlink.config.flat.FieldException;
 
--- a/drill/src/test/java/ashlink/drill/MainTest.java
+++ b/simulator/src/test/java/ashlink/simulator/MainTest.java
@@ -1,4 +1,4 @@
-package ashlink.drill;
+package ashlink.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -22,7 +22,7 @@
                                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                                 "-cp",
                                 System.getProperty("java.class.path"),
-                                "ashlink.drill.Main"));
+                                "ashlink.simulator.Main"));
         command.addAll(List.of(args));
         Process process = new ProcessBuilder(command).start();
         try (var in = process.getOutputStream()) {
--- a/drill/src/test/java/ashlink/drill/SimulatorCodecTest.java
+++ b/simulator/src/test/java/ashlink/simulator/SimulatorCodecTest.java
@@ -1,4 +1,4 @@
-package ashlink.drill;
+package ashlink.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
--- a/drill/src/test/java/ashlink/drill/Transcript.java
+++ b/simulator/src/test/java/ashlink/simulator/Transcript.java
@@ -1,4 +1,4 @@
-package ashlink.drill;
+package ashlink.simulator;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
