--- a/background/src/main/java/ashlink/background/Scheduler.java
+++ b/background/src/main/java/ashlink/background/Scheduler.java
@@ -160,52 +160,56 @@
     }
 
     private void perform(List<Decision> decisions) {
-        for (Decision d : decisions) {
-            if (d instanceof Start s) {
-                begin(s);
-            } else if (d instanceof Grant g && running.containsKey(g.run())) {
-                running.get(g.run()).lease.grant(g.amount());
-            } else if (d instanceof Interrupt i && running.containsKey(i.run())) {
-                running.get(i.run()).thread.interrupt();
-            } else if (d instanceof Abandon a) {
+        for (Decision decision : decisions) {
+            if (decision instanceof Start start) {
+                begin(start);
+            } else if (decision instanceof Grant grant && running.containsKey(grant.run())) {
+                running.get(grant.run()).lease.grant(grant.amount());
+            } else if (decision instanceof Interrupt interrupt
+                    && running.containsKey(interrupt.run())) {
+                running.get(interrupt.run()).thread.interrupt();
+            } else if (decision instanceof Abandon abandon) {
                 abandoned.incrementAndGet();
-                LOG.warn("background run {} does not end; its task rests until it does", a.run());
-            } else if (d instanceof Drop x) {
+                LOG.warn(
+                        "background run {} does not end; its task rests until it does",
+                        abandon.run());
+            } else if (decision instanceof Drop drop) {
                 dropped.incrementAndGet();
-                work.remove(x.task());
-                LOG.info("background task {} gave way", x.task());
+                work.remove(drop.task());
+                LOG.info("background task {} gave way", drop.task());
             }
         }
     }
 
-    private void begin(Start s) {
-        BackgroundWork doing = work.get(s.task());
-        Thread t = new Thread(null, () -> run(s, doing), name + "-" + s.task(), STACK_BYTES);
-        t.setDaemon(true);
-        running.put(s.run(), new Running(t, null));
-        t.start();
+    private void begin(Start start) {
+        BackgroundWork doing = work.get(start.task());
+        Thread thread =
+                new Thread(null, () -> run(start, doing), name + "-" + start.task(), STACK_BYTES);
+        thread.setDaemon(true);
+        running.put(start.run(), new Running(thread, null));
+        thread.start();
     }
 
-    private void run(Start s, BackgroundWork doing) {
-        Lease lease = new Lease(this, s.run());
+    private void run(Start start, BackgroundWork doing) {
+        Lease lease = new Lease(this, start.run());
         synchronized (this) {
-            running.put(s.run(), new Running(Thread.currentThread(), lease));
+            running.put(start.run(), new Running(Thread.currentThread(), lease));
         }
         boolean well = false;
         try {
             doing.run(lease);
             well = true;
         } catch (InterruptedException e) {
-            LOG.info("background task {} was interrupted", s.task());
+            LOG.info("background task {} was interrupted", start.task());
         } catch (Exception | Error e) {
             failed.incrementAndGet();
-            LOG.warn("background task {} failed: {}", s.task(), e.toString());
+            LOG.warn("background task {} failed: {}", start.task(), e.toString());
         } finally {
             ended.incrementAndGet();
             synchronized (this) {
-                running.remove(s.run());
+                running.remove(start.run());
                 planner.charge(Resource.CPU, lease.unpaidNs(), System.nanoTime());
-                planner.ended(s.run(), well, System.nanoTime());
+                planner.ended(start.run(), well, System.nanoTime());
                 wake();
             }
         }
--- a/background/src/main/java/ashlink/background/plan/Planner.java
+++ b/background/src/main/java/ashlink/background/plan/Planner.java
@@ -143,7 +143,7 @@
         pass(now);
         pressure = Math.max(0, Math.min(1, of));
         double share = Math.max(limits.leastShare(), 1 - pressure);
-        budgets.values().forEach(b -> b.share(share, nowNs));
+        budgets.values().forEach(budget -> budget.share(share, nowNs));
     }
 
     /**
@@ -171,28 +171,30 @@
         if (r == null) {
             return;
         }
-        Task t = r.task;
-        t.run = null;
-        if (t.spec.everyNs() == 0 || t.cancelled || stopping && (r.last || !t.spec.atStop())) {
-            tasks.remove(t.spec.name(), t);
+        Task task = r.task;
+        task.run = null;
+        if (task.spec.everyNs() == 0
+                || task.cancelled
+                || stopping && (r.last || !task.spec.atStop())) {
+            tasks.remove(task.spec.name(), task);
             return;
         }
         if (stopping) {
-            t.atStopDue = true; // what came up since it began is for one more run
-            t.dueNs = nowNs;
+            task.atStopDue = true; // what came up since it began is for one more run
+            task.dueNs = nowNs;
             return;
         }
-        t.fails = well && r.interruptedNs < 0 ? 0 : t.fails + 1;
-        if (t.fails > 0) {
-            long rest = t.spec.everyNs() << Math.min(t.fails, MOST_DOUBLINGS);
-            t.dueNs = nowNs + Math.max(t.spec.everyNs(), Math.min(rest, LONGEST_REST_NS));
+        task.fails = well && r.interruptedNs < 0 ? 0 : task.fails + 1;
+        if (task.fails > 0) {
+            long rest = task.spec.everyNs() << Math.min(task.fails, MOST_DOUBLINGS);
+            task.dueNs = nowNs + Math.max(task.spec.everyNs(), Math.min(rest, LONGEST_REST_NS));
         } else {
-            long next = t.dueNs + moved(t.spec);
+            long next = task.dueNs + moved(task.spec);
             if (next <= nowNs) {
-                t.missed += (nowNs - t.dueNs) / t.spec.everyNs();
-                next = nowNs + moved(t.spec);
+                task.missed += (nowNs - task.dueNs) / task.spec.everyNs();
+                next = nowNs + moved(task.spec);
             }
-            t.dueNs = next;
+            task.dueNs = next;
         }
     }
 
@@ -204,13 +206,13 @@
         }
         stopping = true;
         stopAtNs = nowNs + limitNs;
-        for (Task t : new ArrayList<>(tasks.values())) {
-            if (t.run == null && !t.spec.atStop()) {
-                tasks.remove(t.spec.name());
-                out.add(new Drop(t.spec.name()));
-            } else if (t.run == null) {
-                t.dueNs = Math.min(t.dueNs, nowNs);
-                t.atStopDue = true;
+        for (Task task : new ArrayList<>(tasks.values())) {
+            if (task.run == null && !task.spec.atStop()) {
+                tasks.remove(task.spec.name());
+                out.add(new Drop(task.spec.name()));
+            } else if (task.run == null) {
+                task.dueNs = Math.min(task.dueNs, nowNs);
+                task.atStopDue = true;
             }
         }
     }
@@ -218,12 +220,12 @@
     /** True once all has stopped, but for runs that were given up. */
     public boolean isStopped() {
         return stopping
-                && runs.values().stream().allMatch(r -> r.abandoned)
+                && runs.values().stream().allMatch(run -> run.abandoned)
                 && tasks.values().stream().noneMatch(this::mayLast);
     }
 
-    private boolean mayLast(Task t) {
-        return t.run == null && t.atStopDue && nowNs < stopAtNs;
+    private boolean mayLast(Task task) {
+        return task.run == null && task.atStopDue && nowNs < stopAtNs;
     }
 
     // ---- Decisions
@@ -238,27 +240,27 @@
     }
 
     private void overtime(List<Decision> out) {
-        for (Run r : runs.values()) {
+        for (Run run : runs.values()) {
             boolean late =
-                    nowNs - r.startNs >= r.task.spec.runNs() || stopping && nowNs >= stopAtNs;
-            if (late && r.interruptedNs < 0) {
-                interrupt(r, out);
+                    nowNs - run.startNs >= run.task.spec.runNs() || stopping && nowNs >= stopAtNs;
+            if (late && run.interruptedNs < 0) {
+                interrupt(run, out);
             }
-            if (r.interruptedNs >= 0
-                    && !r.abandoned
-                    && nowNs - r.interruptedNs >= limits.graceNs()) {
-                r.abandoned = true;
-                r.asks.clear();
-                out.add(new Abandon(r.id));
+            if (run.interruptedNs >= 0
+                    && !run.abandoned
+                    && nowNs - run.interruptedNs >= limits.graceNs()) {
+                run.abandoned = true;
+                run.asks.clear();
+                out.add(new Abandon(run.id));
             }
         }
     }
 
-    private void interrupt(Run r, List<Decision> out) {
-        if (r.interruptedNs < 0) {
-            r.interruptedNs = nowNs;
-            r.asks.clear();
-            out.add(new Interrupt(r.id));
+    private void interrupt(Run run, List<Decision> out) {
+        if (run.interruptedNs < 0) {
+            run.interruptedNs = nowNs;
+            run.asks.clear();
+            out.add(new Interrupt(run.id));
         }
     }
 
@@ -268,21 +270,21 @@
      */
     private void grant(List<Decision> out) {
         for (Resource resource : Resource.values()) {
-            for (Run r : asking(resource)) {
-                double amount = r.asks.get(resource);
+            for (Run run : asking(resource)) {
+                double amount = run.asks.get(resource);
                 if (!budgets.get(resource).take(amount, nowNs)) {
                     break;
                 }
-                r.asks.remove(resource);
-                out.add(new Grant(r.id, resource, amount));
+                run.asks.remove(resource);
+                out.add(new Grant(run.id, resource, amount));
             }
         }
     }
 
     private List<Run> asking(Resource resource) {
         return runs.values().stream()
-                .filter(r -> r.asks.containsKey(resource))
-                .sorted(Comparator.comparing((Run r) -> r.task, BY_TURN))
+                .filter(run -> run.asks.containsKey(resource))
+                .sorted(Comparator.comparing((Run run) -> run.task, BY_TURN))
                 .toList();
     }
 
@@ -290,38 +292,38 @@
         List<Task> due =
                 new ArrayList<>(
                         tasks.values().stream().filter(this::mayStart).sorted(BY_TURN).toList());
-        for (Task t : due) {
-            if (!hasPlace(t.spec.priority())) {
-                if (t.spec.priority() == Priority.HIGH) {
+        for (Task task : due) {
+            if (!hasPlace(task.spec.priority())) {
+                if (task.spec.priority() == Priority.HIGH) {
                     return;
                 }
                 continue; // the last place is still there for those of high priority
             }
-            t.run = new Run(++lastRun, t, nowNs, stopping);
-            runs.put(t.run.id, t.run);
-            t.atStopDue = false;
-            out.add(new Start(t.run.id, t.spec.name()));
+            task.run = new Run(++lastRun, task, nowNs, stopping);
+            runs.put(task.run.id, task.run);
+            task.atStopDue = false;
+            out.add(new Start(task.run.id, task.spec.name()));
         }
     }
 
-    private boolean mayStart(Task t) {
-        if (t.run != null || t.dueNs > nowNs || stopping && !mayLast(t)) {
+    private boolean mayStart(Task task) {
+        if (task.run != null || task.dueNs > nowNs || stopping && !mayLast(task)) {
             return false;
         }
         return stopping
-                || t.spec.priority() != Priority.LOW
+                || task.spec.priority() != Priority.LOW
                 || pressure < PRESSED
-                || nowNs - t.dueNs >= t.spec.latestNs();
+                || nowNs - task.dueNs >= task.spec.latestNs();
     }
 
-    private boolean hasPlace(Priority p) {
-        long taken = runs.values().stream().filter(r -> !r.abandoned).count();
+    private boolean hasPlace(Priority priority) {
+        long taken = runs.values().stream().filter(run -> !run.abandoned).count();
         long plain =
                 runs.values().stream()
-                        .filter(r -> !r.abandoned && r.task.spec.priority() != Priority.HIGH)
+                        .filter(run -> !run.abandoned && run.task.spec.priority() != Priority.HIGH)
                         .count();
         return taken < limits.runsAtOnce()
-                && (p == Priority.HIGH
+                && (priority == Priority.HIGH
                         || limits.runsAtOnce() == 1
                         || plain < limits.runsAtOnce() - 1);
     }
@@ -333,24 +335,27 @@
     public long waitNs(long now, long mostNs) {
         pass(now);
         long at = nowNs + mostNs;
-        for (Task t : tasks.values()) {
-            if (t.run == null && hasPlace(t.spec.priority()) && (!stopping || mayLast(t))) {
+        for (Task task : tasks.values()) {
+            if (task.run == null
+                    && hasPlace(task.spec.priority())
+                    && (!stopping || mayLast(task))) {
                 boolean held =
-                        t.spec.priority() == Priority.LOW && pressure >= PRESSED && !stopping;
-                at = Math.min(at, t.dueNs + (held ? t.spec.latestNs() : 0));
+                        task.spec.priority() == Priority.LOW && pressure >= PRESSED && !stopping;
+                at = Math.min(at, task.dueNs + (held ? task.spec.latestNs() : 0));
             }
         }
-        for (Run r : runs.values()) {
-            if (!r.abandoned) {
+        for (Run run : runs.values()) {
+            if (!run.abandoned) {
                 at =
                         Math.min(
                                 at,
-                                r.interruptedNs >= 0
-                                        ? r.interruptedNs + limits.graceNs()
+                                run.interruptedNs >= 0
+                                        ? run.interruptedNs + limits.graceNs()
                                         : stopping
                                                 ? Math.min(
-                                                        stopAtNs, r.startNs + r.task.spec.runNs())
-                                                : r.startNs + r.task.spec.runNs());
+                                                        stopAtNs,
+                                                        run.startNs + run.task.spec.runNs())
+                                                : run.startNs + run.task.spec.runNs());
             }
         }
         for (Resource resource : Resource.values()) {
@@ -375,12 +380,15 @@
     // ---- What is
     /** Runs that are due and wait. */
     public int waiting() {
-        return (int) tasks.values().stream().filter(t -> t.run == null && t.dueNs <= nowNs).count();
+        return (int)
+                tasks.values().stream()
+                        .filter(task -> task.run == null && task.dueNs <= nowNs)
+                        .count();
     }
 
     /** Runs under way that were not given up. */
     public int running() {
-        return (int) runs.values().stream().filter(r -> !r.abandoned).count();
+        return (int) runs.values().stream().filter(run -> !run.abandoned).count();
     }
 
     /** Runs that a repeated task would have had and did not, as it was late. */
--- a/background/src/test/java/ashlink/background/plan/PlannerProperties.java
+++ b/background/src/test/java/ashlink/background/plan/PlannerProperties.java
@@ -24,7 +24,7 @@
      */
     private static List<Given> story(Limits limits, long seed, int steps) {
         SplittableRandom random = new SplittableRandom(seed);
-        Planner p = new Planner(limits, seed);
+        Planner planner = new Planner(limits, seed);
         List<Given> given = new ArrayList<>();
         List<Long> runs = new ArrayList<>();
         long now = 1L << 40;
@@ -39,7 +39,7 @@
             List<Decision> out = new ArrayList<>();
             switch (random.nextInt(6)) {
                 case 0 ->
-                        p.add(
+                        planner.add(
                                 TaskSpec.once(
                                         "t" + i,
                                         Priority.values()[random.nextInt(3)],
@@ -47,10 +47,10 @@
                                         1L << 40),
                                 now,
                                 out);
-                case 1 -> p.pressure(random.nextDouble(), now);
+                case 1 -> planner.pressure(random.nextDouble(), now);
                 case 2 -> {
                     if (!runs.isEmpty() && random.nextInt(4) == 0) {
-                        p.ended(
+                        planner.ended(
                                 runs.remove(random.nextInt(runs.size())),
                                 random.nextBoolean(),
                                 now);
@@ -58,7 +58,7 @@
                 }
                 default -> {
                     if (!runs.isEmpty()) {
-                        p.ask(
+                        planner.ask(
                                 runs.get(random.nextInt(runs.size())),
                                 Resource.BYTES,
                                 1 + random.nextInt(200_000),
@@ -66,11 +66,11 @@
                     }
                 }
             }
-            for (Decision d : p.decide(now)) {
-                if (d instanceof Start s) {
-                    runs.add(s.run());
-                } else if (d instanceof Grant g) {
-                    given.add(new Given(greatest, g.amount()));
+            for (Decision decision : planner.decide(now)) {
+                if (decision instanceof Start start) {
+                    runs.add(start.run());
+                } else if (decision instanceof Grant grant) {
+                    given.add(new Given(greatest, grant.amount()));
                 }
             }
         }
--- a/background/src/test/java/ashlink/background/plan/PlannerTest.java
+++ b/background/src/test/java/ashlink/background/plan/PlannerTest.java
@@ -49,20 +49,20 @@
         }
 
         void perform(List<Decision> decisions) {
-            for (Decision d : decisions) {
-                if (d instanceof Start s) {
-                    started.put(s.run(), s.task());
-                    starts.computeIfAbsent(s.task(), k -> new ArrayList<>()).add(now);
-                    log.add("start " + s.task());
-                    if (takes.get(s.task()) >= 0) {
-                        ends.add(new Done(s.run(), now + takes.get(s.task())));
+            for (Decision decision : decisions) {
+                if (decision instanceof Start start) {
+                    started.put(start.run(), start.task());
+                    starts.computeIfAbsent(start.task(), text -> new ArrayList<>()).add(now);
+                    log.add("start " + start.task());
+                    if (takes.get(start.task()) >= 0) {
+                        ends.add(new Done(start.run(), now + takes.get(start.task())));
                     }
-                } else if (d instanceof Drop x) {
-                    log.add("drop " + x.task());
-                } else if (d instanceof Interrupt i) {
-                    log.add("interrupt " + started.get(i.run()));
-                } else if (d instanceof Abandon a) {
-                    log.add("abandon " + started.get(a.run()));
+                } else if (decision instanceof Drop drop) {
+                    log.add("drop " + drop.task());
+                } else if (decision instanceof Interrupt interrupt) {
+                    log.add("interrupt " + started.get(interrupt.run()));
+                } else if (decision instanceof Abandon abandon) {
+                    log.add("abandon " + started.get(abandon.run()));
                 }
             }
             most = Math.max(most, planner.running());
@@ -181,7 +181,7 @@
         sim.until(sim.now + MS);
         long run =
                 sim.started.entrySet().stream()
-                        .filter(e -> e.getValue().equals("copy"))
+                        .filter(entry -> entry.getValue().equals("copy"))
                         .findFirst()
                         .orElseThrow()
                         .getKey();
@@ -195,8 +195,8 @@
         double given = 0;
         while (given < bytes) {
             sim.planner.ask(run, Resource.BYTES, bytes - given, sim.now);
-            for (Decision d : sim.planner.decide(sim.now)) {
-                given += d instanceof Grant g ? g.amount() : 0;
+            for (Decision decision : sim.planner.decide(sim.now)) {
+                given += decision instanceof Grant grant ? grant.amount() : 0;
             }
             sim.now += MS;
         }
--- a/capture/src/main/java/ashlink/capture/CaptureReader.java
+++ b/capture/src/main/java/ashlink/capture/CaptureReader.java
@@ -43,27 +43,27 @@
                 continue;
             }
             byte[] bytes = disk.read(name);
-            Segment.Contents c = Segment.read(bytes);
+            Segment.Contents contents = Segment.read(bytes);
             boolean follows =
-                    c.number() == 0 && c.boot() != 0
+                    contents.number() == 0 && contents.boot() != 0
                             || before != null
-                                    && before.boot() == c.boot()
+                                    && before.boot() == contents.boot()
                                     && before.state() == Segment.State.WHOLE
-                                    && before.number() + 1 == c.number();
+                                    && before.number() + 1 == contents.number();
             if (!follows) {
                 to.accept(new Entry.Gap(0));
             }
             reader.startSegment();
             long[] count = new long[1];
-            Segment.State state = c.state();
-            String why = c.why();
+            Segment.State state = contents.state();
+            String why = contents.why();
             try {
-                for (byte[] frame : c.frames()) {
+                for (byte[] frame : contents.frames()) {
                     reader.read(
                             frame,
-                            e -> {
+                            entry -> {
                                 count[0]++;
-                                to.accept(e);
+                                to.accept(entry);
                             });
                 }
             } catch (IOException | IllegalArgumentException e) {
@@ -74,20 +74,20 @@
                     new Found(
                             name,
                             state,
-                            c.boot(),
-                            c.number(),
-                            c.firstEntry(),
+                            contents.boot(),
+                            contents.number(),
+                            contents.firstEntry(),
                             count[0],
                             bytes.length,
                             why));
             before =
                     new Segment.Contents(
                             state,
-                            c.boot(),
-                            c.number(),
-                            c.firstEntry(),
+                            contents.boot(),
+                            contents.number(),
+                            contents.firstEntry(),
                             List.of(),
-                            c.readTo(),
+                            contents.readTo(),
                             why);
         }
         return found;
--- a/capture/src/main/java/ashlink/capture/CaptureSlice.java
+++ b/capture/src/main/java/ashlink/capture/CaptureSlice.java
@@ -33,7 +33,7 @@
      * A part of {@code count} entries at most, from number {@code from} on, into an empty folder.
      */
     public CaptureSlice(Disk to, long boot, long from, long count) throws IOException {
-        if (to.list().stream().anyMatch(n -> n.endsWith(".seg"))) {
+        if (to.list().stream().anyMatch(text -> text.endsWith(".seg"))) {
             throw new IOException("there is a capture in that folder already");
         }
         this.from = from;
@@ -43,19 +43,19 @@
 
     /** Takes the next entry of the whole. */
     @Override
-    public void accept(Entry e) {
+    public void accept(Entry entry) {
         long n = seen++;
         if (n < from) {
-            start = e instanceof Entry.Start ? e : start;
-            missed = e instanceof Entry.Start ? 0 : missed + 1;
+            start = entry instanceof Entry.Start ? entry : start;
+            missed = entry instanceof Entry.Start ? 0 : missed + 1;
         } else if (n - from < count) {
-            if (written == 0 && start != null && !(e instanceof Entry.Start)) {
+            if (written == 0 && start != null && !(entry instanceof Entry.Start)) {
                 write(start);
                 if (missed > 0) {
                     write(new Entry.Gap(missed));
                 }
             }
-            write(e);
+            write(entry);
         }
     }
 
@@ -64,13 +64,13 @@
         return written;
     }
 
-    private void write(Entry e) {
+    private void write(Entry entry) {
         try {
             if (!open) {
                 writer.startFrame(log.startsSegment());
                 open = true;
             }
-            writer.write(e);
+            writer.write(entry);
             written++;
             if (writer.size() >= FRAME_BYTES) {
                 flush();
--- a/capture/src/main/java/ashlink/capture/CaptureSummary.java
+++ b/capture/src/main/java/ashlink/capture/CaptureSummary.java
@@ -98,15 +98,18 @@
 
     @Override
     public void accept(Entry entry) {
-        if (entry instanceof Entry.Start s) {
-            router = s.router();
-            moduleHash = s.moduleHash();
+        if (entry instanceof Entry.Start start) {
+            router = start.router();
+            moduleHash = start.moduleHash();
             starts++;
             open.clear();
             sentTo.clear();
-            s.settings()
+            start.settings()
                     .classes()
-                    .forEach(c -> classes.computeIfAbsent(c.name(), k -> new ClassCount()));
+                    .forEach(
+                            queryClass ->
+                                    classes.computeIfAbsent(
+                                            queryClass.name(), text -> new ClassCount()));
             firstNs = 0;
             offset =
                     seconds.isEmpty()
@@ -120,46 +123,55 @@
     }
 
     private ClassCount of(String queryClass) {
-        return classes.computeIfAbsent(queryClass, k -> new ClassCount());
+        return classes.computeIfAbsent(queryClass, text -> new ClassCount());
     }
 
-    private void step(Entry.Step s) {
+    private void step(Entry.Step step) {
         steps++;
-        firstNs = firstNs == 0 ? s.nowNs() : firstNs;
+        firstNs = firstNs == 0 ? step.nowNs() : firstNs;
         Second second =
                 seconds.computeIfAbsent(
-                        offset + (int) ((s.nowNs() - firstNs) / S), k -> new Second());
-        if (s.event() instanceof QuerySubmitted r) {
-            of(r.queryClass()).taken++;
+                        offset + (int) ((step.nowNs() - firstNs) / S), k -> new Second());
+        if (step.event() instanceof QuerySubmitted querySubmitted) {
+            of(querySubmitted.queryClass()).taken++;
             second.taken++;
-            open.put(r.id(), r.queryClass());
-        } else if (s.event() instanceof AttemptEnded e) {
+            open.put(querySubmitted.id(), querySubmitted.queryClass());
+        } else if (step.event() instanceof AttemptEnded attemptEnded) {
             second.ended++;
-            sentTo.remove(e.id());
-            engines.computeIfAbsent(e.engine(), k -> new TreeMap<>())
-                    .merge(e.outcome().name(), 1L, Long::sum);
-            if (e.clientAnswered() && open.containsKey(e.id())) {
-                ClassCount c = of(open.remove(e.id()));
-                c.served += e.outcome() == Outcome.SERVED || e.outcome() == Outcome.ERROR ? 1 : 0;
-                c.failed += e.outcome() == Outcome.SERVED || e.outcome() == Outcome.ERROR ? 0 : 1;
+            sentTo.remove(attemptEnded.id());
+            engines.computeIfAbsent(attemptEnded.engine(), k -> new TreeMap<>())
+                    .merge(attemptEnded.outcome().name(), 1L, Long::sum);
+            if (attemptEnded.clientAnswered() && open.containsKey(attemptEnded.id())) {
+                ClassCount classCount = of(open.remove(attemptEnded.id()));
+                classCount.served +=
+                        attemptEnded.outcome() == Outcome.SERVED
+                                        || attemptEnded.outcome() == Outcome.ERROR
+                                ? 1
+                                : 0;
+                classCount.failed +=
+                        attemptEnded.outcome() == Outcome.SERVED
+                                        || attemptEnded.outcome() == Outcome.ERROR
+                                ? 0
+                                : 1;
             }
-        } else if (s.event() instanceof ClientDisconnected g && open.containsKey(g.id())) {
-            of(open.remove(g.id())).gone++;
+        } else if (step.event() instanceof ClientDisconnected clientDisconnected
+                && open.containsKey(clientDisconnected.id())) {
+            of(open.remove(clientDisconnected.id())).gone++;
         }
-        s.actions().forEach(this::did);
+        step.actions().forEach(this::did);
         second.held =
                 open.size() - (int) sentTo.keySet().stream().filter(open::containsKey).count();
         second.out.clear();
         sentTo.values().forEach(e -> second.out.merge(e, 1, Integer::sum));
     }
 
-    private void did(Action a) {
-        if (a instanceof StartAttempt s) {
-            sentTo.put(s.id(), s.engine());
-        } else if (a instanceof Reject r && open.containsKey(r.id())) {
-            of(open.remove(r.id())).refused++;
-        } else if (a instanceof Fail f && open.containsKey(f.id())) {
-            of(open.remove(f.id())).failed++;
+    private void did(Action action) {
+        if (action instanceof StartAttempt startAttempt) {
+            sentTo.put(startAttempt.id(), startAttempt.engine());
+        } else if (action instanceof Reject reject && open.containsKey(reject.id())) {
+            of(open.remove(reject.id())).refused++;
+        } else if (action instanceof Fail fail && open.containsKey(fail.id())) {
+            of(open.remove(fail.id())).failed++;
         }
     }
 
--- a/capture/src/main/java/ashlink/capture/JsonExport.java
+++ b/capture/src/main/java/ashlink/capture/JsonExport.java
@@ -29,11 +29,11 @@
     public void accept(Entry entry) {
         ObjectNode line = mapper.createObjectNode();
         line.put("form", entry.getClass().getSimpleName().toLowerCase(java.util.Locale.ROOT));
-        if (entry instanceof Entry.Step s) {
-            line.put("now_ns", s.nowNs());
-            line.set("event", tagged(s.event()));
+        if (entry instanceof Entry.Step step) {
+            line.put("now_ns", step.nowNs());
+            line.set("event", tagged(step.event()));
             ArrayNode actions = line.putArray("actions");
-            s.actions().forEach(a -> actions.add(tagged(a)));
+            step.actions().forEach(action -> actions.add(tagged(action)));
         } else {
             line.setAll((ObjectNode) mapper.valueToTree(entry));
         }
--- a/capture/src/main/java/ashlink/capture/QueryTimeline.java
+++ b/capture/src/main/java/ashlink/capture/QueryTimeline.java
@@ -65,20 +65,22 @@
 
     @Override
     public void accept(Entry entry) {
-        if (entry instanceof Entry.Start s) {
+        if (entry instanceof Entry.Start start) {
             engines.clear();
             sentTo.clear();
             classes.clear();
-            s.settings().classes().forEach(c -> classes.put(c.name(), c));
-        } else if (entry instanceof Entry.Gap g && request != null && !ended) {
+            start.settings()
+                    .classes()
+                    .forEach(queryClass -> classes.put(queryClass.name(), queryClass));
+        } else if (entry instanceof Entry.Gap gap && request != null && !ended) {
             lines.add(
                     "a gap of "
-                            + (g.entries() == 0 ? "unknown size" : g.entries() + " entries")
+                            + (gap.entries() == 0 ? "unknown size" : gap.entries() + " entries")
                             + ": the rest is not known");
             ended = true;
-        } else if (entry instanceof Entry.Step s && !ended) {
-            told(s);
-            s.actions().forEach(a -> did(a, s.nowNs()));
+        } else if (entry instanceof Entry.Step step && !ended) {
+            told(step);
+            step.actions().forEach(action -> did(action, step.nowNs()));
         }
     }
 
@@ -87,81 +89,102 @@
     }
 
     private Known known(String engine) {
-        return engines.computeIfAbsent(engine, k -> new Known());
+        return engines.computeIfAbsent(engine, text -> new Known());
     }
 
     // ---- What the module was told
-    private void told(Entry.Step s) {
-        long now = s.nowNs();
-        if (s.event() instanceof QuerySubmitted r && r.id() == id) {
-            request = r;
+    private void told(Entry.Step step) {
+        long now = step.nowNs();
+        if (step.event() instanceof QuerySubmitted querySubmitted && querySubmitted.id() == id) {
+            request = querySubmitted;
             takenNs = now;
-            QueryClass c = classes.get(r.queryClass());
+            QueryClass queryClass = classes.get(querySubmitted.queryClass());
             lines.add(
                     String.format(
                             Locale.ROOT,
                             "request %d of class %s%s, worth %.1f, wanted within %.0f ms, to be"
                                 + " answered within %.0f ms, estimated at %.0f ms and %.0f MB%s",
                             id,
-                            r.queryClass(),
-                            r.key() == null ? "" : " with key " + r.key(),
-                            c == null ? 0 : c.priorityWeight(),
-                            c == null ? 0 : c.latencyObjectiveNs() / MS,
-                            (r.deadlineNs() - now) / MS,
-                            r.estimatedWorkNs() / MS,
-                            r.estimatedMemoryMb(),
-                            rules(c)));
-        } else if (s.event() instanceof AttemptEnded e) {
-            Known k = known(e.engine());
-            if (sentTo.remove(e.id()) != null) {
+                            querySubmitted.queryClass(),
+                            querySubmitted.key() == null ? "" : " with key " + querySubmitted.key(),
+                            queryClass == null ? 0 : queryClass.priorityWeight(),
+                            queryClass == null ? 0 : queryClass.latencyObjectiveNs() / MS,
+                            (querySubmitted.deadlineNs() - now) / MS,
+                            querySubmitted.estimatedWorkNs() / MS,
+                            querySubmitted.estimatedMemoryMb(),
+                            rules(queryClass)));
+        } else if (step.event() instanceof AttemptEnded attemptEnded) {
+            Known k = known(attemptEnded.engine());
+            if (sentTo.remove(attemptEnded.id()) != null) {
                 k.out--;
             }
-            k.lastEnd = e.outcome() + " after " + Math.round(e.durationNs() / MS) + " ms";
-            news(e.engine(), e.loadReport(), now);
-            if (e.id() == id) {
-                mayHaveRun |= e.outcome().mayHaveRun();
+            k.lastEnd =
+                    attemptEnded.outcome()
+                            + " after "
+                            + Math.round(attemptEnded.durationNs() / MS)
+                            + " ms";
+            news(attemptEnded.engine(), attemptEnded.loadReport(), now);
+            if (attemptEnded.id() == id) {
+                mayHaveRun |= attemptEnded.outcome().mayHaveRun();
                 lines.add(
                         at(now)
                                 + "attempt "
-                                + e.attempt()
+                                + attemptEnded.attempt()
                                 + " at "
-                                + e.engine()
+                                + attemptEnded.engine()
                                 + " ended: "
-                                + e.outcome()
-                                + (e.outcome().mayHaveRun() ? ", may have run" : ", has not run")
-                                + (e.clientAnswered() ? "; the client has its answer" : ""));
-                ended = e.clientAnswered();
+                                + attemptEnded.outcome()
+                                + (attemptEnded.outcome().mayHaveRun()
+                                        ? ", may have run"
+                                        : ", has not run")
+                                + (attemptEnded.clientAnswered()
+                                        ? "; the client has its answer"
+                                        : ""));
+                ended = attemptEnded.clientAnswered();
             }
-        } else if (s.event() instanceof HealthCheckCompleted p) {
-            news(p.engine(), p.loadReport(), now);
-        } else if (s.event() instanceof AttemptProgress p && p.id() == id) {
-            lines.add(at(now) + "progress at " + p.engine() + ": " + p.kind() + " " + p.amount());
-        } else if (s.event() instanceof ClientDisconnected g && g.id() == id) {
+        } else if (step.event() instanceof HealthCheckCompleted completed) {
+            news(completed.engine(), completed.loadReport(), now);
+        } else if (step.event() instanceof AttemptProgress attemptProgress
+                && attemptProgress.id() == id) {
+            lines.add(
+                    at(now)
+                            + "progress at "
+                            + attemptProgress.engine()
+                            + ": "
+                            + attemptProgress.kind()
+                            + " "
+                            + attemptProgress.amount());
+        } else if (step.event() instanceof ClientDisconnected clientDisconnected
+                && clientDisconnected.id() == id) {
             lines.add(at(now) + "the client no longer waits");
             ended = true;
-        } else if (s.event() instanceof EndpointsChanged n) {
-            if (n.kind() != EndpointListKind.DELTA) {
+        } else if (step.event() instanceof EndpointsChanged endpointsChanged) {
+            if (endpointsChanged.kind() != EndpointListKind.DELTA) {
                 engines.values().forEach(k -> k.listed = null);
             }
-            n.endpoints().forEach(e -> known(e.engine()).listed = e);
+            endpointsChanged
+                    .endpoints()
+                    .forEach(endpoint -> known(endpoint.engine()).listed = endpoint);
             if (request != null) {
                 lines.add(
                         at(now)
                                 + "news of the list: "
-                                + n.endpoints().stream()
-                                        .map(e -> e.engine() + " " + e.state())
+                                + endpointsChanged.endpoints().stream()
+                                        .map(endpoint -> endpoint.engine() + " " + endpoint.state())
                                         .toList());
             }
         }
     }
 
-    private static String rules(QueryClass c) {
-        if (c == null) {
+    private static String rules(QueryClass queryClass) {
+        if (queryClass == null) {
             return "";
         }
-        String effect = c.retrySafety() == RetrySafety.AT_MOST_ONCE ? "; never to run twice" : "";
-        String place = c.engineKinds().isEmpty() ? "" : "; only on " + c.engineKinds();
-        return effect + place + (c.ordered() ? "; in order of its key" : "");
+        String effect =
+                queryClass.retrySafety() == RetrySafety.AT_MOST_ONCE ? "; never to run twice" : "";
+        String place =
+                queryClass.engineKinds().isEmpty() ? "" : "; only on " + queryClass.engineKinds();
+        return effect + place + (queryClass.ordered() ? "; in order of its key" : "");
     }
 
     private void news(String engine, LoadReport report, long now) {
@@ -173,71 +196,73 @@
 
     // ---- What it did
     private void did(Action action, long now) {
-        if (action instanceof StartAttempt a) {
-            known(a.engine()).out++;
-            sentTo.put(a.id(), a.engine());
-            if (a.id() == id) {
+        if (action instanceof StartAttempt startAttempt) {
+            known(startAttempt.engine()).out++;
+            sentTo.put(startAttempt.id(), startAttempt.engine());
+            if (startAttempt.id() == id) {
                 lines.add(
                         at(now)
                                 + "sent to "
-                                + a.engine()
+                                + startAttempt.engine()
                                 + " for at most "
-                                + Math.round(a.timeoutNs() / MS)
+                                + Math.round(startAttempt.timeoutNs() / MS)
                                 + " ms; then known of each engine:");
                 engines.forEach(
                         (name, k) -> lines.add("              " + name + ": " + shown(k, now)));
             }
-        } else if (action instanceof Reject a && a.id() == id) {
+        } else if (action instanceof Reject reject && reject.id() == id) {
             lines.add(
                     at(now)
                             + "refused: trying again is harmless"
-                            + (a.retryAfterNs() > 0
-                                    ? ", in " + Math.round(a.retryAfterNs() / MS) + " ms"
+                            + (reject.retryAfterNs() > 0
+                                    ? ", in " + Math.round(reject.retryAfterNs() / MS) + " ms"
                                     : "")
                             + (mayHaveRun ? " (it may have run, and may be repeated)" : ""));
             ended = true;
-        } else if (action instanceof Fail a && a.id() == id) {
+        } else if (action instanceof Fail fail && fail.id() == id) {
             lines.add(at(now) + "failed: it may have run and must not run twice");
             ended = true;
-        } else if (action instanceof CancelAttempt a && a.id() == id) {
-            lines.add(at(now) + "attempt " + a.attempt() + " called off");
-        } else if (action instanceof Log a && request != null) {
-            lines.add(at(now) + "log: " + a.text());
+        } else if (action instanceof CancelAttempt cancelAttempt && cancelAttempt.id() == id) {
+            lines.add(at(now) + "attempt " + cancelAttempt.attempt() + " called off");
+        } else if (action instanceof Log log && request != null) {
+            lines.add(at(now) + "log: " + log.text());
         }
     }
 
-    private static String shown(Known k, long now) {
+    private static String shown(Known known, long now) {
         String listed =
-                k.listed == null
+                known.listed == null
                         ? "not listed"
-                        : k.listed.state()
+                        : known.listed.state()
                                 + ", "
-                                + k.listed.kind()
+                                + known.listed.kind()
                                 + ", "
-                                + k.listed.zone()
-                                + (k.listed.startedNs() > 0
+                                + known.listed.zone()
+                                + (known.listed.startedNs() > 0
                                         ? ", up "
                                                 + Math.round(
-                                                        (now - k.listed.startedNs()) / MS / 1000)
+                                                        (now - known.listed.startedNs())
+                                                                / MS
+                                                                / 1000)
                                                 + " s"
                                         : "");
         String report =
-                k.report.equals(LoadReport.NONE)
+                known.report.equals(LoadReport.NONE)
                         ? "no report"
                         : String.format(
                                 Locale.ROOT,
                                 "report %.0f ms old: waiting %.0f, cores %.2f, memory %.2f, disks"
                                         + " %.2f",
-                                (now - k.reportNs) / MS,
-                                k.report.queued(),
-                                k.report.cpuUtilization(),
-                                k.report.memoryUtilization(),
-                                k.report.diskUtilization());
+                                (now - known.reportNs) / MS,
+                                known.report.queued(),
+                                known.report.cpuUtilization(),
+                                known.report.memoryUtilization(),
+                                known.report.diskUtilization());
         return listed
                 + "; "
-                + k.out
+                + known.out
                 + " of ours out; "
                 + report
-                + (k.lastEnd.isEmpty() ? "" : "; last end " + k.lastEnd);
+                + (known.lastEnd.isEmpty() ? "" : "; last end " + known.lastEnd);
     }
 }
--- a/capture/src/main/java/ashlink/capture/Recorder.java
+++ b/capture/src/main/java/ashlink/capture/Recorder.java
@@ -144,9 +144,9 @@
     }
 
     /** Nothing since the last sync is believed: it counts as dropped, and a gap will tell. */
-    private void lost(List<Entry> batch, IOException e) {
+    private void lost(List<Entry> batch, IOException failure) {
         if (!failing) {
-            LOG.warn("capture: the disk fails, entries are dropped: {}", e.toString());
+            LOG.warn("capture: the disk fails, entries are dropped: {}", failure.toString());
         }
         failing = true;
         dropped.addAndGet(Math.max(1, written - synced + batch.size()));
--- a/capture/src/main/java/ashlink/capture/Replay.java
+++ b/capture/src/main/java/ashlink/capture/Replay.java
@@ -43,10 +43,10 @@
     @Override
     public void accept(Entry entry) {
         entries++;
-        if (entry instanceof Entry.Start s) {
-            gateway = module.apply(s.settings());
+        if (entry instanceof Entry.Start start) {
+            gateway = module.apply(start.settings());
             starts++;
-            hashesDiffer |= !s.moduleHash().equals(hash);
+            hashesDiffer |= !start.moduleHash().equals(hash);
             spanNs += lastNs - firstNs;
             firstNs = 0;
             lastNs = 0;
@@ -57,19 +57,19 @@
         }
     }
 
-    private void step(Entry.Step s) {
+    private void step(Entry.Step step) {
         if (gateway == null) {
             passedOver++;
             return;
         }
-        firstNs = firstNs == 0 ? s.nowNs() : firstNs;
-        lastNs = s.nowNs();
-        List<Action> done = gateway.onEvent(s.event(), s.nowNs());
+        firstNs = firstNs == 0 ? step.nowNs() : firstNs;
+        lastNs = step.nowNs();
+        List<Action> done = gateway.onEvent(step.event(), step.nowNs());
         decided++;
-        if (!done.equals(s.actions())) {
+        if (!done.equals(step.actions())) {
             differing++;
             if (divergences.size() < SHOWN) {
-                divergences.add(new Divergence(entries - 1, s, List.copyOf(done)));
+                divergences.add(new Divergence(entries - 1, step, List.copyOf(done)));
             }
         }
     }
--- a/capture/src/main/java/ashlink/capture/events/EntryWriter.java
+++ b/capture/src/main/java/ashlink/capture/events/EntryWriter.java
@@ -71,20 +71,20 @@
 
     /** Appends an entry to the frame. */
     public void write(Entry entry) {
-        if (entry instanceof Entry.Start s) {
+        if (entry instanceof Entry.Start start) {
             out.put(START);
-            out.text(s.moduleHash());
-            out.text(s.router());
-            settings(s.settings());
-        } else if (entry instanceof Entry.Step s) {
+            out.text(start.moduleHash());
+            out.text(start.router());
+            settings(start.settings());
+        } else if (entry instanceof Entry.Step step) {
             out.put(STEP);
-            time(s.nowNs());
-            event(s.event());
-            out.whole(s.actions().size());
-            s.actions().forEach(this::action);
-        } else if (entry instanceof Entry.Gap g) {
+            time(step.nowNs());
+            event(step.event());
+            out.whole(step.actions().size());
+            step.actions().forEach(this::action);
+        } else if (entry instanceof Entry.Gap gap) {
             out.put(GAP);
-            out.whole(g.entries());
+            out.whole(gap.entries());
         }
     }
 
@@ -100,149 +100,149 @@
 
     // ---- Events
     private void event(Event event) {
-        if (event instanceof QuerySubmitted e) {
+        if (event instanceof QuerySubmitted querySubmitted) {
             out.put(1);
-            id(e.id());
-            out.text(e.queryClass());
-            out.text(e.key() == null ? null : hideKey.apply(e.key()));
-            out.signed(e.tableGroup());
-            out.signed(e.deadlineNs() - lastNs);
-            out.signed(e.estimatedWorkNs());
-            out.fraction(e.estimatedMemoryMb());
-            out.text(e.tenant());
-        } else if (event instanceof AttemptEnded e) {
+            id(querySubmitted.id());
+            out.text(querySubmitted.queryClass());
+            out.text(querySubmitted.key() == null ? null : hideKey.apply(querySubmitted.key()));
+            out.signed(querySubmitted.tableGroup());
+            out.signed(querySubmitted.deadlineNs() - lastNs);
+            out.signed(querySubmitted.estimatedWorkNs());
+            out.fraction(querySubmitted.estimatedMemoryMb());
+            out.text(querySubmitted.tenant());
+        } else if (event instanceof AttemptEnded attemptEnded) {
             out.put(2);
-            id(e.id());
-            out.whole(e.attempt());
-            out.text(e.engine());
-            out.put(e.outcome().ordinal());
-            out.signed(e.durationNs());
-            out.flag(e.clientAnswered());
-            out.fraction(e.workMs());
-            out.fraction(e.memoryMb());
-            report(e.loadReport());
-        } else if (event instanceof TimerFired e) {
+            id(attemptEnded.id());
+            out.whole(attemptEnded.attempt());
+            out.text(attemptEnded.engine());
+            out.put(attemptEnded.outcome().ordinal());
+            out.signed(attemptEnded.durationNs());
+            out.flag(attemptEnded.clientAnswered());
+            out.fraction(attemptEnded.workMs());
+            out.fraction(attemptEnded.memoryMb());
+            report(attemptEnded.loadReport());
+        } else if (event instanceof TimerFired timerFired) {
             out.put(3);
-            out.signed(e.label());
-        } else if (event instanceof HealthCheckCompleted e) {
+            out.signed(timerFired.label());
+        } else if (event instanceof HealthCheckCompleted completed) {
             out.put(4);
-            out.text(e.engine());
-            out.put(e.outcome().ordinal());
-            out.signed(e.durationNs());
-            report(e.loadReport());
-        } else if (event instanceof EndpointsChanged e) {
+            out.text(completed.engine());
+            out.put(completed.outcome().ordinal());
+            out.signed(completed.durationNs());
+            report(completed.loadReport());
+        } else if (event instanceof EndpointsChanged endpointsChanged) {
             out.put(5);
-            out.put(e.kind().ordinal());
-            out.whole(e.endpoints().size());
-            e.endpoints().forEach(this::listEntry);
-        } else if (event instanceof ClientDisconnected e) {
+            out.put(endpointsChanged.kind().ordinal());
+            out.whole(endpointsChanged.endpoints().size());
+            endpointsChanged.endpoints().forEach(this::listEntry);
+        } else if (event instanceof ClientDisconnected clientDisconnected) {
             out.put(6);
-            id(e.id());
-        } else if (event instanceof AttemptProgress e) {
+            id(clientDisconnected.id());
+        } else if (event instanceof AttemptProgress attemptProgress) {
             out.put(7);
-            id(e.id());
-            out.whole(e.attempt());
-            out.text(e.engine());
-            out.put(e.kind().ordinal());
-            out.fraction(e.amount());
+            id(attemptProgress.id());
+            out.whole(attemptProgress.attempt());
+            out.text(attemptProgress.engine());
+            out.put(attemptProgress.kind().ordinal());
+            out.fraction(attemptProgress.amount());
         }
     }
 
-    private void report(LoadReport r) {
-        out.fraction(r.queued());
-        out.fraction(r.cpuUtilization());
-        out.fraction(r.memoryUtilization());
-        out.fraction(r.diskUtilization());
-        out.fraction(r.inFlight());
+    private void report(LoadReport loadReport) {
+        out.fraction(loadReport.queued());
+        out.fraction(loadReport.cpuUtilization());
+        out.fraction(loadReport.memoryUtilization());
+        out.fraction(loadReport.diskUtilization());
+        out.fraction(loadReport.inFlight());
     }
 
-    private void listEntry(Endpoint e) {
-        out.text(e.engine());
-        out.put(e.state().ordinal());
-        out.text(e.zone());
-        out.text(e.kind());
-        out.signed(e.cell());
-        out.signed(e.startedNs());
+    private void listEntry(Endpoint endpoint) {
+        out.text(endpoint.engine());
+        out.put(endpoint.state().ordinal());
+        out.text(endpoint.zone());
+        out.text(endpoint.kind());
+        out.signed(endpoint.cell());
+        out.signed(endpoint.startedNs());
     }
 
     // ---- Actions
     private void action(Action action) {
-        if (action instanceof StartAttempt a) {
+        if (action instanceof StartAttempt startAttempt) {
             out.put(1);
-            id(a.id());
-            out.text(a.engine());
-            out.signed(a.timeoutNs());
-        } else if (action instanceof SetAttemptResources a) {
+            id(startAttempt.id());
+            out.text(startAttempt.engine());
+            out.signed(startAttempt.timeoutNs());
+        } else if (action instanceof SetAttemptResources resources) {
             out.put(2);
-            id(a.id());
-            out.signed(a.priority());
-            out.signed(a.memoryMb());
-        } else if (action instanceof Reject a) {
+            id(resources.id());
+            out.signed(resources.priority());
+            out.signed(resources.memoryMb());
+        } else if (action instanceof Reject reject) {
             out.put(3);
-            id(a.id());
-            out.signed(a.retryAfterNs());
-        } else if (action instanceof Fail a) {
+            id(reject.id());
+            out.signed(reject.retryAfterNs());
+        } else if (action instanceof Fail fail) {
             out.put(4);
-            id(a.id());
-        } else if (action instanceof CancelAttempt a) {
+            id(fail.id());
+        } else if (action instanceof CancelAttempt cancelAttempt) {
             out.put(5);
-            id(a.id());
-            out.whole(a.attempt());
-        } else if (action instanceof CheckHealth a) {
+            id(cancelAttempt.id());
+            out.whole(cancelAttempt.attempt());
+        } else if (action instanceof CheckHealth checkHealth) {
             out.put(6);
-            out.text(a.engine());
-        } else if (action instanceof SetTimer a) {
+            out.text(checkHealth.engine());
+        } else if (action instanceof SetTimer setTimer) {
             out.put(7);
-            out.signed(a.label());
-            out.signed(a.timeNs() - lastNs);
+            out.signed(setTimer.label());
+            out.signed(setTimer.timeNs() - lastNs);
         } else if (action instanceof WatchEndpoints) {
             out.put(8);
-        } else if (action instanceof Log a) {
+        } else if (action instanceof Log log) {
             out.put(9);
-            out.text(a.text());
+            out.text(log.text());
         }
     }
 
     // ---- Settings
-    private void settings(Settings s) {
-        out.signed(s.seed());
-        out.whole(s.routerCount());
-        out.whole(s.routerIndex());
-        out.text(s.zone());
-        out.whole(s.classes().size());
-        s.classes().forEach(this::queryClass);
-        out.whole(s.kinds().size());
-        for (EngineKind k : s.kinds()) {
-            out.text(k.name());
-            out.whole(k.cores());
-            out.fraction(k.memoryMb());
+    private void settings(Settings settings) {
+        out.signed(settings.seed());
+        out.whole(settings.routerCount());
+        out.whole(settings.routerIndex());
+        out.text(settings.zone());
+        out.whole(settings.classes().size());
+        settings.classes().forEach(this::queryClass);
+        out.whole(settings.kinds().size());
+        for (EngineKind engineKind : settings.kinds()) {
+            out.text(engineKind.name());
+            out.whole(engineKind.cores());
+            out.fraction(engineKind.memoryMb());
         }
-        allowed(s.capabilities());
-        limits(s.limits());
-        out.whole(s.tenants().size());
-        for (Tenant t : s.tenants()) {
-            out.text(t.name());
-            out.fraction(t.quotaPerS());
+        allowed(settings.capabilities());
+        limits(settings.limits());
+        out.whole(settings.tenants().size());
+        for (Tenant tenant : settings.tenants()) {
+            out.text(tenant.name());
+            out.fraction(tenant.quotaPerS());
         }
-        out.fraction(s.overQuotaWeight());
+        out.fraction(settings.overQuotaWeight());
     }
 
-    private void queryClass(QueryClass c) {
-        out.text(c.name());
-        out.signed(c.latencyObjectiveNs());
-        out.fraction(c.objectivePerWork());
-        out.signed(c.deadlineNs());
-        out.put(c.retrySafety().ordinal());
-        out.put(c.deduplicationScope().ordinal());
-        out.signed(c.deduplicationWindowNs());
-        out.fraction(c.priorityWeight());
-        out.fraction(c.lateWeightFraction());
-        out.flag(c.ordered());
-        texts(c.engineKinds());
-        texts(c.zones());
-        out.whole(c.threads());
-        out.flag(c.locksTables());
-        out.flag(c.waitsForTableLocks());
+    private void queryClass(QueryClass queryClass) {
+        out.text(queryClass.name());
+        out.signed(queryClass.latencyObjectiveNs());
+        out.fraction(queryClass.objectivePerWork());
+        out.signed(queryClass.deadlineNs());
+        out.put(queryClass.retrySafety().ordinal());
+        out.put(queryClass.deduplicationScope().ordinal());
+        out.signed(queryClass.deduplicationWindowNs());
+        out.fraction(queryClass.priorityWeight());
+        out.fraction(queryClass.lateWeightFraction());
+        out.flag(queryClass.ordered());
+        texts(queryClass.engineKinds());
+        texts(queryClass.zones());
+        out.whole(queryClass.threads());
+        out.flag(queryClass.locksTables());
+        out.flag(queryClass.waitsForTableLocks());
     }
 
     private void texts(Set<String> texts) {
@@ -250,30 +250,30 @@
         texts.forEach(out::text);
     }
 
-    private void allowed(Capabilities a) {
-        out.flag(a.healthChecks());
-        out.flag(a.cancellation());
-        out.whole(a.maxAttempts());
-        out.signed(a.maxRetryAfterNs());
-        out.flag(a.memoryGrants());
-        out.flag(a.priorities());
-        out.fraction(a.maxGrantFraction());
-        out.flag(a.queuesForMemory());
-        out.signed(a.progressIntervalNs());
-        out.flag(a.reportsCost());
-        out.flag(a.inlineLoadReports());
-        out.flag(a.endpointsMustBeWatched());
+    private void allowed(Capabilities capabilities) {
+        out.flag(capabilities.healthChecks());
+        out.flag(capabilities.cancellation());
+        out.whole(capabilities.maxAttempts());
+        out.signed(capabilities.maxRetryAfterNs());
+        out.flag(capabilities.memoryGrants());
+        out.flag(capabilities.priorities());
+        out.fraction(capabilities.maxGrantFraction());
+        out.flag(capabilities.queuesForMemory());
+        out.signed(capabilities.progressIntervalNs());
+        out.flag(capabilities.reportsCost());
+        out.flag(capabilities.inlineLoadReports());
+        out.flag(capabilities.endpointsMustBeWatched());
     }
 
-    private void limits(PolicyLimits l) {
-        out.signed(l.drainGraceNs());
-        out.fraction(l.slowStartFraction());
-        out.signed(l.slowStartNs());
-        out.fraction(l.slowStartOverloadFactor());
-        out.signed(l.slowStartWindowNs());
-        out.signed(l.keyQuietPeriodNs());
-        out.fraction(l.freeRetries());
-        out.fraction(l.retriesPerQuery());
-        out.signed(l.retryBudgetWindowNs());
+    private void limits(PolicyLimits policyLimits) {
+        out.signed(policyLimits.drainGraceNs());
+        out.fraction(policyLimits.slowStartFraction());
+        out.signed(policyLimits.slowStartNs());
+        out.fraction(policyLimits.slowStartOverloadFactor());
+        out.signed(policyLimits.slowStartWindowNs());
+        out.signed(policyLimits.keyQuietPeriodNs());
+        out.fraction(policyLimits.freeRetries());
+        out.fraction(policyLimits.retriesPerQuery());
+        out.signed(policyLimits.retryBudgetWindowNs());
     }
 }
--- a/capture/src/main/java/ashlink/capture/log/FaultyDisk.java
+++ b/capture/src/main/java/ashlink/capture/log/FaultyDisk.java
@@ -126,9 +126,9 @@
 
     /** Puts a file there, synced. */
     public synchronized void put(String name, byte[] bytes) throws IOException {
-        ByteArrayOutputStream b = new ByteArrayOutputStream();
-        b.write(bytes);
-        files.put(name, b);
+        ByteArrayOutputStream stream = new ByteArrayOutputStream();
+        stream.write(bytes);
+        files.put(name, stream);
         synced.put(name, bytes.length);
     }
 
--- a/capture/src/main/java/ashlink/capture/log/FolderDisk.java
+++ b/capture/src/main/java/ashlink/capture/log/FolderDisk.java
@@ -57,8 +57,8 @@
     @Override
     public List<String> list() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
-            return files.map(p -> p.getFileName().toString())
-                    .filter(n -> !n.equals(LOCK))
+            return files.map(path -> path.getFileName().toString())
+                    .filter(text -> !text.equals(LOCK))
                     .sorted()
                     .toList();
         }
@@ -94,8 +94,8 @@
     }
 
     private void syncFolder() throws IOException {
-        try (FileChannel f = FileChannel.open(folder, StandardOpenOption.READ)) {
-            f.force(true);
+        try (FileChannel fileChannel = FileChannel.open(folder, StandardOpenOption.READ)) {
+            fileChannel.force(true);
         }
     }
 
--- a/capture/src/main/java/ashlink/capture/log/KeyValueLog.java
+++ b/capture/src/main/java/ashlink/capture/log/KeyValueLog.java
@@ -38,12 +38,12 @@
     public List<String> read(Reader to) throws IOException {
         List<String> damaged = new ArrayList<>();
         for (String name : segments()) {
-            Segment.Contents c = Segment.read(disk.read(name));
-            if (c.state() == Segment.State.DAMAGED) {
-                damaged.add(name + ": " + c.why());
+            Segment.Contents contents = Segment.read(disk.read(name));
+            if (contents.state() == Segment.State.DAMAGED) {
+                damaged.add(name + ": " + contents.why());
             }
-            boot = Math.max(boot, c.boot() + 1);
-            for (byte[] frame : c.frames()) {
+            boot = Math.max(boot, contents.boot() + 1);
+            for (byte[] frame : contents.frames()) {
                 to.read(frame);
             }
         }
@@ -51,7 +51,7 @@
     }
 
     private List<String> segments() throws IOException {
-        return disk.list().stream().filter(n -> n.endsWith(".seg")).toList();
+        return disk.list().stream().filter(text -> text.endsWith(".seg")).toList();
     }
 
     /** Writes the table anew; it is on the disk when this returns. */
--- a/capture/src/main/java/ashlink/capture/log/Segment.java
+++ b/capture/src/main/java/ashlink/capture/log/Segment.java
@@ -48,16 +48,21 @@
     }
 
     static byte[] header(long boot, int number, long firstEntry) {
-        ByteBuffer h = ByteBuffer.allocate(HEADER_BYTES);
-        h.putInt(MAGIC).putInt(VERSION).putLong(boot).putInt(number).putLong(firstEntry).putInt(0);
-        h.putInt(checksum(h.array(), 0, HEADER_BYTES - 4));
-        return h.array();
+        ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES);
+        buffer.putInt(MAGIC)
+                .putInt(VERSION)
+                .putLong(boot)
+                .putInt(number)
+                .putLong(firstEntry)
+                .putInt(0);
+        buffer.putInt(checksum(buffer.array(), 0, HEADER_BYTES - 4));
+        return buffer.array();
     }
 
     static byte[] frame(byte[] payload, int length) {
-        ByteBuffer f = ByteBuffer.allocate(FRAME_BYTES + length);
-        f.putInt(length).putInt(frameSum(payload, 0, length)).put(payload, 0, length);
-        return f.array();
+        ByteBuffer buffer = ByteBuffer.allocate(FRAME_BYTES + length);
+        buffer.putInt(length).putInt(frameSum(payload, 0, length)).put(payload, 0, length);
+        return buffer.array();
     }
 
     /** The sum covers the length too: zeros, which a file system may leave behind, are no frame. */
@@ -84,10 +89,10 @@
         if (bytes.length < HEADER_BYTES) {
             return new Contents(State.TORN, 0, 0, 0, frames, 0, "the header ends early");
         }
-        ByteBuffer h = ByteBuffer.wrap(bytes);
-        if (checksum(bytes, 0, HEADER_BYTES - 4) != h.getInt(HEADER_BYTES - 4)
-                || h.getInt() != MAGIC
-                || h.getInt() != VERSION) {
+        ByteBuffer buffer = ByteBuffer.wrap(bytes);
+        if (checksum(bytes, 0, HEADER_BYTES - 4) != buffer.getInt(HEADER_BYTES - 4)
+                || buffer.getInt() != MAGIC
+                || buffer.getInt() != VERSION) {
             return new Contents(
                     State.DAMAGED,
                     0,
@@ -97,9 +102,9 @@
                     0,
                     "the header is no capture's of version " + VERSION);
         }
-        long boot = h.getLong();
-        int number = h.getInt();
-        long first = h.getLong();
+        long boot = buffer.getLong();
+        int number = buffer.getInt();
+        long first = buffer.getLong();
         int pos = HEADER_BYTES;
         while (pos < bytes.length) {
             int left = bytes.length - pos;
@@ -107,7 +112,7 @@
                 return new Contents(
                         State.TORN, boot, number, first, frames, pos, "a frame's head ends early");
             }
-            int length = h.getInt(pos);
+            int length = buffer.getInt(pos);
             if (length <= 0 || length > MOST_FRAME_BYTES) {
                 return new Contents(
                         State.DAMAGED,
@@ -122,7 +127,7 @@
                 return new Contents(
                         State.TORN, boot, number, first, frames, pos, "a frame ends early");
             }
-            if (frameSum(bytes, pos + FRAME_BYTES, length) != h.getInt(pos + 4)) {
+            if (frameSum(bytes, pos + FRAME_BYTES, length) != buffer.getInt(pos + 4)) {
                 boolean last = left - FRAME_BYTES == length;
                 return new Contents(
                         last ? State.TORN : State.DAMAGED,
--- a/capture/src/test/java/ashlink/capture/CaptureRun.java
+++ b/capture/src/test/java/ashlink/capture/CaptureRun.java
@@ -21,7 +21,7 @@
     @Test
     void recovery(@TempDir Path dir) throws Exception {
         List<Entry> day = CaptureTest.day(1, 200_000);
-        Recorder r =
+        Recorder recorder =
                 new Recorder(
                         FolderDisk.writing(dir),
                         1,
@@ -30,28 +30,28 @@
                         1 << 16,
                         100 * MS,
                         MS,
-                        k -> k);
+                        text -> text);
         long entries = 0;
         long from = System.nanoTime();
         while (size(dir) < GIB) {
-            for (Entry e : day) {
-                while (r.dropped() > 0) {
+            for (Entry entry : day) {
+                while (recorder.dropped() > 0) {
                     Thread.sleep(1);
                 }
-                r.record(e);
+                recorder.record(entry);
                 if (++entries % 1000 == 0) {
                     Thread.sleep(0, 200_000);
                 }
             }
         }
-        r.kill();
+        recorder.kill();
         System.out.printf(
                 "wrote %d MiB in %.1f s, %d gaps%n",
-                size(dir) >> 20, (System.nanoTime() - from) / 1e9, r.gaps());
+                size(dir) >> 20, (System.nanoTime() - from) / 1e9, recorder.gaps());
         from = System.nanoTime();
         long[] read = new long[1];
         List<CaptureReader.Found> found =
-                new CaptureReader(FolderDisk.reading(dir)).read(e -> read[0]++);
+                new CaptureReader(FolderDisk.reading(dir)).read(entry -> read[0]++);
         System.out.printf(
                 "read %d entries of %d segments in %.2f s; the last is %s%n",
                 read[0],
@@ -65,7 +65,7 @@
 
     private static long size(Path dir) throws java.io.IOException {
         try (var files = Files.list(dir)) {
-            return files.mapToLong(f -> f.toFile().length()).sum();
+            return files.mapToLong(path -> path.toFile().length()).sum();
         }
     }
 
@@ -79,11 +79,12 @@
         for (long delay : new long[] {0, 20, 0, 20}) {
             FaultyDisk disk = new FaultyDisk();
             disk.delayMs(delay);
-            Recorder r = new Recorder(disk, 1, 64 << 20, GIB, 1 << 14, 100 * MS, MS, k -> k);
+            Recorder recorder =
+                    new Recorder(disk, 1, 64 << 20, GIB, 1 << 14, 100 * MS, MS, text -> text);
             long[] took = new long[day.size()];
             for (int i = 0; i < took.length; i++) {
                 long from = System.nanoTime();
-                r.record(day.get(i));
+                recorder.record(day.get(i));
                 took[i] = System.nanoTime() - from;
                 if (i % 20 == 0) {
                     Thread.sleep(0, 100_000);
@@ -97,8 +98,8 @@
                     took[took.length / 2] / 1e3,
                     took[(int) (took.length * 0.999)] / 1e3,
                     took[took.length - 1] / 1e3,
-                    r.gaps());
-            r.kill();
+                    recorder.gaps());
+            recorder.kill();
         }
     }
 }
--- a/capture/src/test/java/ashlink/capture/CaptureTest.java
+++ b/capture/src/test/java/ashlink/capture/CaptureTest.java
@@ -114,7 +114,7 @@
                                         ModuleHash.of(DefaultWorkloadManager.class),
                                         SETTINGS,
                                         "r1")));
-        WorkloadManager g = new DefaultWorkloadManager(SETTINGS);
+        WorkloadManager workloadManager = new DefaultWorkloadManager(SETTINGS);
         SplittableRandom random = new SplittableRandom(seed);
         PriorityQueue<SetTimer> alarms =
                 new PriorityQueue<>(java.util.Comparator.comparingLong(SetTimer::timeNs));
@@ -145,20 +145,20 @@
             } else if (!alarms.isEmpty() && alarms.peek().timeNs() <= now) {
                 event = new TimerFired(alarms.poll().label());
             } else if (!out.isEmpty() && random.nextInt(3) == 0) {
-                StartAttempt s = out.remove(random.nextInt(out.size()));
-                Outcome o =
+                StartAttempt startAttempt = out.remove(random.nextInt(out.size()));
+                Outcome outcome =
                         Outcome.values()[
                                 random.nextInt(4) > 0
                                         ? 0
                                         : random.nextInt(Outcome.values().length)];
                 event =
                         new AttemptEnded(
-                                s.id(),
-                                shots.get(s.id()),
-                                s.engine(),
-                                o,
+                                startAttempt.id(),
+                                shots.get(startAttempt.id()),
+                                startAttempt.engine(),
+                                outcome,
                                 random.nextInt(1 << 30),
-                                o == Outcome.SERVED,
+                                outcome == Outcome.SERVED,
                                 120.5,
                                 64,
                                 new LoadReport(
@@ -179,18 +179,18 @@
                                 100,
                                 "t");
             }
-            List<Action> actions = g.onEvent(event, now);
+            List<Action> actions = workloadManager.onEvent(event, now);
             entries.add(new Entry.Step(event, now, List.copyOf(actions)));
-            for (Action a : actions) {
-                if (a instanceof StartAttempt s) {
-                    out.add(s);
-                    shots.merge(s.id(), 1, (x, y) -> x + 1);
-                } else if (a instanceof SetTimer s) {
-                    alarms.add(s);
-                } else if (a instanceof CheckHealth p) {
+            for (Action action : actions) {
+                if (action instanceof StartAttempt startAttempt) {
+                    out.add(startAttempt);
+                    shots.merge(startAttempt.id(), 1, (x, y) -> x + 1);
+                } else if (action instanceof SetTimer setTimer) {
+                    alarms.add(setTimer);
+                } else if (action instanceof CheckHealth checkHealth) {
                     due.add(
                             new HealthCheckCompleted(
-                                    p.engine(),
+                                    checkHealth.engine(),
                                     Outcome.SERVED,
                                     1000,
                                     new LoadReport(0, 0.5, 0.25, Double.NaN)));
@@ -202,7 +202,7 @@
 
     private static Recorder recorder(ashlink.capture.log.Disk disk, int queue, long segment) {
         return new Recorder(
-                disk, 42, segment, 1L << 40, queue, MS, 5 * MS, k -> "h" + k.hashCode());
+                disk, 42, segment, 1L << 40, queue, MS, 5 * MS, text -> "h" + text.hashCode());
     }
 
     private static FaultyDisk written(List<Entry> entries, long segment) throws IOException {
@@ -225,8 +225,8 @@
         FaultyDisk disk = written(day, 64 << 10);
         assertTrue(disk.list().size() > 3);
         long bytes = 0;
-        for (String s : disk.list()) {
-            bytes += disk.size(s);
+        for (String text : disk.list()) {
+            bytes += disk.size(text);
         }
         assertTrue(bytes / day.size() < 60, bytes / day.size() + " bytes an entry");
         List<Long> differing =
@@ -291,7 +291,7 @@
     @Test
     void anotherModuleIsSeenToDecideOtherwise() throws Exception {
         FaultyDisk disk = written(day(2, 3_000), 1 << 20);
-        Replay replay = new Replay(s -> (e, now) -> List.of(), "other");
+        Replay replay = new Replay(settings -> (event, now) -> List.of(), "other");
         new CaptureReader(disk).read(replay);
         assertTrue(replay.differing() > 100 && replay.hashesDiffer());
     }
@@ -307,7 +307,7 @@
         for (int cut = 0; cut <= whole.length; cut++) {
             disk.put(last, java.util.Arrays.copyOf(whole, cut));
             List<Entry> entries = read(disk);
-            entries.removeIf(e -> e instanceof Entry.Gap);
+            entries.removeIf(entry -> entry instanceof Entry.Gap);
             assertEquals(all.subList(0, entries.size()), entries, "cut at " + cut);
             assertTrue(entries.size() >= most, "cut at " + cut);
             most = entries.size();
@@ -402,7 +402,7 @@
         waitFor(() -> r.dropped() == 0);
         r.close();
         List<Entry> entries = read(disk);
-        long gaps = entries.stream().filter(e -> e instanceof Entry.Gap).count();
+        long gaps = entries.stream().filter(entry -> entry instanceof Entry.Gap).count();
         assertTrue(gaps >= 3 && r.gaps() >= 3, gaps + " gaps");
         Replay replay = new Replay(DefaultWorkloadManager::new, "");
         entries.forEach(replay);
@@ -421,8 +421,9 @@
     @Test
     void theOldestSegmentsGoAndWhatIsLeftSaysThatItStartsInTheMiddle() throws Exception {
         FaultyDisk disk = new FaultyDisk();
-        try (Recorder r = new Recorder(disk, 42, 4 << 10, 12 << 10, 1 << 20, MS, MS, k -> k)) {
-            day(7, 3_000).forEach(r::record);
+        try (Recorder recorder =
+                new Recorder(disk, 42, 4 << 10, 12 << 10, 1 << 20, MS, MS, k -> k)) {
+            day(7, 3_000).forEach(recorder::record);
         }
         long bytes = 0;
         for (String s : disk.list()) {
@@ -439,13 +440,13 @@
     @Test
     void twoRoutersCannotWriteOneFolderAndKeysAreNotKept(@TempDir Path dir) throws Exception {
         try (Recorder r = recorder(FolderDisk.writing(dir), 1 << 16, 1 << 20)) {
-            IOException e = assertThrows(IOException.class, () -> FolderDisk.writing(dir));
-            assertTrue(e.getMessage().contains("another router"), e.getMessage());
+            IOException failure = assertThrows(IOException.class, () -> FolderDisk.writing(dir));
+            assertTrue(failure.getMessage().contains("another router"), failure.getMessage());
             day(8, 500).forEach(r::record);
         }
-        for (String s : FolderDisk.reading(dir).list()) {
+        for (String text : FolderDisk.reading(dir).list()) {
             String bytes =
-                    new String(Files.readAllBytes(dir.resolve(s)), StandardCharsets.ISO_8859_1);
+                    new String(Files.readAllBytes(dir.resolve(text)), StandardCharsets.ISO_8859_1);
             assertFalse(bytes.contains("customer-"), "a key is in the capture");
         }
         FolderDisk.writing(dir).close(); // free again
@@ -457,11 +458,11 @@
         long id =
                 day.stream()
                         .filter(
-                                e ->
-                                        e instanceof Entry.Step s
-                                                && s.event() instanceof AttemptEnded x
-                                                && x.clientAnswered())
-                        .mapToLong(e -> ((AttemptEnded) ((Entry.Step) e).event()).id())
+                                entry ->
+                                        entry instanceof Entry.Step step
+                                                && step.event() instanceof AttemptEnded attemptEnded
+                                                && attemptEnded.clientAnswered())
+                        .mapToLong(entry -> ((AttemptEnded) ((Entry.Step) entry).event()).id())
                         .findFirst()
                         .orElseThrow();
         QueryTimeline story = new QueryTimeline(id);
--- a/capture/src/test/java/ashlink/capture/EntryText.java
+++ b/capture/src/test/java/ashlink/capture/EntryText.java
@@ -68,168 +68,174 @@
 
     // ---- Events
     private void event(Event event) {
-        if (event instanceof QuerySubmitted e) {
+        if (event instanceof QuerySubmitted querySubmitted) {
             line(
                     "  request",
-                    e.id(),
-                    e.queryClass(),
-                    e.key(),
-                    e.tableGroup(),
-                    e.deadlineNs(),
-                    e.estimatedWorkNs(),
-                    e.estimatedMemoryMb(),
-                    e.tenant());
-        } else if (event instanceof AttemptEnded e) {
+                    querySubmitted.id(),
+                    querySubmitted.queryClass(),
+                    querySubmitted.key(),
+                    querySubmitted.tableGroup(),
+                    querySubmitted.deadlineNs(),
+                    querySubmitted.estimatedWorkNs(),
+                    querySubmitted.estimatedMemoryMb(),
+                    querySubmitted.tenant());
+        } else if (event instanceof AttemptEnded attemptEnded) {
             line(
                     "  ended",
-                    e.id(),
-                    e.attempt(),
-                    e.engine(),
-                    e.outcome().ordinal(),
-                    e.durationNs(),
-                    e.clientAnswered(),
-                    e.workMs(),
-                    e.memoryMb(),
-                    report(e.loadReport()));
-        } else if (event instanceof TimerFired e) {
-            line("  alarm", e.label());
-        } else if (event instanceof HealthCheckCompleted e) {
+                    attemptEnded.id(),
+                    attemptEnded.attempt(),
+                    attemptEnded.engine(),
+                    attemptEnded.outcome().ordinal(),
+                    attemptEnded.durationNs(),
+                    attemptEnded.clientAnswered(),
+                    attemptEnded.workMs(),
+                    attemptEnded.memoryMb(),
+                    report(attemptEnded.loadReport()));
+        } else if (event instanceof TimerFired timerFired) {
+            line("  alarm", timerFired.label());
+        } else if (event instanceof HealthCheckCompleted completed) {
             line(
                     "  probed",
-                    e.engine(),
-                    e.outcome().ordinal(),
-                    e.durationNs(),
-                    report(e.loadReport()));
-        } else if (event instanceof EndpointsChanged e) {
-            line("  list", e.kind().ordinal(), e.endpoints().size());
-            e.endpoints().forEach(this::listEntry);
-        } else if (event instanceof ClientDisconnected e) {
-            line("  gone", e.id());
-        } else if (event instanceof AttemptProgress e) {
-            line("  progress", e.id(), e.attempt(), e.engine(), e.kind().ordinal(), e.amount());
+                    completed.engine(),
+                    completed.outcome().ordinal(),
+                    completed.durationNs(),
+                    report(completed.loadReport()));
+        } else if (event instanceof EndpointsChanged endpointsChanged) {
+            line("  list", endpointsChanged.kind().ordinal(), endpointsChanged.endpoints().size());
+            endpointsChanged.endpoints().forEach(this::listEntry);
+        } else if (event instanceof ClientDisconnected clientDisconnected) {
+            line("  gone", clientDisconnected.id());
+        } else if (event instanceof AttemptProgress attemptProgress) {
+            line(
+                    "  progress",
+                    attemptProgress.id(),
+                    attemptProgress.attempt(),
+                    attemptProgress.engine(),
+                    attemptProgress.kind().ordinal(),
+                    attemptProgress.amount());
         } else {
             throw new AssertionError("an event that has no text: " + event);
         }
     }
 
-    private static String report(LoadReport r) {
+    private static String report(LoadReport loadReport) {
         return "("
-                + r.queued()
+                + loadReport.queued()
                 + " "
-                + r.cpuUtilization()
+                + loadReport.cpuUtilization()
                 + " "
-                + r.memoryUtilization()
+                + loadReport.memoryUtilization()
                 + " "
-                + r.diskUtilization()
+                + loadReport.diskUtilization()
                 + " "
-                + r.inFlight()
+                + loadReport.inFlight()
                 + ")";
     }
 
-    private void listEntry(Endpoint e) {
+    private void listEntry(Endpoint endpoint) {
         line(
                 "    engine",
-                e.engine(),
-                e.state().ordinal(),
-                e.zone(),
-                e.kind(),
-                e.cell(),
-                e.startedNs());
+                endpoint.engine(),
+                endpoint.state().ordinal(),
+                endpoint.zone(),
+                endpoint.kind(),
+                endpoint.cell(),
+                endpoint.startedNs());
     }
 
     // ---- Actions
     private void action(Action action) {
-        if (action instanceof StartAttempt a) {
-            line("  > send", a.id(), a.engine(), a.timeoutNs());
-        } else if (action instanceof SetAttemptResources a) {
-            line("  > terms", a.id(), a.priority(), a.memoryMb());
-        } else if (action instanceof Reject a) {
-            line("  > refuse", a.id(), a.retryAfterNs());
-        } else if (action instanceof Fail a) {
-            line("  > fail", a.id());
-        } else if (action instanceof CancelAttempt a) {
-            line("  > cancel", a.id(), a.attempt());
-        } else if (action instanceof CheckHealth a) {
-            line("  > probe", a.engine());
-        } else if (action instanceof SetTimer a) {
-            line("  > set-alarm", a.label(), a.timeNs());
+        if (action instanceof StartAttempt startAttempt) {
+            line("  > send", startAttempt.id(), startAttempt.engine(), startAttempt.timeoutNs());
+        } else if (action instanceof SetAttemptResources resources) {
+            line("  > terms", resources.id(), resources.priority(), resources.memoryMb());
+        } else if (action instanceof Reject reject) {
+            line("  > refuse", reject.id(), reject.retryAfterNs());
+        } else if (action instanceof Fail fail) {
+            line("  > fail", fail.id());
+        } else if (action instanceof CancelAttempt cancelAttempt) {
+            line("  > cancel", cancelAttempt.id(), cancelAttempt.attempt());
+        } else if (action instanceof CheckHealth checkHealth) {
+            line("  > probe", checkHealth.engine());
+        } else if (action instanceof SetTimer setTimer) {
+            line("  > set-alarm", setTimer.label(), setTimer.timeNs());
         } else if (action instanceof WatchEndpoints) {
             line("  > subscribe");
-        } else if (action instanceof Log a) {
-            line("  > log", a.text());
+        } else if (action instanceof Log log) {
+            line("  > log", log.text());
         } else {
             throw new AssertionError("an action that has no text: " + action);
         }
     }
 
     // ---- Settings
-    private void settings(Settings s) {
+    private void settings(Settings settings) {
         line(
                 "  settings",
-                s.seed(),
-                s.routerCount(),
-                s.routerIndex(),
-                s.zone(),
-                s.overQuotaWeight());
-        s.classes().forEach(this::queryClass);
-        for (EngineKind kind : s.kinds()) {
+                settings.seed(),
+                settings.routerCount(),
+                settings.routerIndex(),
+                settings.zone(),
+                settings.overQuotaWeight());
+        settings.classes().forEach(this::queryClass);
+        for (EngineKind kind : settings.kinds()) {
             line("  kind", kind.name(), kind.cores(), kind.memoryMb());
         }
-        allowed(s.capabilities());
-        limits(s.limits());
-        for (Tenant tenant : s.tenants()) {
+        allowed(settings.capabilities());
+        limits(settings.limits());
+        for (Tenant tenant : settings.tenants()) {
             line("  tenant", tenant.name(), tenant.quotaPerS());
         }
     }
 
-    private void queryClass(QueryClass c) {
+    private void queryClass(QueryClass queryClass) {
         line(
                 "  class",
-                c.name(),
-                c.latencyObjectiveNs(),
-                c.objectivePerWork(),
-                c.deadlineNs(),
-                c.retrySafety().ordinal(),
-                c.deduplicationScope().ordinal(),
-                c.deduplicationWindowNs(),
-                c.priorityWeight(),
-                c.lateWeightFraction(),
-                c.ordered(),
-                String.join(",", c.engineKinds()) + ";",
-                String.join(",", c.zones()) + ";",
-                c.threads(),
-                c.locksTables(),
-                c.waitsForTableLocks());
+                queryClass.name(),
+                queryClass.latencyObjectiveNs(),
+                queryClass.objectivePerWork(),
+                queryClass.deadlineNs(),
+                queryClass.retrySafety().ordinal(),
+                queryClass.deduplicationScope().ordinal(),
+                queryClass.deduplicationWindowNs(),
+                queryClass.priorityWeight(),
+                queryClass.lateWeightFraction(),
+                queryClass.ordered(),
+                String.join(",", queryClass.engineKinds()) + ";",
+                String.join(",", queryClass.zones()) + ";",
+                queryClass.threads(),
+                queryClass.locksTables(),
+                queryClass.waitsForTableLocks());
     }
 
-    private void allowed(Capabilities a) {
+    private void allowed(Capabilities capabilities) {
         line(
                 "  allowed",
-                a.healthChecks(),
-                a.cancellation(),
-                a.maxAttempts(),
-                a.maxRetryAfterNs(),
-                a.memoryGrants(),
-                a.priorities(),
-                a.maxGrantFraction(),
-                a.queuesForMemory(),
-                a.progressIntervalNs(),
-                a.reportsCost(),
-                a.inlineLoadReports(),
-                a.endpointsMustBeWatched());
+                capabilities.healthChecks(),
+                capabilities.cancellation(),
+                capabilities.maxAttempts(),
+                capabilities.maxRetryAfterNs(),
+                capabilities.memoryGrants(),
+                capabilities.priorities(),
+                capabilities.maxGrantFraction(),
+                capabilities.queuesForMemory(),
+                capabilities.progressIntervalNs(),
+                capabilities.reportsCost(),
+                capabilities.inlineLoadReports(),
+                capabilities.endpointsMustBeWatched());
     }
 
-    private void limits(PolicyLimits l) {
+    private void limits(PolicyLimits policyLimits) {
         line(
                 "  limits",
-                l.drainGraceNs(),
-                l.slowStartFraction(),
-                l.slowStartNs(),
-                l.slowStartOverloadFactor(),
-                l.slowStartWindowNs(),
-                l.keyQuietPeriodNs(),
-                l.freeRetries(),
-                l.retriesPerQuery(),
-                l.retryBudgetWindowNs());
+                policyLimits.drainGraceNs(),
+                policyLimits.slowStartFraction(),
+                policyLimits.slowStartNs(),
+                policyLimits.slowStartOverloadFactor(),
+                policyLimits.slowStartWindowNs(),
+                policyLimits.keyQuietPeriodNs(),
+                policyLimits.freeRetries(),
+                policyLimits.retriesPerQuery(),
+                policyLimits.retryBudgetWindowNs());
     }
 }
--- a/cli/src/main/java/ashlink/cli/CaptureCommand.java
+++ b/cli/src/main/java/ashlink/cli/CaptureCommand.java
@@ -41,7 +41,7 @@
     }
 
     private static List<CaptureReader.Found> found(Path folder) throws Exception {
-        return new CaptureReader(FolderDisk.reading(folder)).read(e -> {});
+        return new CaptureReader(FolderDisk.reading(folder)).read(entry -> {});
     }
 
     /** A part of a capture. */
@@ -120,10 +120,10 @@
                 long[] number = new long[1];
                 new CaptureReader(FolderDisk.reading(folder))
                         .read(
-                                e -> {
+                                entry -> {
                                     long n = number[0]++;
                                     if (n >= part.from && n - part.from < part.count) {
-                                        out.accept(e);
+                                        out.accept(entry);
                                     }
                                 });
             }
@@ -190,21 +190,24 @@
             long[] number = new long[1];
             new CaptureReader(FolderDisk.reading(folder))
                     .read(
-                            e -> {
+                            entry -> {
                                 long n = number[0]++;
                                 if (n < from || n - from >= count) {
                                     return;
                                 }
-                                if (e instanceof Entry.Step s) {
+                                if (entry instanceof Entry.Step step) {
                                     System.out.printf(
-                                            "%8d %14.3f ms  %s%n", n, s.nowNs() / 1e6, s.event());
-                                    s.actions()
+                                            "%8d %14.3f ms  %s%n",
+                                            n, step.nowNs() / 1e6, step.event());
+                                    step.actions()
                                             .forEach(
-                                                    a ->
+                                                    action ->
                                                             System.out.println(
-                                                                    " ".repeat(28) + "-> " + a));
+                                                                    " ".repeat(28)
+                                                                            + "-> "
+                                                                            + action));
                                 } else {
-                                    System.out.printf("%8d %s%n", n, e);
+                                    System.out.printf("%8d %s%n", n, entry);
                                 }
                             });
             return 0;
--- a/cli/src/main/java/ashlink/cli/CheckCommand.java
+++ b/cli/src/main/java/ashlink/cli/CheckCommand.java
@@ -20,22 +20,22 @@
 
     @Override
     public Integer call() throws Exception {
-        RouterConfig c = RouterConfigReader.read(file);
-        for (String warning : UnreachableRules.of(c)) {
+        RouterConfig routerConfig = RouterConfigReader.read(file);
+        for (String warning : UnreachableRules.of(routerConfig)) {
             System.out.println(file + ": warning: " + warning);
         }
         System.out.println(
                 file
                         + ": router "
-                        + c.name()
+                        + routerConfig.name()
                         + ", "
-                        + c.engines().size()
+                        + routerConfig.engines().size()
                         + " engines, "
-                        + c.classes().size()
+                        + routerConfig.classes().size()
                         + " classes, "
-                        + c.rules().size()
+                        + routerConfig.rules().size()
                         + " rules, "
-                        + c.users().size()
+                        + routerConfig.users().size()
                         + " users: accepted");
         return 0;
     }
--- a/cli/src/main/java/ashlink/cli/DemoCommand.java
+++ b/cli/src/main/java/ashlink/cli/DemoCommand.java
@@ -98,7 +98,7 @@
                             "INSERT /* sim work_ms=60 threads=2 */ INTO readings SELECT * FROM"
                                     + " inbox");
         }
-        StatementResult a =
+        StatementResult statementResult =
                 new StatementClient(
                                 URI.create("http://127.0.0.1:" + router.httpAddress().getPort()),
                                 "portal",
@@ -112,15 +112,19 @@
                                 10 * S,
                                 page -> {});
         System.out.printf(
-                "%-8s %-9s %3d rows over HTTP   %s%n", "look-up", a.kind(), a.rows(), a.detail());
-        good &= a.kind() == StatementResult.Kind.SERVED;
-        for (EmulatedEngine e : engines) {
-            for (Ledger.Entry entry : e.ledger().entries()) {
+                "%-8s %-9s %3d rows over HTTP   %s%n",
+                "look-up",
+                statementResult.kind(),
+                statementResult.rows(),
+                statementResult.detail());
+        good &= statementResult.kind() == StatementResult.Kind.SERVED;
+        for (EmulatedEngine emulatedEngine : engines) {
+            for (Ledger.Entry entry : emulatedEngine.ledger().entries()) {
                 System.out.printf(
                         "  engine %s (%s, %s) ran %s: %s%n",
-                        e.config().name(),
-                        e.config().kind(),
-                        e.config().zone(),
+                        emulatedEngine.config().name(),
+                        emulatedEngine.config().kind(),
+                        emulatedEngine.config().zone(),
                         entry.queryId,
                         entry.how());
             }
@@ -130,10 +134,10 @@
 
     private static boolean run(NativeClient client, String name, String statement) {
         long from = System.nanoTime();
-        Reply r = client.query(name, statement, Map.of(), 10 * S);
+        Reply reply = client.query(name, statement, Map.of(), 10 * S);
         System.out.printf(
                 "%-8s %-9s %3d rows in %5.1f ms   %s%n",
-                name, r.kind(), r.rows(), (r.endNs() - from) / 1e6, r.message());
-        return r.kind() == Reply.Kind.SERVED;
+                name, reply.kind(), reply.rows(), (reply.endNs() - from) / 1e6, reply.message());
+        return reply.kind() == Reply.Kind.SERVED;
     }
 }
--- a/cli/src/main/java/ashlink/cli/EngineCommand.java
+++ b/cli/src/main/java/ashlink/cli/EngineCommand.java
@@ -22,10 +22,10 @@
 
     @Override
     public Integer call() throws Exception {
-        for (EngineConfig c : EngineConfigReader.read(file)) {
-            EmulatedEngine e = new EmulatedEngine(c);
-            e.start();
-            System.out.println(c.name() + " listening on " + e.address());
+        for (EngineConfig engineConfig : EngineConfigReader.read(file)) {
+            EmulatedEngine emulatedEngine = new EmulatedEngine(engineConfig);
+            emulatedEngine.start();
+            System.out.println(engineConfig.name() + " listening on " + emulatedEngine.address());
         }
         new CountDownLatch(1).await();
         return 0;
--- a/cli/src/main/java/ashlink/cli/ExplainCommand.java
+++ b/cli/src/main/java/ashlink/cli/ExplainCommand.java
@@ -51,39 +51,46 @@
                 sql.equals("-")
                         ? new String(System.in.readAllBytes(), StandardCharsets.UTF_8)
                         : sql;
-        StatementAnalysis r = new StatementReader().read(text, database);
-        Classifier.Decision d = new Classifier(config).decide(user, database, r, settings);
+        StatementAnalysis statementAnalysis = new StatementReader().read(text, database);
+        Classifier.Decision decision =
+                new Classifier(config).decide(user, database, statementAnalysis, settings);
         System.out.println(
                 "kind         "
-                        + r.kind().name().toLowerCase(java.util.Locale.ROOT)
-                        + (r.reason().isEmpty()
+                        + statementAnalysis.kind().name().toLowerCase(java.util.Locale.ROOT)
+                        + (statementAnalysis.reason().isEmpty()
                                 ? ""
                                 : ": "
-                                        + r.reason()
-                                        + (r.at() < 0 ? "" : " at character " + r.at())));
-        System.out.println("reads        " + r.reads() + (r.allTables() ? "" : " and others"));
-        System.out.println("writes       " + r.writes());
+                                        + statementAnalysis.reason()
+                                        + (statementAnalysis.at() < 0
+                                                ? ""
+                                                : " at character " + statementAnalysis.at())));
+        System.out.println(
+                "reads        "
+                        + statementAnalysis.reads()
+                        + (statementAnalysis.allTables() ? "" : " and others"));
+        System.out.println("writes       " + statementAnalysis.writes());
         System.out.println(
                 "harmless     "
-                        + (r.harmless() ? "yes" : "no")
-                        + (r.unstable() ? ", differs at each call" : ""));
-        System.out.println("data         " + (r.takesData() ? "from the client" : "none"));
-        System.out.println("settings     " + r.settings());
-        System.out.println("fingerprint  " + r.fingerprint());
-        System.out.println("normal text  " + r.normal());
+                        + (statementAnalysis.harmless() ? "yes" : "no")
+                        + (statementAnalysis.unstable() ? ", differs at each call" : ""));
+        System.out.println(
+                "data         " + (statementAnalysis.takesData() ? "from the client" : "none"));
+        System.out.println("settings     " + statementAnalysis.settings());
+        System.out.println("fingerprint  " + statementAnalysis.fingerprint());
+        System.out.println("normal text  " + statementAnalysis.normal());
         System.out.println(
                 "rule         "
-                        + (d.rule() == 0 ? "none, the default" : "number " + d.rule())
-                        + (d.stricter() ? ", made stricter: it is no plain read" : ""));
+                        + (decision.rule() == 0 ? "none, the default" : "number " + decision.rule())
+                        + (decision.stricter() ? ", made stricter: it is no plain read" : ""));
         System.out.println(
                 "class        "
-                        + d.queryClass().name()
+                        + decision.queryClass().name()
                         + ", repeat "
-                        + d.queryClass().retrySafety()
+                        + decision.queryClass().retrySafety()
                         + ", kinds "
-                        + d.queryClass().engineKinds()
+                        + decision.queryClass().engineKinds()
                         + ", zones "
-                        + d.queryClass().zones());
+                        + decision.queryClass().zones());
         return 0;
     }
 }
--- a/cli/src/main/java/ashlink/cli/FleetCommand.java
+++ b/cli/src/main/java/ashlink/cli/FleetCommand.java
@@ -95,11 +95,11 @@
         FleetConfig fleet() throws Exception {
             if (fleet == null) {
                 fleet = FleetConfig.read(inventory);
-                for (String r : only) {
-                    if (!fleet.routers().containsKey(r)) {
+                for (String text : only) {
+                    if (!fleet.routers().containsKey(text)) {
                         throw new IOException(
                                 "router "
-                                        + r
+                                        + text
                                         + " is not in "
                                         + inventory
                                         + "; there are "
@@ -112,13 +112,13 @@
 
         List<Member> routers() throws Exception {
             return fleet().routers().values().stream()
-                    .filter(m -> only.isEmpty() || only.contains(m.name()))
+                    .filter(member -> only.isEmpty() || only.contains(member.name()))
                     .toList();
         }
 
         FleetClient tool(List<Member> of) throws Exception {
             Map<String, InetSocketAddress> at = new LinkedHashMap<>();
-            of.forEach(m -> at.put(m.name(), m.control()));
+            of.forEach(member -> at.put(member.name(), member.control()));
             return new FleetClient(
                     new Identity(fleet().keys(), fleet().operator()),
                     at,
@@ -130,18 +130,18 @@
         int show(Map<String, Result> results, Predicate<Result> good, Row row) throws Exception {
             ArrayNode all = new ObjectMapper().createArrayNode();
             long did = 0;
-            for (Result r : results.values()) {
-                boolean ok = good.test(r);
+            for (Result result : results.values()) {
+                boolean ok = good.test(result);
                 did += ok ? 1 : 0;
-                ObjectNode n =
+                ObjectNode objectNode =
                         all.addObject()
-                                .put("router", r.router())
-                                .put("hall", fleet().routers().get(r.router()).hall())
+                                .put("router", result.router())
+                                .put("hall", fleet().routers().get(result.router()).hall())
                                 .put("ok", ok);
-                if (!r.isReached()) {
-                    n.put("error", r.error());
+                if (!result.isReached()) {
+                    objectNode.put("error", result.error());
                 }
-                row.add(r, n);
+                row.add(result, objectNode);
             }
             if (json) {
                 System.out.println(
@@ -149,19 +149,20 @@
                                 .writerWithDefaultPrettyPrinter()
                                 .writeValueAsString(all));
             } else {
-                for (JsonNode n : all) {
+                for (JsonNode node : all) {
                     StringBuilder line = new StringBuilder();
-                    n.properties()
+                    node.properties()
                             .forEach(
-                                    f ->
+                                    entry ->
                                             line.append(
-                                                    f.getKey().equals("router")
-                                                                    || f.getKey().equals("hall")
+                                                    entry.getKey().equals("router")
+                                                                    || entry.getKey().equals("hall")
                                                             ? String.format(
-                                                                    "%-12s ", f.getValue().asText())
-                                                            : f.getKey()
+                                                                    "%-12s ",
+                                                                    entry.getValue().asText())
+                                                            : entry.getKey()
                                                                     + "="
-                                                                    + f.getValue().asText()
+                                                                    + entry.getValue().asText()
                                                                     + "  "));
                     System.out.println(line);
                 }
@@ -172,42 +173,44 @@
 
     /** Adds what there is to tell of one router. */
     interface Row {
-        void add(Result r, ObjectNode to) throws IOException;
+        void add(Result result, ObjectNode to) throws IOException;
     }
 
-    private static void rowOfState(Result r, ObjectNode n) throws IOException {
-        if (!r.isReached()) {
+    private static void rowOfState(Result result, ObjectNode objectNode) throws IOException {
+        if (!result.isReached()) {
             return;
         }
-        n.put("up", r.answer().path("upMs").asLong() / 1000 + "s")
-                .put("open", r.answer().path("openRequests").asInt())
-                .put("queued", r.answer().path("queued").asInt());
+        objectNode
+                .put("up", result.answer().path("upMs").asLong() / 1000 + "s")
+                .put("open", result.answer().path("openRequests").asInt())
+                .put("queued", result.answer().path("queued").asInt());
         int gone = 0;
-        for (JsonNode m : r.answer().path("members")) {
-            gone += m.path("state").asText().equals("ALIVE") ? 0 : 1;
+        for (JsonNode node : result.answer().path("members")) {
+            gone += node.path("state").asText().equals("ALIVE") ? 0 : 1;
         }
-        n.put("missing", gone);
+        objectNode.put("missing", gone);
         List<String> wants = new ArrayList<>();
-        for (CommandWithTtl h : ControlCodec.notices(r.answer())) {
-            if (h.leftMs() > 0 && h.notice().intent() != Intent.NONE) {
+        for (CommandWithTtl ttl : ControlCodec.notices(result.answer())) {
+            if (ttl.leftMs() > 0 && ttl.notice().intent() != Intent.NONE) {
                 wants.add(
-                        h.notice().intent().name().toLowerCase()
+                        ttl.notice().intent().name().toLowerCase()
                                 + " "
-                                + h.notice().subject()
+                                + ttl.notice().subject()
                                 + " by "
-                                + h.notice().owner()
+                                + ttl.notice().owner()
                                 + " for "
-                                + h.leftMs() / 1000
+                                + ttl.leftMs() / 1000
                                 + "s");
             }
         }
-        n.put("notices", String.join(", ", wants))
-                .put("durable", r.answer().path("durable").asBoolean());
+        objectNode
+                .put("notices", String.join(", ", wants))
+                .put("durable", result.answer().path("durable").asBoolean());
         long days =
-                (r.answer().path("certificateEndsMs").asLong() - System.currentTimeMillis())
+                (result.answer().path("certificateEndsMs").asLong() - System.currentTimeMillis())
                         / 86_400_000L;
         if (days < 30) {
-            n.put("certificate", "ends in " + days + " days");
+            objectNode.put("certificate", "ends in " + days + " days");
         }
     }
 
@@ -221,8 +224,9 @@
 
         @Override
         public Integer call() throws Exception {
-            try (FleetClient t = common.tool(common.routers())) {
-                return common.show(t.status(), Result::isReached, FleetCommand::rowOfState);
+            try (FleetClient fleetClient = common.tool(common.routers())) {
+                return common.show(
+                        fleetClient.status(), Result::isReached, FleetCommand::rowOfState);
             }
         }
     }
@@ -241,10 +245,14 @@
         @Override
         public Integer call() throws Exception {
             int status = 0;
-            try (FleetClient t = common.tool(common.routers())) {
+            try (FleetClient fleetClient = common.tool(common.routers())) {
                 for (int i = 0; i < count; i++) {
                     System.out.print(System.console() != null ? "\033[H\033[2J" : "");
-                    status = common.show(t.status(), Result::isReached, FleetCommand::rowOfState);
+                    status =
+                            common.show(
+                                    fleetClient.status(),
+                                    Result::isReached,
+                                    FleetCommand::rowOfState);
                     if (i + 1 < count) {
                         TimeUnit.SECONDS.sleep(1);
                     }
@@ -291,11 +299,11 @@
 
         @Override
         public Integer call() throws Exception {
-            try (FleetClient t = common.tool(common.routers())) {
-                Map<String, Result> known = t.status();
+            try (FleetClient fleetClient = common.tool(common.routers())) {
+                Map<String, Result> known = fleetClient.status();
                 List<OperatorCommand> notices = new ArrayList<>();
                 for (String owner : owners(known, common.fleet().operator())) {
-                    notices.add(t.next(subject(), owner, intent(), why, known));
+                    notices.add(fleetClient.next(subject(), owner, intent(), why, known));
                 }
                 System.err.printf(
                         "%s %s: %d notices to %d routers, %d of them reached now%n",
@@ -308,24 +316,31 @@
                     return 0;
                 }
                 Map<String, Result> told = new LinkedHashMap<>();
-                for (OperatorCommand n : notices) {
-                    told.putAll(t.put(n, (long) (hours * 3_600_000)));
+                for (OperatorCommand operatorCommand : notices) {
+                    told.putAll(fleetClient.put(operatorCommand, (long) (hours * 3_600_000)));
                 }
                 Predicate<Result> knows =
-                        r -> notices.stream().allMatch(n -> FleetClient.knows(r, n));
-                Map<String, Result> now = t.await(share, (long) (waitTimeout * S), knows);
+                        result ->
+                                notices.stream()
+                                        .allMatch(
+                                                operatorCommand ->
+                                                        FleetClient.knows(result, operatorCommand));
+                Map<String, Result> now = fleetClient.await(share, (long) (waitTimeout * S), knows);
                 int status =
                         common.show(
                                 now,
                                 knows,
-                                (r, n) -> {
-                                    Result t1 = told.get(r.router());
-                                    n.put("told", t1.isReached()).put("knows", knows.test(r));
+                                (result, objectNode) -> {
+                                    Result t1 = told.get(result.router());
+                                    objectNode
+                                            .put("told", t1.isReached())
+                                            .put("knows", knows.test(result));
                                     if (t1.isReached()) {
-                                        n.put("toldAtMs", t1.atMs());
+                                        objectNode.put("toldAtMs", t1.atMs());
                                     }
-                                    if (r.isReached() && !r.answer().path("durable").asBoolean()) {
-                                        n.put("durable", false);
+                                    if (result.isReached()
+                                            && !result.answer().path("durable").asBoolean()) {
+                                        objectNode.put("durable", false);
                                     }
                                 });
                 if (status != 0 && now.values().stream().anyMatch(knows)) {
@@ -369,10 +384,10 @@
         @Override
         List<String> owners(Map<String, Result> known, String operator) throws IOException {
             List<String> owners = FleetClient.owners(subject(), known);
-            if (!all && owners.stream().anyMatch(o -> !o.equals(operator))) {
+            if (!all && owners.stream().anyMatch(text -> !text.equals(operator))) {
                 System.err.println(
                         "it stays drained by "
-                                + owners.stream().filter(o -> !o.equals(operator)).toList()
+                                + owners.stream().filter(text -> !text.equals(operator)).toList()
                                 + "; --all-owners overrules them");
             }
             return all ? owners : List.of(operator);
@@ -385,14 +400,14 @@
     }
 
     // ---- Processes
-    private static void launch(Member m) throws IOException {
-        Files.createDirectories(m.log().getParent());
+    private static void launch(Member member) throws IOException {
+        Files.createDirectories(member.log().getParent());
         new ProcessBuilder(
                         SuperviseCommand.ownCommand(
-                                "--log", "json", "supervise", m.config().toString()))
+                                "--log", "json", "supervise", member.config().toString()))
                 .redirectInput(ProcessBuilder.Redirect.from(new java.io.File("/dev/null")))
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(m.log().toFile()))
-                .redirectError(ProcessBuilder.Redirect.appendTo(m.log().toFile()))
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(member.log().toFile()))
+                .redirectError(ProcessBuilder.Redirect.appendTo(member.log().toFile()))
                 .start();
     }
 
@@ -413,20 +428,23 @@
 
         @Override
         public Integer call() throws Exception {
-            try (FleetClient t = common.tool(common.routers())) {
-                Map<String, Result> before = t.status();
-                for (Member m : common.routers()) {
-                    boolean up = before.get(m.name()).isReached();
+            try (FleetClient fleetClient = common.tool(common.routers())) {
+                Map<String, Result> before = fleetClient.status();
+                for (Member member : common.routers()) {
+                    boolean up = before.get(member.name()).isReached();
                     System.err.println(
-                            m.name() + (up ? " runs already" : " is started with " + m.config()));
+                            member.name()
+                                    + (up
+                                            ? " runs already"
+                                            : " is started with " + member.config()));
                     if (!up && !common.dryRun) {
-                        launch(m);
+                        launch(member);
                     }
                 }
                 return common.dryRun
                         ? 0
                         : common.show(
-                                t.await(1, (long) (waitTimeout * S), Result::isReached),
+                                fleetClient.await(1, (long) (waitTimeout * S), Result::isReached),
                                 Result::isReached,
                                 FleetCommand::rowOfState);
             }
@@ -434,21 +452,24 @@
     }
 
     /** Stops one router: it drains, ends, and is gone; false where it did not within the time. */
-    private static boolean stop(Common common, Member m, long timeoutNs) throws Exception {
-        try (FleetClient t = common.tool(List.of(m))) {
-            Map<String, Result> known = t.status();
-            if (!known.get(m.name()).isReached()) {
+    private static boolean stop(Common common, Member member, long timeoutNs) throws Exception {
+        try (FleetClient fleetClient = common.tool(List.of(member))) {
+            Map<String, Result> known = fleetClient.status();
+            if (!known.get(member.name()).isReached()) {
                 return true;
             }
-            t.put(
-                    t.next(
-                            OperatorCommand.router(m.name()),
+            fleetClient.put(
+                    fleetClient.next(
+                            OperatorCommand.router(member.name()),
                             common.fleet().operator(),
                             Intent.STOP,
                             "stop",
                             known),
                     STOP_MS);
-            return !t.await(1, timeoutNs, r -> !r.isReached()).get(m.name()).isReached();
+            return !fleetClient
+                    .await(1, timeoutNs, result -> !result.isReached())
+                    .get(member.name())
+                    .isReached();
         }
     }
 
@@ -468,11 +489,11 @@
         @Override
         public Integer call() throws Exception {
             int did = 0;
-            for (Member m : common.routers()) {
-                boolean down = common.dryRun || stop(common, m, (long) (waitTimeout * S));
+            for (Member member : common.routers()) {
+                boolean down = common.dryRun || stop(common, member, (long) (waitTimeout * S));
                 did += down ? 1 : 0;
                 System.out.println(
-                        m.name()
+                        member.name()
                                 + (common.dryRun
                                         ? " would be stopped"
                                         : down ? " is down" : " did not stop in time"));
@@ -510,43 +531,46 @@
             plan.sort(java.util.Comparator.comparing(Member::hall).thenComparing(Member::name));
             System.err.println(
                     "in this order: "
-                            + plan.stream().map(m -> m.name() + " (" + m.hall() + ")").toList());
+                            + plan.stream()
+                                    .map(member -> member.name() + " (" + member.hall() + ")")
+                                    .toList());
             int did = 0;
-            for (Member m : common.dryRun ? List.<Member>of() : plan) {
+            for (Member member : common.dryRun ? List.<Member>of() : plan) {
                 if (!enough()) {
                     System.err.println(
                             "stopped before "
-                                    + m.name()
+                                    + member.name()
                                     + ": fewer than "
                                     + up
                                     + " of all routers are up");
                     break;
                 }
-                boolean down = stop(common, m, (long) (waitTimeout * S));
+                boolean down = stop(common, member, (long) (waitTimeout * S));
                 if (!down) {
-                    System.err.println(m.name() + " did not stop in time; the roll ends here");
+                    System.err.println(member.name() + " did not stop in time; the roll ends here");
                     break;
                 }
-                launch(m);
-                try (FleetClient t = common.tool(List.of(m))) {
-                    if (!t.await(1, (long) (waitTimeout * S), Result::isReached)
-                            .get(m.name())
+                launch(member);
+                try (FleetClient fleetClient = common.tool(List.of(member))) {
+                    if (!fleetClient
+                            .await(1, (long) (waitTimeout * S), Result::isReached)
+                            .get(member.name())
                             .isReached()) {
                         System.err.println(
-                                m.name() + " did not come back in time; the roll ends here");
+                                member.name() + " did not come back in time; the roll ends here");
                         break;
                     }
                 }
                 did++;
-                System.out.println(m.name() + " is back");
+                System.out.println(member.name() + " is back");
             }
             return common.dryRun || did == plan.size() ? 0 : did > 0 ? SOME : NONE;
         }
 
         private boolean enough() throws Exception {
             List<Member> all = List.copyOf(common.fleet().routers().values());
-            try (FleetClient t = common.tool(all)) {
-                return t.status().values().stream().filter(Result::isReached).count()
+            try (FleetClient fleetClient = common.tool(all)) {
+                return fleetClient.status().values().stream().filter(Result::isReached).count()
                         >= Math.floor(up * all.size());
             }
         }
@@ -565,10 +589,10 @@
 
         @Override
         public Integer call() throws Exception {
-            for (Member m : common.routers()) {
-                System.out.println("==> " + m.name() + " <==");
-                if (Files.exists(m.log())) {
-                    List<String> all = tail(m.log());
+            for (Member member : common.routers()) {
+                System.out.println("==> " + member.name() + " <==");
+                if (Files.exists(member.log())) {
+                    List<String> all = tail(member.log());
                     all.subList(Math.max(0, all.size() - lines), all.size())
                             .forEach(System.out::println);
                 }
@@ -578,11 +602,11 @@
 
         /** The lines of the last 256 KiB. */
         private static List<String> tail(Path log) throws IOException {
-            try (java.io.RandomAccessFile f = new java.io.RandomAccessFile(log.toFile(), "r")) {
-                long from = Math.max(0, f.length() - (256 << 10));
-                byte[] bytes = new byte[(int) (f.length() - from)];
-                f.seek(from);
-                f.readFully(bytes);
+            try (java.io.RandomAccessFile file = new java.io.RandomAccessFile(log.toFile(), "r")) {
+                long from = Math.max(0, file.length() - (256 << 10));
+                byte[] bytes = new byte[(int) (file.length() - from)];
+                file.seek(from);
+                file.readFully(bytes);
                 return new String(bytes, java.nio.charset.StandardCharsets.UTF_8).lines().toList();
             }
         }
--- a/cli/src/main/java/ashlink/cli/KeysCommand.java
+++ b/cli/src/main/java/ashlink/cli/KeysCommand.java
@@ -132,21 +132,24 @@
             boolean soon = false;
             List<Path> files;
             try (Stream<Path> all = Files.list(dir)) {
-                files = all.filter(f -> f.toString().endsWith(".crt")).sorted().toList();
+                files = all.filter(path -> path.toString().endsWith(".crt")).sorted().toList();
             }
-            for (Path f : files) {
-                for (X509Certificate c :
-                        f.endsWith("ca.crt")
-                                ? Pem.certificates(f)
-                                : Pem.certificates(f).subList(0, 1)) {
+            for (Path path : files) {
+                for (X509Certificate x509Certificate :
+                        path.endsWith("ca.crt")
+                                ? Pem.certificates(path)
+                                : Pem.certificates(path).subList(0, 1)) {
                     long days =
-                            Duration.between(Instant.now(), c.getNotAfter().toInstant()).toDays();
+                            Duration.between(
+                                            Instant.now(),
+                                            x509Certificate.getNotAfter().toInstant())
+                                    .toDays();
                     soon |= days < SOON_DAYS;
                     System.out.printf(
                             "%-24s %-28s ends %tF, in %d days%s%n",
-                            Identity.name(c),
-                            Identity.roles(c).stream().map(Role::word).toList(),
-                            c.getNotAfter(),
+                            Identity.name(x509Certificate),
+                            Identity.roles(x509Certificate).stream().map(Role::word).toList(),
+                            x509Certificate.getNotAfter(),
                             days,
                             days < SOON_DAYS ? "  RENEW" : "");
                 }
--- a/cli/src/main/java/ashlink/cli/Main.java
+++ b/cli/src/main/java/ashlink/cli/Main.java
@@ -74,14 +74,14 @@
                     return new CommandLine.RunLast().execute(parsed);
                 });
         line.setExecutionExceptionHandler(
-                (e, commandLine, parsed) -> {
-                    if (e instanceof ashlink.config.ConfigException) {
-                        commandLine.getErr().println(e.getMessage());
+                (failure, commandLine, parsed) -> {
+                    if (failure instanceof ashlink.config.ConfigException) {
+                        commandLine.getErr().println(failure.getMessage());
                         return 2;
                     }
-                    commandLine.getErr().println("ashlink: " + e);
+                    commandLine.getErr().println("ashlink: " + failure);
                     if ("DEBUG".equalsIgnoreCase(main.level)) {
-                        e.printStackTrace(commandLine.getErr());
+                        failure.printStackTrace(commandLine.getErr());
                     }
                     return 1;
                 });
--- a/cli/src/main/java/ashlink/cli/QueryCommand.java
+++ b/cli/src/main/java/ashlink/cli/QueryCommand.java
@@ -76,39 +76,40 @@
         Thread hook = new Thread(() -> cancel(client, id.get()));
         Runtime.getRuntime().addShutdownHook(hook);
         JsonNode data = rows == null ? null : new ObjectMapper().readTree(rows);
-        StatementResult a =
+        StatementResult statementResult =
                 client.run(
                         statement,
                         settings,
                         data,
                         key,
                         (long) (timeout * 1e9),
-                        n -> {
-                            id.set(n.path("id").asText(null));
-                            show(n);
+                        node -> {
+                            id.set(node.path("id").asText(null));
+                            show(node);
                         });
         Runtime.getRuntime().removeShutdownHook(hook);
         if (terminal != null) {
             terminal.print("\r\033[K");
         }
-        if (a.kind() == StatementResult.Kind.SERVED) {
+        if (statementResult.kind() == StatementResult.Kind.SERVED) {
             return 0;
         }
         System.err.println(
-                a.kind() == StatementResult.Kind.PROBLEM
-                        ? a.problem()
+                statementResult.kind() == StatementResult.Kind.PROBLEM
+                        ? statementResult.problem()
                                 + ": "
-                                + a.detail()
-                                + (a.retryAfterMs() > 0
-                                        ? "; come back in " + a.retryAfterMs() + " ms"
+                                + statementResult.detail()
+                                + (statementResult.retryAfterMs() > 0
+                                        ? "; come back in " + statementResult.retryAfterMs() + " ms"
                                         : "")
-                        : a.kind() + " " + a.detail());
-        if (a.kind() == StatementResult.Kind.TIMED_OUT) {
+                        : statementResult.kind() + " " + statementResult.detail());
+        if (statementResult.kind() == StatementResult.Kind.TIMED_OUT) {
             cancel(client, id.get());
         }
-        return a.isRefused() || a.kind() == StatementResult.Kind.NOT_SENT
+        return statementResult.isRefused()
+                        || statementResult.kind() == StatementResult.Kind.NOT_SENT
                 ? REFUSED
-                : a.problem().equals("statement-error") ? 1 : MAYBE;
+                : statementResult.problem().equals("statement-error") ? 1 : MAYBE;
     }
 
     /** Interrupted: nobody will ask for the answer. */
--- a/cli/src/main/java/ashlink/cli/ReplayCommand.java
+++ b/cli/src/main/java/ashlink/cli/ReplayCommand.java
@@ -79,11 +79,11 @@
         boolean same = true;
         Class<? extends WorkloadManager> type = module();
         Function<Settings, WorkloadManager> module =
-                s -> {
+                settings -> {
                     try {
                         return baseline != null && jar == null
-                                ? new Baseline(baseline, s)
-                                : type.getConstructor(Settings.class).newInstance(s);
+                                ? new Baseline(baseline, settings)
+                                : type.getConstructor(Settings.class).newInstance(settings);
                     } catch (ReflectiveOperationException e) {
                         throw new IllegalStateException(
                                 "class " + moduleClass + " is no module that is made from settings",
@@ -121,14 +121,14 @@
                         "  %d steps differ; outcomes are those recorded, so all after the first is"
                                 + " open loop%n",
                         replay.differing());
-                for (Replay.Divergence d : replay.divergences()) {
+                for (Replay.Divergence divergence : replay.divergences()) {
                     System.out.printf(
                             "  entry %d at %.3f s: %s%n    recorded %s%n    replayed %s%n",
-                            d.entry(),
-                            d.recorded().nowNs() / S,
-                            d.recorded().event(),
-                            d.recorded().actions(),
-                            d.replayed());
+                            divergence.entry(),
+                            divergence.recorded().nowNs() / S,
+                            divergence.recorded().event(),
+                            divergence.recorded().actions(),
+                            divergence.replayed());
                 }
                 same = false;
             }
--- a/cli/src/main/java/ashlink/cli/ScenarioCommand.java
+++ b/cli/src/main/java/ashlink/cli/ScenarioCommand.java
@@ -85,8 +85,8 @@
         }
         ScenarioConfig day = day();
         boolean kept = play(day, "rules", null);
-        for (Baseline.Policy p : baselines) {
-            play(day, p.name().toLowerCase(java.util.Locale.ROOT), p);
+        for (Baseline.Policy policy : baselines) {
+            play(day, policy.name().toLowerCase(java.util.Locale.ROOT), policy);
         }
         return kept ? 0 : 1;
     }
@@ -97,26 +97,26 @@
         StringBuilder text =
                 new StringBuilder(
                         "tag\tclass\trouter\tsent_ms\tended_ms\tkind\tcode\twork_ms\tattempts\n");
-        for (ClientAttempt t : facts.tries()) {
+        for (ClientAttempt clientAttempt : facts.tries()) {
             text.append(
                     String.format(
                             "%s\t%s\t%s\t%d\t%d\t%s\t%d\t%.0f",
-                            t.tag(),
-                            t.queryClass(),
-                            t.router(),
-                            (t.sentNs() - facts.fromNs()) / MS,
-                            (t.reply().endNs() - facts.fromNs()) / MS,
-                            t.reply().kind(),
-                            t.reply().code(),
-                            t.workMs()));
-            for (SentQuery s : byTag.getOrDefault(t.tag(), List.of())) {
+                            clientAttempt.tag(),
+                            clientAttempt.queryClass(),
+                            clientAttempt.router(),
+                            (clientAttempt.sentNs() - facts.fromNs()) / MS,
+                            (clientAttempt.reply().endNs() - facts.fromNs()) / MS,
+                            clientAttempt.reply().kind(),
+                            clientAttempt.reply().code(),
+                            clientAttempt.workMs()));
+            for (SentQuery sentQuery : byTag.getOrDefault(clientAttempt.tag(), List.of())) {
                 text.append(
                         String.format(
                                 "\t%s:%d-%d:%s",
-                                s.engine(),
-                                (s.beganNs() - facts.fromNs()) / MS,
-                                (s.outUntilNs() - facts.fromNs()) / MS,
-                                s.how()));
+                                sentQuery.engine(),
+                                (sentQuery.beganNs() - facts.fromNs()) / MS,
+                                (sentQuery.outUntilNs() - facts.fromNs()) / MS,
+                                sentQuery.how()));
             }
             text.append('\n');
         }
@@ -133,19 +133,19 @@
             return FaultCatalog.day(trouble, captureSetting(trouble));
         }
         String name = quick ? "bad-day-quick.sexp" : "bad-day.sexp";
-        ScenarioConfig d =
+        ScenarioConfig scenarioConfig =
                 script != null
                         ? ScenarioConfigReader.read(script)
                         : ScenarioConfigReader.read(name, TestSettings.resource(name));
-        return d.with(
-                seed == null ? d.seed() : seed,
-                http == null ? d.httpShare() : http,
-                captureSetting(d.name()));
+        return scenarioConfig.with(
+                seed == null ? scenarioConfig.seed() : seed,
+                http == null ? scenarioConfig.httpShare() : http,
+                captureSetting(scenarioConfig.name()));
     }
 
     private static List<String> shares(Map<String, Double> of) {
         return of.entrySet().stream()
-                .map(e -> String.format("%s %.3f", e.getKey(), e.getValue()))
+                .map(entry -> String.format("%s %.3f", entry.getKey(), entry.getValue()))
                 .toList();
     }
 
@@ -154,29 +154,29 @@
         ScenarioFacts facts =
                 new ScenarioRunner(
                                 day,
-                                s ->
+                                settings ->
                                         baseline == null
-                                                ? new DefaultWorkloadManager(s)
-                                                : new Baseline(baseline, s))
+                                                ? new DefaultWorkloadManager(settings)
+                                                : new Baseline(baseline, settings))
                         .run();
-        Service s = Service.of(facts);
+        Service service = Service.of(facts);
         System.out.printf(
                 "%n%s, seed %d, decided by %s: %d queries, %d served, %d refused, %d failed, %d"
                         + " statements at engines%n",
                 day.name(),
                 day.seed(),
                 name,
-                s.asked(),
-                s.served(),
-                s.refused(),
-                s.failed(),
+                service.asked(),
+                service.served(),
+                service.refused(),
+                service.failed(),
                 facts.ledger().size());
         System.out.printf(
                 "service %.3f, worst 10 s %.3f, by class %s%s%n",
-                s.whole(),
-                s.worstTenSeconds(),
-                shares(s.byClass()),
-                s.byFront().size() > 1 ? ", by front " + shares(s.byFront()) : "");
+                service.whole(),
+                service.worstTenSeconds(),
+                shares(service.byClass()),
+                service.byFront().size() > 1 ? ", by front " + shares(service.byFront()) : "");
         if (notes != null) {
             write(facts, name);
         }
@@ -184,15 +184,17 @@
         boolean single =
                 FaultCatalog.NAMES.contains(
                         day.name()); // one kind of trouble puts few rules at stake
-        for (Verdict v : new InvariantChecker(facts).verdicts()) {
-            kept &= v.isKept() || single && v.broken().isEmpty();
+        for (Verdict verdict : new InvariantChecker(facts).verdicts()) {
+            kept &= verdict.isKept() || single && verdict.broken().isEmpty();
             System.out.printf(
                     "  %-30s %-6s at stake %5d, broken %d%n",
-                    v.rule(),
-                    v.isKept() ? "kept" : v.atStake() == 0 ? "UNSEEN" : "BROKEN",
-                    v.atStake(),
-                    v.broken().size());
-            v.broken().stream().limit(SHOWN).forEach(b -> System.out.println("      " + b));
+                    verdict.rule(),
+                    verdict.isKept() ? "kept" : verdict.atStake() == 0 ? "UNSEEN" : "BROKEN",
+                    verdict.atStake(),
+                    verdict.broken().size());
+            verdict.broken().stream()
+                    .limit(SHOWN)
+                    .forEach(text -> System.out.println("      " + text));
         }
         return kept;
     }
--- a/cli/src/main/java/ashlink/cli/SuperviseCommand.java
+++ b/cli/src/main/java/ashlink/cli/SuperviseCommand.java
@@ -49,8 +49,8 @@
             long from = System.nanoTime();
             child = new ProcessBuilder(ownCommand("route", file.toString())).inheritIO().start();
             int status = child.waitFor();
-            Decision d = restarts.ended(from, System.nanoTime(), status, asked);
-            switch (d.what()) {
+            Decision decision = restarts.ended(from, System.nanoTime(), status, asked);
+            switch (decision.what()) {
                 case DONE -> {
                     return 0;
                 }
@@ -62,25 +62,25 @@
                         LOG.warn(
                                 "the router died with status {}; it starts again in {} ms",
                                 status,
-                                d.pauseNs() / 1_000_000);
+                                decision.pauseNs() / 1_000_000);
                 case LOOP ->
                         LOG.error(
                                 "the router dies again and again, now with status {}; next start in"
                                         + " {} s",
                                 status,
-                                TimeUnit.NANOSECONDS.toSeconds(d.pauseNs()));
+                                TimeUnit.NANOSECONDS.toSeconds(decision.pauseNs()));
             }
-            TimeUnit.NANOSECONDS.sleep(d.pauseNs());
+            TimeUnit.NANOSECONDS.sleep(decision.pauseNs());
         }
     }
 
     private void end() {
         asked = true;
-        Process p = child;
-        if (p != null) {
-            p.destroy();
+        Process process = child;
+        if (process != null) {
+            process.destroy();
             try {
-                p.waitFor(60, TimeUnit.SECONDS);
+                process.waitFor(60, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/cli/src/test/java/ashlink/cli/FleetProcessTest.java
+++ b/cli/src/test/java/ashlink/cli/FleetProcessTest.java
@@ -61,8 +61,8 @@
             held.add(new ServerSocket(0));
             ports[i] = held.get(i).getLocalPort();
         }
-        for (ServerSocket s : held) {
-            s.close();
+        for (ServerSocket serverSocket : held) {
+            serverSocket.close();
         }
         return ports;
     }
@@ -149,11 +149,16 @@
     /** Short queries on all routers, until it is over; connections that break are made again. */
     private void load(int i) {
         while (!over.get()) {
-            try (NativeClient c =
+            try (NativeClient nativeClient =
                     NativeClient.connect(
                             new InetSocketAddress("127.0.0.1", ports.get(i)), "portal")) {
                 while (!over.get()
-                        && c.query("", "SELECT /* sim tag=load work_ms=10 */ 1", Map.of(), 5 * S)
+                        && nativeClient
+                                .query(
+                                        "",
+                                        "SELECT /* sim tag=load work_ms=10 */ 1",
+                                        Map.of(),
+                                        5 * S)
                                 .isFinal()) {
                     Thread.sleep(4);
                 }
@@ -174,10 +179,13 @@
     }
 
     /** When the last fresh work came there: of that router, or of all others. */
-    private static long lastFresh(EmulatedEngine e, String router, boolean of) {
-        return e.ledger().entries().stream()
-                .filter(x -> x.tag.equals("load") && x.router.equals("ashlink " + router) == of)
-                .mapToLong(x -> x.beganNs)
+    private static long lastFresh(EmulatedEngine emulatedEngine, String router, boolean of) {
+        return emulatedEngine.ledger().entries().stream()
+                .filter(
+                        entry ->
+                                entry.tag.equals("load")
+                                        && entry.router.equals("ashlink " + router) == of)
+                .mapToLong(entry -> entry.beganNs)
                 .max()
                 .orElse(0);
     }
@@ -185,8 +193,8 @@
     /** When the first router had the notice, by the tool's own record. */
     private static long firstToldNs() throws IOException {
         long first = Long.MAX_VALUE;
-        for (JsonNode n : new ObjectMapper().readTree(SAID.toByteArray())) {
-            first = Math.min(first, n.path("toldAtMs").asLong(Long.MAX_VALUE));
+        for (JsonNode node : new ObjectMapper().readTree(SAID.toByteArray())) {
+            first = Math.min(first, node.path("toldAtMs").asLong(Long.MAX_VALUE));
         }
         return System.nanoTime() - (System.currentTimeMillis() - first) * 1_000_000;
     }
@@ -217,10 +225,10 @@
             }
             for (int i = 0; i < ROUTERS; i++) {
                 int n = i;
-                Thread t = new Thread(() -> load(n), "load");
-                t.setDaemon(true);
-                t.start();
-                clients.add(t);
+                Thread thread = new Thread(() -> load(n), "load");
+                thread.setDaemon(true);
+                thread.start();
+                clients.add(thread);
             }
             for (int d = 0; d < DRAINS; d++) {
                 EmulatedEngine engine = busiest(engines);
@@ -256,14 +264,14 @@
                                         + " after the notice, in ms by router: "
                                         + engine.ledger().entries().stream()
                                                 .filter(
-                                                        x ->
-                                                                x.tag.equals("load")
-                                                                        && x.beganNs > noticeNs)
+                                                        entry ->
+                                                                entry.tag.equals("load")
+                                                                        && entry.beganNs > noticeNs)
                                                 .map(
-                                                        x ->
-                                                                x.router
+                                                        entry ->
+                                                                entry.router
                                                                         + " "
-                                                                        + (x.beganNs - noticeNs)
+                                                                        + (entry.beganNs - noticeNs)
                                                                                 / 1_000_000)
                                                 .toList());
                 assertTrue(
@@ -276,11 +284,11 @@
             assertEquals(4, fleet(dir, "status", "--timeout", "1", "--router", "r1"), "none");
         } finally {
             over.set(true);
-            for (Thread t : clients) {
-                t.join(10_000);
+            for (Thread thread : clients) {
+                thread.join(10_000);
             }
-            for (Process p : processes) {
-                p.destroyForcibly().waitFor(20, TimeUnit.SECONDS);
+            for (Process process : processes) {
+                process.destroyForcibly().waitFor(20, TimeUnit.SECONDS);
             }
             engines.forEach(EmulatedEngine::crash);
         }
@@ -329,14 +337,17 @@
         } finally {
             ProcessHandle.current()
                     .descendants()
-                    .filter(h -> !before.contains(h))
+                    .filter(processHandle -> !before.contains(processHandle))
                     .forEach(ProcessHandle::destroyForcibly);
             engines.forEach(EmulatedEngine::crash);
         }
     }
 
     private static long left(Set<ProcessHandle> before) {
-        return ProcessHandle.current().descendants().filter(h -> !before.contains(h)).count();
+        return ProcessHandle.current()
+                .descendants()
+                .filter(processHandle -> !before.contains(processHandle))
+                .count();
     }
 
     /** The engine with the most work of the last second: it is at stake. */
@@ -348,13 +359,13 @@
             long since = System.nanoTime() - S;
             EmulatedEngine most = null;
             long count = 20;
-            for (EmulatedEngine e : engines) {
+            for (EmulatedEngine emulatedEngine : engines) {
                 long n =
-                        e.ledger().entries().stream()
-                                .filter(x -> x.tag.equals("load") && x.beganNs > since)
+                        emulatedEngine.ledger().entries().stream()
+                                .filter(entry -> entry.tag.equals("load") && entry.beganNs > since)
                                 .count();
                 if (n > count) {
-                    most = e;
+                    most = emulatedEngine;
                     count = n;
                 }
             }
@@ -364,7 +375,9 @@
             assertTrue(
                     System.nanoTime() < until,
                     "no engine gets work: "
-                            + engines.stream().map(e -> e.ledger().entries().size()).toList());
+                            + engines.stream()
+                                    .map(emulatedEngine -> emulatedEngine.ledger().entries().size())
+                                    .toList());
         }
     }
 }
--- a/cli/src/test/java/ashlink/cli/KilledRouterTest.java
+++ b/cli/src/test/java/ashlink/cli/KilledRouterTest.java
@@ -55,7 +55,7 @@
         SplittableRandom random = new SplittableRandom(5);
         int answers = 0;
         for (int kill = 0; kill < KILLS; kill++) {
-            Process p =
+            Process process =
                     new ProcessBuilder(
                                     Path.of(System.getProperty("java.home"), "bin", "java")
                                             .toString(),
@@ -68,22 +68,28 @@
                             .start();
             try {
                 String line =
-                        new BufferedReader(new InputStreamReader(p.getInputStream())).readLine();
+                        new BufferedReader(new InputStreamReader(process.getInputStream()))
+                                .readLine();
                 int port = Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
                 int queries = 20 + random.nextInt(200);
-                try (NativeClient c =
+                try (NativeClient nativeClient =
                         NativeClient.connect(new InetSocketAddress("127.0.0.1", port), "portal")) {
                     for (int i = 0; i < queries; i++) {
                         answers +=
-                                c.query("", "SELECT /* sim work_ms=1 */ 1", Map.of(), 5 * S)
+                                nativeClient
+                                                .query(
+                                                        "",
+                                                        "SELECT /* sim work_ms=1 */ 1",
+                                                        Map.of(),
+                                                        5 * S)
                                                 .isFinal()
                                         ? 1
                                         : 0;
                     }
                 }
             } finally {
-                p.destroyForcibly();
-                assertTrue(p.waitFor(20, TimeUnit.SECONDS));
+                process.destroyForcibly();
+                assertTrue(process.waitFor(20, TimeUnit.SECONDS));
             }
         }
         engines.forEach(EmulatedEngine::crash);
--- a/cli/src/test/java/ashlink/cli/KilledStatementsTest.java
+++ b/cli/src/test/java/ashlink/cli/KilledStatementsTest.java
@@ -54,13 +54,13 @@
 
     private HttpResponse<String> post(String key, String statement)
             throws IOException, InterruptedException {
-        HttpRequest.Builder r =
+        HttpRequest.Builder builder =
                 HttpRequest.newBuilder(
                                 URI.create("http://127.0.0.1:" + port + "/v1/statements?wait=2"))
                         .timeout(Duration.ofSeconds(20))
                         .POST(HttpRequest.BodyPublishers.ofString(statement));
         return http.send(
-                (key == null ? r : r.header("Idempotency-Key", key)).build(),
+                (key == null ? builder : builder.header("Idempotency-Key", key)).build(),
                 BodyHandlers.ofString());
     }
 
@@ -74,10 +74,10 @@
             for (int i = 0; ; i++) {
                 String key = "k" + round + "-" + number + "-" + i;
                 posted.add(key);
-                HttpResponse<String> r = post(key, load(key));
-                JsonNode n = JSON.readTree(r.body());
-                if (r.statusCode() == 200 || r.statusCode() == 202) {
-                    acknowledged.put(key, n.get("id").asText());
+                HttpResponse<String> httpResponse = post(key, load(key));
+                JsonNode node = JSON.readTree(httpResponse.body());
+                if (httpResponse.statusCode() == 200 || httpResponse.statusCode() == 202) {
+                    acknowledged.put(key, node.get("id").asText());
                 }
                 post(null, "SELECT /* sim rows=500 blocks=4 */ 1");
             }
@@ -118,7 +118,7 @@
         int leftBehind = 0;
         Set<String> asked = new HashSet<>();
         for (int round = 0; round <= KILLS; round++) {
-            Process p =
+            Process process =
                     new ProcessBuilder(
                                     Path.of(System.getProperty("java.home"), "bin", "java")
                                             .toString(),
@@ -131,7 +131,7 @@
                             .redirectError(ProcessBuilder.Redirect.DISCARD)
                             .start();
             try {
-                new BufferedReader(new InputStreamReader(p.getInputStream())).readLine();
+                new BufferedReader(new InputStreamReader(process.getInputStream())).readLine();
                 Set<String> before = new HashSet<>(posted);
                 before.removeAll(asked);
                 for (String key : before) {
@@ -152,10 +152,10 @@
                         Thread.sleep(5); // under way, however slow the start was
                     }
                     Thread.sleep(random.nextInt(400));
-                    p.destroyForcibly();
-                    assertTrue(p.waitFor(20, TimeUnit.SECONDS));
-                    for (Thread c : clients) {
-                        c.join(30_000);
+                    process.destroyForcibly();
+                    assertTrue(process.waitFor(20, TimeUnit.SECONDS));
+                    for (Thread thread : clients) {
+                        thread.join(30_000);
                     }
                     leftBehind += pages(spool);
                 } else {
@@ -166,18 +166,18 @@
                     assertEquals(0, pages(spool), "files of earlier starts");
                 }
             } finally {
-                p.destroyForcibly();
-                p.waitFor(20, TimeUnit.SECONDS);
+                process.destroyForcibly();
+                process.waitFor(20, TimeUnit.SECONDS);
             }
         }
         Map<String, Integer> runs = new HashMap<>();
-        for (EmulatedEngine e : engines) {
-            for (Ledger.Entry x : e.ledger().entries()) {
+        for (EmulatedEngine emulatedEngine : engines) {
+            for (Ledger.Entry x : emulatedEngine.ledger().entries()) {
                 if (x.ranNs() > 0 && x.how() != Ledger.How.TURNED_AWAY) {
                     runs.merge(x.tag, 1, Integer::sum);
                 }
             }
-            e.crash();
+            emulatedEngine.crash();
         }
         runs.remove("");
         System.out.printf(
@@ -200,25 +200,25 @@
      * The same load under the same key, after the kill: what was acknowledged is known by its id.
      */
     private void again(String key, Map<String, Integer> verdicts) throws Exception {
-        HttpResponse<String> r = post(key, load(key));
-        JsonNode n = JSON.readTree(r.body());
+        HttpResponse<String> httpResponse = post(key, load(key));
+        JsonNode node = JSON.readTree(httpResponse.body());
         String id = acknowledged.get(key);
         String verdict =
-                r.statusCode() < 300
+                httpResponse.statusCode() < 300
                         ? "run now"
-                        : n.path("type").asText().replace("/problems/", "");
+                        : node.path("type").asText().replace("/problems/", "");
         verdicts.merge(verdict, 1, Integer::sum);
         if (id != null) {
             assertTrue(
-                    r.statusCode() == 410 || r.statusCode() == 502,
-                    key + " was acknowledged, and is answered " + r.body());
-            assertEquals(id, n.get("statement").asText());
+                    httpResponse.statusCode() == 410 || httpResponse.statusCode() == 502,
+                    key + " was acknowledged, and is answered " + httpResponse.body());
+            assertEquals(id, node.get("statement").asText());
         }
     }
 
     private static int pages(Path spool) throws IOException {
         try (Stream<Path> files = Files.list(spool)) {
-            return (int) files.filter(f -> f.toString().endsWith(".page")).count();
+            return (int) files.filter(path -> path.toString().endsWith(".page")).count();
         }
     }
 }
--- a/client/src/main/java/ashlink/client/StatementClient.java
+++ b/client/src/main/java/ashlink/client/StatementClient.java
@@ -90,23 +90,25 @@
                             .POST(
                                     HttpRequest.BodyPublishers.ofByteArray(
                                             JSON.writeValueAsBytes(body)));
-            HttpResponse<byte[]> r =
+            HttpResponse<byte[]> httpResponse =
                     send(key == null ? first : first.header("Idempotency-Key", key));
             while (true) {
                 sent = true;
-                JsonNode n =
-                        r.body().length == 0 ? JSON.createObjectNode() : JSON.readTree(r.body());
-                bytes += r.body().length;
-                if (r.statusCode() != 200 && r.statusCode() != NOT_YET) {
-                    return problem(r.statusCode(), n, seen, bytes);
+                JsonNode node =
+                        httpResponse.body().length == 0
+                                ? JSON.createObjectNode()
+                                : JSON.readTree(httpResponse.body());
+                bytes += httpResponse.body().length;
+                if (httpResponse.statusCode() != 200 && httpResponse.statusCode() != NOT_YET) {
+                    return problem(httpResponse.statusCode(), node, seen, bytes);
                 }
-                pages.accept(n);
-                seen += n.path("rows").isArray() ? n.get("rows").size() : 0;
-                if (r.statusCode() == 200 && !n.has("nextUri")) {
+                pages.accept(node);
+                seen += node.path("rows").isArray() ? node.get("rows").size() : 0;
+                if (httpResponse.statusCode() == 200 && !node.has("nextUri")) {
                     return new StatementResult(
                             StatementResult.Kind.SERVED, 200, "", "", 0, 0, seen, bytes);
                 }
-                r = send(request(n.get("nextUri").asText(), until).GET());
+                httpResponse = send(request(node.get("nextUri").asText(), until).GET());
             }
         } catch (HttpConnectTimeoutException | ConnectException e) {
             return new StatementResult(
@@ -146,22 +148,22 @@
                 .header("Authorization", authorization);
     }
 
-    private HttpResponse<byte[]> send(HttpRequest.Builder r)
+    private HttpResponse<byte[]> send(HttpRequest.Builder builder)
             throws IOException, InterruptedException {
-        return http.send(r.build(), BodyHandlers.ofByteArray());
+        return http.send(builder.build(), BodyHandlers.ofByteArray());
     }
 
-    private static StatementResult problem(int status, JsonNode n, long rows, long bytes) {
-        String type = n.path("type").asText().replace("/problems/", "");
+    private static StatementResult problem(int status, JsonNode node, long rows, long bytes) {
+        String type = node.path("type").asText().replace("/problems/", "");
         StatementResult.Kind kind =
                 status == 404 ? StatementResult.Kind.LOST : StatementResult.Kind.PROBLEM;
         return new StatementResult(
                 kind,
                 status,
                 type,
-                n.path("title").asText() + ": " + n.path("detail").asText(),
-                n.path("code").asInt(),
-                n.path("retryAfterMs").asLong(),
+                node.path("title").asText() + ": " + node.path("detail").asText(),
+                node.path("code").asInt(),
+                node.path("retryAfterMs").asLong(),
                 rows,
                 bytes);
     }
--- a/config/src/main/java/ashlink/config/EngineConfigReader.java
+++ b/config/src/main/java/ashlink/config/EngineConfigReader.java
@@ -20,7 +20,7 @@
         List<EngineConfig> engines = new ArrayList<>();
         Section top = Section.top(path.toString(), nodes, "engines", problems);
         if (problems.isEmpty()) {
-            top.named("engine").forEach((name, s) -> engines.add(engine(name, s)));
+            top.named("engine").forEach((name, section) -> engines.add(engine(name, section)));
             top.close();
             if (engines.isEmpty()) {
                 top.problem("engine", "one section (engine NAME ...) at least");
--- a/config/src/main/java/ashlink/config/FleetConfig.java
+++ b/config/src/main/java/ashlink/config/FleetConfig.java
@@ -32,16 +32,18 @@
             Map<String, Member> routers = new LinkedHashMap<>();
             top.named("router")
                     .forEach(
-                            (name, s) -> {
-                                try (s) {
+                            (name, section) -> {
+                                try (section) {
                                     routers.put(
                                             name,
                                             new Member(
                                                     name,
-                                                    s.text("hall", ""),
-                                                    s.address("control", null),
-                                                    dir.resolve(s.text("config", name + ".sexp")),
-                                                    dir.resolve(s.text("log", name + ".log"))));
+                                                    section.text("hall", ""),
+                                                    section.address("control", null),
+                                                    dir.resolve(
+                                                            section.text("config", name + ".sexp")),
+                                                    dir.resolve(
+                                                            section.text("log", name + ".log"))));
                                 }
                             });
             if (routers.isEmpty()) {
--- a/config/src/main/java/ashlink/config/Node.java
+++ b/config/src/main/java/ashlink/config/Node.java
@@ -17,13 +17,14 @@
 
         /** The word that it starts with, or an empty text. */
         String head() {
-            return !items.isEmpty() && items.get(0) instanceof Atom a ? a.text() : "";
+            return !items.isEmpty() && items.get(0) instanceof Atom atom ? atom.text() : "";
         }
     }
 
     /** How the node is shown in an error: in short. */
     default String shown() {
-        String text = this instanceof Atom a ? a.text() : "(" + ((Form) this).head() + " ...)";
+        String text =
+                this instanceof Atom atom ? atom.text() : "(" + ((Form) this).head() + " ...)";
         return text.length() > 60 ? text.substring(0, 60) + "..." : text;
     }
 }
--- a/config/src/main/java/ashlink/config/RouterConfig.java
+++ b/config/src/main/java/ashlink/config/RouterConfig.java
@@ -218,27 +218,27 @@
      */
     public Map<String, QueryClass> allClasses() {
         Map<String, QueryClass> all = new LinkedHashMap<>(classes);
-        for (QueryClass c : classes.values()) {
-            if (c.retrySafety() != RetrySafety.AT_MOST_ONCE
-                    && !(c.engineKinds().isEmpty() && c.zones().isEmpty())) {
+        for (QueryClass queryClass : classes.values()) {
+            if (queryClass.retrySafety() != RetrySafety.AT_MOST_ONCE
+                    && !(queryClass.engineKinds().isEmpty() && queryClass.zones().isEmpty())) {
                 all.put(
-                        strictName(c.name()),
+                        strictName(queryClass.name()),
                         new QueryClass(
-                                strictName(c.name()),
-                                c.latencyObjectiveNs(),
-                                c.objectivePerWork(),
-                                c.deadlineNs(),
+                                strictName(queryClass.name()),
+                                queryClass.latencyObjectiveNs(),
+                                queryClass.objectivePerWork(),
+                                queryClass.deadlineNs(),
                                 RetrySafety.AT_MOST_ONCE,
-                                c.deduplicationScope(),
+                                queryClass.deduplicationScope(),
                                 0,
-                                c.priorityWeight(),
-                                c.lateWeightFraction(),
-                                c.ordered(),
-                                c.engineKinds(),
-                                c.zones(),
-                                c.threads(),
-                                c.locksTables(),
-                                c.waitsForTableLocks()));
+                                queryClass.priorityWeight(),
+                                queryClass.lateWeightFraction(),
+                                queryClass.ordered(),
+                                queryClass.engineKinds(),
+                                queryClass.zones(),
+                                queryClass.threads(),
+                                queryClass.locksTables(),
+                                queryClass.waitsForTableLocks()));
             }
         }
         return all;
--- a/config/src/main/java/ashlink/config/RouterConfigReader.java
+++ b/config/src/main/java/ashlink/config/RouterConfigReader.java
@@ -122,23 +122,23 @@
                             + names(
                                     classes.values().stream()
                                             .filter(
-                                                    c ->
-                                                            c.retrySafety()
+                                                    queryClass ->
+                                                            queryClass.retrySafety()
                                                                     == RetrySafety.AT_MOST_ONCE)
                                             .toList()));
         }
         InetSocketAddress listen;
         InetSocketAddress metrics;
-        try (Section s = top.section("listen")) {
+        try (Section section = top.section("listen")) {
             listen =
-                    s.address(
+                    section.address(
                             "native",
                             new InetSocketAddress(InetAddress.getLoopbackAddress(), 9000));
-            metrics = s.has("metrics") ? s.address("metrics", null) : null;
+            metrics = section.has("metrics") ? section.address("metrics", null) : null;
         }
         EngineLogin login;
-        try (Section s = top.section("engine-login")) {
-            login = new EngineLogin(s.text("user", "default"), s.text("password", ""));
+        try (Section section = top.section("engine-login")) {
+            login = new EngineLogin(section.text("user", "default"), section.text("password", ""));
         }
         Path stateDir = top.has("state-dir") ? Path.of(top.text("state-dir", "")) : null;
         return new RouterConfig(
@@ -175,19 +175,20 @@
                 : classes.stream().map(QueryClass::name).collect(Collectors.joining(", "));
     }
 
-    private static void oneOf(Section s, String setting, String value, Collection<String> names) {
+    private static void oneOf(
+            Section section, String setting, String value, Collection<String> names) {
         if (!value.isEmpty() && !names.contains(value)) {
-            s.problem(
+            section.problem(
                     setting,
                     names.isEmpty() ? "none is set" : "one of " + String.join(", ", names));
         }
     }
 
     private static void allOf(
-            Section s, String setting, Set<String> values, Collection<String> names) {
-        for (String v : values) {
-            if (!names.contains(v)) {
-                s.problem(setting, "any of " + String.join(", ", names) + ", not " + v);
+            Section section, String setting, Set<String> values, Collection<String> names) {
+        for (String text : values) {
+            if (!names.contains(text)) {
+                section.problem(setting, "any of " + String.join(", ", names) + ", not " + text);
             }
         }
     }
@@ -196,13 +197,14 @@
         List<EngineKind> kinds = new ArrayList<>();
         top.named("kind")
                 .forEach(
-                        (name, s) -> {
-                            try (s) {
+                        (name, section) -> {
+                            try (section) {
                                 kinds.add(
                                         new EngineKind(
                                                 name,
-                                                (int) s.whole("cores", null, 1, 4096),
-                                                s.size("memory", 0L, 0, 1L << 50) / (double) MIB));
+                                                (int) section.whole("cores", null, 1, 4096),
+                                                section.size("memory", 0L, 0, 1L << 50)
+                                                        / (double) MIB));
                             }
                         });
         return kinds;
@@ -213,22 +215,22 @@
         List<String> names = kinds.stream().map(EngineKind::name).toList();
         top.named("engine")
                 .forEach(
-                        (name, s) -> {
-                            try (s) {
-                                EngineSpec e =
+                        (name, section) -> {
+                            try (section) {
+                                EngineSpec engineSpec =
                                         new EngineSpec(
                                                 name,
-                                                s.address("address", null),
-                                                s.text("zone", ""),
-                                                s.text("kind", ""),
-                                                s.whole("cell", 0L, 0, Integer.MAX_VALUE),
-                                                s.choice("phase", Listed.READY, Listed.class)
+                                                section.address("address", null),
+                                                section.text("zone", ""),
+                                                section.text("kind", ""),
+                                                section.whole("cell", 0L, 0, Integer.MAX_VALUE),
+                                                section.choice("phase", Listed.READY, Listed.class)
                                                                 == Listed.READY
                                                         ? EndpointState.READY
                                                         : EndpointState.DRAINING);
-                                oneOf(s, "zone", e.zone(), zones);
-                                oneOf(s, "kind", e.kind(), names);
-                                engines.put(name, e);
+                                oneOf(section, "zone", engineSpec.zone(), zones);
+                                oneOf(section, "kind", engineSpec.kind(), names);
+                                engines.put(name, engineSpec);
                             }
                         });
         return engines;
@@ -238,45 +240,45 @@
         Map<String, QueryClass> classes = new LinkedHashMap<>();
         top.named("class")
                 .forEach(
-                        (name, s) -> {
-                            try (s) {
-                                Repeat repeat = s.choice("repeat", null, Repeat.class);
+                        (name, section) -> {
+                            try (section) {
+                                Repeat repeat = section.choice("repeat", null, Repeat.class);
                                 RetrySafety effect =
                                         switch (repeat) {
                                             case SAFE -> RetrySafety.IDEMPOTENT;
                                             case DEDUPLICATED -> RetrySafety.DEDUPLICATED;
                                             case NEVER -> RetrySafety.AT_MOST_ONCE;
                                         };
-                                QueryClass c =
+                                QueryClass queryClass =
                                         new QueryClass(
                                                 name,
-                                                s.duration("aim", null, 0, HOUR),
-                                                s.number("aim-stretch", 0.0, 0, 100),
-                                                s.duration("deadline", null, MS, 24 * HOUR),
+                                                section.duration("aim", null, 0, HOUR),
+                                                section.number("aim-stretch", 0.0, 0, 100),
+                                                section.duration("deadline", null, MS, 24 * HOUR),
                                                 effect,
-                                                s.choice(
+                                                section.choice(
                                                         "repeat-group",
                                                         DeduplicationScope.ALL,
                                                         DeduplicationScope.class),
-                                                s.duration("repeat-span", 0L, 0, 24 * HOUR),
-                                                s.number("worth", 1.0, 0, 1e6),
-                                                s.number("late-share", 0.0, 0, 1),
-                                                s.flag("in-order", false),
-                                                s.words("only-kinds"),
-                                                s.words("only-zones"),
-                                                (int) s.whole("threads", 1L, 1, 1024),
-                                                s.flag("holds-tables", false),
-                                                s.flag("waits-for-tables", false));
+                                                section.duration("repeat-span", 0L, 0, 24 * HOUR),
+                                                section.number("worth", 1.0, 0, 1e6),
+                                                section.number("late-share", 0.0, 0, 1),
+                                                section.flag("in-order", false),
+                                                section.words("only-kinds"),
+                                                section.words("only-zones"),
+                                                (int) section.whole("threads", 1L, 1, 1024),
+                                                section.flag("holds-tables", false),
+                                                section.flag("waits-for-tables", false));
                                 allOf(
-                                        s,
+                                        section,
                                         "only-kinds",
-                                        c.engineKinds(),
+                                        queryClass.engineKinds(),
                                         kinds.stream().map(EngineKind::name).toList());
-                                allOf(s, "only-zones", c.zones(), zones);
+                                allOf(section, "only-zones", queryClass.zones(), zones);
                                 if (name.contains("/")) {
-                                    s.problem("class", "a name without a slash");
+                                    section.problem("class", "a name without a slash");
                                 }
-                                classes.put(name, c);
+                                classes.put(name, queryClass);
                             }
                         });
         if (classes.isEmpty()) {
@@ -289,9 +291,9 @@
         List<Tenant> tenants = new ArrayList<>();
         top.named("tenant")
                 .forEach(
-                        (name, s) -> {
-                            try (s) {
-                                tenants.add(new Tenant(name, s.rate("quota", 0.0, 1e9)));
+                        (name, section) -> {
+                            try (section) {
+                                tenants.add(new Tenant(name, section.rate("quota", 0.0, 1e9)));
                             }
                         });
         return tenants;
@@ -301,24 +303,24 @@
         Map<String, UserSpec> users = new LinkedHashMap<>();
         top.named("user")
                 .forEach(
-                        (name, s) -> {
-                            try (s) {
-                                UserSpec u =
+                        (name, section) -> {
+                            try (section) {
+                                UserSpec userSpec =
                                         new UserSpec(
                                                 name,
-                                                s.text("password-hash", ""),
-                                                s.text("tenant", ""));
+                                                section.text("password-hash", ""),
+                                                section.text("tenant", ""));
                                 oneOf(
-                                        s,
+                                        section,
                                         "tenant",
-                                        u.tenant(),
+                                        userSpec.tenant(),
                                         tenants.stream().map(Tenant::name).toList());
-                                if (!u.passwordHash().isEmpty()
-                                        && !Passwords.isHash(u.passwordHash())) {
-                                    s.problem(
+                                if (!userSpec.passwordHash().isEmpty()
+                                        && !Passwords.isHash(userSpec.passwordHash())) {
+                                    section.problem(
                                             "password-hash", "what ./ashlink hash-password prints");
                                 }
-                                users.put(name, u);
+                                users.put(name, userSpec);
                             }
                         });
         return users;
@@ -326,32 +328,33 @@
 
     private List<ClassRule> rules(Map<String, QueryClass> classes, Map<String, UserSpec> users) {
         List<ClassRule> rules = new ArrayList<>();
-        for (Section s : top.each("rule")) {
-            try (s) {
+        for (Section section : top.each("rule")) {
+            try (section) {
                 Set<String> keywords =
-                        s.words("keyword").stream()
+                        section.words("keyword").stream()
                                 .map(k -> k.toUpperCase(Locale.ROOT))
                                 .collect(Collectors.toUnmodifiableSet());
-                Set<String> prints = s.words("fingerprint");
+                Set<String> prints = section.words("fingerprint");
                 ClassRule rule =
                         new ClassRule(
-                                s.text("class", null),
-                                s.words("user"),
-                                s.words("database"),
+                                section.text("class", null),
+                                section.words("user"),
+                                section.words("database"),
                                 keywords,
-                                s.words("kind"),
-                                s.words("table").stream()
+                                section.words("kind"),
+                                section.words("table").stream()
                                         .map(RouterConfigReader::pattern)
                                         .collect(Collectors.toUnmodifiableSet()),
                                 prints,
-                                s.text("setting", ""),
-                                s.text("value", ""));
-                allOf(s, "kind", rule.kinds(), KINDS);
+                                section.text("setting", ""),
+                                section.text("value", ""));
+                allOf(section, "kind", rule.kinds(), KINDS);
                 if (!prints.stream().allMatch(f -> f.matches("[0-9a-f]{32}"))) {
-                    s.problem("fingerprint", "32 digits of hex, as ./ashlink explain prints them");
+                    section.problem(
+                            "fingerprint", "32 digits of hex, as ./ashlink explain prints them");
                 }
-                oneOf(s, "class", rule.queryClass(), classes.keySet());
-                allOf(s, "user", rule.users(), users.keySet());
+                oneOf(section, "class", rule.queryClass(), classes.keySet());
+                allOf(section, "user", rule.users(), users.keySet());
                 rules.add(rule);
             }
         }
@@ -367,52 +370,53 @@
     }
 
     private Capabilities allowed() {
-        try (Section s = top.section("allowed")) {
+        try (Section section = top.section("allowed")) {
             return new Capabilities(
-                    s.flag("probes", true),
-                    s.flag("cancels", true),
-                    (int) s.whole("attempts", 3L, 1, 100),
-                    s.duration("longest-retry-after", 500 * MS, 0, HOUR),
-                    s.flag("grants", false),
-                    s.flag("priorities", false),
-                    s.number("largest-grant", 1.0, 0, 1),
-                    s.flag("memory-queues", true),
-                    s.duration("note-every", 0L, 0, HOUR),
-                    s.flag("cost-in-answers", false),
-                    s.flag("reports-inline", true),
+                    section.flag("probes", true),
+                    section.flag("cancels", true),
+                    (int) section.whole("attempts", 3L, 1, 100),
+                    section.duration("longest-retry-after", 500 * MS, 0, HOUR),
+                    section.flag("grants", false),
+                    section.flag("priorities", false),
+                    section.number("largest-grant", 1.0, 0, 1),
+                    section.flag("memory-queues", true),
+                    section.duration("note-every", 0L, 0, HOUR),
+                    section.flag("cost-in-answers", false),
+                    section.flag("reports-inline", true),
                     false);
         }
     }
 
     private PolicyLimits limits() {
-        try (Section s = top.section("limits")) {
+        try (Section section = top.section("limits")) {
             return new PolicyLimits(
-                    s.duration("drain-grace", 2 * S, 0, HOUR),
-                    s.number("cold-from", 0.0, 0, 1),
-                    s.duration("cold-time", 0L, 0, HOUR),
-                    s.number("cold-multiple", 0.0, 0, 100),
-                    s.duration("cold-window", 0L, 0, HOUR),
-                    s.duration("key-rest", 0L, 0, HOUR),
-                    s.number("free-resends", 0.0, 0, 1e6),
-                    s.number("resends-per-request", 0.0, 0, 100),
-                    s.duration("resend-span", 0L, 0, HOUR));
+                    section.duration("drain-grace", 2 * S, 0, HOUR),
+                    section.number("cold-from", 0.0, 0, 1),
+                    section.duration("cold-time", 0L, 0, HOUR),
+                    section.number("cold-multiple", 0.0, 0, 100),
+                    section.duration("cold-window", 0L, 0, HOUR),
+                    section.duration("key-rest", 0L, 0, HOUR),
+                    section.number("free-resends", 0.0, 0, 1e6),
+                    section.number("resends-per-request", 0.0, 0, 100),
+                    section.duration("resend-span", 0L, 0, HOUR));
         }
     }
 
     private ControlSpec control() {
-        try (Section s = top.section("control")) {
-            InetSocketAddress listen = s.has("listen") ? s.address("listen", null) : null;
+        try (Section section = top.section("control")) {
+            InetSocketAddress listen =
+                    section.has("listen") ? section.address("listen", null) : null;
             Map<String, InetSocketAddress> peers = new LinkedHashMap<>();
-            s.named("peer")
+            section.named("peer")
                     .forEach(
                             (name, peer) -> {
                                 try (peer) {
                                     peers.put(name, peer.address("address", null));
                                 }
                             });
-            String keys = s.text("keys", listen == null ? "" : null);
+            String keys = section.text("keys", listen == null ? "" : null);
             if (listen != null && !top.has("state-dir")) {
-                s.problem(
+                section.problem(
                         "listen",
                         "a control channel together with a state-dir, which keeps the notices");
             }
@@ -421,46 +425,46 @@
     }
 
     private HttpSpec http() {
-        try (Section s = top.section("http")) {
-            long page = s.size("page", MIB, 1024, 64 * MIB);
+        try (Section section = top.section("http")) {
+            long page = section.size("page", MIB, 1024, 64 * MIB);
             HttpSpec http =
                     new HttpSpec(
-                            s.has("listen") ? s.address("listen", null) : null,
-                            s.has("spool") ? Path.of(s.text("spool", "")) : null,
+                            section.has("listen") ? section.address("listen", null) : null,
+                            section.has("spool") ? Path.of(section.text("spool", "")) : null,
                             page,
-                            s.size("memory", 64 * 1024L, 0, GIB),
-                            s.size("memory-all", 64 * MIB, MIB, 1024 * GIB),
-                            s.size("spool-statement", GIB, 4 * page, 1024 * 1024 * GIB),
-                            s.size("spool-user", 4 * GIB, 4 * page, 1024 * 1024 * GIB),
-                            s.size("spool-all", 16 * GIB, 4 * page, 1024 * 1024 * GIB),
-                            (int) s.whole("open", 10_000L, 1, 1_000_000),
-                            (int) s.whole("open-user", 10_000L, 1, 1_000_000),
-                            s.duration("unpolled", 30 * S, MS, HOUR),
-                            s.duration("kept", 60 * S, MS, 24 * HOUR),
-                            s.duration("linger", 10 * S, 0, HOUR),
-                            (int) s.whole("tombstones", 10_000L, 0, 1_000_000),
-                            s.duration("tombstone-time", 300 * S, 0, 24 * HOUR),
-                            s.duration("longest-wait", 30 * S, 0, HOUR),
-                            s.size("body", 16 * MIB, 1024, GIB),
-                            (int) s.size("headers", 8 * 1024L, 1024, MIB),
-                            (int) s.whole("connections", 10_000L, 1, 1_000_000),
-                            s.duration("header-time", 10 * S, MS, HOUR),
-                            s.duration("body-time", 30 * S, MS, HOUR),
-                            s.duration("idle", 60 * S, MS, HOUR),
-                            s.size("render", 64 * MIB, MIB, 1024 * GIB),
-                            (int) s.whole("keys", 100_000L, 1, 10_000_000),
-                            s.duration("key-time", 24 * HOUR, MS, 24 * 365 * HOUR),
-                            peers(s));
+                            section.size("memory", 64 * 1024L, 0, GIB),
+                            section.size("memory-all", 64 * MIB, MIB, 1024 * GIB),
+                            section.size("spool-statement", GIB, 4 * page, 1024 * 1024 * GIB),
+                            section.size("spool-user", 4 * GIB, 4 * page, 1024 * 1024 * GIB),
+                            section.size("spool-all", 16 * GIB, 4 * page, 1024 * 1024 * GIB),
+                            (int) section.whole("open", 10_000L, 1, 1_000_000),
+                            (int) section.whole("open-user", 10_000L, 1, 1_000_000),
+                            section.duration("unpolled", 30 * S, MS, HOUR),
+                            section.duration("kept", 60 * S, MS, 24 * HOUR),
+                            section.duration("linger", 10 * S, 0, HOUR),
+                            (int) section.whole("tombstones", 10_000L, 0, 1_000_000),
+                            section.duration("tombstone-time", 300 * S, 0, 24 * HOUR),
+                            section.duration("longest-wait", 30 * S, 0, HOUR),
+                            section.size("body", 16 * MIB, 1024, GIB),
+                            (int) section.size("headers", 8 * 1024L, 1024, MIB),
+                            (int) section.whole("connections", 10_000L, 1, 1_000_000),
+                            section.duration("header-time", 10 * S, MS, HOUR),
+                            section.duration("body-time", 30 * S, MS, HOUR),
+                            section.duration("idle", 60 * S, MS, HOUR),
+                            section.size("render", 64 * MIB, MIB, 1024 * GIB),
+                            (int) section.whole("keys", 100_000L, 1, 10_000_000),
+                            section.duration("key-time", 24 * HOUR, MS, 24 * 365 * HOUR),
+                            peers(section));
             if (http.longestWaitNs() >= http.idleNs()) {
-                s.problem("idle", "a duration over longest-wait");
+                section.problem("idle", "a duration over longest-wait");
             }
             return http;
         }
     }
 
-    private Map<String, String> peers(Section s) {
+    private Map<String, String> peers(Section section) {
         Map<String, String> peers = new LinkedHashMap<>();
-        s.named("peer")
+        section.named("peer")
                 .forEach(
                         (name, peer) -> {
                             try (peer) {
@@ -478,38 +482,38 @@
     }
 
     private CaptureSpec capture() {
-        try (Section s = top.section("capture")) {
+        try (Section section = top.section("capture")) {
             return new CaptureSpec(
-                    s.has("dir") ? Path.of(s.text("dir", "")) : null,
-                    s.size("segment", 64 * MIB, 4096, GIB),
-                    s.size("keep", 4 * GIB, 4096, 1024 * 1024 * GIB),
-                    (int) s.whole("queue", 65_536L, 16, 10_000_000),
-                    s.duration("sync", S, MS, HOUR),
-                    s.text("key-secret", ""));
+                    section.has("dir") ? Path.of(section.text("dir", "")) : null,
+                    section.size("segment", 64 * MIB, 4096, GIB),
+                    section.size("keep", 4 * GIB, 4096, 1024 * 1024 * GIB),
+                    (int) section.whole("queue", 65_536L, 16, 10_000_000),
+                    section.duration("sync", S, MS, HOUR),
+                    section.text("key-secret", ""));
         }
     }
 
     private Gauges gauges() {
-        try (Section s = top.section("gauges")) {
+        try (Section section = top.section("gauges")) {
             return new Gauges(
-                    gauge(s, "waiting"),
-                    gauge(s, "cores-busy"),
-                    gauge(s, "memory-granted"),
-                    gauge(s, "disks-busy"),
-                    gauge(s, "in-hand"),
-                    gauge(s, "work-ms"),
-                    gauge(s, "memory-mb"),
-                    gauge(s, "uptime-s"));
+                    gauge(section, "waiting"),
+                    gauge(section, "cores-busy"),
+                    gauge(section, "memory-granted"),
+                    gauge(section, "disks-busy"),
+                    gauge(section, "in-hand"),
+                    gauge(section, "work-ms"),
+                    gauge(section, "memory-mb"),
+                    gauge(section, "uptime-s"));
         }
     }
 
-    private static List<Gauge> gauge(Section s, String name) {
+    private static List<Gauge> gauge(Section section, String name) {
         List<Gauge> gauges = new ArrayList<>();
-        for (String word : s.words(name)) {
+        for (String word : section.words(name)) {
             int slash = word.indexOf('/');
             String divisor = slash < 0 ? "1" : word.substring(slash + 1);
             if (slash == 0 || !divisor.matches("[0-9]{1,9}") || Integer.parseInt(divisor) == 0) {
-                s.problem(
+                section.problem(
                         name,
                         "names such as QueriesWaiting, or with a divisor such as"
                                 + " CoresBusyPermille/1000");
@@ -524,24 +528,24 @@
     }
 
     private Bounds bounds() {
-        try (Section s = top.section("bounds")) {
+        try (Section section = top.section("bounds")) {
             return new Bounds(
-                    (int) s.whole("connections", 20_000L, 1, 1_000_000),
-                    (int) s.whole("open-requests", 10_000L, 1, 1_000_000),
-                    (int) s.whole("queue", 65_536L, 16, 10_000_000),
-                    s.size("held-answer", MIB, 0, GIB),
-                    s.size("held-answers", 256 * MIB, 0, 1024 * GIB),
-                    s.size("held-insert", 64 * MIB, 0, GIB),
-                    s.size("held-inserts", 512 * MIB, 0, 1024 * GIB),
-                    s.size("packet", 256 * MIB, 1024, 2 * GIB - 64),
-                    s.duration("login", 5 * S, MS, HOUR),
-                    s.duration("connect", 250 * MS, MS, HOUR),
-                    s.duration("idle-engine", 15 * S, MS, 24 * HOUR),
-                    s.duration("idle-client", HOUR, MS, 240 * HOUR),
-                    (int) s.whole("engine-connections", 256L, 1, 100_000),
-                    s.duration("stop", 10 * S, 0, HOUR),
-                    s.size("stack", 512 * 1024L, 64 * 1024, 64 * MIB),
-                    s.duration("answer-margin", 50 * MS, 0, HOUR));
+                    (int) section.whole("connections", 20_000L, 1, 1_000_000),
+                    (int) section.whole("open-requests", 10_000L, 1, 1_000_000),
+                    (int) section.whole("queue", 65_536L, 16, 10_000_000),
+                    section.size("held-answer", MIB, 0, GIB),
+                    section.size("held-answers", 256 * MIB, 0, 1024 * GIB),
+                    section.size("held-insert", 64 * MIB, 0, GIB),
+                    section.size("held-inserts", 512 * MIB, 0, 1024 * GIB),
+                    section.size("packet", 256 * MIB, 1024, 2 * GIB - 64),
+                    section.duration("login", 5 * S, MS, HOUR),
+                    section.duration("connect", 250 * MS, MS, HOUR),
+                    section.duration("idle-engine", 15 * S, MS, 24 * HOUR),
+                    section.duration("idle-client", HOUR, MS, 240 * HOUR),
+                    (int) section.whole("engine-connections", 256L, 1, 100_000),
+                    section.duration("stop", 10 * S, 0, HOUR),
+                    section.size("stack", 512 * 1024L, 64 * 1024, 64 * MIB),
+                    section.duration("answer-margin", 50 * MS, 0, HOUR));
         }
     }
 }
