--- a/config/src/main/java/ashlink/config/SExprReader.java
+++ b/config/src/main/java/ashlink/config/SExprReader.java
@@ -73,7 +73,7 @@
                             int line,
                             int column,
                             String message,
-                            RecognitionException e) {
+                            RecognitionException failure) {
                         problems.add(
                                 new ConfigProblem(
                                         file,
@@ -91,14 +91,17 @@
         CommonTokenStream tokens = new CommonTokenStream(lexer);
         tokens.fill();
         int depth = 0;
-        for (Token t : tokens.getTokens()) {
-            depth += t.getType() == SExprLexer.OPEN ? 1 : t.getType() == SExprLexer.CLOSE ? -1 : 0;
+        for (Token token : tokens.getTokens()) {
+            depth +=
+                    token.getType() == SExprLexer.OPEN
+                            ? 1
+                            : token.getType() == SExprLexer.CLOSE ? -1 : 0;
             if (depth > DEEPEST) {
                 problems.add(
                         new ConfigProblem(
                                 file,
-                                t.getLine(),
-                                t.getCharPositionInLine() + 1,
+                                token.getLine(),
+                                token.getCharPositionInLine() + 1,
                                 "",
                                 "a list this deep",
                                 "up to " + DEEPEST + " lists within each other"));
@@ -115,15 +118,15 @@
 
     private static List<Node> nodes(List<SExprParser.FormContext> forms) {
         List<Node> nodes = new ArrayList<>();
-        for (SExprParser.FormContext f : forms) {
-            Token at = f.getStart();
+        for (SExprParser.FormContext formContext : forms) {
+            Token at = formContext.getStart();
             int column = at.getCharPositionInLine() + 1;
-            if (f.OPEN() != null) {
-                nodes.add(new Node.Form(nodes(f.form()), at.getLine(), column));
+            if (formContext.OPEN() != null) {
+                nodes.add(new Node.Form(nodes(formContext.form()), at.getLine(), column));
             } else {
                 nodes.add(
                         new Node.Atom(
-                                f.TEXT() != null ? unquoted(at.getText()) : at.getText(),
+                                formContext.TEXT() != null ? unquoted(at.getText()) : at.getText(),
                                 at.getLine(),
                                 column));
             }
--- a/config/src/main/java/ashlink/config/ScenarioConfigReader.java
+++ b/config/src/main/java/ashlink/config/ScenarioConfigReader.java
@@ -46,31 +46,33 @@
         List<RouterSpec> routers = new ArrayList<>();
         top.named("router")
                 .forEach(
-                        (name, s) -> {
-                            try (s) {
-                                routers.add(new RouterSpec(name, s.text("zone", null)));
+                        (name, section) -> {
+                            try (section) {
+                                routers.add(new RouterSpec(name, section.text("zone", null)));
                             }
                         });
         Map<String, EngineConfig> engines = new LinkedHashMap<>();
         top.named("engine")
-                .forEach((name, s) -> engines.put(name, EngineConfigReader.engine(name, s)));
+                .forEach(
+                        (name, section) ->
+                                engines.put(name, EngineConfigReader.engine(name, section)));
         List<LoadClass> load = new ArrayList<>();
-        top.named("load").forEach((name, s) -> load.add(load(name, s)));
+        top.named("load").forEach((name, section) -> load.add(load(name, section)));
         Set<String> zones =
                 engines.values().stream().map(EngineConfig::zone).collect(Collectors.toSet());
         Set<String> names = routers.stream().map(RouterSpec::name).collect(Collectors.toSet());
         List<Fault> troubles = new ArrayList<>();
-        for (Section s : top.each("trouble")) {
-            try (s) {
-                Fault t =
+        for (Section section : top.each("trouble")) {
+            try (section) {
+                Fault fault =
                         new Fault(
-                                s.choice("kind", null, FaultKind.class),
-                                s.duration("at", null, 0, 3600 * S),
-                                s.duration("for", null, 0, 3600 * S),
-                                s.text("target", ""),
-                                s.number("factor", 1.0, 0, 1000));
+                                section.choice("kind", null, FaultKind.class),
+                                section.duration("at", null, 0, 3600 * S),
+                                section.duration("for", null, 0, 3600 * S),
+                                section.text("target", ""),
+                                section.number("factor", 1.0, 0, 1000));
                 Set<String> targets =
-                        switch (t.kind()) {
+                        switch (fault.kind()) {
                             case BURST, HOT_GROUP, LIST_LATE -> Set.of("");
                             case HEAVY_TAIL ->
                                     load.stream().map(LoadClass::name).collect(Collectors.toSet());
@@ -78,10 +80,10 @@
                             case HALL_LOST -> zones;
                             default -> engines.keySet();
                         };
-                if (!targets.contains(t.target())) {
-                    s.problem("target", "one of " + String.join(", ", targets));
+                if (!targets.contains(fault.target())) {
+                    section.problem("target", "one of " + String.join(", ", targets));
                 }
-                troubles.add(t);
+                troubles.add(fault);
             }
         }
         if (routers.isEmpty() || engines.isEmpty() || load.isEmpty()) {
--- a/config/src/main/java/ashlink/config/Section.java
+++ b/config/src/main/java/ashlink/config/Section.java
@@ -34,22 +34,22 @@
         this.path = path;
         this.form = form;
         this.problems = problems;
-        for (Node n :
+        for (Node node :
                 form.items().subList(Math.min(from, form.items().size()), form.items().size())) {
-            if (n instanceof Form f && !f.head().isEmpty()) {
-                settings.computeIfAbsent(f.head(), k -> new ArrayList<>()).add(f);
-            } else if (n instanceof Atom a) {
-                words.add(a);
+            if (node instanceof Form f && !f.head().isEmpty()) {
+                settings.computeIfAbsent(f.head(), text -> new ArrayList<>()).add(f);
+            } else if (node instanceof Atom atom) {
+                words.add(atom);
             } else {
-                problem(n, path, "a list that starts with the name of a setting");
+                problem(node, path, "a list that starts with the name of a setting");
             }
         }
     }
 
     /** The file's one top list, which must have that name. */
     static Section top(String file, List<Node> nodes, String name, List<ConfigProblem> problems) {
-        if (nodes.size() == 1 && nodes.get(0) instanceof Form f && f.head().equals(name)) {
-            return new Section(file, name, f, 1, problems);
+        if (nodes.size() == 1 && nodes.get(0) instanceof Form form && form.head().equals(name)) {
+            return new Section(file, name, form, 1, problems);
         }
         if (problems.isEmpty()) {
             problems.add(
@@ -89,8 +89,8 @@
             problem(forms.get(1), path + "." + name, "this setting once");
         }
         List<Node> items = forms.get(0).items();
-        if (items.size() == 2 && items.get(1) instanceof Atom a) {
-            return a;
+        if (items.size() == 2 && items.get(1) instanceof Atom atom) {
+            return atom;
         }
         problem(forms.get(0), path + "." + name, accepted);
         return null;
@@ -276,12 +276,12 @@
     Set<String> words(String name) {
         known.add(name);
         Set<String> words = new LinkedHashSet<>();
-        for (Form f : settings.getOrDefault(name, List.of())) {
-            for (Node n : f.items().subList(1, f.items().size())) {
-                if (n instanceof Atom a) {
-                    words.add(a.text());
+        for (Form form : settings.getOrDefault(name, List.of())) {
+            for (Node node : form.items().subList(1, form.items().size())) {
+                if (node instanceof Atom atom) {
+                    words.add(atom.text());
                 } else {
-                    problem(n, path + "." + name, "words");
+                    problem(node, path + "." + name, "words");
                 }
             }
         }
@@ -304,13 +304,15 @@
     Map<String, Section> named(String name) {
         known.add(name);
         Map<String, Section> sections = new LinkedHashMap<>();
-        for (Form f : settings.getOrDefault(name, List.of())) {
-            if (f.items().size() < 2 || !(f.items().get(1) instanceof Atom a)) {
-                problem(f, path + "." + name, "(" + name + " NAME ...)");
-            } else if (sections.containsKey(a.text())) {
-                problem(a, path + "." + name, "each name once");
+        for (Form form : settings.getOrDefault(name, List.of())) {
+            if (form.items().size() < 2 || !(form.items().get(1) instanceof Atom atom)) {
+                problem(form, path + "." + name, "(" + name + " NAME ...)");
+            } else if (sections.containsKey(atom.text())) {
+                problem(atom, path + "." + name, "each name once");
             } else {
-                sections.put(a.text(), new Section(file, path + "." + a.text(), f, 2, problems));
+                sections.put(
+                        atom.text(),
+                        new Section(file, path + "." + atom.text(), form, 2, problems));
             }
         }
         return sections;
@@ -320,8 +322,8 @@
     List<Section> each(String name) {
         known.add(name);
         List<Section> sections = new ArrayList<>();
-        for (Form f : settings.getOrDefault(name, List.of())) {
-            sections.add(new Section(file, path + "." + name, f, 1, problems));
+        for (Form form : settings.getOrDefault(name, List.of())) {
+            sections.add(new Section(file, path + "." + name, form, 1, problems));
         }
         return sections;
     }
@@ -329,18 +331,18 @@
     /** Notes what nobody asked for. */
     @Override
     public void close() {
-        for (Atom a : words) {
-            problem(a, path, "only lists such as (name value)");
+        for (Atom atom : words) {
+            problem(atom, path, "only lists such as (name value)");
         }
         settings.forEach(
                 (name, forms) -> {
                     if (!known.contains(name)) {
-                        for (Form f : forms) {
+                        for (Form form : forms) {
                             problems.add(
                                     new ConfigProblem(
                                             file,
-                                            f.line(),
-                                            f.column(),
+                                            form.line(),
+                                            form.column(),
                                             path + "." + name,
                                             name,
                                             nearest(name)));
@@ -352,9 +354,9 @@
     private String nearest(String name) {
         String all = known.isEmpty() ? "no settings here" : String.join(", ", known);
         return known.stream()
-                .filter(k -> DISTANCE.apply(k, name) >= 0)
-                .min(java.util.Comparator.comparingInt(k -> DISTANCE.apply(k, name)))
-                .map(k -> k + " (the nearest), or any of: " + all)
+                .filter(text -> DISTANCE.apply(text, name) >= 0)
+                .min(java.util.Comparator.comparingInt(text -> DISTANCE.apply(text, name)))
+                .map(text -> text + " (the nearest), or any of: " + all)
                 .orElse(all);
     }
 
--- a/config/src/main/java/ashlink/config/Units.java
+++ b/config/src/main/java/ashlink/config/Units.java
@@ -36,13 +36,15 @@
      * The number in the base unit; nothing where the text has no known unit. A bare 0 needs none.
      */
     static OptionalDouble parse(String text, Map<String, Double> units) {
-        Matcher m = NUMBER.matcher(text);
-        if (!m.matches()) {
+        Matcher matcher = NUMBER.matcher(text);
+        if (!matcher.matches()) {
             return OptionalDouble.empty();
         }
-        double number = Double.parseDouble(m.group(1));
+        double number = Double.parseDouble(matcher.group(1));
         Double unit =
-                m.group(2).isEmpty() && number == 0 ? Double.valueOf(1) : units.get(m.group(2));
+                matcher.group(2).isEmpty() && number == 0
+                        ? Double.valueOf(1)
+                        : units.get(matcher.group(2));
         return unit == null ? OptionalDouble.empty() : OptionalDouble.of(number * unit);
     }
 }
--- a/config/src/test/java/ashlink/config/RouterConfigTest.java
+++ b/config/src/test/java/ashlink/config/RouterConfigTest.java
@@ -29,14 +29,17 @@
 
     @Test
     void aWholeFileIsRead() throws ConfigException {
-        RouterConfig c = RouterConfigReader.read("f.sexp", GOOD);
-        assertEquals(16384, c.kinds().get(0).memoryMb());
-        assertEquals(2_500_000_000L, c.classes().get("look").deadlineNs());
-        assertEquals(RetrySafety.AT_MOST_ONCE, c.classes().get("load").retrySafety());
-        assertEquals(1.5, c.tenants().get(0).quotaPerS());
+        RouterConfig routerConfig = RouterConfigReader.read("f.sexp", GOOD);
+        assertEquals(16384, routerConfig.kinds().get(0).memoryMb());
+        assertEquals(2_500_000_000L, routerConfig.classes().get("look").deadlineNs());
+        assertEquals(RetrySafety.AT_MOST_ONCE, routerConfig.classes().get("load").retrySafety());
+        assertEquals(1.5, routerConfig.tenants().get(0).quotaPerS());
         assertEquals(
                 List.of("load", "look"),
-                c.settings().classes().stream().map(k -> k.name()).sorted().toList());
+                routerConfig.settings().classes().stream()
+                        .map(queryClass -> queryClass.name())
+                        .sorted()
+                        .toList());
     }
 
     @Test
@@ -51,14 +54,17 @@
         assertEquals(6, found.size(), found.toString());
         ConfigProblem aim =
                 found.stream()
-                        .filter(p -> p.setting().endsWith("look.aim"))
+                        .filter(configProblem -> configProblem.setting().endsWith("look.aim"))
                         .findFirst()
                         .orElseThrow();
         assertEquals(4, aim.line());
         assertEquals("5parsecs", aim.value());
         assertTrue(aim.accepted().contains("ms"), aim.accepted());
         ConfigProblem typo =
-                found.stream().filter(p -> p.value().equals("wroth")).findFirst().orElseThrow();
+                found.stream()
+                        .filter(configProblem -> configProblem.value().equals("wroth"))
+                        .findFirst()
+                        .orElseThrow();
         assertTrue(typo.accepted().startsWith("worth (the nearest)"), typo.accepted());
         assertTrue(aim.toString().startsWith("f.sexp:4:"), aim.toString());
     }
@@ -82,11 +88,11 @@
 
     @Test
     void passwordsAreHashedWithSaltAndHashesAreChecked() {
-        String a = Passwords.hash("x", 4);
+        String text = Passwords.hash("x", 4);
         assertTrue(
-                !a.equals(Passwords.hash("x", 4))
-                        && Passwords.matches("x", a)
-                        && !Passwords.matches("y", a));
+                !text.equals(Passwords.hash("x", 4))
+                        && Passwords.matches("x", text)
+                        && !Passwords.matches("y", text));
         assertTrue(
                 !Passwords.matches("", null)
                         && Passwords.matches("", "")
--- a/control/src/main/java/ashlink/control/channel/ControlServer.java
+++ b/control/src/main/java/ashlink/control/channel/ControlServer.java
@@ -73,26 +73,26 @@
         return (InetSocketAddress) server.getLocalSocketAddress();
     }
 
-    private static Thread thread(Runnable r, String name) {
-        Thread t = new Thread(null, r, name, STACK_BYTES);
-        t.setDaemon(true);
-        return t;
+    private static Thread thread(Runnable task, String name) {
+        Thread thread = new Thread(null, task, name, STACK_BYTES);
+        thread.setDaemon(true);
+        return thread;
     }
 
     private void accept() {
         while (!closed) {
             try {
-                SSLSocket s = (SSLSocket) server.accept();
+                SSLSocket sSLSocket = (SSLSocket) server.accept();
                 if (sockets.size() >= MOST_CONNECTIONS) {
                     LOG.warn(
                             "control connection of {} closed: {} are open, which is the limit",
-                            s.getRemoteSocketAddress(),
+                            sSLSocket.getRemoteSocketAddress(),
                             sockets.size());
-                    s.close();
+                    sSLSocket.close();
                     continue;
                 }
-                sockets.add(s);
-                thread(() -> serve(s), name + "-control-" + s.getPort()).start();
+                sockets.add(sSLSocket);
+                thread(() -> serve(sSLSocket), name + "-control-" + sSLSocket.getPort()).start();
             } catch (IOException e) {
                 if (!closed) {
                     LOG.warn("control: no connection could be taken: {}", e.toString());
@@ -110,22 +110,24 @@
         }
     }
 
-    private void serve(SSLSocket s) {
-        try (s) {
-            s.setTcpNoDelay(true);
-            s.setSoTimeout(HANDSHAKE_MS);
-            s.startHandshake();
-            X509Certificate c = (X509Certificate) s.getSession().getPeerCertificates()[0];
+    private void serve(SSLSocket sSLSocket) {
+        try (sSLSocket) {
+            sSLSocket.setTcpNoDelay(true);
+            sSLSocket.setSoTimeout(HANDSHAKE_MS);
+            sSLSocket.startHandshake();
+            X509Certificate x509Certificate =
+                    (X509Certificate) sSLSocket.getSession().getPeerCertificates()[0];
             Peer peer =
                     new Peer(
-                            Identity.name(c),
-                            Identity.roles(c),
-                            String.valueOf(s.getRemoteSocketAddress()));
-            s.setSoTimeout(IDLE_MS);
+                            Identity.name(x509Certificate),
+                            Identity.roles(x509Certificate),
+                            String.valueOf(sSLSocket.getRemoteSocketAddress()));
+            sSLSocket.setSoTimeout(IDLE_MS);
             Budget rate = new Budget(FRAMES_BURST, FRAMES_PER_S);
             DataInputStream in =
-                    new DataInputStream(new BufferedInputStream(s.getInputStream(), 16 << 10));
-            DataOutputStream out = new DataOutputStream(s.getOutputStream());
+                    new DataInputStream(
+                            new BufferedInputStream(sSLSocket.getInputStream(), 16 << 10));
+            DataOutputStream out = new DataOutputStream(sSLSocket.getOutputStream());
             for (JsonNode frame = Frames.read(in);
                     frame != null && !closed;
                     frame = Frames.read(in)) {
@@ -139,9 +141,11 @@
             }
         } catch (IOException e) {
             LOG.info(
-                    "control connection of {} ended: {}", s.getRemoteSocketAddress(), e.toString());
+                    "control connection of {} ended: {}",
+                    sSLSocket.getRemoteSocketAddress(),
+                    e.toString());
         } finally {
-            sockets.remove(s);
+            sockets.remove(sSLSocket);
         }
     }
 
@@ -162,9 +166,9 @@
         } catch (IOException e) {
             LOG.debug("control: {}", e.toString());
         }
-        for (Socket s : sockets) {
+        for (Socket socket : sockets) {
             try {
-                s.close();
+                socket.close();
             } catch (IOException e) {
                 LOG.debug("control: {}", e.toString());
             }
--- a/control/src/main/java/ashlink/control/channel/Frames.java
+++ b/control/src/main/java/ashlink/control/channel/Frames.java
@@ -50,9 +50,9 @@
         byte[] bytes = new byte[length];
         in.readFully(bytes);
         try {
-            JsonNode n = JSON.readTree(bytes);
-            if (n != null && n.isObject()) {
-                return n;
+            JsonNode node = JSON.readTree(bytes);
+            if (node != null && node.isObject()) {
+                return node;
             }
         } catch (JsonProcessingException e) {
             throw new IOException("a frame is no JSON: " + e.getOriginalMessage());
@@ -60,8 +60,8 @@
         throw new IOException("a frame is no JSON object");
     }
 
-    static void write(DataOutputStream out, JsonNode n) throws IOException {
-        byte[] bytes = JSON.writeValueAsBytes(n);
+    static void write(DataOutputStream out, JsonNode node) throws IOException {
+        byte[] bytes = JSON.writeValueAsBytes(node);
         if (bytes.length > MOST_BYTES) {
             throw new IOException(
                     "a frame of " + bytes.length + " bytes is over the limit of " + MOST_BYTES);
--- a/control/src/main/java/ashlink/control/member/CommandLog.java
+++ b/control/src/main/java/ashlink/control/member/CommandLog.java
@@ -43,7 +43,7 @@
     }
 
     private void read(DataInputStream in, long nowMs) throws IOException {
-        OperatorCommand n =
+        OperatorCommand operatorCommand =
                 new OperatorCommand(
                         in.readUTF(),
                         in.readUTF(),
@@ -51,36 +51,36 @@
                         Intent.values()[in.readByte()],
                         in.readUTF(),
                         in.readUTF());
-        set.add(n, in.readLong() - nowMs, nowMs);
+        set.add(operatorCommand, in.readLong() - nowMs, nowMs);
     }
 
-    private static byte[] record(OperatorCommand n, long untilMs) throws IOException {
+    private static byte[] record(OperatorCommand operatorCommand, long untilMs) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
-        out.writeUTF(n.subject());
-        out.writeUTF(n.owner());
-        out.writeLong(n.revision());
-        out.writeByte(n.intent().ordinal());
-        out.writeUTF(n.by());
-        out.writeUTF(n.why());
+        out.writeUTF(operatorCommand.subject());
+        out.writeUTF(operatorCommand.owner());
+        out.writeLong(operatorCommand.revision());
+        out.writeByte(operatorCommand.intent().ordinal());
+        out.writeUTF(operatorCommand.by());
+        out.writeUTF(operatorCommand.why());
         out.writeLong(untilMs);
         return bytes.toByteArray();
     }
 
     /** Keeps a notice; returns once it is on the disk. */
-    void put(OperatorCommand n, long leftMs, long nowMs) throws IOException {
+    void put(OperatorCommand operatorCommand, long leftMs, long nowMs) throws IOException {
         if (log.written() > SLACK + 4L * set.size()) {
             rewrite(nowMs);
         }
-        log.append(record(n, nowMs + leftMs));
+        log.append(record(operatorCommand, nowMs + leftMs));
         log.sync();
     }
 
     /** Writes the set anew; what was written before goes once that is on the disk. */
     void rewrite(long nowMs) throws IOException {
         List<byte[]> records = new ArrayList<>();
-        for (ReplicatedCommandSet.CommandWithTtl h : set.all(nowMs)) {
-            records.add(record(h.notice(), nowMs + h.leftMs()));
+        for (ReplicatedCommandSet.CommandWithTtl ttl : set.all(nowMs)) {
+            records.add(record(ttl.notice(), nowMs + ttl.leftMs()));
         }
         log.rewrite(records);
     }
--- a/control/src/main/java/ashlink/control/member/ControlCodec.java
+++ b/control/src/main/java/ashlink/control/member/ControlCodec.java
@@ -35,20 +35,20 @@
     // ---- Notices
     /** Notices as a frame of that name. */
     public static ObjectNode notices(String op, List<CommandWithTtl> held) {
-        ObjectNode n = op(op);
-        ArrayNode all = n.putArray("notices");
-        for (CommandWithTtl h : held) {
-            OperatorCommand x = h.notice();
+        ObjectNode objectNode = op(op);
+        ArrayNode all = objectNode.putArray("notices");
+        for (CommandWithTtl ttl : held) {
+            OperatorCommand operatorCommand = ttl.notice();
             all.addObject()
-                    .put("subject", x.subject())
-                    .put("owner", x.owner())
-                    .put("revision", x.revision())
-                    .put("intent", x.intent().name())
-                    .put("by", x.by())
-                    .put("why", x.why())
-                    .put("leftMs", h.leftMs());
+                    .put("subject", operatorCommand.subject())
+                    .put("owner", operatorCommand.owner())
+                    .put("revision", operatorCommand.revision())
+                    .put("intent", operatorCommand.intent().name())
+                    .put("by", operatorCommand.by())
+                    .put("why", operatorCommand.why())
+                    .put("leftMs", ttl.leftMs());
         }
-        return n;
+        return objectNode;
     }
 
     /** The notices of a frame; an exception where one makes no sense. */
@@ -74,15 +74,15 @@
     }
 
     static ObjectNode digest(Map<CommandKey, Integer> digest, boolean back) {
-        ObjectNode n = op("digest").put("back", back);
-        ArrayNode all = n.putArray("digest");
+        ObjectNode objectNode = op("digest").put("back", back);
+        ArrayNode all = objectNode.putArray("digest");
         digest.forEach(
                 (say, hash) ->
                         all.addObject()
                                 .put("subject", say.subject())
                                 .put("owner", say.owner())
                                 .put("hash", hash));
-        return n;
+        return objectNode;
     }
 
     static Map<CommandKey, Integer> digest(JsonNode n) throws IOException {
@@ -95,24 +95,27 @@
     }
 
     // ---- Membership
-    static ObjectNode swim(Message m, String address) {
-        ObjectNode n = op("swim").put("address", address);
-        if (m instanceof Ping p) {
-            n.put("kind", "ping").put("number", p.number());
-        } else if (m instanceof PingFor p) {
-            n.put("kind", "ping-for").put("number", p.number()).put("target", p.target());
-        } else if (m instanceof Ack a) {
-            n.put("kind", "ack").put("number", a.number()).put("of", a.of());
+    static ObjectNode swim(Message message, String address) {
+        ObjectNode objectNode = op("swim").put("address", address);
+        if (message instanceof Ping ping) {
+            objectNode.put("kind", "ping").put("number", ping.number());
+        } else if (message instanceof PingFor pingFor) {
+            objectNode
+                    .put("kind", "ping-for")
+                    .put("number", pingFor.number())
+                    .put("target", pingFor.target());
+        } else if (message instanceof Ack ack) {
+            objectNode.put("kind", "ack").put("number", ack.number()).put("of", ack.of());
         }
-        ArrayNode rumors = n.putArray("rumors");
-        for (MembershipUpdate r : m.rumors()) {
+        ArrayNode rumors = objectNode.putArray("rumors");
+        for (MembershipUpdate membershipUpdate : message.rumors()) {
             rumors.addObject()
-                    .put("member", r.member())
-                    .put("address", r.address())
-                    .put("incarnation", r.incarnation())
-                    .put("state", r.state().name());
+                    .put("member", membershipUpdate.member())
+                    .put("address", membershipUpdate.address())
+                    .put("incarnation", membershipUpdate.incarnation())
+                    .put("state", membershipUpdate.state().name());
         }
-        return n;
+        return objectNode;
     }
 
     static Message swim(JsonNode n) throws IOException {
--- a/control/src/main/java/ashlink/control/member/FleetMember.java
+++ b/control/src/main/java/ashlink/control/member/FleetMember.java
@@ -83,8 +83,8 @@
         this.carrier = new CommandDisseminator(notices, spec.seed());
         this.journal = new CommandLog(disk, notices, System.currentTimeMillis());
         notices.all(nowMs()).stream()
-                .filter(h -> h.notice().intent() == Intent.STOP)
-                .forEach(h -> obeyed.add(h.notice()));
+                .filter(ttl -> ttl.notice().intent() == Intent.STOP)
+                .forEach(ttl -> obeyed.add(ttl.notice()));
         this.server = new ControlServer(identity, spec.listen(), this::handle);
         this.thread = new Thread(null, this::run, spec.name() + "-gossip", 256 << 10);
         thread.setDaemon(true);
@@ -143,11 +143,11 @@
         }
     }
 
-    private void send(Swim.Send s) {
-        link(s.member(), s.address())
+    private void send(Swim.Send send) {
+        link(send.member(), send.address())
                 .send(
                         ControlCodec.swim(
-                                s.message(),
+                                send.message(),
                                 address().getHostString() + ":" + address().getPort()));
     }
 
@@ -155,11 +155,11 @@
     private PeerConnection link(String peer, String address) {
         return links.computeIfAbsent(
                 peer,
-                p -> {
+                text -> {
                     int colon = address.lastIndexOf(':');
                     return new PeerConnection(
                             identity,
-                            p,
+                            text,
                             new InetSocketAddress(
                                     address.substring(0, colon),
                                     Integer.parseInt(address.substring(colon + 1))));
@@ -167,12 +167,16 @@
     }
 
     private void carry(List<CommandDisseminator.Transmission> all) {
-        for (CommandDisseminator.Transmission o : all) {
-            PeerConnection link = links.get(o.peer());
-            if (link != null && o instanceof CommandDisseminator.Transmission.SendCommands t) {
-                link.send(ControlCodec.notices("notices", t.notices()));
-            } else if (link != null && o instanceof CommandDisseminator.Transmission.SendDigest c) {
-                link.send(ControlCodec.digest(c.digest(), c.back()));
+        for (CommandDisseminator.Transmission transmission : all) {
+            PeerConnection link = links.get(transmission.peer());
+            if (link != null
+                    && transmission
+                            instanceof CommandDisseminator.Transmission.SendCommands sendCommands) {
+                link.send(ControlCodec.notices("notices", sendCommands.notices()));
+            } else if (link != null
+                    && transmission
+                            instanceof CommandDisseminator.Transmission.SendDigest sendDigest) {
+                link.send(ControlCodec.digest(sendDigest.digest(), sendDigest.back()));
             }
         }
     }
@@ -181,11 +185,11 @@
     private synchronized List<CommandWithTtl> take(List<CommandWithTtl> held, String from) {
         List<CommandWithTtl> fresh = new ArrayList<>();
         long now = nowMs();
-        for (CommandWithTtl h : held) {
-            if (notices.add(h.notice(), h.leftMs(), now)) {
-                save(h, now);
-                learntMs.put(h.notice(), now);
-                fresh.add(h);
+        for (CommandWithTtl ttl : held) {
+            if (notices.add(ttl.notice(), ttl.leftMs(), now)) {
+                save(ttl, now);
+                learntMs.put(ttl.notice(), now);
+                fresh.add(ttl);
             }
         }
         if (learntMs.size() > 2 * MOST_NOTICES) {
@@ -202,9 +206,9 @@
      * A disk that fails is no reason to send fresh work to an engine that drains: the notice is in
      * force, told on, and said not to be safe from a crash, until the disk takes it.
      */
-    private void save(CommandWithTtl h, long now) {
+    private void save(CommandWithTtl ttl, long now) {
         try {
-            journal.put(h.notice(), h.leftMs(), now);
+            journal.put(ttl.notice(), ttl.leftMs(), now);
         } catch (IOException e) {
             if (!unsaved) {
                 LOG.error(
@@ -230,18 +234,18 @@
     private void apply() {
         Set<String> engines = new HashSet<>();
         Intent self = Intent.NONE;
-        for (Map.Entry<String, Intent> e : notices.intents(nowMs()).entrySet()) {
-            if (e.getKey().startsWith("engine:")) {
-                engines.add(e.getKey().substring("engine:".length()));
-            } else if (e.getKey().equals(OperatorCommand.router(spec.name()))) {
-                self = e.getValue();
+        for (Map.Entry<String, Intent> entry : notices.intents(nowMs()).entrySet()) {
+            if (entry.getKey().startsWith("engine:")) {
+                engines.add(entry.getKey().substring("engine:".length()));
+            } else if (entry.getKey().equals(OperatorCommand.router(spec.name()))) {
+                self = entry.getValue();
             }
         }
         controlled.drained(engines);
         boolean stops = self == Intent.STOP && isFresh();
         controlled.refuse(self == Intent.DRAIN || stops);
         if (stops) {
-            notices.all(nowMs()).forEach(h -> obeyed.add(h.notice()));
+            notices.all(nowMs()).forEach(ttl -> obeyed.add(ttl.notice()));
             controlled.stop();
         }
     }
@@ -250,11 +254,11 @@
     private boolean isFresh() {
         return notices.all(nowMs()).stream()
                 .anyMatch(
-                        h ->
-                                h.notice().subject().equals(OperatorCommand.router(spec.name()))
-                                        && h.notice().intent() == Intent.STOP
-                                        && h.leftMs() > 0
-                                        && !obeyed.contains(h.notice()));
+                        ttl ->
+                                ttl.notice().subject().equals(OperatorCommand.router(spec.name()))
+                                        && ttl.notice().intent() == Intent.STOP
+                                        && ttl.leftMs() > 0
+                                        && !obeyed.contains(ttl.notice()));
     }
 
     // ---- Frames
@@ -313,24 +317,24 @@
 
     /** A command: its notices say who issued them, and that is who sent them. */
     private JsonNode put(Peer from, List<CommandWithTtl> held) throws IOException {
-        for (CommandWithTtl h : held) {
-            need(from, h.notice().intent() == Intent.STOP ? Role.STOP : Role.DRAIN);
-            if (!h.notice().by().equals(from.name())) {
+        for (CommandWithTtl ttl : held) {
+            need(from, ttl.notice().intent() == Intent.STOP ? Role.STOP : Role.DRAIN);
+            if (!ttl.notice().by().equals(from.name())) {
                 throw new IOException(
-                        "a notice by " + h.notice().by() + " comes from " + from.name());
+                        "a notice by " + ttl.notice().by() + " comes from " + from.name());
             }
         }
         List<CommandWithTtl> fresh = take(held, "");
-        for (CommandWithTtl h : held) {
+        for (CommandWithTtl ttl : held) {
             AUDIT.atInfo()
                     .addKeyValue("by", from.name())
                     .addKeyValue("address", from.address())
-                    .addKeyValue("subject", h.notice().subject())
-                    .addKeyValue("intent", h.notice().intent())
-                    .addKeyValue("owner", h.notice().owner())
-                    .addKeyValue("revision", h.notice().revision())
-                    .addKeyValue("why", h.notice().why())
-                    .addKeyValue("fresh", fresh.contains(h))
+                    .addKeyValue("subject", ttl.notice().subject())
+                    .addKeyValue("intent", ttl.notice().intent())
+                    .addKeyValue("owner", ttl.notice().owner())
+                    .addKeyValue("revision", ttl.notice().revision())
+                    .addKeyValue("why", ttl.notice().why())
+                    .addKeyValue("fresh", fresh.contains(ttl))
                     .log("command");
         }
         return ControlCodec.op("known")
@@ -344,31 +348,31 @@
     }
 
     private synchronized ObjectNode status() {
-        ObjectNode n =
+        ObjectNode objectNode =
                 ControlCodec.notices("status", notices.all(nowMs()))
                         .put("router", spec.name())
                         .put("atMs", nowMs())
                         .put("durable", isSaved())
                         .put("certificateEndsMs", identity.endsMs());
-        for (JsonNode x : n.path("notices")) {
+        for (JsonNode node : objectNode.path("notices")) {
             learntMs.forEach(
                     (notice, at) -> {
-                        if (notice.subject().equals(x.path("subject").asText())
-                                && notice.owner().equals(x.path("owner").asText())
-                                && notice.revision() == x.path("revision").asLong()) {
-                            ((ObjectNode) x).put("learntMs", at);
+                        if (notice.subject().equals(node.path("subject").asText())
+                                && notice.owner().equals(node.path("owner").asText())
+                                && notice.revision() == node.path("revision").asLong()) {
+                            ((ObjectNode) node).put("learntMs", at);
                         }
                     });
         }
-        ArrayNode members = n.putArray("members");
-        for (MembershipUpdate r : swim.members().values()) {
+        ArrayNode members = objectNode.putArray("members");
+        for (MembershipUpdate membershipUpdate : swim.members().values()) {
             members.addObject()
-                    .put("member", r.member())
-                    .put("state", r.state().name())
-                    .put("incarnation", r.incarnation());
+                    .put("member", membershipUpdate.member())
+                    .put("state", membershipUpdate.state().name())
+                    .put("incarnation", membershipUpdate.incarnation());
         }
-        controlled.status(n);
-        return n;
+        controlled.status(objectNode);
+        return objectNode;
     }
 
     @Override
--- a/control/src/main/java/ashlink/control/member/PeerConnection.java
+++ b/control/src/main/java/ashlink/control/member/PeerConnection.java
@@ -66,19 +66,19 @@
     }
 
     private void drop() {
-        ControlClient c = client;
+        ControlClient controlClient = client;
         client = null;
-        if (c != null) {
-            c.close();
+        if (controlClient != null) {
+            controlClient.close();
         }
     }
 
     void close() {
         closed = true;
         thread.interrupt();
-        ControlClient c = client;
-        if (c != null) {
-            c.close();
+        ControlClient controlClient = client;
+        if (controlClient != null) {
+            controlClient.close();
         }
     }
 }
--- a/control/src/main/java/ashlink/control/tls/CertificateAuthority.java
+++ b/control/src/main/java/ashlink/control/tls/CertificateAuthority.java
@@ -51,9 +51,9 @@
     }
 
     private static KeyPair pair() throws GeneralSecurityException {
-        KeyPairGenerator g = KeyPairGenerator.getInstance("EC");
-        g.initialize(new ECGenParameterSpec("secp256r1"));
-        return g.generateKeyPair();
+        KeyPairGenerator generator = KeyPairGenerator.getInstance("EC");
+        generator.initialize(new ECGenParameterSpec("secp256r1"));
+        return generator.generateKeyPair();
     }
 
     /** Makes a new key and certificate; those before stay trusted until {@link #retire}. */
@@ -64,8 +64,9 @@
                 new X500NameBuilder(BCStyle.INSTANCE)
                         .addRDN(BCStyle.O, "ashlink fleet")
                         .addRDN(BCStyle.CN, "authority " + Instant.now());
-        X509Certificate c = certificate(name, name, pair, pair.getPrivate(), lasts, true);
-        List<X509Certificate> all = new ArrayList<>(List.of(c));
+        X509Certificate x509Certificate =
+                certificate(name, name, pair, pair.getPrivate(), lasts, true);
+        List<X509Certificate> all = new ArrayList<>(List.of(x509Certificate));
         if (Files.exists(dir.resolve(CERTIFICATES))) {
             all.addAll(Pem.certificates(dir.resolve(CERTIFICATES)));
         }
@@ -95,7 +96,7 @@
         KeyPair pair = pair();
         X500NameBuilder subject =
                 new X500NameBuilder(BCStyle.INSTANCE).addRDN(BCStyle.O, "ashlink fleet");
-        roles.forEach(r -> subject.addRDN(BCStyle.OU, r.word()));
+        roles.forEach(role -> subject.addRDN(BCStyle.OU, role.word()));
         subject.addRDN(BCStyle.CN, name);
         X500NameBuilder by =
                 new X500NameBuilder(BCStyle.INSTANCE)
@@ -119,7 +120,7 @@
             throws IOException, GeneralSecurityException {
         try {
             Instant from = Instant.now().minus(BACKDATED);
-            X509v3CertificateBuilder b =
+            X509v3CertificateBuilder x509v3CertificateBuilder =
                     new JcaX509v3CertificateBuilder(
                             issuer.build(),
                             new BigInteger(128, new SecureRandom()),
@@ -127,13 +128,16 @@
                             Date.from(Instant.now().plus(lasts)),
                             subject.build(),
                             pair.getPublic());
-            b.addExtension(Extension.basicConstraints, true, new BasicConstraints(authority));
-            b.addExtension(
+            x509v3CertificateBuilder.addExtension(
+                    Extension.basicConstraints, true, new BasicConstraints(authority));
+            x509v3CertificateBuilder.addExtension(
                     Extension.keyUsage,
                     true,
                     new KeyUsage(authority ? KeyUsage.keyCertSign : KeyUsage.digitalSignature));
             return new JcaX509CertificateConverter()
-                    .getCertificate(b.build(new JcaContentSignerBuilder(SIGNATURE).build(signer)));
+                    .getCertificate(
+                            x509v3CertificateBuilder.build(
+                                    new JcaContentSignerBuilder(SIGNATURE).build(signer)));
         } catch (OperatorCreationException e) {
             throw new GeneralSecurityException(e);
         }
@@ -147,9 +151,9 @@
         try (JcaPEMWriter pem = new JcaPEMWriter(text)) {
             for (Object t : things) {
                 pem.writeObject(
-                        t instanceof PrivateKey k
+                        t instanceof PrivateKey privateKey
                                 ? new org.bouncycastle.util.io.pem.PemObject(
-                                        "PRIVATE KEY", k.getEncoded())
+                                        "PRIVATE KEY", privateKey.getEncoded())
                                 : t);
             }
         }
--- a/control/src/main/java/ashlink/control/tls/Identity.java
+++ b/control/src/main/java/ashlink/control/tls/Identity.java
@@ -73,28 +73,28 @@
     }
 
     /** The name in a certificate. */
-    public static String name(X509Certificate c) {
-        return parts(c, "CN").stream().findFirst().orElse("");
+    public static String name(X509Certificate x509Certificate) {
+        return parts(x509Certificate, "CN").stream().findFirst().orElse("");
     }
 
     /** The roles in a certificate; words that are unknown are none. */
-    public static Set<Role> roles(X509Certificate c) {
+    public static Set<Role> roles(X509Certificate x509Certificate) {
         Set<Role> roles = EnumSet.noneOf(Role.class);
-        for (String word : parts(c, "OU")) {
-            for (Role r : Role.values()) {
-                if (r.word().equals(word)) {
-                    roles.add(r);
+        for (String word : parts(x509Certificate, "OU")) {
+            for (Role role : Role.values()) {
+                if (role.word().equals(word)) {
+                    roles.add(role);
                 }
             }
         }
         return roles;
     }
 
-    private static List<String> parts(X509Certificate c, String type) {
+    private static List<String> parts(X509Certificate x509Certificate, String type) {
         try {
-            return new LdapName(c.getSubjectX500Principal().getName())
+            return new LdapName(x509Certificate.getSubjectX500Principal().getName())
                     .getRdns().stream()
-                            .filter(r -> r.getType().equalsIgnoreCase(type))
+                            .filter(rdn -> rdn.getType().equalsIgnoreCase(type))
                             .map(Rdn::getValue)
                             .map(String::valueOf)
                             .toList();
--- a/control/src/main/java/ashlink/control/tool/FleetClient.java
+++ b/control/src/main/java/ashlink/control/tool/FleetClient.java
@@ -53,10 +53,10 @@
         this.pool =
                 Executors.newFixedThreadPool(
                         Math.max(1, Math.min(atOnce, routers.size())),
-                        r -> {
-                            Thread t = new Thread(r, "fleet-tool");
-                            t.setDaemon(true);
-                            return t;
+                        task -> {
+                            Thread thread = new Thread(task, "fleet-tool");
+                            thread.setDaemon(true);
+                            return thread;
                         });
     }
 
@@ -65,14 +65,14 @@
         Map<String, Future<Result>> asked = new LinkedHashMap<>();
         routers.forEach((name, at) -> asked.put(name, pool.submit(() -> ask(name, at, frame))));
         Map<String, Result> results = new LinkedHashMap<>();
-        for (Map.Entry<String, Future<Result>> e : asked.entrySet()) {
+        for (Map.Entry<String, Future<Result>> entry : asked.entrySet()) {
             try {
-                results.put(e.getKey(), e.getValue().get());
+                results.put(entry.getKey(), entry.getValue().get());
             } catch (ExecutionException x) {
                 results.put(
-                        e.getKey(),
+                        entry.getKey(),
                         new Result(
-                                e.getKey(),
+                                entry.getKey(),
                                 null,
                                 String.valueOf(x.getCause()),
                                 System.currentTimeMillis()));
@@ -82,8 +82,8 @@
     }
 
     private Result ask(String name, InetSocketAddress at, JsonNode frame) {
-        try (ControlClient c = new ControlClient(identity, at, name, timeoutMs)) {
-            return new Result(name, c.ask(frame), "", System.currentTimeMillis());
+        try (ControlClient controlClient = new ControlClient(identity, at, name, timeoutMs)) {
+            return new Result(name, controlClient.ask(frame), "", System.currentTimeMillis());
         } catch (IOException e) {
             return new Result(
                     name, null, String.valueOf(e.getMessage()), System.currentTimeMillis());
@@ -100,11 +100,12 @@
             String subject, String owner, Intent intent, String why, Map<String, Result> known)
             throws IOException {
         long revision = 0;
-        for (Result r : known.values()) {
-            if (r.isReached()) {
-                for (CommandWithTtl h : ControlCodec.notices(r.answer())) {
-                    if (h.notice().subject().equals(subject) && h.notice().owner().equals(owner)) {
-                        revision = Math.max(revision, h.notice().revision());
+        for (Result result : known.values()) {
+            if (result.isReached()) {
+                for (CommandWithTtl ttl : ControlCodec.notices(result.answer())) {
+                    if (ttl.notice().subject().equals(subject)
+                            && ttl.notice().owner().equals(owner)) {
+                        revision = Math.max(revision, ttl.notice().revision());
                     }
                 }
             }
@@ -116,14 +117,14 @@
     public static List<String> owners(String subject, Map<String, Result> known)
             throws IOException {
         List<String> owners = new ArrayList<>();
-        for (Result r : known.values()) {
-            if (r.isReached()) {
-                for (CommandWithTtl h : ControlCodec.notices(r.answer())) {
-                    if (h.notice().subject().equals(subject)
-                            && h.leftMs() > 0
-                            && h.notice().intent() != Intent.NONE
-                            && !owners.contains(h.notice().owner())) {
-                        owners.add(h.notice().owner());
+        for (Result result : known.values()) {
+            if (result.isReached()) {
+                for (CommandWithTtl ttl : ControlCodec.notices(result.answer())) {
+                    if (ttl.notice().subject().equals(subject)
+                            && ttl.leftMs() > 0
+                            && ttl.notice().intent() != Intent.NONE
+                            && !owners.contains(ttl.notice().owner())) {
+                        owners.add(ttl.notice().owner());
                     }
                 }
             }
@@ -132,20 +133,25 @@
     }
 
     /** Tells all routers of a notice. */
-    public Map<String, Result> put(OperatorCommand n, long leftMs) throws InterruptedException {
-        return ask(ControlCodec.notices("put", List.of(new CommandWithTtl(n, leftMs))));
+    public Map<String, Result> put(OperatorCommand operatorCommand, long leftMs)
+            throws InterruptedException {
+        return ask(
+                ControlCodec.notices("put", List.of(new CommandWithTtl(operatorCommand, leftMs))));
     }
 
     /** True if a router's state has that notice, or a newer one of the same say. */
-    public static boolean knows(Result r, OperatorCommand n) {
+    public static boolean knows(Result result, OperatorCommand operatorCommand) {
         try {
-            return r.isReached()
-                    && ControlCodec.notices(r.answer()).stream()
+            return result.isReached()
+                    && ControlCodec.notices(result.answer()).stream()
                             .anyMatch(
-                                    h ->
-                                            h.notice().subject().equals(n.subject())
-                                                    && h.notice().owner().equals(n.owner())
-                                                    && h.notice().compareTo(n) >= 0);
+                                    ttl ->
+                                            ttl.notice().subject().equals(operatorCommand.subject())
+                                                    && ttl.notice()
+                                                            .owner()
+                                                            .equals(operatorCommand.owner())
+                                                    && ttl.notice().compareTo(operatorCommand)
+                                                            >= 0);
         } catch (IOException e) {
             return false;
         }
--- a/control/src/test/java/ashlink/control/ControlTest.java
+++ b/control/src/test/java/ashlink/control/ControlTest.java
@@ -101,62 +101,64 @@
     private void fleet(int count) throws Exception {
         List<ServerSocket> free = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
-            ServerSocket s = new ServerSocket(0);
-            free.add(s);
-            addresses.put("r" + i, new InetSocketAddress("127.0.0.1", s.getLocalPort()));
+            ServerSocket serverSocket = new ServerSocket(0);
+            free.add(serverSocket);
+            addresses.put("r" + i, new InetSocketAddress("127.0.0.1", serverSocket.getLocalPort()));
             authority.issue("r" + i, Set.of(Role.ROUTER), DAY);
         }
-        for (ServerSocket s : free) {
-            s.close();
+        for (ServerSocket serverSocket : free) {
+            serverSocket.close();
         }
-        for (String r : addresses.keySet()) {
-            start(r);
+        for (String text : addresses.keySet()) {
+            start(text);
         }
     }
 
-    private void start(String r) throws Exception {
-        start(r, FolderDisk.writing(dir.resolve(r)));
+    private void start(String text) throws Exception {
+        start(text, FolderDisk.writing(dir.resolve(text)));
     }
 
-    private void start(String r, Disk disk) throws Exception {
+    private void start(String text, Disk disk) throws Exception {
         Map<String, InetSocketAddress> peers = new HashMap<>(addresses);
-        peers.remove(r);
+        peers.remove(text);
         Fake router = new Fake();
-        FleetMember n =
+        FleetMember fleetMember =
                 new FleetMember(
                         new FleetMember.Spec(
-                                r,
-                                addresses.get(r),
-                                dir.resolve(r),
+                                text,
+                                addresses.get(text),
+                                dir.resolve(text),
                                 peers,
                                 SwimConfig.DEFAULT,
-                                r.hashCode()),
-                        new Identity(dir.resolve("keys"), r),
+                                text.hashCode()),
+                        new Identity(dir.resolve("keys"), text),
                         router,
                         disk);
-        routers.put(r, router);
-        nodes.put(r, n);
-        n.start();
+        routers.put(text, router);
+        nodes.put(text, fleetMember);
+        fleetMember.start();
     }
 
-    private void kill(String r) {
-        nodes.remove(r).close();
+    private void kill(String text) {
+        nodes.remove(text).close();
     }
 
     private FleetClient tool(String operator, String... reached) throws Exception {
         Map<String, InetSocketAddress> of = new LinkedHashMap<>();
-        for (String r : reached.length == 0 ? addresses.keySet().toArray(new String[0]) : reached) {
-            of.put(r, addresses.get(r));
+        for (String text :
+                reached.length == 0 ? addresses.keySet().toArray(new String[0]) : reached) {
+            of.put(text, addresses.get(text));
         }
         return new FleetClient(new Identity(dir.resolve("keys"), operator), of, 8, 2_000);
     }
 
     private OperatorCommand tell(String operator, Intent intent, String... reached)
             throws Exception {
-        try (FleetClient t = tool(operator, reached)) {
-            OperatorCommand n = t.next("engine:q1", operator, intent, "test", t.status());
-            t.put(n, HOUR_MS);
-            return n;
+        try (FleetClient fleetClient = tool(operator, reached)) {
+            OperatorCommand operatorCommand =
+                    fleetClient.next("engine:q1", operator, intent, "test", fleetClient.status());
+            fleetClient.put(operatorCommand, HOUR_MS);
+            return operatorCommand;
         }
     }
 
@@ -172,7 +174,7 @@
 
     private boolean all(boolean drained) {
         return nodes.keySet().stream()
-                .allMatch(r -> routers.get(r).drained.contains("q1") == drained);
+                .allMatch(text -> routers.get(text).drained.contains("q1") == drained);
     }
 
     // ---- Drains
@@ -209,13 +211,13 @@
         await(
                 "all know both",
                 () -> {
-                    try (FleetClient t = tool("ann")) {
-                        return t.status().values().stream()
+                    try (FleetClient fleetClient = tool("ann")) {
+                        return fleetClient.status().values().stream()
                                 .allMatch(
-                                        r -> {
+                                        result -> {
                                             try {
                                                 return FleetClient.owners(
-                                                                "engine:q1", Map.of("r", r))
+                                                                "engine:q1", Map.of("r", result))
                                                         .equals(List.of("ann", "ben"));
                                             } catch (IOException e) {
                                                 return false;
@@ -228,8 +230,11 @@
         tell("ann", Intent.NONE);
         Thread.sleep(300);
         assertTrue(all(true), "ben still wants it");
-        try (FleetClient t = tool("ann")) {
-            t.put(t.next("engine:q1", "ben", Intent.NONE, "overruled", t.status()), HOUR_MS);
+        try (FleetClient fleetClient = tool("ann")) {
+            fleetClient.put(
+                    fleetClient.next(
+                            "engine:q1", "ben", Intent.NONE, "overruled", fleetClient.status()),
+                    HOUR_MS);
         }
         await("nobody wants it", () -> all(false));
     }
@@ -243,8 +248,8 @@
         copy(dir.resolve("r3"), dir.resolve("backup"));
         tell("ann", Intent.NONE, "r1", "r2");
         await("the others know that it is over", () -> all(false));
-        try (FleetClient t = tool("ann", "r1")) {
-            t.put(drain, HOUR_MS);
+        try (FleetClient fleetClient = tool("ann", "r1")) {
+            fleetClient.put(drain, HOUR_MS);
         }
         delete(dir.resolve("r3"));
         copy(dir.resolve("backup"), dir.resolve("r3"));
@@ -258,16 +263,17 @@
     private static void copy(Path from, Path to) throws IOException {
         Files.createDirectories(to);
         try (Stream<Path> files = Files.list(from)) {
-            for (Path f : files.toList()) {
-                Files.copy(f, to.resolve(f.getFileName()), StandardCopyOption.REPLACE_EXISTING);
+            for (Path path : files.toList()) {
+                Files.copy(
+                        path, to.resolve(path.getFileName()), StandardCopyOption.REPLACE_EXISTING);
             }
         }
     }
 
     private static void delete(Path folder) throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
-            for (Path f : files.toList()) {
-                Files.delete(f);
+            for (Path path : files.toList()) {
+                Files.delete(path);
             }
         }
         Files.delete(folder);
@@ -276,10 +282,14 @@
     @Test
     void aRouterIsDrainedAndStoppedOnce() throws Exception {
         fleet(2);
-        try (FleetClient t = tool("ann")) {
-            t.put(t.next("router:r2", "ann", Intent.DRAIN, "", t.status()), HOUR_MS);
+        try (FleetClient fleetClient = tool("ann")) {
+            fleetClient.put(
+                    fleetClient.next("router:r2", "ann", Intent.DRAIN, "", fleetClient.status()),
+                    HOUR_MS);
             await("it refuses", () -> routers.get("r2").refuses && !routers.get("r1").refuses);
-            t.put(t.next("router:r2", "ann", Intent.STOP, "", t.status()), HOUR_MS);
+            fleetClient.put(
+                    fleetClient.next("router:r2", "ann", Intent.STOP, "", fleetClient.status()),
+                    HOUR_MS);
             await("it stops", () -> routers.get("r2").stopped);
             kill("r2");
             start("r2");
@@ -294,31 +304,34 @@
     @Test
     void onlyThoseOfTheFleetAreHeardAndEachInItsRole() throws Exception {
         fleet(1);
-        try (FleetClient t = tool("eve")) {
-            assertTrue(t.status().get("r1").isReached());
-            Result r =
-                    t.put(
+        try (FleetClient fleetClient = tool("eve")) {
+            assertTrue(fleetClient.status().get("r1").isReached());
+            Result result =
+                    fleetClient
+                            .put(
                                     new OperatorCommand(
                                             "engine:q1", "eve", 1, Intent.DRAIN, "eve", ""),
                                     HOUR_MS)
                             .get("r1");
-            assertTrue(r.error().contains("no role drain"), r.error());
+            assertTrue(result.error().contains("no role drain"), result.error());
         }
-        try (FleetClient t = tool("ben")) {
-            Result r =
-                    t.put(
+        try (FleetClient fleetClient = tool("ben")) {
+            Result result =
+                    fleetClient
+                            .put(
                                     new OperatorCommand(
                                             "router:r1", "ben", 1, Intent.STOP, "ben", ""),
                                     HOUR_MS)
                             .get("r1");
-            assertTrue(r.error().contains("no role stop"), r.error());
-            r =
-                    t.put(
+            assertTrue(result.error().contains("no role stop"), result.error());
+            result =
+                    fleetClient
+                            .put(
                                     new OperatorCommand(
                                             "engine:q1", "ann", 1, Intent.DRAIN, "ann", ""),
                                     HOUR_MS)
                             .get("r1");
-            assertTrue(r.error().contains("by ann comes from ben"), r.error());
+            assertTrue(result.error().contains("by ann comes from ben"), result.error());
         }
         CertificateAuthority foreign = new CertificateAuthority(dir.resolve("foreign"));
         foreign.renew(DAY);
@@ -331,9 +344,9 @@
         assertThrows(
                 IOException.class,
                 () -> {
-                    try (ControlClient c =
+                    try (ControlClient controlClient =
                             new ControlClient(stranger, addresses.get("r1"), "r1", 2_000)) {
-                        c.ask(ControlCodec.op("status"));
+                        controlClient.ask(ControlCodec.op("status"));
                     }
                 });
         authority.issue("old", Set.of(Role.OBSERVE), Duration.ofMinutes(-10));
@@ -341,9 +354,9 @@
         assertThrows(
                 IOException.class,
                 () -> {
-                    try (ControlClient c =
+                    try (ControlClient controlClient =
                             new ControlClient(expired, addresses.get("r1"), "r1", 2_000)) {
-                        c.ask(ControlCodec.op("status"));
+                        controlClient.ask(ControlCodec.op("status"));
                     }
                 });
         assertTrue(routers.get("r1").drained.isEmpty());
@@ -359,7 +372,7 @@
         authority.issue("ann", Set.of(Role.OBSERVE), DAY);
         kill("r1");
         start("r1"); // shows its old certificate, and trusts both authorities
-        try (ControlClient c =
+        try (ControlClient controlClient =
                 new ControlClient(
                         new Identity(dir.resolve("keys"), "ann"),
                         addresses.get("r1"),
@@ -367,17 +380,19 @@
                         2_000)) {
             assertEquals(
                     "r1",
-                    c.ask(ControlCodec.op("status")).get("router").asText(),
+                    controlClient.ask(ControlCodec.op("status")).get("router").asText(),
                     "a new operator");
         }
-        try (ControlClient c =
+        try (ControlClient controlClient =
                 new ControlClient(
                         new Identity(dir.resolve("before"), "eve"),
                         addresses.get("r1"),
                         "r1",
                         2_000)) {
             assertEquals(
-                    "r1", c.ask(ControlCodec.op("status")).get("router").asText(), "an old one");
+                    "r1",
+                    controlClient.ask(ControlCodec.op("status")).get("router").asText(),
+                    "an old one");
         }
         authority.retire();
         authority.issue("r1", Set.of(Role.ROUTER), DAY);
@@ -386,13 +401,13 @@
         assertThrows(
                 IOException.class,
                 () -> {
-                    try (ControlClient c =
+                    try (ControlClient controlClient =
                             new ControlClient(
                                     new Identity(dir.resolve("before"), "eve"),
                                     addresses.get("r1"),
                                     "r1",
                                     2_000)) {
-                        c.ask(ControlCodec.op("status"));
+                        controlClient.ask(ControlCodec.op("status"));
                     }
                 },
                 "the old authority is not trusted any more");
@@ -416,39 +431,39 @@
                     {0, 0, 0, 3, '{', '{', '{'},
                     {-1, -1, -1, -1}
                 }) {
-            try (SSLSocket s =
+            try (SSLSocket sSLSocket =
                     (SSLSocket)
                             ann.context()
                                     .getSocketFactory()
                                     .createSocket("127.0.0.1", addresses.get("r1").getPort())) {
-                s.setSoTimeout(10_000);
-                OutputStream out = s.getOutputStream();
+                sSLSocket.setSoTimeout(10_000);
+                OutputStream out = sSLSocket.getOutputStream();
                 out.write(bytes);
                 out.flush();
-                assertEquals(-1, s.getInputStream().read(), "closed");
+                assertEquals(-1, sSLSocket.getInputStream().read(), "closed");
             }
         }
         List<Thread> flood = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            Thread t =
+            Thread thread =
                     new Thread(
                             () -> {
-                                try (ControlClient c =
+                                try (ControlClient controlClient =
                                         new ControlClient(ann, addresses.get("r1"), "r1", 5_000)) {
                                     for (int n = 0; n < 2_000; n++) {
-                                        c.send(ControlCodec.op("nonsense"));
+                                        controlClient.send(ControlCodec.op("nonsense"));
                                     }
                                 } catch (IOException e) {
                                     // cut off
                                 }
                             });
-            t.start();
-            flood.add(t);
+            thread.start();
+            flood.add(thread);
         }
         tell("ben", Intent.DRAIN, "r1");
         await("a command comes through", () -> all(true));
-        for (Thread t : flood) {
-            t.interrupt();
+        for (Thread thread : flood) {
+            thread.interrupt();
         }
     }
 
@@ -459,19 +474,22 @@
         FaultyDisk disk = new FaultyDisk();
         start("r1", disk);
         disk.full(true);
-        OperatorCommand n = new OperatorCommand("engine:q1", "ann", 1, Intent.DRAIN, "ann", "");
-        try (FleetClient t = tool("ann", "r1")) {
-            JsonNode known = t.put(n, HOUR_MS).get("r1").answer();
+        OperatorCommand operatorCommand =
+                new OperatorCommand("engine:q1", "ann", 1, Intent.DRAIN, "ann", "");
+        try (FleetClient fleetClient = tool("ann", "r1")) {
+            JsonNode known = fleetClient.put(operatorCommand, HOUR_MS).get("r1").answer();
             assertFalse(
                     known.get("durable").asBoolean(),
                     "and the operator is told that it is not safe");
             await("both drain", () -> all(true));
             disk.full(false);
             Map<String, Result> later =
-                    t.await(
+                    fleetClient.await(
                             1,
                             20_000_000_000L,
-                            r -> r.isReached() && r.answer().get("durable").asBoolean());
+                            result ->
+                                    result.isReached()
+                                            && result.answer().get("durable").asBoolean());
             assertTrue(later.get("r1").answer().get("durable").asBoolean());
         }
         kill("r2"); // so that nobody else tells it
--- a/control/src/test/java/ashlink/control/member/StoredNoticesTest.java
+++ b/control/src/test/java/ashlink/control/member/StoredNoticesTest.java
@@ -68,15 +68,15 @@
         return set.all(NOW_MS).stream().map(held -> line(held.notice(), held.leftMs())).toList();
     }
 
-    private static String line(OperatorCommand n, long leftMs) {
+    private static String line(OperatorCommand operatorCommand, long leftMs) {
         return String.join(
                 "|",
-                n.subject(),
-                n.owner(),
-                "" + n.revision(),
-                "" + n.intent().ordinal(),
-                n.by(),
-                n.why(),
+                operatorCommand.subject(),
+                operatorCommand.owner(),
+                "" + operatorCommand.revision(),
+                "" + operatorCommand.intent().ordinal(),
+                operatorCommand.by(),
+                operatorCommand.why(),
                 "" + leftMs);
     }
 
--- a/control/src/test/java/ashlink/control/tls/CertificateText.java
+++ b/control/src/test/java/ashlink/control/tls/CertificateText.java
@@ -27,15 +27,17 @@
         return text.toString();
     }
 
-    private static void append(StringBuilder text, X509Certificate c)
+    private static void append(StringBuilder text, X509Certificate x509Certificate)
             throws GeneralSecurityException {
-        byte[] key = MessageDigest.getInstance("SHA-256").digest(c.getPublicKey().getEncoded());
-        line(text, "subject", c.getSubjectX500Principal().getName());
-        line(text, "issuer", c.getIssuerX500Principal().getName());
-        line(text, "serial", c.getSerialNumber().toString(16));
-        line(text, "from", c.getNotBefore().getTime());
-        line(text, "to", c.getNotAfter().getTime());
-        line(text, "authority", c.getBasicConstraints());
+        byte[] key =
+                MessageDigest.getInstance("SHA-256")
+                        .digest(x509Certificate.getPublicKey().getEncoded());
+        line(text, "subject", x509Certificate.getSubjectX500Principal().getName());
+        line(text, "issuer", x509Certificate.getIssuerX500Principal().getName());
+        line(text, "serial", x509Certificate.getSerialNumber().toString(16));
+        line(text, "from", x509Certificate.getNotBefore().getTime());
+        line(text, "to", x509Certificate.getNotAfter().getTime());
+        line(text, "authority", x509Certificate.getBasicConstraints());
         line(text, "key", HexFormat.of().formatHex(key));
     }
 
--- a/decisions/src/main/java/ashlink/decisions/DefaultWorkloadManager.java
+++ b/decisions/src/main/java/ashlink/decisions/DefaultWorkloadManager.java
@@ -307,11 +307,11 @@
                 settings.classes().stream().anyMatch(QueryClass::locksTables)
                         && settings.classes().stream().anyMatch(QueryClass::waitsForTableLocks);
         settings.tenants().stream()
-                .filter(t -> t.quotaPerS() > 0)
-                .forEach(t -> tenants.put(t.name(), new TenantFacts(t.quotaPerS())));
-        for (QueryClass c : settings.classes()) {
-            classes.put(c.name(), new ClassFacts(c));
-            boundKinds.addAll(c.engineKinds());
+                .filter(tenant -> tenant.quotaPerS() > 0)
+                .forEach(tenant -> tenants.put(tenant.name(), new TenantFacts(tenant.quotaPerS())));
+        for (QueryClass queryClass : settings.classes()) {
+            classes.put(queryClass.name(), new ClassFacts(queryClass));
+            boundKinds.addAll(queryClass.engineKinds());
         }
     }
 
@@ -326,19 +326,19 @@
             }
             out.add(new SetTimer(TICK_LABEL, now + TICK_NS));
         }
-        if (event instanceof QuerySubmitted r) {
-            take(r);
-        } else if (event instanceof AttemptEnded e) {
-            ended(e);
-        } else if (event instanceof AttemptProgress p) {
-            progress(p);
-        } else if (event instanceof HealthCheckCompleted p) {
-            probed(p);
-        } else if (event instanceof ClientDisconnected g) {
-            clientGone(g);
+        if (event instanceof QuerySubmitted querySubmitted) {
+            take(querySubmitted);
+        } else if (event instanceof AttemptEnded attemptEnded) {
+            ended(attemptEnded);
+        } else if (event instanceof AttemptProgress attemptProgress) {
+            progress(attemptProgress);
+        } else if (event instanceof HealthCheckCompleted completed) {
+            probed(completed);
+        } else if (event instanceof ClientDisconnected clientDisconnected) {
+            clientGone(clientDisconnected);
         } else if (event instanceof EndpointsChanged news) {
             listNews(news);
-        } else if (event instanceof TimerFired a && a.label() == TICK_LABEL) {
+        } else if (event instanceof TimerFired timerFired && timerFired.label() == TICK_LABEL) {
             tick();
         } else if (event instanceof TimerFired) {
             release();
@@ -347,66 +347,80 @@
     }
 
     // ---- A query is taken and held
-    private void take(QuerySubmitted r) {
-        ClassFacts cls = classes.get(r.queryClass());
-        if (cls == null || queries.containsKey(r.id())) {
-            out.add(new Reject(r.id(), 0)); // a class that the settings don't know can go nowhere
+    private void take(QuerySubmitted querySubmitted) {
+        ClassFacts cls = classes.get(querySubmitted.queryClass());
+        if (cls == null || queries.containsKey(querySubmitted.id())) {
+            out.add(
+                    new Reject(
+                            querySubmitted.id(),
+                            0)); // a class that the settings don't know can go nowhere
             return;
         }
         taken.add(now);
         double estimate =
-                r.estimatedWorkNs() > 0 ? r.estimatedWorkNs() / (double) MS : priorMs(cls);
-        if (r.estimatedWorkNs() > 0) {
+                querySubmitted.estimatedWorkNs() > 0
+                        ? querySubmitted.estimatedWorkNs() / (double) MS
+                        : priorMs(cls);
+        if (querySubmitted.estimatedWorkNs() > 0) {
             double weight = Math.max(CLASS_WEIGHT, 1.0 / ++cls.estimates);
             cls.meanEstimateMs += weight * (estimate - cls.meanEstimateMs);
         }
         probes = Math.min(PROBES_SAVED, probes + PROBES_PER_QUERY);
-        boolean ordered = cls.spec.ordered() && r.key() != null;
-        KeyLine line = ordered ? keys.computeIfAbsent(r.key(), k -> new KeyLine()) : null;
-        double part = tenants.containsKey(r.tenant()) ? worthOf(tenants.get(r.tenant())) : 1;
+        boolean ordered = cls.spec.ordered() && querySubmitted.key() != null;
+        KeyLine line =
+                ordered ? keys.computeIfAbsent(querySubmitted.key(), text -> new KeyLine()) : null;
+        double part =
+                tenants.containsKey(querySubmitted.tenant())
+                        ? worthOf(tenants.get(querySubmitted.tenant()))
+                        : 1;
         double worth = cls.spec.priorityWeight() * part;
         double work = estimate * Math.exp(cls.usualLog);
-        Query q = new Query(r, cls, line, sequence++, estimate, work, worth, now);
-        queries.put(q.id, q);
+        Query query = new Query(querySubmitted, cls, line, sequence++, estimate, work, worth, now);
+        queries.put(query.id, query);
         if (line != null) {
-            line.waiting.add(q);
+            line.waiting.add(query);
         }
-        held.add(q);
+        held.add(query);
         release();
-        answerIfDue(q);
+        answerIfDue(query);
     }
 
     /**
      * Guards tenants within their share against one beyond it, by our part of the quota: it leaves
      * later.
      */
-    private double worthOf(TenantFacts t) {
-        t.count = 1 + t.count * Math.exp(-(now - t.lastNs) / (double) TENANT_FADE_NS);
-        t.lastNs = now;
+    private double worthOf(TenantFacts tenantFacts) {
+        tenantFacts.count =
+                1
+                        + tenantFacts.count
+                                * Math.exp(-(now - tenantFacts.lastNs) / (double) TENANT_FADE_NS);
+        tenantFacts.lastNs = now;
         double quota =
-                t.quotaPerS
+                tenantFacts.quotaPerS
                         * (share + 1.0 / settings.routerCount())
                         / 2
                         * TENANT_FADE_NS
                         / (1_000 * MS);
-        double within = Math.min(1, quota / t.count);
+        double within = Math.min(1, quota / tenantFacts.count);
         return within + (1 - within) * settings.overQuotaWeight();
     }
 
     /**
      * Mean work of a class, on the safe side: estimated, or told by answers where none are given.
      */
-    private static double usualMs(ClassFacts c) {
-        double estimated = c.meanEstimateMs * Math.max(1, Math.exp(c.usualLog));
-        return c.estimates + c.told == 0 ? priorMs(c) : Math.max(estimated, c.meanToldMs);
+    private static double usualMs(ClassFacts classFacts) {
+        double estimated = classFacts.meanEstimateMs * Math.max(1, Math.exp(classFacts.usualLog));
+        return classFacts.estimates + classFacts.told == 0
+                ? priorMs(classFacts)
+                : Math.max(estimated, classFacts.meanToldMs);
     }
 
     /**
      * Work of a class of which nothing was seen yet, on the safe side: with more, all would be
      * late.
      */
-    private static double priorMs(ClassFacts c) {
-        return (double) c.spec.latencyObjectiveNs() / MS * c.spec.threads();
+    private static double priorMs(ClassFacts classFacts) {
+        return (double) classFacts.spec.latencyObjectiveNs() / MS * classFacts.spec.threads();
     }
 
     /**
@@ -426,99 +440,101 @@
      */
     private void release() {
         List<ClassFacts> full = new ArrayList<>();
-        for (Query q : List.copyOf(held)) {
-            if (full.contains(q.cls) || !hasTurn(q) || !withinResendBudget(q)) {
+        for (Query query : List.copyOf(held)) {
+            if (full.contains(query.cls) || !hasTurn(query) || !withinResendBudget(query)) {
                 continue;
             }
-            Engine e = choose(q);
-            if (e == null && q.scouted.isEmpty()) {
-                full.add(q.cls);
-            } else if (e != null) {
-                q.scouted = List.of();
-                held.remove(q);
-                send(q, e);
+            Engine engine = choose(query);
+            if (engine == null && query.scouted.isEmpty()) {
+                full.add(query.cls);
+            } else if (engine != null) {
+                query.scouted = List.of();
+                held.remove(query);
+                send(query, engine);
             }
         }
     }
 
     // ---- The choice of engine
     /** The lighter of two random engines that rules, health and bounds leave open, or null. */
-    private Engine choose(Query q) {
-        if (!q.scouted.isEmpty()
-                && now < q.scoutUntilNs
-                && q.scouted.stream().anyMatch(e -> e.probing)) {
+    private Engine choose(Query query) {
+        if (!query.scouted.isEmpty()
+                && now < query.scoutUntilNs
+                && query.scouted.stream().anyMatch(engine -> engine.probing)) {
             return null;
         }
         List<Engine> open = new ArrayList<>(engines.values());
-        open.removeIf(e -> !maySend(q, e));
+        open.removeIf(engine -> !maySend(query, engine));
         List<Engine> healthy = new ArrayList<>(open);
-        healthy.removeIf(e -> now < e.avoidUntilNs);
+        healthy.removeIf(engine -> now < engine.avoidUntilNs);
         // Guards against a shared cause: where most engines look bad, none of them is shunned.
         List<Engine> candidates = healthy.size() * 2 >= open.size() ? healthy : open;
-        candidates.removeIf(e -> !hasRoom(q, e));
+        candidates.removeIf(engine -> !hasRoom(query, engine));
         // Guards a query against the engine that has just failed it: it goes elsewhere if it can.
-        Predicate<Engine> failed = e -> q.attempts > 0 && e.name.equals(q.sentTo.engine());
+        Predicate<Engine> failed =
+                engine -> query.attempts > 0 && engine.name.equals(query.sentTo.engine());
         if (!candidates.stream().allMatch(failed)) {
             candidates.removeIf(failed);
         }
-        prefer(q, candidates);
-        boolean scouted = !q.scouted.isEmpty();
+        prefer(query, candidates);
+        boolean scouted = !query.scouted.isEmpty();
         if (scouted) {
-            candidates.retainAll(q.scouted);
-            q.scouted = List.of();
+            candidates.retainAll(query.scouted);
+            query.scouted = List.of();
         }
         int n = candidates.size();
         Engine first = n == 0 ? null : candidates.remove(random.nextInt(n));
         Engine second = n < 2 ? first : candidates.get(random.nextInt(n - 1));
-        if (n < 2 || !scouted && scout(q, List.of(first, second))) {
+        if (n < 2 || !scouted && scout(query, List.of(first, second))) {
             return n == 1 ? first : null;
         }
         if (first.probing != second.probing) {
             return first.probing ? second : first;
         }
-        return load(second, q) < load(first, q) ? second : first;
+        return load(second, query) < load(first, query) ? second : first;
     }
 
     /**
      * Guards against a blind choice where little of ours runs: asks both candidates whose news is
      * stale.
      */
-    private boolean scout(Query q, List<Engine> pair) {
+    private boolean scout(Query query, List<Engine> pair) {
         if (!allowed.healthChecks() || pair.stream().noneMatch(this::stale)) {
             return false;
         }
-        if (probes < (brief(q) ? PROBES_SAVED / 2 : pair.size())) {
-            return !brief(q); // held: the news that it needs must be earned
+        if (probes < (brief(query) ? PROBES_SAVED / 2 : pair.size())) {
+            return !brief(query); // held: the news that it needs must be earned
         }
-        for (Engine e : pair) {
-            if (stale(e) && !e.probing) {
-                probe(e);
+        for (Engine engine : pair) {
+            if (stale(engine) && !engine.probing) {
+                probe(engine);
             }
         }
-        q.scouted = pair;
-        q.scoutUntilNs = now + SCOUT_NS;
-        out.add(new SetTimer(SCOUT_LABEL, q.scoutUntilNs));
+        query.scouted = pair;
+        query.scoutUntilNs = now + SCOUT_NS;
+        out.add(new SetTimer(SCOUT_LABEL, query.scoutUntilNs));
         return true;
     }
 
-    private boolean stale(Engine e) {
-        return now - e.reportNs >= STALE_NS;
+    private boolean stale(Engine engine) {
+        return now - engine.reportNs >= STALE_NS;
     }
 
-    private void probe(Engine e) {
+    private void probe(Engine engine) {
         probes--;
-        e.probing = true;
-        e.probedNs = now;
-        out.add(new CheckHealth(e.name));
+        engine.probing = true;
+        engine.probedNs = now;
+        out.add(new CheckHealth(engine.name));
     }
 
     /**
      * Narrows the candidates to those that keep loads and readers apart, where any of them is left.
      */
-    private void prefer(Query q, List<Engine> candidates) {
-        if (apart && (q.cls.spec.locksTables() || q.cls.spec.waitsForTableLocks())) {
-            List<Engine> homes = homesOf.computeIfAbsent(q.tables, this::homes);
-            Predicate<Engine> right = e -> homes.contains(e) == q.cls.spec.locksTables();
+    private void prefer(Query query, List<Engine> candidates) {
+        if (apart && (query.cls.spec.locksTables() || query.cls.spec.waitsForTableLocks())) {
+            List<Engine> homes = homesOf.computeIfAbsent(query.tables, this::homes);
+            Predicate<Engine> right =
+                    engine -> homes.contains(engine) == query.cls.spec.locksTables();
             if (candidates.stream().anyMatch(right)) {
                 candidates.removeIf(right.negate());
             }
@@ -533,10 +549,10 @@
         List<Engine> ready = ready();
         ready.sort(
                 Comparator.comparingLong(
-                                (Engine e) ->
-                                        new SplittableRandom(31L * e.name.hashCode() + tables)
+                                (Engine engine) ->
+                                        new SplittableRandom(31L * engine.name.hashCode() + tables)
                                                 .nextLong())
-                        .thenComparing(e -> e.name));
+                        .thenComparing(engine -> engine.name));
         return ready.subList(0, (int) Math.ceil(LOAD_HOMES * ready.size()));
     }
 
@@ -544,23 +560,25 @@
      * Estimated work of ours that runs there, with this query, by core; and what fresh reports
      * tell.
      */
-    private double load(Engine e, Query q) {
-        double own = (e.workMs + q.workMs) / e.cores / OWN_WORK_MS;
-        LoadReport r = e.report;
+    private double load(Engine engine, Query query) {
+        double own = (engine.workMs + query.workMs) / engine.cores / OWN_WORK_MS;
+        LoadReport loadReport = engine.report;
         for (double told :
                 List.of(
-                        r.cpuUtilization(),
-                        r.memoryUtilization(),
-                        r.queued() / e.cores,
-                        r.diskUtilization(),
-                        threadsACore(e))) {
-            own += fresh(e) && told > 0 ? told : 0;
+                        loadReport.cpuUtilization(),
+                        loadReport.memoryUtilization(),
+                        loadReport.queued() / engine.cores,
+                        loadReport.diskUtilization(),
+                        threadsACore(engine))) {
+            own += fresh(engine) && told > 0 ? told : 0;
         }
         own *=
-                !calm && q.cls.spec.engineKinds().isEmpty() && boundKinds.contains(e.entry.kind())
+                !calm
+                                && query.cls.spec.engineKinds().isEmpty()
+                                && boundKinds.contains(engine.entry.kind())
                         ? WANTED
                         : 1;
-        return own * Math.exp(Math.max(0, slowness(e)));
+        return own * Math.exp(Math.max(0, slowness(engine)));
     }
 
     /**
@@ -569,24 +587,30 @@
      * once. In a crowd the limit shrinks in proportion: what floors and late news let in too much,
      * all must make up for.
      */
-    private boolean hasRoom(Query q, Engine e) {
-        Bound b = e.bound;
-        double limit = Math.max(seed(b) + b.moved, pressed(e) ? 1 : FLOOD * seed(b));
-        if (brief(q)) {
-            limit += BRIEF_LANE * seed(b);
-        }
-        limit /= b == pool ? Math.max(1, crowd / SEED_THREADS) : 1;
-        boolean line = !stale(e) && e.report.queued() > LINE_A_CORE * e.cores && !brief(q);
+    private boolean hasRoom(Query query, Engine engine) {
+        Bound bound = engine.bound;
+        double limit =
+                Math.max(seed(bound) + bound.moved, pressed(engine) ? 1 : FLOOD * seed(bound));
+        if (brief(query)) {
+            limit += BRIEF_LANE * seed(bound);
+        }
+        limit /= bound == pool ? Math.max(1, crowd / SEED_THREADS) : 1;
+        boolean line =
+                !stale(engine)
+                        && engine.report.queued() > LINE_A_CORE * engine.cores
+                        && !brief(query);
         boolean fits =
-                b == pool && crowded() ? fits(q, limit) : b.threads == 0 || b.threads < limit;
+                bound == pool && crowded()
+                        ? fits(query, limit)
+                        : bound.threads == 0 || bound.threads < limit;
         boolean room =
-                now - e.fullNs >= FULL_PAUSE_NS
+                now - engine.fullNs >= FULL_PAUSE_NS
                         && !line
                         && (fits
-                                || b == pool
-                                        && (brief(q) && allowed.priorities() && !crowded()
-                                                || calm && fresh(e) && !pressed(e)));
-        b.periodHeld |= !room;
+                                || bound == pool
+                                        && (brief(query) && allowed.priorities() && !crowded()
+                                                || calm && fresh(engine) && !pressed(engine)));
+        bound.periodHeld |= !room;
         return room;
     }
 
@@ -612,11 +636,11 @@
         return brief(q) && lane + threads <= Math.max(1, BRIEF_LANE * seed(pool));
     }
 
-    private double seed(Bound b) {
+    private double seed(Bound bound) {
         double equal = 1.0 / settings.routerCount();
         double part =
                 crowd > 0 ? (share + equal) / 2 : Math.max(share, equal); // adds up to 1 over all
-        return Math.max(1, SEED_THREADS * b.cores * part);
+        return Math.max(1, SEED_THREADS * bound.cores * part);
     }
 
     /**
@@ -625,17 +649,17 @@
      */
     private void allotBounds() {
         List<Engine> ready = ready();
-        pool.cores = ready.stream().mapToInt(e -> e.cores).sum();
+        pool.cores = ready.stream().mapToInt(engine -> engine.cores).sum();
         boolean pooled = SEED_THREADS * pool.cores < (double) settings.routerCount() * ready.size();
         pool.threads = 0;
-        for (Engine e : engines.values()) {
-            pool.threads += e.threads;
-            if (pooled != (e.bound == pool)) {
-                e.bound = pooled ? pool : new Bound();
+        for (Engine engine : engines.values()) {
+            pool.threads += engine.threads;
+            if (pooled != (engine.bound == pool)) {
+                engine.bound = pooled ? pool : new Bound();
             }
             if (!pooled) {
-                e.bound.cores = e.cores;
-                e.bound.threads = e.threads;
+                engine.bound.cores = engine.cores;
+                engine.bound.threads = engine.threads;
             }
         }
     }
@@ -647,28 +671,28 @@
     private void learnShare() {
         double own = 0;
         double busy = 0;
-        for (Engine e : engines.values()) {
-            runTicks += e.running.size();
-            e.running.forEach(q -> runThreadTicks += q.cls.spec.threads());
+        for (Engine engine : engines.values()) {
+            runTicks += engine.running.size();
+            engine.running.forEach(query -> runThreadTicks += query.cls.spec.threads());
             double told =
-                    e.report.inFlight() > 0
-                            ? threadsACore(e)
-                            : e.report.cpuUtilization() * SEED_THREADS;
-            if (e.entry != null && fresh(e) && told > 0) {
-                own += e.threads;
-                busy += told * e.cores;
+                    engine.report.inFlight() > 0
+                            ? threadsACore(engine)
+                            : engine.report.cpuUtilization() * SEED_THREADS;
+            if (engine.entry != null && fresh(engine) && told > 0) {
+                own += engine.threads;
+                busy += told * engine.cores;
             }
         }
         share += SHARE_WEIGHT * ((busy > 0 ? Math.min(1, own / busy) : 0) - share);
         crowd =
                 engines.values().stream()
-                        .filter(e -> fresh(e) && e.report.inFlight() >= 0)
+                        .filter(engine -> fresh(engine) && engine.report.inFlight() >= 0)
                         .mapToDouble(this::threadsACore)
                         .average()
                         .orElse(0);
         long known = engines.values().stream().filter(this::fresh).count();
         calm =
-                engines.values().stream().filter(e -> fresh(e) && pressed(e)).count()
+                engines.values().stream().filter(engine -> fresh(engine) && pressed(engine)).count()
                         <= CALM * known;
     }
 
@@ -676,27 +700,27 @@
      * Guards brief queries against waiting for room behind long ones: the paper's case for more
      * room.
      */
-    private boolean brief(Query q) {
+    private boolean brief(Query query) {
         double longest =
                 classes.values().stream()
                         .mapToDouble(DefaultWorkloadManager::usualMs)
                         .max()
                         .orElse(0);
-        return (q.estimated ? q.workMs : usualMs(q.cls)) < BRIEF_SHARE * longest;
+        return (query.estimated ? query.workMs : usualMs(query.cls)) < BRIEF_SHARE * longest;
     }
 
     /**
      * Pressure: response times far above the usual, a report that says busy, or a refusal just now.
      */
-    private boolean pressed(Engine e) {
+    private boolean pressed(Engine engine) {
         boolean busy =
-                fresh(e)
-                        && (e.report.queued() >= 1
-                                || e.report.cpuUtilization() >= BUSY
-                                || e.report.memoryUtilization() >= BUSY
-                                || e.report.diskUtilization() >= BUSY
-                                || threadsACore(e) >= SEED_THREADS);
-        return busy || now - e.fullNs < FRESH_NS || slowness(e) > PRESSED_LOG;
+                fresh(engine)
+                        && (engine.report.queued() >= 1
+                                || engine.report.cpuUtilization() >= BUSY
+                                || engine.report.memoryUtilization() >= BUSY
+                                || engine.report.diskUtilization() >= BUSY
+                                || threadsACore(engine) >= SEED_THREADS);
+        return busy || now - engine.fullNs < FRESH_NS || slowness(engine) > PRESSED_LOG;
     }
 
     /** True where reports tell that all gateways together run more threads than the level. */
@@ -708,12 +732,14 @@
      * Threads of the queries in hand, taken to be like our running ones: those with bad plans never
      * end.
      */
-    private double threadsACore(Engine e) {
-        return e.report.inFlight() * (runTicks > 0 ? runThreadTicks / runTicks : 1) / e.cores;
+    private double threadsACore(Engine engine) {
+        return engine.report.inFlight()
+                * (runTicks > 0 ? runThreadTicks / runTicks : 1)
+                / engine.cores;
     }
 
-    private boolean fresh(Engine e) {
-        return now - e.reportNs < FRESH_NS;
+    private boolean fresh(Engine engine) {
+        return now - engine.reportNs < FRESH_NS;
     }
 
     /**
@@ -721,11 +747,13 @@
      * overdue there. Guards against jammed, slowed, ageing and silent engines; one odd query among
      * many moves it little.
      */
-    private double slowness(Engine e) {
-        double weight = e.slowWeight * Math.exp(-(now - e.slowNs) / (double) SLOW_FADE_NS);
-        double sum = weight * e.slowLog;
-        for (Query q : e.running) {
-            double late = Math.log((now - q.sentNs + 1.0) / q.usualNs()) * evenness(q.cls);
+    private double slowness(Engine engine) {
+        double weight =
+                engine.slowWeight * Math.exp(-(now - engine.slowNs) / (double) SLOW_FADE_NS);
+        double sum = weight * engine.slowLog;
+        for (Query query : engine.running) {
+            double late =
+                    Math.log((now - query.sentNs + 1.0) / query.usualNs()) * evenness(query.cls);
             if (late > PRESSED_LOG) {
                 sum += late;
                 weight++;
@@ -738,28 +766,29 @@
      * A time far over the usual tells less where times scatter, unless slow engines may be the
      * cause.
      */
-    private static double evenness(ClassFacts c) {
-        boolean untold = c.estimates > 0 && c.told == 0;
-        return untold ? 1 : Math.min(1, SPREAD_LOG / Math.max(1e-3, c.spreadLog));
+    private static double evenness(ClassFacts classFacts) {
+        boolean untold = classFacts.estimates > 0 && classFacts.told == 0;
+        return untold ? 1 : Math.min(1, SPREAD_LOG / Math.max(1e-3, classFacts.spreadLog));
     }
 
     // ---- The one send path: the rules are kept here
-    private boolean maySend(Query q, Engine e) {
-        return ready(e)
-                && !q.over
-                && q.out == null
-                && q.attempts < allowed.maxAttempts()
-                && (q.cls.spec.engineKinds().isEmpty()
-                        || q.cls.spec.engineKinds().contains(e.entry.kind()))
-                && (q.cls.spec.zones().isEmpty() || q.cls.spec.zones().contains(e.entry.zone()))
-                && hasTurn(q)
-                && effectAllows(q, e)
-                && withinColdBudget(q, e)
-                && withinResendBudget(q);
+    private boolean maySend(Query query, Engine engine) {
+        return ready(engine)
+                && !query.over
+                && query.out == null
+                && query.attempts < allowed.maxAttempts()
+                && (query.cls.spec.engineKinds().isEmpty()
+                        || query.cls.spec.engineKinds().contains(engine.entry.kind()))
+                && (query.cls.spec.zones().isEmpty()
+                        || query.cls.spec.zones().contains(engine.entry.zone()))
+                && hasTurn(query)
+                && effectAllows(query, engine)
+                && withinColdBudget(query, engine)
+                && withinResendBudget(query);
     }
 
-    private static boolean ready(Engine e) {
-        return e.entry != null && e.entry.state() == EndpointState.READY;
+    private static boolean ready(Engine engine) {
+        return engine.entry != null && engine.entry.state() == EndpointState.READY;
     }
 
     private List<Engine> ready() {
@@ -767,27 +796,28 @@
                 engines.values().stream().filter(DefaultWorkloadManager::ready).toList());
     }
 
-    private boolean hasTurn(Query q) {
-        return q.line == null
-                || q.line.waiting.peek() == q && (q.attempts > 0 || now >= q.line.restUntilNs);
+    private boolean hasTurn(Query query) {
+        return query.line == null
+                || query.line.waiting.peek() == query
+                        && (query.attempts > 0 || now >= query.line.restUntilNs);
     }
 
     /**
      * An unsafe query that may have run stays; a deduplicated one goes where repeats are dropped.
      */
-    private boolean effectAllows(Query q, Engine e) {
-        if (q.mayHaveRunOn == null || q.cls.spec.retrySafety() == RetrySafety.IDEMPOTENT) {
+    private boolean effectAllows(Query query, Engine engine) {
+        if (query.mayHaveRunOn == null || query.cls.spec.retrySafety() == RetrySafety.IDEMPOTENT) {
             return true;
         }
         boolean group =
-                switch (q.cls.spec.deduplicationScope()) {
+                switch (query.cls.spec.deduplicationScope()) {
                     case ALL -> true;
-                    case ZONE -> e.entry.zone().equals(q.mayHaveRunOn.zone());
-                    case CELL -> e.entry.cell() == q.mayHaveRunOn.cell();
+                    case ZONE -> engine.entry.zone().equals(query.mayHaveRunOn.zone());
+                    case CELL -> engine.entry.cell() == query.mayHaveRunOn.cell();
                 };
-        return q.cls.spec.retrySafety() == RetrySafety.DEDUPLICATED
+        return query.cls.spec.retrySafety() == RetrySafety.DEDUPLICATED
                 && group
-                && now - q.mayHaveRunNs < q.cls.spec.deduplicationWindowNs() - TICK_NS;
+                && now - query.mayHaveRunNs < query.cls.spec.deduplicationWindowNs() - TICK_NS;
     }
 
     /**
@@ -795,56 +825,57 @@
      * our share holds no query, one of a class of which it bears many gets in by chance, and a
      * chance not taken lapses.
      */
-    private boolean withinColdBudget(Query q, Engine e) {
-        if (!cold(e)) {
+    private boolean withinColdBudget(Query query, Engine engine) {
+        if (!cold(engine)) {
             return true;
         }
         double window = limits.slowStartWindowNs();
-        double gap = coldGapNs(q, e);
+        double gap = coldGapNs(query, engine);
         if (gap <= window) {
-            e.coldNextNs = Double.isNaN(e.coldNextNs) ? now - COLD_BURST * window : e.coldNextNs;
-            return now >= e.coldNextNs + gap;
+            engine.coldNextNs =
+                    Double.isNaN(engine.coldNextNs) ? now - COLD_BURST * window : engine.coldNextNs;
+            return now >= engine.coldNextNs + gap;
         }
         if (gap * COLD_PARTS >= window * settings.routerCount()) {
             return false;
         }
-        if (!(now <= e.coldNextNs + window && e.coldNextNs <= now + gap)) {
-            e.coldNextNs = now + random.nextDouble() * gap;
+        if (!(now <= engine.coldNextNs + window && engine.coldNextNs <= now + gap)) {
+            engine.coldNextNs = now + random.nextDouble() * gap;
         }
-        return now >= e.coldNextNs;
+        return now >= engine.coldNextNs;
     }
 
     /**
      * Time in which our share of what the engine bears while cold adds up to one query of the
      * class.
      */
-    private double coldGapNs(Query q, Engine e) {
-        return heavyMs(q.cls)
+    private double coldGapNs(Query query, Engine engine) {
+        return heavyMs(query.cls)
                 * MS
                 * settings.routerCount()
                 / (COLD_MARGIN
                         * limits.slowStartOverloadFactor()
                         * limits.slowStartFraction()
-                        * e.cores
+                        * engine.cores
                         * CAPACITY);
     }
 
     /** Usual work, on the safe side while few queries were seen. */
-    private static double heavyMs(ClassFacts c) {
-        int seen = c.estimates + c.told;
-        return (FEW * priorMs(c) + seen * usualMs(c)) / (FEW + seen);
+    private static double heavyMs(ClassFacts classFacts) {
+        int seen = classFacts.estimates + classFacts.told;
+        return (FEW * priorMs(classFacts) + seen * usualMs(classFacts)) / (FEW + seen);
     }
 
-    private boolean cold(Engine e) {
-        return e.entry.startedNs() > 0
+    private boolean cold(Engine engine) {
+        return engine.entry.startedNs() > 0
                 && limits.slowStartOverloadFactor() > 0
-                && now < e.entry.startedNs() + limits.slowStartNs();
+                && now < engine.entry.startedNs() + limits.slowStartNs();
     }
 
-    private boolean withinResendBudget(Query q) {
+    private boolean withinResendBudget(Query query) {
         forgetBefore(now - limits.retryBudgetWindowNs());
         return limits.retryBudgetWindowNs() <= 0
-                || q.attempts == 0
+                || query.attempts == 0
                 || resent.size() + 1
                         <= limits.freeRetries() + limits.retriesPerQuery() * taken.size();
     }
@@ -862,43 +893,48 @@
         }
     }
 
-    private void send(Query q, Engine e) {
-        if (q.attempts > 0) {
+    private void send(Query query, Engine engine) {
+        if (query.attempts > 0) {
             resent.add(now);
         }
-        if (cold(e)) {
-            double gap = coldGapNs(q, e);
+        if (cold(engine)) {
+            double gap = coldGapNs(query, engine);
             double saved =
                     gap <= limits.slowStartWindowNs() ? COLD_BURST * limits.slowStartWindowNs() : 0;
-            e.coldNextNs = Math.max(e.coldNextNs, now - saved) + gap;
+            engine.coldNextNs = Math.max(engine.coldNextNs, now - saved) + gap;
         }
-        if (e.bound.threads == 0 && e.bound.completions == 0) {
-            e.bound.periodStartNs = now;
+        if (engine.bound.threads == 0 && engine.bound.completions == 0) {
+            engine.bound.periodStartNs = now;
         }
-        q.grantMb = allowed.memoryGrants() && q.memoryMb > 0 ? grant(q, e) : 0;
+        query.grantMb = allowed.memoryGrants() && query.memoryMb > 0 ? grant(query, engine) : 0;
         if (allowed.memoryGrants() || allowed.priorities()) {
-            out.add(new SetAttemptResources(q.id, priority(q), q.grantMb));
-        }
-        q.out = e;
-        q.sentTo = e.entry;
-        q.sentNs = now;
-        q.workingFromNs = now;
-        q.attempts++;
-        q.cancelled = false;
-        e.running.add(q);
-        count(e, q, 1);
-        out.add(new StartAttempt(q.id, e.name, Math.max(MS, q.deadlineNs - now - CUT_NS)));
-    }
-
-    private void count(Engine e, Query q, int sign) {
-        e.threads += sign * q.cls.spec.threads();
-        e.bound.threads += sign * q.cls.spec.threads();
-        e.workMs += sign * q.workMs;
-    }
-
-    private long grant(Query q, Engine e) {
-        double most = e.memoryMb > 0 ? allowed.maxGrantFraction() * e.memoryMb : Double.MAX_VALUE;
-        double need = q.needMb > 0 ? q.needMb : q.memoryMb * q.cls.memoryBias;
+            out.add(new SetAttemptResources(query.id, priority(query), query.grantMb));
+        }
+        query.out = engine;
+        query.sentTo = engine.entry;
+        query.sentNs = now;
+        query.workingFromNs = now;
+        query.attempts++;
+        query.cancelled = false;
+        engine.running.add(query);
+        count(engine, query, 1);
+        out.add(
+                new StartAttempt(
+                        query.id, engine.name, Math.max(MS, query.deadlineNs - now - CUT_NS)));
+    }
+
+    private void count(Engine engine, Query query, int sign) {
+        engine.threads += sign * query.cls.spec.threads();
+        engine.bound.threads += sign * query.cls.spec.threads();
+        engine.workMs += sign * query.workMs;
+    }
+
+    private long grant(Query query, Engine engine) {
+        double most =
+                engine.memoryMb > 0
+                        ? allowed.maxGrantFraction() * engine.memoryMb
+                        : Double.MAX_VALUE;
+        double need = query.needMb > 0 ? query.needMb : query.memoryMb * query.cls.memoryBias;
         return Math.max(1, Math.round(Math.min(most, need * GRANT_MARGIN)));
     }
 
@@ -906,24 +942,28 @@
      * Brief queries go first where cores are short: they delay long ones little. What is late goes
      * last.
      */
-    private int priority(Query q) {
-        return !allowed.priorities() ? 1 : now >= q.aimNs() ? 0 : brief(q) ? 3 : 1;
+    private int priority(Query query) {
+        return !allowed.priorities() ? 1 : now >= query.aimNs() ? 0 : brief(query) ? 3 : 1;
     }
 
     // ---- A running query is watched
-    private void progress(AttemptProgress p) {
-        Query q = queries.get(p.id());
-        Engine e = engines.get(p.engine());
-        if (q == null || q.out == null || q.out != e || p.attempt() != q.attempts - 1) {
+    private void progress(AttemptProgress attemptProgress) {
+        Query query = queries.get(attemptProgress.id());
+        Engine engine = engines.get(attemptProgress.engine());
+        if (query == null
+                || query.out == null
+                || query.out != engine
+                || attemptProgress.attempt() != query.attempts - 1) {
             return;
         }
-        e.heardNs = now;
-        if (p.kind() == ProgressKind.WAITING) {
-            q.workingFromNs = now;
-        } else if (p.kind() == ProgressKind.SPILLED_MB) {
-            regrant(q, q.grantMb + p.amount());
-        } else if (p.kind() == ProgressKind.FRACTION_DONE && p.amount() > 0) {
-            restartBadPlan(q, p.amount());
+        engine.heardNs = now;
+        if (attemptProgress.kind() == ProgressKind.WAITING) {
+            query.workingFromNs = now;
+        } else if (attemptProgress.kind() == ProgressKind.SPILLED_MB) {
+            regrant(query, query.grantMb + attemptProgress.amount());
+        } else if (attemptProgress.kind() == ProgressKind.FRACTION_DONE
+                && attemptProgress.amount() > 0) {
+            restartBadPlan(query, attemptProgress.amount());
         }
     }
 
@@ -931,110 +971,118 @@
      * Guards against estimates of memory that lie: one that has hardly begun starts again with its
      * need.
      */
-    private void regrant(Query q, double needMb) {
-        if (q.needMb == 0 && q.grantMb > 0) {
-            learnGrant(q, needMb);
+    private void regrant(Query query, double needMb) {
+        if (query.needMb == 0 && query.grantMb > 0) {
+            learnGrant(query, needMb);
         }
-        q.needMb = Math.max(q.needMb, needMb);
-        if (movable(q)
-                && grant(q, q.out) > SHORT_GRANT * q.grantMb
-                && now - q.workingFromNs < EARLY * q.usualNs()) {
-            cancel(q);
+        query.needMb = Math.max(query.needMb, needMb);
+        if (movable(query)
+                && grant(query, query.out) > SHORT_GRANT * query.grantMb
+                && now - query.workingFromNs < EARLY * query.usualNs()) {
+            cancel(query);
         }
     }
 
     /**
      * Guards against bad plans: what still lies ahead is far more than a fresh start would take.
      */
-    private void restartBadPlan(Query q, double share) {
-        long ran = now - q.workingFromNs;
+    private void restartBadPlan(Query query, double share) {
+        long ran = now - query.workingFromNs;
         double ahead = ran * (1 - share) / share;
-        double fresh = q.usualNs() * Math.exp(Math.max(0, Math.max(slowLog, slowness(q.out))));
-        if (ahead + ran > BAD_PLAN * fresh && ahead > 2 * fresh && now + fresh < q.deadlineNs) {
-            restart(q);
+        double fresh =
+                query.usualNs() * Math.exp(Math.max(0, Math.max(slowLog, slowness(query.out))));
+        if (ahead + ran > BAD_PLAN * fresh && ahead > 2 * fresh && now + fresh < query.deadlineNs) {
+            restart(query);
         }
     }
 
     /**
      * Where no notes come time must tell: far over the usual at the day's spread, and late already.
      */
-    private void restartLongRunner(Query q) {
-        double far = (Math.log(BAD_PLAN) + Math.max(0, slowLog - PRESSED_LOG)) / evenness(q.cls);
+    private void restartLongRunner(Query query) {
+        double far =
+                (Math.log(BAD_PLAN) + Math.max(0, slowLog - PRESSED_LOG)) / evenness(query.cls);
         if (allowed.progressIntervalNs() == 0
-                && !brief(q)
-                && now > q.aimNs()
-                && now - q.sentNs > q.usualNs() * Math.exp(far)) {
-            restart(q);
+                && !brief(query)
+                && now > query.aimNs()
+                && now - query.sentNs > query.usualNs() * Math.exp(far)) {
+            restart(query);
         }
     }
 
-    private void restart(Query q) {
-        if (movable(q) && q.restarts < BAD_PLAN_RESTARTS) {
-            q.restarts++;
-            cancel(q);
+    private void restart(Query query) {
+        if (movable(query) && query.restarts < BAD_PLAN_RESTARTS) {
+            query.restarts++;
+            cancel(query);
         }
     }
 
-    private void cancel(Query q) {
-        q.cancelled = true;
-        out.add(new CancelAttempt(q.id, q.attempts - 1));
+    private void cancel(Query query) {
+        query.cancelled = true;
+        out.add(new CancelAttempt(query.id, query.attempts - 1));
     }
 
     // ---- An attempt ends
-    private void ended(AttemptEnded e) {
-        Query q = queries.get(e.id());
-        Engine engine = engines.get(e.engine());
+    private void ended(AttemptEnded attemptEnded) {
+        Query query = queries.get(attemptEnded.id());
+        Engine engine = engines.get(attemptEnded.engine());
         if (engine != null) {
-            if (!e.loadReport().equals(LoadReport.NONE)) {
-                engine.report = e.loadReport();
+            if (!attemptEnded.loadReport().equals(LoadReport.NONE)) {
+                engine.report = attemptEnded.loadReport();
                 engine.reportNs = now;
             }
-            judge(engine, e.outcome());
+            judge(engine, attemptEnded.outcome());
         }
-        if (q == null || q.out == null || e.attempt() != q.attempts - 1) {
+        if (query == null || query.out == null || attemptEnded.attempt() != query.attempts - 1) {
             return;
         }
-        Engine ran = q.out;
-        ran.running.remove(q);
-        q.out = null;
-        if (e.outcome() == Outcome.SERVED) {
-            learn(q, ran, e);
+        Engine ran = query.out;
+        ran.running.remove(query);
+        query.out = null;
+        if (attemptEnded.outcome() == Outcome.SERVED) {
+            learn(query, ran, attemptEnded);
         }
-        if (e.outcome().mayHaveRun() && q.mayHaveRunOn == null) {
-            q.mayHaveRunOn = q.sentTo;
-            q.mayHaveRunNs = q.sentNs;
+        if (attemptEnded.outcome().mayHaveRun() && query.mayHaveRunOn == null) {
+            query.mayHaveRunOn = query.sentTo;
+            query.mayHaveRunNs = query.sentNs;
         }
-        boolean mayStillRun = MAY_STILL_RUN.contains(e.outcome());
-        if (q.line != null && mayStillRun) {
-            q.line.restUntilNs = now + limits.keyQuietPeriodNs();
+        boolean mayStillRun = MAY_STILL_RUN.contains(attemptEnded.outcome());
+        if (query.line != null && mayStillRun) {
+            query.line.restUntilNs = now + limits.keyQuietPeriodNs();
         }
         // Guards against an engine that looks idle while it still works on what was given up there.
         boolean haunts = mayStillRun && !allowed.cancellation();
-        ran.ghosts.add(new Ghost(haunts ? now + (long) (GHOST_SHARE * (now - q.sentNs)) : now, q));
+        ran.ghosts.add(
+                new Ghost(haunts ? now + (long) (GHOST_SHARE * (now - query.sentNs)) : now, query));
         layGhosts(ran);
-        q.over |= e.clientAnswered();
-        if (q.over) {
-            forget(q);
+        query.over |= attemptEnded.clientAnswered();
+        if (query.over) {
+            forget(query);
         } else {
-            again(q);
+            again(query);
         }
         closePeriodIfDue(ran.bound);
         release();
     }
 
-    private void layGhosts(Engine e) {
-        e.ghosts.stream().filter(g -> now >= g.untilNs()).forEach(g -> count(e, g.of(), -1));
-        e.ghosts.removeIf(g -> now >= g.untilNs());
+    private void layGhosts(Engine engine) {
+        engine.ghosts.stream()
+                .filter(ghost -> now >= ghost.untilNs())
+                .forEach(ghost -> count(engine, ghost.of(), -1));
+        engine.ghosts.removeIf(ghost -> now >= ghost.untilNs());
     }
 
     /** Another attempt where the rules allow one and time is left, else the final answer. */
-    private void again(Query q) {
+    private void again(Query query) {
         boolean repeatable =
-                q.mayHaveRunOn == null || q.cls.spec.retrySafety() != RetrySafety.AT_MOST_ONCE;
-        if (repeatable && q.attempts < allowed.maxAttempts() && now + ANSWER_NS < q.deadlineNs) {
-            held.add(q);
+                query.mayHaveRunOn == null
+                        || query.cls.spec.retrySafety() != RetrySafety.AT_MOST_ONCE;
+        if (repeatable
+                && query.attempts < allowed.maxAttempts()
+                && now + ANSWER_NS < query.deadlineNs) {
+            held.add(query);
         } else {
-            answer(q);
+            answer(query);
         }
     }
 
@@ -1042,179 +1090,186 @@
      * Guards against answers after the client's time, also for a query whose time is short on
      * arrival.
      */
-    private void answerIfDue(Query q) {
-        if (held.contains(q) && now + ANSWER_NS >= q.deadlineNs) {
-            answer(q);
+    private void answerIfDue(Query query) {
+        if (held.contains(query) && now + ANSWER_NS >= query.deadlineNs) {
+            answer(query);
         }
     }
 
     /**
      * The one finish path: refuses where that is harmless, else fails; at once, with retry advice.
      */
-    private void answer(Query q) {
-        q.over = true;
+    private void answer(Query query) {
+        query.over = true;
         boolean harmless =
-                q.mayHaveRunOn == null
-                        || q.cls.spec.retrySafety() == RetrySafety.IDEMPOTENT
-                        || q.cls.spec.retrySafety() == RetrySafety.DEDUPLICATED
-                                && q.cls.spec.deduplicationScope() == DeduplicationScope.ALL;
-        out.add(harmless ? new Reject(q.id, allowed.maxRetryAfterNs()) : new Fail(q.id));
-        forget(q);
+                query.mayHaveRunOn == null
+                        || query.cls.spec.retrySafety() == RetrySafety.IDEMPOTENT
+                        || query.cls.spec.retrySafety() == RetrySafety.DEDUPLICATED
+                                && query.cls.spec.deduplicationScope() == DeduplicationScope.ALL;
+        out.add(harmless ? new Reject(query.id, allowed.maxRetryAfterNs()) : new Fail(query.id));
+        forget(query);
     }
 
     /** Drops a query that is over and has nothing out, and lets the next of its key go. */
-    private void forget(Query q) {
-        if (!q.over || q.out != null) {
+    private void forget(Query query) {
+        if (!query.over || query.out != null) {
             return;
         }
-        held.remove(q);
-        queries.remove(q.id);
-        if (q.line != null) {
-            q.line.waiting.remove(q);
+        held.remove(query);
+        queries.remove(query.id);
+        if (query.line != null) {
+            query.line.waiting.remove(query);
         }
     }
 
-    private void clientGone(ClientDisconnected g) {
-        Query q = queries.get(g.id());
-        if (q != null) {
-            if (q.out != null && movable(q)) {
-                cancel(q); // the work would serve nobody
+    private void clientGone(ClientDisconnected clientDisconnected) {
+        Query query = queries.get(clientDisconnected.id());
+        if (query != null) {
+            if (query.out != null && movable(query)) {
+                cancel(query); // the work would serve nobody
             }
-            q.over = true;
-            forget(q);
+            query.over = true;
+            forget(query);
             release();
         }
     }
 
     // ---- Feedback: what answers teach, and the steps of the bound
-    private void learn(Query q, Engine e, AttemptEnded end) {
+    private void learn(Query query, Engine engine, AttemptEnded end) {
         double stretch =
                 Math.log(
                         Math.max(
                                 1e-3,
                                 end.durationNs()
                                         / (double) MS
-                                        * q.cls.spec.threads()
-                                        / Math.max(1e-3, q.estimateMs)));
-        if (!pressed(e)) { // a jam must not become the usual, nor the lucky ones that pass it
-            double step = q.estimated ? USUAL_STEP : Math.max(USUAL_STEP, 1.0 / ++q.cls.lessons);
-            double upper = q.cls.usualLog + q.cls.spreadLog;
-            q.cls.usualLog +=
-                    step * (stretch < q.cls.usualLog ? USUAL_QUANTILE - 1 : USUAL_QUANTILE);
+                                        * query.cls.spec.threads()
+                                        / Math.max(1e-3, query.estimateMs)));
+        if (!pressed(engine)) { // a jam must not become the usual, nor the lucky ones that pass it
+            double step =
+                    query.estimated ? USUAL_STEP : Math.max(USUAL_STEP, 1.0 / ++query.cls.lessons);
+            double upper = query.cls.usualLog + query.cls.spreadLog;
+            query.cls.usualLog +=
+                    step * (stretch < query.cls.usualLog ? USUAL_QUANTILE - 1 : USUAL_QUANTILE);
             upper += step * (stretch < upper ? -USUAL_QUANTILE : 1 - USUAL_QUANTILE);
-            q.cls.spreadLog = Math.max(0, upper - q.cls.usualLog);
+            query.cls.spreadLog = Math.max(0, upper - query.cls.usualLog);
         }
         if (end.workMs() > 0) {
-            double weight = Math.max(CLASS_WEIGHT, 1.0 / ++q.cls.told);
-            q.cls.meanToldMs += weight * (end.workMs() - q.cls.meanToldMs);
-        }
-        double excess = (stretch - q.cls.usualLog) * evenness(q.cls);
-        double old = e.slowWeight * Math.exp(-(now - e.slowNs) / (double) SLOW_FADE_NS);
-        e.slowWeight = Math.min(SLOW_ANSWERS, old + 1);
-        e.slowLog += (excess - e.slowLog) / e.slowWeight;
-        e.slowNs = now;
+            double weight = Math.max(CLASS_WEIGHT, 1.0 / ++query.cls.told);
+            query.cls.meanToldMs += weight * (end.workMs() - query.cls.meanToldMs);
+        }
+        double excess = (stretch - query.cls.usualLog) * evenness(query.cls);
+        double old = engine.slowWeight * Math.exp(-(now - engine.slowNs) / (double) SLOW_FADE_NS);
+        engine.slowWeight = Math.min(SLOW_ANSWERS, old + 1);
+        engine.slowLog += (excess - engine.slowLog) / engine.slowWeight;
+        engine.slowNs = now;
         slowLog += MEAN_WEIGHT * (excess - slowLog);
-        e.bound.completions++;
-        e.bound.responseSumNs += end.durationNs();
-        if (q.grantMb > 0 && q.needMb == 0) {
-            learnGrant(q, end.memoryMb() > 0 ? end.memoryMb() : 0);
+        engine.bound.completions++;
+        engine.bound.responseSumNs += end.durationNs();
+        if (query.grantMb > 0 && query.needMb == 0) {
+            learnGrant(query, end.memoryMb() > 0 ? end.memoryMb() : 0);
         }
     }
 
-    private void learnGrant(Query q, double needMb) {
-        double off = Math.log(Math.max(1e-3, needMb / q.memoryMb / q.cls.memoryBias));
+    private void learnGrant(Query query, double needMb) {
+        double off = Math.log(Math.max(1e-3, needMb / query.memoryMb / query.cls.memoryBias));
         double by = GRANT_LEARN * (off > 0 ? GRANT_QUANTILE : GRANT_QUANTILE - 1);
-        q.cls.memoryBias *= Math.exp(q.cls.memoryLessons++ == 0 && off > 0 ? off : by);
+        query.cls.memoryBias *= Math.exp(query.cls.memoryLessons++ == 0 && off > 0 ? off : by);
     }
 
-    private void closePeriodIfDue(Bound b) {
-        long length = now - b.periodStartNs;
-        if (b.completions < PERIOD_COMPLETIONS
-                && !(b.periodHeld && length >= PERIOD_NS && b.completions >= LEAST_COMPLETIONS)) {
+    private void closePeriodIfDue(Bound bound) {
+        long length = now - bound.periodStartNs;
+        if (bound.completions < PERIOD_COMPLETIONS
+                && !(bound.periodHeld
+                        && length >= PERIOD_NS
+                        && bound.completions >= LEAST_COMPLETIONS)) {
             return;
         }
-        double throughput = b.completions / (double) Math.max(1, length);
-        double response = b.responseSumNs / b.completions;
-        step(b, throughput, response);
-        b.startPeriod(throughput, response, now);
+        double throughput = bound.completions / (double) Math.max(1, length);
+        double response = bound.responseSumNs / bound.completions;
+        step(bound, throughput, response);
+        bound.startPeriod(throughput, response, now);
     }
 
     /**
      * While queries are held: a step up stays only if throughput gained; else the bound drifts
      * down.
      */
-    private void step(Bound b, double throughput, double response) {
-        double size = Math.max(1, STEP_SHARE * seed(b));
-        boolean outwait = held.stream().anyMatch(q -> now >= q.aimNs());
-        boolean slower = b.lastResponseNs > 0 && response > b.lastResponseNs * (1 + THRESHOLD);
-        boolean mayFall = !outwait && !slower && (b.moved >= size || b.fullNs >= b.periodStartNs);
-        if (b.periodHeld) {
-            boolean gained = throughput > b.lastThroughput * (1 + THRESHOLD);
+    private void step(Bound bound, double throughput, double response) {
+        double size = Math.max(1, STEP_SHARE * seed(bound));
+        boolean outwait = held.stream().anyMatch(query -> now >= query.aimNs());
+        boolean slower =
+                bound.lastResponseNs > 0 && response > bound.lastResponseNs * (1 + THRESHOLD);
+        boolean mayFall =
+                !outwait && !slower && (bound.moved >= size || bound.fullNs >= bound.periodStartNs);
+        if (bound.periodHeld) {
+            boolean gained = throughput > bound.lastThroughput * (1 + THRESHOLD);
             move(
-                    b,
-                    !crowded() && b.lastStep <= 0 || gained
+                    bound,
+                    !crowded() && bound.lastStep <= 0 || gained
                             ? size
                             : mayFall || crowded() ? -size : 0);
         } else {
-            boolean lost = throughput < b.lastThroughput * (1 - THRESHOLD);
-            move(b, lost && b.lastStep < 0 ? size : mayFall ? -size : 0);
+            boolean lost = throughput < bound.lastThroughput * (1 - THRESHOLD);
+            move(bound, lost && bound.lastStep < 0 ? size : mayFall ? -size : 0);
         }
     }
 
-    private void move(Bound b, double by) {
-        b.moved = Math.max(1 - seed(b), Math.min((FLOOD - 1) * seed(b), b.moved + by));
-        b.lastStep = by;
+    private void move(Bound bound, double by) {
+        bound.moved =
+                Math.max(1 - seed(bound), Math.min((FLOOD - 1) * seed(bound), bound.moved + by));
+        bound.lastStep = by;
     }
 
     // ---- What is believed of the engines
-    private void judge(Engine e, Outcome outcome) {
+    private void judge(Engine engine, Outcome outcome) {
         boolean sign = Set.of(Outcome.SERVED, Outcome.ERROR, Outcome.REJECTED).contains(outcome);
-        e.heardNs = sign ? now : e.heardNs;
+        engine.heardNs = sign ? now : engine.heardNs;
         if (outcome == Outcome.SERVED || outcome == Outcome.ERROR) {
             // Guards against an engine whose answers are errors: they are so fast that it looks
             // lightest.
-            e.errors += ERROR_WEIGHT * ((outcome == Outcome.ERROR ? 1 : 0) - e.errors);
-            if (e.errors < ERRORS) {
-                e.avoidNs = 0;
-            } else if (outcome == Outcome.ERROR && now >= e.avoidUntilNs) {
-                avoid(e);
+            engine.errors += ERROR_WEIGHT * ((outcome == Outcome.ERROR ? 1 : 0) - engine.errors);
+            if (engine.errors < ERRORS) {
+                engine.avoidNs = 0;
+            } else if (outcome == Outcome.ERROR && now >= engine.avoidUntilNs) {
+                avoid(engine);
             }
         } else if (outcome == Outcome.REJECTED) {
-            e.fullNs = now;
-            e.bound.fullNs = now;
+            engine.fullNs = now;
+            engine.bound.fullNs = now;
         } else if (outcome == Outcome.CONNECT_FAILED || outcome == Outcome.RESET) {
-            avoid(e);
+            avoid(engine);
         }
     }
 
-    private void probed(HealthCheckCompleted p) {
-        Engine e = engines.get(p.engine());
-        if (e != null) {
-            if (p.outcome() == Outcome.SERVED) {
-                e.report = p.loadReport();
-                e.reportNs = now;
+    private void probed(HealthCheckCompleted completed) {
+        Engine engine = engines.get(completed.engine());
+        if (engine != null) {
+            if (completed.outcome() == Outcome.SERVED) {
+                engine.report = completed.loadReport();
+                engine.reportNs = now;
             }
-            e.probing = false;
+            engine.probing = false;
             release();
         }
     }
 
     /** Guards against engines that are down, cut off or silent, whatever the list says of them. */
-    private void avoid(Engine e) {
-        e.avoidNs = Math.min(AVOID_MOST_NS, Math.max(AVOID_NS, 2 * e.avoidNs));
-        e.avoidUntilNs = now + e.avoidNs;
+    private void avoid(Engine engine) {
+        engine.avoidNs = Math.min(AVOID_MOST_NS, Math.max(AVOID_NS, 2 * engine.avoidNs));
+        engine.avoidUntilNs = now + engine.avoidNs;
     }
 
     /** An engine that takes work and gives no sign of it, though its probes are answered. */
-    private boolean silent(Engine e) {
-        for (Query q : e.running) {
+    private boolean silent(Engine engine) {
+        for (Query query : engine.running) {
             double patience =
                     allowed.progressIntervalNs() > 0
                             ? SILENT_NOTES * allowed.progressIntervalNs()
-                            : q.usualNs()
+                            : query.usualNs()
                                     * Math.exp(
-                                            (SILENT_LOG + Math.max(0, slowLog)) / evenness(q.cls));
-            if (now - Math.max(q.sentNs, e.heardNs) > Math.max(SILENT_NS, patience)) {
+                                            (SILENT_LOG + Math.max(0, slowLog))
+                                                    / evenness(query.cls));
+            if (now - Math.max(query.sentNs, engine.heardNs) > Math.max(SILENT_NS, patience)) {
                 return true;
             }
         }
@@ -1231,10 +1286,10 @@
             named.add(entry.engine());
             listed(entry);
         }
-        for (Engine e : engines.values()) {
-            e.entry =
-                    news.kind() == EndpointListKind.DELTA || named.contains(e.name)
-                            ? e.entry
+        for (Engine engine : engines.values()) {
+            engine.entry =
+                    news.kind() == EndpointListKind.DELTA || named.contains(engine.name)
+                            ? engine.entry
                             : null;
         }
         homesOf.clear();
@@ -1243,22 +1298,22 @@
     }
 
     private void listed(Endpoint entry) {
-        Engine e = engines.computeIfAbsent(entry.engine(), Engine::new);
-        boolean restarted = e.entry == null || entry.startedNs() > e.entry.startedNs();
-        e.entry = entry.state() == EndpointState.REMOVED ? null : entry;
-        for (EngineKind k : settings.kinds()) {
-            if (k.name().equals(entry.kind())) {
-                e.cores = k.cores();
-                e.memoryMb = k.memoryMb();
+        Engine engine = engines.computeIfAbsent(entry.engine(), Engine::new);
+        boolean restarted = engine.entry == null || entry.startedNs() > engine.entry.startedNs();
+        engine.entry = entry.state() == EndpointState.REMOVED ? null : entry;
+        for (EngineKind engineKind : settings.kinds()) {
+            if (engineKind.name().equals(entry.kind())) {
+                engine.cores = engineKind.cores();
+                engine.memoryMb = engineKind.memoryMb();
             }
         }
         if (restarted) {
-            e.bound.moved = e.bound == pool ? pool.moved : 0;
-            e.slowWeight = 0;
-            e.coldNextNs = Double.NaN;
-            e.avoidUntilNs = State.NEVER;
-            e.avoidNs = 0;
-            e.errors = 0;
+            engine.bound.moved = engine.bound == pool ? pool.moved : 0;
+            engine.slowWeight = 0;
+            engine.coldNextNs = Double.NaN;
+            engine.avoidUntilNs = State.NEVER;
+            engine.avoidNs = 0;
+            engine.errors = 0;
         }
     }
 
@@ -1272,43 +1327,49 @@
         boolean contended =
                 held.stream()
                         .anyMatch(
-                                q -> // some that can still be in time wait for room
-                                now - q.takenNs > TICK_NS
-                                                && now + q.usualNs() < q.aimNs()
-                                                && hasTurn(q));
-        for (Query q : List.copyOf(held)) {
-            answerIfDue(q);
-            boolean late = now + q.usualNs() >= q.aimNs();
-            if (held.contains(q) && late && (contended || q.cls.spec.lateWeightFraction() == 0)) {
-                answer(q); // given up for those that can still be in time
-            } else if (held.contains(q) && late && q.worth == q.fullWorth) {
-                held.remove(q);
-                q.worth = q.fullWorth * q.cls.spec.lateWeightFraction();
-                held.add(q);
+                                query -> // some that can still be in time wait for room
+                                now - query.takenNs > TICK_NS
+                                                && now + query.usualNs() < query.aimNs()
+                                                && hasTurn(query));
+        for (Query query : List.copyOf(held)) {
+            answerIfDue(query);
+            boolean late = now + query.usualNs() >= query.aimNs();
+            if (held.contains(query)
+                    && late
+                    && (contended || query.cls.spec.lateWeightFraction() == 0)) {
+                answer(query); // given up for those that can still be in time
+            } else if (held.contains(query) && late && query.worth == query.fullWorth) {
+                held.remove(query);
+                query.worth = query.fullWorth * query.cls.spec.lateWeightFraction();
+                held.add(query);
             }
         }
-        keys.values().removeIf(k -> k.waiting.isEmpty() && now >= k.restUntilNs);
+        keys.values().removeIf(keyLine -> keyLine.waiting.isEmpty() && now >= keyLine.restUntilNs);
         engines.values()
-                .removeIf(e -> e.entry == null && e.running.isEmpty() && e.ghosts.isEmpty());
-        for (Engine e : engines.values()) {
+                .removeIf(
+                        engine ->
+                                engine.entry == null
+                                        && engine.running.isEmpty()
+                                        && engine.ghosts.isEmpty());
+        for (Engine engine : engines.values()) {
             if (allowed.healthChecks()
-                    && ready(e)
-                    && !e.probing
+                    && ready(engine)
+                    && !engine.probing
                     && probes >= PROBES_SAVED / 2
-                    && now - e.probedNs >= STALE_NS) {
-                probe(e);
+                    && now - engine.probedNs >= STALE_NS) {
+                probe(engine);
             }
-            layGhosts(e);
-            closePeriodIfDue(e.bound);
-            e.running.forEach(this::restartLongRunner);
-            if (now >= e.avoidUntilNs && silent(e)) {
-                avoid(e);
+            layGhosts(engine);
+            closePeriodIfDue(engine.bound);
+            engine.running.forEach(this::restartLongRunner);
+            if (now >= engine.avoidUntilNs && silent(engine)) {
+                avoid(engine);
                 out.add(
                         new Log(
                                 "avoiding "
-                                        + e.name
+                                        + engine.name
                                         + ": it takes queries and gives no sign of them"));
-                e.running.stream()
+                engine.running.stream()
                         .filter(this::movable)
                         .forEach(this::cancel); // freed, they go elsewhere
             }
@@ -1316,11 +1377,11 @@
         release();
     }
 
-    private boolean movable(Query q) {
+    private boolean movable(Query query) {
         return allowed.cancellation()
-                && q.cls.spec.retrySafety() == RetrySafety.IDEMPOTENT
-                && !q.over
-                && !q.cancelled
-                && q.attempts < allowed.maxAttempts();
+                && query.cls.spec.retrySafety() == RetrySafety.IDEMPOTENT
+                && !query.over
+                && !query.cancelled
+                && query.attempts < allowed.maxAttempts();
     }
 }
--- a/decisions/src/main/java/ashlink/decisions/State.java
+++ b/decisions/src/main/java/ashlink/decisions/State.java
@@ -100,7 +100,7 @@
         long mayHaveRunNs;
 
         Query(
-                QuerySubmitted r,
+                QuerySubmitted querySubmitted,
                 ClassFacts cls,
                 KeyLine line,
                 long seq,
@@ -108,17 +108,17 @@
                 double workMs,
                 double worth,
                 long now) {
-            this.id = r.id();
+            this.id = querySubmitted.id();
             this.cls = cls;
             this.line = line;
-            this.tables = r.tableGroup();
+            this.tables = querySubmitted.tableGroup();
             this.seq = seq;
             this.takenNs = now;
-            this.deadlineNs = r.deadlineNs();
+            this.deadlineNs = querySubmitted.deadlineNs();
             this.estimateMs = estimateMs;
             this.workMs = workMs;
-            this.memoryMb = r.estimatedMemoryMb();
-            this.estimated = r.estimatedWorkNs() > 0;
+            this.memoryMb = querySubmitted.estimatedMemoryMb();
+            this.estimated = querySubmitted.estimatedWorkNs() > 0;
             this.fullWorth = worth;
             this.worth = worth;
         }
--- a/decisions/src/main/java/ashlink/decisions/api/Settings.java
+++ b/decisions/src/main/java/ashlink/decisions/api/Settings.java
@@ -59,17 +59,23 @@
     public Settings {
         require(routerCount > 0, "gateways", routerCount);
         require(!classes.isEmpty(), "classes", "none");
-        for (QueryClass c : classes) {
-            require(c.latencyObjectiveNs() >= 0, c.name() + ".aimNs", c.latencyObjectiveNs());
-            require(c.threads() > 0, c.name() + ".threads", c.threads());
-            require(c.priorityWeight() >= 0, c.name() + ".worth", c.priorityWeight());
+        for (QueryClass queryClass : classes) {
             require(
-                    c.deduplicationWindowNs() >= 0,
-                    c.name() + ".repeatSpanNs",
-                    c.deduplicationWindowNs());
+                    queryClass.latencyObjectiveNs() >= 0,
+                    queryClass.name() + ".aimNs",
+                    queryClass.latencyObjectiveNs());
+            require(queryClass.threads() > 0, queryClass.name() + ".threads", queryClass.threads());
+            require(
+                    queryClass.priorityWeight() >= 0,
+                    queryClass.name() + ".worth",
+                    queryClass.priorityWeight());
+            require(
+                    queryClass.deduplicationWindowNs() >= 0,
+                    queryClass.name() + ".repeatSpanNs",
+                    queryClass.deduplicationWindowNs());
         }
-        for (EngineKind k : kinds) {
-            require(k.cores() > 0, k.name() + ".cores", k.cores());
+        for (EngineKind engineKind : kinds) {
+            require(engineKind.cores() > 0, engineKind.name() + ".cores", engineKind.cores());
         }
         require(capabilities.maxAttempts() > 0, "allowed.attempts", capabilities.maxAttempts());
         require(limits.slowStartFraction() >= 0, "limits.coldFrom", limits.slowStartFraction());
@@ -77,8 +83,8 @@
                 limits.retriesPerQuery() >= 0,
                 "limits.resendsPerRequest",
                 limits.retriesPerQuery());
-        for (Tenant t : tenants) {
-            require(t.quotaPerS() >= 0, t.name() + ".quotaPerS", t.quotaPerS());
+        for (Tenant tenant : tenants) {
+            require(tenant.quotaPerS() >= 0, tenant.name() + ".quotaPerS", tenant.quotaPerS());
         }
         tenants = List.copyOf(tenants);
         classes = List.copyOf(classes);
--- a/decisions/src/test/java/ashlink/decisions/AuditTest.java
+++ b/decisions/src/test/java/ashlink/decisions/AuditTest.java
@@ -55,7 +55,7 @@
     /** Plays the stream of that seed and returns all actions as text. */
     private static String play(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Router r = new Router(settings());
+        Router router = new Router(settings());
         Map<Long, StartAttempt> out = new HashMap<>();
         Map<Long, Integer> sent = new HashMap<>();
         Map<Long, Long> deadlines = new HashMap<>();
@@ -65,7 +65,7 @@
         Set<Long> answered = new HashSet<>();
         Set<String> closed = new HashSet<>();
         String[] names = {"a", "b", "c", "d"};
-        r.list(
+        router.list(
                 EndpointListKind.CACHED,
                 Router.ready("a"),
                 Router.ready("b"),
@@ -74,14 +74,16 @@
         for (long id = 0; id < 3_000; id++) {
             int kind = random.nextInt(10);
             if (kind < 4) {
-                String c = List.of("look", "report", "load").get(random.nextInt(3));
-                deadlines.put(id, r.now + 3_000 * MS);
-                (c.equals("load") ? loads : c.equals("report") ? reports : new HashSet<Long>())
+                String text = List.of("look", "report", "load").get(random.nextInt(3));
+                deadlines.put(id, router.now + 3_000 * MS);
+                (text.equals("load")
+                                ? loads
+                                : text.equals("report") ? reports : new HashSet<Long>())
                         .add(id);
-                r.ask(
+                router.ask(
                         id,
-                        c,
-                        c.equals("load") ? "k" + random.nextInt(3) : null,
+                        text,
+                        text.equals("load") ? "k" + random.nextInt(3) : null,
                         random.nextInt(5),
                         random.nextInt(2_000),
                         3_000);
@@ -92,15 +94,20 @@
                                 .skip(random.nextInt(out.size()))
                                 .findFirst()
                                 .orElseThrow();
-                Outcome o = OUTCOMES[random.nextInt(OUTCOMES.length)];
-                StartAttempt s = out.remove(which);
-                if (o.mayHaveRun()) {
+                Outcome outcome = OUTCOMES[random.nextInt(OUTCOMES.length)];
+                StartAttempt startAttempt = out.remove(which);
+                if (outcome.mayHaveRun()) {
                     ran.add(which);
                 }
-                if (o == Outcome.SERVED) {
+                if (outcome == Outcome.SERVED) {
                     assertTrue(answered.add(which), "answered twice");
                 }
-                r.end(which, sent.get(which) - 1, s.engine(), o, 1 + random.nextInt(2_000));
+                router.end(
+                        which,
+                        sent.get(which) - 1,
+                        startAttempt.engine(),
+                        outcome,
+                        1 + random.nextInt(2_000));
             } else if (kind == 8) {
                 String name = names[random.nextInt(names.length)];
                 EndpointState phase = EndpointState.values()[random.nextInt(3)];
@@ -109,11 +116,11 @@
                 } else {
                     closed.add(name);
                 }
-                r.list(
+                router.list(
                         EndpointListKind.DELTA,
                         Router.entry(name, "z1", name.equals("c") ? "small" : "big", phase, 0));
             } else {
-                r.on(
+                router.on(
                         new HealthCheckCompleted(
                                 names[random.nextInt(3)],
                                 OUTCOMES[random.nextInt(OUTCOMES.length)],
@@ -124,38 +131,38 @@
                                         Double.NaN,
                                         Double.NaN)));
             }
-            checked = audit(r, checked, out, sent, loads, reports, ran, answered, closed);
-            timeOut(r, out, sent, deadlines, ran);
-            checked = audit(r, checked, out, sent, loads, reports, ran, answered, closed);
-            r.pass(random.nextInt(40));
-            checked = audit(r, checked, out, sent, loads, reports, ran, answered, closed);
+            checked = audit(router, checked, out, sent, loads, reports, ran, answered, closed);
+            timeOut(router, out, sent, deadlines, ran);
+            checked = audit(router, checked, out, sent, loads, reports, ran, answered, closed);
+            router.pass(random.nextInt(40));
+            checked = audit(router, checked, out, sent, loads, reports, ran, answered, closed);
         }
         for (int i = 0; i < 100; i++) {
-            r.pass(50);
-            checked = audit(r, checked, out, sent, loads, reports, ran, answered, closed);
-            timeOut(r, out, sent, deadlines, ran);
+            router.pass(50);
+            checked = audit(router, checked, out, sent, loads, reports, ran, answered, closed);
+            timeOut(router, out, sent, deadlines, ran);
         }
-        audit(r, checked, out, sent, loads, reports, ran, answered, closed);
+        audit(router, checked, out, sent, loads, reports, ran, answered, closed);
         assertEquals(deadlines.keySet(), answered, "every query has its answer");
-        return r.actions.toString();
+        return router.actions.toString();
     }
 
     private static void timeOut(
-            Router r,
+            Router router,
             Map<Long, StartAttempt> out,
             Map<Long, Integer> sent,
             Map<Long, Long> deadlines,
             Set<Long> ran) {
         for (long id : out.keySet().stream().sorted().toList()) {
-            if (r.now >= deadlines.get(id)) {
+            if (router.now >= deadlines.get(id)) {
                 ran.add(id);
-                r.end(id, sent.get(id) - 1, out.remove(id).engine(), Outcome.TIMED_OUT, 3_000);
+                router.end(id, sent.get(id) - 1, out.remove(id).engine(), Outcome.TIMED_OUT, 3_000);
             }
         }
     }
 
     private static int audit(
-            Router r,
+            Router router,
             int from,
             Map<Long, StartAttempt> out,
             Map<Long, Integer> sent,
@@ -164,30 +171,30 @@
             Set<Long> ran,
             Set<Long> answered,
             Set<String> closed) {
-        for (Action a : r.actions.subList(from, r.actions.size())) {
-            if (a instanceof StartAttempt s) {
-                assertTrue(!answered.contains(s.id()), "sent after its answer");
-                assertTrue(out.put(s.id(), s) == null, "two attempts out");
-                assertTrue(!closed.contains(s.engine()), "sent to a draining engine");
+        for (Action action : router.actions.subList(from, router.actions.size())) {
+            if (action instanceof StartAttempt startAttempt) {
+                assertTrue(!answered.contains(startAttempt.id()), "sent after its answer");
+                assertTrue(out.put(startAttempt.id(), startAttempt) == null, "two attempts out");
+                assertTrue(!closed.contains(startAttempt.engine()), "sent to a draining engine");
                 assertTrue(
-                        !loads.contains(s.id()) || !ran.contains(s.id()),
+                        !loads.contains(startAttempt.id()) || !ran.contains(startAttempt.id()),
                         "an unsafe query sent again");
                 assertTrue(
-                        !reports.contains(s.id()) || !s.engine().equals("c"),
+                        !reports.contains(startAttempt.id()) || !startAttempt.engine().equals("c"),
                         "sent to a wrong kind");
                 assertTrue(
-                        sent.merge(s.id(), 1, Integer::sum) <= ALLOWED.maxAttempts(),
+                        sent.merge(startAttempt.id(), 1, Integer::sum) <= ALLOWED.maxAttempts(),
                         "too many attempts");
-            } else if (a instanceof Reject f) {
+            } else if (action instanceof Reject reject) {
                 assertTrue(
-                        !loads.contains(f.id()) || !ran.contains(f.id()),
+                        !loads.contains(reject.id()) || !ran.contains(reject.id()),
                         "refused though it may have run");
-                assertTrue(answered.add(f.id()), "answered twice");
-            } else if (a instanceof Fail f) {
-                assertTrue(answered.add(f.id()), "answered twice");
+                assertTrue(answered.add(reject.id()), "answered twice");
+            } else if (action instanceof Fail fail) {
+                assertTrue(answered.add(fail.id()), "answered twice");
             }
         }
-        return r.actions.size();
+        return router.actions.size();
     }
 
     @Test
--- a/decisions/src/test/java/ashlink/decisions/CrowdTest.java
+++ b/decisions/src/test/java/ashlink/decisions/CrowdTest.java
@@ -46,7 +46,7 @@
     }
 
     private static Router router(int position, PolicyLimits limits, double queriesInHand) {
-        Router r =
+        Router router =
                 new Router(
                         new Settings(
                                 7 + position,
@@ -57,17 +57,17 @@
                                 List.of(new EngineKind("big", 8, 8_000)),
                                 NO_NOTES,
                                 limits));
-        r.engines("a", "b");
-        tell(r, queriesInHand);
-        return r;
+        router.engines("a", "b");
+        tell(router, queriesInHand);
+        return router;
     }
 
-    private static void tell(Router r, double queriesInHand) {
-        for (String e : List.of("a", "b")) {
-            r.reports.put(e, inHand(queriesInHand));
-            r.on(new HealthCheckCompleted(e, Outcome.SERVED, MS, inHand(queriesInHand)));
+    private static void tell(Router router, double queriesInHand) {
+        for (String text : List.of("a", "b")) {
+            router.reports.put(text, inHand(queriesInHand));
+            router.on(new HealthCheckCompleted(text, Outcome.SERVED, MS, inHand(queriesInHand)));
         }
-        r.pass(60); // one round of house-keeping takes it up
+        router.pass(60); // one round of house-keeping takes it up
     }
 
     private static int reportsSentInASecond(double queriesInHand) {
@@ -127,9 +127,9 @@
                         inHand(12),
                         inHand(1))) {
             Router r = router(0, LIMITS, 1);
-            for (String e : List.of("a", "b")) {
-                r.reports.put(e, busy);
-                r.on(new HealthCheckCompleted(e, Outcome.SERVED, MS, busy));
+            for (String text : List.of("a", "b")) {
+                r.reports.put(text, busy);
+                r.on(new HealthCheckCompleted(text, Outcome.SERVED, MS, busy));
             }
             r.pass(60);
             for (int i = 0; i < 6; i++) {
@@ -167,7 +167,7 @@
 
     @Test
     void whatATenantSendsBeyondItsShareLeavesLater() {
-        Router r =
+        Router router =
                 new Router(
                                 new Settings(
                                         7,
@@ -182,18 +182,32 @@
                                         0.2))
                         .engines();
         for (int i = 0; i < 60; i++) {
-            r.on(
+            router.on(
                     new QuerySubmitted(
-                            i, "report", null, 1, r.now + 20_000 * MS, 1_000 * MS, 100, "loud"));
+                            i,
+                            "report",
+                            null,
+                            1,
+                            router.now + 20_000 * MS,
+                            1_000 * MS,
+                            100,
+                            "loud"));
         }
-        r.on(
+        router.on(
                 new QuerySubmitted(
-                        99, "report", null, 1, r.now + 20_000 * MS, 1_000 * MS, 100, "calm"));
-        r.on(
+                        99, "report", null, 1, router.now + 20_000 * MS, 1_000 * MS, 100, "calm"));
+        router.on(
                 new QuerySubmitted(
-                        100, "report", null, 1, r.now + 20_000 * MS, 1_000 * MS, 100, "unlisted"));
-        r.engines("a");
-        List<Long> first = r.sends().stream().map(StartAttempt::id).toList();
+                        100,
+                        "report",
+                        null,
+                        1,
+                        router.now + 20_000 * MS,
+                        1_000 * MS,
+                        100,
+                        "unlisted"));
+        router.engines("a");
+        List<Long> first = router.sends().stream().map(StartAttempt::id).toList();
         assertEquals(List.of(0L, 1L), first.subList(0, 2)); // what came first was within the share
         assertTrue(first.contains(99L) && first.contains(100L), "sent: " + first);
         assertTrue(first.size() < 62, "not all find room");
@@ -201,7 +215,7 @@
 
     @Test
     void withoutEstimatesTheWorkIsLearntFromAnswers() {
-        Router r =
+        Router router =
                 new Router(
                                 new Settings(
                                         7,
@@ -215,16 +229,18 @@
                         .engines("a");
         long id = 0;
         for (; id < 200; id++) {
-            r.on(new QuerySubmitted(id, "look", null, 1, r.now + 3_000 * MS, 0, 0));
-            r.on(new AttemptEnded(id, 0, "a", Outcome.SERVED, 20 * MS, true, 10, 40, inHand(1)));
+            router.on(new QuerySubmitted(id, "look", null, 1, router.now + 3_000 * MS, 0, 0));
+            router.on(
+                    new AttemptEnded(id, 0, "a", Outcome.SERVED, 20 * MS, true, 10, 40, inHand(1)));
         }
         // The engine starts anew: by the prior of 500 ms it bears little, by the learnt 10 ms many.
-        r.list(EndpointListKind.DELTA, entry("a", "z1", "big", EndpointState.READY, r.now));
-        int before = r.sends().size();
+        router.list(
+                EndpointListKind.DELTA, entry("a", "z1", "big", EndpointState.READY, router.now));
+        int before = router.sends().size();
         for (int i = 0; i < 8; i++) {
-            r.on(new QuerySubmitted(++id, "look", null, 1, r.now + 3_000 * MS, 0, 0));
+            router.on(new QuerySubmitted(++id, "look", null, 1, router.now + 3_000 * MS, 0, 0));
         }
-        assertEquals(before + 8, r.sends().size());
+        assertEquals(before + 8, router.sends().size());
     }
 
     @Test
--- a/decisions/src/test/java/ashlink/decisions/ManyGatewaysTest.java
+++ b/decisions/src/test/java/ashlink/decisions/ManyGatewaysTest.java
@@ -86,8 +86,8 @@
         int threads = 0;
         for (int g = 0; g < GATEWAYS; g++) {
             Router r = router(GATEWAYS, g, 4);
-            for (String e : fleet(4)) {
-                r.reports.put(e, BUSY);
+            for (String text : fleet(4)) {
+                r.reports.put(text, BUSY);
             }
             for (int i = 0; i < 10; i++) {
                 r.ask(i, "report", null, 1_000);
@@ -104,8 +104,8 @@
     @Test
     void aGatewayWithALargeShareKeepsOneBoundAnEngine() {
         Router r = router(1, 0, 2);
-        for (String e : fleet(2)) {
-            r.reports.put(e, BUSY);
+        for (String text : fleet(2)) {
+            r.reports.put(text, BUSY);
         }
         for (int i = 0; i < 40; i++) {
             r.ask(i, "report", null, 1_000);
@@ -197,9 +197,9 @@
                         1,
                         brief ? 100 : 3_000,
                         brief ? 2_500 : 20_000);
-                for (StartAttempt s : List.copyOf(r.outstanding.values())) {
-                    if (s.engine().equals("e0")) {
-                        sends.add(new long[] {r.now, s.id() % 5 != 0 ? 100 : 3_000});
+                for (StartAttempt startAttempt : List.copyOf(r.outstanding.values())) {
+                    if (startAttempt.engine().equals("e0")) {
+                        sends.add(new long[] {r.now, startAttempt.id() % 5 != 0 ? 100 : 3_000});
                     }
                 }
                 r.serve(10, 100);
@@ -252,12 +252,12 @@
                         1,
                         brief ? 100 : 3_000,
                         brief ? 2_500 : 20_000);
-                for (StartAttempt s : List.copyOf(r.outstanding.values())) {
-                    if (s.engine().equals("e0")) {
-                        sends.add(new long[] {r.now, s.id() % 5 != 0 ? 100 : 3_000});
+                for (StartAttempt startAttempt : List.copyOf(r.outstanding.values())) {
+                    if (startAttempt.engine().equals("e0")) {
+                        sends.add(new long[] {r.now, startAttempt.id() % 5 != 0 ? 100 : 3_000});
                     }
                     if (i % 20 == 7) {
-                        r.end(s.id(), 0, s.engine(), Outcome.TIMED_OUT, 50);
+                        r.end(startAttempt.id(), 0, startAttempt.engine(), Outcome.TIMED_OUT, 50);
                     }
                 }
                 r.serve(20, 100);
@@ -284,13 +284,13 @@
     @Test
     void withoutFactsOfItsClassesAGatewaySendsAColdEngineNothingLong() {
         for (int g = 0; g < 40; g++) {
-            Router r = new Router(settings(GATEWAYS, g, NO_PRIORITIES, LIMITS));
-            r.list(
+            Router router = new Router(settings(GATEWAYS, g, NO_PRIORITIES, LIMITS));
+            router.list(
                     EndpointListKind.CACHED,
-                    entry("cold", "z1", "big", EndpointState.READY, r.now - MS));
-            r.ask(1, "report", null, 1, 50, 5_000); // looks brief, its class is not
-            r.pass(4_000);
-            assertTrue(r.sends().isEmpty());
+                    entry("cold", "z1", "big", EndpointState.READY, router.now - MS));
+            router.ask(1, "report", null, 1, 50, 5_000); // looks brief, its class is not
+            router.pass(4_000);
+            assertTrue(router.sends().isEmpty());
         }
     }
 
--- a/decisions/src/test/java/ashlink/decisions/Router.java
+++ b/decisions/src/test/java/ashlink/decisions/Router.java
@@ -175,26 +175,27 @@
     }
 
     List<Action> on(Event event) {
-        if (event instanceof AttemptEnded e) {
-            outstanding.remove(e.id());
+        if (event instanceof AttemptEnded attemptEnded) {
+            outstanding.remove(attemptEnded.id());
         }
         List<Action> decided = gateway.onEvent(event, now);
         actions.addAll(decided);
         List<Action> all = new ArrayList<>(decided);
-        for (Action a : decided) {
-            if (a instanceof SetTimer alarm) {
+        for (Action action : decided) {
+            if (action instanceof SetTimer alarm) {
                 alarms.add(alarm);
-            } else if (a instanceof StartAttempt s) {
-                outstanding.put(s.id(), s);
-                attempts.merge(s.id(), 1, Integer::sum);
-            } else if (a instanceof CheckHealth p && !mute.contains(p.engine())) {
+            } else if (action instanceof StartAttempt startAttempt) {
+                outstanding.put(startAttempt.id(), startAttempt);
+                attempts.merge(startAttempt.id(), 1, Integer::sum);
+            } else if (action instanceof CheckHealth checkHealth
+                    && !mute.contains(checkHealth.engine())) {
                 all.addAll(
                         on(
                                 new HealthCheckCompleted(
-                                        p.engine(),
+                                        checkHealth.engine(),
                                         Outcome.SERVED,
                                         MS,
-                                        reports.getOrDefault(p.engine(), HALF))));
+                                        reports.getOrDefault(checkHealth.engine(), HALF))));
             }
         }
         return all;
@@ -235,9 +236,14 @@
      * each.
      */
     void serve(int most, long tookMs) {
-        for (StartAttempt s :
+        for (StartAttempt startAttempt :
                 List.copyOf(outstanding.values()).subList(0, Math.min(most, outstanding.size()))) {
-            end(s.id(), attempts.get(s.id()) - 1, s.engine(), Outcome.SERVED, tookMs);
+            end(
+                    startAttempt.id(),
+                    attempts.get(startAttempt.id()) - 1,
+                    startAttempt.engine(),
+                    Outcome.SERVED,
+                    tookMs);
         }
     }
 
--- a/emulator/src/main/java/ashlink/emulator/EmulatedEngine.java
+++ b/emulator/src/main/java/ashlink/emulator/EmulatedEngine.java
@@ -65,14 +65,14 @@
         if (!down) {
             throw new IllegalStateException(config.name() + " runs");
         }
-        ServerSocketChannel s = bind(address == null ? config.listen() : address);
-        address = (InetSocketAddress) s.getLocalAddress();
-        server = s;
+        ServerSocketChannel channel = bind(address == null ? config.listen() : address);
+        address = (InetSocketAddress) channel.getLocalAddress();
+        server = channel;
         model = new EngineModel(config, startedMs, nowMs());
         down = false;
         incarnation++;
         int mine = incarnation;
-        thread(config.name() + "-accept", () -> accept(s));
+        thread(config.name() + "-accept", () -> accept(channel));
         ticker = thread(config.name() + "-model", () -> tick(mine));
     }
 
@@ -83,13 +83,13 @@
     private static ServerSocketChannel bind(InetSocketAddress to) throws IOException {
         long until = System.nanoTime() + REBIND_NS;
         while (true) {
-            ServerSocketChannel s = ServerSocketChannel.open();
+            ServerSocketChannel channel = ServerSocketChannel.open();
             try {
-                s.setOption(java.net.StandardSocketOptions.SO_REUSEADDR, true);
-                s.bind(to, BACKLOG);
-                return s;
+                channel.setOption(java.net.StandardSocketOptions.SO_REUSEADDR, true);
+                channel.bind(to, BACKLOG);
+                return channel;
             } catch (BindException e) {
-                s.close();
+                channel.close();
                 if (System.nanoTime() > until) {
                     throw e;
                 }
@@ -98,11 +98,11 @@
         }
     }
 
-    private static Thread thread(String name, Runnable r) {
-        Thread t = new Thread(null, r, name, STACK_BYTES);
-        t.setDaemon(true);
-        t.start();
-        return t;
+    private static Thread thread(String name, Runnable task) {
+        Thread thread = new Thread(null, task, name, STACK_BYTES);
+        thread.setDaemon(true);
+        thread.start();
+        return thread;
     }
 
     /**
@@ -131,12 +131,12 @@
         hooks.forEach(Runnable::run);
     }
 
-    private static void close(SocketChannel c) {
+    private static void close(SocketChannel socketChannel) {
         try {
-            c.setOption(
+            socketChannel.setOption(
                     java.net.StandardSocketOptions.SO_LINGER,
                     0); // a reset, as of a process that died
-            c.close();
+            socketChannel.close();
         } catch (IOException e) {
             // closed all the same
         }
@@ -145,16 +145,16 @@
     private void accept(ServerSocketChannel from) {
         while (from.isOpen()) {
             try {
-                SocketChannel c = from.accept();
-                c.setOption(java.net.StandardSocketOptions.TCP_NODELAY, true);
-                sockets.add(c);
+                SocketChannel socketChannel = from.accept();
+                socketChannel.setOption(java.net.StandardSocketOptions.TCP_NODELAY, true);
+                sockets.add(socketChannel);
                 thread(
                         config.name() + "-session",
                         () -> {
                             try {
-                                new EngineSession(this, c).run();
+                                new EngineSession(this, socketChannel).run();
                             } finally {
-                                sockets.remove(c);
+                                sockets.remove(socketChannel);
                             }
                         });
             } catch (IOException e) {
@@ -180,8 +180,8 @@
                 catchUp();
                 List<Job> done = List.copyOf(late);
                 late.clear();
-                for (Job j : done) {
-                    Runnable hook = doneHooks.remove(j);
+                for (Job job : done) {
+                    Runnable hook = doneHooks.remove(job);
                     if (hook != null) {
                         hooks.add(hook);
                     }
--- a/emulator/src/main/java/ashlink/emulator/EngineSession.java
+++ b/emulator/src/main/java/ashlink/emulator/EngineSession.java
@@ -165,15 +165,15 @@
 
     // ---- A statement
     private void query() throws IOException, InterruptedException {
-        QueryPacket q = QueryPacket.read(in, revision, LIMITS);
-        while (!readNextData(q.compressed()).isEnd()) {
+        QueryPacket queryPacket = QueryPacket.read(in, revision, LIMITS);
+        while (!readNextData(queryPacket.compressed()).isEnd()) {
             // external tables
         }
-        WorkHints hints = new WorkHints(q.statement());
-        String text = q.statement().replaceAll("(?s)/\\*.*?\\*/", " ").strip();
+        WorkHints hints = new WorkHints(queryPacket.statement());
+        String text = queryPacket.statement().replaceAll("(?s)/\\*.*?\\*/", " ").strip();
         if (text.contains("system.metrics")) {
             breakHere(Place.RUN, null);
-            answerMetrics(q);
+            answerMetrics(queryPacket);
             return;
         }
         entry =
@@ -182,7 +182,7 @@
                         config.kind(),
                         config.zone(),
                         client,
-                        q.id(),
+                        queryPacket.id(),
                         hints,
                         System.nanoTime());
         engine.ledger().begin(entry);
@@ -191,7 +191,7 @@
         quiet = !takesData;
         breakHere(Place.QUERY, null);
         if (takesData) {
-            readInsert(q, hints);
+            readInsert(queryPacket, hints);
             quiet = true;
         }
         entry.ran();
@@ -199,11 +199,11 @@
             sendError((int) hints.whole("error", 0), "as the statement asks");
             return;
         }
-        if (!work(q, hints)) {
+        if (!work(queryPacket, hints)) {
             return;
         }
         entry.effect();
-        answer(q, hints, text, upper);
+        answer(queryPacket, hints, text, upper);
         entry = null;
     }
 
@@ -219,7 +219,7 @@
         send(packet);
     }
 
-    private void readInsert(QueryPacket q, WorkHints hints)
+    private void readInsert(QueryPacket queryPacket, WorkHints hints)
             throws IOException, InterruptedException {
         ByteBuf header = new ByteBuf();
         if (Revision.hasTableColumns(revision)) {
@@ -228,15 +228,17 @@
                     .putString("columns format version: 1\n");
         }
         List<Block.Column> columns = new ArrayList<>();
-        for (String c : hints.text("columns", "id:UInt64,value:String").split(",")) {
-            int colon = c.indexOf(':');
-            columns.add(new Block.Column(c.substring(0, colon), c.substring(colon + 1), List.of()));
+        for (String text : hints.text("columns", "id:UInt64,value:String").split(",")) {
+            int colon = text.indexOf(':');
+            columns.add(
+                    new Block.Column(
+                            text.substring(0, colon), text.substring(colon + 1), List.of()));
         }
         header.putVarUInt(ServerPacket.DATA.ordinal()).putString("");
-        new Block(columns, 0).write(q.compressed() ? Compression.LZ4 : null, header);
+        new Block(columns, 0).write(queryPacket.compressed() ? Compression.LZ4 : null, header);
         breakHere(Place.HEADER, header);
         send(header);
-        while (!readNextData(q.compressed()).isEnd()) {
+        while (!readNextData(queryPacket.compressed()).isEnd()) {
             breakHere(Place.INSERT, null);
         }
     }
@@ -246,9 +248,10 @@
      * Works until the statement is done; false where it has ended otherwise, which is answered or
      * noted.
      */
-    private boolean work(QueryPacket q, WorkHints hints) throws IOException, InterruptedException {
+    private boolean work(QueryPacket queryPacket, WorkHints hints)
+            throws IOException, InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
-        Job job = engine.submit(demand(q, hints), done::countDown);
+        Job job = engine.submit(demand(queryPacket, hints), done::countDown);
         if (job == null) {
             sendError(TURNED_AWAY, "too many queries at once");
             return false;
@@ -282,21 +285,21 @@
         return true;
     }
 
-    private static Job.Demand demand(QueryPacket q, WorkHints h) {
-        String grant = q.setting("max_memory_usage");
-        String priority = q.setting("priority");
+    private static Job.Demand demand(QueryPacket queryPacket, WorkHints workHints) {
+        String grant = queryPacket.setting("max_memory_usage");
+        String priority = queryPacket.setting("priority");
         double grantMb = grant == null ? 0 : Double.parseDouble(grant) / (1 << 20);
         int p = priority == null ? 1 : HIGHEST_PRIORITY - Integer.parseInt(priority);
         return new Job.Demand(
-                h.number("work_ms", 1),
-                (int) h.whole("threads", 1),
-                h.number("io", 0),
-                h.number("memory_mb", 1),
+                workHints.number("work_ms", 1),
+                (int) workHints.whole("threads", 1),
+                workHints.number("io", 0),
+                workHints.number("memory_mb", 1),
                 grantMb,
                 p,
-                h.whole("tables", 0),
-                h.whole("holds", 0) > 0,
-                h.whole("waits", 0) > 0);
+                workHints.whole("tables", 0),
+                workHints.whole("holds", 0) > 0,
+                workHints.whole("waits", 0) > 0);
     }
 
     /** True once the client has closed, or asks to cancel. */
@@ -315,7 +318,7 @@
     }
 
     // ---- Its answer
-    private void answerMetrics(QueryPacket q) throws IOException {
+    private void answerMetrics(QueryPacket queryPacket) throws IOException {
         Map<String, Double> gauges = engine.gauges();
         ByteBuf packet = new ByteBuf();
         packet.putVarUInt(ServerPacket.DATA.ordinal()).putString("");
@@ -325,16 +328,16 @@
         Block.of(
                         new Block.Column("metric", "String", names),
                         new Block.Column("value", "Float64", values))
-                .write(q.compressed() ? Compression.LZ4 : null, packet);
+                .write(queryPacket.compressed() ? Compression.LZ4 : null, packet);
         packet.putVarUInt(ServerPacket.END_OF_STREAM.ordinal());
         send(packet);
     }
 
-    private void answer(QueryPacket q, WorkHints hints, String text, String upper)
+    private void answer(QueryPacket queryPacket, WorkHints hints, String text, String upper)
             throws IOException, InterruptedException {
         ByteBuf packet = new ByteBuf();
         Compression compression =
-                !q.compressed()
+                !queryPacket.compressed()
                         ? null
                         : hints.text("compression", "lz4").equals("zstd")
                                 ? Compression.ZSTD
@@ -377,7 +380,10 @@
         header.putVarUInt(ServerPacket.DATA.ordinal()).putString("");
         new Block(
                         block.columns().stream()
-                                .map(c -> new Block.Column(c.name(), c.type(), List.of()))
+                                .map(
+                                        column ->
+                                                new Block.Column(
+                                                        column.name(), column.type(), List.of()))
                                 .toList(),
                         0)
                 .write(compression, header);
@@ -432,8 +438,8 @@
         List<Object> values =
                 new ArrayList<>(List.of(hints.whole("work_ms", 1), hints.whole("memory_mb", 1)));
         gauges.forEach(
-                (n, v) -> {
-                    names.add(n + "Permille");
+                (text, v) -> {
+                    names.add(text + "Permille");
                     values.add((long) (v * 1000));
                 });
         int rows = names.size();
--- a/emulator/src/main/java/ashlink/emulator/Ledger.java
+++ b/emulator/src/main/java/ashlink/emulator/Ledger.java
@@ -123,23 +123,23 @@
                                 StandardOpenOption.APPEND);
     }
 
-    synchronized void begin(Entry e) {
+    synchronized void begin(Entry entry) {
         if (entries.size() >= MOST_ENTRIES) {
             throw new IllegalStateException("a ledger holds " + MOST_ENTRIES + " entries at most");
         }
-        entries.add(e);
-        write("begin", e);
+        entries.add(entry);
+        write("begin", entry);
     }
 
-    void end(Entry e, How how) {
-        if (e.how == How.OPEN) {
-            e.how = how;
-            e.endedNs = System.nanoTime();
-            write("end", e);
+    void end(Entry entry, How how) {
+        if (entry.how == How.OPEN) {
+            entry.how = how;
+            entry.endedNs = System.nanoTime();
+            write("end", entry);
         }
     }
 
-    private synchronized void write(String what, Entry e) {
+    private synchronized void write(String what, Entry entry) {
         if (file != null) {
             try {
                 file.write(
@@ -147,17 +147,17 @@
                                 + "\t"
                                 + what
                                 + "\t"
-                                + e.engine
+                                + entry.engine
                                 + "\t"
-                                + e.router
+                                + entry.router
                                 + "\t"
-                                + e.queryId
+                                + entry.queryId
                                 + "\t"
-                                + e.tag
+                                + entry.tag
                                 + "\t"
-                                + (e.ranNs > 0 ? "ran" : "not run")
+                                + (entry.ranNs > 0 ? "ran" : "not run")
                                 + "\t"
-                                + e.how
+                                + entry.how
                                 + "\n");
                 file.flush();
             } catch (IOException ex) {
--- a/emulator/src/main/java/ashlink/emulator/WorkHints.java
+++ b/emulator/src/main/java/ashlink/emulator/WorkHints.java
@@ -16,9 +16,9 @@
 
     /** Reads the comment of a statement, where it has one. */
     public WorkHints(String statement) {
-        Matcher m = COMMENT.matcher(statement);
-        if (m.find()) {
-            for (String pair : m.group(1).trim().split("\\s+")) {
+        Matcher matcher = COMMENT.matcher(statement);
+        if (matcher.find()) {
+            for (String pair : matcher.group(1).trim().split("\\s+")) {
                 int equals = pair.indexOf('=');
                 if (equals > 0) {
                     values.put(pair.substring(0, equals), pair.substring(equals + 1));
--- a/emulator/src/main/java/ashlink/emulator/model/EngineModel.java
+++ b/emulator/src/main/java/ashlink/emulator/model/EngineModel.java
@@ -91,11 +91,11 @@
             }
             now += step;
             boolean any = false;
-            for (Job j : List.copyOf(jobs)) {
-                if (j.state() == Job.State.RUNS && j.leftMs() <= 1e-6) {
-                    jobs.remove(j);
-                    j.state(Job.State.DONE);
-                    done.add(j);
+            for (Job job : List.copyOf(jobs)) {
+                if (job.state() == Job.State.RUNS && job.leftMs() <= 1e-6) {
+                    jobs.remove(job);
+                    job.state(Job.State.DONE);
+                    done.add(job);
                     any = true;
                 }
             }
@@ -130,7 +130,7 @@
 
     /** Jobs that wait for memory. */
     public int waiting() {
-        return (int) jobs.stream().filter(j -> j.state() == Job.State.WAITS_FOR_MEMORY).count();
+        return (int) jobs.stream().filter(job -> job.state() == Job.State.WAITS_FOR_MEMORY).count();
     }
 
     /** Share of its memory that is granted. */
@@ -168,15 +168,15 @@
 
     private double threads() {
         return jobs.stream()
-                .filter(j -> j.state() == Job.State.RUNS)
-                .mapToDouble(j -> j.demand().threads())
+                .filter(job -> job.state() == Job.State.RUNS)
+                .mapToDouble(job -> job.demand().threads())
                 .sum();
     }
 
     private double reading() {
         return jobs.stream()
-                .filter(j -> j.state() == Job.State.RUNS)
-                .mapToDouble(j -> j.demand().threads() * j.demand().ioShare())
+                .filter(job -> job.state() == Job.State.RUNS)
+                .mapToDouble(job -> job.demand().threads() * job.demand().ioShare())
                 .sum();
     }
 
@@ -195,28 +195,28 @@
         double cores = config.cores();
         double disks = Math.max(1e-9, config.disks() * config.cores());
         double weights = 0;
-        for (Job j : jobs) {
-            weights += j.state() == Job.State.RUNS ? weight(j) : 0;
+        for (Job job : jobs) {
+            weights += job.state() == Job.State.RUNS ? weight(job) : 0;
         }
         double diskShort = Math.max(1, reading() / disks);
         for (int i = 0; i < rates.length; i++) {
-            Job j = jobs.get(i);
-            if (j.state() == Job.State.RUNS) {
+            Job job = jobs.get(i);
+            if (job.state() == Job.State.RUNS) {
                 double share =
                         Math.min(
-                                j.demand().threads(),
+                                job.demand().threads(),
                                 threads <= cores
-                                        ? j.demand().threads()
-                                        : cores * weight(j) / weights);
-                double io = j.demand().ioShare();
+                                        ? job.demand().threads()
+                                        : cores * weight(job) / weights);
+                double io = job.demand().ioShare();
                 rates[i] = each * share / (1 - io + io * diskShort);
             }
         }
         return rates;
     }
 
-    private static double weight(Job j) {
-        return j.demand().threads() * WEIGHTS[Math.max(0, Math.min(3, j.demand().priority()))];
+    private static double weight(Job job) {
+        return job.demand().threads() * WEIGHTS[Math.max(0, Math.min(3, job.demand().priority()))];
     }
 
     // ---- Memory and tables
@@ -224,32 +224,32 @@
     private void admit() {
         List<Job> line = new ArrayList<>(jobs);
         line.sort(
-                Comparator.comparingInt((Job j) -> -j.demand().priority())
+                Comparator.comparingInt((Job job) -> -job.demand().priority())
                         .thenComparingLong(Job::sequence));
         boolean shortOfMemory = false;
-        for (Job j : line) {
-            if (j.state() == Job.State.WAITS_FOR_MEMORY && !shortOfMemory) {
-                shortOfMemory = !grant(j);
+        for (Job job : line) {
+            if (job.state() == Job.State.WAITS_FOR_MEMORY && !shortOfMemory) {
+                shortOfMemory = !grant(job);
             }
         }
         jobs.stream()
-                .filter(j -> j.state() == Job.State.WAITS_FOR_TABLES && !isBarred(j))
-                .forEach(j -> j.state(Job.State.RUNS));
+                .filter(job -> job.state() == Job.State.WAITS_FOR_TABLES && !isBarred(job))
+                .forEach(job -> job.state(Job.State.RUNS));
     }
 
-    private boolean grant(Job j) {
+    private boolean grant(Job job) {
         double wanted =
                 Math.min(
                         MOST_GRANT * config.memoryMb(),
-                        j.demand().grantMb() > 0
-                                ? j.demand().grantMb()
-                                : OWN_CHOICE * j.demand().memoryMb());
+                        job.demand().grantMb() > 0
+                                ? job.demand().grantMb()
+                                : OWN_CHOICE * job.demand().memoryMb());
         double free = config.memoryMb() * (1 - memoryGranted());
         if (wanted > free && config.memoryLine() && memoryGranted() > 0) {
             return false;
         }
-        j.grant(Math.min(wanted, Math.max(0, free)), config.spill());
-        j.state(isBarred(j) ? Job.State.WAITS_FOR_TABLES : Job.State.RUNS);
+        job.grant(Math.min(wanted, Math.max(0, free)), config.spill());
+        job.state(isBarred(job) ? Job.State.WAITS_FOR_TABLES : Job.State.RUNS);
         return true;
     }
 
--- a/fleet/src/main/java/ashlink/fleet/command/CommandDisseminator.java
+++ b/fleet/src/main/java/ashlink/fleet/command/CommandDisseminator.java
@@ -60,7 +60,7 @@
         return fresh.isEmpty()
                 ? List.of()
                 : to.stream()
-                        .map(p -> (Transmission) new Transmission.SendCommands(p, fresh))
+                        .map(text -> (Transmission) new Transmission.SendCommands(text, fresh))
                         .toList();
     }
 
--- a/fleet/src/main/java/ashlink/fleet/command/ReplicatedCommandSet.java
+++ b/fleet/src/main/java/ashlink/fleet/command/ReplicatedCommandSet.java
@@ -22,9 +22,9 @@
     /** Names a say: that of an owner on a subject. */
     public record CommandKey(String subject, String owner) implements Comparable<CommandKey> {
         @Override
-        public int compareTo(CommandKey o) {
-            int c = subject.compareTo(o.subject);
-            return c != 0 ? c : owner.compareTo(o.owner);
+        public int compareTo(CommandKey commandKey) {
+            int c = subject.compareTo(commandKey.subject);
+            return c != 0 ? c : owner.compareTo(commandKey.owner);
         }
     }
 
@@ -57,36 +57,36 @@
         this.rememberedMs = rememberedMs;
     }
 
-    private static CommandKey say(OperatorCommand n) {
-        return new CommandKey(n.subject(), n.owner());
+    private static CommandKey say(OperatorCommand operatorCommand) {
+        return new CommandKey(operatorCommand.subject(), operatorCommand.owner());
     }
 
     /** Adds a notice that still holds for that long; true if anything is otherwise than before. */
-    public boolean add(OperatorCommand n, long leftMs, long nowMs) {
+    public boolean add(OperatorCommand operatorCommand, long leftMs, long nowMs) {
         long until = nowMs + Math.min(leftMs, longestMs);
-        Entry held = entries.get(say(n));
+        Entry held = entries.get(say(operatorCommand));
         if (held == null && entries.size() >= most) {
             forget(nowMs);
             if (entries.size() >= most) {
                 return false;
             }
         }
-        int newer = held == null ? 1 : n.compareTo(held.notice);
+        int newer = held == null ? 1 : operatorCommand.compareTo(held.notice);
         if (newer < 0 || newer == 0 && until <= held.untilMs) {
             return false;
         }
-        entries.put(say(n), new Entry(n, until));
+        entries.put(say(operatorCommand), new Entry(operatorCommand, until));
         return newer > 0;
     }
 
     /** What holds of a subject: the strongest of what its owners want. */
     public Intent intent(String subject, long nowMs) {
         Intent strongest = Intent.NONE;
-        for (Entry e : entries.values()) {
-            if (e.notice.subject().equals(subject)
-                    && e.untilMs > nowMs
-                    && e.notice.intent().compareTo(strongest) > 0) {
-                strongest = e.notice.intent();
+        for (Entry entry : entries.values()) {
+            if (entry.notice.subject().equals(subject)
+                    && entry.untilMs > nowMs
+                    && entry.notice.intent().compareTo(strongest) > 0) {
+                strongest = entry.notice.intent();
             }
         }
         return strongest;
@@ -95,11 +95,11 @@
     /** All subjects of which something holds, with what. */
     public Map<String, Intent> intents(long nowMs) {
         Map<String, Intent> all = new TreeMap<>();
-        for (Entry e : entries.values()) {
-            if (e.untilMs > nowMs && e.notice.intent() != Intent.NONE) {
+        for (Entry entry : entries.values()) {
+            if (entry.untilMs > nowMs && entry.notice.intent() != Intent.NONE) {
                 all.merge(
-                        e.notice.subject(),
-                        e.notice.intent(),
+                        entry.notice.subject(),
+                        entry.notice.intent(),
                         (a, b) -> a.compareTo(b) > 0 ? a : b);
             }
         }
@@ -108,26 +108,26 @@
 
     /** The next revision for a say: more than any that is known of it. */
     public long nextRevision(String subject, String owner) {
-        Entry e = entries.get(new CommandKey(subject, owner));
-        return e == null ? 1 : e.notice.revision() + 1;
+        Entry entry = entries.get(new CommandKey(subject, owner));
+        return entry == null ? 1 : entry.notice.revision() + 1;
     }
 
     /** Owners who want something of a subject now. */
     public List<String> owners(String subject, long nowMs) {
         return entries.values().stream()
                 .filter(
-                        e ->
-                                e.notice.subject().equals(subject)
-                                        && e.untilMs > nowMs
-                                        && e.notice.intent() != Intent.NONE)
-                .map(e -> e.notice.owner())
+                        entry ->
+                                entry.notice.subject().equals(subject)
+                                        && entry.untilMs > nowMs
+                                        && entry.notice.intent() != Intent.NONE)
+                .map(entry -> entry.notice.owner())
                 .toList();
     }
 
     /** All notices, also those that are over and remembered. */
     public List<CommandWithTtl> all(long nowMs) {
         return entries.values().stream()
-                .map(e -> new CommandWithTtl(e.notice, e.untilMs - nowMs))
+                .map(entry -> new CommandWithTtl(entry.notice, entry.untilMs - nowMs))
                 .toList();
     }
 
@@ -135,10 +135,10 @@
     public List<CommandWithTtl> lackedBy(Map<CommandKey, Integer> digest, long nowMs) {
         List<CommandWithTtl> lacked = new ArrayList<>();
         entries.forEach(
-                (say, e) -> {
+                (say, entry) -> {
                     Integer theirs = digest.get(say);
-                    if (theirs == null || theirs != e.notice.digest()) {
-                        lacked.add(new CommandWithTtl(e.notice, e.untilMs - nowMs));
+                    if (theirs == null || theirs != entry.notice.digest()) {
+                        lacked.add(new CommandWithTtl(entry.notice, entry.untilMs - nowMs));
                     }
                 });
         return lacked;
@@ -147,13 +147,13 @@
     /** Says with a hash of what is known of each, for who compares. */
     public Map<CommandKey, Integer> digest() {
         Map<CommandKey, Integer> digest = new TreeMap<>();
-        entries.forEach((say, e) -> digest.put(say, e.notice.digest()));
+        entries.forEach((say, entry) -> digest.put(say, entry.notice.digest()));
         return digest;
     }
 
     /** Forgets what has been over for long enough. */
     public void forget(long nowMs) {
-        entries.values().removeIf(e -> nowMs - e.untilMs > rememberedMs);
+        entries.values().removeIf(entry -> nowMs - entry.untilMs > rememberedMs);
     }
 
     /** Says that are known. */
