--- a/fleet/src/main/java/ashlink/fleet/membership/Swim.java
+++ b/fleet/src/main/java/ashlink/fleet/membership/Swim.java
@@ -115,7 +115,7 @@
         asked = null;
         relayed.clear();
         nextPeriodNs = now;
-        members.values().forEach(k -> k.suspectUntilNs += slept);
+        members.values().forEach(known -> known.suspectUntilNs += slept);
     }
 
     private void begin(long now, List<Send> out) {
@@ -133,7 +133,7 @@
         if (periods % terms.regainPeriods() == 0) {
             List<String> gone =
                     members.entrySet().stream()
-                            .filter(e -> e.getValue().rumor.state() == State.GONE)
+                            .filter(entry -> entry.getValue().rumor.state() == State.GONE)
                             .map(Map.Entry::getKey)
                             .toList();
             if (!gone.isEmpty()) {
@@ -154,18 +154,18 @@
         while (true) {
             if (order.isEmpty()) {
                 members.forEach(
-                        (m, k) -> {
-                            if (k.rumor.state() != State.GONE) {
-                                order.add(random.nextInt(order.size() + 1), m);
+                        (text, known) -> {
+                            if (known.rumor.state() != State.GONE) {
+                                order.add(random.nextInt(order.size() + 1), text);
                             }
                         });
                 if (order.isEmpty()) {
                     return null;
                 }
             }
-            String m = order.remove(order.size() - 1);
-            if (members.containsKey(m) && members.get(m).rumor.state() != State.GONE) {
-                return m;
+            String text = order.remove(order.size() - 1);
+            if (members.containsKey(text) && members.get(text).rumor.state() != State.GONE) {
+                return text;
             }
         }
     }
@@ -175,9 +175,9 @@
                 new ArrayList<>(
                         members.entrySet().stream()
                                 .filter(
-                                        e ->
-                                                e.getValue().rumor.state() == State.ALIVE
-                                                        && !e.getKey().equals(but))
+                                        entry ->
+                                                entry.getValue().rumor.state() == State.ALIVE
+                                                        && !entry.getKey().equals(but))
                                 .map(Map.Entry::getKey)
                                 .toList());
         List<String> chosen = new ArrayList<>();
@@ -187,99 +187,108 @@
         return chosen;
     }
 
-    private Send to(String member, Message m) {
-        return new Send(member, members.get(member).rumor.address(), m);
+    private Send to(String member, Message message) {
+        return new Send(member, members.get(member).rumor.address(), message);
     }
 
     // ---- Messages
     /** A message came from that member. */
-    public List<Send> receive(String from, String address, Message m, long now) {
+    public List<Send> receive(String from, String address, Message message, long now) {
         List<Send> out = new ArrayList<>();
         Known sender = members.get(from);
         if (sender == null && !from.equals(self.member())) {
             believe(new MembershipUpdate(from, address, 0, State.ALIVE), now);
         }
-        m.rumors().forEach(r -> believe(r, now));
-        if (m instanceof Ping p) {
+        message.rumors().forEach(membershipUpdate -> believe(membershipUpdate, now));
+        if (message instanceof Ping ping) {
             List<MembershipUpdate> with = new ArrayList<>(gossip());
             if (sender != null && sender.rumor.state() != State.ALIVE) {
                 with.add(sender.rumor); // who is taken for gone and speaks is told so
             }
-            out.add(new Send(from, address, new Ack(p.number(), self.member(), with)));
-        } else if (m instanceof PingFor p && members.containsKey(p.target())) {
+            out.add(new Send(from, address, new Ack(ping.number(), self.member(), with)));
+        } else if (message instanceof PingFor pingFor && members.containsKey(pingFor.target())) {
             long number = ++numbers;
-            relayed.put(number, new Relayed(from, address, p.number(), p.target()));
-            out.add(to(p.target(), new Ping(number, gossip())));
-        } else if (m instanceof Ack a) {
-            Relayed r = relayed.remove(a.number());
-            if (r != null && r.target.equals(a.of())) {
+            relayed.put(number, new Relayed(from, address, pingFor.number(), pingFor.target()));
+            out.add(to(pingFor.target(), new Ping(number, gossip())));
+        } else if (message instanceof Ack ack) {
+            Relayed r = relayed.remove(ack.number());
+            if (r != null && r.target.equals(ack.of())) {
                 out.add(
                         new Send(
-                                r.asker, r.askerAddress, new Ack(r.theirNumber, a.of(), gossip())));
-            } else if (a.number() == askedNumber && a.of().equals(asked)) {
+                                r.asker,
+                                r.askerAddress,
+                                new Ack(r.theirNumber, ack.of(), gossip())));
+            } else if (ack.number() == askedNumber && ack.of().equals(asked)) {
                 asked = null;
             }
         }
         return out;
     }
 
-    private void believe(MembershipUpdate r, long now) {
-        if (r.member().equals(self.member())) {
-            if (r.incarnation() >= self.incarnation() && r.state() != State.ALIVE) {
+    private void believe(MembershipUpdate membershipUpdate, long now) {
+        if (membershipUpdate.member().equals(self.member())) {
+            if (membershipUpdate.incarnation() >= self.incarnation()
+                    && membershipUpdate.state() != State.ALIVE) {
                 falseAlarms++;
                 self =
                         new MembershipUpdate(
                                 self.member(),
                                 self.address(),
-                                r.incarnation() + 1,
+                                membershipUpdate.incarnation() + 1,
                                 State.ALIVE); // refutes it
                 tell(self);
-            } else if (r.incarnation() > self.incarnation()) {
+            } else if (membershipUpdate.incarnation() > self.incarnation()) {
                 self =
                         new MembershipUpdate(
                                 self.member(),
                                 self.address(),
-                                r.incarnation() + 1,
+                                membershipUpdate.incarnation() + 1,
                                 State.ALIVE); // of an earlier life
                 tell(self);
             }
             return;
         }
-        Known known = members.get(r.member());
+        Known known = members.get(membershipUpdate.member());
         if (known == null) {
-            if (r.state() == State.GONE) {
+            if (membershipUpdate.state() == State.GONE) {
                 return; // nothing to forget
             }
-            known = new Known(r);
-            members.put(r.member(), known);
-        } else if (r.overrides(known.rumor)) {
-            known.rumor = r;
+            known = new Known(membershipUpdate);
+            members.put(membershipUpdate.member(), known);
+        } else if (membershipUpdate.overrides(known.rumor)) {
+            known.rumor = membershipUpdate;
         } else {
             return;
         }
-        if (r.state() == State.SUSPECT) {
+        if (membershipUpdate.state() == State.SUSPECT) {
             known.suspectUntilNs = now + suspicionNs();
         }
-        tell(r);
+        tell(membershipUpdate);
     }
 
     private void suspect(String member, long now) {
-        MembershipUpdate r = members.get(member).rumor;
-        if (r.state() == State.ALIVE) {
-            believe(new MembershipUpdate(member, r.address(), r.incarnation(), State.SUSPECT), now);
+        MembershipUpdate membershipUpdate = members.get(member).rumor;
+        if (membershipUpdate.state() == State.ALIVE) {
+            believe(
+                    new MembershipUpdate(
+                            member,
+                            membershipUpdate.address(),
+                            membershipUpdate.incarnation(),
+                            State.SUSPECT),
+                    now);
         }
     }
 
     private void suspicionsOver(long now) {
-        for (Known k : members.values()) {
-            if (k.rumor.state() == State.SUSPECT && now >= k.suspectUntilNs) {
-                k.rumor =
+        for (Known known : members.values()) {
+            if (known.rumor.state() == State.SUSPECT && now >= known.suspectUntilNs) {
+                known.rumor =
                         new MembershipUpdate(
-                                k.rumor.member(),
-                                k.rumor.address(),
-                                k.rumor.incarnation(),
+                                known.rumor.member(),
+                                known.rumor.address(),
+                                known.rumor.incarnation(),
                                 State.GONE);
-                tell(k.rumor);
+                tell(known.rumor);
             }
         }
     }
@@ -293,8 +302,8 @@
     }
 
     // ---- Rumors
-    private void tell(MembershipUpdate r) {
-        rumors.put(r.member(), new Told(r));
+    private void tell(MembershipUpdate membershipUpdate) {
+        rumors.put(membershipUpdate.member(), new Told(membershipUpdate));
     }
 
     /** The rumors told least often so far, each as often as the paper has it. */
@@ -303,15 +312,15 @@
         List<Told> chosen =
                 rumors.values().stream()
                         .sorted(
-                                Comparator.comparingInt((Told t) -> t.times)
-                                        .thenComparing(t -> t.rumor.member()))
+                                Comparator.comparingInt((Told told) -> told.times)
+                                        .thenComparing(told -> told.rumor.member()))
                         .limit(terms.rumors())
                         .toList();
         List<MembershipUpdate> out = new ArrayList<>();
-        for (Told t : chosen) {
-            out.add(t.rumor);
-            if (++t.times >= most) {
-                rumors.remove(t.rumor.member());
+        for (Told told : chosen) {
+            out.add(told.rumor);
+            if (++told.times >= most) {
+                rumors.remove(told.rumor.member());
             }
         }
         return out;
@@ -321,14 +330,14 @@
     /** What is held of each member, this one left out. */
     public Map<String, MembershipUpdate> members() {
         Map<String, MembershipUpdate> all = new TreeMap<>();
-        members.forEach((m, k) -> all.put(m, k.rumor));
+        members.forEach((text, known) -> all.put(text, known.rumor));
         return all;
     }
 
     /** What is held of one member; null of one that is not known. */
     public State held(String member) {
-        Known k = members.get(member);
-        return k == null ? null : k.rumor.state();
+        Known known = members.get(member);
+        return known == null ? null : known.rumor.state();
     }
 
     /** Times that this member was suspected and refuted it. */
--- a/fleet/src/test/java/ashlink/fleet/command/DisseminationSimulation.java
+++ b/fleet/src/test/java/ashlink/fleet/command/DisseminationSimulation.java
@@ -64,57 +64,60 @@
         return peers;
     }
 
-    private void compare(String r) {
-        if (!dead.contains(r)) {
-            send(r, routers.get(r).carrier.compare(peers(r)));
+    private void compare(String text) {
+        if (!dead.contains(text)) {
+            send(text, routers.get(text).carrier.compare(peers(text)));
         }
-        at(1_000, () -> compare(r));
+        at(1_000, () -> compare(text));
     }
 
     private void send(String from, List<CommandDisseminator.Transmission> all) {
-        for (CommandDisseminator.Transmission o : all) {
+        for (CommandDisseminator.Transmission transmission : all) {
             messages++;
-            if (random.nextDouble() >= loss && passes.test(from, o.peer())) {
-                at(1 + random.nextInt(10), () -> deliver(from, o));
+            if (random.nextDouble() >= loss && passes.test(from, transmission.peer())) {
+                at(1 + random.nextInt(10), () -> deliver(from, transmission));
             }
         }
     }
 
-    private void deliver(String from, CommandDisseminator.Transmission o) {
-        Router r = routers.get(o.peer());
-        if (dead.contains(o.peer())) {
+    private void deliver(String from, CommandDisseminator.Transmission transmission) {
+        Router router = routers.get(transmission.peer());
+        if (dead.contains(transmission.peer())) {
             return;
         }
-        if (o instanceof CommandDisseminator.Transmission.SendCommands t) {
-            learn(o.peer(), t.notices(), from);
-        } else if (o instanceof CommandDisseminator.Transmission.SendDigest c) {
-            send(o.peer(), r.carrier.compared(from, c.digest(), c.back(), nowMs + r.clockMs));
+        if (transmission instanceof CommandDisseminator.Transmission.SendCommands sendCommands) {
+            learn(transmission.peer(), sendCommands.notices(), from);
+        } else if (transmission instanceof CommandDisseminator.Transmission.SendDigest sendDigest) {
+            send(
+                    transmission.peer(),
+                    router.carrier.compared(
+                            from, sendDigest.digest(), sendDigest.back(), nowMs + router.clockMs));
         }
     }
 
     /** A router hears of notices: from a peer, or from the tool. */
     void learn(String name, List<CommandWithTtl> held, String from) {
-        Router r = routers.get(name);
+        Router router = routers.get(name);
         List<CommandWithTtl> fresh = new ArrayList<>();
-        for (CommandWithTtl h : held) {
-            if (r.set.add(h.notice(), h.leftMs(), nowMs + r.clockMs)) {
-                fresh.add(h);
-                r.learntMs = nowMs;
+        for (CommandWithTtl ttl : held) {
+            if (router.set.add(ttl.notice(), ttl.leftMs(), nowMs + router.clockMs)) {
+                fresh.add(ttl);
+                router.learntMs = nowMs;
             }
         }
-        send(name, r.carrier.spread(fresh, peers(name), from));
+        send(name, router.carrier.spread(fresh, peers(name), from));
     }
 
-    void tell(String router, OperatorCommand n) {
-        learn(router, List.of(new CommandWithTtl(n, DAY)), "");
+    void tell(String router, OperatorCommand operatorCommand) {
+        learn(router, List.of(new CommandWithTtl(operatorCommand, DAY)), "");
     }
 
     void run(long ms) {
         long end = nowMs + ms;
         while (!events.isEmpty() && events.peek().atMs <= end) {
-            Event e = events.poll();
-            nowMs = e.atMs;
-            e.what.run();
+            Event event = events.poll();
+            nowMs = event.atMs;
+            event.what.run();
         }
         nowMs = end;
     }
@@ -127,8 +130,8 @@
     /** Time at which the last router alive learnt anything new. */
     long lastLearntMs() {
         return routers.entrySet().stream()
-                .filter(e -> !dead.contains(e.getKey()))
-                .mapToLong(e -> e.getValue().learntMs)
+                .filter(entry -> !dead.contains(entry.getKey()))
+                .mapToLong(entry -> entry.getValue().learntMs)
                 .max()
                 .orElse(0);
     }
@@ -136,8 +139,8 @@
     Map<String, Long> holding(String subject) {
         Map<String, Long> by = new HashMap<>();
         routers.keySet().stream()
-                .filter(r -> !dead.contains(r))
-                .forEach(r -> by.merge(intent(r, subject).name(), 1L, Long::sum));
+                .filter(text -> !dead.contains(text))
+                .forEach(text -> by.merge(intent(text, subject).name(), 1L, Long::sum));
         return by;
     }
 }
--- a/fleet/src/test/java/ashlink/fleet/command/ModelCheckTest.java
+++ b/fleet/src/test/java/ashlink/fleet/command/ModelCheckTest.java
@@ -28,8 +28,10 @@
     /** Bits 1 and 2 stand for the notices. */
     private record Message(int to, int notices) implements Comparable<Message> {
         @Override
-        public int compareTo(Message o) {
-            return to != o.to ? Integer.compare(to, o.to) : Integer.compare(notices, o.notices);
+        public int compareTo(Message message) {
+            return to != message.to
+                    ? Integer.compare(to, message.to)
+                    : Integer.compare(notices, message.notices);
         }
     }
 
@@ -47,14 +49,14 @@
     private record Found(int states, int wrong) {}
 
     private static ReplicatedCommandSet set(int notices) {
-        ReplicatedCommandSet s = new ReplicatedCommandSet(10, 1_000, 1_000);
+        ReplicatedCommandSet set = new ReplicatedCommandSet(10, 1_000, 1_000);
         if ((notices & 2) != 0) {
-            s.add(UNDRAIN, 1_000, 0); // in an order that is not theirs
+            set.add(UNDRAIN, 1_000, 0); // in an order that is not theirs
         }
         if ((notices & 1) != 0) {
-            s.add(DRAIN, 1_000, 0);
+            set.add(DRAIN, 1_000, 0);
         }
-        return s;
+        return set;
     }
 
     private static List<Integer> with(List<Integer> of, int at, int value) {
@@ -70,14 +72,14 @@
         ArrayDeque<State> todo = new ArrayDeque<>(known);
         int wrong = 0;
         while (!todo.isEmpty() && (wrong == 0 || diskFirst)) {
-            State s = todo.poll();
+            State state = todo.poll();
             for (int r = 0; r < ROUTERS; r++) {
-                boolean sawNewer = (s.seen.get(r) & 2) != 0;
-                if (sawNewer && set(s.memory.get(r)).intent("engine:q1", 1) == Intent.DRAIN) {
+                boolean sawNewer = (state.seen.get(r) & 2) != 0;
+                if (sawNewer && set(state.memory.get(r)).intent("engine:q1", 1) == Intent.DRAIN) {
                     wrong++;
                 }
             }
-            for (State next : next(s, diskFirst)) {
+            for (State next : next(state, diskFirst)) {
                 if (known.add(next)) {
                     todo.add(next);
                 }
@@ -87,63 +89,63 @@
     }
 
     private static State learn(
-            State s, int r, int notices, boolean diskFirst, TreeSet<Message> messages) {
-        int all = s.memory.get(r) | notices;
+            State state, int r, int notices, boolean diskFirst, TreeSet<Message> messages) {
+        int all = state.memory.get(r) | notices;
         return new State(
-                with(s.memory, r, all),
-                diskFirst ? with(s.disk, r, s.disk.get(r) | notices) : s.disk,
-                with(s.seen, r, s.seen.get(r) | notices),
+                with(state.memory, r, all),
+                diskFirst ? with(state.disk, r, state.disk.get(r) | notices) : state.disk,
+                with(state.seen, r, state.seen.get(r) | notices),
                 messages,
-                s.crashes);
+                state.crashes);
     }
 
-    private static List<State> next(State s, boolean diskFirst) {
+    private static List<State> next(State state, boolean diskFirst) {
         List<State> out = new ArrayList<>();
         for (int r = 0; r < ROUTERS; r++) {
             for (int notice = 1; notice <= 2; notice++) {
-                out.add(learn(s, r, notice, diskFirst, s.messages)); // the tool reaches it
+                out.add(learn(state, r, notice, diskFirst, state.messages)); // the tool reaches it
             }
             if (!diskFirst) {
                 out.add(
                         new State(
-                                s.memory,
-                                with(s.disk, r, s.disk.get(r) | s.memory.get(r)),
-                                s.seen,
-                                s.messages,
-                                s.crashes));
+                                state.memory,
+                                with(state.disk, r, state.disk.get(r) | state.memory.get(r)),
+                                state.seen,
+                                state.messages,
+                                state.crashes));
             }
-            if (s.crashes < 1) {
+            if (state.crashes < 1) {
                 out.add(
                         new State(
-                                with(s.memory, r, s.disk.get(r)),
-                                s.disk,
-                                s.seen,
-                                s.messages,
-                                s.crashes + 1));
+                                with(state.memory, r, state.disk.get(r)),
+                                state.disk,
+                                state.seen,
+                                state.messages,
+                                state.crashes + 1));
             }
             for (int to = 0; to < ROUTERS; to++) {
-                if (to != r && s.memory.get(r) != 0 && s.messages.size() < MOST_IN_FLIGHT) {
-                    TreeSet<Message> more = new TreeSet<>(s.messages);
-                    more.add(new Message(to, s.memory.get(r)));
-                    out.add(new State(s.memory, s.disk, s.seen, more, s.crashes));
+                if (to != r && state.memory.get(r) != 0 && state.messages.size() < MOST_IN_FLIGHT) {
+                    TreeSet<Message> more = new TreeSet<>(state.messages);
+                    more.add(new Message(to, state.memory.get(r)));
+                    out.add(new State(state.memory, state.disk, state.seen, more, state.crashes));
                 }
             }
         }
-        for (Message m : s.messages) {
-            TreeSet<Message> fewer = new TreeSet<>(s.messages);
-            fewer.remove(m);
-            out.add(new State(s.memory, s.disk, s.seen, fewer, s.crashes)); // lost
-            out.add(learn(s, m.to, m.notices, diskFirst, fewer));
+        for (Message message : state.messages) {
+            TreeSet<Message> fewer = new TreeSet<>(state.messages);
+            fewer.remove(message);
+            out.add(new State(state.memory, state.disk, state.seen, fewer, state.crashes)); // lost
+            out.add(learn(state, message.to, message.notices, diskFirst, fewer));
         }
         return out;
     }
 
     @Test
     void noRouterThatSawTheNewerActsOnTheOlder() {
-        Found f = explore(true);
-        System.out.println("notices: " + f.states + " states, none wrong");
-        assertEquals(0, f.wrong);
-        assertTrue(f.states > 5_000, f.states + " states");
+        Found found = explore(true);
+        System.out.println("notices: " + found.states + " states, none wrong");
+        assertEquals(0, found.wrong);
+        assertTrue(found.states > 5_000, found.states + " states");
     }
 
     @Test
--- a/fleet/src/test/java/ashlink/fleet/command/ReplicatedCommandSetProperties.java
+++ b/fleet/src/test/java/ashlink/fleet/command/ReplicatedCommandSetProperties.java
@@ -45,7 +45,7 @@
 
     private static ReplicatedCommandSet of(List<OperatorCommand> notices) {
         ReplicatedCommandSet s = set();
-        notices.forEach(n -> s.add(n, DAY, 0));
+        notices.forEach(operatorCommand -> s.add(operatorCommand, DAY, 0));
         return s;
     }
 
@@ -67,8 +67,8 @@
         ReplicatedCommandSet a = of(some(random, random.nextInt(10)));
         ReplicatedCommandSet b = of(some(random, random.nextInt(10)));
         List<ReplicatedCommandSet.CommandWithTtl> toB = a.lackedBy(b.digest(), 0);
-        b.lackedBy(a.digest(), 0).forEach(h -> a.add(h.notice(), h.leftMs(), 0));
-        toB.forEach(h -> b.add(h.notice(), h.leftMs(), 0));
+        b.lackedBy(a.digest(), 0).forEach(ttl -> a.add(ttl.notice(), ttl.leftMs(), 0));
+        toB.forEach(ttl -> b.add(ttl.notice(), ttl.leftMs(), 0));
         assertEquals(a.all(0), b.all(0));
         assertTrue(a.lackedBy(b.digest(), 0).isEmpty());
     }
@@ -76,20 +76,20 @@
     @Property(tries = 300, seed = "3")
     void anOlderNoticeNeverChangesANewer(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        ReplicatedCommandSet s = of(some(random, 8));
-        List<ReplicatedCommandSet.CommandWithTtl> before = s.all(0);
-        for (ReplicatedCommandSet.CommandWithTtl h : before) {
-            if (h.notice().revision() > 1) {
+        ReplicatedCommandSet set = of(some(random, 8));
+        List<ReplicatedCommandSet.CommandWithTtl> before = set.all(0);
+        for (ReplicatedCommandSet.CommandWithTtl ttl : before) {
+            if (ttl.notice().revision() > 1) {
                 OperatorCommand old =
                         notice(
-                                h.notice().subject(),
-                                h.notice().owner(),
-                                h.notice().revision() - 1,
+                                ttl.notice().subject(),
+                                ttl.notice().owner(),
+                                ttl.notice().revision() - 1,
                                 Intent.STOP);
-                assertFalse(s.add(old, 7 * DAY, 0));
+                assertFalse(set.add(old, 7 * DAY, 0));
             }
         }
-        assertEquals(before, s.all(0));
+        assertEquals(before, set.all(0));
     }
 
     @Example
@@ -139,13 +139,13 @@
 
     @Example
     void aFullSetTakesNoNewSayButNewerOnesOfThoseItHas() {
-        ReplicatedCommandSet s = new ReplicatedCommandSet(2, DAY, DAY);
-        assertTrue(s.add(notice("engine:a", "o", 1, Intent.DRAIN), DAY, 0));
-        assertTrue(s.add(notice("engine:b", "o", 1, Intent.DRAIN), DAY, 0));
-        assertFalse(s.add(notice("engine:c", "o", 1, Intent.DRAIN), DAY, 0));
-        assertTrue(s.add(notice("engine:a", "o", 2, Intent.NONE), DAY, 0));
+        ReplicatedCommandSet set = new ReplicatedCommandSet(2, DAY, DAY);
+        assertTrue(set.add(notice("engine:a", "o", 1, Intent.DRAIN), DAY, 0));
+        assertTrue(set.add(notice("engine:b", "o", 1, Intent.DRAIN), DAY, 0));
+        assertFalse(set.add(notice("engine:c", "o", 1, Intent.DRAIN), DAY, 0));
+        assertTrue(set.add(notice("engine:a", "o", 2, Intent.NONE), DAY, 0));
         assertTrue(
-                s.add(notice("engine:c", "o", 1, Intent.DRAIN), DAY, 3 * DAY),
+                set.add(notice("engine:c", "o", 1, Intent.DRAIN), DAY, 3 * DAY),
                 "those that are over made room");
     }
 }
--- a/fleet/src/test/java/ashlink/fleet/membership/MembershipSimulation.java
+++ b/fleet/src/test/java/ashlink/fleet/membership/MembershipSimulation.java
@@ -20,8 +20,10 @@
 
     private record Event(long atNs, long number, Runnable what) implements Comparable<Event> {
         @Override
-        public int compareTo(Event o) {
-            return atNs != o.atNs ? Long.compare(atNs, o.atNs) : Long.compare(number, o.number);
+        public int compareTo(Event event) {
+            return atNs != event.atNs
+                    ? Long.compare(atNs, event.atNs)
+                    : Long.compare(number, event.number);
         }
     }
 
@@ -46,9 +48,11 @@
             seeds.put(name(i), "at-" + name(i));
         }
         for (int i = 0; i < count; i++) {
-            String n = name(i);
-            members.put(n, new Swim(n, "at-" + n, seeds, SwimConfig.DEFAULT, seed * 10_007 + i));
-            at(random.nextLong(250 * MS), () -> tick(n));
+            String text = name(i);
+            members.put(
+                    text,
+                    new Swim(text, "at-" + text, seeds, SwimConfig.DEFAULT, seed * 10_007 + i));
+            at(random.nextLong(250 * MS), () -> tick(text));
         }
     }
 
@@ -60,23 +64,23 @@
         events.add(new Event(now + in, numbers++, what));
     }
 
-    private void tick(String n) {
-        if (dead.contains(n)) {
+    private void tick(String text) {
+        if (dead.contains(text)) {
             return;
         }
-        if (!paused.contains(n)) {
-            members.get(n).tick(now).forEach(s -> send(n, s));
+        if (!paused.contains(text)) {
+            members.get(text).tick(now).forEach(s -> send(text, s));
         }
-        at(Math.max(MS, Math.min(50 * MS, members.get(n).nextNs() - now)), () -> tick(n));
+        at(Math.max(MS, Math.min(50 * MS, members.get(text).nextNs() - now)), () -> tick(text));
     }
 
-    private void send(String from, Swim.Send s) {
+    private void send(String from, Swim.Send send) {
         messages++;
-        mostRumors = Math.max(mostRumors, s.message().rumors().size());
-        if (random.nextDouble() < loss || !passes.test(from, s.member())) {
+        mostRumors = Math.max(mostRumors, send.message().rumors().size());
+        if (random.nextDouble() < loss || !passes.test(from, send.member())) {
             return;
         }
-        at(MS + random.nextLong(9 * MS), () -> deliver(from, s));
+        at(MS + random.nextLong(9 * MS), () -> deliver(from, send));
     }
 
     private void deliver(String from, Swim.Send s) {
@@ -94,9 +98,9 @@
 
     void until(long end) {
         while (!events.isEmpty() && events.peek().atNs <= end) {
-            Event e = events.poll();
-            now = e.atNs;
-            e.what.run();
+            Event event = events.poll();
+            now = event.atNs;
+            event.what.run();
         }
         now = end;
     }
@@ -109,21 +113,25 @@
     long holding(String of, State state) {
         return members.entrySet().stream()
                 .filter(
-                        e ->
-                                !e.getKey().equals(of)
-                                        && !dead.contains(e.getKey())
-                                        && e.getValue().held(of) == state)
+                        entry ->
+                                !entry.getKey().equals(of)
+                                        && !dead.contains(entry.getKey())
+                                        && entry.getValue().held(of) == state)
                 .count();
     }
 
     /** Pairs of members alive of which the first holds the second for gone. */
     long wronglyGone() {
         long wrong = 0;
-        for (Map.Entry<String, Swim> e : members.entrySet()) {
-            if (!dead.contains(e.getKey())) {
+        for (Map.Entry<String, Swim> entry : members.entrySet()) {
+            if (!dead.contains(entry.getKey())) {
                 wrong +=
-                        e.getValue().members().values().stream()
-                                .filter(r -> r.state() == State.GONE && !dead.contains(r.member()))
+                        entry.getValue().members().values().stream()
+                                .filter(
+                                        membershipUpdate ->
+                                                membershipUpdate.state() == State.GONE
+                                                        && !dead.contains(
+                                                                membershipUpdate.member()))
                                 .count();
             }
         }
--- a/fleet/src/test/java/ashlink/fleet/membership/SwimTest.java
+++ b/fleet/src/test/java/ashlink/fleet/membership/SwimTest.java
@@ -29,7 +29,8 @@
         a.run(20 * S);
         b.run(20 * S);
         assertEquals(a.messages, b.messages);
-        a.members.forEach((n, s) -> assertEquals(s.members(), b.members.get(n).members()));
+        a.members.forEach(
+                (text, swim) -> assertEquals(swim.members(), b.members.get(text).members()));
     }
 
     @Test
@@ -67,7 +68,7 @@
         assertEquals(
                 0,
                 sim.members.get("r0003").members().values().stream()
-                        .filter(r -> r.state() == State.GONE)
+                        .filter(membershipUpdate -> membershipUpdate.state() == State.GONE)
                         .count());
         sim.run(30 * S);
         assertEquals(0, sim.wronglyGone());
--- a/loadtest/src/main/java/ashlink/loadtest/baseline/Baseline.java
+++ b/loadtest/src/main/java/ashlink/loadtest/baseline/Baseline.java
@@ -73,7 +73,7 @@
     public Baseline(Policy policy, Settings settings) {
         this.policy = policy;
         this.settings = settings;
-        settings.classes().forEach(c -> classes.put(c.name(), c));
+        settings.classes().forEach(queryClass -> classes.put(queryClass.name(), queryClass));
     }
 
     @Override
@@ -84,19 +84,20 @@
             ticking = true;
             out.add(new SetTimer(1, now + TICK_NS));
         }
-        if (event instanceof QuerySubmitted r) {
-            take(r);
-        } else if (event instanceof AttemptEnded e) {
-            ended(e);
-        } else if (event instanceof ClientDisconnected g && queries.containsKey(g.id())) {
-            over(queries.get(g.id()));
-        } else if (event instanceof EndpointsChanged n) {
-            list(n);
+        if (event instanceof QuerySubmitted querySubmitted) {
+            take(querySubmitted);
+        } else if (event instanceof AttemptEnded attemptEnded) {
+            ended(attemptEnded);
+        } else if (event instanceof ClientDisconnected clientDisconnected
+                && queries.containsKey(clientDisconnected.id())) {
+            over(queries.get(clientDisconnected.id()));
+        } else if (event instanceof EndpointsChanged endpointsChanged) {
+            list(endpointsChanged);
         } else if (event instanceof TimerFired) {
             out.add(new SetTimer(1, now + TICK_NS));
-            for (Query q : List.copyOf(held)) {
-                if (now + ANSWER_NS >= q.request.deadlineNs()) {
-                    answer(q);
+            for (Query query : List.copyOf(held)) {
+                if (now + ANSWER_NS >= query.request.deadlineNs()) {
+                    answer(query);
                 }
             }
         }
@@ -104,50 +105,53 @@
         return out;
     }
 
-    private void take(QuerySubmitted r) {
-        Query q = new Query();
-        q.request = r;
-        q.cls = classes.get(r.queryClass());
-        if (q.cls == null) {
-            out.add(new Reject(r.id(), 0));
+    private void take(QuerySubmitted querySubmitted) {
+        Query query = new Query();
+        query.request = querySubmitted;
+        query.cls = classes.get(querySubmitted.queryClass());
+        if (query.cls == null) {
+            out.add(new Reject(querySubmitted.id(), 0));
             return;
         }
-        queries.put(r.id(), q);
-        held.add(q);
-        if (q.cls.ordered() && r.key() != null) {
-            lines.computeIfAbsent(r.key(), k -> new ArrayDeque<>()).add(q);
+        queries.put(querySubmitted.id(), query);
+        held.add(query);
+        if (query.cls.ordered() && querySubmitted.key() != null) {
+            lines.computeIfAbsent(querySubmitted.key(), text -> new ArrayDeque<>()).add(query);
         }
     }
 
     private void release() {
-        for (Query q : List.copyOf(held)) {
-            ArrayDeque<Query> line = q.request.key() == null ? null : lines.get(q.request.key());
-            String engine = line != null && line.peek() != q ? null : choose(q.cls);
+        for (Query query : List.copyOf(held)) {
+            ArrayDeque<Query> line =
+                    query.request.key() == null ? null : lines.get(query.request.key());
+            String engine = line != null && line.peek() != query ? null : choose(query.cls);
             if (engine != null) {
-                held.remove(q);
-                q.out = engine;
-                q.attempts++;
-                running.merge(engine, q.cls.threads(), Integer::sum);
+                held.remove(query);
+                query.out = engine;
+                query.attempts++;
+                running.merge(engine, query.cls.threads(), Integer::sum);
                 out.add(
                         new StartAttempt(
-                                q.request.id(),
+                                query.request.id(),
                                 engine,
-                                Math.max(MS, q.request.deadlineNs() - now - CUT_NS)));
+                                Math.max(MS, query.request.deadlineNs() - now - CUT_NS)));
             }
         }
     }
 
-    private String choose(QueryClass c) {
+    private String choose(QueryClass queryClass) {
         List<String> open = new ArrayList<>();
-        for (Endpoint e : engines.values()) {
+        for (Endpoint endpoint : engines.values()) {
             boolean allowed =
-                    e.state() == EndpointState.READY
-                            && (c.engineKinds().isEmpty() || c.engineKinds().contains(e.kind()))
-                            && (c.zones().isEmpty() || c.zones().contains(e.zone()));
+                    endpoint.state() == EndpointState.READY
+                            && (queryClass.engineKinds().isEmpty()
+                                    || queryClass.engineKinds().contains(endpoint.kind()))
+                            && (queryClass.zones().isEmpty()
+                                    || queryClass.zones().contains(endpoint.zone()));
             if (allowed
                     && (policy == Policy.ROUND_ROBIN
-                            || running.getOrDefault(e.engine(), 0) < most(e))) {
-                open.add(e.engine());
+                            || running.getOrDefault(endpoint.engine(), 0) < most(endpoint))) {
+                open.add(endpoint.engine());
             }
         }
         if (open.isEmpty()) {
@@ -157,64 +161,66 @@
             return open.get(Math.floorMod(turn++, open.size()));
         }
         return open.stream()
-                .min(java.util.Comparator.comparingInt(e -> running.getOrDefault(e, 0)))
+                .min(java.util.Comparator.comparingInt(text -> running.getOrDefault(text, 0)))
                 .orElseThrow();
     }
 
-    private int most(Endpoint e) {
+    private int most(Endpoint endpoint) {
         int cores =
                 settings.kinds().stream()
-                        .filter(k -> k.name().equals(e.kind()))
+                        .filter(engineKind -> engineKind.name().equals(endpoint.kind()))
                         .mapToInt(EngineKind::cores)
                         .findFirst()
                         .orElse(1);
         return Math.max(1, MOST_A_CORE * cores / settings.routerCount());
     }
 
-    private void ended(AttemptEnded e) {
-        Query q = queries.get(e.id());
-        if (q == null || q.out == null) {
+    private void ended(AttemptEnded attemptEnded) {
+        Query query = queries.get(attemptEnded.id());
+        if (query == null || query.out == null) {
             return;
         }
-        running.merge(q.out, -q.cls.threads(), Integer::sum);
-        q.out = null;
-        q.mayHaveRun |= e.outcome().mayHaveRun();
-        if (e.clientAnswered() || q.over) {
-            over(q);
-        } else if ((!q.mayHaveRun || q.cls.retrySafety() == RetrySafety.IDEMPOTENT)
-                && q.attempts < settings.capabilities().maxAttempts()
-                && now + ANSWER_NS < q.request.deadlineNs()) {
-            held.addLast(q);
+        running.merge(query.out, -query.cls.threads(), Integer::sum);
+        query.out = null;
+        query.mayHaveRun |= attemptEnded.outcome().mayHaveRun();
+        if (attemptEnded.clientAnswered() || query.over) {
+            over(query);
+        } else if ((!query.mayHaveRun || query.cls.retrySafety() == RetrySafety.IDEMPOTENT)
+                && query.attempts < settings.capabilities().maxAttempts()
+                && now + ANSWER_NS < query.request.deadlineNs()) {
+            held.addLast(query);
         } else {
-            answer(q);
+            answer(query);
         }
     }
 
-    private void answer(Query q) {
-        boolean harmless = !q.mayHaveRun || q.cls.retrySafety() == RetrySafety.IDEMPOTENT;
+    private void answer(Query query) {
+        boolean harmless = !query.mayHaveRun || query.cls.retrySafety() == RetrySafety.IDEMPOTENT;
         out.add(
                 harmless
-                        ? new Reject(q.request.id(), settings.capabilities().maxRetryAfterNs())
-                        : new Fail(q.request.id()));
-        over(q);
+                        ? new Reject(query.request.id(), settings.capabilities().maxRetryAfterNs())
+                        : new Fail(query.request.id()));
+        over(query);
     }
 
-    private void over(Query q) {
-        q.over = true;
-        held.remove(q);
-        if (q.out == null) {
-            queries.remove(q.request.id());
-            ArrayDeque<Query> line = q.request.key() == null ? null : lines.get(q.request.key());
-            if (line != null && line.remove(q) && line.isEmpty()) {
-                lines.remove(q.request.key());
+    private void over(Query query) {
+        query.over = true;
+        held.remove(query);
+        if (query.out == null) {
+            queries.remove(query.request.id());
+            ArrayDeque<Query> line =
+                    query.request.key() == null ? null : lines.get(query.request.key());
+            if (line != null && line.remove(query) && line.isEmpty()) {
+                lines.remove(query.request.key());
             }
         }
     }
 
-    private void list(EndpointsChanged n) {
-        if (n.kind() == EndpointListKind.SNAPSHOT || n.kind() == EndpointListKind.CACHED) {
+    private void list(EndpointsChanged endpointsChanged) {
+        if (endpointsChanged.kind() == EndpointListKind.SNAPSHOT
+                || endpointsChanged.kind() == EndpointListKind.CACHED) {
             engines.clear();
         }
-        n.endpoints().forEach(e -> engines.put(e.engine(), e));
+        endpointsChanged.endpoints().forEach(endpoint -> engines.put(endpoint.engine(), endpoint));
     }
 }
--- a/loadtest/src/main/java/ashlink/loadtest/bench/Figures.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/Figures.java
@@ -14,7 +14,7 @@
 
     static EmulatedEngine engine(String name) throws IOException {
         // Cores without number: what is measured is the way to the engine, not the engine.
-        EmulatedEngine e =
+        EmulatedEngine emulatedEngine =
                 new EmulatedEngine(
                         new EngineConfig(
                                 name,
@@ -37,8 +37,8 @@
                                 100_000,
                                 1,
                                 null));
-        e.start();
-        return e;
+        emulatedEngine.start();
+        return emulatedEngine;
     }
 
     static long used() {
--- a/loadtest/src/main/java/ashlink/loadtest/bench/HttpBench.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/HttpBench.java
@@ -77,8 +77,8 @@
         router.kill();
         engine.crash();
         try (Stream<Path> files = Files.walk(spool)) {
-            for (Path f : files.sorted(Comparator.reverseOrder()).toList()) {
-                Files.delete(f);
+            for (Path path : files.sorted(Comparator.reverseOrder()).toList()) {
+                Files.delete(path);
             }
         }
     }
@@ -91,14 +91,14 @@
         double[] httpMedian = new double[ROUNDS];
         double[] ratio = new double[ROUNDS];
         for (int i = -1; i < ROUNDS; i++) {
-            Loads.Seen n = Loads.closed(router.address(), connections, x -> SHORT, roundNs);
+            Loads.Seen seen = Loads.closed(router.address(), connections, x -> SHORT, roundNs);
             Histogram times = new ConcurrentHistogram(60 * S, 3);
             double perSecond = http(server, connections, times);
             if (i >= 0) {
-                natives[i] = n.perSecond();
+                natives[i] = seen.perSecond();
                 https[i] = perSecond;
-                ratio[i] = perSecond / n.perSecond();
-                nativeMedian[i] = n.times().getValueAtPercentile(50) / 1e3;
+                ratio[i] = perSecond / seen.perSecond();
+                nativeMedian[i] = seen.times().getValueAtPercentile(50) / 1e3;
                 httpMedian[i] = times.getValueAtPercentile(50) / 1e3;
             }
         }
@@ -132,15 +132,16 @@
         CountDownLatch done = new CountDownLatch(connections);
         long from = System.nanoTime();
         for (int i = 0; i < connections; i++) {
-            Thread t =
+            Thread thread =
                     new Thread(
                             () -> {
-                                try (Socket s = new Socket("127.0.0.1", server.getPort())) {
-                                    s.setTcpNoDelay(true);
-                                    InputStream in = new BufferedInputStream(s.getInputStream());
+                                try (Socket socket = new Socket("127.0.0.1", server.getPort())) {
+                                    socket.setTcpNoDelay(true);
+                                    InputStream in =
+                                            new BufferedInputStream(socket.getInputStream());
                                     while (System.nanoTime() - from < roundNs) {
                                         long at = System.nanoTime();
-                                        s.getOutputStream().write(request);
+                                        socket.getOutputStream().write(request);
                                         if (answer(in)) {
                                             times.recordValue(System.nanoTime() - at);
                                         }
@@ -152,8 +153,8 @@
                                 }
                             },
                             "http-load");
-            t.setDaemon(true);
-            t.start();
+            thread.setDaemon(true);
+            thread.start();
         }
         done.await();
         return times.getTotalCount() * (double) S / (System.nanoTime() - from);
@@ -192,10 +193,10 @@
         long most = 0;
         HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
         for (int i = 0; i < 3; i++) {
-            try (NativeClient c = NativeClient.connect(router.address(), "portal")) {
+            try (NativeClient nativeClient = NativeClient.connect(router.address(), "portal")) {
                 long from = System.nanoTime();
-                Reply r = c.query("", LARGE, Map.of(), 60 * S);
-                natives[i] = r.bytes() / (double) (1 << 20) / ((r.endNs() - from) / 1e9);
+                Reply reply = nativeClient.query("", LARGE, Map.of(), 60 * S);
+                natives[i] = reply.bytes() / (double) (1 << 20) / ((reply.endNs() - from) / 1e9);
             }
             long from = System.nanoTime();
             long bytes = 0;
@@ -207,18 +208,20 @@
                                                     + "&ashlink_class=bericht"))
                             .POST(HttpRequest.BodyPublishers.ofString(LARGE));
             while (next != null) {
-                HttpResponse<byte[]> r =
+                HttpResponse<byte[]> httpResponse =
                         client.send(
                                 next.header("Accept", "text/csv").build(),
                                 BodyHandlers.ofByteArray());
-                if (r.statusCode() != 200) {
+                if (httpResponse.statusCode() != 200) {
                     throw new IOException(
-                            r.statusCode() + " " + new String(r.body(), StandardCharsets.UTF_8));
+                            httpResponse.statusCode()
+                                    + " "
+                                    + new String(httpResponse.body(), StandardCharsets.UTF_8));
                 }
-                bytes += r.body().length;
+                bytes += httpResponse.body().length;
                 count++;
                 most = Math.max(most, router.http().spooled());
-                String link = r.headers().firstValue("Link").orElse("");
+                String link = httpResponse.headers().firstValue("Link").orElse("");
                 next =
                         link.isEmpty()
                                 ? null
@@ -275,15 +278,15 @@
         int threads = Thread.activeCount();
         List<Socket> sockets = new ArrayList<>();
         for (int i = 0; i < POLLS; i++) {
-            Socket s = new Socket();
-            s.connect(new InetSocketAddress("127.0.0.1", server.getPort()));
-            s.getOutputStream()
+            Socket socket = new Socket();
+            socket.connect(new InetSocketAddress("127.0.0.1", server.getPort()));
+            socket.getOutputStream()
                     .write(
                             ("GET /v1/statements/"
                                             + id
                                             + "/pages/0?wait=500 HTTP/1.1\r\nHost: a\r\n\r\n")
                                     .getBytes(StandardCharsets.US_ASCII));
-            sockets.add(s);
+            sockets.add(socket);
         }
         Thread.sleep(1_000);
         int more = Thread.activeCount() - threads;
@@ -296,8 +299,8 @@
                 HttpRequest.newBuilder(server.resolve("/v1/statements/" + id)).DELETE().build(),
                 BodyHandlers.discarding());
         int answered = 0;
-        for (Socket s : sockets) {
-            InputStream in = s.getInputStream();
+        for (Socket socket : sockets) {
+            InputStream in = socket.getInputStream();
             answered +=
                     new String(in.readNBytes(12), StandardCharsets.US_ASCII).equals("HTTP/1.1 409")
                             ? 1
@@ -314,8 +317,8 @@
                 answered,
                 (System.nanoTime() - from) / 1e6,
                 (Figures.cpuNs() - cpu) / 1e6);
-        for (Socket s : sockets) {
-            s.close();
+        for (Socket socket : sockets) {
+            socket.close();
         }
     }
 }
--- a/loadtest/src/main/java/ashlink/loadtest/bench/Loads.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/Loads.java
@@ -57,12 +57,12 @@
             clients.add(NativeClient.connect(to.get(i % to.size()), "portal"));
         }
         long from = System.nanoTime();
-        for (NativeClient c : clients) {
-            Thread t =
+        for (NativeClient nativeClient : clients) {
+            Thread thread =
                     new Thread(
                             null,
                             () -> {
-                                try (c) {
+                                try (nativeClient) {
                                     while (true) {
                                         long at =
                                                 rate > 0
@@ -76,20 +76,20 @@
                                             return;
                                         }
                                         pause(at);
-                                        Reply r =
-                                                c.query(
+                                        Reply reply =
+                                                nativeClient.query(
                                                         "",
                                                         statements.apply(sent.getAndIncrement()),
                                                         Map.of(),
                                                         30 * S);
-                                        if (r.kind() == Reply.Kind.SERVED) {
+                                        if (reply.kind() == Reply.Kind.SERVED) {
                                             times.recordValue(
                                                     Math.min(
                                                             LONGEST_NS,
-                                                            Math.max(1, r.endNs() - at)));
+                                                            Math.max(1, reply.endNs() - at)));
                                         } else {
                                             failed.incrementAndGet();
-                                            failure.set(r.kind() + " " + r.message());
+                                            failure.set(reply.kind() + " " + reply.message());
                                         }
                                     }
                                 } finally {
@@ -98,8 +98,8 @@
                             },
                             "load",
                             256 << 10);
-            t.setDaemon(true);
-            t.start();
+            thread.setDaemon(true);
+            thread.start();
         }
         done.await();
         return new Seen(
--- a/loadtest/src/main/java/ashlink/loadtest/bench/Relay.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/Relay.java
@@ -29,10 +29,10 @@
         return (InetSocketAddress) server.getLocalSocketAddress();
     }
 
-    private static void thread(Runnable r) {
-        Thread t = new Thread(null, r, "relay", STACK_BYTES);
-        t.setDaemon(true);
-        t.start();
+    private static void thread(Runnable task) {
+        Thread thread = new Thread(null, task, "relay", STACK_BYTES);
+        thread.setDaemon(true);
+        thread.start();
     }
 
     private void accept() {
--- a/loadtest/src/main/java/ashlink/loadtest/bench/RouterBench.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/RouterBench.java
@@ -42,7 +42,7 @@
     private Router router(
             String name, int position, int gateways, List<EmulatedEngine> engines, String more)
             throws IOException {
-        Router r =
+        Router router =
                 new Router(
                         TestSettings.of(
                                 name,
@@ -53,8 +53,8 @@
                                 0,
                                 engines,
                                 "(limits (drain-grace 2s))" + more),
-                        s -> {
-                            DefaultWorkloadManager rules = new DefaultWorkloadManager(s);
+                        settings -> {
+                            DefaultWorkloadManager rules = new DefaultWorkloadManager(settings);
                             return (event, now) -> {
                                 long from = System.nanoTime();
                                 List<Action> actions = rules.onEvent(event, now);
@@ -62,8 +62,8 @@
                                 return actions;
                             };
                         });
-        r.start();
-        return r;
+        router.start();
+        return router;
     }
 
     /** Runs all of it. */
@@ -79,8 +79,8 @@
             ways.put("relay", relay.address());
             ways.put("router", router.address());
             ways.put("captured", captured.address());
-            for (InetSocketAddress a : ways.values()) {
-                Loads.closed(a, 16, n -> SHORT, roundNs); // warm up
+            for (InetSocketAddress address : ways.values()) {
+                Loads.closed(address, 16, n -> SHORT, roundNs); // warm up
             }
             closed(ways, 1);
             closed(ways, 64);
@@ -90,8 +90,8 @@
             router.kill();
             captured.stop();
             try (Stream<Path> files = Files.list(folder)) {
-                for (Path f : files.toList()) {
-                    Files.delete(f);
+                for (Path path : files.toList()) {
+                    Files.delete(path);
                 }
             }
             Files.delete(folder);
@@ -105,16 +105,16 @@
         Map<String, double[]> rates = new java.util.LinkedHashMap<>();
         Map<String, double[]> medians = new java.util.LinkedHashMap<>();
         for (int round = 0; round < ROUNDS; round++) {
-            for (Map.Entry<String, InetSocketAddress> w : ways.entrySet()) {
-                Loads.Seen seen = Loads.closed(w.getValue(), connections, n -> SHORT, roundNs);
-                rates.computeIfAbsent(w.getKey(), k -> new double[ROUNDS])[round] =
+            for (Map.Entry<String, InetSocketAddress> entry : ways.entrySet()) {
+                Loads.Seen seen = Loads.closed(entry.getValue(), connections, n -> SHORT, roundNs);
+                rates.computeIfAbsent(entry.getKey(), k -> new double[ROUNDS])[round] =
                         seen.perSecond();
-                medians.computeIfAbsent(w.getKey(), k -> new double[ROUNDS])[round] =
+                medians.computeIfAbsent(entry.getKey(), k -> new double[ROUNDS])[round] =
                         seen.times().getValueAtPercentile(50) / 1e3;
                 if (seen.failed() > 0) {
                     out.printf(
                             "  %s: %d failed, such as: %s%n",
-                            w.getKey(), seen.failed(), seen.failure());
+                            entry.getKey(), seen.failed(), seen.failure());
                 }
             }
         }
@@ -202,17 +202,17 @@
         long before = 0;
         long peak = 0;
         for (int round = 0; round < 3; round++) {
-            for (Map.Entry<String, InetSocketAddress> w : ways.entrySet()) {
+            for (Map.Entry<String, InetSocketAddress> entry : ways.entrySet()) {
                 System.gc();
                 before = Figures.used();
-                try (NativeClient c = NativeClient.connect(w.getValue(), "portal")) {
+                try (NativeClient nativeClient = NativeClient.connect(entry.getValue(), "portal")) {
                     long from = System.nanoTime();
-                    Reply r = c.query("", statement, Map.of(), 60 * S);
-                    if (r.kind() != Reply.Kind.SERVED) {
-                        throw new IOException(w.getKey() + ": " + r);
+                    Reply reply = nativeClient.query("", statement, Map.of(), 60 * S);
+                    if (reply.kind() != Reply.Kind.SERVED) {
+                        throw new IOException(entry.getKey() + ": " + reply);
                     }
-                    rates.computeIfAbsent(w.getKey(), k -> new double[3])[round] =
-                            r.bytes() / (double) (1 << 20) / ((r.endNs() - from) / 1e9);
+                    rates.computeIfAbsent(entry.getKey(), text -> new double[3])[round] =
+                            reply.bytes() / (double) (1 << 20) / ((reply.endNs() - from) / 1e9);
                 }
                 System.gc();
                 peak = Math.max(peak, Figures.used() - before);
--- a/loadtest/src/main/java/ashlink/loadtest/check/InvariantChecker.java
+++ b/loadtest/src/main/java/ashlink/loadtest/check/InvariantChecker.java
@@ -36,10 +36,15 @@
     /** A checker of a day. */
     public InvariantChecker(ScenarioFacts facts) {
         this.facts = facts;
-        for (SentQuery e : facts.ledger()) {
-            byTag.computeIfAbsent(e.tag(), k -> new ArrayList<>()).add(e);
+        for (SentQuery sentQuery : facts.ledger()) {
+            byTag.computeIfAbsent(sentQuery.tag(), text -> new ArrayList<>()).add(sentQuery);
         }
-        byTag.values().forEach(l -> l.sort(Comparator.comparingLong(e -> e.beganNs())));
+        byTag.values()
+                .forEach(
+                        list ->
+                                list.sort(
+                                        Comparator.comparingLong(
+                                                sentQuery -> sentQuery.beganNs())));
     }
 
     /** A verdict for each rule, in the order of the brief. */
@@ -54,16 +59,18 @@
                 budget());
     }
 
-    private QueryClass cls(ClientAttempt t) {
-        return facts.settings().classes().get(t.queryClass());
+    private QueryClass cls(ClientAttempt clientAttempt) {
+        return facts.settings().classes().get(clientAttempt.queryClass());
     }
 
-    private boolean routerDied(ClientAttempt t) {
+    private boolean routerDied(ClientAttempt clientAttempt) {
         return facts.routerKills().stream()
                 .anyMatch(
-                        k ->
-                                k.name().equals(t.router())
-                                        && k.touches(t.sentNs(), t.reply().endNs()));
+                        span ->
+                                span.name().equals(clientAttempt.router())
+                                        && span.touches(
+                                                clientAttempt.sentNs(),
+                                                clientAttempt.reply().endNs()));
     }
 
     // ---- 1
@@ -74,32 +81,32 @@
     private Verdict oneAnswer() {
         List<String> broken = new ArrayList<>();
         int stake = 0;
-        for (ClientAttempt t : facts.tries()) {
-            if (!t.sent() || routerDied(t)) {
+        for (ClientAttempt clientAttempt : facts.tries()) {
+            if (!clientAttempt.sent() || routerDied(clientAttempt)) {
                 continue;
             }
             boolean plain =
-                    t.reply().kind() == Reply.Kind.SERVED
-                            && byTag.getOrDefault(t.tag(), List.of()).size() == 1;
+                    clientAttempt.reply().kind() == Reply.Kind.SERVED
+                            && byTag.getOrDefault(clientAttempt.tag(), List.of()).size() == 1;
             stake += plain ? 0 : 1;
-            if (!t.reply().isFinal()) {
+            if (!clientAttempt.reply().isFinal()) {
                 broken.add(
-                        t.tag()
+                        clientAttempt.tag()
                                 + " "
-                                + t.queryClass()
+                                + clientAttempt.queryClass()
                                 + " at "
-                                + t.router()
+                                + clientAttempt.router()
                                 + ": "
-                                + t.reply().kind()
+                                + clientAttempt.reply().kind()
                                 + " "
-                                + t.reply().message()
+                                + clientAttempt.reply().message()
                                 + " after "
-                                + (t.reply().endNs() - t.sentNs()) / MS
+                                + (clientAttempt.reply().endNs() - clientAttempt.sentNs()) / MS
                                 + " of "
-                                + (t.deadlineNs() - t.sentNs()) / MS
+                                + (clientAttempt.deadlineNs() - clientAttempt.sentNs()) / MS
                                 + " ms");
-            } else if (t.stray()) {
-                broken.add(t.tag() + ": something followed its final answer");
+            } else if (clientAttempt.stray()) {
+                broken.add(clientAttempt.tag() + ": something followed its final answer");
             }
         }
         return new Verdict("1 one final answer in time", stake, broken);
@@ -114,37 +121,40 @@
         List<String> broken = new ArrayList<>();
         int stake = 0;
         Map<Long, Integer> ran = new HashMap<>();
-        for (ClientAttempt t : facts.tries()) {
-            List<SentQuery> entries = byTag.getOrDefault(t.tag(), List.of());
-            boolean unsafe = cls(t).retrySafety() == RetrySafety.AT_MOST_ONCE;
+        for (ClientAttempt clientAttempt : facts.tries()) {
+            List<SentQuery> entries = byTag.getOrDefault(clientAttempt.tag(), List.of());
+            boolean unsafe = cls(clientAttempt).retrySafety() == RetrySafety.AT_MOST_ONCE;
             long runs =
                     entries.stream()
-                            .filter(e -> e.ranNs() > 0 && e.how() != How.TURNED_AWAY)
+                            .filter(
+                                    sentQuery ->
+                                            sentQuery.ranNs() > 0
+                                                    && sentQuery.how() != How.TURNED_AWAY)
                             .count();
             if (unsafe) {
                 stake +=
-                        entries.stream().anyMatch(e -> e.how() != How.ANSWERED)
-                                        || t.reply().kind() != Reply.Kind.SERVED
+                        entries.stream().anyMatch(sentQuery -> sentQuery.how() != How.ANSWERED)
+                                        || clientAttempt.reply().kind() != Reply.Kind.SERVED
                                 ? 1
                                 : 0;
-                if (ran.merge(t.request(), (int) runs, Integer::sum) > 1) {
+                if (ran.merge(clientAttempt.request(), (int) runs, Integer::sum) > 1) {
                     broken.add(
-                            t.tag()
+                            clientAttempt.tag()
                                     + " "
-                                    + t.queryClass()
+                                    + clientAttempt.queryClass()
                                     + " ran "
-                                    + ran.get(t.request())
+                                    + ran.get(clientAttempt.request())
                                     + " times");
                 }
-                if (t.isRefused() && runs > 0) {
-                    broken.add(t.tag() + " was refused as harmless, and ran");
+                if (clientAttempt.isRefused() && runs > 0) {
+                    broken.add(clientAttempt.tag() + " was refused as harmless, and ran");
                 }
             }
             for (int i = 1; i < entries.size(); i++) {
                 stake++;
                 if (entries.get(i).beganNs() + SKEW_NS < entries.get(i - 1).outUntilNs()) {
                     broken.add(
-                            t.tag()
+                            clientAttempt.tag()
                                     + " had an attempt at "
                                     + entries.get(i).engine()
                                     + " while one was out at "
@@ -160,20 +170,24 @@
         List<String> broken = new ArrayList<>();
         int stake = 0;
         long grace = facts.settings().limits().drainGraceNs();
-        for (Drain d : facts.drains()) {
+        for (Drain drain : facts.drains()) {
             boolean used = false;
-            for (SentQuery e : facts.ledger()) {
-                if (e.engine().equals(d.engine()) && e.router().equals(d.router())) {
-                    used |= e.beganNs() > d.toldNs() - IN_USE_NS && e.beganNs() < d.toldNs();
-                    if (e.beganNs() > d.toldNs() + grace && e.beganNs() < d.untilNs()) {
+            for (SentQuery sentQuery : facts.ledger()) {
+                if (sentQuery.engine().equals(drain.engine())
+                        && sentQuery.router().equals(drain.router())) {
+                    used |=
+                            sentQuery.beganNs() > drain.toldNs() - IN_USE_NS
+                                    && sentQuery.beganNs() < drain.toldNs();
+                    if (sentQuery.beganNs() > drain.toldNs() + grace
+                            && sentQuery.beganNs() < drain.untilNs()) {
                         broken.add(
-                                e.tag()
+                                sentQuery.tag()
                                         + " began at "
-                                        + e.engine()
+                                        + sentQuery.engine()
                                         + " "
-                                        + (e.beganNs() - d.toldNs()) / MS
+                                        + (sentQuery.beganNs() - drain.toldNs()) / MS
                                         + " ms after "
-                                        + d.router()
+                                        + drain.router()
                                         + " was told of its drain");
                     }
                 }
@@ -190,20 +204,20 @@
      */
     private Verdict coldEngines() {
         List<String> broken =
-                new ArrayList<>(facts.fallen().stream().map(e -> e + " fell over").toList());
+                new ArrayList<>(facts.fallen().stream().map(text -> text + " fell over").toList());
         int stake = 0;
         var limits = facts.settings().limits();
         for (Span down : facts.engineDowns()) {
-            EngineConfig c = facts.day().engines().get(down.name());
+            EngineConfig engineConfig = facts.day().engines().get(down.name());
             List<SentQuery> sent =
                     facts.ledger().stream()
                             .filter(
-                                    e ->
-                                            e.engine().equals(down.name())
-                                                    && e.beganNs() >= down.untilNs()
-                                                    && e.beganNs()
+                                    sentQuery ->
+                                            sentQuery.engine().equals(down.name())
+                                                    && sentQuery.beganNs() >= down.untilNs()
+                                                    && sentQuery.beganNs()
                                                             < down.untilNs() + limits.slowStartNs())
-                            .sorted(Comparator.comparingLong(e -> e.beganNs()))
+                            .sorted(Comparator.comparingLong(sentQuery -> sentQuery.beganNs()))
                             .toList();
             stake += sent.size();
             double windowMs = limits.slowStartWindowNs() / (double) MS;
@@ -211,16 +225,22 @@
                 double work =
                         sent.stream()
                                 .filter(
-                                        e ->
-                                                e.beganNs() <= last.beganNs()
-                                                        && e.beganNs()
+                                        sentQuery ->
+                                                sentQuery.beganNs() <= last.beganNs()
+                                                        && sentQuery.beganNs()
                                                                 > last.beganNs()
                                                                         - limits
                                                                                 .slowStartWindowNs())
-                                .mapToDouble(e -> e.workMs())
+                                .mapToDouble(sentQuery -> sentQuery.workMs())
                                 .sum();
-                double warm = Math.min(1, (last.beganNs() - down.untilNs()) / (double) c.coldNs());
-                double can = c.cores() * c.speed() * (c.coldFrom() + (1 - c.coldFrom()) * warm);
+                double warm =
+                        Math.min(
+                                1,
+                                (last.beganNs() - down.untilNs()) / (double) engineConfig.coldNs());
+                double can =
+                        engineConfig.cores()
+                                * engineConfig.speed()
+                                * (engineConfig.coldFrom() + (1 - engineConfig.coldFrom()) * warm);
                 if (work > limits.slowStartOverloadFactor() * can * windowMs) {
                     broken.add(
                             last.tag()
@@ -242,9 +262,14 @@
         List<String> broken = new ArrayList<>();
         int stake = 0;
         Map<String, List<ClientAttempt>> lines = new HashMap<>();
-        for (ClientAttempt t : facts.tries()) {
-            if (t.key() != null && cls(t).ordered() && t.sent()) {
-                lines.computeIfAbsent(t.router() + " " + t.key(), k -> new ArrayList<>()).add(t);
+        for (ClientAttempt clientAttempt : facts.tries()) {
+            if (clientAttempt.key() != null
+                    && cls(clientAttempt).ordered()
+                    && clientAttempt.sent()) {
+                lines.computeIfAbsent(
+                                clientAttempt.router() + " " + clientAttempt.key(),
+                                text -> new ArrayList<>())
+                        .add(clientAttempt);
             }
         }
         for (List<ClientAttempt> line : lines.values()) {
@@ -296,38 +321,47 @@
     private Verdict placement() {
         List<String> broken = new ArrayList<>();
         int stake = 0;
-        for (ClientAttempt t : facts.tries()) {
-            QueryClass c = cls(t);
-            if (c.engineKinds().isEmpty() && c.zones().isEmpty()) {
+        for (ClientAttempt clientAttempt : facts.tries()) {
+            QueryClass queryClass = cls(clientAttempt);
+            if (queryClass.engineKinds().isEmpty() && queryClass.zones().isEmpty()) {
                 continue;
             }
-            for (SentQuery e : byTag.getOrDefault(t.tag(), List.of())) {
+            for (SentQuery sentQuery : byTag.getOrDefault(clientAttempt.tag(), List.of())) {
                 boolean pressed =
                         facts.sick().stream()
                                         .anyMatch(
-                                                s ->
-                                                        s.touches(e.beganNs(), e.beganNs())
-                                                                && c.engineKinds()
+                                                span ->
+                                                        span.touches(
+                                                                        sentQuery.beganNs(),
+                                                                        sentQuery.beganNs())
+                                                                && queryClass
+                                                                        .engineKinds()
                                                                         .contains(
                                                                                 facts.day()
                                                                                         .engines()
                                                                                         .get(
-                                                                                                s
+                                                                                                span
                                                                                                         .name())
                                                                                         .kind()))
                                 || facts.engineDowns().stream()
-                                        .anyMatch(s -> s.touches(e.beganNs(), e.beganNs()));
+                                        .anyMatch(
+                                                span ->
+                                                        span.touches(
+                                                                sentQuery.beganNs(),
+                                                                sentQuery.beganNs()));
                 stake += pressed ? 1 : 0;
-                if (!c.engineKinds().isEmpty() && !c.engineKinds().contains(e.kind())
-                        || !c.zones().isEmpty() && !c.zones().contains(e.zone())) {
+                if (!queryClass.engineKinds().isEmpty()
+                                && !queryClass.engineKinds().contains(sentQuery.kind())
+                        || !queryClass.zones().isEmpty()
+                                && !queryClass.zones().contains(sentQuery.zone())) {
                     broken.add(
-                            t.tag()
+                            clientAttempt.tag()
                                     + " "
-                                    + t.queryClass()
+                                    + clientAttempt.queryClass()
                                     + " went to "
-                                    + e.engine()
+                                    + sentQuery.engine()
                                     + " of kind "
-                                    + e.kind());
+                                    + sentQuery.kind());
                 }
             }
         }
@@ -344,14 +378,16 @@
         int stake = 0;
         var limits = facts.settings().limits();
         Map<String, List<Long>> further = new HashMap<>();
-        for (ClientAttempt t : facts.tries()) {
-            List<SentQuery> entries = byTag.getOrDefault(t.tag(), List.of());
+        for (ClientAttempt clientAttempt : facts.tries()) {
+            List<SentQuery> entries = byTag.getOrDefault(clientAttempt.tag(), List.of());
             if (entries.size() > facts.settings().allowed().maxAttempts()) {
-                broken.add(t.tag() + " had " + entries.size() + " attempts");
+                broken.add(clientAttempt.tag() + " had " + entries.size() + " attempts");
             }
-            for (SentQuery e : entries.subList(Math.min(1, entries.size()), entries.size())) {
+            for (SentQuery sentQuery :
+                    entries.subList(Math.min(1, entries.size()), entries.size())) {
                 stake++;
-                further.computeIfAbsent(e.router(), k -> new ArrayList<>()).add(e.beganNs());
+                further.computeIfAbsent(sentQuery.router(), text -> new ArrayList<>())
+                        .add(sentQuery.beganNs());
             }
         }
         if (limits.retryBudgetWindowNs() > 0) {
@@ -359,7 +395,10 @@
                     (router, times) -> {
                         List<Long> taken =
                                 facts.tries().stream()
-                                        .filter(t -> t.router().equals(router) && t.sent())
+                                        .filter(
+                                                clientAttempt ->
+                                                        clientAttempt.router().equals(router)
+                                                                && clientAttempt.sent())
                                         .map(ClientAttempt::sentNs)
                                         .toList();
                         for (long last : times) {
--- a/loadtest/src/main/java/ashlink/loadtest/check/Service.java
+++ b/loadtest/src/main/java/ashlink/loadtest/check/Service.java
@@ -36,7 +36,11 @@
     public static Service of(ScenarioFacts facts) {
         Map<Long, List<ClientAttempt>> requests = new HashMap<>();
         facts.tries()
-                .forEach(t -> requests.computeIfAbsent(t.request(), k -> new ArrayList<>()).add(t));
+                .forEach(
+                        clientAttempt ->
+                                requests.computeIfAbsent(
+                                                clientAttempt.request(), k -> new ArrayList<>())
+                                        .add(clientAttempt));
         List<Earned> all = new ArrayList<>();
         long served = 0;
         long refused = 0;
@@ -44,22 +48,25 @@
         for (List<ClientAttempt> tries : requests.values()) {
             tries.sort(Comparator.comparingInt(ClientAttempt::number));
             ClientAttempt last = tries.get(tries.size() - 1);
-            QueryClass c = facts.settings().classes().get(last.queryClass());
+            QueryClass queryClass = facts.settings().classes().get(last.queryClass());
             boolean good = last.reply().kind() == Reply.Kind.SERVED;
             served += good ? 1 : 0;
             refused += !good && last.isRefused() ? 1 : 0;
             failed += !good && !last.isRefused() ? 1 : 0;
             double aim =
-                    c.latencyObjectiveNs()
-                            + c.objectivePerWork() * last.workMs() / last.threads() * 1e6;
+                    queryClass.latencyObjectiveNs()
+                            + queryClass.objectivePerWork() * last.workMs() / last.threads() * 1e6;
             boolean inTime = last.reply().endNs() - last.firstNs() <= aim;
             all.add(
                     new Earned(
-                            c.name(),
+                            queryClass.name(),
                             last.front(),
                             last.firstNs(),
-                            c.priorityWeight(),
-                            good ? c.priorityWeight() * (inTime ? 1 : c.lateWeightFraction()) : 0));
+                            queryClass.priorityWeight(),
+                            good
+                                    ? queryClass.priorityWeight()
+                                            * (inTime ? 1 : queryClass.lateWeightFraction())
+                                    : 0));
         }
         Map<String, Double> byClass = new LinkedHashMap<>();
         facts.settings()
@@ -71,7 +78,10 @@
                                         c,
                                         share(
                                                 all.stream()
-                                                        .filter(e -> e.queryClass().equals(c))
+                                                        .filter(
+                                                                earned ->
+                                                                        earned.queryClass()
+                                                                                .equals(c))
                                                         .toList())));
         Map<String, Double> byFront = new TreeMap<>();
         all.stream()
@@ -83,7 +93,7 @@
                                         f,
                                         share(
                                                 all.stream()
-                                                        .filter(e -> e.front().equals(f))
+                                                        .filter(earned -> earned.front().equals(f))
                                                         .toList())));
         double worst = 1;
         for (long at = facts.fromNs();
@@ -96,9 +106,10 @@
                             share(
                                     all.stream()
                                             .filter(
-                                                    e ->
-                                                            e.atNs() >= from
-                                                                    && e.atNs() < from + WINDOW_NS)
+                                                    earned ->
+                                                            earned.atNs() >= from
+                                                                    && earned.atNs()
+                                                                            < from + WINDOW_NS)
                                             .toList()));
         }
         return new Service(
--- a/loadtest/src/main/java/ashlink/loadtest/client/NativeClient.java
+++ b/loadtest/src/main/java/ashlink/loadtest/client/NativeClient.java
@@ -53,9 +53,9 @@
 
     /** A connected client of the highest revision, without compression. */
     public static NativeClient connect(InetSocketAddress address, String user) throws IOException {
-        NativeClient c = new NativeClient(null, Revision.HIGHEST);
-        c.open(address, user, "", "default", 5_000);
-        return c;
+        NativeClient nativeClient = new NativeClient(null, Revision.HIGHEST);
+        nativeClient.open(address, user, "", "default", 5_000);
+        return nativeClient;
     }
 
     /** Connects and logs in. */
@@ -74,8 +74,9 @@
             hello.writeTo(out);
             ServerPacket kind = ServerPacket.of(in.readVarUInt());
             if (kind == ServerPacket.EXCEPTION) {
-                ServerError e = ServerError.read(in, limits);
-                throw new IOException("login refused: code " + e.code() + " " + e.message());
+                ServerError serverError = ServerError.read(in, limits);
+                throw new IOException(
+                        "login refused: code " + serverError.code() + " " + serverError.message());
             }
             Hello.Server server = Hello.Server.read(in, limits);
             serverName = server.displayName();
@@ -210,11 +211,11 @@
                                 System.nanoTime());
                     }
                     case EXCEPTION -> {
-                        ServerError e = ServerError.read(in, limits);
+                        ServerError serverError = ServerError.read(in, limits);
                         return new Reply(
                                 Reply.Kind.EXCEPTION,
-                                e.code(),
-                                e.message(),
+                                serverError.code(),
+                                serverError.message(),
                                 rows,
                                 in.consumed() - from,
                                 System.nanoTime());
@@ -227,8 +228,8 @@
                         Blocks.Size size = readBlock(kind, compressed);
                         rows += kind == ServerPacket.DATA ? size.rows() : 0;
                         if (!fed && kind == ServerPacket.DATA && size.rows() == 0) {
-                            for (Block b : insert) {
-                                sendBlock(b);
+                            for (Block block : insert) {
+                                sendBlock(block);
                             }
                             sendBlock(Block.END);
                             fed = true;
@@ -245,9 +246,9 @@
         if (kept == null || kind != ServerPacket.DATA) {
             return blocks.skip(compressed);
         }
-        Block b = blocks.read(compressed, 1 << 20);
-        kept.add(b);
-        return new Blocks.Size(b.rows(), b.columns().size());
+        Block block = blocks.read(compressed, 1 << 20);
+        kept.add(block);
+        return new Blocks.Size(block.rows(), block.columns().size());
     }
 
     /** True if the server has sent something that belongs to no statement. */
--- a/loadtest/src/main/java/ashlink/loadtest/load/HttpLoad.java
+++ b/loadtest/src/main/java/ashlink/loadtest/load/HttpLoad.java
@@ -42,32 +42,34 @@
 
     Seen run(
             String router,
-            LoadClass c,
+            LoadClass loadClass,
             String statement,
             Map<String, String> settings,
             String key,
             long patience) {
         StatementClient client =
                 clients.computeIfAbsent(
-                        router + "/" + c.user(),
-                        k ->
+                        router + "/" + loadClass.user(),
+                        text ->
                                 new StatementClient(
                                         http,
                                         URI.create(
                                                 "http://127.0.0.1:"
                                                         + addresses.apply(router).getPort()),
-                                        c.user(),
+                                        loadClass.user(),
                                         ""));
         try {
-            StatementResult a =
+            StatementResult statementResult =
                     client.run(
                             statement,
                             settings,
-                            c.write() ? ROWS : null,
-                            c.write() ? key : null,
+                            loadClass.write() ? ROWS : null,
+                            loadClass.write() ? key : null,
                             patience,
                             page -> {});
-            return new Seen(reply(a), a.kind() != StatementResult.Kind.NOT_SENT);
+            return new Seen(
+                    reply(statementResult),
+                    statementResult.kind() != StatementResult.Kind.NOT_SENT);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return new Seen(
@@ -75,24 +77,30 @@
         }
     }
 
-    private static Reply reply(StatementResult a) {
+    private static Reply reply(StatementResult statementResult) {
         Reply.Kind kind =
-                switch (a.kind()) {
+                switch (statementResult.kind()) {
                     case SERVED -> Reply.Kind.SERVED;
                     case PROBLEM -> Reply.Kind.EXCEPTION;
                     case TIMED_OUT -> Reply.Kind.TIMED_OUT;
                     case NOT_SENT, LOST -> Reply.Kind.LOST;
                 };
         int code =
-                a.kind() != StatementResult.Kind.PROBLEM
+                statementResult.kind() != StatementResult.Kind.PROBLEM
                         ? 0
-                        : a.isRefused() ? REFUSED : a.code() != 0 ? a.code() : FAILED;
+                        : statementResult.isRefused()
+                                ? REFUSED
+                                : statementResult.code() != 0 ? statementResult.code() : FAILED;
         return new Reply(
                 kind,
                 code,
-                a.status() + " " + a.problem() + " " + a.detail(),
-                a.rows(),
-                a.bytes(),
+                statementResult.status()
+                        + " "
+                        + statementResult.problem()
+                        + " "
+                        + statementResult.detail(),
+                statementResult.rows(),
+                statementResult.bytes(),
                 System.nanoTime());
     }
 }
--- a/loadtest/src/main/java/ashlink/loadtest/load/LoadRun.java
+++ b/loadtest/src/main/java/ashlink/loadtest/load/LoadRun.java
@@ -69,10 +69,10 @@
         this.conditions = conditions;
         this.clients =
                 Executors.newCachedThreadPool(
-                        r -> {
-                            Thread t = new Thread(null, r, "rig-client", 256 << 10);
-                            t.setDaemon(true);
-                            return t;
+                        task -> {
+                            Thread thread = new Thread(null, task, "rig-client", 256 << 10);
+                            thread.setDaemon(true);
+                            return thread;
                         });
     }
 
@@ -87,21 +87,24 @@
         while (at < day.durationNs()) {
             double rate = day.ratePerS() * conditions.rate();
             at += gaps.sample() / rate * 1e9;
-            Arrival a = draw(request++, (long) at, random, gauss);
-            long wait = from + a.atNs() - System.nanoTime();
+            Arrival arrival = draw(request++, (long) at, random, gauss);
+            long wait = from + arrival.atNs() - System.nanoTime();
             if (wait > 0) {
                 TimeUnit.NANOSECONDS.sleep(wait);
             }
-            clients.execute(() -> client(a));
+            clients.execute(() -> client(arrival));
         }
         clients.shutdown();
         long longest =
                 day.load().stream()
-                        .mapToLong(c -> (c.timeoutNs() + c.waitNs()) * (c.retries() + 1))
+                        .mapToLong(
+                                loadClass ->
+                                        (loadClass.timeoutNs() + loadClass.waitNs())
+                                                * (loadClass.retries() + 1))
                         .max()
                         .orElse(0);
         clients.awaitTermination(longest + 5_000 * MS, TimeUnit.NANOSECONDS);
-        idle.values().forEach(q -> q.forEach(NativeClient::close));
+        idle.values().forEach(arrayDeque -> arrayDeque.forEach(NativeClient::close));
         synchronized (tries) {
             return new ArrayList<>(tries);
         }
@@ -114,10 +117,10 @@
             ZigguratSampler.NormalizedGaussian gauss) {
         double which = random.nextDouble();
         LoadClass cls = day.load().get(day.load().size() - 1);
-        for (LoadClass c : day.load()) {
-            which -= c.share();
+        for (LoadClass loadClass : day.load()) {
+            which -= loadClass.share();
             if (which < 0) {
-                cls = c;
+                cls = loadClass;
                 break;
             }
         }
@@ -148,66 +151,70 @@
                 overHttp);
     }
 
-    private void client(Arrival a) {
+    private void client(Arrival arrival) {
         long firstNs = System.nanoTime();
-        for (int n = 0; n <= a.cls().retries(); n++) {
-            String router = routers.get((a.router() + (a.key() == null ? n : 0)) % routers.size());
-            ClientAttempt t = attempt(a, n, router, firstNs);
+        for (int n = 0; n <= arrival.cls().retries(); n++) {
+            String router =
+                    routers.get(
+                            (arrival.router() + (arrival.key() == null ? n : 0)) % routers.size());
+            ClientAttempt clientAttempt = attempt(arrival, n, router, firstNs);
             synchronized (tries) {
-                tries.add(t);
+                tries.add(clientAttempt);
             }
-            boolean harmless = t.isRefused() || !t.sent();
-            if (t.reply().kind() == Reply.Kind.SERVED || a.cls().write() && !harmless) {
+            boolean harmless = clientAttempt.isRefused() || !clientAttempt.sent();
+            if (clientAttempt.reply().kind() == Reply.Kind.SERVED
+                    || arrival.cls().write() && !harmless) {
                 return;
             }
             try {
-                TimeUnit.NANOSECONDS.sleep(a.cls().waitNs());
+                TimeUnit.NANOSECONDS.sleep(arrival.cls().waitNs());
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
-    private ClientAttempt attempt(Arrival a, int n, String router, long firstNs) {
-        String tag = a.request() + "." + n;
-        long patience = (long) (a.cls().timeoutNs() * a.patience());
-        return a.http()
-                ? overHttp(a, n, tag, router, firstNs, patience)
-                : overNative(a, n, tag, router, firstNs, patience);
+    private ClientAttempt attempt(Arrival arrival, int n, String router, long firstNs) {
+        String tag = arrival.request() + "." + n;
+        long patience = (long) (arrival.cls().timeoutNs() * arrival.patience());
+        return arrival.http()
+                ? overHttp(arrival, n, tag, router, firstNs, patience)
+                : overNative(arrival, n, tag, router, firstNs, patience);
     }
 
-    private static Map<String, String> settings(Arrival a, long patience) {
+    private static Map<String, String> settings(Arrival arrival, long patience) {
         Map<String, String> settings = new LinkedHashMap<>();
         settings.put("max_execution_time", String.format(Locale.ROOT, "%.3f", patience / 1e9));
-        settings.put("ashlink_work_ms", String.format(Locale.ROOT, "%.1f", a.workMs()));
-        settings.put("ashlink_memory_mb", String.format(Locale.ROOT, "%.0f", a.cls().memoryMb()));
-        settings.put("ashlink_tables", Long.toString(a.group()));
-        if (a.key() != null) {
-            settings.put("ashlink_key", a.key());
+        settings.put("ashlink_work_ms", String.format(Locale.ROOT, "%.1f", arrival.workMs()));
+        settings.put(
+                "ashlink_memory_mb", String.format(Locale.ROOT, "%.0f", arrival.cls().memoryMb()));
+        settings.put("ashlink_tables", Long.toString(arrival.group()));
+        if (arrival.key() != null) {
+            settings.put("ashlink_key", arrival.key());
         }
         return settings;
     }
 
     private ClientAttempt overHttp(
-            Arrival a, int n, String tag, String router, long firstNs, long patience) {
+            Arrival arrival, int n, String tag, String router, long firstNs, long patience) {
         long from = System.nanoTime();
         HttpLoad.Seen seen =
                 http.run(
                         router,
-                        a.cls(),
-                        statement(a, tag),
-                        settings(a, patience),
-                        "request-" + a.request(),
+                        arrival.cls(),
+                        statement(arrival, tag),
+                        settings(arrival, patience),
+                        "request-" + arrival.request(),
                         patience);
         return new ClientAttempt(
-                a.request(),
+                arrival.request(),
                 tag,
                 n,
-                a.cls().name(),
-                a.key(),
+                arrival.cls().name(),
+                arrival.key(),
                 router,
-                a.workMs(),
-                a.cls().threads(),
+                arrival.workMs(),
+                arrival.cls().threads(),
                 firstNs,
                 from,
                 from + patience,
@@ -218,19 +225,19 @@
     }
 
     private ClientAttempt overNative(
-            Arrival a, int n, String tag, String router, long firstNs, long patience) {
-        LoadClass c = a.cls();
+            Arrival arrival, int n, String tag, String router, long firstNs, long patience) {
+        LoadClass loadClass = arrival.cls();
         NativeClient client = null;
         long from = System.nanoTime();
         Reply reply;
         boolean sent = false;
         boolean stray = false;
         try {
-            client = take(router, c.user());
+            client = take(router, loadClass.user());
             from = System.nanoTime();
-            client.sendQuery(tag, statement(a, tag), settings(a, patience));
+            client.sendQuery(tag, statement(arrival, tag), settings(arrival, patience));
             sent = true;
-            reply = client.await(c.write() ? List.of(ROWS) : List.of(), from + patience);
+            reply = client.await(loadClass.write() ? List.of(ROWS) : List.of(), from + patience);
             stray = reply.isFinal() && client.hasStray();
         } catch (IOException e) {
             reply =
@@ -243,22 +250,22 @@
                             System.nanoTime());
         }
         if (client != null && reply.isFinal() && !stray) {
-            idle.computeIfAbsent(router + "/" + c.user(), k -> new ArrayDeque<>());
+            idle.computeIfAbsent(router + "/" + loadClass.user(), text -> new ArrayDeque<>());
             synchronized (idle) {
-                idle.get(router + "/" + c.user()).push(client);
+                idle.get(router + "/" + loadClass.user()).push(client);
             }
         } else if (client != null) {
             client.close();
         }
         return new ClientAttempt(
-                a.request(),
+                arrival.request(),
                 tag,
                 n,
-                c.name(),
-                a.key(),
+                loadClass.name(),
+                arrival.key(),
                 router,
-                a.workMs(),
-                c.threads(),
+                arrival.workMs(),
+                loadClass.threads(),
                 firstNs,
                 from,
                 from + patience,
@@ -271,40 +278,40 @@
     /** An idle connection that is still good, else a new one. */
     private NativeClient take(String router, String user) throws IOException {
         while (true) {
-            NativeClient c;
+            NativeClient nativeClient;
             synchronized (idle) {
-                ArrayDeque<NativeClient> q = idle.get(router + "/" + user);
-                c = q == null ? null : q.poll();
+                ArrayDeque<NativeClient> arrayDeque = idle.get(router + "/" + user);
+                nativeClient = arrayDeque == null ? null : arrayDeque.poll();
             }
-            if (c == null) {
+            if (nativeClient == null) {
                 NativeClient fresh = new NativeClient(null, ashlink.wire.Revision.HIGHEST);
                 fresh.open(addresses.apply(router), user, "", "default", CONNECT_MS);
                 return fresh;
             }
-            if (!c.isClosedByPeer()) {
-                return c;
+            if (!nativeClient.isClosedByPeer()) {
+                return nativeClient;
             }
-            c.close();
+            nativeClient.close();
         }
     }
 
-    private static String statement(Arrival a, String tag) {
-        LoadClass c = a.cls();
+    private static String statement(Arrival arrival, String tag) {
+        LoadClass loadClass = arrival.cls();
         String sim =
                 String.format(
                         Locale.ROOT,
                         "/* sim tag=%s work_ms=%.1f threads=%d io=%.2f memory_mb=%.0f tables=%d"
                                 + " holds=%d waits=%d%s */",
                         tag,
-                        a.workMs(),
-                        c.threads(),
-                        c.io(),
-                        c.memoryMb(),
-                        a.group(),
-                        c.write() ? 1 : 0,
-                        c.write() ? 0 : 1,
-                        a.key() == null ? "" : " key=" + a.key());
-        return c.write()
+                        arrival.workMs(),
+                        loadClass.threads(),
+                        loadClass.io(),
+                        loadClass.memoryMb(),
+                        arrival.group(),
+                        loadClass.write() ? 1 : 0,
+                        loadClass.write() ? 0 : 1,
+                        arrival.key() == null ? "" : " key=" + arrival.key());
+        return loadClass.write()
                 ? "INSERT " + sim + " INTO readings VALUES"
                 : "SELECT " + sim + " value FROM readings";
     }
--- a/loadtest/src/main/java/ashlink/loadtest/scenario/FaultCatalog.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/FaultCatalog.java
@@ -40,7 +40,7 @@
                 TestSettings.resource("troubles/base.sexp")
                         .replace("NAME", name)
                         .replace("TROUBLES", TestSettings.resource("troubles/" + name + ".sexp"));
-        ScenarioConfig d = ScenarioConfigReader.read(name, text);
-        return d.with(d.seed(), d.httpShare(), more);
+        ScenarioConfig scenarioConfig = ScenarioConfigReader.read(name, text);
+        return scenarioConfig.with(scenarioConfig.seed(), scenarioConfig.httpShare(), more);
     }
 }
--- a/loadtest/src/main/java/ashlink/loadtest/scenario/ScenarioRunner.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/ScenarioRunner.java
@@ -69,14 +69,14 @@
 
     /** Plays it to its end. */
     public ScenarioFacts run() throws IOException, InterruptedException {
-        for (EngineConfig c : day.engines().values()) {
-            EmulatedEngine e = new EmulatedEngine(c);
-            e.start();
-            engines.put(c.name(), e);
+        for (EngineConfig engineConfig : day.engines().values()) {
+            EmulatedEngine emulatedEngine = new EmulatedEngine(engineConfig);
+            emulatedEngine.start();
+            engines.put(engineConfig.name(), emulatedEngine);
         }
         int position = 0;
-        for (RouterSpec r : day.routers()) {
-            startRouter(r, position++, 0);
+        for (RouterSpec routerSpec : day.routers()) {
+            startRouter(routerSpec, position++, 0);
         }
         long from = System.nanoTime();
         day.troubles().forEach(this::schedule);
@@ -84,18 +84,18 @@
                 new LoadRun(day, addresses::get, httpAddresses::get, conditions).run();
         script.shutdownNow();
         script.awaitTermination(5, TimeUnit.SECONDS);
-        for (Router r : routers.values()) {
-            r.kill();
+        for (Router router : routers.values()) {
+            router.kill();
         }
         List<String> fallen =
                 engines.values().stream()
                         .filter(EmulatedEngine::hasFallen)
-                        .map(e -> e.config().name())
+                        .map(emulatedEngine -> emulatedEngine.config().name())
                         .toList();
         List<SentQuery> ledger = new ArrayList<>();
-        for (EmulatedEngine e : engines.values()) {
-            e.crash();
-            e.ledger().entries().forEach(x -> ledger.add(SentQuery.of(x)));
+        for (EmulatedEngine emulatedEngine : engines.values()) {
+            emulatedEngine.crash();
+            emulatedEngine.ledger().entries().forEach(entry -> ledger.add(SentQuery.of(entry)));
         }
         synchronized (this) {
             return new ScenarioFacts(
@@ -112,16 +112,16 @@
         }
     }
 
-    private RouterConfig settings(RouterSpec r, int position, int port) {
+    private RouterConfig settings(RouterSpec routerSpec, int position, int port) {
         return TestSettings.of(
-                r.name(),
-                r.zone(),
+                routerSpec.name(),
+                routerSpec.zone(),
                 position,
                 day.routers().size(),
                 day.seed() * 1000 + position,
                 port,
                 engines.values(),
-                day.settings().replace("{router}", r.name()) + http(r.name()));
+                day.settings().replace("{router}", routerSpec.name()) + http(routerSpec.name()));
     }
 
     private String http(String router) {
@@ -132,31 +132,31 @@
     }
 
     private void startRouter(RouterSpec spec, int position, int port) throws IOException {
-        Router r = new Router(settings(spec, position, port), module);
-        r.start();
-        routers.put(spec.name(), r);
-        addresses.put(spec.name(), r.address());
-        if (r.httpAddress() != null) {
-            httpAddresses.put(spec.name(), r.httpAddress());
+        Router router = new Router(settings(spec, position, port), module);
+        router.start();
+        routers.put(spec.name(), router);
+        addresses.put(spec.name(), router.address());
+        if (router.httpAddress() != null) {
+            httpAddresses.put(spec.name(), router.httpAddress());
         }
         synchronized (this) {
             long now = System.nanoTime();
-            for (Drain d : List.copyOf(drains)) {
-                if (d.untilNs() > now && !d.router().equals(spec.name())) {
-                    tellDrain(spec.name(), d.engine(), d.untilNs());
+            for (Drain drain : List.copyOf(drains)) {
+                if (drain.untilNs() > now && !drain.router().equals(spec.name())) {
+                    tellDrain(spec.name(), drain.engine(), drain.untilNs());
                 }
             }
         }
     }
 
     // ---- Troubles
-    private void schedule(Fault t) {
-        at(t.atNs(), () -> begin(t));
-        at(t.atNs() + t.forNs(), () -> end(t));
-        if (t.kind() == ScenarioConfig.FaultKind.AGE) {
-            for (long d = AGE_STEP_NS; d < t.forNs(); d += AGE_STEP_NS) {
-                double speed = 1 + (t.factor() - 1) * d / t.forNs();
-                at(t.atNs() + d, () -> engines.get(t.target()).speed(speed));
+    private void schedule(Fault fault) {
+        at(fault.atNs(), () -> begin(fault));
+        at(fault.atNs() + fault.forNs(), () -> end(fault));
+        if (fault.kind() == ScenarioConfig.FaultKind.AGE) {
+            for (long d = AGE_STEP_NS; d < fault.forNs(); d += AGE_STEP_NS) {
+                double speed = 1 + (fault.factor() - 1) * d / fault.forNs();
+                at(fault.atNs() + d, () -> engines.get(fault.target()).speed(speed));
             }
         }
     }
@@ -178,39 +178,43 @@
                 TimeUnit.NANOSECONDS);
     }
 
-    private synchronized void begin(Fault t) throws InterruptedException {
+    private synchronized void begin(Fault fault) throws InterruptedException {
         long now = System.nanoTime();
-        EmulatedEngine e = engines.get(t.target());
-        LOG.info("trouble begins: {} {}", t.kind(), t.target());
-        switch (t.kind()) {
+        EmulatedEngine e = engines.get(fault.target());
+        LOG.info("trouble begins: {} {}", fault.kind(), fault.target());
+        switch (fault.kind()) {
             case HANG -> e.hang(true);
-            case SLOW -> e.speed(t.factor());
+            case SLOW -> e.speed(fault.factor());
             case AGE, REFUSE -> {}
-            case LOST_ANSWERS -> e.faults().loseAnswers(t.factor());
-            case CRASH -> crash(t.target(), now + t.forNs());
+            case LOST_ANSWERS -> e.faults().loseAnswers(fault.factor());
+            case CRASH -> crash(fault.target(), now + fault.forNs());
             case HALL_LOST ->
                     engines.values().stream()
-                            .filter(x -> x.config().zone().equals(t.target()))
-                            .forEach(x -> crash(x.config().name(), now + t.forNs()));
+                            .filter(x -> x.config().zone().equals(fault.target()))
+                            .forEach(x -> crash(x.config().name(), now + fault.forNs()));
             case DRAIN ->
                     routers.keySet()
                             .forEach(
-                                    r ->
+                                    text ->
                                             script.schedule(
-                                                    () -> tellDrain(r, t.target(), now + t.forNs()),
+                                                    () ->
+                                                            tellDrain(
+                                                                    text,
+                                                                    fault.target(),
+                                                                    now + fault.forNs()),
                                                     listLagNs,
                                                     TimeUnit.NANOSECONDS));
-            case LIST_LATE -> listLagNs = (long) (t.factor() * 1e9);
+            case LIST_LATE -> listLagNs = (long) (fault.factor() * 1e9);
             case ROUTER_KILL -> {
-                kills.add(new Span(t.target(), now, now + t.forNs()));
-                routers.get(t.target()).kill();
+                kills.add(new Span(fault.target(), now, now + fault.forNs()));
+                routers.get(fault.target()).kill();
             }
-            case BURST -> conditions.rate(t.factor());
-            case HEAVY_TAIL -> conditions.heavy(t.target(), t.factor());
-            case HOT_GROUP -> conditions.hotGroup(t.factor());
-            case HOT_CALLER -> conditions.hotRouter(t.target(), t.factor());
+            case BURST -> conditions.rate(fault.factor());
+            case HEAVY_TAIL -> conditions.heavy(fault.target(), fault.factor());
+            case HOT_GROUP -> conditions.hotGroup(fault.factor());
+            case HOT_CALLER -> conditions.hotRouter(fault.target(), fault.factor());
         }
-        if (t.kind() == ScenarioConfig.FaultKind.REFUSE) {
+        if (fault.kind() == ScenarioConfig.FaultKind.REFUSE) {
             e.faults()
                     .breakAt(
                             ashlink.emulator.FaultInjection.Place.ACCEPT,
@@ -218,21 +222,21 @@
                             Integer.MAX_VALUE);
         }
         if (e != null) {
-            sick.add(new Span(t.target(), now, now + t.forNs()));
+            sick.add(new Span(fault.target(), now, now + fault.forNs()));
         }
     }
 
-    private synchronized void end(Fault t) throws IOException {
-        EmulatedEngine e = engines.get(t.target());
-        LOG.info("trouble ends: {} {}", t.kind(), t.target());
-        switch (t.kind()) {
+    private synchronized void end(Fault fault) throws IOException {
+        EmulatedEngine e = engines.get(fault.target());
+        LOG.info("trouble ends: {} {}", fault.kind(), fault.target());
+        switch (fault.kind()) {
             case HANG -> e.hang(false);
             case SLOW, AGE -> e.speed(1);
             case LOST_ANSWERS, REFUSE -> e.faults().heal();
-            case CRASH -> restart(t.target());
+            case CRASH -> restart(fault.target());
             case HALL_LOST -> {
                 for (EmulatedEngine x : engines.values()) {
-                    if (x.config().zone().equals(t.target())) {
+                    if (x.config().zone().equals(fault.target())) {
                         restart(x.config().name());
                     }
                 }
@@ -241,11 +245,13 @@
                     script.schedule(
                             () ->
                                     routers.forEach(
-                                            (name, r) -> r.phase(t.target(), EndpointState.READY)),
+                                            (name, router) ->
+                                                    router.phase(
+                                                            fault.target(), EndpointState.READY)),
                             listLagNs,
                             TimeUnit.NANOSECONDS);
             case LIST_LATE -> listLagNs = 0;
-            case ROUTER_KILL -> restartRouter(t.target());
+            case ROUTER_KILL -> restartRouter(fault.target());
             case BURST -> conditions.rate(1);
             case HEAVY_TAIL -> conditions.heavy("", 1);
             case HOT_GROUP -> conditions.hotGroup(0);
--- a/loadtest/src/main/java/ashlink/loadtest/scenario/SentQuery.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/SentQuery.java
@@ -25,15 +25,23 @@
     private static final String ROUTER_PREFIX = "ashlink ";
 
     /** An entry of a ledger. */
-    public static SentQuery of(Ledger.Entry e) {
-        long until = e.endedNs() > 0 ? e.endedNs() : Long.MAX_VALUE;
-        until = e.releasedNs() > 0 ? Math.min(until, e.releasedNs()) : until;
+    public static SentQuery of(Ledger.Entry entry) {
+        long until = entry.endedNs() > 0 ? entry.endedNs() : Long.MAX_VALUE;
+        until = entry.releasedNs() > 0 ? Math.min(until, entry.releasedNs()) : until;
         String router =
-                e.router.startsWith(ROUTER_PREFIX)
-                        ? e.router.substring(ROUTER_PREFIX.length())
-                        : e.router;
+                entry.router.startsWith(ROUTER_PREFIX)
+                        ? entry.router.substring(ROUTER_PREFIX.length())
+                        : entry.router;
         return new SentQuery(
-                e.engine, e.kind, e.zone, router, e.tag, e.workMs, e.beganNs, e.ranNs(), until,
-                e.how());
+                entry.engine,
+                entry.kind,
+                entry.zone,
+                router,
+                entry.tag,
+                entry.workMs,
+                entry.beganNs,
+                entry.ranNs(),
+                until,
+                entry.how());
     }
 }
--- a/loadtest/src/test/java/ashlink/loadtest/AnswersTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/AnswersTest.java
@@ -43,29 +43,29 @@
             value = Break.class,
             names = {"CLOSE", "GARBAGE", "HALF_PACKET"})
     void anAnswerThatBreaksWhileItIsHeldBackIsReplacedByAnotherEngines(Break how) throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
-            f.engine("q1").faults().breakAt(Place.ANSWER, how, 100);
+        try (Fleet fleet = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
+            fleet.engine("q1").faults().breakAt(Place.ANSWER, how, 100);
             for (int i = 0; i < 6; i++) {
-                NativeClient c = f.client("portal").keepBlocks();
-                Reply r =
-                        c.query(
+                NativeClient nativeClient = fleet.client("portal").keepBlocks();
+                Reply reply =
+                        nativeClient.query(
                                 "",
                                 "SELECT /* sim tag=t" + i + " " + SMALL + " */ 2",
                                 Map.of(),
                                 10 * S);
-                assertEquals(Kind.SERVED, r.kind(), r.message());
-                assertEquals(40, r.rows());
-                assertEquals(Set.of("q2"), values(c.blocks()));
+                assertEquals(Kind.SERVED, reply.kind(), reply.message());
+                assertEquals(40, reply.rows());
+                assertEquals(Set.of("q2"), values(nativeClient.blocks()));
             }
             assertTrue(
-                    f.ledger().stream().anyMatch(e -> e.engine.equals("q1")),
+                    fleet.ledger().stream().anyMatch(entry -> entry.engine.equals("q1")),
                     "the broken engine was never tried");
         }
     }
 
     private static Set<Object> values(List<Block> blocks) {
         Set<Object> values = new HashSet<>();
-        blocks.forEach(b -> values.addAll(b.column("value").values()));
+        blocks.forEach(block -> values.addAll(block.column("value").values()));
         return values;
     }
 
@@ -75,124 +75,141 @@
             names = {"CLOSE", "GARBAGE", "HALF_PACKET"})
     void anAnswerThatBreaksAfterItsFirstPartEndsInOneExceptionAndIsNotRunAgain(Break how)
             throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
-            f.engines.values().forEach(e -> e.faults().breakAt(Place.ANSWER, how, 100));
-            NativeClient c = f.client("portal");
-            Reply r = c.query("", "SELECT /* sim tag=t " + LARGE + " */ 2", Map.of(), 10 * S);
-            assertEquals(Kind.EXCEPTION, r.kind(), r.message());
-            assertEquals(210, r.code());
-            assertTrue(r.rows() > 0, "the answer had not begun");
-            assertEquals(1, f.ledger().stream().filter(e -> e.tag.equals("t")).count());
-            f.engines.values().forEach(e -> e.faults().heal());
+        try (Fleet fleet = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
+            fleet.engines
+                    .values()
+                    .forEach(
+                            emulatedEngine ->
+                                    emulatedEngine.faults().breakAt(Place.ANSWER, how, 100));
+            NativeClient nativeClient = fleet.client("portal");
+            Reply reply =
+                    nativeClient.query(
+                            "", "SELECT /* sim tag=t " + LARGE + " */ 2", Map.of(), 10 * S);
+            assertEquals(Kind.EXCEPTION, reply.kind(), reply.message());
+            assertEquals(210, reply.code());
+            assertTrue(reply.rows() > 0, "the answer had not begun");
+            assertEquals(1, fleet.ledger().stream().filter(entry -> entry.tag.equals("t")).count());
+            fleet.engines.values().forEach(emulatedEngine -> emulatedEngine.faults().heal());
             assertEquals(
                     Kind.SERVED,
-                    c.query("", "SELECT 1", Map.of(), 10 * S).kind(),
+                    nativeClient.query("", "SELECT 1", Map.of(), 10 * S).kind(),
                     "the connection is out of step");
         }
     }
 
     @Test
     void aCorruptFrameIsNeverPassedOn() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
-            f.engine("q1").faults().breakAt(Place.ANSWER, Break.CORRUPT_FRAME, 100);
+        try (Fleet fleet = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
+            fleet.engine("q1").faults().breakAt(Place.ANSWER, Break.CORRUPT_FRAME, 100);
             for (int i = 0; i < 6; i++) {
-                NativeClient c = new NativeClient(Compression.LZ4, Revision.HIGHEST);
-                c.open(f.router.address(), "portal", "", "default", 5_000);
-                f.clients.add(c);
-                Reply r =
-                        c.query(
+                NativeClient nativeClient = new NativeClient(Compression.LZ4, Revision.HIGHEST);
+                nativeClient.open(fleet.router.address(), "portal", "", "default", 5_000);
+                fleet.clients.add(nativeClient);
+                Reply reply =
+                        nativeClient.query(
                                 "",
                                 "SELECT /* sim tag=t" + i + " " + SMALL + " */ 2",
                                 Map.of(),
                                 10 * S);
-                assertEquals(Kind.SERVED, r.kind(), r.message());
+                assertEquals(Kind.SERVED, reply.kind(), reply.message());
             }
             assertTrue(
-                    f.ledger().stream().anyMatch(e -> e.engine.equals("q1")),
+                    fleet.ledger().stream().anyMatch(entry -> entry.engine.equals("q1")),
                     "the corrupting engine was never tried");
         }
     }
 
     @Test
     void aLoadWhoseEngineDiesAfterItMayHaveRunFailsAndIsNotRunAgain() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
-            f.engines.values().forEach(e -> e.faults().breakAt(Place.RUN, Break.CLOSE, 100));
-            Reply r = f.query("portal", "INSERT /* sim tag=t */ INTO a SELECT * FROM b");
-            assertEquals(210, r.code(), r.message());
-            assertEquals(1, f.runs("t"));
+        try (Fleet fleet = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
+            fleet.engines
+                    .values()
+                    .forEach(
+                            emulatedEngine ->
+                                    emulatedEngine.faults().breakAt(Place.RUN, Break.CLOSE, 100));
+            Reply reply = fleet.query("portal", "INSERT /* sim tag=t */ INTO a SELECT * FROM b");
+            assertEquals(210, reply.code(), reply.message());
+            assertEquals(1, fleet.runs("t"));
         }
     }
 
     @Test
     void aLookUpWhoseEngineDiesIsRunAgain() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
-            f.engine("q1").faults().breakAt(Place.RUN, Break.CLOSE, 1);
-            f.engine("q2").faults().breakAt(Place.RUN, Break.CLOSE, 1);
-            Reply r = f.query("portal", "SELECT /* sim tag=t */ 2");
-            assertEquals(Kind.SERVED, r.kind(), r.message());
-            assertEquals(3, f.runs("t"));
+        try (Fleet fleet = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
+            fleet.engine("q1").faults().breakAt(Place.RUN, Break.CLOSE, 1);
+            fleet.engine("q2").faults().breakAt(Place.RUN, Break.CLOSE, 1);
+            Reply reply = fleet.query("portal", "SELECT /* sim tag=t */ 2");
+            assertEquals(Kind.SERVED, reply.kind(), reply.message());
+            assertEquals(3, fleet.runs("t"));
         }
     }
 
     @Test
     void aWriteThatHidesBehindARepeatableUserIsRunOnce() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
-            f.engines.values().forEach(e -> e.faults().breakAt(Place.RUN, Break.CLOSE, 100));
+        try (Fleet fleet = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
+            fleet.engines
+                    .values()
+                    .forEach(
+                            emulatedEngine ->
+                                    emulatedEngine.faults().breakAt(Place.RUN, Break.CLOSE, 100));
             int n = 0;
-            for (String s :
+            for (String text :
                     List.of(
                             "ALTER /* sim tag=%s */ TABLE t DELETE WHERE 1",
                             "/* SELECT */ DROP /* sim tag=%s */ TABLE t",
                             "SELECT 1; INSERT /* sim tag=%s */ INTO t SELECT 2",
                             "-- SELECT\nTRUNCATE /* sim tag=%s */ t",
                             "WITH 1 AS x INSERT /* sim tag=%s */ INTO t SELECT x")) {
-                Reply r = f.query("portal", String.format(s, "w" + n));
-                assertEquals(210, r.code(), s + ": " + r.message());
-                assertEquals(1, f.runs("w" + n++), s);
+                Reply reply = fleet.query("portal", String.format(text, "w" + n));
+                assertEquals(210, reply.code(), text + ": " + reply.message());
+                assertEquals(1, fleet.runs("w" + n++), text);
             }
         }
     }
 
     @Test
     void aReportGoesToItsKindAlsoWhenAllOfThatKindAreDown() throws Exception {
-        try (Fleet f = Fleet.of("a1:typ-a", "b1:typ-b").start()) {
-            assertEquals(Kind.SERVED, f.query("billing", "SELECT /* sim tag=up */ 2").kind());
-            f.engine("a1").crash();
-            Reply r =
-                    f.client("billing")
+        try (Fleet fleet = Fleet.of("a1:typ-a", "b1:typ-b").start()) {
+            assertEquals(Kind.SERVED, fleet.query("billing", "SELECT /* sim tag=up */ 2").kind());
+            fleet.engine("a1").crash();
+            Reply reply =
+                    fleet.client("billing")
                             .query(
                                     "",
                                     "SELECT /* sim tag=down */ 2",
                                     Map.of("max_execution_time", "2"),
                                     5 * S);
-            assertEquals(202, r.code(), r.message());
+            assertEquals(202, reply.code(), reply.message());
             assertEquals(
-                    List.of(), f.ledger().stream().filter(e -> e.engine.equals("b1")).toList());
-            assertEquals(Kind.SERVED, f.query("portal", "SELECT /* sim tag=other */ 2").kind());
+                    List.of(),
+                    fleet.ledger().stream().filter(entry -> entry.engine.equals("b1")).toList());
+            assertEquals(Kind.SERVED, fleet.query("portal", "SELECT /* sim tag=other */ 2").kind());
         }
     }
 
     @Test
     void aRefusalSaysThatTryingAgainIsHarmlessAndWhen() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").start()) {
-            f.engine("q1").crash();
-            Reply r =
-                    f.client("portal")
+        try (Fleet fleet = Fleet.of("q1:typ-a").start()) {
+            fleet.engine("q1").crash();
+            Reply reply =
+                    fleet.client("portal")
                             .query("", "SELECT 1", Map.of("max_execution_time", "1"), 5 * S);
-            assertEquals(202, r.code());
+            assertEquals(202, reply.code());
             assertTrue(
-                    r.message().contains("harmless") && r.message().contains("come back in 500 ms"),
-                    r.message());
+                    reply.message().contains("harmless")
+                            && reply.message().contains("come back in 500 ms"),
+                    reply.message());
         }
     }
 
     @Test
     void anEnginesOwnErrorIsTheAnswer() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
-            Reply r = f.query("portal", "SELECT /* sim tag=t error=60 */ 2");
-            assertEquals(60, r.code());
-            assertEquals(1, f.ledger().size());
-            Reply mid = f.query("portal", "SELECT /* sim tag=u error_mid=60 " + SMALL + " */ 2");
+        try (Fleet fleet = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
+            Reply reply = fleet.query("portal", "SELECT /* sim tag=t error=60 */ 2");
+            assertEquals(60, reply.code());
+            assertEquals(1, fleet.ledger().size());
+            Reply mid =
+                    fleet.query("portal", "SELECT /* sim tag=u error_mid=60 " + SMALL + " */ 2");
             assertEquals(60, mid.code());
             assertEquals(40, mid.rows());
         }
@@ -200,27 +217,27 @@
 
     @Test
     void anEngineThatTurnsAwayIsNotTheAnswer() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
-            Reply r =
-                    f.client("portal")
+        try (Fleet fleet = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
+            Reply reply =
+                    fleet.client("portal")
                             .query(
                                     "",
                                     "SELECT /* sim tag=t error=202 */ 2",
                                     Map.of("max_execution_time", "1"),
                                     5 * S);
-            assertEquals(202, r.code());
-            assertTrue(r.message().startsWith("ashlink: refused"), r.message());
-            assertTrue(f.ledger().size() > 1, "no other engine was tried");
+            assertEquals(202, reply.code());
+            assertTrue(reply.message().startsWith("ashlink: refused"), reply.message());
+            assertTrue(fleet.ledger().size() > 1, "no other engine was tried");
         }
     }
 
     @Test
     void anAnswerComesBeforeTheClientsOwnDeadlineThoughEnginesHang() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-a").with(MARGIN).start()) {
-            f.engines.values().forEach(e -> e.hang(true));
+        try (Fleet fleet = Fleet.of("q1:typ-a", "q2:typ-a").with(MARGIN).start()) {
+            fleet.engines.values().forEach(emulatedEngine -> emulatedEngine.hang(true));
             long from = System.nanoTime();
             Reply r =
-                    f.client("portal")
+                    fleet.client("portal")
                             .query(
                                     "",
                                     "SELECT /* sim tag=t */ 2",
@@ -230,10 +247,16 @@
                     Kind.EXCEPTION,
                     r.kind(),
                     "after " + (System.nanoTime() - from) / Fleet.MS + " ms: " + r.message());
-            f.engines.values().forEach(e -> e.hang(false));
-            f.engines.values().forEach(e -> e.faults().breakAt(Place.QUERY, Break.SILENCE, 100));
+            fleet.engines.values().forEach(emulatedEngine -> emulatedEngine.hang(false));
+            fleet.engines
+                    .values()
+                    .forEach(
+                            emulatedEngine ->
+                                    emulatedEngine
+                                            .faults()
+                                            .breakAt(Place.QUERY, Break.SILENCE, 100));
             Reply w =
-                    f.client("portal")
+                    fleet.client("portal")
                             .query(
                                     "",
                                     "INSERT /* sim tag=w */ INTO t SELECT 1",
@@ -245,121 +268,125 @@
 
     @Test
     void aCancelIsAnsweredOnceAndTheConnectionStaysInStep() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").start()) {
-            NativeClient c = f.client("portal");
+        try (Fleet fleet = Fleet.of("q1:typ-a").start()) {
+            NativeClient nativeClient = fleet.client("portal");
             for (int delay : new int[] {0, 1, 5, 20, 50}) {
-                c.sendQuery("", "SELECT /* sim work_ms=20 */ 2", Map.of());
+                nativeClient.sendQuery("", "SELECT /* sim work_ms=20 */ 2", Map.of());
                 Thread.sleep(delay);
-                c.sendBare(ClientPacket.CANCEL);
-                Reply r = c.await(List.of(), System.nanoTime() + 5 * S);
-                assertTrue(r.kind() == Kind.SERVED || r.code() == 394, r.toString());
+                nativeClient.sendBare(ClientPacket.CANCEL);
+                Reply reply = nativeClient.await(List.of(), System.nanoTime() + 5 * S);
+                assertTrue(reply.kind() == Kind.SERVED || reply.code() == 394, reply.toString());
             }
-            assertEquals(Kind.SERVED, c.query("", "SELECT 1", Map.of(), 5 * S).kind());
+            assertEquals(Kind.SERVED, nativeClient.query("", "SELECT 1", Map.of(), 5 * S).kind());
         }
     }
 
     @Test
     void aQuerySentEarlyWaitsForItsTurn() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").start()) {
-            NativeClient c = f.client("portal").keepBlocks();
-            c.sendQuery("", "SELECT /* sim work_ms=50 value=first */ 2", Map.of());
-            c.sendQuery("", "SELECT /* sim work_ms=1 value=second */ 2", Map.of());
-            assertEquals(Kind.SERVED, c.await(List.of(), System.nanoTime() + 5 * S).kind());
-            assertEquals(Set.of("first"), values(c.blocks()));
-            assertEquals(Kind.SERVED, c.await(List.of(), System.nanoTime() + 5 * S).kind());
-            assertEquals(Set.of("second"), values(c.blocks()));
+        try (Fleet fleet = Fleet.of("q1:typ-a").start()) {
+            NativeClient nativeClient = fleet.client("portal").keepBlocks();
+            nativeClient.sendQuery("", "SELECT /* sim work_ms=50 value=first */ 2", Map.of());
+            nativeClient.sendQuery("", "SELECT /* sim work_ms=1 value=second */ 2", Map.of());
+            assertEquals(
+                    Kind.SERVED, nativeClient.await(List.of(), System.nanoTime() + 5 * S).kind());
+            assertEquals(Set.of("first"), values(nativeClient.blocks()));
+            assertEquals(
+                    Kind.SERVED, nativeClient.await(List.of(), System.nanoTime() + 5 * S).kind());
+            assertEquals(Set.of("second"), values(nativeClient.blocks()));
         }
     }
 
     @Test
     void aClientThatVanishesLeavesNothingBehind() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").start()) {
-            NativeClient c = f.client("portal");
-            c.sendQuery("", "SELECT /* sim work_ms=200 " + LARGE + " */ 2", Map.of());
+        try (Fleet fleet = Fleet.of("q1:typ-a").start()) {
+            NativeClient nativeClient = fleet.client("portal");
+            nativeClient.sendQuery("", "SELECT /* sim work_ms=200 " + LARGE + " */ 2", Map.of());
             Thread.sleep(20);
-            c.close();
-            Fleet.await("no open requests", () -> f.router.core().openRequests() == 0);
-            assertEquals(Kind.SERVED, f.query("portal", "SELECT 1").kind());
+            nativeClient.close();
+            Fleet.await("no open requests", () -> fleet.router.core().openRequests() == 0);
+            assertEquals(Kind.SERVED, fleet.query("portal", "SELECT 1").kind());
         }
     }
 
     @Test
     void aClientThatDoesNotReadIsCutOffAndOthersAreServed() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").start()) {
-            NativeClient slow = f.client("portal");
+        try (Fleet fleet = Fleet.of("q1:typ-a").start()) {
+            NativeClient slow = fleet.client("portal");
             slow.sendQuery(
                     "",
                     "SELECT /* sim rows=1000 width=1000 blocks=100 */ 2",
                     Map.of("max_execution_time", "0.5"));
             for (int i = 0; i < 5; i++) {
-                assertEquals(Kind.SERVED, f.query("portal", "SELECT 1").kind());
+                assertEquals(Kind.SERVED, fleet.query("portal", "SELECT 1").kind());
             }
             Fleet.await(
-                    "the slow client's request is over", () -> f.router.core().openRequests() == 0);
+                    "the slow client's request is over",
+                    () -> fleet.router.core().openRequests() == 0);
         }
     }
 
     @Test
     void attemptsHaveTheirOwnIdsAndSettingsOfOursAreStripped() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").start()) {
-            Reply r =
-                    f.client("portal")
+        try (Fleet fleet = Fleet.of("q1:typ-a").start()) {
+            Reply reply =
+                    fleet.client("portal")
                             .query(
                                     "mine",
                                     "SELECT /* sim tag=t */ 2",
                                     Map.of("ashlink_key", "k"),
                                     5 * S);
-            assertEquals(Kind.SERVED, r.kind());
-            Ledger.Entry e = f.ledger().get(0);
-            assertNotEquals("mine", e.queryId);
-            assertTrue(e.queryId.startsWith("r1-"), e.queryId);
-            assertEquals("ashlink r1", e.router);
+            assertEquals(Kind.SERVED, reply.kind());
+            Ledger.Entry entry = fleet.ledger().get(0);
+            assertNotEquals("mine", entry.queryId);
+            assertTrue(entry.queryId.startsWith("r1-"), entry.queryId);
+            assertEquals("ashlink r1", entry.router);
         }
     }
 
     @Test
     void aModuleThatForgetsOrThrowsStillLeavesNobodyWithoutAnAnswer() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").with(MARGIN).start(s -> (e, now) -> List.of())) {
-            Reply r =
-                    f.client("portal")
+        try (Fleet fleet =
+                Fleet.of("q1:typ-a").with(MARGIN).start(settings -> (event, now) -> List.of())) {
+            Reply reply =
+                    fleet.client("portal")
                             .query(
                                     "",
                                     "SELECT 1",
                                     Map.of("max_execution_time", "1.2"),
                                     1200 * Fleet.MS);
-            assertEquals(202, r.code(), r.message());
+            assertEquals(202, reply.code(), reply.message());
         }
-        try (Fleet f =
+        try (Fleet fleet =
                 Fleet.of("q1:typ-a")
                         .start(
-                                s ->
-                                        (e, now) -> {
+                                settings ->
+                                        (event, now) -> {
                                             throw new IllegalStateException("on purpose");
                                         })) {
-            assertEquals(202, f.query("portal", "SELECT 1").code());
+            assertEquals(202, fleet.query("portal", "SELECT 1").code());
         }
     }
 
     @Test
     void largeAnswersAndInsertsPassWholeInAllCompressions() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").start()) {
+        try (Fleet fleet = Fleet.of("q1:typ-a").start()) {
             for (Compression compression :
                     new Compression[] {null, Compression.LZ4, Compression.ZSTD}) {
-                NativeClient c = new NativeClient(compression, Revision.HIGHEST);
-                c.open(f.router.address(), "portal", "", "default", 5_000);
-                f.clients.add(c);
+                NativeClient nativeClient = new NativeClient(compression, Revision.HIGHEST);
+                nativeClient.open(fleet.router.address(), "portal", "", "default", 5_000);
+                fleet.clients.add(nativeClient);
                 String name = compression == Compression.ZSTD ? "zstd" : "lz4";
-                Reply r =
-                        c.query(
+                Reply reply =
+                        nativeClient.query(
                                 "",
                                 "SELECT /* sim compression="
                                         + name
                                         + " rows=10000 width=100 blocks=20 */ 2",
                                 Map.of(),
                                 20 * S);
-                assertEquals(Kind.SERVED, r.kind(), r.message());
-                assertEquals(200_000, r.rows());
-                Reply empty = c.query("", "SELECT /* sim rows=0 */ 2", Map.of(), 5 * S);
+                assertEquals(Kind.SERVED, reply.kind(), reply.message());
+                assertEquals(200_000, reply.rows());
+                Reply empty = nativeClient.query("", "SELECT /* sim rows=0 */ 2", Map.of(), 5 * S);
                 assertEquals(Kind.SERVED, empty.kind(), empty.message());
                 assertEquals(0, empty.rows());
             }
--- a/loadtest/src/test/java/ashlink/loadtest/BadPeersTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/BadPeersTest.java
@@ -42,40 +42,43 @@
     }
 
     private static ByteBuf query(String statement) throws IOException {
-        ByteBuf q = new ByteBuf();
+        ByteBuf byteBuf = new ByteBuf();
         new QueryPacket("", ClientInfo.NONE, List.of(), QueryPacket.COMPLETE, false, statement)
-                .write(Revision.HIGHEST, q);
-        return q;
+                .write(Revision.HIGHEST, byteBuf);
+        return byteBuf;
     }
 
     /**
      * Sends that after a login; the router must say why, or close, within seconds, and go on
      * serving others.
      */
-    private static Reply after(Fleet f, ByteBuf... packets) throws Exception {
-        NativeClient c = f.client("portal");
-        for (ByteBuf p : packets) {
-            p.writeTo(c.socket().getOutputStream());
+    private static Reply after(Fleet fleet, ByteBuf... packets) throws Exception {
+        NativeClient nativeClient = fleet.client("portal");
+        for (ByteBuf byteBuf : packets) {
+            byteBuf.writeTo(nativeClient.socket().getOutputStream());
         }
-        Reply r = c.await(List.of(), System.nanoTime() + 5 * S);
-        assertEquals(Kind.SERVED, f.query("portal", "SELECT 1").kind());
-        return r;
+        Reply reply = nativeClient.await(List.of(), System.nanoTime() + 5 * S);
+        assertEquals(Kind.SERVED, fleet.query("portal", "SELECT 1").kind());
+        return reply;
     }
 
     @Test
     void wrongBytesOfAClientGetAClearError() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").start()) {
-            assertEquals(101, after(f, new ByteBuf().putVarUInt(77)).code());
-            assertEquals(307, after(f, new ByteBuf().putVarUInt(1).putVarUInt(1L << 62)).code());
-            assertEquals(307, after(f, new ByteBuf().putVarUInt(1).putVarUInt(1L << 30)).code());
+        try (Fleet fleet = Fleet.of("q1:typ-a").start()) {
+            assertEquals(101, after(fleet, new ByteBuf().putVarUInt(77)).code());
+            assertEquals(
+                    307, after(fleet, new ByteBuf().putVarUInt(1).putVarUInt(1L << 62)).code());
+            assertEquals(
+                    307, after(fleet, new ByteBuf().putVarUInt(1).putVarUInt(1L << 30)).code());
             assertEquals(
                     307,
-                    after(f, query("SELECT 1"), data().putVarUInt(100_000).putVarUInt(1)).code());
+                    after(fleet, query("SELECT 1"), data().putVarUInt(100_000).putVarUInt(1))
+                            .code());
             for (int depth : new int[] {100, 9_000, 10_000}) {
                 String deep = "Array(".repeat(depth) + "UInt8" + ")".repeat(depth);
                 Reply nested =
                         after(
-                                f,
+                                fleet,
                                 query("SELECT 1"),
                                 data().putVarUInt(1).putVarUInt(1).putString("x").putString(deep));
                 assertEquals(
@@ -85,13 +88,13 @@
             }
             Reply unknown =
                     after(
-                            f,
+                            fleet,
                             query("SELECT 1"),
                             data().putVarUInt(1).putVarUInt(1).putString("x").putString("Quark"));
             assertEquals(50, unknown.code(), unknown.message());
             Reply huge =
                     after(
-                            f,
+                            fleet,
                             query("SELECT 1"),
                             data().putVarUInt(1)
                                     .putVarUInt(1L << 62)
@@ -103,13 +106,19 @@
 
     @Test
     void garbageForHelloAndSilenceBeforeLoginEndInTime() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").with("(bounds (login 300ms))").start();
+        try (Fleet fleet = Fleet.of("q1:typ-a").with("(bounds (login 300ms))").start();
                 Socket garbage =
-                        new Socket(f.router.address().getAddress(), f.router.address().getPort());
+                        new Socket(
+                                fleet.router.address().getAddress(),
+                                fleet.router.address().getPort());
                 Socket silent =
-                        new Socket(f.router.address().getAddress(), f.router.address().getPort());
+                        new Socket(
+                                fleet.router.address().getAddress(),
+                                fleet.router.address().getPort());
                 Socket dribble =
-                        new Socket(f.router.address().getAddress(), f.router.address().getPort())) {
+                        new Socket(
+                                fleet.router.address().getAddress(),
+                                fleet.router.address().getPort())) {
             garbage.getOutputStream()
                     .write(
                             "GET / HTTP/1.1\r\n\r\n"
@@ -123,57 +132,58 @@
             assertEquals(-1, silent.getInputStream().read());
             dribble.setSoTimeout(5_000);
             assertEquals(-1, dribble.getInputStream().read());
-            assertEquals(Kind.SERVED, f.query("portal", "SELECT 1").kind());
+            assertEquals(Kind.SERVED, fleet.query("portal", "SELECT 1").kind());
         }
     }
 
     @Test
     void aWrongPasswordOrUserIsRefusedAlike() throws Exception {
         String hash = ashlink.config.Passwords.hash("secret", 4);
-        try (Fleet f =
+        try (Fleet fleet =
                 Fleet.of("q1:typ-a").with("(user anna (password-hash \"" + hash + "\"))").start()) {
             NativeClient good = new NativeClient(null, Revision.HIGHEST);
-            good.open(f.router.address(), "anna", "secret", "default", 5_000);
+            good.open(fleet.router.address(), "anna", "secret", "default", 5_000);
             assertEquals(Kind.SERVED, good.query("", "SELECT 1", Map.of(), 5 * S).kind());
             good.close();
             for (String[] wrong :
                     new String[][] {{"anna", "Secret"}, {"anna", ""}, {"nobody", "secret"}}) {
-                NativeClient c = new NativeClient(null, Revision.HIGHEST);
-                IOException e =
+                NativeClient nativeClient = new NativeClient(null, Revision.HIGHEST);
+                IOException failure =
                         org.junit.jupiter.api.Assertions.assertThrows(
                                 IOException.class,
                                 () ->
-                                        c.open(
-                                                f.router.address(),
+                                        nativeClient.open(
+                                                fleet.router.address(),
                                                 wrong[0],
                                                 wrong[1],
                                                 "default",
                                                 5_000));
-                assertTrue(e.getMessage().contains("516"), e.getMessage());
+                assertTrue(failure.getMessage().contains("516"), failure.getMessage());
             }
         }
     }
 
     @Test
     void overTheLimitOfConnectionsFurtherOnesAreClosed() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").with("(bounds (connections 2))").start()) {
-            NativeClient a = f.client("portal");
-            f.client("portal");
+        try (Fleet fleet = Fleet.of("q1:typ-a").with("(bounds (connections 2))").start()) {
+            NativeClient nativeClient = fleet.client("portal");
+            fleet.client("portal");
             org.junit.jupiter.api.Assertions.assertThrows(
-                    IOException.class, () -> f.client("portal"));
-            assertEquals(Kind.SERVED, a.query("", "SELECT 1", Map.of(), 5 * S).kind());
+                    IOException.class, () -> fleet.client("portal"));
+            assertEquals(Kind.SERVED, nativeClient.query("", "SELECT 1", Map.of(), 5 * S).kind());
         }
     }
 
     @Test
     void overTheLimitOfOpenRequestsFurtherOnesAreTurnedAwayAtTheDoor() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").with("(bounds (open-requests 1))").start()) {
-            NativeClient a = f.client("portal");
-            a.sendQuery("", "SELECT /* sim work_ms=400 tag=first */ 2", Map.of());
-            Fleet.await("the first is out", () -> !f.ledger().isEmpty());
-            Reply r = f.query("portal", "SELECT 1");
-            assertEquals(202, r.code(), r.message());
-            assertEquals(Kind.SERVED, a.await(List.of(), System.nanoTime() + 5 * S).kind());
+        try (Fleet fleet = Fleet.of("q1:typ-a").with("(bounds (open-requests 1))").start()) {
+            NativeClient nativeClient = fleet.client("portal");
+            nativeClient.sendQuery("", "SELECT /* sim work_ms=400 tag=first */ 2", Map.of());
+            Fleet.await("the first is out", () -> !fleet.ledger().isEmpty());
+            Reply reply = fleet.query("portal", "SELECT 1");
+            assertEquals(202, reply.code(), reply.message());
+            assertEquals(
+                    Kind.SERVED, nativeClient.await(List.of(), System.nanoTime() + 5 * S).kind());
         }
     }
 
@@ -184,16 +194,17 @@
     void anEngineThatBreaksAnywhereOrSaysNothingCostsALookUpNothingButTime(Place place)
             throws Exception {
         for (Break how : new Break[] {Break.CLOSE, Break.GARBAGE, Break.SILENCE}) {
-            try (Fleet f =
+            try (Fleet fleet =
                     Fleet.of("q1:typ-a", "q2:typ-a").with("(bounds (connect 100ms))").start()) {
-                f.engine("q1").faults().breakAt(place, how, 1000);
-                Reply r =
-                        f.client("portal").query("", "SELECT /* sim tag=t */ 2", Map.of(), 10 * S);
+                fleet.engine("q1").faults().breakAt(place, how, 1000);
+                Reply reply =
+                        fleet.client("portal")
+                                .query("", "SELECT /* sim tag=t */ 2", Map.of(), 10 * S);
                 boolean silentAfterSend =
                         how == Break.SILENCE && place != Place.ACCEPT && place != Place.HELLO;
                 assertTrue(
-                        r.kind() == Kind.SERVED || silentAfterSend && r.code() == 202,
-                        place + " " + how + ": " + r);
+                        reply.kind() == Kind.SERVED || silentAfterSend && reply.code() == 202,
+                        place + " " + how + ": " + reply);
             }
         }
     }
@@ -201,7 +212,7 @@
     @Test
     void aConnectThatHangsIsGivenUp() throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress());
-                Fleet f =
+                Fleet fleet =
                         Fleet.of("q1:typ-a")
                                 .with(
                                         "(bounds (connect 100ms)) (engine hung (address 127.0.0.1:"
@@ -209,22 +220,25 @@
                                                 + ") (zone halle-1) (kind typ-a))")
                                 .start()) {
             for (int i = 0; i < 6; i++) {
-                assertEquals(Kind.SERVED, f.query("portal", "SELECT 1").kind());
+                assertEquals(Kind.SERVED, fleet.query("portal", "SELECT 1").kind());
             }
         }
     }
 
     @Test
     void aConnectionThatTheEngineClosedWhileIdleIsNotUsed() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").start()) {
-            NativeClient c = f.client("portal");
+        try (Fleet fleet = Fleet.of("q1:typ-a").start()) {
+            NativeClient nativeClient = fleet.client("portal");
             assertEquals(
-                    Kind.SERVED, c.query("", "INSERT INTO t SELECT 1", Map.of(), 5 * S).kind());
-            f.engine("q1").crash();
-            f.engine("q1").restart();
-            Reply r = c.query("", "INSERT /* sim tag=t */ INTO t SELECT 1", Map.of(), 5 * S);
-            assertEquals(Kind.SERVED, r.kind(), r.message());
-            assertEquals(1, f.runs("t"));
+                    Kind.SERVED,
+                    nativeClient.query("", "INSERT INTO t SELECT 1", Map.of(), 5 * S).kind());
+            fleet.engine("q1").crash();
+            fleet.engine("q1").restart();
+            Reply reply =
+                    nativeClient.query(
+                            "", "INSERT /* sim tag=t */ INTO t SELECT 1", Map.of(), 5 * S);
+            assertEquals(Kind.SERVED, reply.kind(), reply.message());
+            assertEquals(1, fleet.runs("t"));
         }
     }
 }
--- a/loadtest/src/test/java/ashlink/loadtest/ClassesTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/ClassesTest.java
@@ -31,22 +31,23 @@
             })
     void anOddlyWrittenReportNeverReachesTheOtherKindAlsoWhenItsOwnIsDown(String statement)
             throws Exception {
-        try (Fleet f = Fleet.of("a1:typ-a", "b1:typ-b").with(REPORTS).start()) {
+        try (Fleet fleet = Fleet.of("a1:typ-a", "b1:typ-b").with(REPORTS).start()) {
             for (int i = 0; i < 4; i++) {
                 Reply up =
-                        f.query("portal", statement.replace("/*T*/", "/* sim tag=up" + i + " */"));
+                        fleet.query(
+                                "portal", statement.replace("/*T*/", "/* sim tag=up" + i + " */"));
                 assertEquals(Kind.SERVED, up.kind(), up.message());
             }
-            f.engine("a1").crash();
+            fleet.engine("a1").crash();
             Reply down =
-                    f.client("portal")
+                    fleet.client("portal")
                             .query(
                                     "",
                                     statement.replace("/*T*/", "/* sim tag=down */"),
                                     Map.of("max_execution_time", "1"),
                                     3 * Fleet.S);
             assertEquals(202, down.code(), down.message());
-            assertEquals(List.of(), f.engine("b1").ledger().entries());
+            assertEquals(List.of(), fleet.engine("b1").ledger().entries());
         }
     }
 
@@ -63,33 +64,39 @@
             })
     void whatIsNoPlainReadIsRunOnceAndKeepsThePlacementOfItsUsersClass(String statement)
             throws Exception {
-        try (Fleet f = Fleet.of("a1:typ-a", "a2:typ-a", "b1:typ-b").start()) {
-            f.engines.values().forEach(e -> e.faults().breakAt(Place.RUN, Break.CLOSE, 100));
-            Reply r = f.query("billing", statement.replace("/*T*/", "/* sim tag=t */"));
-            assertEquals(210, r.code(), r.message());
-            assertEquals(1, f.runs("t"));
-            assertEquals(List.of(), f.engine("b1").ledger().entries());
+        try (Fleet fleet = Fleet.of("a1:typ-a", "a2:typ-a", "b1:typ-b").start()) {
+            fleet.engines
+                    .values()
+                    .forEach(
+                            emulatedEngine ->
+                                    emulatedEngine.faults().breakAt(Place.RUN, Break.CLOSE, 100));
+            Reply reply = fleet.query("billing", statement.replace("/*T*/", "/* sim tag=t */"));
+            assertEquals(210, reply.code(), reply.message());
+            assertEquals(1, fleet.runs("t"));
+            assertEquals(List.of(), fleet.engine("b1").ledger().entries());
         }
     }
 
     @Test
     void readersAndLoadsOfATableMeetOnOneGroup() throws Exception {
         java.util.Set<Long> groups = java.util.concurrent.ConcurrentHashMap.newKeySet();
-        try (Fleet f = Fleet.of("q1:typ-a").start()) {
-            f.router
+        try (Fleet fleet = Fleet.of("q1:typ-a").start()) {
+            fleet.router
                     .core()
                     .observe(
-                            (e, now, a) -> {
-                                if (e instanceof ashlink.decisions.api.Event.QuerySubmitted r) {
-                                    groups.add(r.tableGroup());
+                            (event, now, list) -> {
+                                if (event
+                                        instanceof
+                                        ashlink.decisions.api.Event.QuerySubmitted querySubmitted) {
+                                    groups.add(querySubmitted.tableGroup());
                                 }
                             });
-            for (String s :
+            for (String text :
                     List.of(
                             "SELECT * FROM default.readings",
                             "INSERT INTO readings SELECT 1",
                             "select x from `readings`")) {
-                assertEquals(Kind.SERVED, f.query("portal", s).kind());
+                assertEquals(Kind.SERVED, fleet.query("portal", text).kind());
             }
             assertEquals(1, groups.size(), groups.toString());
             assertTrue(!groups.contains(0L));
--- a/loadtest/src/test/java/ashlink/loadtest/CurlExamplesTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/CurlExamplesTest.java
@@ -20,11 +20,11 @@
                         .filter(l -> l.startsWith("curl "))
                         .toList();
         assertTrue(examples.size() >= 10);
-        try (Fleet f =
+        try (Fleet fleet =
                 Fleet.of("q1:typ-a", "q2:typ-a").with("(http (listen 127.0.0.1:0))").start()) {
             for (String e : examples) {
                 int comment = e.lastIndexOf('#');
-                ProcessBuilder b =
+                ProcessBuilder processBuilder =
                         new ProcessBuilder(
                                         "bash",
                                         "-c",
@@ -32,12 +32,14 @@
                                                 .replaceFirst(
                                                         "^curl", "curl -w '\\\\n%{http_code}'"))
                                 .redirectErrorStream(true);
-                b.environment()
-                        .put("SERVER", "http://127.0.0.1:" + f.router.httpAddress().getPort());
-                Process p = b.start();
-                p.getOutputStream().close();
-                String out = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-                assertTrue(p.waitFor(30, TimeUnit.SECONDS));
+                processBuilder
+                        .environment()
+                        .put("SERVER", "http://127.0.0.1:" + fleet.router.httpAddress().getPort());
+                Process process = processBuilder.start();
+                process.getOutputStream().close();
+                String out =
+                        new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+                assertTrue(process.waitFor(30, TimeUnit.SECONDS));
                 assertEquals(
                         e.substring(comment + 1).trim(),
                         out.substring(out.lastIndexOf('\n') + 1),
--- a/loadtest/src/test/java/ashlink/loadtest/Described.java
+++ b/loadtest/src/test/java/ashlink/loadtest/Described.java
@@ -30,34 +30,41 @@
      * The status and the form of an answer are described for its path and method; paths that are
      * not described are 404.
      */
-    void check(HttpResponse<String> r) throws IOException {
-        String path = r.request().uri().getPath();
-        String method = r.request().method().toLowerCase(Locale.ROOT);
-        String type = r.headers().firstValue("Content-Type").orElse("").split(";")[0];
-        for (Map.Entry<String, JsonNode> p : description.get("paths").properties()) {
-            if (!path.matches(p.getKey().replaceAll("\\{[a-z]+}", "[^/]+"))) {
+    void check(HttpResponse<String> httpResponse) throws IOException {
+        String path = httpResponse.request().uri().getPath();
+        String method = httpResponse.request().method().toLowerCase(Locale.ROOT);
+        String type = httpResponse.headers().firstValue("Content-Type").orElse("").split(";")[0];
+        for (Map.Entry<String, JsonNode> entry : description.get("paths").properties()) {
+            if (!path.matches(entry.getKey().replaceAll("\\{[a-z]+}", "[^/]+"))) {
                 continue;
             }
-            JsonNode operation = p.getValue().get(method);
+            JsonNode operation = entry.getValue().get(method);
             if (operation == null) {
                 assertTrue(
-                        r.statusCode() == 405 || r.statusCode() == 404,
+                        httpResponse.statusCode() == 405 || httpResponse.statusCode() == 404,
                         method + " " + path + " is not described");
                 return;
             }
-            JsonNode answer = operation.get("responses").get(Integer.toString(r.statusCode()));
+            JsonNode answer =
+                    operation.get("responses").get(Integer.toString(httpResponse.statusCode()));
             assertTrue(
                     answer != null,
-                    method + " " + path + " answers " + r.statusCode() + ": " + r.body());
+                    method
+                            + " "
+                            + path
+                            + " answers "
+                            + httpResponse.statusCode()
+                            + ": "
+                            + httpResponse.body());
             assertTrue(
                     !answer.has("content") || answer.get("content").has(type),
-                    r.statusCode() + " comes as " + type);
-            fields(r.body(), type, answer);
+                    httpResponse.statusCode() + " comes as " + type);
+            fields(httpResponse.body(), type, answer);
             return;
         }
         assertTrue(
-                r.statusCode() == 404 || r.statusCode() == 400,
-                path + " is not described, and answers " + r.statusCode());
+                httpResponse.statusCode() == 404 || httpResponse.statusCode() == 400,
+                path + " is not described, and answers " + httpResponse.statusCode());
     }
 
     /** All fields of an answer are in its schema, and all that the schema requires are there. */
@@ -70,20 +77,20 @@
         JsonNode n = JSON.readTree(body);
         n.fieldNames()
                 .forEachRemaining(
-                        f ->
+                        text ->
                                 assertTrue(
-                                        schema.get("properties").has(f),
-                                        "field " + f + " is not described"));
+                                        schema.get("properties").has(text),
+                                        "field " + text + " is not described"));
         schema.get("required")
                 .forEach(f -> assertTrue(n.has(f.asText()), "field " + f.asText() + " is missing"));
-        for (String f : new String[] {"type", "state"}) {
-            JsonNode words = schema.path("properties").path(f).path("enum");
-            if (n.has(f) && words.isArray()) {
+        for (String text : new String[] {"type", "state"}) {
+            JsonNode words = schema.path("properties").path(text).path("enum");
+            if (n.has(text) && words.isArray()) {
                 boolean known = false;
                 for (JsonNode w : words) {
-                    known |= w.equals(n.get(f));
+                    known |= w.equals(n.get(text));
                 }
-                assertTrue(known, f + " " + n.get(f) + " is not described");
+                assertTrue(known, text + " " + n.get(text) + " is not described");
             }
         }
     }
--- a/loadtest/src/test/java/ashlink/loadtest/Fleet.java
+++ b/loadtest/src/test/java/ashlink/loadtest/Fleet.java
@@ -31,15 +31,18 @@
 
     /** Engines given as {@code name:kind}. */
     static Fleet of(String... engines) throws Exception {
-        Fleet f = new Fleet();
-        for (String e : engines) {
-            f.engine(e.substring(0, e.indexOf(':')), e.substring(e.indexOf(':') + 1), true);
+        Fleet fleet = new Fleet();
+        for (String text : engines) {
+            fleet.engine(
+                    text.substring(0, text.indexOf(':')),
+                    text.substring(text.indexOf(':') + 1),
+                    true);
         }
-        return f;
+        return fleet;
     }
 
     Fleet engine(String name, String kind, boolean heedsCancel) throws Exception {
-        EmulatedEngine e =
+        EmulatedEngine emulatedEngine =
                 new EmulatedEngine(
                         new EngineConfig(
                                 name,
@@ -62,8 +65,8 @@
                                 64,
                                 1,
                                 null));
-        e.start();
-        engines.put(name, e);
+        emulatedEngine.start();
+        engines.put(name, emulatedEngine);
         return this;
     }
 
@@ -86,9 +89,9 @@
     }
 
     NativeClient client(String user) throws Exception {
-        NativeClient c = NativeClient.connect(router.address(), user);
-        clients.add(c);
-        return c;
+        NativeClient nativeClient = NativeClient.connect(router.address(), user);
+        clients.add(nativeClient);
+        return nativeClient;
     }
 
     Reply query(String user, String statement) throws Exception {
@@ -102,13 +105,15 @@
     /** All that engines noted, but probes. */
     List<Ledger.Entry> ledger() {
         List<Ledger.Entry> all = new ArrayList<>();
-        engines.values().forEach(e -> all.addAll(e.ledger().entries()));
+        engines.values().forEach(emulatedEngine -> all.addAll(emulatedEngine.ledger().entries()));
         return all;
     }
 
     /** Runs of a tag that had all they needed to run. */
     long runs(String tag) {
-        return ledger().stream().filter(e -> e.tag.equals(tag) && e.ranNs() > 0).count();
+        return ledger().stream()
+                .filter(entry -> entry.tag.equals(tag) && entry.ranNs() > 0)
+                .count();
     }
 
     static void await(String what, BooleanSupplier condition) throws InterruptedException {
--- a/loadtest/src/test/java/ashlink/loadtest/HttpFrontTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/HttpFrontTest.java
@@ -36,8 +36,8 @@
         return "(http (listen 127.0.0.1:0) " + settings + ")";
     }
 
-    private static JsonNode json(HttpResponse<String> r) throws Exception {
-        return JSON.readTree(r.body());
+    private static JsonNode json(HttpResponse<String> httpResponse) throws Exception {
+        return JSON.readTree(httpResponse.body());
     }
 
     /**
@@ -49,28 +49,28 @@
         return "/v1/statements/" + json(posted).get("id").asText();
     }
 
-    private static String type(HttpResponse<String> r) throws Exception {
-        return json(r).path("type").asText().replace("/problems/", "");
+    private static String type(HttpResponse<String> httpResponse) throws Exception {
+        return json(httpResponse).path("type").asText().replace("/problems/", "");
     }
 
     private static String select(String hints) {
         return "SELECT /* sim " + hints + " */ 1 FROM readings";
     }
 
-    private static HttpResponse<String> load(HttpPeer p, String tag, int workMs, String key)
+    private static HttpResponse<String> load(HttpPeer httpPeer, String tag, int workMs, String key)
             throws Exception {
-        HttpRequest.Builder r =
-                p.request("/v1/statements?wait=20")
+        HttpRequest.Builder builder =
+                httpPeer.request("/v1/statements?wait=20")
                         .header("Content-Type", "application/json")
                         .POST(
                                 HttpRequest.BodyPublishers.ofString(
                                         String.format(LOAD, tag, workMs)));
-        return p.send(key == null ? r : r.header("Idempotency-Key", key));
+        return httpPeer.send(key == null ? builder : builder.header("Idempotency-Key", key));
     }
 
     private long files() throws Exception {
         try (Stream<Path> all = Files.list(dir.resolve("spool"))) {
-            return all.filter(f -> f.toString().endsWith(".page")).count();
+            return all.filter(path -> path.toString().endsWith(".page")).count();
         }
     }
 
@@ -81,16 +81,18 @@
     // ---- The plain way
     @Test
     void aStatementIsPostedAndItsAnswerFetchedInThreeForms() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").with(http("")).start()) {
-            HttpPeer peer = new HttpPeer(f.router.httpAddress());
-            HttpResponse<String> r = peer.post(select("rows=2 value=x work_ms=5"), "?wait=10");
-            assertEquals(200, r.statusCode(), r.body());
-            assertEquals("[[\"0\",\"x\"],[\"1\",\"x\"]]", json(r).get("rows").toString());
+        try (Fleet fleet = Fleet.of("q1:typ-a").with(http("")).start()) {
+            HttpPeer peer = new HttpPeer(fleet.router.httpAddress());
+            HttpResponse<String> httpResponse =
+                    peer.post(select("rows=2 value=x work_ms=5"), "?wait=10");
+            assertEquals(200, httpResponse.statusCode(), httpResponse.body());
+            assertEquals(
+                    "[[\"0\",\"x\"],[\"1\",\"x\"]]", json(httpResponse).get("rows").toString());
             assertEquals(
                     "[{\"name\":\"id\",\"type\":\"UInt64\"},{\"name\":\"value\",\"type\":\"String\"}]",
-                    json(r).get("columns").toString());
-            assertTrue(json(r).path("nextUri").isMissingNode());
-            String uri = "/v1/statements/" + json(r).get("id").asText() + "/pages/0";
+                    json(httpResponse).get("columns").toString());
+            assertTrue(json(httpResponse).path("nextUri").isMissingNode());
+            String uri = "/v1/statements/" + json(httpResponse).get("id").asText() + "/pages/0";
             assertEquals(
                     "\"id\",\"value\"\r\n0,\"x\"\r\n1,\"x\"\r\n",
                     peer.get(uri, "Accept", "text/csv").body());
@@ -113,8 +115,8 @@
 
     @Test
     void anEnginesErrorARefusalAndAFailureAreToldApart() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").with(http("")).start()) {
-            HttpPeer peer = new HttpPeer(f.router.httpAddress());
+        try (Fleet fleet = Fleet.of("q1:typ-a").with(http("")).start()) {
+            HttpPeer peer = new HttpPeer(fleet.router.httpAddress());
             HttpResponse<String> error = peer.post(select("error=62"), "?wait=10");
             assertEquals(422, error.statusCode());
             assertEquals("statement-error", type(error));
@@ -122,11 +124,11 @@
             assertEquals(
                     "application/problem+json",
                     error.headers().firstValue("Content-Type").orElse(""));
-            f.engine("q1").faults().breakAt(Place.RUN, Break.CLOSE, 100);
+            fleet.engine("q1").faults().breakAt(Place.RUN, Break.CLOSE, 100);
             HttpResponse<String> failed = load(peer, "f", 5, null);
             assertEquals(502, failed.statusCode(), failed.body());
             assertTrue(json(failed).get("mayHaveRun").asBoolean());
-            f.engine("q1").crash();
+            fleet.engine("q1").crash();
             HttpResponse<String> refused =
                     peer.post(select("rows=1"), "?wait=20&max_execution_time=1");
             assertEquals(503, refused.statusCode(), refused.body());
@@ -137,7 +139,7 @@
 
     @Test
     void onlyTheOwnerSeesAStatement() throws Exception {
-        try (Fleet f =
+        try (Fleet fleet =
                 Fleet.of("q1:typ-a")
                         .with(
                                 http("")
@@ -145,12 +147,12 @@
                                         + ashlink.config.Passwords.hash("secret", 4)
                                         + "\"))")
                         .start()) {
-            HttpPeer peer = new HttpPeer(f.router.httpAddress());
+            HttpPeer peer = new HttpPeer(fleet.router.httpAddress());
             String eva = "Basic " + Base64.getEncoder().encodeToString("eva:secret".getBytes());
-            HttpResponse<String> r =
+            HttpResponse<String> httpResponse =
                     peer.post(select("rows=1 work_ms=2000 tag=e"), "", "Authorization", eva);
-            assertEquals(202, r.statusCode(), r.body());
-            String uri = json(r).get("infoUri").asText();
+            assertEquals(202, httpResponse.statusCode(), httpResponse.body());
+            String uri = json(httpResponse).get("infoUri").asText();
             assertEquals(200, peer.get(uri, "Authorization", eva).statusCode());
             assertEquals(404, peer.get(uri).statusCode());
             assertEquals(404, peer.delete(uri).statusCode());
@@ -166,65 +168,70 @@
     // ---- 1. The client never polls
     @Test
     void aStatementThatNobodyAsksForEndsOnceAndLeavesNothing() throws Exception {
-        try (Fleet f =
+        try (Fleet fleet =
                 Fleet.of("q1:typ-a")
                         .with(spool("(unpolled 300ms) (kept 300ms) (tombstone-time 1s)"))
                         .start()) {
-            HttpPeer peer = new HttpPeer(f.router.httpAddress());
+            HttpPeer peer = new HttpPeer(fleet.router.httpAddress());
             String running =
                     json(peer.post(select("tag=long work_ms=30000"), "?max_execution_time=60"))
                             .get("infoUri")
                             .asText();
             String answered =
                     statementUri(peer.post(select("tag=big rows=1000 blocks=4 work_ms=1"), ""));
-            Fleet.await("the result is there", () -> f.router.http().spooled() > 0);
-            Fleet.await("both are dropped", () -> f.router.http().open() == 0);
-            assertEquals(0, f.router.http().spooled());
+            Fleet.await("the result is there", () -> fleet.router.http().spooled() > 0);
+            Fleet.await("both are dropped", () -> fleet.router.http().open() == 0);
+            assertEquals(0, fleet.router.http().spooled());
             assertEquals(0, files());
             HttpResponse<String> gone = peer.get(running + "/pages/0");
             assertEquals(410, gone.statusCode());
             assertEquals(410, peer.get(answered + "/pages/0").statusCode());
             assertEquals("abandoned", json(peer.get(running)).get("state").asText());
-            Fleet.await("both are forgotten", () -> f.router.http().known() == 0);
+            Fleet.await("both are forgotten", () -> fleet.router.http().known() == 0);
             assertEquals(404, peer.get(running).statusCode());
             assertEquals(
                     1,
-                    f.ledger().stream().filter(e -> e.tag.equals("long")).count(),
+                    fleet.ledger().stream().filter(entry -> entry.tag.equals("long")).count(),
                     "sent once, and never again");
         }
     }
 
     @Test
     void aDeadlineEndsAStatementAlsoWhileNobodyAsks() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").with(http("")).start()) {
-            HttpPeer peer = new HttpPeer(f.router.httpAddress());
-            f.engine("q1").hang(true);
+        try (Fleet fleet = Fleet.of("q1:typ-a").with(http("")).start()) {
+            HttpPeer peer = new HttpPeer(fleet.router.httpAddress());
+            fleet.engine("q1").hang(true);
             String uri =
                     statementUri(peer.post(select("tag=d work_ms=10"), "?max_execution_time=0.7"));
-            Fleet.await("its end", () -> f.router.core().openRequests() == 0);
-            HttpResponse<String> r =
+            Fleet.await("its end", () -> fleet.router.core().openRequests() == 0);
+            HttpResponse<String> httpResponse =
                     peer.get(uri + "/pages/0?wait=10"); // the core has answered, its answer is
             // on the way
-            assertTrue(r.statusCode() == 503 || r.statusCode() == 502, r.body());
-            assertEquals(r.body(), peer.get(uri + "/pages/0").body(), "and it stays that end");
+            assertTrue(
+                    httpResponse.statusCode() == 503 || httpResponse.statusCode() == 502,
+                    httpResponse.body());
+            assertEquals(
+                    httpResponse.body(),
+                    peer.get(uri + "/pages/0").body(),
+                    "and it stays that end");
         }
     }
 
     // ---- 2. Pages again, late, beside each other
     @Test
     void aPageIsTheSameWheneverItIsAskedForUntilItIsLetGo() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").with(spool("")).start()) {
-            HttpPeer peer = new HttpPeer(f.router.httpAddress());
+        try (Fleet fleet = Fleet.of("q1:typ-a").with(spool("")).start()) {
+            HttpPeer peer = new HttpPeer(fleet.router.httpAddress());
             HttpResponse<String> first = peer.post(select("rows=500 blocks=6 width=4"), "?wait=10");
             String id = json(first).get("id").asText();
             List<String> uris = new ArrayList<>(List.of("/v1/statements/" + id + "/pages/0"));
             List<String> bodies = new ArrayList<>(List.of(first.body()));
-            HttpResponse<String> r = first;
-            while (json(r).has("nextUri")) {
-                uris.add(json(r).get("nextUri").asText());
-                r = peer.get(json(r).get("nextUri").asText() + "?wait=10");
-                assertEquals(200, r.statusCode(), r.body());
-                String expected = r.body();
+            HttpResponse<String> httpResponse = first;
+            while (json(httpResponse).has("nextUri")) {
+                uris.add(json(httpResponse).get("nextUri").asText());
+                httpResponse = peer.get(json(httpResponse).get("nextUri").asText() + "?wait=10");
+                assertEquals(200, httpResponse.statusCode(), httpResponse.body());
+                String expected = httpResponse.body();
                 List<CompletableFuture<HttpResponse<String>>> again = new ArrayList<>();
                 for (int i = 0; i < 8; i++) {
                     again.add(
@@ -233,8 +240,8 @@
                                             peer.request(uris.get(uris.size() - 1)).GET().build(),
                                             BodyHandlers.ofString()));
                 }
-                for (CompletableFuture<HttpResponse<String>> a : again) {
-                    assertEquals(expected, a.get().body());
+                for (CompletableFuture<HttpResponse<String>> completableFuture : again) {
+                    assertEquals(expected, completableFuture.get().body());
                 }
                 assertEquals(
                         json2(bodies.get(bodies.size() - 1)),
@@ -244,8 +251,8 @@
             }
             assertTrue(uris.size() >= 6, uris.size() + " pages");
             int rows = 0;
-            for (String b : bodies) {
-                rows += JSON.readTree(b).get("rows").size();
+            for (String text : bodies) {
+                rows += JSON.readTree(text).get("rows").size();
             }
             assertEquals(3000, rows);
             HttpResponse<String> gone = peer.get(uris.get(uris.size() - 3));
@@ -264,33 +271,34 @@
     // ---- 3. Keys
     @Test
     void aLoadSentAgainUnderItsKeyRunsOnce() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").with(http("(unpolled 20s)") + state()).start()) {
-            HttpPeer peer = new HttpPeer(f.router.httpAddress());
+        try (Fleet fleet = Fleet.of("q1:typ-a").with(http("(unpolled 20s)") + state()).start()) {
+            HttpPeer peer = new HttpPeer(fleet.router.httpAddress());
             List<CompletableFuture<HttpResponse<String>>> sent = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
-                HttpRequest.Builder r =
+                HttpRequest.Builder builder =
                         peer.request("/v1/statements?wait=20")
                                 .header("Content-Type", "application/json")
                                 .header("Idempotency-Key", "k1")
                                 .POST(
                                         HttpRequest.BodyPublishers.ofString(
                                                 String.format(LOAD, "one", 200)));
-                sent.add(peer.client().sendAsync(r.build(), BodyHandlers.ofString()));
+                sent.add(peer.client().sendAsync(builder.build(), BodyHandlers.ofString()));
             }
             String id = null;
-            for (CompletableFuture<HttpResponse<String>> c : sent) {
-                assertEquals(200, c.get().statusCode(), c.get().body());
-                id = id == null ? json(c.get()).get("id").asText() : id;
-                assertEquals(id, json(c.get()).get("id").asText());
+            for (CompletableFuture<HttpResponse<String>> completableFuture : sent) {
+                assertEquals(
+                        200, completableFuture.get().statusCode(), completableFuture.get().body());
+                id = id == null ? json(completableFuture.get()).get("id").asText() : id;
+                assertEquals(id, json(completableFuture.get()).get("id").asText());
             }
             assertEquals(id, json(load(peer, "one", 200, "k1")).get("id").asText());
-            assertEquals(1, f.runs("one"));
+            assertEquals(1, fleet.runs("one"));
             HttpResponse<String> other = load(peer, "two", 200, "k1");
             assertEquals(422, other.statusCode());
             assertEquals("key-reused", type(other));
-            assertEquals(0, f.runs("two"));
+            assertEquals(0, fleet.runs("two"));
             assertNotEquals(id, json(load(peer, "one", 200, "k2")).get("id").asText());
-            assertEquals(2, f.runs("one"));
+            assertEquals(2, fleet.runs("one"));
         }
     }
 
@@ -300,8 +308,8 @@
 
     @Test
     void afterARestartAKeyTellsWhatIsKnownAndNothingRunsAgain() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").with(http("") + state()).start()) {
-            HttpPeer peer = new HttpPeer(f.router.httpAddress());
+        try (Fleet fleet = Fleet.of("q1:typ-a").with(http("") + state()).start()) {
+            HttpPeer peer = new HttpPeer(fleet.router.httpAddress());
             String served =
                     "/v1/statements/" + json(load(peer, "done", 5, "served")).get("id").asText();
             CompletableFuture<HttpResponse<String>> cut =
@@ -315,11 +323,13 @@
                                                             String.format(LOAD, "cut", 3000)))
                                             .build(),
                                     BodyHandlers.ofString());
-            Fleet.await("it runs", () -> f.ledger().stream().anyMatch(e -> e.tag.equals("cut")));
-            f.router.kill();
-            cut.handle((r, e) -> null).get();
-            f.start();
-            HttpPeer next = new HttpPeer(f.router.httpAddress());
+            Fleet.await(
+                    "it runs",
+                    () -> fleet.ledger().stream().anyMatch(entry -> entry.tag.equals("cut")));
+            fleet.router.kill();
+            cut.handle((httpResponse, failure) -> null).get();
+            fleet.start();
+            HttpPeer next = new HttpPeer(fleet.router.httpAddress());
             HttpResponse<String> unknown = load(next, "cut", 3000, "cut");
             assertEquals(502, unknown.statusCode());
             assertEquals("fate-unknown", type(unknown));
@@ -327,60 +337,62 @@
             assertEquals(410, gone.statusCode(), gone.body());
             assertTrue(json(gone).get("detail").asText().contains("was served"));
             assertEquals(410, next.get(served).statusCode());
-            assertEquals(1, f.runs("done"));
+            assertEquals(1, fleet.runs("done"));
             assertTrue(
-                    f.ledger().stream().filter(e -> e.tag.equals("cut")).count() == 1,
+                    fleet.ledger().stream().filter(entry -> entry.tag.equals("cut")).count() == 1,
                     "never sent again by itself");
         }
     }
 
     @Test
     void aRefusedStatementsKeyIsFreeAgain() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").with(http("") + state()).start()) {
-            HttpPeer peer = new HttpPeer(f.router.httpAddress());
-            f.engine("q1").faults().breakAt(Place.QUERY, Break.CLOSE, 1000);
-            HttpRequest.Builder r =
+        try (Fleet fleet = Fleet.of("q1:typ-a").with(http("") + state()).start()) {
+            HttpPeer peer = new HttpPeer(fleet.router.httpAddress());
+            fleet.engine("q1").faults().breakAt(Place.QUERY, Break.CLOSE, 1000);
+            HttpRequest.Builder builder =
                     peer.request("/v1/statements?wait=20&max_execution_time=1")
                             .header("Content-Type", "application/json")
                             .header("Idempotency-Key", "k")
                             .POST(HttpRequest.BodyPublishers.ofString(String.format(LOAD, "r", 5)));
-            HttpResponse<String> refused = peer.send(r);
+            HttpResponse<String> refused = peer.send(builder);
             assertEquals(503, refused.statusCode(), refused.body());
-            f.engine("q1").faults().heal();
+            fleet.engine("q1").faults().heal();
             Fleet.await(
                     "it runs under the same key",
                     () -> {
                         try {
-                            return peer.send(r).statusCode() == 200;
+                            return peer.send(builder).statusCode() == 200;
                         } catch (Exception e) {
                             throw new IllegalStateException(e);
                         }
                     });
-            assertEquals(1, f.runs("r"));
+            assertEquals(1, fleet.runs("r"));
         }
     }
 
     // ---- 4. The spool
     @Test
     void aResultLargerThanItsBudgetWaitsForItsClientAndAnEngineForIt() throws Exception {
-        try (Fleet f =
+        try (Fleet fleet =
                 Fleet.of("q1:typ-a")
                         .with(
                                 spool("(spool-statement 256KiB)")
                                         .replace("(page 4KiB)", "(page 64KiB)"))
                         .start()) {
-            HttpPeer peer = new HttpPeer(f.router.httpAddress());
-            HttpResponse<String> r =
+            HttpPeer peer = new HttpPeer(fleet.router.httpAddress());
+            HttpResponse<String> httpResponse =
                     peer.post(
                             select("rows=500 blocks=400 width=100 work_ms=1"),
                             "?wait=10&ashlink_class=bericht");
-            long rows = json(r).get("rows").size();
+            long rows = json(httpResponse).get("rows").size();
             long most = 0;
-            while (json(r).has("nextUri")) {
-                most = Math.max(most, f.router.http().spooled());
-                r = peer.get(json(r).get("nextUri").asText() + "?wait=10");
-                assertTrue(r.statusCode() == 200 || r.statusCode() == 202, r.body());
-                rows += json(r).path("rows").size();
+            while (json(httpResponse).has("nextUri")) {
+                most = Math.max(most, fleet.router.http().spooled());
+                httpResponse = peer.get(json(httpResponse).get("nextUri").asText() + "?wait=10");
+                assertTrue(
+                        httpResponse.statusCode() == 200 || httpResponse.statusCode() == 202,
+                        httpResponse.body());
+                rows += json(httpResponse).path("rows").size();
             }
             assertEquals(200_000, rows);
             assertTrue(
@@ -391,33 +403,34 @@
 
     @Test
     void aDiskThatFailsEndsTheStatementClearlyAndOthersGoOn() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").with(spool("")).start()) {
-            HttpPeer peer = new HttpPeer(f.router.httpAddress());
+        try (Fleet fleet = Fleet.of("q1:typ-a").with(spool("")).start()) {
+            HttpPeer peer = new HttpPeer(fleet.router.httpAddress());
             Files.delete(dir.resolve("spool").resolve("r1.lock"));
             Files.delete(dir.resolve("spool"));
-            HttpResponse<String> r = peer.post(select("rows=500 blocks=6 tag=lost"), "?wait=10");
-            assertEquals(507, r.statusCode(), r.body());
-            assertEquals("result-lost", type(r));
-            assertTrue(json(r).get("mayHaveRun").asBoolean());
-            assertEquals(0, f.router.http().spooled());
+            HttpResponse<String> httpResponse =
+                    peer.post(select("rows=500 blocks=6 tag=lost"), "?wait=10");
+            assertEquals(507, httpResponse.statusCode(), httpResponse.body());
+            assertEquals("result-lost", type(httpResponse));
+            assertTrue(json(httpResponse).get("mayHaveRun").asBoolean());
+            assertEquals(0, fleet.router.http().spooled());
             Files.createDirectory(dir.resolve("spool"));
             assertEquals(200, peer.post(select("rows=500 blocks=6"), "?wait=10").statusCode());
-            assertEquals(1, f.runs("lost"));
+            assertEquals(1, fleet.runs("lost"));
         }
     }
 
     @Test
     void theSpoolOfAKilledRouterIsCleanedAndNobodyElses() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").with(spool("(kept 1h)")).start()) {
-            peerPosts(f);
+        try (Fleet fleet = Fleet.of("q1:typ-a").with(spool("(kept 1h)")).start()) {
+            peerPosts(fleet);
             Files.write(dir.resolve("spool").resolve("r2.b1.abc.0.page"), new byte[9]);
             Files.write(dir.resolve("spool").resolve("notes.txt"), new byte[9]);
             long before = files();
             assertTrue(before > 2);
-            f.router.kill();
+            fleet.router.kill();
             assertEquals(before, files(), "a killed router leaves its files");
             Thread.sleep(2); // another start has another time
-            f.start();
+            fleet.start();
             Fleet.await(
                     "only the other's is left",
                     () -> {
@@ -433,15 +446,15 @@
         }
     }
 
-    private static void peerPosts(Fleet f) throws Exception {
-        new HttpPeer(f.router.httpAddress()).post(select("rows=500 blocks=6"), "?wait=10");
+    private static void peerPosts(Fleet fleet) throws Exception {
+        new HttpPeer(fleet.router.httpAddress()).post(select("rows=500 blocks=6"), "?wait=10");
     }
 
     // ---- 5. DELETE
     @Test
     void aDeleteThatMeetsTheAnswerLeavesOneEndAndNoBytes() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").with(spool("")).start()) {
-            HttpPeer peer = new HttpPeer(f.router.httpAddress());
+        try (Fleet fleet = Fleet.of("q1:typ-a").with(spool("")).start()) {
+            HttpPeer peer = new HttpPeer(fleet.router.httpAddress());
             for (int i = 0; i < 60; i++) {
                 String uri =
                         statementUri(
@@ -459,43 +472,45 @@
             Fleet.await(
                     "all is given back",
                     () ->
-                            f.router.http().open() == 0
-                                    && f.router.http().spooled() == 0
-                                    && f.router.core().openRequests() == 0);
+                            fleet.router.http().open() == 0
+                                    && fleet.router.http().spooled() == 0
+                                    && fleet.router.core().openRequests() == 0);
             assertEquals(0, files());
             for (int i = 0; i < 60; i++) {
-                assertTrue(f.runs("x" + i) <= 1);
+                assertTrue(fleet.runs("x" + i) <= 1);
             }
         }
     }
 
     @Test
     void aLoadThatIsCalledOffMayHaveRunAndIsNotRunAgain() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-a").with(http("")).start()) {
-            HttpPeer peer = new HttpPeer(f.router.httpAddress());
-            HttpRequest.Builder r =
+        try (Fleet fleet = Fleet.of("q1:typ-a", "q2:typ-a").with(http("")).start()) {
+            HttpPeer peer = new HttpPeer(fleet.router.httpAddress());
+            HttpRequest.Builder builder =
                     peer.request("/v1/statements")
                             .header("Content-Type", "application/json")
                             .POST(
                                     HttpRequest.BodyPublishers.ofString(
                                             String.format(LOAD, "l", 400)));
-            String uri = json(peer.send(r)).get("infoUri").asText();
-            Fleet.await("it runs", () -> f.ledger().stream().anyMatch(e -> e.tag.equals("l")));
+            String uri = json(peer.send(builder)).get("infoUri").asText();
+            Fleet.await(
+                    "it runs",
+                    () -> fleet.ledger().stream().anyMatch(entry -> entry.tag.equals("l")));
             assertEquals("cancelled", json(peer.delete(uri)).get("state").asText());
             HttpResponse<String> end = peer.get(uri + "/pages/0");
             assertEquals(409, end.statusCode());
             assertTrue(json(end).get("mayHaveRun").asBoolean());
             Thread.sleep(600);
-            assertEquals(1, f.ledger().stream().filter(e -> e.tag.equals("l")).count());
+            assertEquals(1, fleet.ledger().stream().filter(entry -> entry.tag.equals("l")).count());
         }
     }
 
     // ---- 6. Restart, another router, drain
     @Test
     void aStatementOfAnotherRouterIsPointedToAndOneOfNobodyIsNotFound() throws Exception {
-        try (Fleet f =
+        try (Fleet fleet =
                 Fleet.of("q1:typ-a").with(http("(peer r2 (url \"http://127.0.0.1:9\"))")).start()) {
-            HttpPeer peer = new HttpPeer(f.router.httpAddress());
+            HttpPeer peer = new HttpPeer(fleet.router.httpAddress());
             HttpResponse<String> other = peer.get("/v1/statements/r2~abc/pages/3?wait=1");
             assertEquals(307, other.statusCode());
             assertEquals(
@@ -503,18 +518,20 @@
                     other.headers().firstValue("Location").orElse(""));
             assertEquals(404, peer.get("/v1/statements/r3~abc").statusCode());
             String uri = json(peer.post(select("rows=1"), "?wait=5")).get("id").asText();
-            f.router.kill();
-            f.start();
+            fleet.router.kill();
+            fleet.start();
             assertEquals(
                     404,
-                    new HttpPeer(f.router.httpAddress()).get("/v1/statements/" + uri).statusCode());
+                    new HttpPeer(fleet.router.httpAddress())
+                            .get("/v1/statements/" + uri)
+                            .statusCode());
         }
     }
 
     @Test
     void aRouterThatStopsLetsItsClientsFinishAndTellsTheOthers() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").with(http("") + "(bounds (stop 2s))").start()) {
-            HttpPeer peer = new HttpPeer(f.router.httpAddress());
+        try (Fleet fleet = Fleet.of("q1:typ-a").with(http("") + "(bounds (stop 2s))").start()) {
+            HttpPeer peer = new HttpPeer(fleet.router.httpAddress());
             String slow = json(peer.post(select("rows=3 work_ms=500"), "")).get("nextUri").asText();
             CompletableFuture<HttpResponse<String>> waits =
                     peer.client()
@@ -527,7 +544,7 @@
                     CompletableFuture.runAsync(
                             () -> {
                                 try {
-                                    f.router.stop();
+                                    fleet.router.stop();
                                 } catch (InterruptedException e) {
                                     throw new IllegalStateException(e);
                                 }
@@ -550,7 +567,11 @@
                                             .build(),
                                     BodyHandlers.ofString());
             assertTrue(
-                    last.handle((r, e) -> r == null || r.statusCode() != 200).get(),
+                    last.handle(
+                                    (httpResponse, failure) ->
+                                            httpResponse == null
+                                                    || httpResponse.statusCode() != 200)
+                            .get(),
                     "nobody hangs");
             stop.get();
         }
--- a/loadtest/src/test/java/ashlink/loadtest/HttpPeer.java
+++ b/loadtest/src/test/java/ashlink/loadtest/HttpPeer.java
@@ -31,8 +31,9 @@
     }
 
     /** Sends it, and holds the answer against the description. */
-    HttpResponse<String> send(HttpRequest.Builder r) throws IOException, InterruptedException {
-        HttpResponse<String> answer = client.send(r.build(), BodyHandlers.ofString());
+    HttpResponse<String> send(HttpRequest.Builder builder)
+            throws IOException, InterruptedException {
+        HttpResponse<String> answer = client.send(builder.build(), BodyHandlers.ofString());
         DESCRIBED.check(answer);
         return answer;
     }
@@ -43,22 +44,22 @@
 
     HttpResponse<String> post(String statement, String parameters, String... headers)
             throws IOException, InterruptedException {
-        HttpRequest.Builder r =
+        HttpRequest.Builder builder =
                 request("/v1/statements" + parameters)
                         .POST(HttpRequest.BodyPublishers.ofString(statement));
         if (headers.length > 0) {
-            r.headers(headers);
+            builder.headers(headers);
         }
-        return send(r);
+        return send(builder);
     }
 
     HttpResponse<String> get(String path, String... headers)
             throws IOException, InterruptedException {
-        HttpRequest.Builder r = request(path).GET();
+        HttpRequest.Builder builder = request(path).GET();
         if (headers.length > 0) {
-            r.headers(headers);
+            builder.headers(headers);
         }
-        return send(r);
+        return send(builder);
     }
 
     HttpResponse<String> delete(String path) throws IOException, InterruptedException {
