--- a/loadtest/src/test/java/ashlink/loadtest/HttpPeersTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/HttpPeersTest.java
@@ -28,24 +28,25 @@
         return Fleet.of("q1:typ-a").with("(http (listen 127.0.0.1:0) " + settings + ")").start();
     }
 
-    private static Socket connect(Fleet f) throws IOException {
-        Socket s = new Socket();
-        s.setTcpNoDelay(true);
-        s.setSoTimeout(20_000);
-        s.connect(new InetSocketAddress("127.0.0.1", f.router.httpAddress().getPort()), 10_000);
-        return s;
+    private static Socket connect(Fleet fleet) throws IOException {
+        Socket socket = new Socket();
+        socket.setTcpNoDelay(true);
+        socket.setSoTimeout(20_000);
+        socket.connect(
+                new InetSocketAddress("127.0.0.1", fleet.router.httpAddress().getPort()), 10_000);
+        return socket;
     }
 
-    private static void write(Socket s, String text) throws IOException {
-        s.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
+    private static void write(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
     /** All that comes until the connection ends or nothing comes for a while. */
-    private static String read(Socket s, int quietMs) throws IOException {
+    private static String read(Socket socket, int quietMs) throws IOException {
         StringBuilder text = new StringBuilder();
-        s.setSoTimeout(quietMs);
+        socket.setSoTimeout(quietMs);
         byte[] buffer = new byte[8192];
-        InputStream in = s.getInputStream();
+        InputStream in = socket.getInputStream();
         try {
             for (int n = in.read(buffer); n >= 0; n = in.read(buffer)) {
                 text.append(new String(buffer, 0, n, StandardCharsets.ISO_8859_1));
@@ -59,18 +60,20 @@
         return text.toString();
     }
 
-    private static void isWell(Fleet f) throws Exception {
+    private static void isWell(Fleet fleet) throws Exception {
         assertEquals(
                 200,
-                new HttpPeer(f.router.httpAddress()).post("SELECT 1", "?wait=10").statusCode());
+                new HttpPeer(fleet.router.httpAddress()).post("SELECT 1", "?wait=10").statusCode());
     }
 
     @Test
     void headersAndBodiesOverTheLimitAreRefused() throws Exception {
         try (Fleet f = fleet("(body 64KiB) (headers 4KiB)")) {
-            try (Socket s = connect(f)) {
-                write(s, "GET /v1/openapi.json HTTP/1.1\r\nHost: a\r\nX: " + "y".repeat(60_000));
-                assertTrue(read(s, 2_000).startsWith("HTTP/1.1 431"));
+            try (Socket socket = connect(f)) {
+                write(
+                        socket,
+                        "GET /v1/openapi.json HTTP/1.1\r\nHost: a\r\nX: " + "y".repeat(60_000));
+                assertTrue(read(socket, 2_000).startsWith("HTTP/1.1 431"));
             }
             HttpPeer peer = new HttpPeer(f.router.httpAddress());
             HttpResponse<String> large = peer.post("SELECT '" + "x".repeat(100_000) + "'", "");
@@ -95,15 +98,15 @@
                         "GET /v1/openapi.json HTTP/1.1\r\nHost: a\r\nX: ",
                         "POST /v1/statements HTTP/1.1\r\nHost: a\r\nContent-Length: 10000\r\n\r\n"
                     }) {
-                try (Socket s = connect(f)) {
-                    write(s, start);
+                try (Socket socket = connect(f)) {
+                    write(socket, start);
                     long until = System.nanoTime() + 15 * Fleet.S;
                     boolean open = true;
                     while (open && System.nanoTime() < until) {
                         try {
-                            write(s, "y");
+                            write(socket, "y");
                             Thread.sleep(50);
-                            open = s.getInputStream().available() == 0;
+                            open = socket.getInputStream().available() == 0;
                         } catch (IOException e) {
                             open = false;
                         }
@@ -118,29 +121,29 @@
     @Test
     void oldClientsPipelinesAndHalfClosedSocketsAreServed() throws Exception {
         try (Fleet f = fleet("")) {
-            try (Socket s = connect(f)) {
-                write(s, POST.replace("HTTP/1.1\r\nHost: a\r\n", "HTTP/1.0\r\n"));
-                String answer = read(s, 10_000);
+            try (Socket socket = connect(f)) {
+                write(socket, POST.replace("HTTP/1.1\r\nHost: a\r\n", "HTTP/1.0\r\n"));
+                String answer = read(socket, 10_000);
                 assertTrue(
                         answer.startsWith("HTTP/1.1 200") && answer.endsWith("<closed>"), answer);
             }
-            try (Socket s = connect(f)) {
-                write(s, POST + POST + "GET /v1/nothing HTTP/1.1\r\nHost: a\r\n\r\n");
-                String answer = read(s, 1_500);
+            try (Socket socket = connect(f)) {
+                write(socket, POST + POST + "GET /v1/nothing HTTP/1.1\r\nHost: a\r\n\r\n");
+                String answer = read(socket, 1_500);
                 int first = answer.indexOf("HTTP/1.1 200");
                 int second = answer.indexOf("HTTP/1.1 200", first + 1);
                 assertTrue(
                         first == 0 && second > 0 && answer.indexOf("HTTP/1.1 404", second) > 0,
                         answer);
             }
-            try (Socket s = connect(f)) {
-                write(s, POST);
-                s.shutdownOutput();
-                assertTrue(read(s, 10_000).startsWith("HTTP/1.1 200"));
+            try (Socket socket = connect(f)) {
+                write(socket, POST);
+                socket.shutdownOutput();
+                assertTrue(read(socket, 10_000).startsWith("HTTP/1.1 200"));
             }
-            try (Socket s = connect(f)) {
-                write(s, "\0\1\2 garbage\r\n\r\n");
-                assertTrue(read(s, 2_000).startsWith("HTTP/1.1 400"));
+            try (Socket socket = connect(f)) {
+                write(socket, "\0\1\2 garbage\r\n\r\n");
+                assertTrue(read(socket, 2_000).startsWith("HTTP/1.1 400"));
             }
             isWell(f);
         }
@@ -181,7 +184,7 @@
             assertTrue(rows.body().contains("row 0, column id"), rows.body());
             assertEquals(
                     0,
-                    f.ledger().stream().filter(e -> e.ranNs() > 0).count(),
+                    f.ledger().stream().filter(entry -> entry.ranNs() > 0).count(),
                     "nothing ran of all that");
         }
     }
@@ -202,18 +205,18 @@
             int before = Thread.activeCount();
             List<Socket> sockets = new ArrayList<>();
             for (int i = 0; i < 1_000; i++) {
-                Socket s = connect(f);
-                write(s, "GET " + uri + "?wait=30 HTTP/1.1\r\nHost: a\r\n\r\n");
-                sockets.add(s);
+                Socket socket = connect(f);
+                write(socket, "GET " + uri + "?wait=30 HTTP/1.1\r\nHost: a\r\n\r\n");
+                sockets.add(socket);
             }
             assertTrue(
                     Thread.activeCount() - before < 100,
                     "threads: " + (Thread.activeCount() - before));
-            for (Socket s : sockets) {
-                byte[] first = s.getInputStream().readNBytes(12);
+            for (Socket socket : sockets) {
+                byte[] first = socket.getInputStream().readNBytes(12);
                 String status = new String(first, StandardCharsets.ISO_8859_1);
                 assertTrue(status.equals("HTTP/1.1 503") || status.equals("HTTP/1.1 502"), status);
-                s.close();
+                socket.close();
             }
         }
     }
@@ -242,18 +245,18 @@
             String statement = "SELECT /* sim rows=20000 blocks=2 width=500 */ 1";
             List<Socket> slow = new ArrayList<>();
             for (int i = 0; i < 2; i++) {
-                Socket s = new Socket();
-                s.setReceiveBufferSize(4096);
-                s.connect(
+                Socket socket = new Socket();
+                socket.setReceiveBufferSize(4096);
+                socket.connect(
                         new InetSocketAddress("127.0.0.1", f.router.httpAddress().getPort()),
                         10_000);
                 write(
-                        s,
+                        socket,
                         "POST /v1/statements?wait=10 HTTP/1.1\r\nHost: a\r\nContent-Length: "
                                 + statement.length()
                                 + "\r\n\r\n"
                                 + statement);
-                slow.add(s);
+                slow.add(socket);
             }
             List<CompletableFuture<HttpResponse<String>>> others = new ArrayList<>();
             for (int i = 0; i < 50; i++) {
@@ -267,19 +270,19 @@
                                                 .build(),
                                         BodyHandlers.ofString()));
             }
-            for (CompletableFuture<HttpResponse<String>> o : others) {
-                assertEquals(200, o.get().statusCode());
+            for (CompletableFuture<HttpResponse<String>> completableFuture : others) {
+                assertEquals(200, completableFuture.get().statusCode());
             }
-            for (Socket s : slow) {
+            for (Socket socket : slow) {
                 Thread.sleep(1_500);
-                String answer = read(s, 5_000);
+                String answer = read(socket, 5_000);
                 assertTrue(
                         answer.startsWith("HTTP/1.1 200"),
                         answer.substring(0, Math.min(200, answer.length())));
                 assertTrue(
                         !answer.endsWith("<quiet>") && answer.length() < 9_000_000,
                         "cut off after " + answer.length());
-                s.close();
+                socket.close();
             }
         }
     }
--- a/loadtest/src/test/java/ashlink/loadtest/InsertsTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/InsertsTest.java
@@ -42,123 +42,136 @@
             names = {"QUERY", "HEADER", "INSERT"})
     void anInsertWhoseEngineBreaksBeforeItsDataIsCompleteIsGivenToAnother(Place place)
             throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
-            f.engines.values().forEach(e -> e.faults().breakAt(place, Break.CLOSE, 1));
-            NativeClient c = f.client("portal");
-            c.sendQuery("", "INSERT /* sim tag=t */ INTO t VALUES", Map.of());
+        try (Fleet fleet = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
+            fleet.engines
+                    .values()
+                    .forEach(
+                            emulatedEngine ->
+                                    emulatedEngine.faults().breakAt(place, Break.CLOSE, 1));
+            NativeClient nativeClient = fleet.client("portal");
+            nativeClient.sendQuery("", "INSERT /* sim tag=t */ INTO t VALUES", Map.of());
             for (int i = 0; i < 4; i++) {
-                c.sendBlock(ROWS); // spread out, so that the break comes well before the end of the
+                nativeClient.sendBlock(
+                        ROWS); // spread out, so that the break comes well before the end of the
                 // data
                 Thread.sleep(100);
             }
-            c.sendBlock(Block.END);
-            Reply r = c.await(List.of(), System.nanoTime() + 10 * S);
-            assertEquals(Kind.SERVED, r.kind(), place + ": " + r.message());
-            assertEquals(1, f.runs("t"));
-            assertTrue(f.ledger().size() > 1, "no engine broke");
+            nativeClient.sendBlock(Block.END);
+            Reply reply = nativeClient.await(List.of(), System.nanoTime() + 10 * S);
+            assertEquals(Kind.SERVED, reply.kind(), place + ": " + reply.message());
+            assertEquals(1, fleet.runs("t"));
+            assertTrue(fleet.ledger().size() > 1, "no engine broke");
         }
     }
 
     @Test
     void anInsertWhoseEngineBreaksAfterItsDataIsCompleteIsNotRunAgain() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
-            f.engines.values().forEach(e -> e.faults().breakAt(Place.RUN, Break.CLOSE, 100));
-            Reply r =
-                    f.client("portal")
+        try (Fleet fleet = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
+            fleet.engines
+                    .values()
+                    .forEach(
+                            emulatedEngine ->
+                                    emulatedEngine.faults().breakAt(Place.RUN, Break.CLOSE, 100));
+            Reply reply =
+                    fleet.client("portal")
                             .insert(
                                     "",
                                     "INSERT /* sim tag=t */ INTO t VALUES",
                                     Map.of(),
                                     List.of(ROWS),
                                     10 * S);
-            assertEquals(210, r.code(), r.message());
-            assertEquals(1, f.runs("t"));
+            assertEquals(210, reply.code(), reply.message());
+            assertEquals(1, fleet.runs("t"));
         }
     }
 
     @Test
     void anInsertThatIsTooLargeToKeepIsRefusedWhenItsEngineBreaksAndHasNotRun() throws Exception {
-        try (Fleet f =
+        try (Fleet fleet =
                 Fleet.of("q1:typ-a", "q2:typ-a").with("(bounds (held-insert 64KiB))").start()) {
-            f.engines.values().forEach(e -> e.faults().breakAt(Place.INSERT, Break.CLOSE, 1));
+            fleet.engines
+                    .values()
+                    .forEach(
+                            emulatedEngine ->
+                                    emulatedEngine.faults().breakAt(Place.INSERT, Break.CLOSE, 1));
             List<Block> blocks = new ArrayList<>(Collections.nCopies(40, wide(10_000)));
-            NativeClient c = f.client("portal");
-            Reply r =
-                    c.insert(
+            NativeClient nativeClient = fleet.client("portal");
+            Reply reply =
+                    nativeClient.insert(
                             "",
                             "INSERT /* sim tag=t */ INTO t VALUES",
                             Map.of("max_execution_time", "5"),
                             blocks,
                             10 * S);
-            assertEquals(202, r.code(), r.kind() + r.message());
-            assertEquals(0, f.runs("t"));
+            assertEquals(202, reply.code(), reply.kind() + reply.message());
+            assertEquals(0, fleet.runs("t"));
         }
     }
 
     @Test
     void aLargeInsertPassesThroughAWindow() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").with("(bounds (held-insert 1MiB))").start()) {
+        try (Fleet fleet = Fleet.of("q1:typ-a").with("(bounds (held-insert 1MiB))").start()) {
             List<Block> blocks = new ArrayList<>(Collections.nCopies(64, wide(1 << 20)));
-            Reply r =
-                    f.client("portal")
+            Reply reply =
+                    fleet.client("portal")
                             .insert(
                                     "",
                                     "INSERT /* sim tag=t */ INTO t VALUES",
                                     Map.of(),
                                     blocks,
                                     20 * S);
-            assertEquals(Kind.SERVED, r.kind(), r.message());
-            assertEquals(1, f.runs("t"));
+            assertEquals(Kind.SERVED, reply.kind(), reply.message());
+            assertEquals(1, fleet.runs("t"));
         }
     }
 
     @Test
     void aClientThatStopsInTheMiddleIsAnsweredBeforeItsTimeAndNothingRan() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").with("(bounds (answer-margin 700ms))").start()) {
-            NativeClient c = f.client("portal");
-            c.sendQuery(
+        try (Fleet fleet = Fleet.of("q1:typ-a").with("(bounds (answer-margin 700ms))").start()) {
+            NativeClient nativeClient = fleet.client("portal");
+            nativeClient.sendQuery(
                     "",
                     "INSERT /* sim tag=t */ INTO t VALUES",
                     Map.of("max_execution_time", "1.5"));
-            c.sendBlock(ROWS);
-            Reply r = c.await(List.of(), System.nanoTime() + 3 * S / 2);
-            assertEquals(202, r.code(), r.kind() + " " + r.message());
-            assertEquals(0, f.runs("t"));
-            c.sendBlock(Block.END); // what is left of the insert is passed over
-            assertEquals(Kind.SERVED, c.query("", "SELECT 1", Map.of(), 5 * S).kind());
+            nativeClient.sendBlock(ROWS);
+            Reply reply = nativeClient.await(List.of(), System.nanoTime() + 3 * S / 2);
+            assertEquals(202, reply.code(), reply.kind() + " " + reply.message());
+            assertEquals(0, fleet.runs("t"));
+            nativeClient.sendBlock(Block.END); // what is left of the insert is passed over
+            assertEquals(Kind.SERVED, nativeClient.query("", "SELECT 1", Map.of(), 5 * S).kind());
         }
     }
 
     @Test
     void aClientThatVanishesOrCancelsInTheMiddleHasRunNothing() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").start()) {
-            NativeClient gone = f.client("portal");
+        try (Fleet fleet = Fleet.of("q1:typ-a").start()) {
+            NativeClient gone = fleet.client("portal");
             gone.sendQuery("", "INSERT /* sim tag=gone */ INTO t VALUES", Map.of());
             gone.sendBlock(ROWS);
-            Fleet.await("the insert is at the engine", () -> !f.ledger().isEmpty());
+            Fleet.await("the insert is at the engine", () -> !fleet.ledger().isEmpty());
             gone.close();
-            NativeClient c = f.client("portal");
-            c.sendQuery("", "INSERT /* sim tag=cancelled */ INTO t VALUES", Map.of());
-            c.sendBlock(ROWS);
-            c.sendBare(ClientPacket.CANCEL);
-            assertEquals(394, c.await(List.of(), System.nanoTime() + 5 * S).code());
-            Fleet.await("no open requests", () -> f.router.core().openRequests() == 0);
-            assertEquals(0, f.runs("gone") + f.runs("cancelled"));
+            NativeClient nativeClient = fleet.client("portal");
+            nativeClient.sendQuery("", "INSERT /* sim tag=cancelled */ INTO t VALUES", Map.of());
+            nativeClient.sendBlock(ROWS);
+            nativeClient.sendBare(ClientPacket.CANCEL);
+            assertEquals(394, nativeClient.await(List.of(), System.nanoTime() + 5 * S).code());
+            Fleet.await("no open requests", () -> fleet.router.core().openRequests() == 0);
+            assertEquals(0, fleet.runs("gone") + fleet.runs("cancelled"));
         }
     }
 
     @Test
     void anEngineThatRefusesTheDataEarlyIsTheAnswer() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").start()) {
-            Reply r =
-                    f.client("portal")
+        try (Fleet fleet = Fleet.of("q1:typ-a").start()) {
+            Reply reply =
+                    fleet.client("portal")
                             .insert(
                                     "",
                                     "INSERT /* sim tag=t error=60 */ INTO t VALUES",
                                     Map.of(),
                                     List.of(ROWS),
                                     5 * S);
-            assertEquals(60, r.code());
+            assertEquals(60, reply.code());
         }
     }
 }
--- a/loadtest/src/test/java/ashlink/loadtest/InvariantCheckerTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/InvariantCheckerTest.java
@@ -268,49 +268,49 @@
      * Rules that were told that everything may be repeated, anywhere and in any order, and that
      * give up early.
      */
-    private static WorkloadManager reckless(Settings s) {
+    private static WorkloadManager reckless(Settings settings) {
         List<QueryClass> classes =
-                s.classes().stream()
+                settings.classes().stream()
                         .map(
-                                c ->
+                                queryClass ->
                                         new QueryClass(
-                                                c.name(),
-                                                c.latencyObjectiveNs(),
-                                                c.objectivePerWork(),
-                                                c.deadlineNs(),
+                                                queryClass.name(),
+                                                queryClass.latencyObjectiveNs(),
+                                                queryClass.objectivePerWork(),
+                                                queryClass.deadlineNs(),
                                                 RetrySafety.IDEMPOTENT,
-                                                c.deduplicationScope(),
+                                                queryClass.deduplicationScope(),
                                                 0,
-                                                c.priorityWeight(),
-                                                c.lateWeightFraction(),
+                                                queryClass.priorityWeight(),
+                                                queryClass.lateWeightFraction(),
                                                 false,
                                                 Set.of(),
                                                 Set.of(),
-                                                c.threads(),
+                                                queryClass.threads(),
                                                 false,
                                                 false))
                         .toList();
         WorkloadManager inner =
                 new DefaultWorkloadManager(
                         new Settings(
-                                s.seed(),
-                                s.routerCount(),
-                                s.routerIndex(),
-                                s.zone(),
+                                settings.seed(),
+                                settings.routerCount(),
+                                settings.routerIndex(),
+                                settings.zone(),
                                 classes,
-                                s.kinds(),
-                                s.capabilities(),
-                                s.limits()));
+                                settings.kinds(),
+                                settings.capabilities(),
+                                settings.limits()));
         return (event, now) ->
                 inner.onEvent(event, now).stream()
                         .map(
-                                a ->
-                                        a instanceof StartAttempt send
+                                action ->
+                                        action instanceof StartAttempt send
                                                 ? new StartAttempt(
                                                         send.id(),
                                                         send.engine(),
                                                         Math.min(send.timeoutNs(), 400 * MS))
-                                                : a)
+                                                : action)
                         .toList();
     }
 }
--- a/loadtest/src/test/java/ashlink/loadtest/LifecycleTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/LifecycleTest.java
@@ -30,27 +30,30 @@
 
     @Test
     void nothingNewGoesToAnEngineThatDrainsThoughQueriesWaitForIt() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").with("(bounds (engine-connections 4))").start()) {
+        try (Fleet fleet = Fleet.of("q1:typ-a").with("(bounds (engine-connections 4))").start()) {
             List<NativeClient> clients = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
-                NativeClient c = f.client("portal");
-                c.sendQuery(
+                NativeClient nativeClient = fleet.client("portal");
+                nativeClient.sendQuery(
                         "",
                         "SELECT /* sim work_ms=300 tag=t" + i + " */ 2",
                         Map.of("max_execution_time", "2"));
-                clients.add(c);
+                clients.add(nativeClient);
             }
-            Fleet.await("some run", () -> f.ledger().size() >= 4);
-            f.router.phase("q1", EndpointState.DRAINING);
+            Fleet.await("some run", () -> fleet.ledger().size() >= 4);
+            fleet.router.phase("q1", EndpointState.DRAINING);
             long told = System.nanoTime();
             int refused = 0;
-            for (NativeClient c : clients) {
-                Reply r = c.await(List.of(), System.nanoTime() + 3 * S);
-                assertTrue(r.kind() == Kind.SERVED || r.code() == 202, r.toString());
-                refused += r.code() == 202 ? 1 : 0;
+            for (NativeClient nativeClient : clients) {
+                Reply reply = nativeClient.await(List.of(), System.nanoTime() + 3 * S);
+                assertTrue(reply.kind() == Kind.SERVED || reply.code() == 202, reply.toString());
+                refused += reply.code() == 202 ? 1 : 0;
             }
             assertTrue(refused > 0, "nothing was held when the drain came");
-            long late = f.ledger().stream().filter(e -> e.beganNs > told + 1000 * Fleet.MS).count();
+            long late =
+                    fleet.ledger().stream()
+                            .filter(entry -> entry.beganNs > told + 1000 * Fleet.MS)
+                            .count();
             assertEquals(0, late, "began over 1 s after the drain; the grace is 2 s");
         }
     }
@@ -59,20 +62,20 @@
     void aRouterThatRestartsRemembersItsListAndSaysSoToTheModule(@TempDir Path dir)
             throws Exception {
         String state = "(state-dir \"" + dir + "\")";
-        try (Fleet f = Fleet.of("q1:typ-a", "q2:typ-b").with(state).start()) {
-            assertEquals(Kind.SERVED, f.query("portal", "SELECT 1").kind());
-            f.router.phase("q2", EndpointState.DRAINING);
-            f.router.stop();
+        try (Fleet fleet = Fleet.of("q1:typ-a", "q2:typ-b").with(state).start()) {
+            assertEquals(Kind.SERVED, fleet.query("portal", "SELECT 1").kind());
+            fleet.router.phase("q2", EndpointState.DRAINING);
+            fleet.router.stop();
             List<EndpointsChanged> news = Collections.synchronizedList(new ArrayList<>());
             Router again =
                     new Router(
                             TestSettings.of(
-                                    "r1", "halle-1", 0, 1, 7, 0, f.engines.values(), state));
+                                    "r1", "halle-1", 0, 1, 7, 0, fleet.engines.values(), state));
             again.core()
                     .observe(
-                            (e, now, a) -> {
-                                if (e instanceof EndpointsChanged n) {
-                                    news.add(n);
+                            (event, now, list) -> {
+                                if (event instanceof EndpointsChanged endpointsChanged) {
+                                    news.add(endpointsChanged);
                                 }
                             });
             again.start();
@@ -86,37 +89,38 @@
 
     @Test
     void aStopLetsWorkFinishAndAnswersTheRest() throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").with("(bounds (stop 600ms))").start()) {
-            NativeClient quick = f.client("portal");
-            NativeClient slow = f.client("portal");
-            NativeClient load = f.client("portal");
+        try (Fleet fleet = Fleet.of("q1:typ-a").with("(bounds (stop 600ms))").start()) {
+            NativeClient quick = fleet.client("portal");
+            NativeClient slow = fleet.client("portal");
+            NativeClient load = fleet.client("portal");
             quick.sendQuery("", "SELECT /* sim work_ms=300 tag=quick */ 2", Map.of());
             slow.sendQuery("", "SELECT /* sim work_ms=60000 tag=slow */ 2", Map.of());
             load.sendQuery("", "INSERT /* sim work_ms=60000 tag=load */ INTO t SELECT 1", Map.of());
-            Fleet.await("all run", () -> f.ledger().size() == 3);
-            f.router.stop();
+            Fleet.await("all run", () -> fleet.ledger().size() == 3);
+            fleet.router.stop();
             assertEquals(Kind.SERVED, quick.await(List.of(), System.nanoTime() + S).kind());
             assertEquals(202, slow.await(List.of(), System.nanoTime() + S).code());
             assertEquals(210, load.await(List.of(), System.nanoTime() + S).code());
-            assertThrows(java.io.IOException.class, () -> f.client("portal"));
+            assertThrows(java.io.IOException.class, () -> fleet.client("portal"));
         }
     }
 
     @Test
     void aReloadBringsEnginesAndABadFileChangesNothing(@TempDir Path dir) throws Exception {
-        try (Fleet f = Fleet.of("q1:typ-a").start()) {
+        try (Fleet fleet = Fleet.of("q1:typ-a").start()) {
             Path file = dir.resolve("r1.sexp");
-            f.engine("q2", "typ-b", true);
+            fleet.engine("q2", "typ-b", true);
             Files.writeString(
                     file,
-                    TestSettings.text("r1", "halle-1", 0, 1, 7, 0, List.of(f.engine("q2")), ""));
-            f.router.reload(RouterConfigReader.read(file));
-            f.engine("q1").crash();
-            assertEquals(Kind.SERVED, f.query("portal", "SELECT /* sim tag=t */ 2").kind());
-            assertEquals("q2", f.ledger().get(0).engine);
+                    TestSettings.text(
+                            "r1", "halle-1", 0, 1, 7, 0, List.of(fleet.engine("q2")), ""));
+            fleet.router.reload(RouterConfigReader.read(file));
+            fleet.engine("q1").crash();
+            assertEquals(Kind.SERVED, fleet.query("portal", "SELECT /* sim tag=t */ 2").kind());
+            assertEquals("q2", fleet.ledger().get(0).engine);
             Files.writeString(file, "(router (nmae r1) (gateways none)");
             assertThrows(ConfigException.class, () -> RouterConfigReader.read(file));
-            assertEquals(Kind.SERVED, f.query("portal", "SELECT 1").kind());
+            assertEquals(Kind.SERVED, fleet.query("portal", "SELECT 1").kind());
         }
     }
 }
--- a/loadtest/src/test/java/ashlink/loadtest/RegressionScenariosTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/RegressionScenariosTest.java
@@ -30,9 +30,9 @@
         try (Stream<Path> days = Files.list(Path.of(folder))) {
             List<Path> routers =
                     days.flatMap(
-                                    d -> {
+                                    path -> {
                                         try {
-                                            return Files.list(d);
+                                            return Files.list(path);
                                         } catch (java.io.IOException e) {
                                             throw new java.io.UncheckedIOException(e);
                                         }
--- a/loadtest/src/test/java/ashlink/loadtest/SmokeTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/SmokeTest.java
@@ -28,18 +28,20 @@
         List<EmulatedEngine> engines = EmulatedEngines.demo();
         Router router = new Router(TestSettings.of("r1", "halle-1", 0, 1, 7, 0, engines, ""));
         router.start();
-        try (NativeClient c = NativeClient.connect(router.address(), "portal")) {
+        try (NativeClient nativeClient = NativeClient.connect(router.address(), "portal")) {
             for (int i = 0; i < 5; i++) {
-                Reply r = c.query("a" + i, "SELECT 1", Map.of(), 5 * S);
-                assertEquals(Reply.Kind.SERVED, r.kind(), r.message());
-                assertEquals(1, r.rows());
+                Reply reply = nativeClient.query("a" + i, "SELECT 1", Map.of(), 5 * S);
+                assertEquals(Reply.Kind.SERVED, reply.kind(), reply.message());
+                assertEquals(1, reply.rows());
             }
             Block rows =
                     Block.of(
                             new Block.Column("id", "UInt64", List.of(1L, 2L)),
                             new Block.Column("value", "String", List.of("x", "y")));
-            Reply r = c.insert("b", "INSERT INTO t VALUES", Map.of(), List.of(rows), 5 * S);
-            assertEquals(Reply.Kind.SERVED, r.kind(), r.message());
+            Reply reply =
+                    nativeClient.insert(
+                            "b", "INSERT INTO t VALUES", Map.of(), List.of(rows), 5 * S);
+            assertEquals(Reply.Kind.SERVED, reply.kind(), reply.message());
         } finally {
             router.stop();
             engines.forEach(EmulatedEngine::crash);
@@ -56,20 +58,20 @@
                 "jdbc:clickhouse://127.0.0.1:"
                         + router.address().getPort()
                         + "/default?user=portal";
-        try (Connection c = DriverManager.getConnection(url);
-                Statement s = c.createStatement()) {
+        try (Connection connection = DriverManager.getConnection(url);
+                Statement statement = connection.createStatement()) {
             for (int i = 0; i < 3; i++) {
-                try (ResultSet r = s.executeQuery("SELECT 1")) {
-                    assertTrue(r.next());
-                    assertEquals(1, r.getInt(1));
+                try (ResultSet resultSet = statement.executeQuery("SELECT 1")) {
+                    assertTrue(resultSet.next());
+                    assertEquals(1, resultSet.getInt(1));
                 }
             }
-            try (PreparedStatement p =
-                    c.prepareStatement("INSERT INTO t (id, value) VALUES (?, ?)")) {
-                p.setLong(1, 5);
-                p.setString(2, "five");
-                p.addBatch();
-                assertEquals(1, p.executeBatch().length);
+            try (PreparedStatement preparedStatement =
+                    connection.prepareStatement("INSERT INTO t (id, value) VALUES (?, ?)")) {
+                preparedStatement.setLong(1, 5);
+                preparedStatement.setString(2, "five");
+                preparedStatement.addBatch();
+                assertEquals(1, preparedStatement.executeBatch().length);
             }
         } finally {
             router.stop();
--- a/report/src/main/java/ashlink/report/CaptureReport.java
+++ b/report/src/main/java/ashlink/report/CaptureReport.java
@@ -53,9 +53,9 @@
         }
     }
 
-    private static TreeSet<String> outcomes(CaptureSummary s) {
+    private static TreeSet<String> outcomes(CaptureSummary captureSummary) {
         TreeSet<String> all = new TreeSet<>();
-        s.getEngines().values().forEach(m -> all.addAll(m.keySet()));
+        captureSummary.getEngines().values().forEach(map -> all.addAll(map.keySet()));
         return all;
     }
 
@@ -65,46 +65,52 @@
                         BitmapEncoder.getBitmapBytes(chart, BitmapEncoder.BitmapFormat.PNG));
     }
 
-    private static XYChart chart(String title, String y) {
-        XYChart c =
+    private static XYChart chart(String title, String text) {
+        XYChart xYChart =
                 new XYChartBuilder()
                         .width(WIDTH)
                         .height(HEIGHT)
                         .title(title)
                         .xAxisTitle("seconds")
-                        .yAxisTitle(y)
+                        .yAxisTitle(text)
                         .build();
-        c.getStyler()
+        xYChart.getStyler()
                 .setLegendPosition(LegendPosition.OutsideE)
                 .setChartBackgroundColor(java.awt.Color.WHITE);
-        return c;
+        return xYChart;
     }
 
     private static void series(
             XYChart chart,
             String name,
-            CaptureSummary s,
+            CaptureSummary captureSummary,
             ToDoubleFunction<CaptureSummary.Second> value) {
-        List<Integer> x = new ArrayList<>(s.getSeconds().keySet());
+        List<Integer> x = new ArrayList<>(captureSummary.getSeconds().keySet());
         List<Double> y = new ArrayList<>();
-        s.getSeconds().values().forEach(v -> y.add(value.applyAsDouble(v)));
+        captureSummary.getSeconds().values().forEach(second -> y.add(value.applyAsDouble(second)));
         if (!x.isEmpty()) {
             chart.addSeries(name, x, y).setMarker(SeriesMarkers.NONE);
         }
     }
 
-    private static XYChart load(CaptureSummary s) {
-        XYChart c = chart("Requests", "a second; held at its end");
-        series(c, "taken", s, CaptureSummary.Second::getTaken);
-        series(c, "attempts ended", s, CaptureSummary.Second::getEnded);
-        series(c, "held", s, CaptureSummary.Second::getHeld);
-        return c;
+    private static XYChart load(CaptureSummary captureSummary) {
+        XYChart xYChart = chart("Requests", "a second; held at its end");
+        series(xYChart, "taken", captureSummary, CaptureSummary.Second::getTaken);
+        series(xYChart, "attempts ended", captureSummary, CaptureSummary.Second::getEnded);
+        series(xYChart, "held", captureSummary, CaptureSummary.Second::getHeld);
+        return xYChart;
     }
 
-    private static XYChart out(CaptureSummary s) {
-        XYChart c = chart("Out at each engine", "attempts at the end of the second");
-        TreeSet<String> engines = new TreeSet<>(s.getEngines().keySet());
-        engines.forEach(e -> series(c, e, s, v -> v.getOut().getOrDefault(e, 0)));
-        return c;
+    private static XYChart out(CaptureSummary captureSummary) {
+        XYChart xYChart = chart("Out at each engine", "attempts at the end of the second");
+        TreeSet<String> engines = new TreeSet<>(captureSummary.getEngines().keySet());
+        engines.forEach(
+                text ->
+                        series(
+                                xYChart,
+                                text,
+                                captureSummary,
+                                second -> second.getOut().getOrDefault(text, 0)));
+        return xYChart;
     }
 }
--- a/router/src/main/java/ashlink/router/Router.java
+++ b/router/src/main/java/ashlink/router/Router.java
@@ -81,45 +81,45 @@
             throws IOException {
         this.config = config;
         this.classifier = new Classifier(config);
-        RouterConfig.Bounds b = config.bounds();
+        RouterConfig.Bounds bounds = config.bounds();
         AtomicInteger number = new AtomicInteger();
         // Each open request needs one thread at most, and one more to write an answer while another
         // is blocked.
         workers =
                 new ThreadPoolExecutor(
                         0,
-                        2 * b.openRequests() + 64,
+                        2 * bounds.openRequests() + 64,
                         WORKER_IDLE_S,
                         TimeUnit.SECONDS,
                         new SynchronousQueue<>(),
-                        r -> {
-                            Thread t =
+                        task -> {
+                            Thread thread =
                                     new Thread(
                                             null,
-                                            r,
+                                            task,
                                             config.name() + "-worker-" + number.incrementAndGet(),
-                                            b.stackBytes());
-                            t.setDaemon(true);
-                            return t;
+                                            bounds.stackBytes());
+                            thread.setDaemon(true);
+                            return thread;
                         });
         timer =
                 new ScheduledThreadPoolExecutor(
                         1,
-                        r -> {
-                            Thread t = new Thread(r, config.name() + "-front-timer");
-                            t.setDaemon(true);
-                            return t;
+                        task -> {
+                            Thread thread = new Thread(task, config.name() + "-front-timer");
+                            thread.setDaemon(true);
+                            return thread;
                         });
         timer.setRemoveOnCancelPolicy(true);
-        WireLimits d = WireLimits.DEFAULT;
+        WireLimits wireLimits = WireLimits.DEFAULT;
         WireLimits limits =
                 new WireLimits(
-                        d.nameBytes(),
-                        d.textBytes(),
-                        d.settings(),
-                        d.columns(),
-                        b.packet(),
-                        d.frameBytes());
+                        wireLimits.nameBytes(),
+                        wireLimits.textBytes(),
+                        wireLimits.settings(),
+                        wireLimits.columns(),
+                        bounds.packet(),
+                        wireLimits.frameBytes());
         engines = new EngineConnections(config, clock, workers, limits);
         gateway = module.apply(config.settings());
         core =
@@ -129,8 +129,8 @@
                         config.allClasses(),
                         engines,
                         clock,
-                        b.queue(),
-                        b.openRequests(),
+                        bounds.queue(),
+                        bounds.openRequests(),
                         new PrometheusRequestMetrics(registry));
         String boot = Long.toString(System.currentTimeMillis(), Character.MAX_RADIX);
         ListenerContext context =
@@ -141,8 +141,8 @@
                         workers,
                         timer,
                         limits,
-                        new MemoryQuota(b.heldAnswers()),
-                        new MemoryQuota(b.heldInserts()),
+                        new MemoryQuota(bounds.heldAnswers()),
+                        new MemoryQuota(bounds.heldInserts()),
                         () -> classifier,
                         new Statements(),
                         new UnknownTableLog(),
@@ -276,7 +276,9 @@
                         next.engines(),
                         old.classes(),
                         next.rules().stream()
-                                .filter(r -> old.classes().containsKey(r.queryClass()))
+                                .filter(
+                                        classRule ->
+                                                old.classes().containsKey(classRule.queryClass()))
                                 .toList(),
                         old.defaultClass(),
                         old.defaultWriteClass(),
--- a/router/src/main/java/ashlink/router/RouterCapture.java
+++ b/router/src/main/java/ashlink/router/RouterCapture.java
@@ -48,7 +48,7 @@
             return new RouterCapture(null);
         }
         try {
-            Recorder r =
+            Recorder recorder =
                     new Recorder(
                             FolderDisk.writing(spec.dir()),
                             System.currentTimeMillis(),
@@ -58,21 +58,22 @@
                             spec.syncNs(),
                             RETRY_NS,
                             hashing(spec.keySecret()));
-            r.record(new Entry.Start(ModuleHash.of(module), config.settings(), config.name()));
+            recorder.record(
+                    new Entry.Start(ModuleHash.of(module), config.settings(), config.name()));
             core.observe(
                     (event, now, actions) ->
-                            r.record(new Entry.Step(event, now, List.copyOf(actions))));
+                            recorder.record(new Entry.Step(event, now, List.copyOf(actions))));
             GaugeWithCallback.builder()
                     .name("ashlink_capture_gaps")
                     .help("Gaps in the capture since the start")
-                    .callback(c -> c.call(r.gaps()))
+                    .callback(callback -> callback.call(recorder.gaps()))
                     .register(registry);
             GaugeWithCallback.builder()
                     .name("ashlink_capture_dropped")
                     .help("Entries dropped and not told of yet")
-                    .callback(c -> c.call(r.dropped()))
+                    .callback(callback -> callback.call(recorder.dropped()))
                     .register(registry);
-            return new RouterCapture(r);
+            return new RouterCapture(recorder);
         } catch (IOException e) {
             LOG.error("nothing is captured: {}", e.toString());
             return new RouterCapture(null);
--- a/router/src/main/java/ashlink/router/classify/Classifier.java
+++ b/router/src/main/java/ashlink/router/classify/Classifier.java
@@ -39,20 +39,22 @@
     public Decision decide(
             String user, String database, StatementAnalysis reading, Map<String, String> settings) {
         int number = 0;
-        for (ClassRule r : config.rules()) {
+        for (ClassRule classRule : config.rules()) {
             number++;
-            if (matches(r, user, database, reading, settings)) {
-                QueryClass c = classes.get(r.queryClass());
-                boolean named = !r.keywords().isEmpty() || !r.kinds().isEmpty();
+            if (matches(classRule, user, database, reading, settings)) {
+                QueryClass queryClass = classes.get(classRule.queryClass());
+                boolean named = !classRule.keywords().isEmpty() || !classRule.kinds().isEmpty();
                 boolean dropped =
-                        c.retrySafety() == RetrySafety.DEDUPLICATED
+                        queryClass.retrySafety() == RetrySafety.DEDUPLICATED
                                 && named
                                 && reading.kind() != Kind.UNKNOWN
                                 && reading.kind() != Kind.SEVERAL;
-                if (reading.harmless() || c.retrySafety() == RetrySafety.AT_MOST_ONCE || dropped) {
-                    return new Decision(c, number, false);
+                if (reading.harmless()
+                        || queryClass.retrySafety() == RetrySafety.AT_MOST_ONCE
+                        || dropped) {
+                    return new Decision(queryClass, number, false);
                 }
-                return new Decision(strict(c), number, true);
+                return new Decision(strict(queryClass), number, true);
             }
         }
         return new Decision(
@@ -62,35 +64,45 @@
                 false);
     }
 
-    private QueryClass strict(QueryClass c) {
+    private QueryClass strict(QueryClass queryClass) {
         return classes.getOrDefault(
-                RouterConfig.strictName(c.name()), classes.get(config.defaultWriteClass()));
+                RouterConfig.strictName(queryClass.name()),
+                classes.get(config.defaultWriteClass()));
     }
 
     private static boolean matches(
-            ClassRule r,
+            ClassRule classRule,
             String user,
             String database,
             StatementAnalysis reading,
             Map<String, String> settings) {
-        return (r.users().isEmpty() || r.users().contains(user))
-                && (r.databases().isEmpty() || r.databases().contains(database))
-                && (r.keywords().isEmpty() || r.keywords().contains(keyword(reading)))
-                && (r.kinds().isEmpty()
-                        || r.kinds().contains(reading.kind().name().toLowerCase(Locale.ROOT)))
-                && (r.fingerprints().isEmpty() || r.fingerprints().contains(reading.fingerprint()))
-                && (r.tables().isEmpty()
-                        || touches(r.tables(), reading.reads())
-                        || touches(r.tables(), reading.writes()))
-                && (r.setting().isEmpty()
-                        || settings.containsKey(r.setting())
-                                && (r.value().isEmpty()
-                                        || r.value().equals(settings.get(r.setting()))));
+        return (classRule.users().isEmpty() || classRule.users().contains(user))
+                && (classRule.databases().isEmpty() || classRule.databases().contains(database))
+                && (classRule.keywords().isEmpty()
+                        || classRule.keywords().contains(keyword(reading)))
+                && (classRule.kinds().isEmpty()
+                        || classRule
+                                .kinds()
+                                .contains(reading.kind().name().toLowerCase(Locale.ROOT)))
+                && (classRule.fingerprints().isEmpty()
+                        || classRule.fingerprints().contains(reading.fingerprint()))
+                && (classRule.tables().isEmpty()
+                        || touches(classRule.tables(), reading.reads())
+                        || touches(classRule.tables(), reading.writes()))
+                && (classRule.setting().isEmpty()
+                        || settings.containsKey(classRule.setting())
+                                && (classRule.value().isEmpty()
+                                        || classRule
+                                                .value()
+                                                .equals(settings.get(classRule.setting()))));
     }
 
     private static boolean touches(Set<Pattern> patterns, Set<String> tables) {
         return tables.stream()
-                .anyMatch(t -> patterns.stream().anyMatch(p -> p.matcher(t).matches()));
+                .anyMatch(
+                        text ->
+                                patterns.stream()
+                                        .anyMatch(pattern -> pattern.matcher(text).matches()));
     }
 
     /** The leading keyword in capitals, also of a statement that was not understood otherwise. */
--- a/router/src/main/java/ashlink/router/classify/Statements.java
+++ b/router/src/main/java/ashlink/router/classify/Statements.java
@@ -33,6 +33,6 @@
         if (text.length() > MOST_CHARS) {
             return reader.read(text, database);
         }
-        return known.get(new Key(text, database), k -> reader.read(k.text, k.database));
+        return known.get(new Key(text, database), key -> reader.read(key.text, key.database));
     }
 }
--- a/router/src/main/java/ashlink/router/classify/UnreachableRules.java
+++ b/router/src/main/java/ashlink/router/classify/UnreachableRules.java
@@ -31,11 +31,11 @@
                     break;
                 }
             }
-            ClassRule r = rules.get(i);
+            ClassRule classRule = rules.get(i);
             boolean contrary =
-                    r.kinds().equals(Set.of("load"))
-                            && !r.keywords().isEmpty()
-                            && !r.keywords().contains("INSERT");
+                    classRule.kinds().equals(Set.of("load"))
+                            && !classRule.keywords().isEmpty()
+                            && !classRule.keywords().contains("INSERT");
             if (contrary) {
                 warnings.add("rule " + (i + 1) + " can never match: a load starts with INSERT");
             }
--- a/router/src/main/java/ashlink/router/core/Attempt.java
+++ b/router/src/main/java/ashlink/router/core/Attempt.java
@@ -90,10 +90,10 @@
         return phase;
     }
 
-    synchronized void timer(Future<?> t) {
-        timer = t;
+    synchronized void timer(Future<?> future) {
+        timer = future;
         if (ended) {
-            t.cancel(false);
+            future.cancel(false);
         }
     }
 
@@ -101,14 +101,14 @@
      * What closes the attempt's connection; run where the attempt is ended from outside, at once if
      * it was.
      */
-    public void closer(Runnable c) {
+    public void closer(Runnable task) {
         synchronized (this) {
-            closer = c;
+            closer = task;
             if (aborted == null) {
                 return;
             }
         }
-        c.run();
+        task.run();
     }
 
     /**
@@ -156,7 +156,7 @@
      */
     public boolean end(AttemptEndReason cause, AttemptReport told) {
         AttemptEnd end;
-        Future<?> t;
+        Future<?> future;
         synchronized (this) {
             if (ended) {
                 return false;
@@ -164,10 +164,10 @@
             ended = true;
             AttemptEndReason first = aborted != null ? aborted : cause;
             end = new AttemptEnd(first, first.outcome(phase), first.answers(phase), told);
-            t = timer;
+            future = timer;
         }
-        if (t != null) {
-            t.cancel(false);
+        if (future != null) {
+            future.cancel(false);
         }
         whenEnded.accept(this, end);
         return end.reason == cause;
--- a/router/src/main/java/ashlink/router/core/Core.java
+++ b/router/src/main/java/ashlink/router/core/Core.java
@@ -106,8 +106,8 @@
         timer =
                 new ScheduledThreadPoolExecutor(
                         1,
-                        r -> {
-                            Thread t = new Thread(r, name + "-timer");
+                        task -> {
+                            Thread t = new Thread(task, name + "-timer");
                             t.setDaemon(true);
                             return t;
                         });
@@ -169,9 +169,9 @@
     public void clientGone(long id) {
         queue.add(
                 () -> {
-                    OpenRequest o = open.get(id);
-                    if (o != null && !o.answered) {
-                        answered(o, "client gone");
+                    OpenRequest openRequest = open.get(id);
+                    if (openRequest != null && !openRequest.answered) {
+                        answered(openRequest, "client gone");
                         hand(new ClientDisconnected(id));
                     }
                 });
@@ -182,8 +182,8 @@
         queue.add(() -> hand(news));
     }
 
-    private void attemptEnded(Attempt a, Attempt.AttemptEnd end) {
-        queue.add(() -> ended(a, end));
+    private void attemptEnded(Attempt attempt, Attempt.AttemptEnd end) {
+        queue.add(() -> ended(attempt, end));
     }
 
     // ---- The decision thread
@@ -201,27 +201,27 @@
         }
     }
 
-    private void take(OpenRequest o, long deadlineNs) {
-        open.put(o.id, o);
-        metrics.onAdmitted(o.request.queryClass());
-        o.overdue =
+    private void take(OpenRequest openRequest, long deadlineNs) {
+        open.put(openRequest.id, openRequest);
+        metrics.onAdmitted(openRequest.request.queryClass());
+        openRequest.overdue =
                 timer.schedule(
-                        () -> queue.add(() -> overdue(o)),
+                        () -> queue.add(() -> overdue(openRequest)),
                         deadlineNs - clock.nowNs(),
                         TimeUnit.NANOSECONDS);
-        CoreRequest r = o.request;
+        CoreRequest coreRequest = openRequest.request;
         if (!hand(
                         new QuerySubmitted(
-                                o.id,
-                                r.queryClass(),
-                                r.key(),
-                                r.tableGroup(),
+                                openRequest.id,
+                                coreRequest.queryClass(),
+                                coreRequest.key(),
+                                coreRequest.tableGroup(),
                                 deadlineNs,
-                                r.estimatedWorkNs(),
-                                r.estimatedMemoryMb(),
-                                r.tenant()))
-                && !o.answered) {
-            lastResort(o, "module error");
+                                coreRequest.estimatedWorkNs(),
+                                coreRequest.estimatedMemoryMb(),
+                                coreRequest.tenant()))
+                && !openRequest.answered) {
+            lastResort(openRequest, "module error");
         }
     }
 
@@ -237,40 +237,43 @@
             return false;
         }
         observer.onDecision(event, now, actions);
-        for (Action a : actions) {
-            perform(a);
+        for (Action action : actions) {
+            perform(action);
         }
         return true;
     }
 
     private void perform(Action action) {
-        if (action instanceof StartAttempt a) {
-            send(a);
-        } else if (action instanceof SetAttemptResources a && open.containsKey(a.id())) {
-            open.get(a.id()).priority = a.priority();
-            open.get(a.id()).memoryMb = a.memoryMb();
-        } else if (action instanceof Reject a && isOwed(a.id())) {
-            OpenRequest o = open.get(a.id());
-            answered(o, "refused");
-            o.sink.reject(a.retryAfterNs());
-        } else if (action instanceof Fail a && isOwed(a.id())) {
-            OpenRequest o = open.get(a.id());
-            answered(o, "failed");
-            o.sink.fail();
-        } else if (action instanceof CancelAttempt a) {
-            OpenRequest o = open.get(a.id());
-            if (o != null && o.out != null && o.out.attemptNumber() == a.attempt()) {
-                o.out.abort(AttemptEndReason.CANCELLED);
+        if (action instanceof StartAttempt startAttempt) {
+            send(startAttempt);
+        } else if (action instanceof SetAttemptResources resources
+                && open.containsKey(resources.id())) {
+            open.get(resources.id()).priority = resources.priority();
+            open.get(resources.id()).memoryMb = resources.memoryMb();
+        } else if (action instanceof Reject reject && isOwed(reject.id())) {
+            OpenRequest openRequest = open.get(reject.id());
+            answered(openRequest, "refused");
+            openRequest.sink.reject(reject.retryAfterNs());
+        } else if (action instanceof Fail fail && isOwed(fail.id())) {
+            OpenRequest openRequest = open.get(fail.id());
+            answered(openRequest, "failed");
+            openRequest.sink.fail();
+        } else if (action instanceof CancelAttempt cancelAttempt) {
+            OpenRequest openRequest = open.get(cancelAttempt.id());
+            if (openRequest != null
+                    && openRequest.out != null
+                    && openRequest.out.attemptNumber() == cancelAttempt.attempt()) {
+                openRequest.out.abort(AttemptEndReason.CANCELLED);
             }
-        } else if (action instanceof CheckHealth a) {
-            probe(a.engine());
-        } else if (action instanceof SetTimer a) {
+        } else if (action instanceof CheckHealth checkHealth) {
+            probe(checkHealth.engine());
+        } else if (action instanceof SetTimer setTimer) {
             timer.schedule(
-                    () -> queue.add(() -> hand(new TimerFired(a.label()))),
-                    a.timeNs() - clock.nowNs(),
+                    () -> queue.add(() -> hand(new TimerFired(setTimer.label()))),
+                    setTimer.timeNs() - clock.nowNs(),
                     TimeUnit.NANOSECONDS);
-        } else if (action instanceof Log a) {
-            LOG.warn("{}", a.text());
+        } else if (action instanceof Log log) {
+            LOG.warn("{}", log.text());
         }
     }
 
@@ -278,68 +281,70 @@
         return open.containsKey(id) && !open.get(id).answered;
     }
 
-    private void send(StartAttempt s) {
-        OpenRequest o = open.get(s.id());
-        if (o == null || o.answered || o.out != null) {
+    private void send(StartAttempt startAttempt) {
+        OpenRequest openRequest = open.get(startAttempt.id());
+        if (openRequest == null || openRequest.answered || openRequest.out != null) {
             LOG.error(
                     "the decision module sent request {}, which is {}",
-                    s.id(),
-                    o == null ? "not open" : o.answered ? "answered" : "out already");
+                    startAttempt.id(),
+                    openRequest == null
+                            ? "not open"
+                            : openRequest.answered ? "answered" : "out already");
             return;
         }
         Attempt a =
                 new Attempt(
-                        o.id,
-                        o.attempts++,
-                        s.engine(),
+                        openRequest.id,
+                        openRequest.attempts++,
+                        startAttempt.engine(),
                         clock.nowNs(),
-                        o.priority,
-                        o.memoryMb,
+                        openRequest.priority,
+                        openRequest.memoryMb,
                         (attempt, end) -> {
                             if (end.answered()
                                     && end.outcome() != Outcome.SERVED
                                     && end.reason() != AttemptEndReason.STATEMENT_ERROR) {
-                                o.sink.abortPartial(end.outcome());
+                                openRequest.sink.abortPartial(end.outcome());
                             }
                             attemptEnded(attempt, end);
                         });
-        o.out = a;
+        openRequest.out = a;
         a.timer(
                 timer.schedule(
                         () -> a.abort(AttemptEndReason.TIMED_OUT),
-                        s.timeoutNs(),
+                        startAttempt.timeoutNs(),
                         TimeUnit.NANOSECONDS));
-        o.sink.start(a);
+        openRequest.sink.start(a);
     }
 
-    private void ended(Attempt a, Attempt.AttemptEnd end) {
-        OpenRequest o = open.get(a.id());
-        metrics.onAttemptEnded(a.engine(), end.outcome().name());
-        if (o == null || o.out != a) {
+    private void ended(Attempt attempt, Attempt.AttemptEnd end) {
+        OpenRequest openRequest = open.get(attempt.id());
+        metrics.onAttemptEnded(attempt.engine(), end.outcome().name());
+        if (openRequest == null || openRequest.out != attempt) {
             return;
         }
-        o.out = null;
-        o.mayHaveRun |= end.outcome().mayHaveRun();
-        boolean over = end.answered() || o.answered;
-        if (!o.answered && end.answered()) {
+        openRequest.out = null;
+        openRequest.mayHaveRun |= end.outcome().mayHaveRun();
+        boolean over = end.answered() || openRequest.answered;
+        if (!openRequest.answered && end.answered()) {
             answered(
-                    o,
+                    openRequest,
                     end.reason() == AttemptEndReason.SERVED
                             ? "served"
                             : end.reason() == AttemptEndReason.STATEMENT_ERROR
                                     ? "error"
                                     : "broken");
         }
-        if (o.answered) {
-            open.remove(o.id);
+        if (openRequest.answered) {
+            open.remove(openRequest.id);
         }
         hand(
                 new AttemptEnded(
-                        a.id(),
-                        a.attemptNumber(),
-                        a.engine(),
+                        attempt.id(),
+                        attempt.attemptNumber(),
+                        attempt.engine(),
                         end.outcome(),
-                        clock.nowNs() - a.startNs(),
+                        clock.nowNs() - attempt.startNs(),
                         over,
                         end.report().workMs(),
                         end.report().memoryMb(),
@@ -361,13 +366,13 @@
                                                         report))));
     }
 
-    private void answered(OpenRequest o, String how) {
-        o.answered = true;
-        o.overdue.cancel(false);
+    private void answered(OpenRequest openRequest, String how) {
+        openRequest.answered = true;
+        openRequest.overdue.cancel(false);
         openCount.decrementAndGet();
-        metrics.onAnswered(o.request.queryClass(), how);
-        if (o.out == null) {
-            open.remove(o.id);
+        metrics.onAnswered(openRequest.request.queryClass(), how);
+        if (openRequest.out == null) {
+            open.remove(openRequest.id);
         }
     }
 
@@ -375,31 +380,36 @@
      * Guards against a module that forgets a request: the answer comes before the client gives up
      * all the same.
      */
-    private void overdue(OpenRequest o) {
-        if (!o.answered) {
-            if (o.out != null) {
-                o.out.abort(
+    private void overdue(OpenRequest openRequest) {
+        if (!openRequest.answered) {
+            if (openRequest.out != null) {
+                openRequest.out.abort(
                         AttemptEndReason
                                 .TIMED_OUT); // its end, which waits in the queue, is told first
                 // where it answers
-                if (o.out.phase() == AttemptPhase.ANSWERING) {
+                if (openRequest.out.phase() == AttemptPhase.ANSWERING) {
                     return;
                 }
             }
-            LOG.error("request {} of class {} is overdue", o.id, o.request.queryClass());
-            lastResort(o, "overdue");
+            LOG.error(
+                    "request {} of class {} is overdue",
+                    openRequest.id,
+                    openRequest.request.queryClass());
+            lastResort(openRequest, "overdue");
         }
     }
 
-    private void lastResort(OpenRequest o, String how) {
-        boolean maybe = o.mayHaveRun || o.out != null && o.out.phase().mayRun();
-        answered(o, how);
-        if (FallbackResponse.refuse(classes.get(o.request.queryClass()), maybe)) {
-            o.sink.reject(0);
+    private void lastResort(OpenRequest openRequest, String how) {
+        boolean maybe =
+                openRequest.mayHaveRun
+                        || openRequest.out != null && openRequest.out.phase().mayRun();
+        answered(openRequest, how);
+        if (FallbackResponse.refuse(classes.get(openRequest.request.queryClass()), maybe)) {
+            openRequest.sink.reject(0);
         } else {
-            o.sink.fail();
+            openRequest.sink.fail();
         }
-        hand(new ClientDisconnected(o.id));
+        hand(new ClientDisconnected(openRequest.id));
     }
 
     // ---- Stop
@@ -419,16 +429,17 @@
                 () ->
                         new ArrayList<>(open.values())
                                 .stream()
-                                        .filter(o -> !o.answered)
+                                        .filter(openRequest -> !openRequest.answered)
                                         .forEach(
-                                                o -> {
-                                                    if (o.out != null) {
-                                                        o.out.abort(AttemptEndReason.CANCELLED);
+                                                openRequest -> {
+                                                    if (openRequest.out != null) {
+                                                        openRequest.out.abort(
+                                                                AttemptEndReason.CANCELLED);
                                                     }
-                                                    if (o.out == null
-                                                            || o.out.phase()
+                                                    if (openRequest.out == null
+                                                            || openRequest.out.phase()
                                                                     != AttemptPhase.ANSWERING) {
-                                                        lastResort(o, "stopped");
+                                                        lastResort(openRequest, "stopped");
                                                     }
                                                 }));
         long grace = clock.nowNs() + TimeUnit.SECONDS.toNanos(1);
--- a/router/src/main/java/ashlink/router/core/PrometheusRequestMetrics.java
+++ b/router/src/main/java/ashlink/router/core/PrometheusRequestMetrics.java
@@ -48,12 +48,12 @@
         GaugeWithCallback.builder()
                 .name("ashlink_queue")
                 .help("Events waiting for the decision thread")
-                .callback(c -> c.call(queued.getAsInt()))
+                .callback(callback -> callback.call(queued.getAsInt()))
                 .register(registry);
         GaugeWithCallback.builder()
                 .name("ashlink_open_requests")
                 .help("Requests without a final answer")
-                .callback(c -> c.call(open.getAsInt()))
+                .callback(callback -> callback.call(open.getAsInt()))
                 .register(registry);
     }
 
--- a/router/src/main/java/ashlink/router/discovery/EndpointListStore.java
+++ b/router/src/main/java/ashlink/router/discovery/EndpointListStore.java
@@ -82,13 +82,16 @@
         ByteArrayOutputStream payload = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(payload);
         out.writeInt(entries.size());
-        for (Endpoint e : entries) {
-            out.writeUTF(e.engine());
-            out.writeUTF(storedName(e.state()));
-            out.writeUTF(e.zone());
-            out.writeUTF(e.kind());
-            out.writeLong(e.cell());
-            out.writeLong(e.startedNs() == 0 ? 0 : nowEpochMs - (nowNs - e.startedNs()) / MS);
+        for (Endpoint endpoint : entries) {
+            out.writeUTF(endpoint.engine());
+            out.writeUTF(storedName(endpoint.state()));
+            out.writeUTF(endpoint.zone());
+            out.writeUTF(endpoint.kind());
+            out.writeLong(endpoint.cell());
+            out.writeLong(
+                    endpoint.startedNs() == 0
+                            ? 0
+                            : nowEpochMs - (nowNs - endpoint.startedNs()) / MS);
         }
         byte[] bytes = payload.toByteArray();
         ByteBuffer whole = ByteBuffer.allocate(HEADER_BYTES + bytes.length);
--- a/router/src/main/java/ashlink/router/discovery/EndpointRegistry.java
+++ b/router/src/main/java/ashlink/router/discovery/EndpointRegistry.java
@@ -47,15 +47,16 @@
     public EndpointsChanged configure(Iterable<EngineSpec> specs) {
         Map<String, Known> before = new LinkedHashMap<>(engines);
         engines.clear();
-        for (EngineSpec s : specs) {
-            Known k = before.getOrDefault(s.name(), new Known());
-            boolean moved = k.spec != null && !k.spec.address().equals(s.address());
+        for (EngineSpec engineSpec : specs) {
+            Known known = before.getOrDefault(engineSpec.name(), new Known());
+            boolean moved =
+                    known.spec != null && !known.spec.address().equals(engineSpec.address());
             if (moved) {
-                k = new Known(); // another process under the same name
+                known = new Known(); // another process under the same name
             }
-            k.spec = s;
-            k.phase = s.phase();
-            engines.put(s.name(), k);
+            known.spec = engineSpec;
+            known.phase = engineSpec.phase();
+            engines.put(engineSpec.name(), known);
         }
         return new EndpointsChanged(EndpointListKind.SNAPSHOT, entries());
     }
@@ -64,40 +65,40 @@
      * The list says that of one engine; nothing where the engine is not known or nothing changes.
      */
     public Optional<EndpointsChanged> phase(String engine, EndpointState phase) {
-        Known k = engines.get(engine);
-        if (k == null || k.phase == phase) {
+        Known known = engines.get(engine);
+        if (known == null || known.phase == phase) {
             return Optional.empty();
         }
-        k.phase = phase;
-        return Optional.of(changed(k));
+        known.phase = phase;
+        return Optional.of(changed(known));
     }
 
     /** An engine told how long it has been up. */
     public Optional<EndpointsChanged> uptime(String engine, long upNs, long now) {
-        Known k = engines.get(engine);
-        if (k == null || upNs < 0) {
+        Known known = engines.get(engine);
+        if (known == null || upNs < 0) {
             return Optional.empty();
         }
         long started = now - upNs;
-        boolean longAgo = k.startedNs == 0 && upNs >= coldNs;
-        boolean same = k.startedNs != 0 && Math.abs(started - k.startedNs) <= SAME_START_NS;
+        boolean longAgo = known.startedNs == 0 && upNs >= coldNs;
+        boolean same = known.startedNs != 0 && Math.abs(started - known.startedNs) <= SAME_START_NS;
         boolean older =
-                k.startedNs != 0
-                        && started < k.startedNs
-                        && !k.assumed; // rounding, or a late answer
+                known.startedNs != 0
+                        && started < known.startedNs
+                        && !known.assumed; // rounding, or a late answer
         if (longAgo || same || older) {
             return Optional.empty();
         }
-        k.startedNs = upNs >= coldNs ? 0 : Math.max(1, started); // 0 is long ago
-        k.assumed = false;
-        return Optional.of(changed(k));
+        known.startedNs = upNs >= coldNs ? 0 : Math.max(1, started); // 0 is long ago
+        known.assumed = false;
+        return Optional.of(changed(known));
     }
 
     /** No connection could be made to an engine. */
     public void unreachable(String engine) {
-        Known k = engines.get(engine);
-        if (k != null) {
-            k.unreachable = true;
+        Known known = engines.get(engine);
+        if (known != null) {
+            known.unreachable = true;
         }
     }
 
@@ -106,25 +107,25 @@
      * tells otherwise.
      */
     public Optional<EndpointsChanged> connected(String engine, long now) {
-        Known k = engines.get(engine);
-        if (k == null || !k.unreachable) {
+        Known known = engines.get(engine);
+        if (known == null || !known.unreachable) {
             return Optional.empty();
         }
-        k.unreachable = false;
+        known.unreachable = false;
         if (coldNs <= 0) {
             return Optional.empty();
         }
-        k.startedNs = now;
-        k.assumed = true;
-        return Optional.of(changed(k));
+        known.startedNs = now;
+        known.assumed = true;
+        return Optional.of(changed(known));
     }
 
     /** The start times in hand, for a list that is kept; 0 is long ago. */
     public List<Endpoint> entries() {
         List<Endpoint> entries = new ArrayList<>();
-        for (Known k : engines.values()) {
-            if (k.phase != EndpointState.REMOVED) {
-                entries.add(entry(k));
+        for (Known known : engines.values()) {
+            if (known.phase != EndpointState.REMOVED) {
+                entries.add(entry(known));
             }
         }
         return entries;
@@ -135,20 +136,26 @@
      * alike.
      */
     public void remember(Iterable<Endpoint> kept) {
-        for (Endpoint e : kept) {
-            Known k = engines.get(e.engine());
-            if (k != null && k.startedNs == 0) {
-                k.startedNs = Math.max(0, e.startedNs());
+        for (Endpoint endpoint : kept) {
+            Known known = engines.get(endpoint.engine());
+            if (known != null && known.startedNs == 0) {
+                known.startedNs = Math.max(0, endpoint.startedNs());
             }
         }
     }
 
-    private static EndpointsChanged changed(Known k) {
-        return new EndpointsChanged(EndpointListKind.DELTA, List.of(entry(k)));
+    private static EndpointsChanged changed(Known known) {
+        return new EndpointsChanged(EndpointListKind.DELTA, List.of(entry(known)));
     }
 
-    private static Endpoint entry(Known k) {
-        EngineSpec s = k.spec;
-        return new Endpoint(s.name(), k.phase, s.zone(), s.kind(), s.cell(), k.startedNs);
+    private static Endpoint entry(Known known) {
+        EngineSpec engineSpec = known.spec;
+        return new Endpoint(
+                engineSpec.name(),
+                known.phase,
+                engineSpec.zone(),
+                engineSpec.kind(),
+                engineSpec.cell(),
+                known.startedNs);
     }
 }
--- a/router/src/main/java/ashlink/router/frontend/NativeAttempt.java
+++ b/router/src/main/java/ashlink/router/frontend/NativeAttempt.java
@@ -102,16 +102,16 @@
      * Bytes of the engine that make no sense, or too many: what cannot be passed on is the
      * statement's end.
      */
-    private AttemptEndReason garbled(WireException e) {
-        exchange.lastError(attempt.engine() + ": " + e.getMessage());
+    private AttemptEndReason garbled(WireException failure) {
+        exchange.lastError(attempt.engine() + ": " + failure.getMessage());
         boolean own =
-                e.reason() == WireException.Reason.UNKNOWN_TYPE
-                        || e.reason() == WireException.Reason.TOO_LARGE;
+                failure.reason() == WireException.Reason.UNKNOWN_TYPE
+                        || failure.reason() == WireException.Reason.TOO_LARGE;
         if (own
                 && !bound
                 && attempt.phase() == AttemptPhase.RUNNING
                 && attempt.end(AttemptEndReason.STATEMENT_ERROR, AttemptReport.NONE)) {
-            exchange.finish(ResponseWriter.wire(e), StatementOutcome.ERROR);
+            exchange.finish(ResponseWriter.wire(failure), StatementOutcome.ERROR);
             return null;
         }
         return AttemptEndReason.CONNECTION_BROKEN;
@@ -126,16 +126,17 @@
         if (!attempt.advance(AttemptPhase.CONNECTING)) {
             return AttemptEndReason.CANCELLED;
         }
-        NativeEngineConnection c = context.engines().take(attempt.engine(), exchange.database());
-        engine = c;
+        NativeEngineConnection connection =
+                context.engines().take(attempt.engine(), exchange.database());
+        engine = connection;
         attempt.closer(
                 () -> {
-                    c.close();
+                    connection.close();
                     if (feed != null) {
                         feed.wake();
                     }
                 });
-        ByteBuf query = query(c.revision());
+        ByteBuf query = query(connection.revision());
         if (!attempt.advance(AttemptPhase.SENDING)) {
             return AttemptEndReason.CANCELLED;
         }
@@ -144,7 +145,7 @@
                     .ENGINE_DRAINING; // asked last of all, so that the grace holds for the first
             // byte
         }
-        c.write(query);
+        connection.write(query);
         if (!attempt.advance(
                 exchange.waitsForData() ? AttemptPhase.FEEDING : AttemptPhase.RUNNING)) {
             return AttemptEndReason.CANCELLED;
@@ -153,11 +154,11 @@
     }
 
     private ByteBuf query(int revision) throws WireException {
-        QueryPacket q = exchange.query();
+        QueryPacket queryPacket = exchange.query();
         List<Setting> settings = new ArrayList<>();
-        for (Setting s : q.settings()) {
-            if (!s.name().startsWith(OWN_SETTINGS)) {
-                settings.add(s);
+        for (Setting setting : queryPacket.settings()) {
+            if (!setting.name().startsWith(OWN_SETTINGS)) {
+                settings.add(setting);
             }
         }
         if (attempt.memoryMb() > 0) {
@@ -179,11 +180,11 @@
                         + attempt.id()
                         + "-"
                         + attempt.attemptNumber();
-        ClientInfo by = q.client();
+        ClientInfo by = queryPacket.client();
         ClientInfo info =
                 new ClientInfo(
                         by.user(),
-                        q.id().isEmpty() ? id : q.id(),
+                        queryPacket.id().isEmpty() ? id : queryPacket.id(),
                         by.address(),
                         by.osUser(),
                         by.host(),
@@ -194,7 +195,13 @@
                         by.patch(),
                         by.quotaKey());
         ByteBuf out = new ByteBuf();
-        new QueryPacket(id, info, settings, q.stage(), q.compressed(), q.statement())
+        new QueryPacket(
+                        id,
+                        info,
+                        settings,
+                        queryPacket.stage(),
+                        queryPacket.compressed(),
+                        queryPacket.statement())
                 .write(revision, out);
         return out.append(exchange.externalTables(), 0, exchange.externalTables().length);
     }
@@ -249,10 +256,10 @@
             size = engine.blocks().skip(kind.isCompressible() && exchange.query().compressed());
             wanted = kind != ServerPacket.LOG || Revision.hasLogs(peer);
         } else if (kind == ServerPacket.PROGRESS) {
-            Progress p = Progress.read(in, engine.revision());
+            Progress progress = Progress.read(in, engine.revision());
             in.endTap();
             answer.truncate(packetFrom);
-            p.write(peer, answer);
+            progress.write(peer, answer);
             return null;
         } else if (kind == ServerPacket.PROFILE_INFO) {
             ProfileInfo.read(in);
@@ -306,11 +313,12 @@
      * Ends the attempt by an engine's exception; the connection is clean but where data was still
      * expected.
      */
-    private AttemptEndReason exception(ServerError e, boolean fed) throws IOException {
+    private AttemptEndReason exception(ServerError serverError, boolean fed) throws IOException {
         engine.in().endTap();
         AttemptEndReason cause =
-                bound ? AttemptEndReason.STATEMENT_ERROR : EngineErrors.cause(e.code());
-        exchange.lastError(attempt.engine() + ": code " + e.code() + ": " + e.message());
+                bound ? AttemptEndReason.STATEMENT_ERROR : EngineErrors.cause(serverError.code());
+        exchange.lastError(
+                attempt.engine() + ": code " + serverError.code() + ": " + serverError.message());
         boolean first = attempt.end(cause, context.engines().gauges().told(told));
         giveBack(first && fed);
         if (first && cause == AttemptEndReason.STATEMENT_ERROR) {
--- a/router/src/main/java/ashlink/router/frontend/NativeClientConnection.java
+++ b/router/src/main/java/ashlink/router/frontend/NativeClientConnection.java
@@ -87,16 +87,16 @@
      * Tells the client what was wrong, unless an answer is under way, which an exception would cut
      * in two.
      */
-    private void complain(WireException e) {
+    private void complain(WireException failure) {
         LOG.atInfo()
                 .addKeyValue("client", client.peer())
-                .addKeyValue("reason", e.reason())
-                .log(e.getMessage());
+                .addKeyValue("reason", failure.reason())
+                .log(failure.getMessage());
         try {
             if (exchange != null && !exchange.isDone()) {
-                exchange.refuseInput(e);
-            } else if (e.reason() != WireException.Reason.TRUNCATED) {
-                client.write(ResponseWriter.wire(e));
+                exchange.refuseInput(failure);
+            } else if (failure.reason() != WireException.Reason.TRUNCATED) {
+                client.write(ResponseWriter.wire(failure));
             }
         } catch (IOException gone) {
             LOG.debug("client {} is gone", client.peer());
--- a/router/src/main/java/ashlink/router/frontend/NativeListener.java
+++ b/router/src/main/java/ashlink/router/frontend/NativeListener.java
@@ -80,17 +80,17 @@
             }
             socket.setTcpNoDelay(true);
             sockets.add(socket);
-            NativeClientConnection c =
+            NativeClientConnection connection =
                     new NativeClientConnection(
                             context, logins, socket, () -> sockets.remove(socket));
-            Thread t =
+            Thread thread =
                     new Thread(
                             null,
-                            c,
+                            connection,
                             "client-" + socket.getPort(),
                             context.config().bounds().stackBytes());
-            t.setDaemon(true);
-            t.start();
+            thread.setDaemon(true);
+            thread.start();
         } catch (IOException | OutOfMemoryError e) {
             sockets.remove(socket);
             socket.close();
@@ -108,9 +108,9 @@
 
     /** Closes all clients. */
     public void closeAll() {
-        for (Socket s : sockets) {
+        for (Socket socket : sockets) {
             try {
-                s.close();
+                socket.close();
             } catch (IOException e) {
                 // it is gone either way
             }
--- a/router/src/main/java/ashlink/router/frontend/NativeResponseChannel.java
+++ b/router/src/main/java/ashlink/router/frontend/NativeResponseChannel.java
@@ -37,8 +37,8 @@
 
     @Override
     public String peer() {
-        return socket.getRemoteSocketAddress() instanceof java.net.InetSocketAddress a
-                ? a.getAddress().getHostAddress() + ":" + a.getPort()
+        return socket.getRemoteSocketAddress() instanceof java.net.InetSocketAddress address
+                ? address.getAddress().getHostAddress() + ":" + address.getPort()
                 : "";
     }
 
--- a/router/src/main/java/ashlink/router/frontend/RequestAdmission.java
+++ b/router/src/main/java/ashlink/router/frontend/RequestAdmission.java
@@ -29,9 +29,9 @@
             String database,
             QueryPacket query,
             byte[] tables) {
-        Prepared p = prepare(context, client, revision, userName, database, query, tables);
-        p.submit();
-        return p.exchange;
+        Prepared prepared = prepare(context, client, revision, userName, database, query, tables);
+        prepared.submit();
+        return prepared.exchange;
     }
 
     /** A statement that was read and classified, and not yet put to the core. */
@@ -96,14 +96,14 @@
             byte[] tables) {
         RouterConfig config = context.config();
         Map<String, String> settings = new HashMap<>();
-        for (Setting s : query.settings()) {
-            settings.put(s.name(), s.value());
+        for (Setting setting : query.settings()) {
+            settings.put(setting.name(), setting.value());
         }
         StatementAnalysis reading = context.statements().read(query.statement(), database);
         if (reading.kind() == Kind.UNKNOWN) {
             context.unknowns().tell(reading, userName);
         }
-        QueryClass c =
+        QueryClass queryClass =
                 context.classifier()
                         .get()
                         .decide(userName, database, reading, settings)
@@ -111,14 +111,15 @@
         UserSpec user = config.users().get(userName);
         CoreRequest request =
                 RequestHints.request(
-                        c,
+                        queryClass,
                         reading,
                         settings,
                         user == null ? "" : user.tenant(),
                         config.bounds().answerMarginNs());
         return new Prepared(
                 context,
-                new RequestExchange(context, client, revision, database, query, tables, c, reading),
+                new RequestExchange(
+                        context, client, revision, database, query, tables, queryClass, reading),
                 request);
     }
 }
--- a/router/src/main/java/ashlink/router/frontend/RequestExchange.java
+++ b/router/src/main/java/ashlink/router/frontend/RequestExchange.java
@@ -112,11 +112,11 @@
 
     // ---- From the core; none of these waits
     @Override
-    public void start(Attempt a) {
+    public void start(Attempt attempt) {
         try {
-            context.workers().execute(new NativeAttempt(context, this, a));
+            context.workers().execute(new NativeAttempt(context, this, attempt));
         } catch (RejectedExecutionException e) {
-            a.end(AttemptEndReason.NO_CAPACITY, Attempt.AttemptReport.NONE);
+            attempt.end(AttemptEndReason.NO_CAPACITY, Attempt.AttemptReport.NONE);
         }
     }
 
@@ -233,9 +233,9 @@
     /**
      * The client sent what makes no sense: that ends the statement, unless an answer is under way.
      */
-    public void refuseInput(WireException e) {
+    public void refuseInput(WireException failure) {
         context.core().clientGone(id);
-        finish(ResponseWriter.wire(e), StatementOutcome.BAD_INPUT);
+        finish(ResponseWriter.wire(failure), StatementOutcome.BAD_INPUT);
     }
 
     /** The client is gone; nothing more is written. */
--- a/router/src/main/java/ashlink/router/frontend/RequestHints.java
+++ b/router/src/main/java/ashlink/router/frontend/RequestHints.java
@@ -25,16 +25,20 @@
 
     /** The request that the core is given; what is told wrongly is as if it was not told. */
     static CoreRequest request(
-            QueryClass c,
+            QueryClass queryClass,
             StatementAnalysis reading,
             Map<String, String> settings,
             String tenant,
             long marginNs) {
         double limit = number(settings.get(TIME_LIMIT_S)) * S;
         long allowed =
-                (long) (limit > 0 ? Math.min(limit, c.deadlineNs()) : c.deadlineNs()) - marginNs;
+                (long)
+                                (limit > 0
+                                        ? Math.min(limit, queryClass.deadlineNs())
+                                        : queryClass.deadlineNs())
+                        - marginNs;
         return new CoreRequest(
-                c.name(),
+                queryClass.name(),
                 settings.get(KEY),
                 tables(reading, settings.get(TABLES)),
                 allowed,
--- a/router/src/main/java/ashlink/router/frontend/ResponseWriter.java
+++ b/router/src/main/java/ashlink/router/frontend/ResponseWriter.java
@@ -72,13 +72,13 @@
         return new ServerError(LOGIN, "ashlink::Login", "ashlink: user or password is wrong");
     }
 
-    static ServerError wire(WireException e) {
+    static ServerError wire(WireException failure) {
         int code =
-                switch (e.reason()) {
+                switch (failure.reason()) {
                     case UNKNOWN_TYPE -> UNKNOWN_TYPE;
                     case TOO_LARGE -> LIMIT;
                     default -> PROTOCOL;
                 };
-        return new ServerError(code, "ashlink::Protocol", "ashlink: " + e.getMessage());
+        return new ServerError(code, "ashlink::Protocol", "ashlink: " + failure.getMessage());
     }
 }
--- a/router/src/main/java/ashlink/router/http/HeaderTimeoutGuard.java
+++ b/router/src/main/java/ashlink/router/http/HeaderTimeoutGuard.java
@@ -24,22 +24,22 @@
     }
 
     @Override
-    public void onOpened(Connection c) {
-        connections.put(c, new Seen());
+    public void onOpened(Connection connection) {
+        connections.put(connection, new Seen());
     }
 
     @Override
-    public void onClosed(Connection c) {
-        connections.remove(c);
+    public void onClosed(Connection connection) {
+        connections.remove(connection);
     }
 
     /** Looks at all connections; called from time to time. */
     void look(long nowNs) {
         connections.forEach(
-                (c, seen) -> {
-                    long messages = c.getMessagesIn();
-                    long bytes = c.getBytesIn();
-                    boolean idle = messages == c.getMessagesOut();
+                (connection, seen) -> {
+                    long messages = connection.getMessagesIn();
+                    long bytes = connection.getBytesIn();
+                    boolean idle = messages == connection.getMessagesOut();
                     if (messages != seen.messages || !idle) {
                         seen.messages = messages;
                         seen.bytes = bytes;
@@ -47,7 +47,7 @@
                     } else if (bytes != seen.bytes && seen.sinceNs < 0) {
                         seen.sinceNs = nowNs;
                     } else if (seen.sinceNs >= 0 && nowNs - seen.sinceNs > limitNs) {
-                        c.getEndPoint().close();
+                        connection.getEndPoint().close();
                     }
                 });
     }
--- a/router/src/main/java/ashlink/router/http/HttpListener.java
+++ b/router/src/main/java/ashlink/router/http/HttpListener.java
@@ -124,7 +124,7 @@
         GaugeWithCallback.builder()
                 .name(name)
                 .help(help)
-                .callback(c -> c.call(figure.getAsDouble()))
+                .callback(callback -> callback.call(figure.getAsDouble()))
                 .register(metrics);
     }
 
@@ -210,7 +210,7 @@
 
     /** Ends at once, as a crash would: nobody is told anything. */
     public void kill() {
-        connector.getConnectedEndPoints().forEach(e -> e.close());
+        connector.getConnectedEndPoints().forEach(endPoint -> endPoint.close());
         end();
     }
 
--- a/router/src/main/java/ashlink/router/http/HttpStatement.java
+++ b/router/src/main/java/ashlink/router/http/HttpStatement.java
@@ -50,7 +50,7 @@
 
     /** Does what is due when it is answered, before anybody is told; may wait for the disk. */
     interface WhenAnswered {
-        void answered(HttpStatement s, StatementOutcome how) throws IOException;
+        void answered(HttpStatement httpStatement, StatementOutcome how) throws IOException;
     }
 
     private static final class Waiter {
@@ -123,8 +123,8 @@
         this.life = new StatementLifecycle(terms, System.nanoTime());
     }
 
-    void exchange(RequestExchange e) {
-        exchange = e;
+    void exchange(RequestExchange requestExchange) {
+        exchange = requestExchange;
     }
 
     /** Who is given the columns that an insert's data is wanted for. */
@@ -230,12 +230,13 @@
      * The result cannot be kept: what runs is called off where that is allowed, and its client
      * told.
      */
-    private void lose(IOException e) {
+    private void lose(IOException failure) {
         synchronized (state) {
             if (lost == null && !closed) {
                 lost =
                         ProblemDetail.of(
-                                ProblemDetail.Kind.RESULT_LOST, String.valueOf(e.getMessage()));
+                                ProblemDetail.Kind.RESULT_LOST,
+                                String.valueOf(failure.getMessage()));
             }
         }
     }
@@ -251,9 +252,9 @@
             if (kind == ServerPacket.EXCEPTION) {
                 error = ServerError.read(in, limits);
             } else if (kind == ServerPacket.PROGRESS) {
-                Progress p = Progress.read(in, Revision.HIGHEST);
-                readRows += p.rows();
-                readBytes += p.bytes();
+                Progress progress = Progress.read(in, Revision.HIGHEST);
+                readRows += progress.rows();
+                readBytes += progress.bytes();
             } else if (kind.hasBlock()) {
                 in.readString("table", limits.nameBytes());
                 int from = (int) in.consumed();
@@ -316,17 +317,17 @@
     }
 
     private Stored keepPage() throws IOException {
-        Stored s = keep(open.array(), open.size());
+        Stored stored = keep(open.array(), open.size());
         open.clear();
-        return s;
+        return stored;
     }
 
     private Stored keep(byte[] blocks, int length) throws IOException {
         try {
-            Stored s =
+            Stored stored =
                     store.store(id, user, window.closed(), blocks, length, inMemory, () -> closed);
-            inMemory += s.length();
-            return s;
+            inMemory += stored.length();
+            return stored;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("the router stops", e);
@@ -362,7 +363,7 @@
             Executor executor,
             ScheduledExecutorService timers,
             Consumer<Told> to) {
-        Waiter w =
+        Waiter waiter =
                 new Waiter(
                         page,
                         told -> {
@@ -378,20 +379,20 @@
             life.asked(System.nanoTime());
             now = look(page);
             if (now == null && waitNs > 0) {
-                Waiter waiting = new Waiter(page, told -> later(executor, w, told));
+                Waiter waiting = new Waiter(page, told -> later(executor, waiter, told));
                 waiting.timer = timers.schedule(() -> tell(waiting), waitNs, TimeUnit.NANOSECONDS);
                 waiters.add(waiting);
                 return;
             }
         }
-        w.to.accept(now == null ? notYet() : now);
+        waiter.to.accept(now == null ? notYet() : now);
     }
 
-    private void later(Executor executor, Waiter w, Told told) {
+    private void later(Executor executor, Waiter waiter, Told told) {
         try {
-            executor.execute(() -> w.to.accept(told));
+            executor.execute(() -> waiter.to.accept(told));
         } catch (RejectedExecutionException e) {
-            w.to.accept(told); // the server stops
+            waiter.to.accept(told); // the server stops
         }
     }
 
@@ -401,17 +402,17 @@
         return due;
     }
 
-    private void tell(Waiter w) {
-        if (w.told.compareAndSet(false, true)) {
-            if (w.timer != null) {
-                w.timer.cancel(false);
+    private void tell(Waiter waiter) {
+        if (waiter.told.compareAndSet(false, true)) {
+            if (waiter.timer != null) {
+                waiter.timer.cancel(false);
             }
             Told told;
             synchronized (state) {
-                waiters.remove(w);
-                told = look(w.page);
+                waiters.remove(waiter);
+                told = look(waiter.page);
             }
-            w.to.accept(told == null ? notYet() : told);
+            waiter.to.accept(told == null ? notYet() : told);
         }
     }
 
@@ -481,8 +482,8 @@
         }
     }
 
-    private static Told problem(ProblemDetail p) {
-        return new Told(-1, null, null, false, p);
+    private static Told problem(ProblemDetail problemDetail) {
+        return new Told(-1, null, null, false, problemDetail);
     }
 
     // ---- Its end
--- a/router/src/main/java/ashlink/router/http/ProblemDetail.java
+++ b/router/src/main/java/ashlink/router/http/ProblemDetail.java
@@ -100,25 +100,26 @@
     }
 
     byte[] json(String statement) {
-        ObjectNode n = JSON.createObjectNode();
-        n.put("type", "/problems/" + kind.word())
+        ObjectNode objectNode = JSON.createObjectNode();
+        objectNode
+                .put("type", "/problems/" + kind.word())
                 .put("title", kind.title)
                 .put("status", kind.status);
-        n.put("mayHaveRun", kind.mayHaveRun);
+        objectNode.put("mayHaveRun", kind.mayHaveRun);
         if (!detail.isEmpty()) {
-            n.put("detail", detail);
+            objectNode.put("detail", detail);
         }
         if (code != 0) {
-            n.put("code", code);
+            objectNode.put("code", code);
         }
         if (retryAfterNs > 0) {
-            n.put("retryAfterMs", (retryAfterNs + MS - 1) / MS);
+            objectNode.put("retryAfterMs", (retryAfterNs + MS - 1) / MS);
         }
         if (statement != null) {
-            n.put("statement", statement);
+            objectNode.put("statement", statement);
         }
         try {
-            return JSON.writeValueAsBytes(n);
+            return JSON.writeValueAsBytes(objectNode);
         } catch (JsonProcessingException e) {
             throw new IllegalStateException(e);
         }
--- a/router/src/main/java/ashlink/router/http/ResultFormat.java
+++ b/router/src/main/java/ashlink/router/http/ResultFormat.java
@@ -101,85 +101,85 @@
     private static void json(
             List<Table> tables, Table columns, int page, Around around, ByteArrayBuilder out)
             throws IOException {
-        try (JsonGenerator g = FACTORY.createGenerator(out)) {
-            g.writeStartObject();
-            g.writeStringField("id", around.id);
-            g.writeStringField("state", around.state);
-            g.writeNumberField("page", page);
-            g.writeArrayFieldStart("columns");
+        try (JsonGenerator generator = FACTORY.createGenerator(out)) {
+            generator.writeStartObject();
+            generator.writeStringField("id", around.id);
+            generator.writeStringField("state", around.state);
+            generator.writeNumberField("page", page);
+            generator.writeArrayFieldStart("columns");
             for (int c = 0; columns != null && c < columns.names().size(); c++) {
-                g.writeStartObject();
-                g.writeStringField("name", columns.names().get(c));
-                g.writeStringField("type", columns.types().get(c));
-                g.writeEndObject();
+                generator.writeStartObject();
+                generator.writeStringField("name", columns.names().get(c));
+                generator.writeStringField("type", columns.types().get(c));
+                generator.writeEndObject();
             }
-            g.writeEndArray();
-            g.writeArrayFieldStart("rows");
-            for (Table t : tables) {
-                for (int r = 0; r < t.rows(); r++) {
-                    g.writeStartArray();
-                    for (Object[] column : t.columns()) {
-                        value(column[r], g);
+            generator.writeEndArray();
+            generator.writeArrayFieldStart("rows");
+            for (Table table : tables) {
+                for (int r = 0; r < table.rows(); r++) {
+                    generator.writeStartArray();
+                    for (Object[] column : table.columns()) {
+                        value(column[r], generator);
                     }
-                    g.writeEndArray();
+                    generator.writeEndArray();
                 }
             }
-            g.writeEndArray();
+            generator.writeEndArray();
             if (around.nextUri != null) {
-                g.writeStringField("nextUri", around.nextUri);
+                generator.writeStringField("nextUri", around.nextUri);
             }
-            g.writeEndObject();
+            generator.writeEndObject();
         }
     }
 
     private static void lines(List<Table> tables, ByteArrayBuilder out) throws IOException {
-        try (JsonGenerator g = FACTORY.createGenerator(out)) {
-            g.setRootValueSeparator(null);
-            for (Table t : tables) {
-                for (int r = 0; r < t.rows(); r++) {
-                    g.writeStartObject();
-                    for (int c = 0; c < t.columns().size(); c++) {
-                        g.writeFieldName(t.names().get(c));
-                        value(t.columns().get(c)[r], g);
+        try (JsonGenerator generator = FACTORY.createGenerator(out)) {
+            generator.setRootValueSeparator(null);
+            for (Table table : tables) {
+                for (int r = 0; r < table.rows(); r++) {
+                    generator.writeStartObject();
+                    for (int c = 0; c < table.columns().size(); c++) {
+                        generator.writeFieldName(table.names().get(c));
+                        value(table.columns().get(c)[r], generator);
                     }
-                    g.writeEndObject();
-                    g.writeRaw('\n');
+                    generator.writeEndObject();
+                    generator.writeRaw('\n');
                 }
             }
         }
     }
 
-    private static void value(Object v, JsonGenerator g) throws IOException {
+    private static void value(Object v, JsonGenerator generator) throws IOException {
         if (v == null) {
-            g.writeNull();
+            generator.writeNull();
         } else if (v instanceof Long n) {
-            g.writeNumber(n);
+            generator.writeNumber(n);
         } else if (v instanceof BigInteger || v instanceof String) {
-            g.writeString(v.toString());
-        } else if (v instanceof BigDecimal d) {
-            g.writeString(d.toPlainString());
+            generator.writeString(v.toString());
+        } else if (v instanceof BigDecimal bigDecimal) {
+            generator.writeString(bigDecimal.toPlainString());
         } else if (v instanceof Boolean b) {
-            g.writeBoolean(b);
+            generator.writeBoolean(b);
         } else if (v instanceof Double d) {
             if (Double.isFinite(d)) {
-                g.writeNumber(d);
+                generator.writeNumber(d);
             } else {
-                g.writeString(number(d));
+                generator.writeString(number(d));
             }
         } else if (v instanceof Float f) {
             if (Float.isFinite(f)) {
-                g.writeNumber(f);
+                generator.writeNumber(f);
             } else {
-                g.writeString(number(f.doubleValue()));
+                generator.writeString(number(f.doubleValue()));
             }
         } else if (v instanceof byte[] bytes) {
-            text(bytes, g);
+            text(bytes, generator);
         } else {
-            g.writeStartArray();
+            generator.writeStartArray();
             for (Object e : (List<?>) v) {
-                value(e, g);
+                value(e, generator);
             }
-            g.writeEndArray();
+            generator.writeEndArray();
         }
     }
 
@@ -187,15 +187,15 @@
      * Bytes that are no UTF-8 have no text: they are told in base 64, within an object, so that no
      * text looks like it.
      */
-    private static void text(byte[] bytes, JsonGenerator g) throws IOException {
+    private static void text(byte[] bytes, JsonGenerator generator) throws IOException {
         try {
-            g.writeString(
+            generator.writeString(
                     StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString());
         } catch (CharacterCodingException e) {
-            g.writeStartObject();
-            g.writeFieldName("base64");
-            g.writeBinary(bytes);
-            g.writeEndObject();
+            generator.writeStartObject();
+            generator.writeFieldName("base64");
+            generator.writeBinary(bytes);
+            generator.writeEndObject();
         }
     }
 
@@ -216,13 +216,13 @@
             out.write('\r');
             out.write('\n');
         }
-        for (Table t : tables) {
-            for (int r = 0; r < t.rows(); r++) {
-                for (int c = 0; c < t.columns().size(); c++) {
+        for (Table table : tables) {
+            for (int r = 0; r < table.rows(); r++) {
+                for (int c = 0; c < table.columns().size(); c++) {
                     if (c > 0) {
                         out.write(',');
                     }
-                    field(t.columns().get(c)[r], out);
+                    field(table.columns().get(c)[r], out);
                 }
                 out.write('\r');
                 out.write('\n');
@@ -236,12 +236,12 @@
             quoted(bytes, out);
         } else if (v instanceof List<?>) {
             ByteArrayBuilder json = new ByteArrayBuilder();
-            try (JsonGenerator g = FACTORY.createGenerator(json)) {
-                value(v, g);
+            try (JsonGenerator generator = FACTORY.createGenerator(json)) {
+                value(v, generator);
             }
             quoted(json.toByteArray(), out);
-        } else if (v instanceof BigDecimal d) {
-            out.write(d.toPlainString().getBytes(StandardCharsets.US_ASCII));
+        } else if (v instanceof BigDecimal bigDecimal) {
+            out.write(bigDecimal.toPlainString().getBytes(StandardCharsets.US_ASCII));
         } else if (v instanceof Double || v instanceof Float) {
             double d = ((Number) v).doubleValue();
             out.write(
--- a/router/src/main/java/ashlink/router/http/Route.java
+++ b/router/src/main/java/ashlink/router/http/Route.java
@@ -34,8 +34,8 @@
 
     /** A match of that path, whatever the method; null for none. */
     Matcher match(String requested) {
-        Matcher m = pattern.matcher(requested);
-        return m.matches() ? m : null;
+        Matcher matcher = pattern.matcher(requested);
+        return matcher.matches() ? matcher : null;
     }
 
     static String page(String id, int page) {
--- a/router/src/main/java/ashlink/router/http/RowsEncoder.java
+++ b/router/src/main/java/ashlink/router/http/RowsEncoder.java
@@ -36,12 +36,12 @@
      * A Data packet with those rows; {@code MALFORMED} names the row and column that do not fit.
      */
     static byte[] encode(byte[] header, JsonNode rows, WireLimits limits) throws IOException {
-        Table t =
+        Table table =
                 new Blocks(
                                 new StreamSource(new ByteArrayInputStream(header), header.length),
                                 limits)
                         .readValues(0);
-        int width = t.names().size();
+        int width = table.names().size();
         for (int r = 0; r < rows.size(); r++) {
             if (!rows.get(r).isArray() || rows.get(r).size() != width) {
                 throw wrong(
@@ -50,7 +50,7 @@
                                 + " is no array of "
                                 + width
                                 + " values: "
-                                + String.join(", ", t.names()));
+                                + String.join(", ", table.names()));
             }
         }
         ByteBuf out = new ByteBuf(limits.packetBytes());
@@ -63,8 +63,8 @@
                 .putVarUInt(width)
                 .putVarUInt(rows.size());
         for (int c = 0; c < width; c++) {
-            out.putString(t.names().get(c)).putString(t.types().get(c));
-            column(t.types().get(c), t.names().get(c), rows, c, out);
+            out.putString(table.names().get(c)).putString(table.types().get(c));
+            column(table.types().get(c), table.names().get(c), rows, c, out);
         }
         return java.util.Arrays.copyOf(out.array(), out.size());
     }
@@ -83,17 +83,21 @@
                 out.putFlag(row.get(c).isNull());
             }
         }
-        Matcher m = TYPE.matcher(plain);
-        if (!m.matches()) {
+        Matcher matcher = TYPE.matcher(plain);
+        if (!matcher.matches()) {
             throw wrong("column " + name + " of type " + type + " cannot be loaded over HTTP");
         }
         for (int r = 0; r < rows.size(); r++) {
-            JsonNode v = rows.get(r).get(c);
+            JsonNode node = rows.get(r).get(c);
             try {
-                if (v.isNull() && !nullable) {
+                if (node.isNull() && !nullable) {
                     throw new IllegalArgumentException("null");
                 }
-                value(m.group(1), m.group(2) == null ? "" : m.group(2), v, out);
+                value(
+                        matcher.group(1),
+                        matcher.group(2) == null ? "" : matcher.group(2),
+                        node,
+                        out);
             } catch (IllegalArgumentException | DateTimeException | ArithmeticException e) {
                 throw wrong(
                         "row "
@@ -103,35 +107,35 @@
                                 + ": "
                                 + type
                                 + " does not take "
-                                + shown(v));
+                                + shown(node));
             }
         }
     }
 
-    private static String shown(JsonNode v) {
-        String text = v.toString();
+    private static String shown(JsonNode node) {
+        String text = node.toString();
         return text.length() > 60 ? text.substring(0, 60) + "..." : text;
     }
 
-    private static void value(String type, String arguments, JsonNode v, ByteBuf out)
+    private static void value(String type, String arguments, JsonNode node, ByteBuf out)
             throws IOException {
         String[] a = arguments.split("\\s*,\\s*");
         switch (type) {
             case "UInt8", "UInt16", "UInt32", "UInt64", "UInt128", "UInt256" ->
-                    whole(v, bits(type, 4), false, out);
+                    whole(node, bits(type, 4), false, out);
             case "Int8", "Int16", "Int32", "Int64", "Int128", "Int256" ->
-                    whole(v, bits(type, 3), true, out);
-            case "Float32" -> out.putInt(Float.floatToIntBits((float) floating(v)));
-            case "Float64" -> out.putLong(Double.doubleToLongBits(floating(v)));
+                    whole(node, bits(type, 3), true, out);
+            case "Float32" -> out.putInt(Float.floatToIntBits((float) floating(node)));
+            case "Float64" -> out.putLong(Double.doubleToLongBits(floating(node)));
             case "Bool" -> {
-                if (!v.isBoolean() && !v.isNull()) {
+                if (!node.isBoolean() && !node.isNull()) {
                     throw new IllegalArgumentException();
                 }
-                out.putFlag(v.asBoolean());
+                out.putFlag(node.asBoolean());
             }
-            case "String" -> out.putString(v.isNull() ? "" : text(v));
+            case "String" -> out.putString(node.isNull() ? "" : text(node));
             case "FixedString" -> {
-                byte[] bytes = (v.isNull() ? "" : text(v)).getBytes(StandardCharsets.UTF_8);
+                byte[] bytes = (node.isNull() ? "" : text(node)).getBytes(StandardCharsets.UTF_8);
                 int length = Integer.parseInt(a[0]);
                 if (bytes.length > length) {
                     throw new IllegalArgumentException();
@@ -141,36 +145,39 @@
             case "Date" ->
                     little(
                             BigInteger.valueOf(
-                                    v.isNull() ? 0 : LocalDate.parse(text(v)).toEpochDay()),
+                                    node.isNull() ? 0 : LocalDate.parse(text(node)).toEpochDay()),
                             16,
                             false,
                             out);
             case "Date32" ->
                     little(
                             BigInteger.valueOf(
-                                    v.isNull() ? 0 : LocalDate.parse(text(v)).toEpochDay()),
+                                    node.isNull() ? 0 : LocalDate.parse(text(node)).toEpochDay()),
                             32,
                             true,
                             out);
             case "DateTime" ->
                     little(
-                            v.isNull()
+                            node.isNull()
                                     ? BigInteger.ZERO
-                                    : v.isNumber()
-                                            ? v.bigIntegerValue()
+                                    : node.isNumber()
+                                            ? node.bigIntegerValue()
                                             : BigInteger.valueOf(
-                                                    OffsetDateTime.parse(text(v)).toEpochSecond()),
+                                                    OffsetDateTime.parse(text(node))
+                                                            .toEpochSecond()),
                             32,
                             false,
                             out);
             case "DateTime64" ->
                     out.putLong(
-                            v.isNull()
+                            node.isNull()
                                     ? 0
-                                    : ticks(OffsetDateTime.parse(text(v)), Integer.parseInt(a[0])));
-            case "Decimal" -> decimal(v, Integer.parseInt(a[0]), Integer.parseInt(a[1]), out);
+                                    : ticks(
+                                            OffsetDateTime.parse(text(node)),
+                                            Integer.parseInt(a[0])));
+            case "Decimal" -> decimal(node, Integer.parseInt(a[0]), Integer.parseInt(a[1]), out);
             case "UUID" -> {
-                UUID id = v.isNull() ? new UUID(0, 0) : UUID.fromString(text(v));
+                UUID id = node.isNull() ? new UUID(0, 0) : UUID.fromString(text(node));
                 out.putLong(id.getMostSignificantBits()).putLong(id.getLeastSignificantBits());
             }
             default -> throw wrong("values of type " + type + " cannot be loaded over HTTP");
@@ -181,63 +188,65 @@
         return Integer.parseInt(type.substring(prefix));
     }
 
-    private static String text(JsonNode v) {
-        if (!v.isTextual()) {
+    private static String text(JsonNode node) {
+        if (!node.isTextual()) {
             throw new IllegalArgumentException();
         }
-        return v.textValue();
+        return node.textValue();
     }
 
-    private static void whole(JsonNode v, int bits, boolean signed, ByteBuf out)
+    private static void whole(JsonNode node, int bits, boolean signed, ByteBuf out)
             throws WireException {
-        BigInteger n =
-                v.isNull()
+        BigInteger bigInteger =
+                node.isNull()
                         ? BigInteger.ZERO
-                        : v.isTextual()
-                                ? new BigInteger(v.textValue())
-                                : new BigDecimal(v.asText()).toBigIntegerExact();
-        little(n, bits, signed, out);
+                        : node.isTextual()
+                                ? new BigInteger(node.textValue())
+                                : new BigDecimal(node.asText()).toBigIntegerExact();
+        little(bigInteger, bits, signed, out);
     }
 
-    private static void little(BigInteger n, int bits, boolean signed, ByteBuf out)
+    private static void little(BigInteger bigInteger, int bits, boolean signed, ByteBuf out)
             throws WireException {
-        if (signed ? n.bitLength() >= bits : n.signum() < 0 || n.bitLength() > bits) {
+        if (signed
+                ? bigInteger.bitLength() >= bits
+                : bigInteger.signum() < 0 || bigInteger.bitLength() > bits) {
             throw new IllegalArgumentException();
         }
         for (int i = 0; i < bits / 8; i++) {
-            out.putByte(n.shiftRight(8 * i).intValue() & 0xff);
+            out.putByte(bigInteger.shiftRight(8 * i).intValue() & 0xff);
         }
     }
 
-    private static double floating(JsonNode v) {
-        if (v.isNull()) {
+    private static double floating(JsonNode node) {
+        if (node.isNull()) {
             return 0;
         }
-        return switch (v.asText()) {
+        return switch (node.asText()) {
             case "nan" -> Double.NaN;
             case "inf" -> Double.POSITIVE_INFINITY;
             case "-inf" -> Double.NEGATIVE_INFINITY;
-            default -> Double.parseDouble(v.asText());
+            default -> Double.parseDouble(node.asText());
         };
     }
 
-    private static long ticks(OffsetDateTime t, int digits) {
-        return BigDecimal.valueOf(t.toEpochSecond())
-                .add(BigDecimal.valueOf(t.getNano(), 9))
+    private static long ticks(OffsetDateTime time, int digits) {
+        return BigDecimal.valueOf(time.toEpochSecond())
+                .add(BigDecimal.valueOf(time.getNano(), 9))
                 .scaleByPowerOfTen(digits)
                 .setScale(0, RoundingMode.UNNECESSARY)
                 .longValueExact();
     }
 
-    private static void decimal(JsonNode v, int digits, int scale, ByteBuf out)
+    private static void decimal(JsonNode node, int digits, int scale, ByteBuf out)
             throws WireException {
-        BigDecimal d =
-                v.isNull()
+        BigDecimal bigDecimal =
+                node.isNull()
                         ? BigDecimal.ZERO
-                        : new BigDecimal(v.asText()).setScale(scale, RoundingMode.UNNECESSARY);
-        if (d.precision() > digits) {
+                        : new BigDecimal(node.asText()).setScale(scale, RoundingMode.UNNECESSARY);
+        if (bigDecimal.precision() > digits) {
             throw new IllegalArgumentException();
         }
-        little(d.unscaledValue(), 8 * TypeParser.decimalBytes(digits), true, out);
+        little(bigDecimal.unscaledValue(), 8 * TypeParser.decimalBytes(digits), true, out);
     }
 }
--- a/router/src/main/java/ashlink/router/http/StatementHandler.java
+++ b/router/src/main/java/ashlink/router/http/StatementHandler.java
@@ -99,66 +99,71 @@
             response.write(true, ByteBuffer.wrap(body), callback);
         }
 
-        void problem(ProblemDetail p, String statement) {
-            if (p.retryAfterNs() > 0) {
-                response.getHeaders().put(HttpHeader.RETRY_AFTER, Long.toString(p.retryAfterS()));
+        void problem(ProblemDetail problemDetail, String statement) {
+            if (problemDetail.retryAfterNs() > 0) {
+                response.getHeaders()
+                        .put(HttpHeader.RETRY_AFTER, Long.toString(problemDetail.retryAfterS()));
             }
-            if (p.kind() == ProblemDetail.Kind.LOGIN) {
+            if (problemDetail.kind() == ProblemDetail.Kind.LOGIN) {
                 response.getHeaders()
                         .put(
                                 HttpHeader.WWW_AUTHENTICATE,
                                 "Basic realm=\"ashlink\", charset=\"UTF-8\"");
             }
-            if (p.kind() == ProblemDetail.Kind.BODY_LATE
-                    || p.kind() == ProblemDetail.Kind.TOO_LARGE
-                    || p.kind() == ProblemDetail.Kind.STOPPING) {
+            if (problemDetail.kind() == ProblemDetail.Kind.BODY_LATE
+                    || problemDetail.kind() == ProblemDetail.Kind.TOO_LARGE
+                    || problemDetail.kind() == ProblemDetail.Kind.STOPPING) {
                 response.getHeaders().put(HttpHeader.CONNECTION, "close");
             }
-            send(p.kind().status(), "application/problem+json", p.json(statement));
+            send(
+                    problemDetail.kind().status(),
+                    "application/problem+json",
+                    problemDetail.json(statement));
         }
 
-        void state(int status, HttpStatement s) {
-            send(status, "application/json", stateOf(s));
+        void state(int status, HttpStatement httpStatement) {
+            send(status, "application/json", stateOf(httpStatement));
         }
     }
 
     // ---- Requests
     @Override
     public boolean handle(Request request, Response response, Callback callback) throws Exception {
-        Exchanged x = new Exchanged(request, response, callback);
+        Exchanged exchanged = new Exchanged(request, response, callback);
         String path = request.getHttpURI().getCanonicalPath();
         String allowed = "";
-        for (Route r : Route.values()) {
-            Matcher m = path == null ? null : r.match(path);
-            if (m != null && r.method().equals(request.getMethod())) {
-                handle(r, m, x);
+        for (Route route : Route.values()) {
+            Matcher matcher = path == null ? null : route.match(path);
+            if (matcher != null && route.method().equals(request.getMethod())) {
+                handle(route, matcher, exchanged);
                 return true;
-            } else if (m != null) {
-                allowed += (allowed.isEmpty() ? "" : ", ") + r.method();
+            } else if (matcher != null) {
+                allowed += (allowed.isEmpty() ? "" : ", ") + route.method();
             }
         }
         if (allowed.isEmpty()) {
-            x.problem(
+            exchanged.problem(
                     ProblemDetail.of(ProblemDetail.Kind.NOT_FOUND, "paths are in /v1/openapi.json"),
                     null);
         } else {
             response.getHeaders().put(HttpHeader.ALLOW, allowed);
-            x.problem(ProblemDetail.of(ProblemDetail.Kind.METHOD, allowed), null);
+            exchanged.problem(ProblemDetail.of(ProblemDetail.Kind.METHOD, allowed), null);
         }
         return true;
     }
 
-    private void handle(Route route, Matcher m, Exchanged x) throws InterruptedException {
+    private void handle(Route route, Matcher matcher, Exchanged exchanged)
+            throws InterruptedException {
         if (route == Route.GET_DESCRIPTION) {
-            x.send(200, "application/json", description);
+            exchanged.send(200, "application/json", description);
             return;
         }
         HttpAuthenticator.AuthenticationResult who =
                 login.check(
                         context.config().users(),
-                        x.request.getHeaders().get(HttpHeader.AUTHORIZATION));
+                        exchanged.request.getHeaders().get(HttpHeader.AUTHORIZATION));
         if (who.user() == null) {
-            x.problem(
+            exchanged.problem(
                     who.busy()
                             ? new ProblemDetail(
                                     ProblemDetail.Kind.BUSY, "too many logins at once", S, 0)
@@ -167,40 +172,55 @@
             return;
         }
         switch (route) {
-            case POST_STATEMENT -> post(x, who.user());
-            case GET_STATEMENT -> withStatement(x, m.group(1), who.user(), s -> x.state(200, s));
+            case POST_STATEMENT -> post(exchanged, who.user());
+            case GET_STATEMENT ->
+                    withStatement(
+                            exchanged,
+                            matcher.group(1),
+                            who.user(),
+                            httpStatement -> exchanged.state(200, httpStatement));
             case DELETE_STATEMENT ->
                     withStatement(
-                            x,
-                            m.group(1),
+                            exchanged,
+                            matcher.group(1),
                             who.user(),
-                            s -> {
-                                registry.cancel(s);
-                                x.state(200, s);
+                            httpStatement -> {
+                                registry.cancel(httpStatement);
+                                exchanged.state(200, httpStatement);
                             });
-            default -> page(x, m.group(1), Integer.parseInt(m.group(2)), who.user());
+            default ->
+                    page(
+                            exchanged,
+                            matcher.group(1),
+                            Integer.parseInt(matcher.group(2)),
+                            who.user());
         }
     }
 
     /** Finds a statement of that user; one that is not here is told of as far as it is known. */
-    private void withStatement(Exchanged x, String id, String user, Consumer<HttpStatement> then) {
-        HttpStatement s = registry.find(id, user);
-        if (s != null) {
-            then.accept(s);
+    private void withStatement(
+            Exchanged exchanged, String id, String user, Consumer<HttpStatement> then) {
+        HttpStatement httpStatement = registry.find(id, user);
+        if (httpStatement != null) {
+            then.accept(httpStatement);
             return;
         }
-        Entry e = registry.remembered(id, user);
+        Entry entry = registry.remembered(id, user);
         int tilde = id.indexOf('~');
         String peer = tilde > 0 ? spec.peers().get(id.substring(0, tilde)) : null;
-        if (e != null) {
-            x.problem(remembered(e), id);
+        if (entry != null) {
+            exchanged.problem(remembered(entry), id);
         } else if (peer != null && !id.substring(0, tilde).equals(context.config().name())) {
-            x.response
+            exchanged
+                    .response
                     .getHeaders()
-                    .put(HttpHeader.LOCATION, peer + x.request.getHttpURI().getPathQuery());
-            x.send(307, "application/json", "{}".getBytes(java.nio.charset.StandardCharsets.UTF_8));
+                    .put(HttpHeader.LOCATION, peer + exchanged.request.getHttpURI().getPathQuery());
+            exchanged.send(
+                    307,
+                    "application/json",
+                    "{}".getBytes(java.nio.charset.StandardCharsets.UTF_8));
         } else {
-            x.problem(
+            exchanged.problem(
                     ProblemDetail.of(
                             ProblemDetail.Kind.NOT_FOUND,
                             "no statement of that id is known to this router"),
@@ -208,34 +228,35 @@
         }
     }
 
-    private static ProblemDetail remembered(Entry e) {
-        return e.fate() == Fate.ANSWERED
-                ? e.ending() == StatementOutcome.SERVED
+    private static ProblemDetail remembered(Entry entry) {
+        return entry.fate() == Fate.ANSWERED
+                ? entry.ending() == StatementOutcome.SERVED
                         ? ProblemDetail.of(
                                 ProblemDetail.Kind.GONE,
                                 "it was served; its result is not kept any more")
-                        : ProblemDetail.of(e.ending(), null, 0)
+                        : ProblemDetail.of(entry.ending(), null, 0)
                 : ProblemDetail.of(ProblemDetail.Kind.FATE_UNKNOWN, "");
     }
 
     // ---- POST
-    private void post(Exchanged x, String user) {
-        String key = x.request.getHeaders().get("Idempotency-Key");
-        ResultFormat form = ResultFormat.accepted(x.request.getHeaders().get(HttpHeader.ACCEPT));
+    private void post(Exchanged exchanged, String user) {
+        String key = exchanged.request.getHeaders().get("Idempotency-Key");
+        ResultFormat form =
+                ResultFormat.accepted(exchanged.request.getHeaders().get(HttpHeader.ACCEPT));
         if (form == null) {
-            x.problem(
+            exchanged.problem(
                     ProblemDetail.of(
                             ProblemDetail.Kind.NOT_ACCEPTABLE,
                             "application/json, text/csv, application/x-ndjson"),
                     null);
         } else if (key != null && (key.isBlank() || key.length() > MOST_KEY)) {
-            x.problem(
+            exchanged.problem(
                     ProblemDetail.of(
                             ProblemDetail.Kind.BAD_REQUEST,
                             "an Idempotency-Key has 1 to " + MOST_KEY + " characters"),
                     null);
-        } else if (x.request.getLength() > spec.bodyBytes()) {
-            x.problem(
+        } else if (exchanged.request.getLength() > spec.bodyBytes()) {
+            exchanged.problem(
                     ProblemDetail.of(
                             ProblemDetail.Kind.TOO_LARGE,
                             "the limit is " + spec.bodyBytes() + " bytes"),
@@ -243,20 +264,22 @@
         } else {
             CompletableFuture<byte[]> whole = new CompletableFuture<>();
             Content.Source.asByteArrayAsync(
-                    x.request,
+                    exchanged.request,
                     (int) Math.min(Integer.MAX_VALUE - 16, spec.bodyBytes()),
                     Promise.Invocable.toPromise(whole));
             whole.orTimeout(spec.bodyNs(), TimeUnit.NANOSECONDS)
                     .whenComplete(
-                            (body, e) -> {
-                                if (e == null) {
-                                    executor.execute(() -> posted(x, user, key, form, body));
+                            (body, failure) -> {
+                                if (failure == null) {
+                                    executor.execute(
+                                            () -> posted(exchanged, user, key, form, body));
                                 } else {
                                     Throwable cause =
-                                            e instanceof CompletionException && e.getCause() != null
-                                                    ? e.getCause()
-                                                    : e;
-                                    x.problem(
+                                            failure instanceof CompletionException
+                                                            && failure.getCause() != null
+                                                    ? failure.getCause()
+                                                    : failure;
+                                    exchanged.problem(
                                             cause instanceof TimeoutException
                                                     ? ProblemDetail.of(
                                                             ProblemDetail.Kind.BODY_LATE, "")
@@ -275,31 +298,42 @@
         }
     }
 
-    private void posted(Exchanged x, String user, String key, ResultFormat form, byte[] body) {
+    private void posted(
+            Exchanged exchanged, String user, String key, ResultFormat form, byte[] body) {
         try {
-            Map<String, String> parameters = parameters(x.request);
+            Map<String, String> parameters = parameters(exchanged.request);
             long waitNs =
                     waitNs(
                             parameters.get(
                                     "wait")); // all that can be wrong is found before anything runs
-            StatementSubmission p =
+            StatementSubmission statementSubmission =
                     StatementSubmission.read(
-                            body, x.request.getHeaders().get(HttpHeader.CONTENT_TYPE), parameters);
-            Taken taken = registry.take(p, user, Request.getRemoteAddr(x.request), key);
+                            body,
+                            exchanged.request.getHeaders().get(HttpHeader.CONTENT_TYPE),
+                            parameters);
+            Taken taken =
+                    registry.take(
+                            statementSubmission,
+                            user,
+                            Request.getRemoteAddr(exchanged.request),
+                            key);
             if (taken.problem() != null) {
-                x.problem(taken.problem(), null);
+                exchanged.problem(taken.problem(), null);
             } else if (taken.earlier() != null) {
-                x.problem(remembered(taken.earlier()), taken.earlier().statement());
+                exchanged.problem(remembered(taken.earlier()), taken.earlier().statement());
             } else {
-                HttpStatement s = taken.statement();
-                x.response.getHeaders().put(HttpHeader.LOCATION, "/v1/statements/" + s.id());
-                ask(x, s, 0, waitNs, form);
+                HttpStatement httpStatement = taken.statement();
+                exchanged
+                        .response
+                        .getHeaders()
+                        .put(HttpHeader.LOCATION, "/v1/statements/" + httpStatement.id());
+                ask(exchanged, httpStatement, 0, waitNs, form);
             }
         } catch (StatementSubmission.InvalidSubmissionException e) {
-            x.problem(e.problem(), null);
+            exchanged.problem(e.problem(), null);
         } catch (RuntimeException e) {
             LOG.error("a request ends by an error of this router", e);
-            x.callback.failed(e);
+            exchanged.callback.failed(e);
         }
     }
 
@@ -307,8 +341,8 @@
             throws StatementSubmission.InvalidSubmissionException {
         Map<String, String> parameters = new LinkedHashMap<>();
         try {
-            for (Fields.Field f : Request.extractQueryParameters(request)) {
-                parameters.put(f.getName(), f.getValue());
+            for (Fields.Field field : Request.extractQueryParameters(request)) {
+                parameters.put(field.getName(), field.getValue());
             }
         } catch (RuntimeException e) {
             throw new StatementSubmission.InvalidSubmissionException(
@@ -318,27 +352,37 @@
     }
 
     // ---- Pages
-    private void page(Exchanged x, String id, int page, String user) {
-        ResultFormat form = ResultFormat.accepted(x.request.getHeaders().get(HttpHeader.ACCEPT));
+    private void page(Exchanged exchanged, String id, int page, String user) {
+        ResultFormat form =
+                ResultFormat.accepted(exchanged.request.getHeaders().get(HttpHeader.ACCEPT));
         if (form == null) {
-            x.problem(
+            exchanged.problem(
                     ProblemDetail.of(
                             ProblemDetail.Kind.NOT_ACCEPTABLE,
                             "application/json, text/csv, application/x-ndjson"),
                     null);
         } else {
             try {
-                long waitNs = waitNs(parameters(x.request).get("wait"));
-                withStatement(x, id, user, s -> ask(x, s, page, waitNs, form));
+                long waitNs = waitNs(parameters(exchanged.request).get("wait"));
+                withStatement(
+                        exchanged,
+                        id,
+                        user,
+                        httpStatement -> ask(exchanged, httpStatement, page, waitNs, form));
             } catch (StatementSubmission.InvalidSubmissionException e) {
-                x.problem(e.problem(), id);
+                exchanged.problem(e.problem(), id);
             }
         }
     }
 
-    private void ask(Exchanged x, HttpStatement s, int page, long waitNs, ResultFormat form) {
+    private void ask(
+            Exchanged exchanged,
+            HttpStatement httpStatement,
+            int page,
+            long waitNs,
+            ResultFormat form) {
         polling.incrementAndGet();
-        s.ask(
+        httpStatement.ask(
                 page,
                 waitNs,
                 executor,
@@ -346,11 +390,11 @@
                 told -> {
                     polling.decrementAndGet();
                     if (told.problem() != null) {
-                        x.problem(told.problem(), s.id());
+                        exchanged.problem(told.problem(), httpStatement.id());
                     } else if (!told.isPage()) {
-                        x.state(202, s);
+                        exchanged.state(202, httpStatement);
                     } else {
-                        render(x, s, told, form);
+                        render(exchanged, httpStatement, told, form);
                     }
                 });
     }
@@ -371,17 +415,20 @@
                 ProblemDetail.Kind.BAD_REQUEST, "wait is a number of seconds, such as 0.5");
     }
 
-    private void render(Exchanged x, HttpStatement s, Told told, ResultFormat form) {
+    private void render(
+            Exchanged exchanged, HttpStatement httpStatement, Told told, ResultFormat form) {
         long room = Math.min((long) GROWTH * told.blocks().length + 1024, spec.renderBytes() / 2);
         if (!rendering.take(room)) {
-            x.problem(new ProblemDetail(ProblemDetail.Kind.BUSY, "", S, 0), s.id());
+            exchanged.problem(
+                    new ProblemDetail(ProblemDetail.Kind.BUSY, "", S, 0), httpStatement.id());
             return;
         }
         Future<?> cut =
                 context.timer()
                         .schedule(
                                 () ->
-                                        x.request
+                                        exchanged
+                                                .request
                                                 .getConnectionMetaData()
                                                 .getConnection()
                                                 .getEndPoint()
@@ -390,57 +437,71 @@
                                 TimeUnit.NANOSECONDS);
         Callback done =
                 Callback.from(
-                        x.callback,
+                        exchanged.callback,
                         () -> {
                             cut.cancel(false); // a client that reads slower than that is cut off
                             rendering.give(room);
                         });
         try {
-            String next = told.last() ? null : Route.page(s.id(), told.page() + 1);
-            String state = told.last() ? "finished" : s.word();
+            String next = told.last() ? null : Route.page(httpStatement.id(), told.page() + 1);
+            String state = told.last() ? "finished" : httpStatement.word();
             byte[] body =
                     form.render(
                             told.blocks(),
                             told.header(),
                             told.page(),
-                            new ResultFormat.Around(s.id(), state, next),
+                            new ResultFormat.Around(httpStatement.id(), state, next),
                             context.limits());
-            x.response.getHeaders().put("Ashlink-Statement", s.id());
-            x.response.getHeaders().put("Ashlink-State", state);
+            exchanged.response.getHeaders().put("Ashlink-Statement", httpStatement.id());
+            exchanged.response.getHeaders().put("Ashlink-State", state);
             if (next != null) {
-                x.response.getHeaders().put(new HttpField("Link", "<" + next + ">; rel=\"next\""));
+                exchanged
+                        .response
+                        .getHeaders()
+                        .put(new HttpField("Link", "<" + next + ">; rel=\"next\""));
             }
-            x.response.setStatus(200);
-            x.response
+            exchanged.response.setStatus(200);
+            exchanged
+                    .response
                     .getHeaders()
                     .put(
                             HttpHeader.CONTENT_TYPE,
                             form.type() + (form == ResultFormat.CSV ? "; charset=utf-8" : ""));
-            x.response.getHeaders().put(HttpHeader.CACHE_CONTROL, "no-store");
-            x.response.write(true, ByteBuffer.wrap(body), done);
+            exchanged.response.getHeaders().put(HttpHeader.CACHE_CONTROL, "no-store");
+            exchanged.response.write(true, ByteBuffer.wrap(body), done);
         } catch (IOException | RuntimeException e) {
             cut.cancel(false);
             rendering.give(room);
-            LOG.error("page {} of statement {} could not be rendered", told.page(), s.id(), e);
-            x.problem(
+            LOG.error(
+                    "page {} of statement {} could not be rendered",
+                    told.page(),
+                    httpStatement.id(),
+                    e);
+            exchanged.problem(
                     ProblemDetail.of(
                             ProblemDetail.Kind.RESULT_LOST, String.valueOf(e.getMessage())),
-                    s.id());
+                    httpStatement.id());
         }
     }
 
-    private static byte[] stateOf(HttpStatement s) {
-        ObjectNode n = JSON.createObjectNode();
-        n.put("id", s.id()).put("state", s.word()).put("elapsedMs", s.elapsedMs());
-        n.put("rows", s.rows()).put("bytes", s.bytes());
-        n.putObject("progress").put("rows", s.readRows()).put("bytes", s.readBytes());
-        n.put("infoUri", "/v1/statements/" + s.id());
-        int first = s.firstPage();
+    private static byte[] stateOf(HttpStatement httpStatement) {
+        ObjectNode objectNode = JSON.createObjectNode();
+        objectNode
+                .put("id", httpStatement.id())
+                .put("state", httpStatement.word())
+                .put("elapsedMs", httpStatement.elapsedMs());
+        objectNode.put("rows", httpStatement.rows()).put("bytes", httpStatement.bytes());
+        objectNode
+                .putObject("progress")
+                .put("rows", httpStatement.readRows())
+                .put("bytes", httpStatement.readBytes());
+        objectNode.put("infoUri", "/v1/statements/" + httpStatement.id());
+        int first = httpStatement.firstPage();
         if (first >= 0) {
-            n.put("nextUri", Route.page(s.id(), first));
+            objectNode.put("nextUri", Route.page(httpStatement.id(), first));
         }
         try {
-            return JSON.writeValueAsBytes(n);
+            return JSON.writeValueAsBytes(objectNode);
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
--- a/router/src/main/java/ashlink/router/http/StatementRegistry.java
+++ b/router/src/main/java/ashlink/router/http/StatementRegistry.java
@@ -84,7 +84,7 @@
 
     // ---- Taking
     /** Takes a statement; with a key, the same statement is taken once. */
-    Taken take(StatementSubmission p, String user, String peer, String key) {
+    Taken take(StatementSubmission statementSubmission, String user, String peer, String key) {
         if (stopping) {
             return new Taken(
                     null,
@@ -96,7 +96,7 @@
         if (full != null) {
             return new Taken(null, null, full);
         }
-        HttpStatement s =
+        HttpStatement httpStatement =
                 new HttpStatement(
                         newId(),
                         user,
@@ -107,36 +107,44 @@
                         spec.pageBytes(),
                         terms,
                         this::answered);
-        Claim c = null;
+        Claim claim = null;
         if (key != null) {
             synchronized (keys) {
-                c = keys.claim(user, key, p.digest(), s.id(), System.currentTimeMillis());
-                if (c.verdict() == IdempotencyKeyTable.Verdict.NEW) {
-                    s.awaitsKey();
-                    statements.put(s.id(), s); // who comes with the key next finds the statement
+                claim =
+                        keys.claim(
+                                user,
+                                key,
+                                statementSubmission.digest(),
+                                httpStatement.id(),
+                                System.currentTimeMillis());
+                if (claim.verdict() == IdempotencyKeyTable.Verdict.NEW) {
+                    httpStatement.awaitsKey();
+                    statements.put(
+                            httpStatement.id(),
+                            httpStatement); // who comes with the key next finds the statement
                 }
             }
-            if (c.verdict() != IdempotencyKeyTable.Verdict.NEW) {
-                left(s);
-                return held(c);
+            if (claim.verdict() != IdempotencyKeyTable.Verdict.NEW) {
+                left(httpStatement);
+                return held(claim);
             }
         }
-        statements.put(s.id(), s);
-        RequestAdmission.Prepared prepared = prepare(p, s, user);
-        if (c != null && !keep(c.entry())) {
+        statements.put(httpStatement.id(), httpStatement);
+        RequestAdmission.Prepared prepared = prepare(statementSubmission, httpStatement, user);
+        if (claim != null && !keep(claim.entry())) {
             prepared.refuse("the key could not be kept", FULL_RETRY_NS);
         } else {
             prepared.submit();
         }
-        s.keyIsKept();
-        return new Taken(s, null, null);
+        httpStatement.keyIsKept();
+        return new Taken(httpStatement, null, null);
     }
 
     /** Keeps a claim; on the disk before anything can run. */
-    private boolean keep(Entry e) {
+    private boolean keep(Entry entry) {
         try {
             if (journal != null) {
-                journal.put(e);
+                journal.put(entry);
             }
             return true;
         } catch (IOException x) {
@@ -145,8 +153,8 @@
         }
     }
 
-    private Taken held(Claim c) {
-        return switch (c.verdict()) {
+    private Taken held(Claim claim) {
+        return switch (claim.verdict()) {
             case OTHER ->
                     new Taken(null, null, ProblemDetail.of(ProblemDetail.Kind.KEY_REUSED, ""));
             case FULL ->
@@ -159,17 +167,19 @@
                                     FULL_RETRY_NS,
                                     0));
             default -> {
-                HttpStatement s = statements.get(c.entry().statement());
-                if (s != null) {
-                    s.awaitKey();
+                HttpStatement httpStatement = statements.get(claim.entry().statement());
+                if (httpStatement != null) {
+                    httpStatement.awaitKey();
                 }
-                yield s != null ? new Taken(s, null, null) : new Taken(null, c.entry(), null);
+                yield httpStatement != null
+                        ? new Taken(httpStatement, null, null)
+                        : new Taken(null, claim.entry(), null);
             }
         };
     }
 
     private ProblemDetail admit(String user) {
-        AtomicInteger mine = openOfUser.computeIfAbsent(user, u -> new AtomicInteger());
+        AtomicInteger mine = openOfUser.computeIfAbsent(user, text -> new AtomicInteger());
         if (mine.incrementAndGet() > spec.openUser()) {
             mine.decrementAndGet();
             return new ProblemDetail(
@@ -191,9 +201,9 @@
     }
 
     /** Its result was dropped: its place is free. */
-    private void left(HttpStatement s) {
+    private void left(HttpStatement httpStatement) {
         open.decrementAndGet();
-        openOfUser.get(s.user()).decrementAndGet();
+        openOfUser.get(httpStatement.user()).decrementAndGet();
     }
 
     /**
@@ -208,7 +218,8 @@
         return name.matches("[A-Za-z0-9._-]+") ? name + "~" + text : text;
     }
 
-    private RequestAdmission.Prepared prepare(StatementSubmission p, HttpStatement s, String user) {
+    private RequestAdmission.Prepared prepare(
+            StatementSubmission statementSubmission, HttpStatement httpStatement, String user) {
         ByteBuf end = new ByteBuf();
         try {
             end.putVarUInt(ClientPacket.DATA.ordinal()).putString("");
@@ -219,17 +230,39 @@
         byte[] noTables = Arrays.copyOf(end.array(), end.size());
         ClientInfo info =
                 new ClientInfo(
-                        user, "", s.peer(), "", "", "ashlink http", 1, 0, Revision.HIGHEST, 0, "");
+                        user,
+                        "",
+                        httpStatement.peer(),
+                        "",
+                        "",
+                        "ashlink http",
+                        1,
+                        0,
+                        Revision.HIGHEST,
+                        0,
+                        "");
         QueryPacket query =
                 new QueryPacket(
-                        "", info, p.settingList(), QueryPacket.COMPLETE, false, p.statement());
+                        "",
+                        info,
+                        statementSubmission.settingList(),
+                        QueryPacket.COMPLETE,
+                        false,
+                        statementSubmission.statement());
         RequestAdmission.Prepared prepared =
                 RequestAdmission.prepare(
-                        context, s, Revision.HIGHEST, user, p.database(), query, noTables);
+                        context,
+                        httpStatement,
+                        Revision.HIGHEST,
+                        user,
+                        statementSubmission.database(),
+                        query,
+                        noTables);
         RequestExchange exchange = prepared.exchange();
-        s.exchange(exchange);
+        httpStatement.exchange(exchange);
         if (exchange.feed() != null) {
-            s.headerTaker(header -> feedLater(exchange, header, p, noTables));
+            httpStatement.headerTaker(
+                    header -> feedLater(exchange, header, statementSubmission, noTables));
         }
         return prepared;
     }
@@ -239,17 +272,23 @@
      * that sends it on.
      */
     private void feedLater(
-            RequestExchange exchange, byte[] header, StatementSubmission p, byte[] end) {
+            RequestExchange exchange,
+            byte[] header,
+            StatementSubmission statementSubmission,
+            byte[] end) {
         try {
             context.workers()
                     .execute(
                             () -> {
                                 InsertFeed feed = exchange.feed();
                                 try {
-                                    if (p.rows() != null && p.rows().size() > 0) {
+                                    if (statementSubmission.rows() != null
+                                            && statementSubmission.rows().size() > 0) {
                                         feed.put(
                                                 RowsEncoder.encode(
-                                                        header, p.rows(), context.limits()),
+                                                        header,
+                                                        statementSubmission.rows(),
+                                                        context.limits()),
                                                 false);
                                     }
                                     feed.put(end, true);
@@ -274,26 +313,26 @@
      * Keeps how a keyed statement ended before its client is told; the key of one that did not run
      * is free again.
      */
-    private void answered(HttpStatement s, StatementOutcome how) throws IOException {
-        Entry e;
+    private void answered(HttpStatement httpStatement, StatementOutcome how) throws IOException {
+        Entry entry;
         synchronized (keys) {
-            e = keys.ofStatement(s.id());
-            if (e == null) {
+            entry = keys.ofStatement(httpStatement.id());
+            if (entry == null) {
                 return;
             }
             if (how.isHarmless()) {
-                keys.release(e.user(), e.key());
+                keys.release(entry.user(), entry.key());
             } else {
-                keys.put(e.answered(how));
+                keys.put(entry.answered(how));
             }
         }
         if (journal != null) {
             if (!how.isHarmless()) {
-                journal.put(e.answered(how));
+                journal.put(entry.answered(how));
                 return;
             }
             try {
-                journal.release(e);
+                journal.release(entry);
             } catch (IOException x) {
                 LOG.warn(
                         "that a key is free could not be kept; after a restart its fate is unknown:"
@@ -306,33 +345,33 @@
     // ---- Finding
     /** A statement of that user, or null. */
     HttpStatement find(String id, String user) {
-        HttpStatement s = statements.get(id);
-        return s != null && s.user().equals(user) ? s : null;
+        HttpStatement httpStatement = statements.get(id);
+        return httpStatement != null && httpStatement.user().equals(user) ? httpStatement : null;
     }
 
     /** What a key tells of a statement of that user that is not here any more, or null. */
     Entry remembered(String id, String user) {
         synchronized (keys) {
-            Entry e = keys.ofStatement(id);
-            return e != null && e.user().equals(user) ? e : null;
+            Entry entry = keys.ofStatement(id);
+            return entry != null && entry.user().equals(user) ? entry : null;
         }
     }
 
     /** Its client calls it off or drops its result. */
-    void cancel(HttpStatement s) {
+    void cancel(HttpStatement httpStatement) {
         boolean held =
-                s.state() == StatementLifecycle.State.RUNNING
-                        || s.state() == StatementLifecycle.State.ANSWERED;
-        s.cancel();
+                httpStatement.state() == StatementLifecycle.State.RUNNING
+                        || httpStatement.state() == StatementLifecycle.State.ANSWERED;
+        httpStatement.cancel();
         if (held) {
-            leave(s);
+            leave(httpStatement);
         }
     }
 
     /** Its place is free; said once of each statement. */
-    private void leave(HttpStatement s) {
-        if (leftAlready.add(s.id())) {
-            left(s);
+    private void leave(HttpStatement httpStatement) {
+        if (leftAlready.add(httpStatement.id())) {
+            left(httpStatement);
         }
     }
 
@@ -340,25 +379,25 @@
     /** Does what is due: calls off, drops, forgets. */
     void expire(long nowNs) {
         List<HttpStatement> gone = new ArrayList<>();
-        for (HttpStatement s : statements.values()) {
-            switch (s.wish(nowNs)) {
+        for (HttpStatement httpStatement : statements.values()) {
+            switch (httpStatement.wish(nowNs)) {
                 case ABANDON -> {
                     LOG.info(
                             "statement {} of {} is called off: nobody asks for it",
-                            s.id(),
-                            s.user());
-                    s.abandon();
-                    leave(s);
+                            httpStatement.id(),
+                            httpStatement.user());
+                    httpStatement.abandon();
+                    leave(httpStatement);
                 }
                 case DISCARD -> {
-                    s.discard();
-                    leave(s);
+                    httpStatement.discard();
+                    leave(httpStatement);
                 }
-                case FORGET -> forget(s);
+                case FORGET -> forget(httpStatement);
                 case NOTHING -> {}
             }
-            if (s.state() == StatementLifecycle.State.GONE) {
-                gone.add(s);
+            if (httpStatement.state() == StatementLifecycle.State.GONE) {
+                gone.add(httpStatement);
             }
         }
         if (gone.size() > spec.tombstones()) {
@@ -367,11 +406,11 @@
         }
     }
 
-    private void forget(HttpStatement s) {
-        s.forget();
-        leave(s);
-        statements.remove(s.id());
-        leftAlready.remove(s.id());
+    private void forget(HttpStatement httpStatement) {
+        httpStatement.forget();
+        leave(httpStatement);
+        statements.remove(httpStatement.id());
+        leftAlready.remove(httpStatement.id());
     }
 
     /** Lets go of keys whose time is over, and keeps the journal short. */
@@ -381,8 +420,8 @@
             gone = keys.expire(System.currentTimeMillis());
         }
         if (journal != null) {
-            for (Entry e : gone) {
-                journal.release(e);
+            for (Entry entry : gone) {
+                journal.release(entry);
             }
             journal.tidy();
         }
@@ -398,10 +437,11 @@
     boolean allFetched() {
         return statements.values().stream()
                 .allMatch(
-                        s ->
-                                s.state() != StatementLifecycle.State.RUNNING
-                                                && s.state() != StatementLifecycle.State.ANSWERED
-                                        || s.isEndFetched());
+                        httpStatement ->
+                                httpStatement.state() != StatementLifecycle.State.RUNNING
+                                                && httpStatement.state()
+                                                        != StatementLifecycle.State.ANSWERED
+                                        || httpStatement.isEndFetched());
     }
 
     /** Whoever still waits is told that the router stops. */
--- a/router/src/main/java/ashlink/router/http/StatementSubmission.java
+++ b/router/src/main/java/ashlink/router/http/StatementSubmission.java
@@ -78,8 +78,8 @@
         String text;
         JsonNode rows = null;
         if (type.equals("application/json")) {
-            JsonNode n = tree(body);
-            for (var names = n.fieldNames(); names.hasNext(); ) {
+            JsonNode node = tree(body);
+            for (var names = node.fieldNames(); names.hasNext(); ) {
                 String f = names.next();
                 if (!FIELDS.contains(f)) {
                     throw new InvalidSubmissionException(
@@ -90,10 +90,11 @@
                                     + "settings, rows");
                 }
             }
-            text = n.path("statement").isTextual() ? n.get("statement").textValue() : "";
-            database = n.path("database").isTextual() ? n.get("database").textValue() : database;
-            settings(n.path("settings"), settings);
-            rows = n.path("rows").isMissingNode() ? null : n.get("rows");
+            text = node.path("statement").isTextual() ? node.get("statement").textValue() : "";
+            database =
+                    node.path("database").isTextual() ? node.get("database").textValue() : database;
+            settings(node.path("settings"), settings);
+            rows = node.path("rows").isMissingNode() ? null : node.get("rows");
             if (rows != null && !rows.isArray()) {
                 throw new InvalidSubmissionException(
                         ProblemDetail.Kind.BAD_REQUEST, "rows are an array of arrays");
@@ -121,9 +122,9 @@
 
     private static JsonNode tree(byte[] body) throws InvalidSubmissionException {
         try {
-            JsonNode n = JSON.readTree(body);
-            if (n != null && n.isObject()) {
-                return n;
+            JsonNode node = JSON.readTree(body);
+            if (node != null && node.isObject()) {
+                return node;
             }
         } catch (JsonProcessingException e) {
             throw new InvalidSubmissionException(
@@ -137,13 +138,13 @@
                 ProblemDetail.Kind.BAD_REQUEST, "the body is no JSON object");
     }
 
-    private static void settings(JsonNode n, Map<String, String> to)
+    private static void settings(JsonNode node, Map<String, String> to)
             throws InvalidSubmissionException {
-        if (!n.isMissingNode() && !n.isObject()) {
+        if (!node.isMissingNode() && !node.isObject()) {
             throw new InvalidSubmissionException(
                     ProblemDetail.Kind.BAD_REQUEST, "settings are an object");
         }
-        n.properties().forEach(f -> to.put(f.getKey(), f.getValue().asText()));
+        node.properties().forEach(entry -> to.put(entry.getKey(), entry.getValue().asText()));
     }
 
     private static String utf8(byte[] body) throws InvalidSubmissionException {
@@ -159,16 +160,17 @@
     private static String digest(
             String text, String database, Map<String, String> settings, JsonNode rows) {
         try {
-            MessageDigest d = MessageDigest.getInstance("SHA-256");
+            MessageDigest messageDigest = MessageDigest.getInstance("SHA-256");
             for (String part :
                     new String[] {
                         text, database, settings.toString(), rows == null ? "" : rows.toString()
                     }) {
                 byte[] bytes = part.getBytes(StandardCharsets.UTF_8);
-                d.update(ByteBuffer.allocate(Integer.BYTES).putInt(bytes.length).array());
-                d.update(bytes);
+                messageDigest.update(
+                        ByteBuffer.allocate(Integer.BYTES).putInt(bytes.length).array());
+                messageDigest.update(bytes);
             }
-            return HexFormat.of().formatHex(d.digest());
+            return HexFormat.of().formatHex(messageDigest.digest());
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
         }
--- a/router/src/main/java/ashlink/router/spool/IdempotencyKeyLog.java
+++ b/router/src/main/java/ashlink/router/spool/IdempotencyKeyLog.java
@@ -56,8 +56,8 @@
                     "the journal of keys is damaged in {}; keys after that place in it are lost",
                     damage);
         }
-        for (Entry e : table.entries()) {
-            table.put(e.afterRestart());
+        for (Entry entry : table.entries()) {
+            table.put(entry.afterRestart());
         }
     }
 
@@ -85,30 +85,30 @@
     }
 
     // ---- Writing
-    private static byte[] record(int kind, Entry e) throws IOException {
+    private static byte[] record(int kind, Entry entry) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
         out.writeByte(kind);
-        out.writeUTF(e.user());
-        out.writeUTF(e.key());
+        out.writeUTF(entry.user());
+        out.writeUTF(entry.key());
         if (kind == PUT) {
-            out.writeUTF(e.digest());
-            out.writeUTF(e.statement());
-            out.writeByte(e.fate().ordinal());
-            out.writeByte(e.ending() == null ? -1 : e.ending().ordinal());
-            out.writeLong(e.claimedMs());
+            out.writeUTF(entry.digest());
+            out.writeUTF(entry.statement());
+            out.writeByte(entry.fate().ordinal());
+            out.writeByte(entry.ending() == null ? -1 : entry.ending().ordinal());
+            out.writeLong(entry.claimedMs());
         }
         return bytes.toByteArray();
     }
 
     /** Keeps an entry as it is now; returns once that is on the disk. */
-    public void put(Entry e) throws IOException {
-        append(PUT, e);
+    public void put(Entry entry) throws IOException {
+        append(PUT, entry);
     }
 
     /** Keeps that a key is free; returns once that is on the disk. */
-    public void release(Entry e) throws IOException {
-        append(RELEASE, e);
+    public void release(Entry entry) throws IOException {
+        append(RELEASE, entry);
     }
 
     /** A record on its way to the disk. */
@@ -117,8 +117,8 @@
         private IOException failed;
     }
 
-    private void append(int kind, Entry e) throws IOException {
-        byte[] record = record(kind, e);
+    private void append(int kind, Entry entry) throws IOException {
+        byte[] record = record(kind, entry);
         Pending mine = new Pending();
         synchronized (this) {
             try {
@@ -184,8 +184,8 @@
             entries = table.entries();
         }
         List<byte[]> records = new ArrayList<>();
-        for (Entry e : entries) {
-            records.add(record(PUT, e));
+        for (Entry entry : entries) {
+            records.add(record(PUT, entry));
         }
         log.rewrite(records);
     }
--- a/router/src/main/java/ashlink/router/spool/PageStore.java
+++ b/router/src/main/java/ashlink/router/spool/PageStore.java
@@ -106,13 +106,13 @@
     private synchronized void await(String statement, String user, int length, BooleanSupplier over)
             throws IOException, InterruptedException {
         while (true) {
-            Verdict v = over.getAsBoolean() ? null : budget.ask(statement, user, length);
-            if (v == Verdict.GRANTED) {
+            Verdict verdict = over.getAsBoolean() ? null : budget.ask(statement, user, length);
+            if (verdict == Verdict.GRANTED) {
                 return;
             }
-            if (v != Verdict.WAIT) {
+            if (verdict != Verdict.WAIT) {
                 throw new IOException(
-                        v == null
+                        verdict == null
                                 ? "nobody wants the result any more"
                                 : "a page of " + length + " bytes is over the limit of the spool");
             }
@@ -130,36 +130,36 @@
      * The bytes of a page, exactly as they were stored; an exception where the disk does not give
      * them back.
      */
-    public byte[] read(Stored s) throws IOException {
-        if (s.memory != null) {
-            return s.memory;
+    public byte[] read(Stored stored) throws IOException {
+        if (stored.memory != null) {
+            return stored.memory;
         }
-        byte[] bytes = files.read(s.file);
-        if (bytes.length != s.length || checksum(bytes, s.length) != s.checksum) {
+        byte[] bytes = files.read(stored.file);
+        if (bytes.length != stored.length || checksum(bytes, stored.length) != stored.checksum) {
             throw new IOException("the spool gives back other bytes than it was given");
         }
         return bytes;
     }
 
     /** Lets go of a page. */
-    public void drop(Stored s) {
-        synchronized (s) {
-            if (s.dropped) {
+    public void drop(Stored stored) {
+        synchronized (stored) {
+            if (stored.dropped) {
                 return;
             }
-            s.dropped = true;
+            stored.dropped = true;
         }
-        if (s.file != null) {
+        if (stored.file != null) {
             try {
-                files.delete(s.file);
+                files.delete(stored.file);
             } catch (IOException e) {
                 LOG.warn("a file of the spool stays behind until the next start: {}", e.toString());
             }
         }
-        if (s.budgeted) {
-            release(s.statement, s.length);
+        if (stored.budgeted) {
+            release(stored.statement, stored.length);
         } else {
-            memory.give(s.length);
+            memory.give(stored.length);
         }
     }
 
--- a/router/src/main/java/ashlink/router/spool/SpoolDirectory.java
+++ b/router/src/main/java/ashlink/router/spool/SpoolDirectory.java
@@ -82,9 +82,9 @@
     public List<String> list() throws IOException {
         List<String> names = new ArrayList<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(dir)) {
-            for (Path f : files) {
-                if (pattern.matcher(f.getFileName().toString()).matches()) {
-                    names.add(f.getFileName().toString());
+            for (Path path : files) {
+                if (pattern.matcher(path.getFileName().toString()).matches()) {
+                    names.add(path.getFileName().toString());
                 }
             }
         }
--- a/router/src/main/java/ashlink/router/statement/IdempotencyKeyTable.java
+++ b/router/src/main/java/ashlink/router/statement/IdempotencyKeyTable.java
@@ -95,33 +95,33 @@
         if (entries.size() >= most) {
             return new Claim(Verdict.FULL, null);
         }
-        Entry e = new Entry(user, key, digest, statement, Fate.OPEN, null, nowMs);
-        put(e);
-        return new Claim(Verdict.NEW, e);
+        Entry entry = new Entry(user, key, digest, statement, Fate.OPEN, null, nowMs);
+        put(entry);
+        return new Claim(Verdict.NEW, entry);
     }
 
     /** Takes an entry as it is: from a journal, or after it changed. */
-    public void put(Entry e) {
-        Name name = new Name(e.user(), e.key());
-        Entry before = entries.put(name, e);
+    public void put(Entry entry) {
+        Name name = new Name(entry.user(), entry.key());
+        Entry before = entries.put(name, entry);
         if (before != null) {
             byStatement.remove(before.statement());
         }
-        byStatement.put(e.statement(), name);
+        byStatement.put(entry.statement(), name);
     }
 
     /** A key is free again. */
     public void release(String user, String key) {
-        Entry e = entries.remove(new Name(user, key));
-        if (e != null) {
-            byStatement.remove(e.statement());
+        Entry entry = entries.remove(new Name(user, key));
+        if (entry != null) {
+            byStatement.remove(entry.statement());
         }
     }
 
     /** The entry of a statement, or null. */
     public Entry ofStatement(String statement) {
-        Name n = byStatement.get(statement);
-        return n == null ? null : entries.get(n);
+        Name name = byStatement.get(statement);
+        return name == null ? null : entries.get(name);
     }
 
     /**
@@ -129,10 +129,10 @@
      */
     public List<Entry> expire(long nowMs) {
         List<Entry> gone = new ArrayList<>();
-        for (Entry e : new ArrayList<>(entries.values())) {
-            if (nowMs - e.claimedMs() >= keptMs && e.fate() != Fate.OPEN) {
-                release(e.user(), e.key());
-                gone.add(e);
+        for (Entry entry : new ArrayList<>(entries.values())) {
+            if (nowMs - entry.claimedMs() >= keptMs && entry.fate() != Fate.OPEN) {
+                release(entry.user(), entry.key());
+                gone.add(entry);
             }
         }
         return gone;
--- a/router/src/main/java/ashlink/router/statement/SpoolBudget.java
+++ b/router/src/main/java/ashlink/router/statement/SpoolBudget.java
@@ -62,17 +62,17 @@
 
     /** A statement lets go of so many bytes, at most of what it holds. */
     public void release(String statement, long bytes) {
-        Holder h = statements.get(statement);
-        if (h == null) {
+        Holder holder = statements.get(statement);
+        if (holder == null) {
             return;
         }
-        long given = Math.min(bytes, h.bytes);
-        if (given == h.bytes) {
+        long given = Math.min(bytes, holder.bytes);
+        if (given == holder.bytes) {
             statements.remove(statement);
         } else {
-            statements.put(statement, new Holder(h.user, h.bytes - given));
+            statements.put(statement, new Holder(holder.user, holder.bytes - given));
         }
-        users.merge(h.user, -given, (a, b) -> a + b == 0 ? null : a + b);
+        users.merge(holder.user, -given, (a, b) -> a + b == 0 ? null : a + b);
         all -= given;
     }
 
--- a/router/src/main/java/ashlink/router/upstream/EngineConnections.java
+++ b/router/src/main/java/ashlink/router/upstream/EngineConnections.java
@@ -96,7 +96,7 @@
     public synchronized void start(Consumer<EndpointsChanged> to, List<Endpoint> kept) {
         news = to;
         if (!kept.isEmpty()) {
-            kept.forEach(e -> phases.put(e.engine(), e.state()));
+            kept.forEach(endpoint -> phases.put(endpoint.engine(), endpoint.state()));
             to.accept(new EndpointsChanged(EndpointListKind.CACHED, kept));
         }
         roster.configure(config.engines().values());
@@ -111,30 +111,36 @@
         phases.clear();
         listed.clear();
         List<EngineSpec> effective = new ArrayList<>();
-        for (EngineSpec s : specs) {
-            listed.put(s.name(), s.phase());
+        for (EngineSpec engineSpec : specs) {
+            listed.put(engineSpec.name(), engineSpec.phase());
             effective.add(
                     new EngineSpec(
-                            s.name(), s.address(), s.zone(), s.kind(), s.cell(), phase(s.name())));
-            NativeConnectionPool old = before.get(s.name());
-            boolean same = old != null && old.address().equals(s.address());
-            pools.put(s.name(), same ? before.remove(s.name()) : pool(s));
-            phases.put(s.name(), phase(s.name()));
+                            engineSpec.name(),
+                            engineSpec.address(),
+                            engineSpec.zone(),
+                            engineSpec.kind(),
+                            engineSpec.cell(),
+                            phase(engineSpec.name())));
+            NativeConnectionPool old = before.get(engineSpec.name());
+            boolean same = old != null && old.address().equals(engineSpec.address());
+            pools.put(
+                    engineSpec.name(), same ? before.remove(engineSpec.name()) : pool(engineSpec));
+            phases.put(engineSpec.name(), phase(engineSpec.name()));
         }
         before.values().forEach(NativeConnectionPool::close);
         news.accept(roster.configure(effective));
     }
 
-    private NativeConnectionPool pool(EngineSpec s) {
-        RouterConfig.Bounds b = config.bounds();
+    private NativeConnectionPool pool(EngineSpec engineSpec) {
+        RouterConfig.Bounds bounds = config.bounds();
         return new NativeConnectionPool(
-                s.name(),
-                s.address(),
+                engineSpec.name(),
+                engineSpec.address(),
                 config.name(),
                 config.engineLogin(),
-                b.engineConnections(),
-                (int) Math.max(1, b.connectNs() / 1_000_000),
-                b.idleEngineNs(),
+                bounds.engineConnections(),
+                (int) Math.max(1, bounds.connectNs() / 1_000_000),
+                bounds.idleEngineNs(),
                 limits);
     }
 
@@ -148,7 +154,7 @@
     public synchronized void drained(Set<String> engines) {
         Set<String> changed = new TreeSet<>(engines);
         changed.addAll(drained);
-        changed.removeIf(e -> engines.contains(e) == drained.contains(e));
+        changed.removeIf(text -> engines.contains(text) == drained.contains(text));
         drained = Set.copyOf(engines);
         changed.forEach(this::tell);
     }
@@ -202,9 +208,9 @@
             throw new IOException("engine " + engine + " is not on the list");
         }
         try {
-            NativeEngineConnection c = pool.take(database);
+            NativeEngineConnection connection = pool.take(database);
             believe(engine, true);
-            return c;
+            return connection;
         } catch (NativeConnectionPool.Full e) {
             throw e;
         } catch (IOException e) {
@@ -217,17 +223,17 @@
      * Takes back a connection; {@code clean} only where its last statement ended and nothing else
      * is due.
      */
-    public void giveBack(NativeEngineConnection c, boolean clean) {
+    public void giveBack(NativeEngineConnection connection, boolean clean) {
         if (clean) {
-            c.pool().giveBack(c, clock.nowNs());
+            connection.pool().giveBack(connection, clock.nowNs());
         } else {
-            c.pool().discard(c);
+            connection.pool().discard(connection);
         }
     }
 
     /** Closes connections that have been idle for too long. */
     public void closeIdle() {
-        pools.values().forEach(p -> p.closeIdle(clock.nowNs()));
+        pools.values().forEach(pool -> pool.closeIdle(clock.nowNs()));
     }
 
     /** Closes all that is idle. */
@@ -248,12 +254,12 @@
     private void probeNow(String engine, HealthCheckListener back) {
         Outcome outcome = Outcome.CONNECT_FAILED;
         LoadReport report = LoadReport.NONE;
-        NativeEngineConnection c = null;
+        NativeEngineConnection connection = null;
         boolean clean = false;
         try {
-            c = take(engine, "");
+            connection = take(engine, "");
             outcome = Outcome.RESET;
-            Map<String, Double> values = ask(c);
+            Map<String, Double> values = ask(connection);
             clean = values != null;
             outcome = clean ? Outcome.SERVED : Outcome.ERROR;
             if (clean) {
@@ -263,43 +269,43 @@
         } catch (NativeConnectionPool.Full e) {
             outcome = Outcome.NOT_SENT;
         } catch (java.net.SocketTimeoutException e) {
-            outcome = c == null ? Outcome.CONNECT_FAILED : Outcome.TIMED_OUT;
+            outcome = connection == null ? Outcome.CONNECT_FAILED : Outcome.TIMED_OUT;
         } catch (IOException e) {
             LOG.debug("probe of engine {} failed: {}", engine, e.toString());
         } finally {
-            if (c != null) {
-                giveBack(c, clean);
+            if (connection != null) {
+                giveBack(connection, clean);
             }
             back.onHealthCheckCompleted(outcome, report);
         }
     }
 
     /** Runs the probe's statement; null where the engine answers with an error. */
-    private Map<String, Double> ask(NativeEngineConnection c) throws IOException {
+    private Map<String, Double> ask(NativeEngineConnection connection) throws IOException {
         ByteBuf out = new ByteBuf();
         new QueryPacket("", ClientInfo.NONE, List.of(), QueryPacket.COMPLETE, false, probeStatement)
-                .write(c.revision(), out);
+                .write(connection.revision(), out);
         out.putVarUInt(ClientPacket.DATA.ordinal()).putString("");
         Block.END.write(null, out);
-        c.timeout(2 * (int) Math.max(1, config.bounds().connectNs() / 1_000_000));
-        c.write(out);
+        connection.timeout(2 * (int) Math.max(1, config.bounds().connectNs() / 1_000_000));
+        connection.write(out);
         Map<String, Double> values = new HashMap<>();
         while (true) {
-            ServerPacket p = ServerPacket.of(c.in().readVarUInt());
-            if (p == ServerPacket.EXCEPTION) {
-                ServerError.read(c.in(), limits);
+            ServerPacket serverPacket = ServerPacket.of(connection.in().readVarUInt());
+            if (serverPacket == ServerPacket.EXCEPTION) {
+                ServerError.read(connection.in(), limits);
                 return null;
-            } else if (p == ServerPacket.END_OF_STREAM) {
-                c.timeout(0);
+            } else if (serverPacket == ServerPacket.END_OF_STREAM) {
+                connection.timeout(0);
                 return values;
-            } else if (p.hasBlock()) {
-                c.in().readString("table", limits.nameBytes());
-                Block b = c.blocks().read(false, MOST_PROBE_ROWS);
-                if (p == ServerPacket.DATA) {
-                    values.putAll(LoadReportReader.values(b));
+            } else if (serverPacket.hasBlock()) {
+                connection.in().readString("table", limits.nameBytes());
+                Block block = connection.blocks().read(false, MOST_PROBE_ROWS);
+                if (serverPacket == ServerPacket.DATA) {
+                    values.putAll(LoadReportReader.values(block));
                 }
             } else {
-                c.skipPlain(p);
+                connection.skipPlain(serverPacket);
             }
         }
     }
--- a/router/src/main/java/ashlink/router/upstream/LoadReportReader.java
+++ b/router/src/main/java/ashlink/router/upstream/LoadReportReader.java
@@ -65,10 +65,10 @@
     }
 
     private static double of(Map<String, Double> values, List<Gauge> gauges) {
-        for (Gauge g : gauges) {
-            Double value = values.get(g.name());
+        for (Gauge gauge : gauges) {
+            Double value = values.get(gauge.name());
             if (value != null) {
-                return value / g.divisor();
+                return value / gauge.divisor();
             }
         }
         return Double.NaN;
--- a/router/src/main/java/ashlink/router/upstream/NativeConnectionPool.java
+++ b/router/src/main/java/ashlink/router/upstream/NativeConnectionPool.java
@@ -93,30 +93,30 @@
 
     private synchronized NativeEngineConnection poll(String database) {
         for (Iterator<NativeEngineConnection> i = idle.iterator(); i.hasNext(); ) {
-            NativeEngineConnection c = i.next();
-            if (c.database().equals(database)) {
+            NativeEngineConnection connection = i.next();
+            if (connection.database().equals(database)) {
                 i.remove();
-                return c;
+                return connection;
             }
         }
         return null;
     }
 
     /** Takes back a connection whose last statement ended cleanly. */
-    void giveBack(NativeEngineConnection c, long now) {
-        c.idleSince(now);
+    void giveBack(NativeEngineConnection connection, long now) {
+        connection.idleSince(now);
         synchronized (this) {
             if (!closed) {
-                idle.addFirst(c);
+                idle.addFirst(connection);
                 return;
             }
         }
-        discard(c);
+        discard(connection);
     }
 
     /** Closes a connection whose state is in doubt. */
-    void discard(NativeEngineConnection c) {
-        c.close();
+    void discard(NativeEngineConnection connection) {
+        connection.close();
         synchronized (this) {
             open--;
         }
--- a/router/src/main/java/ashlink/router/upstream/NativeEngineConnection.java
+++ b/router/src/main/java/ashlink/router/upstream/NativeEngineConnection.java
@@ -72,13 +72,13 @@
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
             long from = System.nanoTime();
             channel.socket().connect(address, timeoutMs);
-            NativeEngineConnection c =
+            NativeEngineConnection connection =
                     new NativeEngineConnection(pool, engine, database, channel, limits);
             int left = timeoutMs - (int) ((System.nanoTime() - from) / 1_000_000);
             channel.socket().setSoTimeout(Math.max(1, left));
-            c.hello(routerName, login);
+            connection.hello(routerName, login);
             channel.socket().setSoTimeout(0);
-            return c;
+            return connection;
         } catch (IOException | RuntimeException e) {
             channel.close();
             throw e;
@@ -99,14 +99,14 @@
         hello.writeTo(out);
         ServerPacket kind = ServerPacket.of(in.readVarUInt());
         if (kind == ServerPacket.EXCEPTION) {
-            ServerError e = ServerError.read(in, limits);
+            ServerError serverError = ServerError.read(in, limits);
             throw new IOException(
                     "engine "
                             + engine
                             + " refuses the login: code "
-                            + e.code()
+                            + serverError.code()
                             + " "
-                            + e.message());
+                            + serverError.message());
         } else if (kind != ServerPacket.HELLO) {
             throw new WireException(
                     WireException.Reason.MALFORMED,
--- a/router/src/test/java/ashlink/router/core/AttemptEndReasonTest.java
+++ b/router/src/test/java/ashlink/router/core/AttemptEndReasonTest.java
@@ -17,23 +17,23 @@
     private final List<Attempt.AttemptEnd> ends = new ArrayList<>();
 
     private Attempt attempt(AttemptPhase phase) {
-        Attempt a = new Attempt(1, 0, "q1", 0, -1, 0, (at, end) -> ends.add(end));
-        a.advance(phase);
-        return a;
+        Attempt attempt = new Attempt(1, 0, "q1", 0, -1, 0, (at, end) -> ends.add(end));
+        attempt.advance(phase);
+        return attempt;
     }
 
     @ParameterizedTest
     @EnumSource(AttemptEndReason.class)
     void whatProvablyLackedSomethingNeverCountsAsRunAndWhatHadAllMayHave(AttemptEndReason cause) {
         for (AttemptPhase phase : AttemptPhase.values()) {
-            Outcome o = cause.outcome(phase);
+            Outcome outcome = cause.outcome(phase);
             if (cause == AttemptEndReason.SERVED) {
-                assertTrue(o.mayHaveRun());
+                assertTrue(outcome.mayHaveRun());
             } else if (!phase.mayRun()) {
-                assertFalse(o.mayHaveRun(), cause + " while " + phase + " is " + o);
+                assertFalse(outcome.mayHaveRun(), cause + " while " + phase + " is " + outcome);
             } else if (cause != AttemptEndReason.REJECTED && cause != AttemptEndReason.STALE_REQUEST
                     || phase == AttemptPhase.ANSWERING) {
-                assertTrue(o.mayHaveRun(), cause + " while " + phase + " is " + o);
+                assertTrue(outcome.mayHaveRun(), cause + " while " + phase + " is " + outcome);
             }
         }
     }
--- a/router/src/test/java/ashlink/router/http/DescriptionTest.java
+++ b/router/src/test/java/ashlink/router/http/DescriptionTest.java
@@ -41,18 +41,18 @@
                                                     }
                                                 }));
         Set<String> routes = new TreeSet<>();
-        for (Route r : Route.values()) {
-            routes.add(r.method() + " " + r.path());
+        for (Route route : Route.values()) {
+            routes.add(route.method() + " " + route.path());
         }
         assertEquals(routes, described);
         Set<String> problems = new TreeSet<>();
         Set<String> mine = new TreeSet<>(Set.of("200", "202", "307"));
-        for (ProblemDetail.Kind k : ProblemDetail.Kind.values()) {
-            problems.add("/problems/" + k.word());
-            if (k
+        for (ProblemDetail.Kind kind : ProblemDetail.Kind.values()) {
+            problems.add("/problems/" + kind.word());
+            if (kind
                     != ProblemDetail.Kind
                             .METHOD) { // of paths with another method, which are not described
-                mine.add(Integer.toString(k.status()));
+                mine.add(Integer.toString(kind.status()));
             }
         }
         Set<String> types = new TreeSet<>();
