--- a/router/src/test/java/ashlink/router/http/ResultFormatTest.java
+++ b/router/src/test/java/ashlink/router/http/ResultFormatTest.java
@@ -27,26 +27,26 @@
 
     /** A block of one column. */
     private static byte[] block(String type, int rows, Values values) throws IOException {
-        ByteBuf b = new ByteBuf();
-        b.putVarUInt(1)
+        ByteBuf byteBuf = new ByteBuf();
+        byteBuf.putVarUInt(1)
                 .putByte(0)
                 .putVarUInt(2)
                 .putInt(-1)
                 .putVarUInt(0)
                 .putVarUInt(1)
                 .putVarUInt(rows);
-        b.putString("c").putString(type);
-        values.put(b);
-        return Arrays.copyOf(b.array(), b.size());
+        byteBuf.putString("c").putString(type);
+        values.put(byteBuf);
+        return Arrays.copyOf(byteBuf.array(), byteBuf.size());
     }
 
     private static String json(String type, int rows, Values values) throws IOException {
         byte[] page =
                 ResultFormat.JSON.render(
                         block(type, rows, values), new byte[0], 0, AROUND, WireLimits.DEFAULT);
-        JsonNode n = JSON.readTree(page);
-        assertEquals(type, n.get("columns").get(0).get("type").asText());
-        return n.get("rows").toString();
+        JsonNode node = JSON.readTree(page);
+        assertEquals(type, node.get("columns").get(0).get("type").asText());
+        return node.get("rows").toString();
     }
 
     private static String csv(String type, int rows, Values values) throws IOException {
@@ -56,27 +56,29 @@
                 StandardCharsets.UTF_8);
     }
 
-    private static ByteBuf ones(ByteBuf b, int bytes) throws IOException {
+    private static ByteBuf ones(ByteBuf byteBuf, int bytes) throws IOException {
         for (int i = 0; i < bytes; i++) {
-            b.putByte(0xff);
+            byteBuf.putByte(0xff);
         }
-        return b;
+        return byteBuf;
     }
 
     @Test
     void wholeNumbersOfAllWidthsAreExact() throws Exception {
-        assertEquals("[[255],[0]]", json("UInt8", 2, b -> b.putByte(255).putByte(0)));
-        assertEquals("[[-1]]", json("Int8", 1, b -> b.putByte(255)));
-        assertEquals("[[65535]]", json("UInt16", 1, b -> b.putShort(65535)));
-        assertEquals("[[4294967295]]", json("UInt32", 1, b -> b.putInt(-1)));
-        assertEquals("[[\"18446744073709551615\"]]", json("UInt64", 1, b -> b.putLong(-1)));
+        assertEquals("[[255],[0]]", json("UInt8", 2, byteBuf -> byteBuf.putByte(255).putByte(0)));
+        assertEquals("[[-1]]", json("Int8", 1, byteBuf -> byteBuf.putByte(255)));
+        assertEquals("[[65535]]", json("UInt16", 1, byteBuf -> byteBuf.putShort(65535)));
+        assertEquals("[[4294967295]]", json("UInt32", 1, byteBuf -> byteBuf.putInt(-1)));
         assertEquals(
-                "[[\"-9223372036854775808\"]]", json("Int64", 1, b -> b.putLong(Long.MIN_VALUE)));
+                "[[\"18446744073709551615\"]]", json("UInt64", 1, byteBuf -> byteBuf.putLong(-1)));
+        assertEquals(
+                "[[\"-9223372036854775808\"]]",
+                json("Int64", 1, byteBuf -> byteBuf.putLong(Long.MIN_VALUE)));
         assertEquals(
                 "[[\"340282366920938463463374607431768211455\"]]",
-                json("UInt128", 1, b -> ones(b, 16)));
-        assertEquals("[[\"-1\"]]", json("Int256", 1, b -> ones(b, 32)));
-        assertEquals("18446744073709551615\r\n", csv("UInt64", 1, b -> b.putLong(-1)));
+                json("UInt128", 1, byteBuf -> ones(byteBuf, 16)));
+        assertEquals("[[\"-1\"]]", json("Int256", 1, byteBuf -> ones(byteBuf, 32)));
+        assertEquals("18446744073709551615\r\n", csv("UInt64", 1, byteBuf -> byteBuf.putLong(-1)));
     }
 
     @Test
@@ -86,21 +88,23 @@
                 json(
                         "Float64",
                         3,
-                        b ->
-                                b.putLong(Double.doubleToLongBits(0.1))
+                        byteBuf ->
+                                byteBuf.putLong(Double.doubleToLongBits(0.1))
                                         .putLong(Double.doubleToLongBits(Double.NaN))
                                         .putLong(
                                                 Double.doubleToLongBits(
                                                         Double.NEGATIVE_INFINITY))));
-        assertEquals("[[0.1]]", json("Float32", 1, b -> b.putInt(Float.floatToIntBits(0.1f))));
-        assertEquals("[[\"-0.0001\"]]", json("Decimal(18, 4)", 1, b -> b.putLong(-1)));
+        assertEquals(
+                "[[0.1]]",
+                json("Float32", 1, byteBuf -> byteBuf.putInt(Float.floatToIntBits(0.1f))));
+        assertEquals("[[\"-0.0001\"]]", json("Decimal(18, 4)", 1, byteBuf -> byteBuf.putLong(-1)));
         assertEquals(
                 "[[\"12345678901234567890.10\"]]",
                 json(
                         "Decimal128(2)",
                         1,
-                        b ->
-                                b.putLong(
+                        byteBuf ->
+                                byteBuf.putLong(
                                                 new java.math.BigInteger("1234567890123456789010")
                                                         .longValue())
                                         .putLong(
@@ -112,40 +116,55 @@
                 csv(
                         "Float64",
                         2,
-                        b ->
-                                b.putLong(Double.doubleToLongBits(Double.NaN))
+                        byteBuf ->
+                                byteBuf.putLong(Double.doubleToLongBits(Double.NaN))
                                         .putLong(Double.doubleToLongBits(1.5))));
     }
 
     @Test
     void datesTimesAndNames() throws Exception {
-        assertEquals("[[\"2026-12-01\"]]", json("Date", 1, b -> b.putShort(20788)));
-        assertEquals("[[\"1900-01-01\"]]", json("Date32", 1, b -> b.putInt(-25567)));
+        assertEquals("[[\"2026-12-01\"]]", json("Date", 1, byteBuf -> byteBuf.putShort(20788)));
+        assertEquals("[[\"1900-01-01\"]]", json("Date32", 1, byteBuf -> byteBuf.putInt(-25567)));
         assertEquals(
-                "[[\"2026-12-01T00:00:00Z\"]]", json("DateTime", 1, b -> b.putInt(1796083200)));
+                "[[\"2026-12-01T00:00:00Z\"]]",
+                json("DateTime", 1, byteBuf -> byteBuf.putInt(1796083200)));
         assertEquals(
                 "[[\"2026-12-01T01:00:00+01:00\"]]",
-                json("DateTime('Europe/Vienna')", 1, b -> b.putInt(1796083200)));
+                json("DateTime('Europe/Vienna')", 1, byteBuf -> byteBuf.putInt(1796083200)));
         assertEquals(
-                "[[\"1969-12-31T23:59:59.999Z\"]]", json("DateTime64(3)", 1, b -> b.putLong(-1)));
+                "[[\"1969-12-31T23:59:59.999Z\"]]",
+                json("DateTime64(3)", 1, byteBuf -> byteBuf.putLong(-1)));
         assertEquals(
                 "[[\"it's\"],[\"7\"]]",
-                json("Enum8('it\\'s' = -3, 'b' = 2)", 2, b -> b.putByte(-3).putByte(7)));
+                json(
+                        "Enum8('it\\'s' = -3, 'b' = 2)",
+                        2,
+                        byteBuf -> byteBuf.putByte(-3).putByte(7)));
         assertEquals(
                 "[[\"00112233-4455-6677-8899-aabbccddeeff\"]]",
-                json("UUID", 1, b -> b.putLong(0x0011223344556677L).putLong(0x8899aabbccddeeffL)));
-        assertEquals("[[\"10.0.0.1\"]]", json("IPv4", 1, b -> b.putInt(0x0a000001)));
-        assertEquals("[[true],[false]]", json("Bool", 2, b -> b.putByte(1).putByte(0)));
+                json(
+                        "UUID",
+                        1,
+                        byteBuf ->
+                                byteBuf.putLong(0x0011223344556677L).putLong(0x8899aabbccddeeffL)));
+        assertEquals("[[\"10.0.0.1\"]]", json("IPv4", 1, byteBuf -> byteBuf.putInt(0x0a000001)));
+        assertEquals("[[true],[false]]", json("Bool", 2, byteBuf -> byteBuf.putByte(1).putByte(0)));
     }
 
     @Test
     void textsThatAreNoTextAreTold() throws Exception {
         assertEquals(
                 "[[\"a\\\"b\"],[{\"base64\":\"/w==\"}]]",
-                json("String", 2, b -> b.putString("a\"b").putVarUInt(1).putByte(0xff)));
+                json(
+                        "String",
+                        2,
+                        byteBuf -> byteBuf.putString("a\"b").putVarUInt(1).putByte(0xff)));
         byte[] raw =
                 ResultFormat.CSV.render(
-                        block("String", 2, b -> b.putString("a\"b").putVarUInt(1).putByte(0xff)),
+                        block(
+                                "String",
+                                2,
+                                byteBuf -> byteBuf.putString("a\"b").putVarUInt(1).putByte(0xff)),
                         new byte[0],
                         0,
                         AROUND,
@@ -156,50 +175,65 @@
                 "CSV has the bytes");
         assertEquals(
                 "[[\"ab\\u0000\"]]",
-                json("FixedString(3)", 1, b -> b.putByte('a').putByte('b').putByte(0)));
+                json("FixedString(3)", 1, byteBuf -> byteBuf.putByte('a').putByte('b').putByte(0)));
     }
 
     @Test
     void typesWithinTypes() throws Exception {
         assertEquals(
                 "[[null],[5]]",
-                json("Nullable(UInt8)", 2, b -> b.putByte(1).putByte(0).putByte(9).putByte(5)));
+                json(
+                        "Nullable(UInt8)",
+                        2,
+                        byteBuf -> byteBuf.putByte(1).putByte(0).putByte(9).putByte(5)));
         assertEquals(
                 "\r\n5\r\n",
-                csv("Nullable(UInt8)", 2, b -> b.putByte(1).putByte(0).putByte(9).putByte(5)));
+                csv(
+                        "Nullable(UInt8)",
+                        2,
+                        byteBuf -> byteBuf.putByte(1).putByte(0).putByte(9).putByte(5)));
         assertEquals(
                 "[[[1,2]],[[]],[[3]]]",
                 json(
                         "Array(UInt8)",
                         3,
-                        b -> b.putLong(2).putLong(2).putLong(3).putByte(1).putByte(2).putByte(3)));
+                        byteBuf ->
+                                byteBuf.putLong(2)
+                                        .putLong(2)
+                                        .putLong(3)
+                                        .putByte(1)
+                                        .putByte(2)
+                                        .putByte(3)));
         assertEquals(
                 "[[[1,\"x\"]]]",
-                json("Tuple(a UInt8, b String)", 1, b -> b.putByte(1).putString("x")));
+                json("Tuple(a UInt8, b String)", 1, byteBuf -> byteBuf.putByte(1).putString("x")));
         assertEquals(
                 "[[[[\"k\",7]]]]",
-                json("Map(String, UInt8)", 1, b -> b.putLong(1).putString("k").putByte(7)));
+                json(
+                        "Map(String, UInt8)",
+                        1,
+                        byteBuf -> byteBuf.putLong(1).putString("k").putByte(7)));
         assertEquals(
                 "[[\"b\"],[null],[\"b\"]]",
                 json(
                         "LowCardinality(Nullable(String))",
                         3,
-                        b -> {
-                            b.putLong(1)
+                        byteBuf -> {
+                            byteBuf.putLong(1)
                                     .putLong(1 << 9)
                                     .putLong(2)
                                     .putString("")
                                     .putString("b")
                                     .putLong(3);
-                            b.putByte(1).putByte(0).putByte(1);
+                            byteBuf.putByte(1).putByte(0).putByte(1);
                         }));
         assertEquals(
                 "[[[[1.5,2.5]]]]",
                 json(
                         "Ring",
                         1,
-                        b ->
-                                b.putLong(1)
+                        byteBuf ->
+                                byteBuf.putLong(1)
                                         .putLong(Double.doubleToLongBits(1.5))
                                         .putLong(Double.doubleToLongBits(2.5))));
     }
@@ -222,7 +256,7 @@
                     {"Nullable(Int64)", "null"},
                     {"Int256", "\"-5\""}
                 }) {
-            byte[] header = block(c[0], 0, b -> {});
+            byte[] header = block(c[0], 0, byteBuf -> {});
             byte[] packet =
                     RowsEncoder.encode(
                             header, JSON.readTree("[[" + c[1] + "]]"), WireLimits.DEFAULT);
@@ -248,18 +282,19 @@
                     {"String", "5"},
                     {"Array(UInt8)", "[1]"}
                 }) {
-            WireException e =
+            WireException failure =
                     assertThrows(
                             WireException.class,
                             () ->
                                     RowsEncoder.encode(
-                                            block(c[0], 0, b -> {}),
+                                            block(c[0], 0, byteBuf -> {}),
                                             JSON.readTree("[[" + c[1] + "]]"),
                                             WireLimits.DEFAULT),
                             c[0] + " took " + c[1]);
             assertTrue(
-                    e.getMessage().contains("row 0") || e.getMessage().contains("cannot be loaded"),
-                    e.getMessage());
+                    failure.getMessage().contains("row 0")
+                            || failure.getMessage().contains("cannot be loaded"),
+                    failure.getMessage());
         }
     }
 }
--- a/router/src/test/java/ashlink/router/spool/SpoolTest.java
+++ b/router/src/test/java/ashlink/router/spool/SpoolTest.java
@@ -36,27 +36,27 @@
         return new IdempotencyKeyTable(100, 1L << 40);
     }
 
-    private static Entry claim(IdempotencyKeyTable t, String key) {
-        return t.claim("u", key, "d-" + key, "s-" + key, 1).entry();
+    private static Entry claim(IdempotencyKeyTable table, String key) {
+        return table.claim("u", key, "d-" + key, "s-" + key, 1).entry();
     }
 
     // ---- Keys
     @Test
     void whatIsKeptIsThereAfterACrashAndTheTableIsWrittenAnew() throws Exception {
         IdempotencyKeyTable t = table();
-        IdempotencyKeyLog j = new IdempotencyKeyLog(FolderDisk.writing(dir), t, 1);
+        IdempotencyKeyLog log = new IdempotencyKeyLog(FolderDisk.writing(dir), t, 1);
         for (int i = 0; i < 20; i++) {
-            Entry e = claim(t, "k" + i);
-            j.put(e);
+            Entry entry = claim(t, "k" + i);
+            log.put(entry);
             if (i % 4 == 0) {
-                t.put(e.answered(StatementOutcome.SERVED));
-                j.put(e.answered(StatementOutcome.SERVED));
+                t.put(entry.answered(StatementOutcome.SERVED));
+                log.put(entry.answered(StatementOutcome.SERVED));
             } else if (i % 4 == 1) {
-                t.release("u", e.key());
-                j.release(e);
+                t.release("u", entry.key());
+                log.release(entry);
             }
         }
-        j.close(); // no more is written at a close than before it
+        log.close(); // no more is written at a close than before it
         IdempotencyKeyTable after = table();
         IdempotencyKeyLog next = new IdempotencyKeyLog(FolderDisk.writing(dir), after, 1);
         assertEquals(15, after.entries().size());
@@ -67,7 +67,7 @@
         try (Stream<Path> files = Files.list(dir)) {
             assertEquals(
                     1,
-                    files.filter(f -> f.toString().endsWith(".seg")).count(),
+                    files.filter(path -> path.toString().endsWith(".seg")).count(),
                     "the log before is gone");
         }
         next.close();
@@ -76,25 +76,25 @@
     @Test
     void aJournalCutAtAnyByteOpensWithAllThatWasBefore() throws Exception {
         IdempotencyKeyTable t = table();
-        IdempotencyKeyLog j = new IdempotencyKeyLog(FolderDisk.writing(dir), t, 1);
+        IdempotencyKeyLog log = new IdempotencyKeyLog(FolderDisk.writing(dir), t, 1);
         Path file;
         try (Stream<Path> files = Files.list(dir)) {
-            file = files.filter(f -> f.toString().endsWith(".seg")).findFirst().orElse(null);
+            file = files.filter(path -> path.toString().endsWith(".seg")).findFirst().orElse(null);
         }
         List<Long> sizes = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            j.put(claim(t, "k" + i));
+            log.put(claim(t, "k" + i));
             if (file == null) {
                 try (Stream<Path> files = Files.list(dir)) {
                     file =
-                            files.filter(f -> f.toString().endsWith(".seg"))
+                            files.filter(path -> path.toString().endsWith(".seg"))
                                     .findFirst()
                                     .orElseThrow();
                 }
             }
             sizes.add(Files.size(file));
         }
-        j.close();
+        log.close();
         byte[] whole = Files.readAllBytes(file);
         for (int cut = 0; cut <= whole.length; cut++) {
             Path copy = Files.createDirectory(dir.resolve("cut" + cut));
@@ -113,12 +113,12 @@
     void aKeyWhoseSyncFailsIsNotAcknowledgedAndTheNextIs() throws Exception {
         IdempotencyKeyTable t = table();
         FaultyDisk disk = new FaultyDisk();
-        IdempotencyKeyLog j = new IdempotencyKeyLog(disk, t, 1);
-        j.put(claim(t, "a"));
+        IdempotencyKeyLog log = new IdempotencyKeyLog(disk, t, 1);
+        log.put(claim(t, "a"));
         disk.syncFails(true);
-        assertThrows(IOException.class, () -> j.put(claim(t, "b")));
+        assertThrows(IOException.class, () -> log.put(claim(t, "b")));
         disk.syncFails(false);
-        j.put(claim(t, "c"));
+        log.put(claim(t, "c"));
         IdempotencyKeyTable after = table();
         new IdempotencyKeyLog(disk.afterPowerLoss(new SplittableRandom(1)), after, 1);
         assertTrue(after.ofStatement("s-a") != null && after.ofStatement("s-c") != null);
@@ -131,13 +131,13 @@
         for (int i = 0; i < 200; i++) {
             IdempotencyKeyTable t = table();
             FaultyDisk disk = new FaultyDisk();
-            IdempotencyKeyLog j = new IdempotencyKeyLog(disk, t, 1);
+            IdempotencyKeyLog log = new IdempotencyKeyLog(disk, t, 1);
             List<String> acknowledged = new ArrayList<>();
             int faulty = random.nextInt(20);
             for (int n = 0; n < 20; n++) {
                 disk.shortWriteIn(n == faulty ? random.nextInt(2) : -1);
                 try {
-                    j.put(claim(t, "k" + n));
+                    log.put(claim(t, "k" + n));
                     acknowledged.add("s-k" + n);
                 } catch (IOException e) {
                     lost++;
@@ -146,7 +146,8 @@
             IdempotencyKeyTable after = table();
             new IdempotencyKeyLog(disk.afterPowerLoss(random), after, 1);
             assertTrue(
-                    acknowledged.stream().allMatch(s -> after.ofStatement(s) != null), "run " + i);
+                    acknowledged.stream().allMatch(text -> after.ofStatement(text) != null),
+                    "run " + i);
         }
         assertTrue(lost > 50, "faults at stake: " + lost);
     }
@@ -163,10 +164,11 @@
     @Test
     void pagesComeBackAsTheyWereAndAWrongByteIsFound() throws Exception {
         try (SpoolDirectory files = new SpoolDirectory(dir, "r1", "b2")) {
-            PageStore s = store(files, 1_000, 10);
-            PageStore.Stored small = s.store("s", "u", 0, new byte[] {1, 2, 3}, 3, 0, () -> false);
+            PageStore pageStore = store(files, 1_000, 10);
+            PageStore.Stored small =
+                    pageStore.store("s", "u", 0, new byte[] {1, 2, 3}, 3, 0, () -> false);
             PageStore.Stored large =
-                    s.store(
+                    pageStore.store(
                             "s",
                             "u",
                             1,
@@ -174,37 +176,37 @@
                             8,
                             3,
                             () -> false);
-            assertArrayEquals(new byte[] {1, 2, 3}, s.read(small));
-            assertArrayEquals(new byte[] {4, 5, 6, 7, 8, 9, 10, 11}, s.read(large));
-            assertEquals(8, s.taken());
+            assertArrayEquals(new byte[] {1, 2, 3}, pageStore.read(small));
+            assertArrayEquals(new byte[] {4, 5, 6, 7, 8, 9, 10, 11}, pageStore.read(large));
+            assertEquals(8, pageStore.taken());
             Path page = dir.resolve(files.list().get(0));
             Files.write(page, new byte[] {4, 5, 6, 7, 8, 9, 10, 12});
-            assertThrows(IOException.class, () -> s.read(large));
-            s.drop(large);
-            s.drop(large);
-            assertEquals(0, s.taken());
+            assertThrows(IOException.class, () -> pageStore.read(large));
+            pageStore.drop(large);
+            pageStore.drop(large);
+            assertEquals(0, pageStore.taken());
             assertFalse(Files.exists(page));
         }
     }
 
     @Test
     void whoFindsNoRoomWaitsUntilThereIsSomeOrNobodyWantsIt() throws Exception {
-        PageStore s = store(null, 10, 0);
-        PageStore.Stored first = s.store("s", "u", 0, new byte[8], 8, 0, () -> false);
+        PageStore pageStore = store(null, 10, 0);
+        PageStore.Stored first = pageStore.store("s", "u", 0, new byte[8], 8, 0, () -> false);
         CountDownLatch stored = new CountDownLatch(1);
-        Thread t =
+        Thread thread =
                 new Thread(
                         () -> {
                             try {
-                                s.store("s", "u", 1, new byte[8], 8, 0, () -> false);
+                                pageStore.store("s", "u", 1, new byte[8], 8, 0, () -> false);
                                 stored.countDown();
                             } catch (IOException | InterruptedException e) {
                                 throw new IllegalStateException(e);
                             }
                         });
-        t.start();
+        thread.start();
         assertFalse(stored.await(50, TimeUnit.MILLISECONDS));
-        s.drop(first);
+        pageStore.drop(first);
         assertTrue(stored.await(20, TimeUnit.SECONDS));
         AtomicBoolean over = new AtomicBoolean();
         CountDownLatch ended = new CountDownLatch(1);
@@ -212,17 +214,19 @@
                         () -> {
                             assertThrows(
                                     IOException.class,
-                                    () -> s.store("s", "u", 2, new byte[8], 8, 0, over::get));
+                                    () ->
+                                            pageStore.store(
+                                                    "s", "u", 2, new byte[8], 8, 0, over::get));
                             ended.countDown();
                         })
                 .start();
         assertFalse(ended.await(50, TimeUnit.MILLISECONDS));
         over.set(true);
-        s.wake();
+        pageStore.wake();
         assertTrue(ended.await(20, TimeUnit.SECONDS));
         assertThrows(
                 IOException.class,
-                () -> s.store("t", "u", 0, new byte[11], 11, 0, () -> false),
+                () -> pageStore.store("t", "u", 0, new byte[11], 11, 0, () -> false),
                 "never fits");
     }
 
--- a/router/src/test/java/ashlink/router/spool/StoredKeysTest.java
+++ b/router/src/test/java/ashlink/router/spool/StoredKeysTest.java
@@ -63,17 +63,17 @@
         return table.entries().stream().map(StoredKeysTest::line).toList();
     }
 
-    private static String line(Entry e) {
-        int ending = e.ending() == null ? -1 : e.ending().ordinal();
+    private static String line(Entry entry) {
+        int ending = entry.ending() == null ? -1 : entry.ending().ordinal();
         return String.join(
                 "|",
-                e.user(),
-                e.key(),
-                e.digest(),
-                e.statement(),
-                "" + e.fate().ordinal(),
+                entry.user(),
+                entry.key(),
+                entry.digest(),
+                entry.statement(),
+                "" + entry.fate().ordinal(),
                 "" + ending,
-                "" + e.claimedMs());
+                "" + entry.claimedMs());
     }
 
     @Test
--- a/router/src/test/java/ashlink/router/statement/StatementDecisionsTest.java
+++ b/router/src/test/java/ashlink/router/statement/StatementDecisionsTest.java
@@ -26,131 +26,134 @@
 
     @Test
     void aStatementThatNobodyAsksForIsCalledOffAndOneThatIsAskedForIsNot() {
-        StatementLifecycle l = new StatementLifecycle(TERMS, 0);
-        assertEquals(Wish.NOTHING, l.wish(29));
-        assertEquals(Wish.ABANDON, l.wish(30));
-        l.asked(30);
-        assertEquals(Wish.NOTHING, l.wish(1_000), "an asker waits");
-        l.waited(false, 1_000);
-        assertEquals(Wish.NOTHING, l.wish(1_029));
-        assertEquals(Wish.ABANDON, l.wish(1_030));
+        StatementLifecycle statementLifecycle = new StatementLifecycle(TERMS, 0);
+        assertEquals(Wish.NOTHING, statementLifecycle.wish(29));
+        assertEquals(Wish.ABANDON, statementLifecycle.wish(30));
+        statementLifecycle.asked(30);
+        assertEquals(Wish.NOTHING, statementLifecycle.wish(1_000), "an asker waits");
+        statementLifecycle.waited(false, 1_000);
+        assertEquals(Wish.NOTHING, statementLifecycle.wish(1_029));
+        assertEquals(Wish.ABANDON, statementLifecycle.wish(1_030));
     }
 
     @Test
     void anAnswerIsKeptForItsTimeAndShorterOnceItsEndWasFetched() {
-        StatementLifecycle l = new StatementLifecycle(TERMS, 0);
-        assertTrue(l.answered(100));
-        assertFalse(l.answered(101), "once only");
-        assertEquals(Wish.NOTHING, l.wish(159));
-        assertEquals(Wish.DISCARD, l.wish(160));
-        l.asked(160);
-        l.waited(true, 165);
-        assertEquals(Wish.NOTHING, l.wish(174));
-        assertEquals(Wish.DISCARD, l.wish(175));
-        l.discarded(175);
-        assertEquals(State.GONE, l.state());
-        assertEquals(Wish.NOTHING, l.wish(474));
-        assertEquals(Wish.FORGET, l.wish(475));
-        l.forgotten();
-        assertEquals(Wish.NOTHING, l.wish(10_000));
-        assertEquals(Wish.NOTHING, l.wish(0), "a clock that goes back brings nothing back");
+        StatementLifecycle statementLifecycle = new StatementLifecycle(TERMS, 0);
+        assertTrue(statementLifecycle.answered(100));
+        assertFalse(statementLifecycle.answered(101), "once only");
+        assertEquals(Wish.NOTHING, statementLifecycle.wish(159));
+        assertEquals(Wish.DISCARD, statementLifecycle.wish(160));
+        statementLifecycle.asked(160);
+        statementLifecycle.waited(true, 165);
+        assertEquals(Wish.NOTHING, statementLifecycle.wish(174));
+        assertEquals(Wish.DISCARD, statementLifecycle.wish(175));
+        statementLifecycle.discarded(175);
+        assertEquals(State.GONE, statementLifecycle.state());
+        assertEquals(Wish.NOTHING, statementLifecycle.wish(474));
+        assertEquals(Wish.FORGET, statementLifecycle.wish(475));
+        statementLifecycle.forgotten();
+        assertEquals(Wish.NOTHING, statementLifecycle.wish(10_000));
+        assertEquals(
+                Wish.NOTHING,
+                statementLifecycle.wish(0),
+                "a clock that goes back brings nothing back");
     }
 
     @Test
     void aPageCanBeAskedForAgainUntilTheOneAfterTheNextIsAskedFor() {
-        PageWindow w = new PageWindow();
-        assertEquals(Kind.NOT_YET, w.ask(0));
-        assertEquals(Kind.NEVER, w.ask(1), "pages are asked for in order");
+        PageWindow pageWindow = new PageWindow();
+        assertEquals(Kind.NOT_YET, pageWindow.ask(0));
+        assertEquals(Kind.NEVER, pageWindow.ask(1), "pages are asked for in order");
         for (int i = 0; i < 4; i++) {
-            assertEquals(i, w.close());
+            assertEquals(i, pageWindow.close());
         }
-        assertEquals(Kind.THERE, w.ask(0));
-        assertEquals(Kind.THERE, w.ask(1));
-        assertEquals(Kind.THERE, w.ask(0));
-        assertEquals(Kind.THERE, w.ask(2));
-        assertEquals(Kind.GONE, w.ask(0));
-        assertEquals(Kind.THERE, w.ask(1));
-        assertEquals(Kind.THERE, w.ask(3));
-        assertEquals(Kind.NOT_YET, w.ask(4));
-        assertFalse(w.isLast(3));
-        w.end();
-        assertTrue(w.isLast(3) && w.isEndFetched());
-        assertEquals(Kind.NEVER, w.ask(4));
-        w.dropAll();
-        assertEquals(Kind.GONE, w.ask(3));
+        assertEquals(Kind.THERE, pageWindow.ask(0));
+        assertEquals(Kind.THERE, pageWindow.ask(1));
+        assertEquals(Kind.THERE, pageWindow.ask(0));
+        assertEquals(Kind.THERE, pageWindow.ask(2));
+        assertEquals(Kind.GONE, pageWindow.ask(0));
+        assertEquals(Kind.THERE, pageWindow.ask(1));
+        assertEquals(Kind.THERE, pageWindow.ask(3));
+        assertEquals(Kind.NOT_YET, pageWindow.ask(4));
+        assertFalse(pageWindow.isLast(3));
+        pageWindow.end();
+        assertTrue(pageWindow.isLast(3) && pageWindow.isEndFetched());
+        assertEquals(Kind.NEVER, pageWindow.ask(4));
+        pageWindow.dropAll();
+        assertEquals(Kind.GONE, pageWindow.ask(3));
     }
 
     @Property(tries = 200, seed = "7")
     void noBudgetIsEverOverdrawnAndAllComesBack(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        SpoolBudget b = new SpoolBudget(new SpoolBudget.Limits(40, 70, 100, 12));
+        SpoolBudget spoolBudget = new SpoolBudget(new SpoolBudget.Limits(40, 70, 100, 12));
         Map<String, Long> held = new HashMap<>();
         Map<String, Long> byUser = new HashMap<>();
         for (int i = 0; i < 300; i++) {
             int n = random.nextInt(12);
-            String s = "s" + n;
+            String text = "s" + n;
             String user = "u" + n % 3;
             if (random.nextInt(3) > 0) {
                 long bytes = 1 + random.nextInt(45);
-                SpoolBudget.Verdict v = b.ask(s, user, bytes);
-                assertEquals(bytes > 40, v == SpoolBudget.Verdict.NEVER);
-                if (v == SpoolBudget.Verdict.GRANTED) {
-                    held.merge(s, bytes, Long::sum);
+                SpoolBudget.Verdict verdict = spoolBudget.ask(text, user, bytes);
+                assertEquals(bytes > 40, verdict == SpoolBudget.Verdict.NEVER);
+                if (verdict == SpoolBudget.Verdict.GRANTED) {
+                    held.merge(text, bytes, Long::sum);
                     byUser.merge(user, bytes, Long::sum);
                 }
-            } else if (held.getOrDefault(s, 0L) > 0) {
-                long bytes = 1 + random.nextLong(held.get(s));
-                b.release(s, bytes);
-                held.merge(s, -bytes, Long::sum);
+            } else if (held.getOrDefault(text, 0L) > 0) {
+                long bytes = 1 + random.nextLong(held.get(text));
+                spoolBudget.release(text, bytes);
+                held.merge(text, -bytes, Long::sum);
                 byUser.merge(user, -bytes, Long::sum);
             }
             assertTrue(
                     held.values().stream().allMatch(x -> x <= 40)
                             && byUser.values().stream().allMatch(x -> x <= 70));
-            assertEquals(held.values().stream().mapToLong(x -> x).sum(), b.taken());
-            assertTrue(b.taken() <= 100);
-            assertEquals(byUser.getOrDefault("u1", 0L), b.takenBy("u1"));
+            assertEquals(held.values().stream().mapToLong(x -> x).sum(), spoolBudget.taken());
+            assertTrue(spoolBudget.taken() <= 100);
+            assertEquals(byUser.getOrDefault("u1", 0L), spoolBudget.takenBy("u1"));
         }
-        held.forEach((s, bytes) -> b.release(s, bytes));
-        assertEquals(0, b.taken());
-        assertEquals(SpoolBudget.Verdict.GRANTED, b.ask("new", "u", 40));
+        held.forEach((text, bytes) -> spoolBudget.release(text, bytes));
+        assertEquals(0, spoolBudget.taken());
+        assertEquals(SpoolBudget.Verdict.GRANTED, spoolBudget.ask("new", "u", 40));
     }
 
     @Test
     void resultsThatNobodyFetchesLeaveRoomForTheFirstPageOfAnother() {
-        SpoolBudget b = new SpoolBudget(new SpoolBudget.Limits(100, 100, 100, 10));
-        assertEquals(SpoolBudget.Verdict.GRANTED, b.ask("hog", "u", 80));
-        assertEquals(SpoolBudget.Verdict.WAIT, b.ask("hog", "u", 11));
-        assertEquals(SpoolBudget.Verdict.GRANTED, b.ask("hog", "u", 10));
-        assertEquals(SpoolBudget.Verdict.GRANTED, b.ask("other", "v", 10), "the reserve");
-        assertEquals(SpoolBudget.Verdict.WAIT, b.ask("other", "v", 1));
-        b.release("hog", 50);
-        assertEquals(SpoolBudget.Verdict.GRANTED, b.ask("other", "v", 40));
+        SpoolBudget spoolBudget = new SpoolBudget(new SpoolBudget.Limits(100, 100, 100, 10));
+        assertEquals(SpoolBudget.Verdict.GRANTED, spoolBudget.ask("hog", "u", 80));
+        assertEquals(SpoolBudget.Verdict.WAIT, spoolBudget.ask("hog", "u", 11));
+        assertEquals(SpoolBudget.Verdict.GRANTED, spoolBudget.ask("hog", "u", 10));
+        assertEquals(SpoolBudget.Verdict.GRANTED, spoolBudget.ask("other", "v", 10), "the reserve");
+        assertEquals(SpoolBudget.Verdict.WAIT, spoolBudget.ask("other", "v", 1));
+        spoolBudget.release("hog", 50);
+        assertEquals(SpoolBudget.Verdict.GRANTED, spoolBudget.ask("other", "v", 40));
     }
 
     @Test
     void aKeyHoldsItsStatementUntilItsTimeIsOver() {
-        IdempotencyKeyTable t = new IdempotencyKeyTable(2, 1_000);
-        assertEquals(Verdict.NEW, t.claim("u", "k", "d1", "s1", 0).verdict());
-        assertEquals("s1", t.claim("u", "k", "d1", "s2", 1).entry().statement());
-        assertEquals(Verdict.SAME, t.claim("u", "k", "d1", "s2", 1).verdict());
-        assertEquals(Verdict.OTHER, t.claim("u", "k", "d2", "s2", 1).verdict());
+        IdempotencyKeyTable table = new IdempotencyKeyTable(2, 1_000);
+        assertEquals(Verdict.NEW, table.claim("u", "k", "d1", "s1", 0).verdict());
+        assertEquals("s1", table.claim("u", "k", "d1", "s2", 1).entry().statement());
+        assertEquals(Verdict.SAME, table.claim("u", "k", "d1", "s2", 1).verdict());
+        assertEquals(Verdict.OTHER, table.claim("u", "k", "d2", "s2", 1).verdict());
         assertEquals(
                 Verdict.NEW,
-                t.claim("v", "k", "d2", "s3", 2).verdict(),
+                table.claim("v", "k", "d2", "s3", 2).verdict(),
                 "keys are each user's own");
-        assertEquals(Verdict.FULL, t.claim("u", "l", "d", "s4", 3).verdict());
-        t.put(t.ofStatement("s1").answered(StatementOutcome.SERVED));
+        assertEquals(Verdict.FULL, table.claim("u", "l", "d", "s4", 3).verdict());
+        table.put(table.ofStatement("s1").answered(StatementOutcome.SERVED));
         assertEquals(
                 Verdict.FULL,
-                t.claim("u", "l", "d", "s4", 999).verdict(),
+                table.claim("u", "l", "d", "s4", 999).verdict(),
                 "no key goes before its time");
-        assertEquals(Verdict.NEW, t.claim("u", "l", "d", "s4", 1_000).verdict());
+        assertEquals(Verdict.NEW, table.claim("u", "l", "d", "s4", 1_000).verdict());
         assertEquals(
                 Verdict.SAME,
-                t.claim("v", "k", "d2", "s5", 9_000).verdict(),
+                table.claim("v", "k", "d2", "s5", 9_000).verdict(),
                 "one under way is never let go");
-        assertEquals(List.of(), t.expire(500));
+        assertEquals(List.of(), table.expire(500));
     }
 
     @Test
@@ -158,13 +161,13 @@
         Entry open = new Entry("u", "k", "d", "s", Fate.OPEN, null, 5);
         assertEquals(Fate.UNKNOWN, open.afterRestart().fate());
         assertEquals(Fate.ANSWERED, open.answered(StatementOutcome.SERVED).afterRestart().fate());
-        IdempotencyKeyTable t = new IdempotencyKeyTable(2, 1_000);
-        t.put(open.afterRestart());
-        assertEquals(Verdict.SAME, t.claim("u", "k", "d", "s9", 6).verdict());
-        t.release("u", "k");
+        IdempotencyKeyTable table = new IdempotencyKeyTable(2, 1_000);
+        table.put(open.afterRestart());
+        assertEquals(Verdict.SAME, table.claim("u", "k", "d", "s9", 6).verdict());
+        table.release("u", "k");
         assertEquals(
                 Verdict.NEW,
-                t.claim("u", "k", "d", "s9", 6).verdict(),
+                table.claim("u", "k", "d", "s9", 6).verdict(),
                 "what was refused may come again");
     }
 }
--- a/simulator/src/main/java/ashlink/simulator/SimulatorAdapter.java
+++ b/simulator/src/main/java/ashlink/simulator/SimulatorAdapter.java
@@ -79,19 +79,19 @@
     }
 
     private void take(String line, BufferedReader in) throws IOException {
-        Fields f = LineFields.of(line);
+        Fields fields = LineFields.of(line);
         int space = line.indexOf(' ');
         String name = space < 0 ? line : line.substring(0, space);
         switch (name) {
-            case "LIST" -> readList(f, in);
-            case "NEW_INSTANCE" -> start(f);
-            case "RETIRE" -> instances.remove(f.whole("router-id"));
-            default -> hand(name, f);
+            case "LIST" -> readList(fields, in);
+            case "NEW_INSTANCE" -> start(fields);
+            case "RETIRE" -> instances.remove(fields.whole("router-id"));
+            default -> hand(name, fields);
         }
     }
 
-    private void readList(Fields f, BufferedReader in) throws IOException {
-        long count = f.whole("lines");
+    private void readList(Fields fields, BufferedReader in) throws IOException {
+        long count = fields.whole("lines");
         List<Endpoint> entries = new ArrayList<>();
         for (long i = 0; i < count; i++) {
             String line = need(in);
@@ -100,31 +100,32 @@
             }
             entries.add(SimulatorCodec.entry(LineFields.of(line)));
         }
-        lists.put(f.whole("list"), List.copyOf(entries));
+        lists.put(fields.whole("list"), List.copyOf(entries));
     }
 
-    private void start(Fields f) {
-        long id = f.whole("router-id");
+    private void start(Fields fields) {
+        long id = fields.whole("router-id");
         instances.remove(id);
         try {
-            Settings settings = SettingsReader.read(f);
+            Settings settings = SettingsReader.read(fields);
             instances.put(id, new Instance(new DefaultWorkloadManager(settings), settings));
         } catch (IllegalArgumentException e) {
             SimulatorCodec.writeBroken(id, e.getMessage(), reply);
         }
     }
 
-    private void hand(String name, Fields f) {
-        long id = f.whole("router-id", -1);
+    private void hand(String name, Fields fields) {
+        long id = fields.whole("router-id", -1);
         Instance instance = instances.get(id);
         if (instance == null) {
             return;
         }
         Event event =
                 name.equals("ANNOUNCE")
-                        ? SimulatorCodec.news(f, lists.getOrDefault(f.whole("list", -1), List.of()))
+                        ? SimulatorCodec.news(
+                                fields, lists.getOrDefault(fields.whole("list", -1), List.of()))
                         : SimulatorCodec.event(
-                                name, f, instance.settings().capabilities().reportsCost());
+                                name, fields, instance.settings().capabilities().reportsCost());
         if (event != null) {
             for (Action action : instance.gateway().onEvent(event, now)) {
                 SimulatorCodec.write(id, action, reply);
--- a/simulator/src/main/java/ashlink/simulator/SimulatorCodec.java
+++ b/simulator/src/main/java/ashlink/simulator/SimulatorCodec.java
@@ -37,14 +37,14 @@
     private SimulatorCodec() {}
 
     /** Reads an {@code M} line. */
-    static Endpoint entry(Fields f) {
+    static Endpoint entry(Fields fields) {
         return new Endpoint(
-                f.needed("engine"),
-                phase(f.needed("phase")),
-                f.text("zone", ""),
-                f.text("sku", ""),
-                f.whole("stripe", 0),
-                f.whole("came-up-ns", 0));
+                fields.needed("engine"),
+                phase(fields.needed("phase")),
+                fields.text("zone", ""),
+                fields.text("sku", ""),
+                fields.whole("stripe", 0),
+                fields.whole("came-up-ns", 0));
     }
 
     private static EndpointState phase(String text) {
@@ -57,15 +57,15 @@
     }
 
     /** Reads an {@code ANNOUNCE} line; {@code entries} are those of the list that it names. */
-    static EndpointsChanged news(Fields f, List<Endpoint> entries) {
-        return switch (f.needed("form")) {
+    static EndpointsChanged news(Fields fields, List<Endpoint> entries) {
+        return switch (fields.needed("form")) {
             case "all" -> new EndpointsChanged(EndpointListKind.SNAPSHOT, entries);
             case "changes" -> new EndpointsChanged(EndpointListKind.DELTA, entries);
             case "remembered" -> new EndpointsChanged(EndpointListKind.CACHED, entries);
             case "refused" -> new EndpointsChanged(EndpointListKind.UNAVAILABLE, List.of());
             default ->
                     throw new SimulatorProtocolException(
-                            "ANNOUNCE: form=" + f.text("form") + " is unknown");
+                            "ANNOUNCE: form=" + fields.text("form") + " is unknown");
         };
     }
 
@@ -73,50 +73,50 @@
      * Reads any other event line for an instance; null for a message that is none of this gateway's
      * concern.
      */
-    static Event event(String name, Fields f, boolean costInAnswers) {
+    static Event event(String name, Fields fields, boolean costInAnswers) {
         return switch (name) {
             case "INGRESS" ->
                     new QuerySubmitted(
-                            f.whole("op-id"),
-                            f.needed("class"),
-                            f.text("relation"),
-                            f.whole("data-group", 0),
-                            f.whole("drop-dead-ns"),
-                            f.whole("guess-ns", 0),
-                            f.number("want-mb", 0),
-                            f.text("tenant", ""));
-            case "CLIENT_GONE" -> new ClientDisconnected(f.whole("op-id"));
+                            fields.whole("op-id"),
+                            fields.needed("class"),
+                            fields.text("relation"),
+                            fields.whole("data-group", 0),
+                            fields.whole("drop-dead-ns"),
+                            fields.whole("guess-ns", 0),
+                            fields.number("want-mb", 0),
+                            fields.text("tenant", ""));
+            case "CLIENT_GONE" -> new ClientDisconnected(fields.whole("op-id"));
             case "UPDATE_OF" ->
                     new AttemptProgress(
-                            f.whole("op-id"),
-                            (int) f.whole("shot", 0),
-                            f.needed("engine"),
-                            noteKind(f.whole("sort")),
-                            f.number("amount", 0));
-            case "FIRED" -> new TimerFired(f.whole("label"));
-            case "RESOLVED" -> ended(f, costInAnswers);
+                            fields.whole("op-id"),
+                            (int) fields.whole("shot", 0),
+                            fields.needed("engine"),
+                            noteKind(fields.whole("sort")),
+                            fields.number("amount", 0));
+            case "FIRED" -> new TimerFired(fields.whole("label"));
+            case "RESOLVED" -> ended(fields, costInAnswers);
             case "PONG" ->
                     new HealthCheckCompleted(
-                            f.needed("engine"),
-                            outcome(f.needed("verdict")),
-                            f.whole("lag-ns", 0),
-                            report(f.text("gauge")));
+                            fields.needed("engine"),
+                            outcome(fields.needed("verdict")),
+                            fields.whole("lag-ns", 0),
+                            report(fields.text("gauge")));
             default -> null;
         };
     }
 
-    private static AttemptEnded ended(Fields f, boolean costInAnswers) {
-        long note = costInAnswers ? f.whole("note", 0) : 0;
+    private static AttemptEnded ended(Fields fields, boolean costInAnswers) {
+        long note = costInAnswers ? fields.whole("note", 0) : 0;
         return new AttemptEnded(
-                f.whole("op-id"),
-                (int) f.whole("shot", 0),
-                f.needed("engine"),
-                outcome(f.needed("verdict")),
-                f.whole("lag-ns", 0),
-                f.flag("complete"),
+                fields.whole("op-id"),
+                (int) fields.whole("shot", 0),
+                fields.needed("engine"),
+                outcome(fields.needed("verdict")),
+                fields.whole("lag-ns", 0),
+                fields.flag("complete"),
                 note / NOTE_WORK_UNIT,
                 (double) (note % NOTE_WORK_UNIT) * NOTE_MEMORY_MB,
-                report(f.text("gauge")));
+                report(fields.text("gauge")));
     }
 
     private static ProgressKind noteKind(long sort) {
@@ -159,48 +159,48 @@
 
     /** Appends the line of an action of that instance. */
     static void write(long instance, Action action, StringBuilder out) {
-        if (action instanceof StartAttempt a) {
+        if (action instanceof StartAttempt startAttempt) {
             line("FORWARD", instance, out)
                     .append(" op-id=")
-                    .append(a.id())
+                    .append(startAttempt.id())
                     .append(" timeout-ns=")
-                    .append(a.timeoutNs())
+                    .append(startAttempt.timeoutNs())
                     .append(" engine=")
-                    .append(a.engine());
-        } else if (action instanceof SetAttemptResources a) {
+                    .append(startAttempt.engine());
+        } else if (action instanceof SetAttemptResources resources) {
             line("LIMITS_FOR", instance, out)
                     .append(" op-id=")
-                    .append(a.id())
+                    .append(resources.id())
                     .append(" prio=")
-                    .append(a.priority())
+                    .append(resources.priority())
                     .append(" mem-mb=")
-                    .append(a.memoryMb());
-        } else if (action instanceof Reject a) {
+                    .append(resources.memoryMb());
+        } else if (action instanceof Reject reject) {
             line("REFUSE", instance, out)
                     .append(" op-id=")
-                    .append(a.id())
+                    .append(reject.id())
                     .append(" hold-off-ns=")
-                    .append(a.retryAfterNs());
-        } else if (action instanceof Fail a) {
-            line("REPORT_FAILURE", instance, out).append(" op-id=").append(a.id());
-        } else if (action instanceof CancelAttempt a) {
+                    .append(reject.retryAfterNs());
+        } else if (action instanceof Fail fail) {
+            line("REPORT_FAILURE", instance, out).append(" op-id=").append(fail.id());
+        } else if (action instanceof CancelAttempt cancelAttempt) {
             line("CALL_OFF", instance, out)
                     .append(" op-id=")
-                    .append(a.id())
+                    .append(cancelAttempt.id())
                     .append(" shot=")
-                    .append(a.attempt());
-        } else if (action instanceof CheckHealth a) {
-            line("PING", instance, out).append(" engine=").append(a.engine());
-        } else if (action instanceof SetTimer a) {
+                    .append(cancelAttempt.attempt());
+        } else if (action instanceof CheckHealth checkHealth) {
+            line("PING", instance, out).append(" engine=").append(checkHealth.engine());
+        } else if (action instanceof SetTimer setTimer) {
             line("SET_ALARM", instance, out)
                     .append(" label=")
-                    .append(a.label())
+                    .append(setTimer.label())
                     .append(" time-ns=")
-                    .append(a.timeNs());
+                    .append(setTimer.timeNs());
         } else if (action instanceof WatchEndpoints) {
             line("TAIL", instance, out).append(" enable=1");
-        } else if (action instanceof Log a) {
-            line("REMARK", instance, out).append(" reason-text=").append(a.text());
+        } else if (action instanceof Log log) {
+            line("REMARK", instance, out).append(" reason-text=").append(log.text());
         }
         out.append('\n');
     }
--- a/simulator/src/test/java/ashlink/simulator/SimulatorCodecTest.java
+++ b/simulator/src/test/java/ashlink/simulator/SimulatorCodecTest.java
@@ -177,11 +177,11 @@
 
     @Test
     void namesTheLineThatCannotBeRead() {
-        SimulatorProtocolException e =
+        SimulatorProtocolException failure =
                 assertThrows(
                         SimulatorProtocolException.class,
                         () -> play("SYNC moment-ns=0\nEND\nHELLO\n"));
-        assertTrue(e.getMessage().startsWith("line 3: "));
+        assertTrue(failure.getMessage().startsWith("line 3: "));
         assertThrows(SimulatorProtocolException.class, () -> play("SYNC moment-ns=0\n"));
     }
 
--- a/sql/src/main/java/ashlink/sql/ExpressionReader.java
+++ b/sql/src/main/java/ashlink/sql/ExpressionReader.java
@@ -26,24 +26,24 @@
 
     // ---- Small steps
     boolean at(int type) {
-        Token t = tokens.peek();
-        return t != null && t.type == type;
+        Token token = tokens.peek();
+        return token != null && token.type == type;
     }
 
     boolean atWord(String word) {
-        Token t = tokens.peek();
-        return t != null && t.is(word);
+        Token token = tokens.peek();
+        return token != null && token.is(word);
     }
 
     boolean atWords(String first, String second) {
-        Token t = tokens.peek(1);
-        return atWord(first) && t != null && t.is(second);
+        Token token = tokens.peek(1);
+        return atWord(first) && token != null && token.is(second);
     }
 
     Token keyword() {
-        Token t = tokens.take();
-        t.role = Role.KEYWORD;
-        return t;
+        Token token = tokens.take();
+        token.role = Role.KEYWORD;
+        return token;
     }
 
     boolean tryWord(String word) {
@@ -68,15 +68,16 @@
     }
 
     UnsupportedSyntaxException unexpected(String wanted) {
-        Token t = tokens.peek();
+        Token token = tokens.peek();
         String there =
-                t == null
+                token == null
                         ? "the end"
-                        : t.type == SqlLexer.STRING || t.type == SqlLexer.NUMBER
+                        : token.type == SqlLexer.STRING || token.type == SqlLexer.NUMBER
                                 ? "a literal"
-                                : t.type == SqlLexer.WORD
+                                : token.type == SqlLexer.WORD
                                         ? "a word"
-                                        : "'" + t.text
+                                        : "'"
+                                                + token.text
                                                 + "'"; // no name or value of a statement is told
         return new UnsupportedSyntaxException(
                 there + " where " + wanted + " was expected", tokens.at());
@@ -109,34 +110,34 @@
         tokens.take().role = Role.LITERAL;
     }
 
-    static boolean isName(Token t) {
-        return t != null
-                && (t.type == SqlLexer.WORD
-                        || t.type == SqlLexer.BACKTICKED
-                        || t.type == SqlLexer.QUOTED);
+    static boolean isName(Token token) {
+        return token != null
+                && (token.type == SqlLexer.WORD
+                        || token.type == SqlLexer.BACKTICKED
+                        || token.type == SqlLexer.QUOTED);
     }
 
     /** Takes a name, quoted or not, and returns it without quotes. */
     String name(String what) {
-        Token t = tokens.peek();
-        if (!isName(t)) {
+        Token token = tokens.peek();
+        if (!isName(token)) {
             throw unexpected(what);
         }
         tokens.take();
-        t.role = Role.NAME;
-        return plain(t);
+        token.role = Role.NAME;
+        return plain(token);
     }
 
-    static String plain(Token t) {
-        if (t.type == SqlLexer.WORD) {
-            return t.text;
+    static String plain(Token token) {
+        if (token.type == SqlLexer.WORD) {
+            return token.text;
         }
-        char quote = t.text.charAt(0);
+        char quote = token.text.charAt(0);
         StringBuilder plain = new StringBuilder();
-        for (int i = 1; i < t.text.length() - 1; i++) {
-            char c = t.text.charAt(i);
+        for (int i = 1; i < token.text.length() - 1; i++) {
+            char c = token.text.charAt(i);
             if (c == '\\' || c == quote) {
-                c = t.text.charAt(++i);
+                c = token.text.charAt(++i);
             }
             plain.append(c);
         }
@@ -206,8 +207,8 @@
         shallower();
     }
 
-    private void anyOperand(Token t, Scope scope) {
-        switch (t.type) {
+    private void anyOperand(Token token, Scope scope) {
+        switch (token.type) {
             case SqlLexer.NUMBER, SqlLexer.STRING, SqlLexer.QUESTION, SqlLexer.MANY ->
                     tokens.take().role = Role.LITERAL;
             case SqlLexer.STAR -> tokens.take();
@@ -259,58 +260,58 @@
     }
 
     private void word(Scope scope) {
-        Token t = tokens.peek();
+        Token token = tokens.peek();
         Token next = tokens.peek(1);
         boolean call = next != null && next.type == SqlLexer.OPEN;
         boolean part = next != null && next.type == SqlLexer.DOT;
-        String w = t.upper();
-        if (w.equals("CASE") && !part && !call) {
+        String text = token.upper();
+        if (text.equals("CASE") && !part && !call) {
             caseOf(scope);
-        } else if (w.equals("NOT") && !part) {
+        } else if (text.equals("NOT") && !part) {
             keyword();
             operand(scope);
-        } else if ((w.equals("DISTINCT") || w.equals("ALL")) && !part && !isEnd(next)) {
+        } else if ((text.equals("DISTINCT") || text.equals("ALL")) && !part && !isEnd(next)) {
             keyword();
             operand(scope);
-        } else if (w.equals("INTERVAL")
+        } else if (text.equals("INTERVAL")
                 && !part
                 && next != null
                 && next.type != SqlLexer.COMMA
                 && !isEnd(next)
                 && startsInterval(next)) {
             interval(scope);
-        } else if ((w.equals("DATE") || w.equals("TIMESTAMP"))
+        } else if ((text.equals("DATE") || text.equals("TIMESTAMP"))
                 && next != null
                 && (next.type == SqlLexer.STRING || next.type == SqlLexer.QUESTION)) {
             keyword();
             tokens.take().role = Role.LITERAL;
-        } else if (Vocabulary.LITERALS.contains(w) && !part && !call) {
+        } else if (Vocabulary.LITERALS.contains(text) && !part && !call) {
             tokens.take().role = Role.LITERAL;
-        } else if (w.equals("EXISTS") && call) {
+        } else if (text.equals("EXISTS") && call) {
             keyword();
             tokens.take();
             parenthesis(scope);
-        } else if (w.equals("SELECT") || w.equals("FROM") && !call && !part) {
+        } else if (text.equals("SELECT") || text.equals("FROM") && !call && !part) {
             throw unexpected("an operand");
         } else {
             named(scope);
         }
     }
 
-    private static boolean isEnd(Token t) {
-        return t == null
-                || t.type == SqlLexer.CLOSE
-                || t.type == SqlLexer.COMMA
-                || t.type == SqlLexer.OPERATOR;
+    private static boolean isEnd(Token token) {
+        return token == null
+                || token.type == SqlLexer.CLOSE
+                || token.type == SqlLexer.COMMA
+                || token.type == SqlLexer.OPERATOR;
     }
 
-    private static boolean startsInterval(Token t) {
-        return t.type == SqlLexer.NUMBER
-                || t.type == SqlLexer.STRING
-                || t.type == SqlLexer.OPEN
-                || t.type == SqlLexer.MINUS
-                || t.type == SqlLexer.QUESTION
-                || isName(t) && !Vocabulary.CLAUSES.contains(t.upper());
+    private static boolean startsInterval(Token token) {
+        return token.type == SqlLexer.NUMBER
+                || token.type == SqlLexer.STRING
+                || token.type == SqlLexer.OPEN
+                || token.type == SqlLexer.MINUS
+                || token.type == SqlLexer.QUESTION
+                || isName(token) && !Vocabulary.CLAUSES.contains(token.upper());
     }
 
     private void interval(Scope scope) {
@@ -328,8 +329,8 @@
     }
 
     private boolean isUnit() {
-        Token t = tokens.peek();
-        return t != null && Vocabulary.UNITS.contains(t.upper());
+        Token token = tokens.peek();
+        return token != null && Vocabulary.UNITS.contains(token.upper());
     }
 
     /** A name with parts, or a call. */
@@ -361,8 +362,8 @@
     }
 
     private String upperAfter() {
-        Token t = tokens.peek(1);
-        return t == null ? "" : t.upper();
+        Token token = tokens.peek(1);
+        return token == null ? "" : token.upper();
     }
 
     private void castCall(Scope scope) {
@@ -386,8 +387,8 @@
     private void wordyCall(Scope scope) {
         tokens.take();
         deeper();
-        for (String w : new String[] {"BOTH", "LEADING", "TRAILING"}) {
-            tryWord(w);
+        for (String text : new String[] {"BOTH", "LEADING", "TRAILING"}) {
+            tryWord(text);
         }
         if (!atWord("FROM")) {
             expression(scope);
@@ -427,13 +428,13 @@
         if (at(SqlLexer.OPEN)) {
             tokens.take();
             while (!at(SqlLexer.CLOSE)) {
-                Token t = tokens.peek();
-                if (t != null
-                        && (t.type == SqlLexer.NUMBER
-                                || t.type == SqlLexer.STRING
-                                || t.type == SqlLexer.OPERATOR
-                                || t.type == SqlLexer.COMMA
-                                || t.type == SqlLexer.MINUS)) {
+                Token token = tokens.peek();
+                if (token != null
+                        && (token.type == SqlLexer.NUMBER
+                                || token.type == SqlLexer.STRING
+                                || token.type == SqlLexer.OPERATOR
+                                || token.type == SqlLexer.COMMA
+                                || token.type == SqlLexer.MINUS)) {
                     tokens.take().role = Role.SYMBOL; // a type's numbers are its shape
                 } else {
                     type();
@@ -464,8 +465,8 @@
         return more;
     }
 
-    private boolean after(Token t, Scope scope) {
-        switch (t.type) {
+    private boolean after(Token token, Scope scope) {
+        switch (token.type) {
             case SqlLexer.OPERATOR,
                     SqlLexer.PLUS,
                     SqlLexer.MINUS,
@@ -486,7 +487,7 @@
             }
             case SqlLexer.DOT -> part(scope);
             case SqlLexer.NUMBER -> {
-                if (t.text.charAt(0) != '.') {
+                if (token.text.charAt(0) != '.') {
                     return false;
                 }
                 tokens.take(); // an element of a tuple
@@ -496,7 +497,7 @@
                 bracketed(SqlLexer.CLOSE_SQUARE, scope);
             }
             case SqlLexer.WORD -> {
-                return wordAfter(scope, t);
+                return wordAfter(scope, token);
             }
             case SqlLexer.BACKTICKED, SqlLexer.QUOTED -> {
                 return alias();
@@ -527,10 +528,10 @@
         }
     }
 
-    private boolean wordAfter(Scope scope, Token t) {
-        String w = t.upper();
+    private boolean wordAfter(Scope scope, Token token) {
+        String text = token.upper();
         Token next = tokens.peek(1);
-        switch (w) {
+        switch (text) {
             case "AND", "OR", "XOR", "DIV", "MOD", "LIKE", "ILIKE", "REGEXP" -> {
                 keyword();
                 operand(scope);
@@ -586,7 +587,7 @@
                 return modifier(scope, next);
             }
             default -> {
-                return !Vocabulary.CLAUSES.contains(w) && alias();
+                return !Vocabulary.CLAUSES.contains(text) && alias();
             }
         }
         return true;
@@ -656,23 +657,23 @@
      */
     private void collapse(int from) {
         var list = tokens.taken().subList(from, tokens.place());
-        for (Token t : list) {
+        for (Token token : list) {
             boolean plain =
-                    t.role == Role.LITERAL
-                            || t.role == Role.DROPPED
-                            || t.type == SqlLexer.COMMA
-                            || t.type == SqlLexer.OPEN
-                            || t.type == SqlLexer.CLOSE;
+                    token.role == Role.LITERAL
+                            || token.role == Role.DROPPED
+                            || token.type == SqlLexer.COMMA
+                            || token.type == SqlLexer.OPEN
+                            || token.type == SqlLexer.CLOSE;
             if (!plain) {
                 return;
             }
         }
         boolean kept = false;
-        for (Token t : list.subList(1, list.size() - 1)) {
-            if (t.role == Role.LITERAL && !kept) {
+        for (Token token : list.subList(1, list.size() - 1)) {
+            if (token.role == Role.LITERAL && !kept) {
                 kept = true;
             } else {
-                t.role = Role.DROPPED;
+                token.role = Role.DROPPED;
             }
         }
     }
--- a/sql/src/main/java/ashlink/sql/NormalizedSql.java
+++ b/sql/src/main/java/ashlink/sql/NormalizedSql.java
@@ -21,20 +21,20 @@
 
     static String of(List<Token> tokens) {
         StringBuilder text = new StringBuilder();
-        for (Token t : tokens) {
-            if (t.role != Role.DROPPED) {
-                text.append(text.length() == 0 ? "" : " ").append(shown(t));
+        for (Token token : tokens) {
+            if (token.role != Role.DROPPED) {
+                text.append(text.length() == 0 ? "" : " ").append(shown(token));
             }
         }
         return text.toString();
     }
 
-    private static String shown(Token t) {
-        return switch (t.role) {
+    private static String shown(Token token) {
+        return switch (token.role) {
             case LITERAL -> "?";
-            case KEYWORD -> t.upper();
-            case NAME, ALIAS -> name(ExpressionReader.plain(t));
-            default -> t.text;
+            case KEYWORD -> token.upper();
+            case NAME, ALIAS -> name(ExpressionReader.plain(token));
+            default -> token.text;
         };
     }
 
@@ -56,11 +56,11 @@
         try {
             Tokens tokens = new Tokens(text, Math.min(most, ROUGH_TOKENS));
             while (tokens.peek() != null) {
-                Token t = tokens.take();
+                Token token = tokens.take();
                 boolean literal =
-                        t.type == ashlink.sql.grammar.SqlLexer.STRING
-                                || t.type == ashlink.sql.grammar.SqlLexer.NUMBER;
-                rough.append(' ').append(literal ? "?" : t.text);
+                        token.type == ashlink.sql.grammar.SqlLexer.STRING
+                                || token.type == ashlink.sql.grammar.SqlLexer.NUMBER;
+                rough.append(' ').append(literal ? "?" : token.text);
             }
         } catch (UnsupportedSyntaxException e) {
             rough.append(" ...");
--- a/sql/src/main/java/ashlink/sql/QueryReader.java
+++ b/sql/src/main/java/ashlink/sql/QueryReader.java
@@ -29,7 +29,7 @@
         while (tokens.peek(i) != null && tokens.peek(i).type == SqlLexer.OPEN) {
             i++;
         }
-        Token t = tokens.peek(i);
+        Token token = tokens.peek(i);
         Token next = tokens.peek(i + 1);
         boolean name =
                 next != null
@@ -37,9 +37,9 @@
                                 || next.type == SqlLexer.COMMA
                                 || next.type == SqlLexer.CLOSE
                                 || next.type == SqlLexer.OPERATOR);
-        return t != null
-                && (t.is("SELECT") || t.is("WITH") && !name)
-                && !(t.is("SELECT") && next != null && next.type == SqlLexer.DOT);
+        return token != null
+                && (token.is("SELECT") || token.is("WITH") && !name)
+                && !(token.is("SELECT") && next != null && next.type == SqlLexer.DOT);
     }
 
     // ---- Queries
@@ -189,11 +189,11 @@
     }
 
     private boolean clause(Scope scope) {
-        Token t = tokens.peek();
-        if (t == null) {
+        Token token = tokens.peek();
+        if (token == null) {
             return false;
         }
-        switch (t.upper()) {
+        switch (token.upper()) {
             case "PREWHERE", "WHERE", "HAVING", "QUALIFY" -> {
                 expressions.keyword();
                 expressions.expression(scope);
@@ -464,8 +464,8 @@
     }
 
     private boolean isAlias() {
-        Token t = tokens.peek();
-        return ExpressionReader.isName(t) && !Vocabulary.CLAUSES.contains(t.upper());
+        Token token = tokens.peek();
+        return ExpressionReader.isName(token) && !Vocabulary.CLAUSES.contains(token.upper());
     }
 
     private void aliasColumns() {
--- a/sql/src/main/java/ashlink/sql/StatementReader.java
+++ b/sql/src/main/java/ashlink/sql/StatementReader.java
@@ -170,8 +170,8 @@
             if (queries.startsQuery()) {
                 return query();
             }
-            Token t = tokens.peek();
-            switch (t.upper()) {
+            Token token = tokens.peek();
+            switch (token.upper()) {
                 case "INSERT" -> {
                     return insert(new Scope(null));
                 }
@@ -323,11 +323,11 @@
                 if (words.at(SqlLexer.SEMICOLON)) {
                     throw words.unexpected("a statement");
                 }
-                Token t = tokens.take();
-                t.role =
-                        t.type == SqlLexer.WORD
+                Token token = tokens.take();
+                token.role =
+                        token.type == SqlLexer.WORD
                                 ? Role.KEYWORD
-                                : t.type == SqlLexer.NUMBER ? Role.LITERAL : Role.SYMBOL;
+                                : token.type == SqlLexer.NUMBER ? Role.LITERAL : Role.SYMBOL;
             }
             if (words.atWord("INSERT")) {
                 insert(new Scope(null));
@@ -450,8 +450,8 @@
                         || words.atWord("CLUSTER")
                         || words.atWord("PARTITION")
                         || words.at(SqlLexer.COMMA)) {
-                    Token t = tokens.take();
-                    t.role = t.type == SqlLexer.WORD ? Role.KEYWORD : Role.SYMBOL;
+                    Token token = tokens.take();
+                    token.role = token.type == SqlLexer.WORD ? Role.KEYWORD : Role.SYMBOL;
                 } else if (words.tryWord("SETTINGS")) {
                     queries.settings();
                 } else {
@@ -494,24 +494,24 @@
         private Kind rest(Kind kind) {
             int open = 0;
             while (tokens.peek() != null && (open > 0 || !words.at(SqlLexer.SEMICOLON))) {
-                Token t = tokens.take();
+                Token token = tokens.take();
                 boolean opens =
-                        t.type == SqlLexer.OPEN
-                                || t.type == SqlLexer.OPEN_SQUARE
-                                || t.type == SqlLexer.OPEN_CURLY;
+                        token.type == SqlLexer.OPEN
+                                || token.type == SqlLexer.OPEN_SQUARE
+                                || token.type == SqlLexer.OPEN_CURLY;
                 boolean closes =
-                        t.type == SqlLexer.CLOSE
-                                || t.type == SqlLexer.CLOSE_SQUARE
-                                || t.type == SqlLexer.CLOSE_CURLY;
+                        token.type == SqlLexer.CLOSE
+                                || token.type == SqlLexer.CLOSE_SQUARE
+                                || token.type == SqlLexer.CLOSE_CURLY;
                 open += opens ? 1 : closes ? -1 : 0;
-                if (open < 0 || t.type == SqlLexer.SEMICOLON) {
+                if (open < 0 || token.type == SqlLexer.SEMICOLON) {
                     throw new UnsupportedSyntaxException(
-                            "a bracket is not closed, or closes nothing", t.from);
+                            "a bracket is not closed, or closes nothing", token.from);
                 }
-                t.role =
-                        t.type == SqlLexer.NUMBER || t.type == SqlLexer.STRING
+                token.role =
+                        token.type == SqlLexer.NUMBER || token.type == SqlLexer.STRING
                                 ? Role.LITERAL
-                                : ExpressionReader.isName(t) ? Role.NAME : Role.SYMBOL;
+                                : ExpressionReader.isName(token) ? Role.NAME : Role.SYMBOL;
             }
             if (open > 0) {
                 throw new UnsupportedSyntaxException("a bracket is not closed", tokens.at());
--- a/sql/src/main/java/ashlink/sql/Tokens.java
+++ b/sql/src/main/java/ashlink/sql/Tokens.java
@@ -41,12 +41,12 @@
 
     /** Takes the next token. */
     ashlink.sql.Token take() {
-        ashlink.sql.Token t = peek(0);
-        if (t == null) {
+        ashlink.sql.Token token = peek(0);
+        if (token == null) {
             throw new UnsupportedSyntaxException("the statement ends early", text.length());
         }
         next++;
-        return t;
+        return token;
     }
 
     /** The token taken last, or null. */
@@ -65,22 +65,22 @@
 
     /** Character at which the next token starts. */
     int at() {
-        ashlink.sql.Token t = peek(0);
-        return t == null ? text.length() : t.from;
+        ashlink.sql.Token token = peek(0);
+        return token == null ? text.length() : token.from;
     }
 
     private void make() {
-        Token t = lexer.nextToken();
-        if (t.getType() == Token.EOF) {
+        Token token = lexer.nextToken();
+        if (token.getType() == Token.EOF) {
             ended = true;
             return;
         }
         if (made.size() >= most) {
-            throw new UnsupportedSyntaxException("over " + most + " tokens", t.getStartIndex());
+            throw new UnsupportedSyntaxException("over " + most + " tokens", token.getStartIndex());
         }
-        int from = t.getStartIndex();
-        int to = t.getStopIndex() + 1;
-        int type = t.getType();
+        int from = token.getStartIndex();
+        int to = token.getStopIndex() + 1;
+        int type = token.getType();
         if (type == SqlLexer.BLOCK_COMMENT) {
             int inner = text.indexOf("/*", from + 2);
             if (inner >= 0 && inner + 1 < to) {
--- a/sql/src/test/java/ashlink/sql/Corpus.java
+++ b/sql/src/test/java/ashlink/sql/Corpus.java
@@ -56,10 +56,12 @@
         return plain.toString();
     }
 
-    static String flags(StatementAnalysis r) {
-        return (r.harmless() ? "h" : "")
-                + (r.unstable() ? "u" : "")
-                + (r.takesData() ? "d" : "")
-                + (r.allTables() || r.kind() == Kind.UNKNOWN ? "" : "o");
+    static String flags(StatementAnalysis statementAnalysis) {
+        return (statementAnalysis.harmless() ? "h" : "")
+                + (statementAnalysis.unstable() ? "u" : "")
+                + (statementAnalysis.takesData() ? "d" : "")
+                + (statementAnalysis.allTables() || statementAnalysis.kind() == Kind.UNKNOWN
+                        ? ""
+                        : "o");
     }
 }
--- a/sql/src/test/java/ashlink/sql/CorpusTest.java
+++ b/sql/src/test/java/ashlink/sql/CorpusTest.java
@@ -16,8 +16,15 @@
         List<String> wrong = new ArrayList<>();
         List<Corpus.Case> cases = Corpus.cases();
         for (Corpus.Case c : cases) {
-            StatementAnalysis r = reader.read(c.statement(), "");
-            String got = r.kind() + " " + r.reads() + " " + r.writes() + " " + Corpus.flags(r);
+            StatementAnalysis statementAnalysis = reader.read(c.statement(), "");
+            String got =
+                    statementAnalysis.kind()
+                            + " "
+                            + statementAnalysis.reads()
+                            + " "
+                            + statementAnalysis.writes()
+                            + " "
+                            + Corpus.flags(statementAnalysis);
             String wanted = c.kind() + " " + c.reads() + " " + c.writes() + " " + c.flags();
             if (!got.equals(wanted)) {
                 wrong.add(
@@ -27,11 +34,14 @@
                                 + "\n    got    "
                                 + got
                                 + " "
-                                + r.reason()
+                                + statementAnalysis.reason()
                                 + " at "
-                                + r.at());
+                                + statementAnalysis.at());
             }
-            assertEquals(r.kind() == Kind.UNKNOWN, r.at() >= 0, c.statement());
+            assertEquals(
+                    statementAnalysis.kind() == Kind.UNKNOWN,
+                    statementAnalysis.at() >= 0,
+                    c.statement());
         }
         assertTrue(cases.size() >= 400, cases.size() + " statements");
         assertEquals(
@@ -43,12 +53,13 @@
     @Test
     void theNormalTextOfAStatementReadsAsItself() throws Exception {
         for (Corpus.Case c : Corpus.cases()) {
-            StatementAnalysis r = reader.read(c.statement(), "");
-            if (r.kind() != Kind.UNKNOWN && !r.normal().contains("{")) {
-                StatementAnalysis again = reader.read(r.normal(), "");
-                assertEquals(r.normal(), again.normal(), c.statement());
-                assertEquals(r.kind(), again.kind(), c.statement());
-                assertEquals(r.reads(), again.reads(), c.statement());
+            StatementAnalysis statementAnalysis = reader.read(c.statement(), "");
+            if (statementAnalysis.kind() != Kind.UNKNOWN
+                    && !statementAnalysis.normal().contains("{")) {
+                StatementAnalysis again = reader.read(statementAnalysis.normal(), "");
+                assertEquals(statementAnalysis.normal(), again.normal(), c.statement());
+                assertEquals(statementAnalysis.kind(), again.kind(), c.statement());
+                assertEquals(statementAnalysis.reads(), again.reads(), c.statement());
             }
         }
     }
--- a/sql/src/test/java/ashlink/sql/FuzzRun.java
+++ b/sql/src/test/java/ashlink/sql/FuzzRun.java
@@ -21,29 +21,31 @@
         SplittableRandom random = new SplittableRandom(7);
         int[] kinds = new int[Kind.values().length];
         for (int i = 0; i < TRIES; i++) {
-            StringBuilder s =
+            StringBuilder builder =
                     new StringBuilder(cases.get(random.nextInt(cases.size())).statement());
-            for (int m = random.nextInt(4); m >= 0 && s.length() > 0; m--) {
-                int at = random.nextInt(s.length());
+            for (int m = random.nextInt(4); m >= 0 && builder.length() > 0; m--) {
+                int at = random.nextInt(builder.length());
                 switch (random.nextInt(4)) {
-                    case 0 -> s.deleteCharAt(at);
-                    case 1 -> s.insert(at, (char) random.nextInt(32, 127));
-                    case 2 -> s.setCharAt(at, "()[]{}'\"`;,.*/-?:#$".charAt(random.nextInt(19)));
+                    case 0 -> builder.deleteCharAt(at);
+                    case 1 -> builder.insert(at, (char) random.nextInt(32, 127));
+                    case 2 ->
+                            builder.setCharAt(
+                                    at, "()[]{}'\"`;,.*/-?:#$".charAt(random.nextInt(19)));
                     default -> {
                         String other = cases.get(random.nextInt(cases.size())).statement();
-                        s.insert(
+                        builder.insert(
                                 at,
                                 other.substring(
                                         other.isEmpty() ? 0 : random.nextInt(other.length())));
                     }
                 }
             }
-            StatementAnalysis r = reader.read(s.toString(), "");
-            kinds[r.kind().ordinal()]++;
-            assertEquals(r, reader.read(s.toString(), ""));
+            StatementAnalysis statementAnalysis = reader.read(builder.toString(), "");
+            kinds[statementAnalysis.kind().ordinal()]++;
+            assertEquals(statementAnalysis, reader.read(builder.toString(), ""));
         }
-        for (Kind k : Kind.values()) {
-            System.out.println(k + " " + kinds[k.ordinal()]);
+        for (Kind kind : Kind.values()) {
+            System.out.println(kind + " " + kinds[kind.ordinal()]);
         }
     }
 }
--- a/sql/src/test/java/ashlink/sql/LimitsTest.java
+++ b/sql/src/test/java/ashlink/sql/LimitsTest.java
@@ -19,7 +19,7 @@
         StatementAnalysis[] read = new StatementAnalysis[1];
         Throwable[] thrown = new Throwable[1];
         Thread t = new Thread(null, () -> read[0] = reader.read(text, ""), "small", stackBytes);
-        t.setUncaughtExceptionHandler((x, e) -> thrown[0] = e);
+        t.setUncaughtExceptionHandler((x, failure) -> thrown[0] = failure);
         t.start();
         t.join();
         assertEquals(null, thrown[0]);
@@ -39,9 +39,11 @@
                     {"- ", ""},
                     {"CAST(", " AS Int8)"}
                 }) {
-            StatementAnalysis r =
+            StatementAnalysis statementAnalysis =
                     read("SELECT " + way[0].repeat(100_000) + "1" + way[1].repeat(100_000));
-            assertTrue(r.kind() == Kind.UNKNOWN, way[0] + " " + r.kind());
+            assertTrue(
+                    statementAnalysis.kind() == Kind.UNKNOWN,
+                    way[0] + " " + statementAnalysis.kind());
         }
         assertEquals(Kind.READ, read("SELECT " + "(".repeat(60) + "1" + ")".repeat(60)).kind());
         assertEquals(
@@ -55,28 +57,29 @@
         read("SELECT 1", 512 << 10); // classes load on a stack that bears it
         String deep = "SELECT " + "f(".repeat(76) + "1" + ")".repeat(76);
         assertEquals(Kind.READ, read(deep, 512 << 10).kind());
-        StatementAnalysis r = read(deep, 1 << 10);
+        StatementAnalysis statementAnalysis = read(deep, 1 << 10);
         // How much a frame takes varies with what is compiled; whichever it is, nothing is thrown.
         assertTrue(
-                r.kind() == Kind.READ || r.reason().contains("for this thread"),
-                r.kind() + " " + r.reason());
+                statementAnalysis.kind() == Kind.READ
+                        || statementAnalysis.reason().contains("for this thread"),
+                statementAnalysis.kind() + " " + statementAnalysis.reason());
     }
 
     @Test
     void longListsAreReadUpToALimitAndThenUnknown() throws Exception {
         assertEquals(Kind.READ, read("SELECT 1 IN (" + "1,".repeat(400_000) + "1)").kind());
-        StatementAnalysis r = read("SELECT 1 IN (" + "1,".repeat(1_000_000) + "1)");
-        assertEquals(Kind.UNKNOWN, r.kind());
-        assertTrue(r.reason().contains("tokens"), r.reason());
+        StatementAnalysis statementAnalysis = read("SELECT 1 IN (" + "1,".repeat(1_000_000) + "1)");
+        assertEquals(Kind.UNKNOWN, statementAnalysis.kind());
+        assertTrue(statementAnalysis.reason().contains("tokens"), statementAnalysis.reason());
         assertEquals(Kind.READ, read("SELECT '" + "x".repeat(16 << 20) + "'").kind());
     }
 
     @Test
     void dataOfAnInsertIsNotLookedAt() throws Exception {
         String data = "(1, 'a'),".repeat(7 << 20) + " this ' is /* no SQL";
-        StatementAnalysis r = read("INSERT INTO t VALUES " + data);
-        assertEquals(Kind.LOAD, r.kind());
-        assertEquals("INSERT INTO t VALUES", r.normal());
+        StatementAnalysis statementAnalysis = read("INSERT INTO t VALUES " + data);
+        assertEquals(Kind.LOAD, statementAnalysis.kind());
+        assertEquals("INSERT INTO t VALUES", statementAnalysis.normal());
     }
 
     @Test
@@ -107,8 +110,11 @@
 
     @Test
     void noNameOrValueOfAStatementIsInAReason() {
-        StatementAnalysis r = reader.read("SELECT 'Anna Huber' 'Gmunden' FROM", "");
-        assertEquals(Kind.UNKNOWN, r.kind());
-        assertTrue(!r.reason().contains("Anna") && !r.reason().contains("Gmunden"), r.reason());
+        StatementAnalysis statementAnalysis = reader.read("SELECT 'Anna Huber' 'Gmunden' FROM", "");
+        assertEquals(Kind.UNKNOWN, statementAnalysis.kind());
+        assertTrue(
+                !statementAnalysis.reason().contains("Anna")
+                        && !statementAnalysis.reason().contains("Gmunden"),
+                statementAnalysis.reason());
     }
 }
--- a/sql/src/test/java/ashlink/sql/ReaderProperties.java
+++ b/sql/src/test/java/ashlink/sql/ReaderProperties.java
@@ -47,23 +47,23 @@
             int next = 0;
             StringBuilder out = new StringBuilder();
             for (String word : sql.split(" ")) {
-                String w = word;
-                while (w.contains("LIST")) {
+                String text = word;
+                while (text.contains("LIST")) {
                     StringBuilder list = new StringBuilder();
                     for (int i = 0; i < lists; i++) {
                         list.append(i > 0 ? "," : "")
                                 .append(literals.get(next++ % literals.size()));
                     }
-                    w = w.replace("LIST", list);
+                    text = text.replace("LIST", list);
                 }
-                if (w.equals("L")) {
-                    w = literals.get(next++ % literals.size());
+                if (text.equals("L")) {
+                    text = literals.get(next++ % literals.size());
                 } else if (upper
                         && List.of("select", "from", "where", "join", "using", "and", "in", "limit")
-                                .contains(w)) {
-                    w = w.toUpperCase(java.util.Locale.ROOT);
+                                .contains(text)) {
+                    text = text.toUpperCase(java.util.Locale.ROOT);
                 }
-                out.append(out.length() == 0 ? "" : blank).append(w);
+                out.append(out.length() == 0 ? "" : blank).append(text);
             }
             return out.toString();
         }
@@ -109,15 +109,21 @@
 
     @Property(tries = 500, seed = "42")
     void literalsBlanksCommentsCaseAndListLengthsDoNotMatter(
-            @ForAll("shapes") Shape s,
+            @ForAll("shapes") Shape shape,
             @ForAll("literals") List<String> a,
             @ForAll("literals") List<String> b,
             @ForAll("blanks") String blank,
             @ForAll boolean upper,
             @ForAll @IntRange(min = 1, max = 60) int length) {
-        StatementAnalysis first = reader.read(s.text(a, " ", false), "");
+        StatementAnalysis first = reader.read(shape.text(a, " ", false), "");
         Shape other =
-                new Shape(s.column(), s.operator(), s.table(), s.function(), s.join(), length);
+                new Shape(
+                        shape.column(),
+                        shape.operator(),
+                        shape.table(),
+                        shape.function(),
+                        shape.join(),
+                        length);
         StatementAnalysis second = reader.read(other.text(b, blank, upper), "");
         assertEquals(Kind.READ, first.kind(), first.reason());
         assertEquals(first.normal(), second.normal());
@@ -144,15 +150,16 @@
             throws Exception {
         List<Corpus.Case> cases = Corpus.cases();
         Corpus.Case c = cases.get(which % cases.size());
-        String s = c.statement();
-        int i = s.isEmpty() ? 0 : at % s.length();
+        String text = c.statement();
+        int i = text.isEmpty() ? 0 : at % text.length();
         String mutated =
                 how == 0
-                        ? s.substring(0, i)
+                        ? text.substring(0, i)
                         : how == 1
-                                ? s.substring(0, i) + by + s.substring(i)
-                                : s.substring(0, i) + s.substring(Math.min(s.length(), i + 1));
-        StatementAnalysis r = reader.read(mutated, "");
+                                ? text.substring(0, i) + by + text.substring(i)
+                                : text.substring(0, i)
+                                        + text.substring(Math.min(text.length(), i + 1));
+        StatementAnalysis statementAnalysis = reader.read(mutated, "");
         String words =
                 mutated.replaceAll(
                                 "(?s)'.*?'|`.*?`|\".*?\"|/\\*.*?\\*/|--[^\n"
@@ -160,7 +167,7 @@
                                         + "]*|\\$\\$.*?\\$\\$",
                                 " ")
                         .toUpperCase();
-        if (r.harmless() && r.kind() == Kind.READ) {
+        if (statementAnalysis.harmless() && statementAnalysis.kind() == Kind.READ) {
             assertTrue(
                     !words.strip()
                             .matches(
--- a/sql/src/test/java/ashlink/sql/SqlBenchRun.java
+++ b/sql/src/test/java/ashlink/sql/SqlBenchRun.java
@@ -73,11 +73,11 @@
         List<Corpus.Case> cases = Corpus.cases();
         for (Corpus.Case c : cases) {
             try {
-                Statement s = CCJSqlParserUtil.parse(c.statement());
+                Statement statement = CCJSqlParserUtil.parse(c.statement());
                 java.util.Set<String> tables = new java.util.TreeSet<>();
                 new TablesNamesFinder<Void>()
-                        .getTables(s)
-                        .forEach(t -> tables.add(t.replaceAll("[`\"]", "")));
+                        .getTables(statement)
+                        .forEach(text -> tables.add(text.replaceAll("[`\"]", "")));
                 java.util.Set<String> ours = new java.util.TreeSet<>(c.reads());
                 ours.addAll(c.writes());
                 if (c.kind() != Kind.UNKNOWN && ours.equals(tables)) {
--- a/wire/src/main/java/ashlink/wire/Block.java
+++ b/wire/src/main/java/ashlink/wire/Block.java
@@ -18,9 +18,9 @@
 
     /** The column of that name, or null. */
     public Column column(String name) {
-        for (Column c : columns) {
-            if (c.name().equals(name)) {
-                return c;
+        for (Column column : columns) {
+            if (column.name().equals(name)) {
+                return column;
             }
         }
         return null;
@@ -31,9 +31,9 @@
         ByteBuf plain = compression == null ? to : new ByteBuf();
         plain.putVarUInt(1).putByte(0).putVarUInt(2).putInt(-1).putVarUInt(0);
         plain.putVarUInt(columns.size()).putVarUInt(rows);
-        for (Column c : columns) {
-            plain.putString(c.name).putString(c.type);
-            PlainValues.write(c.type, c.values, plain);
+        for (Column column : columns) {
+            plain.putString(column.name).putString(column.type);
+            PlainValues.write(column.type, column.values, plain);
         }
         if (compression != null) {
             compression.compress(plain.array(), 0, plain.size(), to);
--- a/wire/src/main/java/ashlink/wire/ColumnType.java
+++ b/wire/src/main/java/ashlink/wire/ColumnType.java
@@ -70,15 +70,15 @@
     record Tuple(List<ColumnType> elements) implements ColumnType {
         @Override
         public void skipPrefix(ByteSource in) throws IOException {
-            for (ColumnType t : elements) {
-                t.skipPrefix(in);
+            for (ColumnType columnType : elements) {
+                columnType.skipPrefix(in);
             }
         }
 
         @Override
         public void skipValues(ByteSource in, long rows) throws IOException {
-            for (ColumnType t : elements) {
-                t.skipValues(in, rows);
+            for (ColumnType columnType : elements) {
+                columnType.skipValues(in, rows);
             }
         }
     }
--- a/wire/src/main/java/ashlink/wire/Compression.java
+++ b/wire/src/main/java/ashlink/wire/Compression.java
@@ -37,9 +37,9 @@
     }
 
     static Compression of(int method) throws WireException {
-        for (Compression c : values()) {
-            if (c.method == method) {
-                return c;
+        for (Compression compression : values()) {
+            if (compression.method == method) {
+                return compression;
             }
         }
         throw new WireException(
--- a/wire/src/main/java/ashlink/wire/QueryPacket.java
+++ b/wire/src/main/java/ashlink/wire/QueryPacket.java
@@ -109,8 +109,8 @@
     public void write(int peer, ByteBuf to) throws WireException {
         to.putVarUInt(ClientPacket.QUERY.ordinal()).putString(id);
         client.write(peer, to);
-        for (Setting s : settings) {
-            to.putString(s.name()).putVarUInt(s.flags()).putString(s.value());
+        for (Setting setting : settings) {
+            to.putString(setting.name()).putVarUInt(setting.flags()).putString(setting.value());
         }
         to.putString("");
         if (peer >= Revision.INTERSERVER_SECRET) {
@@ -122,8 +122,8 @@
     /** The value of a setting, the last one given, or null. */
     public String setting(String name) {
         String value = null;
-        for (Setting s : settings) {
-            value = s.name().equals(name) ? s.value() : value;
+        for (Setting setting : settings) {
+            value = setting.name().equals(name) ? setting.value() : value;
         }
         return value;
     }
--- a/wire/src/main/java/ashlink/wire/ServerPacket.java
+++ b/wire/src/main/java/ashlink/wire/ServerPacket.java
@@ -38,9 +38,11 @@
      */
     public static ServerPacket of(long number) throws WireException {
         if (number >= 0 && number < values().length) {
-            ServerPacket p = values()[(int) number];
-            if (p != TABLES_STATUS && p != PART_UUIDS && p != READ_TASK_REQUEST) {
-                return p;
+            ServerPacket serverPacket = values()[(int) number];
+            if (serverPacket != TABLES_STATUS
+                    && serverPacket != PART_UUIDS
+                    && serverPacket != READ_TASK_REQUEST) {
+                return serverPacket;
             }
         }
         throw new WireException(
--- a/wire/src/main/java/ashlink/wire/TypeParser.java
+++ b/wire/src/main/java/ashlink/wire/TypeParser.java
@@ -201,20 +201,20 @@
     }
 
     // ---- Terms to types
-    private ColumnType type(Term t) throws WireException {
-        if (t.quoted) {
-            throw unknown("'" + t.name + "'");
+    private ColumnType type(Term term) throws WireException {
+        if (term.quoted) {
+            throw unknown("'" + term.name + "'");
         }
-        List<Term> a = t.arguments;
-        ColumnType plain = PLAIN.get(t.name);
-        if (plain != null && (a.isEmpty() || t.name.startsWith("DateTime"))) {
+        List<Term> list = term.arguments;
+        ColumnType plain = PLAIN.get(term.name);
+        if (plain != null && (list.isEmpty() || term.name.startsWith("DateTime"))) {
             return plain;
         }
-        if (t.name.startsWith("Interval")
-                && INTERVALS.contains(t.name.substring("Interval".length()))) {
+        if (term.name.startsWith("Interval")
+                && INTERVALS.contains(term.name.substring("Interval".length()))) {
             return new ColumnType.Fixed(Long.BYTES);
         }
-        return switch (t.name) {
+        return switch (term.name) {
             case "Enum8" -> new ColumnType.Fixed(1);
             case "Enum16" -> new ColumnType.Fixed(2);
             case "DateTime64" -> new ColumnType.Fixed(Long.BYTES);
@@ -222,18 +222,18 @@
             case "Decimal64" -> new ColumnType.Fixed(8);
             case "Decimal128" -> new ColumnType.Fixed(16);
             case "Decimal256" -> new ColumnType.Fixed(32);
-            case "Decimal" -> decimal(number(t, 0, 76));
-            case "FixedString" -> new ColumnType.Fixed(number(t, 0, 1 << 24));
-            case "Nullable" -> new ColumnType.Nullable(type(argument(t, 0)));
-            case "Array" -> new ColumnType.Array(type(argument(t, 0)));
+            case "Decimal" -> decimal(number(term, 0, 76));
+            case "FixedString" -> new ColumnType.Fixed(number(term, 0, 1 << 24));
+            case "Nullable" -> new ColumnType.Nullable(type(argument(term, 0)));
+            case "Array" -> new ColumnType.Array(type(argument(term, 0)));
             case "Map" ->
                     new ColumnType.Array(
                             new ColumnType.Tuple(
-                                    List.of(type(argument(t, 0)), type(argument(t, 1)))));
-            case "Tuple" -> tuple(t);
-            case "Nested" -> new ColumnType.Array(tuple(t));
-            case "LowCardinality" -> lowCardinality(argument(t, 0));
-            case "SimpleAggregateFunction" -> type(argument(t, 1));
+                                    List.of(type(argument(term, 0)), type(argument(term, 1)))));
+            case "Tuple" -> tuple(term);
+            case "Nested" -> new ColumnType.Array(tuple(term));
+            case "LowCardinality" -> lowCardinality(argument(term, 0));
+            case "SimpleAggregateFunction" -> type(argument(term, 1));
             default -> throw unknown(text);
         };
     }
@@ -264,15 +264,15 @@
         return digits <= 9 ? 4 : digits <= 18 ? 8 : digits <= 38 ? 16 : 32;
     }
 
-    private Term argument(Term t, int index) throws WireException {
-        if (index >= t.arguments.size()) {
-            throw malformed(t.name + " lacks an argument");
+    private Term argument(Term term, int index) throws WireException {
+        if (index >= term.arguments.size()) {
+            throw malformed(term.name + " lacks an argument");
         }
-        return t.arguments.get(index);
+        return term.arguments.get(index);
     }
 
-    private int number(Term t, int index, int most) throws WireException {
-        String digits = argument(t, index).name;
+    private int number(Term term, int index, int most) throws WireException {
+        String digits = argument(term, index).name;
         try {
             int value = Integer.parseInt(digits);
             if (value > 0 && value <= most) {
@@ -281,6 +281,6 @@
         } catch (NumberFormatException e) {
             // said below
         }
-        throw malformed(t.name + " takes a number from 1 to " + most + ", not " + digits);
+        throw malformed(term.name + " takes a number from 1 to " + most + ", not " + digits);
     }
 }
--- a/wire/src/main/java/ashlink/wire/ValueReaders.java
+++ b/wire/src/main/java/ashlink/wire/ValueReaders.java
@@ -33,23 +33,23 @@
 
     private ValueReaders() {}
 
-    static ValueReader of(Term t) throws WireException {
-        List<Term> a = t.arguments();
-        switch (t.name()) {
+    static ValueReader of(Term term) throws WireException {
+        List<Term> list = term.arguments();
+        switch (term.name()) {
             case "Nullable" -> {
-                return new NullableReader(of(a.get(0)));
+                return new NullableReader(of(list.get(0)));
             }
             case "Array" -> {
-                return new ArrayReader(of(a.get(0)));
+                return new ArrayReader(of(list.get(0)));
             }
             case "Map" -> {
-                return new ArrayReader(new TupleReader(List.of(of(a.get(0)), of(a.get(1)))));
+                return new ArrayReader(new TupleReader(List.of(of(list.get(0)), of(list.get(1)))));
             }
             case "Tuple" -> {
-                return tuple(a);
+                return tuple(list);
             }
             case "Nested" -> {
-                return new ArrayReader(tuple(a));
+                return new ArrayReader(tuple(list));
             }
             case "Point" -> {
                 return point();
@@ -64,15 +64,15 @@
                 return new ArrayReader(new ArrayReader(new ArrayReader(point())));
             }
             case "LowCardinality" -> {
-                boolean nullable = a.get(0).name().equals("Nullable");
+                boolean nullable = list.get(0).name().equals("Nullable");
                 return new DictionaryReader(
-                        of(nullable ? a.get(0).arguments().get(0) : a.get(0)), nullable);
+                        of(nullable ? list.get(0).arguments().get(0) : list.get(0)), nullable);
             }
             case "SimpleAggregateFunction" -> {
-                return of(a.get(1));
+                return of(list.get(1));
             }
             default -> {
-                One one = one(t);
+                One one = one(term);
                 return (in, rows) -> {
                     Object[] values = new Object[rows];
                     for (int i = 0; i < rows; i++) {
@@ -86,8 +86,8 @@
 
     private static ValueReader tuple(List<Term> elements) throws WireException {
         List<ValueReader> readers = new ArrayList<>();
-        for (Term e : elements) {
-            readers.add(of(e));
+        for (Term term : elements) {
+            readers.add(of(term));
         }
         return new TupleReader(readers);
     }
@@ -97,11 +97,11 @@
         return new TupleReader(List.of(of(number), of(number)));
     }
 
-    private static One one(Term t) throws WireException {
-        if (t.name().startsWith("Interval")) {
+    private static One one(Term term) throws WireException {
+        if (term.name().startsWith("Interval")) {
             return in -> BigInteger.valueOf(in.readLong());
         }
-        return switch (t.name()) {
+        return switch (term.name()) {
             case "Int8" -> in -> (long) (byte) in.readByte();
             case "Int16" -> in -> (long) (short) readShort(in);
             case "Int32" -> in -> (long) in.readInt();
@@ -118,22 +118,23 @@
             case "Float64" -> in -> Double.longBitsToDouble(in.readLong());
             case "Bool" -> in -> in.readByte() != 0;
             case "String" -> in -> in.readBytes("a text", MOST_TEXT);
-            case "FixedString" -> fixedText(Integer.parseInt(t.arguments().get(0).name()));
+            case "FixedString" -> fixedText(Integer.parseInt(term.arguments().get(0).name()));
             case "Date" -> in -> LocalDate.ofEpochDay(readShort(in)).toString();
             case "Date32" -> in -> LocalDate.ofEpochDay(in.readInt()).toString();
             case "DateTime", "DateTime32" ->
-                    time(t.arguments().isEmpty() ? "" : t.arguments().get(0).name());
-            case "DateTime64" -> fineTime(t);
-            case "Enum8" -> names(t, in -> (long) (byte) in.readByte());
-            case "Enum16" -> names(t, in -> (long) (short) readShort(in));
+                    time(term.arguments().isEmpty() ? "" : term.arguments().get(0).name());
+            case "DateTime64" -> fineTime(term);
+            case "Enum8" -> names(term, in -> (long) (byte) in.readByte());
+            case "Enum16" -> names(term, in -> (long) (short) readShort(in));
             case "Decimal32", "Decimal64", "Decimal128", "Decimal256" ->
                     decimal(
-                            Integer.parseInt(t.name().substring("Decimal".length())) / 8,
-                            scale(t, 0));
+                            Integer.parseInt(term.name().substring("Decimal".length())) / 8,
+                            scale(term, 0));
             case "Decimal" ->
                     decimal(
-                            TypeParser.decimalBytes(Integer.parseInt(t.arguments().get(0).name())),
-                            scale(t, 1));
+                            TypeParser.decimalBytes(
+                                    Integer.parseInt(term.arguments().get(0).name())),
+                            scale(term, 1));
             case "UUID" -> in -> new UUID(in.readLong(), in.readLong()).toString();
             case "IPv4" ->
                     in -> {
@@ -160,7 +161,7 @@
             default ->
                     throw new WireException(
                             WireException.Reason.UNKNOWN_TYPE,
-                            "values of type " + t.name() + " are not read");
+                            "values of type " + term.name() + " are not read");
         };
     }
 
@@ -184,8 +185,10 @@
         };
     }
 
-    private static int scale(Term t, int index) {
-        return index < t.arguments().size() ? Integer.parseInt(t.arguments().get(index).name()) : 0;
+    private static int scale(Term term, int index) {
+        return index < term.arguments().size()
+                ? Integer.parseInt(term.arguments().get(index).name())
+                : 0;
     }
 
     private static One decimal(int bytes, int scale) {
@@ -211,9 +214,9 @@
                                 .toOffsetDateTime());
     }
 
-    private static One fineTime(Term t) {
-        int digits = scale(t, 0);
-        ZoneId id = zone(t.arguments().size() > 1 ? t.arguments().get(1).name() : "");
+    private static One fineTime(Term term) {
+        int digits = scale(term, 0);
+        ZoneId id = zone(term.arguments().size() > 1 ? term.arguments().get(1).name() : "");
         DateTimeFormatter format =
                 new DateTimeFormatterBuilder()
                         .appendPattern("uuuu-MM-dd'T'HH:mm:ss")
@@ -311,8 +314,8 @@
     private record TupleReader(List<ValueReader> elements) implements ValueReader {
         @Override
         public void readPrefix(ByteSource in) throws IOException {
-            for (ValueReader e : elements) {
-                e.readPrefix(in);
+            for (ValueReader valueReader : elements) {
+                valueReader.readPrefix(in);
             }
         }
 
--- a/wire/src/test/java/ashlink/wire/CodecProperties.java
+++ b/wire/src/test/java/ashlink/wire/CodecProperties.java
@@ -27,9 +27,9 @@
     private static final WireLimits SMALL =
             new WireLimits(1 << 10, 1 << 16, 16, 64, 1 << 20, 1 << 20);
 
-    private static StreamSource source(ByteBuf b) {
+    private static StreamSource source(ByteBuf byteBuf) {
         return new StreamSource(
-                new ByteArrayInputStream(b.array(), 0, b.size()),
+                new ByteArrayInputStream(byteBuf.array(), 0, byteBuf.size()),
                 7); // every value straddles a refill
     }
 
@@ -47,7 +47,7 @@
             @ForAll @IntRange(min = Revision.SETTINGS_AS_STRINGS, max = Revision.HIGHEST) int at)
             throws IOException {
         ClientInfo info = new ClientInfo("u", id, "a:1", "os", "h", "n", 1, 2, at, 3, "q");
-        QueryPacket q =
+        QueryPacket queryPacket =
                 new QueryPacket(
                         id,
                         info,
@@ -56,16 +56,16 @@
                         compressed,
                         statement.replace('\ud800', ' '));
         ByteBuf bytes = new ByteBuf();
-        q.write(at, bytes);
+        queryPacket.write(at, bytes);
         StreamSource in = source(bytes);
         assertEquals(ClientPacket.QUERY.ordinal(), in.readVarUInt());
         QueryPacket back = QueryPacket.read(in, at, SMALL);
         assertEquals(
                 new String(
-                        q.statement().getBytes(java.nio.charset.StandardCharsets.UTF_8),
+                        queryPacket.statement().getBytes(java.nio.charset.StandardCharsets.UTF_8),
                         java.nio.charset.StandardCharsets.UTF_8),
                 back.statement());
-        assertEquals(q.settings(), back.settings());
+        assertEquals(queryPacket.settings(), back.settings());
         assertEquals(-1, in.readByteOrEnd());
     }
 
@@ -95,10 +95,14 @@
                 () -> plain,
                 inner ->
                         Arbitraries.oneOf(
-                                inner.map(t -> "Array(" + t + ")"),
-                                inner.map(t -> t.startsWith("Low") ? t : "Nullable(" + t + ")"),
-                                inner.map(t -> "Tuple(x " + t + ", `y z` UInt8)"),
-                                inner.map(t -> "Map(String, " + t + ")")),
+                                inner.map(text -> "Array(" + text + ")"),
+                                inner.map(
+                                        text ->
+                                                text.startsWith("Low")
+                                                        ? text
+                                                        : "Nullable(" + text + ")"),
+                                inner.map(text -> "Tuple(x " + text + ", `y z` UInt8)"),
+                                inner.map(text -> "Map(String, " + text + ")")),
                 0,
                 8);
     }
@@ -127,20 +131,21 @@
             throws IOException {
         List<Object> strings = new ArrayList<>(texts);
         List<Object> longs = new ArrayList<>();
-        texts.forEach(t -> longs.add((long) t.length()));
+        texts.forEach(text -> longs.add((long) text.length()));
         Block block =
                 Block.of(
                         new Block.Column("s", "String", strings),
                         new Block.Column("n", "UInt64", longs));
-        Compression c = how == 0 ? null : Compression.values()[how - 1];
+        Compression compression = how == 0 ? null : Compression.values()[how - 1];
         ByteBuf bytes = new ByteBuf();
-        block.write(c, bytes);
+        block.write(compression, bytes);
         bytes.putByte(42);
         StreamSource in = source(bytes);
-        assertEquals(new Blocks.Size(texts.size(), 2), new Blocks(in, SMALL).skip(c != null));
+        assertEquals(
+                new Blocks.Size(texts.size(), 2), new Blocks(in, SMALL).skip(compression != null));
         assertEquals(42, in.readByte());
         StreamSource again = source(bytes);
-        assertEquals(texts.size(), new Blocks(again, SMALL).read(c != null, 1000).rows());
+        assertEquals(texts.size(), new Blocks(again, SMALL).read(compression != null, 1000).rows());
     }
 
     @Property(tries = 2000, seed = "105")
@@ -156,13 +161,13 @@
                                 "Array(String)".substring(6, 12),
                                 List.of("one", "two", "three")),
                         new Block.Column("n", "UInt64", List.of(1L, 2L, 3L)));
-        Compression c = how == 0 ? null : Compression.values()[how - 1];
+        Compression compression = how == 0 ? null : Compression.values()[how - 1];
         ByteBuf bytes = new ByteBuf();
-        block.write(c, bytes);
+        block.write(compression, bytes);
         for (int i : at) {
             bytes.array()[i % bytes.size()] ^= (byte) (by | 1);
         }
-        for (boolean compressed : new boolean[] {c != null, c == null}) {
+        for (boolean compressed : new boolean[] {compression != null, compression == null}) {
             try {
                 new Blocks(source(bytes), SMALL).skip(compressed);
                 new Blocks(source(bytes), SMALL).read(compressed, 1000);
@@ -174,11 +179,12 @@
 
     @Property(tries = 500, seed = "106")
     void anyFlippedBitOfAFrameIsFound(
-            @ForAll @IntRange(min = 0, max = 100_000) int bit, @ForAll("methods") Compression c)
+            @ForAll @IntRange(min = 0, max = 100_000) int bit,
+            @ForAll("methods") Compression compression)
             throws IOException {
         ByteBuf bytes = new ByteBuf();
         Block.of(new Block.Column("s", "String", List.of("a".repeat(100), "b".repeat(50))))
-                .write(c, bytes);
+                .write(compression, bytes);
         int i = bit % (bytes.size() * 8);
         bytes.array()[i / 8] ^= (byte) (1 << i % 8);
         assertThrows(WireException.class, () -> new Blocks(source(bytes), SMALL).skip(true));
@@ -191,15 +197,15 @@
 
     @Property(tries = 1000, seed = "107")
     void noiseIsNoPacket(@ForAll byte[] noise) throws IOException {
-        ByteBuf b = new ByteBuf().append(noise, 0, noise.length);
+        ByteBuf byteBuf = new ByteBuf().append(noise, 0, noise.length);
         for (int reader = 0; reader < 5; reader++) {
             try {
                 switch (reader) {
-                    case 0 -> QueryPacket.read(source(b), Revision.HIGHEST, SMALL);
-                    case 1 -> Hello.Client.read(source(b), WireLimits.LOGIN);
-                    case 2 -> ServerError.read(source(b), SMALL);
-                    case 3 -> new Blocks(source(b), SMALL).skip(false);
-                    default -> Hello.Server.read(source(b), SMALL);
+                    case 0 -> QueryPacket.read(source(byteBuf), Revision.HIGHEST, SMALL);
+                    case 1 -> Hello.Client.read(source(byteBuf), WireLimits.LOGIN);
+                    case 2 -> ServerError.read(source(byteBuf), SMALL);
+                    case 3 -> new Blocks(source(byteBuf), SMALL).skip(false);
+                    default -> Hello.Server.read(source(byteBuf), SMALL);
                 }
             } catch (WireException e) {
                 // all that it may throw
@@ -211,8 +217,8 @@
     void aTapHasWhatWasRead(@ForAll @Size(max = 30) List<@StringLength(max = 30) String> texts)
             throws IOException {
         ByteBuf bytes = new ByteBuf();
-        for (String t : texts) {
-            bytes.putString(t);
+        for (String text : texts) {
+            bytes.putString(text);
         }
         StreamSource in = source(bytes);
         ByteBuf tap = new ByteBuf();
