--- a/drill/src/test/java/ashlink/drill/Scenarios.java
+++ b/drill/src/test/java/ashlink/drill/Scenarios.java
@@ -11,7 +11,7 @@
     static List<Scenario> all() {
         return List.of(plainPush(), askedList(), repeatGroups(), tenantsAndKeys(), coldEngines(),
                 crowd(), smallCrowd(), tableLoads(), notesWithoutCancels(), blindWithCancels(),
-                lateWork(), resendBudget(), orderedKeys());
+                lateWork(), resendBudget(), orderedKeys(), swingingRate());
     }
 
     private static Scenario plainPush() {
@@ -27,7 +27,7 @@
                 classes.2.deadline-ns=12000000000 classes.2.effect=idempotent classes.2.gain=5
                 classes.2.late-share=0.1
                 host-types=small,large extra.kind-cores=4,12 extra.ram-of-kind-mb=2048,16384
-                extra.width-by-class=1,2,4
+                extra.width-by-class=1,2,4 extra.writes-tables=false,true,false
                 ceilings.attempts-cap=3 ceilings.may-probe=1 ceilings.cancel=1
                 ceilings.retry-after=1 ceilings.max-retry-after-ns=250000000 extra.takes-grants=1
                 extra.lanes-count=1 extra.largest-share=0.4 extra.progress-pace-ns=100000000
@@ -84,7 +84,7 @@
                 classes.0.deadline-ns=3000000000 classes.0.effect=idempotent classes.0.gain=2
                 classes.0.one-at-a-time=1 classes.0.late-share=0.5
                 classes.1.name=plain classes.1.promise-ns=800000000 classes.1.deadline-ns=4000000000
-                classes.1.effect=idempotent classes.1.gain=2
+                classes.1.effect=idempotent classes.1.gain=5
                 host-types=small extra.kind-cores=4 extra.ram-of-kind-mb=4096
                 extra.width-by-class=1,2
                 ceilings.attempts-cap=3 ceilings.may-probe=1 ceilings.cancel=1 stats.via=inline
@@ -132,9 +132,9 @@
     }
 
     private static Scenario smallCrowd() {
-        return new Scenario("small-crowd", 17, 5_000, 1, 8, 35, 0.4, 0.2, 1.6, 0.9,
+        return new Scenario("small-crowd", 17, 5_000, 1, 8, 35, 0.4, 0.8, 1.6, 0.9,
                 List.of(30.0, 200.0, 900.0), """
-                balancers=12 classes.count=3
+                balancers=9 classes.count=3
                 classes.0.name=brief classes.0.promise-ns=300000000 classes.0.deadline-ns=2000000000
                 classes.0.effect=idempotent classes.0.gain=2
                 classes.1.name=usual classes.1.promise-ns=1200000000
@@ -150,7 +150,7 @@
     }
 
     private static Scenario tableLoads() {
-        return new Scenario("table-loads", 18, 4_500, 2, 6, 20, 0.3, 0.3, 0.2, 0.7,
+        return new Scenario("table-loads", 18, 4_500, 2, 16, 24, 0.3, 0.3, 0.2, 0.7,
                 List.of(300.0, 60.0, 40.0), """
                 balancers=2 classes.count=3
                 classes.0.name=load classes.0.promise-ns=2500000000 classes.0.deadline-ns=8000000000
@@ -160,7 +160,7 @@
                 classes.1.effect=idempotent classes.1.gain=2
                 classes.2.name=other classes.2.promise-ns=500000000 classes.2.deadline-ns=3000000000
                 classes.2.effect=idempotent classes.2.gain=1
-                host-types=small extra.kind-cores=6 extra.ram-of-kind-mb=512
+                host-types=small extra.kind-cores=3 extra.ram-of-kind-mb=512
                 extra.width-by-class=2,1,1 extra.writes-tables=true,false,false
                 extra.waits-for-loads=false,true,false
                 ceilings.attempts-cap=3 ceilings.cancel=1 ceilings.may-probe=1 extra.takes-grants=1
@@ -229,6 +229,7 @@
                 host-types=small extra.kind-cores=4 extra.ram-of-kind-mb=4096
                 ceilings.attempts-cap=5 ceilings.cancel=1 rules.free-resends=2
                 rules.extra-per-request=0.05 rules.counted-over-ns=2000000000
+                extra.progress-pace-ns=600000000
                 """);
     }
 
@@ -243,4 +244,15 @@
                 ceilings.attempts-cap=3 ceilings.cancel=1 rules.turn-gap-ns=400000000
                 """);
     }
+
+    private static Scenario swingingRate() {
+        return new Scenario("swinging-rate", 27, 16_000, 1, 2, 130, 0.2, 0, 0, 1.0,
+                List.of(50.0), """
+                balancers=1 classes.count=1
+                classes.0.name=even classes.0.promise-ns=400000000 classes.0.deadline-ns=1500000000
+                classes.0.effect=idempotent classes.0.gain=1
+                host-types=small extra.kind-cores=8 extra.ram-of-kind-mb=4096
+                ceilings.attempts-cap=2
+                """);
+    }
 }
--- a/drill/src/test/java/ashlink/drill/ScriptedWorld.java
+++ b/drill/src/test/java/ashlink/drill/ScriptedWorld.java
@@ -24,8 +24,8 @@
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
     private static final long START_NS = 5 * SECOND;
-    /** Times are rounded to this, so that some events share a batch. */
-    private static final long GRAIN_NS = MS / 5;
+    /** Times are rounded to this, so that events share a batch and meet limits exactly. */
+    private static final long GRAIN_NS = 2 * MS;
     /** Swings of the rate of queries, three seconds each. */
     private static final double[] SWINGS = {1, 0.4, 3, 0.1, 1.6, 5, 0.7};
     private static final int KEYS = 6;
@@ -79,7 +79,7 @@
         private final double memoryMb;
         private int attempts;
         private long grantMb;
-        private boolean badPlan;
+        private double badPlan = 1;
 
         Query(long id, int cls, int threads, double workMs, double memoryMb) {
             this.id = id;
@@ -319,7 +319,7 @@
     private void restart(Engine engine) {
         engine.phase = "ready";
         engine.cameUpNs = now;
-        engine.trouble = Trouble.NONE;
+        engine.trouble = chance(0.6) ? Trouble.NONE : engine.trouble;
         for (Attempt attempt : List.copyOf(engine.running)) {
             end(attempt, "dropped");
         }
@@ -395,7 +395,7 @@
         double workMs = scenario.workMs().get(cls) * Math.exp(0.5 * gaussian());
         double memoryMb = chance(0.8) ? 4 * Math.exp(4 * random.nextDouble()) * threads : 0;
         Query query = new Query(++lastQuery, cls, threads, workMs, memoryMb);
-        query.badPlan = chance(0.05);
+        query.badPlan = chance(0.08) ? random.nextDouble(3, 12) : 1;
         queries.put(query.id, query);
         return query;
     }
@@ -446,7 +446,7 @@
         Engine engine = attempt.engine;
         double crowding = Math.max(1, threads(engine) / engine.cores);
         double slow = engine.trouble == Trouble.SLOW ? 6 : 1;
-        double plan = query.badPlan && attempt.number == 0 ? 12 : 1;
+        double plan = attempt.number == 0 ? query.badPlan : 1;
         double spill = query.grantMb > 0 && query.grantMb < query.memoryMb ? 1.5 : 1;
         return (long) (query.workMs / query.threads * crowding * slow * plan * spill
                 * Math.exp(0.2 * gaussian()) * MS);
@@ -487,6 +487,9 @@
         if (chance(0.003)) {
             tell(attempt.instance, "RESOLVED", pairs);
         }
+        if (noteEveryNs > 0 && chance(0.1)) {
+            in(random.nextDouble(0, 20) * MS, () -> update(attempt, 1, 0.01));
+        }
     }
 
     private String cost(Query query) {
@@ -517,7 +520,7 @@
             attempt.toldSpill = true;
             update(attempt, 2, rounded(query.memoryMb - query.grantMb));
         } else {
-            update(attempt, 1, rounded(Math.min(1, done)));
+            update(attempt, 1, chance(0.03) ? 0 : rounded(Math.min(1, done)));
         }
         in(noteEveryNs, () -> note(attempt));
     }
@@ -527,6 +530,8 @@
         tell(attempt.instance, "UPDATE_OF", of(attempt) + pairs);
         if (chance(0.01)) {
             tell(attempt.instance, "UPDATE_OF", of(attempt, attempt.number + 1) + pairs);
+            tell(attempt.instance, "UPDATE_OF", "op-id=" + attempt.query.id + " shot="
+                    + attempt.number + " engine=" + anyEngine().name + " sort=1 amount=0.01");
         }
     }
 
