--- /dev/null
+++ b/decisions/src/main/java/ashlink/decisions/AttemptHandler.java
@@ -0,0 +1,134 @@
+package ashlink.decisions;
+
+import ashlink.decisions.api.Event.AttemptEnded;
+import ashlink.decisions.api.Event.AttemptProgress;
+import ashlink.decisions.api.LoadReport;
+import ashlink.decisions.api.Outcome;
+
+/** Follows attempts: passes on what they report and ends them. */
+final class AttemptHandler {
+
+    /**
+     * Fraction of its elapsed time for which an attempt that ended without its result still counts
+     * as load, if it cannot be cancelled; else the engine would seem idle.
+     */
+    private static final double ABANDONED_FRACTION = 0.5;
+
+    private final boolean cancellation;
+    private final EngineDirectory engines;
+    private final ActiveQueries queries;
+    private final AdmissionQueue queue;
+    private final KeyOrdering keyOrdering;
+    private final RetryPolicy retryPolicy;
+    private final QueryCompletion completion;
+    private final OutlierDetector outliers;
+    private final CompletionRecorder recorder;
+    private final RestartPolicy restartPolicy;
+
+    AttemptHandler(
+            boolean cancellation,
+            EngineDirectory engines,
+            ActiveQueries queries,
+            AdmissionQueue queue,
+            KeyOrdering keyOrdering,
+            RetryPolicy retryPolicy,
+            QueryCompletion completion,
+            OutlierDetector outliers,
+            CompletionRecorder recorder,
+            RestartPolicy restartPolicy) {
+        this.cancellation = cancellation;
+        this.engines = engines;
+        this.queries = queries;
+        this.queue = queue;
+        this.keyOrdering = keyOrdering;
+        this.retryPolicy = retryPolicy;
+        this.completion = completion;
+        this.outliers = outliers;
+        this.recorder = recorder;
+        this.restartPolicy = restartPolicy;
+    }
+
+    /** Handles a progress message; one of an earlier attempt is ignored. */
+    void onProgress(AttemptProgress progress, long nowNs) {
+        QueryState query = queries.find(progress.id());
+        EngineState engine = engines.find(progress.engine());
+        if (query == null
+                || query.engine != engine
+                || !query.isAttemptInFlight(progress.attempt())) {
+            return;
+        }
+        engine.lastSignNs = nowNs;
+        switch (progress.kind()) {
+            case WAITING -> query.workingSinceNs = nowNs;
+            case SPILLED_MB ->
+                    restartPolicy.onSpill(query, query.grantMb + progress.amount(), nowNs);
+            case FRACTION_DONE -> {
+                if (progress.amount() > 0) {
+                    restartPolicy.onProgress(query, progress.amount(), nowNs);
+                }
+            }
+            default -> throw new IllegalArgumentException("progress kind " + progress.kind());
+        }
+    }
+
+    /**
+     * Handles the end of an attempt. The engine's state is updated for any attempt, the query's
+     * only for the one in flight.
+     *
+     * @return the engine that ran the attempt in flight; null if it was another attempt
+     */
+    EngineState onEnded(AttemptEnded ended, long nowNs) {
+        recordEngine(ended, nowNs);
+        QueryState query = queries.find(ended.id());
+        if (query == null || !query.isAttemptInFlight(ended.attempt())) {
+            return null;
+        }
+        EngineState engine = query.engine;
+        engine.running.remove(query);
+        query.engine = null;
+        if (ended.outcome() == Outcome.SERVED) {
+            recorder.record(query, engine, ended, nowNs);
+        }
+        retryPolicy.recordOutcome(query, ended.outcome());
+        releaseLoad(query, engine, ended.outcome(), nowNs);
+        query.finished |= ended.clientAnswered();
+        retryOrFinish(query, nowNs);
+        return engine;
+    }
+
+    private void recordEngine(AttemptEnded ended, long nowNs) {
+        EngineState engine = engines.find(ended.engine());
+        if (engine == null) {
+            return;
+        }
+        if (!ended.loadReport().equals(LoadReport.NONE)) {
+            engine.recordReport(ended.loadReport(), nowNs);
+        }
+        outliers.recordOutcome(engine, ended.outcome(), nowNs);
+    }
+
+    private void releaseLoad(QueryState query, EngineState engine, Outcome outcome, long nowNs) {
+        boolean mayStillRun = RetryPolicy.mayStillRun(outcome);
+        if (mayStillRun) {
+            keyOrdering.pause(query, nowNs);
+        }
+        long elapsedNs = nowNs - query.attemptStartNs;
+        long countedUntilNs =
+                mayStillRun && !cancellation
+                        ? nowNs + (long) (ABANDONED_FRACTION * elapsedNs)
+                        : nowNs;
+        engine.abandonedAttempts.add(new AbandonedAttempt(countedUntilNs, query));
+        engine.releaseExpired(nowNs);
+    }
+
+    /** Queues the query again where the rules allow a retry and time is left, else finishes it. */
+    private void retryOrFinish(QueryState query, long nowNs) {
+        if (query.finished) {
+            completion.removeIfDone(query);
+        } else if (retryPolicy.mayRetry(query) && !QueryCompletion.isAnswerDue(query, nowNs)) {
+            queue.add(query);
+        } else {
+            completion.finish(query);
+        }
+    }
+}
--- /dev/null
+++ b/decisions/src/main/java/ashlink/decisions/MaintenanceTask.java
@@ -0,0 +1,102 @@
+package ashlink.decisions;
+
+import ashlink.decisions.api.Action.Log;
+import ashlink.decisions.api.Action.SetTimer;
+
+/** What is done at a fixed interval, whatever events arrive. */
+final class MaintenanceTask {
+
+    /** Label of the timer that starts a run. */
+    static final long TIMER_LABEL = 1;
+
+    static final long INTERVAL_NS = 50 * Nanos.PER_MS;
+
+    /** The text of the log line is part of the recorded transcripts. */
+    private static final String UNRESPONSIVE_TEXT = ": it takes queries and gives no sign of them";
+
+    private final EngineDirectory engines;
+    private final RetryBudget retryBudget;
+    private final FleetLoadEstimator fleetLoad;
+    private final OverloadDetector overload;
+    private final ConcurrencyLimiter limiter;
+    private final ConcurrencyFeedback feedback;
+    private final HealthCheckScheduler healthChecks;
+    private final GiveUpPolicy giveUpPolicy;
+    private final KeyOrdering keyOrdering;
+    private final RestartPolicy restartPolicy;
+    private final OutlierDetector outliers;
+    private final AttemptCanceller canceller;
+    private final ActionBuffer actions;
+
+    MaintenanceTask(
+            EngineDirectory engines,
+            RetryBudget retryBudget,
+            FleetLoadEstimator fleetLoad,
+            OverloadDetector overload,
+            ConcurrencyLimiter limiter,
+            ConcurrencyFeedback feedback,
+            HealthCheckScheduler healthChecks,
+            GiveUpPolicy giveUpPolicy,
+            KeyOrdering keyOrdering,
+            RestartPolicy restartPolicy,
+            OutlierDetector outliers,
+            AttemptCanceller canceller,
+            ActionBuffer actions) {
+        this.engines = engines;
+        this.retryBudget = retryBudget;
+        this.fleetLoad = fleetLoad;
+        this.overload = overload;
+        this.limiter = limiter;
+        this.feedback = feedback;
+        this.healthChecks = healthChecks;
+        this.giveUpPolicy = giveUpPolicy;
+        this.keyOrdering = keyOrdering;
+        this.restartPolicy = restartPolicy;
+        this.outliers = outliers;
+        this.canceller = canceller;
+        this.actions = actions;
+    }
+
+    /** Sets the timer of the next run. */
+    void schedule(long nowNs) {
+        actions.add(new SetTimer(TIMER_LABEL, nowNs + INTERVAL_NS));
+    }
+
+    /** Runs once and schedules the next run. */
+    void run(long nowNs) {
+        schedule(nowNs);
+        retryBudget.removeExpired(nowNs);
+        fleetLoad.update(engines.all(), nowNs);
+        overload.update(engines.all(), nowNs);
+        limiter.drawAdmission();
+        healthChecks.creditInterval();
+        giveUpPolicy.review(nowNs);
+        keyOrdering.removeIdle(nowNs);
+        engines.removeUnused();
+        for (EngineState engine : engines.all()) {
+            maintain(engine, nowNs);
+        }
+    }
+
+    private void maintain(EngineState engine, long nowNs) {
+        healthChecks.checkInBackground(engine, nowNs);
+        engine.releaseExpired(nowNs);
+        feedback.closePeriodIfComplete(engine.limit, nowNs);
+        for (QueryState query : engine.running) {
+            restartPolicy.restartIfOverdue(query, nowNs);
+        }
+        if (outliers.ejectIfUnresponsive(engine, nowNs)) {
+            onUnresponsive(engine);
+        }
+    }
+
+    /** Queries that may be sent again are cancelled, so that another engine can run them. */
+    private void onUnresponsive(EngineState engine) {
+        actions.add(new Log("avoiding " + engine.name + UNRESPONSIVE_TEXT));
+        for (QueryState query : engine.running) {
+            if (canceller.mayCancel(query)) {
+                canceller.cancel(query);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/decisions/src/main/java/ashlink/decisions/MemoryGrantEstimator.java
@@ -0,0 +1,78 @@
+package ashlink.decisions;
+
+import ashlink.decisions.api.Capabilities;
+
+/**
+ * Sizes the memory grant of an attempt, in MB: the estimate, corrected by the needs that were
+ * reported for the class, such that three queries in four fit.
+ */
+final class MemoryGrantEstimator {
+
+    private static final double MARGIN_FACTOR = 1.1;
+    private static final double STEP_LOG = 0.1;
+
+    /** Quantile of the needs that the corrected estimate covers. */
+    private static final double NEED_QUANTILE = 0.75;
+
+    private static final double SMALLEST = 1e-3;
+
+    /** Needed over granted memory from which a query that spills is restarted. */
+    private static final double RESTART_FACTOR = 1.3;
+
+    private final Capabilities capabilities;
+
+    MemoryGrantEstimator(Capabilities capabilities) {
+        this.capabilities = capabilities;
+    }
+
+    /** Returns the grant of an attempt that starts, in MB; 0 leaves it to the engine. */
+    long grantForAttemptMb(QueryState query, EngineState engine) {
+        return capabilities.memoryGrants() && query.estimatedMemoryMb > 0
+                ? grantMb(query, engine)
+                : 0;
+    }
+
+    /** Whether a restart with the memory that the query needs would raise its grant by far. */
+    boolean isGrantTooSmall(QueryState query) {
+        return grantMb(query, query.engine) > RESTART_FACTOR * query.grantMb;
+    }
+
+    private long grantMb(QueryState query, EngineState engine) {
+        double largestMb =
+                engine.memoryMb > 0
+                        ? capabilities.maxGrantFraction() * engine.memoryMb
+                        : Double.MAX_VALUE;
+        double neededMb =
+                query.neededMemoryMb > 0
+                        ? query.neededMemoryMb
+                        : query.estimatedMemoryMb * query.statistics.memoryBias();
+        return Math.max(1, Math.round(Math.min(largestMb, neededMb * MARGIN_FACTOR)));
+    }
+
+    /** Records that the running attempt spills and needs that memory in total. */
+    void recordSpill(QueryState query, double neededMb) {
+        if (query.neededMemoryMb == 0 && query.grantMb > 0) {
+            learn(query, neededMb);
+        }
+        query.neededMemoryMb = Math.max(query.neededMemoryMb, neededMb);
+    }
+
+    /**
+     * Records the end of an attempt that was served.
+     *
+     * @param query its query
+     * @param reportedMb memory that it needed, in MB; 0 if unknown
+     */
+    void recordCompletion(QueryState query, double reportedMb) {
+        if (query.grantMb > 0 && query.neededMemoryMb == 0) {
+            learn(query, reportedMb > 0 ? reportedMb : 0);
+        }
+    }
+
+    private static void learn(QueryState query, double neededMb) {
+        double ratio = neededMb / query.estimatedMemoryMb / query.statistics.memoryBias();
+        double excessLog = Math.log(Math.max(SMALLEST, ratio));
+        double stepLog = STEP_LOG * (excessLog > 0 ? NEED_QUANTILE : NEED_QUANTILE - 1);
+        query.statistics.recordMemory(excessLog, stepLog);
+    }
+}
--- /dev/null
+++ b/decisions/src/main/java/ashlink/decisions/OutlierDetector.java
@@ -0,0 +1,109 @@
+package ashlink.decisions;
+
+import ashlink.decisions.api.Outcome;
+
+/**
+ * Ejects engines that are down, cut off, unresponsive or answer with errors, for a time that
+ * doubles with each ejection until the engine recovers.
+ */
+final class OutlierDetector {
+
+    private static final long MIN_EJECTION_NS = 500 * Nanos.PER_MS;
+    private static final long MAX_EJECTION_NS = 4_000 * Nanos.PER_MS;
+
+    /** Weight of a result in an engine's fraction of errors. */
+    private static final double ERROR_WEIGHT = 0.25;
+
+    /** Fraction of errors from which an engine is ejected. */
+    private static final double MAX_ERROR_FRACTION = 0.5;
+
+    /** Progress intervals without a sign after which an engine is unresponsive. */
+    private static final double UNRESPONSIVE_INTERVALS = 1.6;
+
+    /** Logarithm of the same limit in expected durations, where there are no progress messages. */
+    private static final double UNRESPONSIVE_LOG = Math.log(8);
+
+    /** Least time without a sign after which an engine is unresponsive. */
+    private static final long MIN_UNRESPONSIVE_NS = 700 * Nanos.PER_MS;
+
+    private final long progressIntervalNs;
+    private final ResponseTimeModel responseTimes;
+
+    /**
+     * A detector.
+     *
+     * @param progressIntervalNs interval of progress messages; 0 if there are none
+     * @param responseTimes tells how slow the engines are altogether
+     */
+    OutlierDetector(long progressIntervalNs, ResponseTimeModel responseTimes) {
+        this.progressIntervalNs = progressIntervalNs;
+        this.responseTimes = responseTimes;
+    }
+
+    /** Records how an attempt on the engine ended. */
+    void recordOutcome(EngineState engine, Outcome outcome, long nowNs) {
+        switch (outcome) {
+            case SERVED, ERROR -> {
+                engine.lastSignNs = nowNs;
+                recordResult(engine, outcome == Outcome.ERROR, nowNs);
+            }
+            case REJECTED -> {
+                engine.lastSignNs = nowNs;
+                engine.lastRejectionNs = nowNs;
+                engine.limit.lastRejectionNs = nowNs;
+            }
+            case CONNECT_FAILED, RESET -> eject(engine, nowNs);
+            default -> {
+                // A timeout or a cancellation says nothing of its own about the engine.
+            }
+        }
+    }
+
+    /** Errors come so fast that an engine that returns them would seem the least loaded. */
+    private static void recordResult(EngineState engine, boolean isError, long nowNs) {
+        engine.errorFraction += ERROR_WEIGHT * ((isError ? 1 : 0) - engine.errorFraction);
+        if (engine.errorFraction < MAX_ERROR_FRACTION) {
+            engine.ejectionNs = 0;
+        } else if (isError && !engine.isEjected(nowNs)) {
+            eject(engine, nowNs);
+        }
+    }
+
+    private static void eject(EngineState engine, long nowNs) {
+        engine.ejectionNs =
+                Math.min(MAX_EJECTION_NS, Math.max(MIN_EJECTION_NS, 2 * engine.ejectionNs));
+        engine.ejectedUntilNs = nowNs + engine.ejectionNs;
+    }
+
+    /**
+     * Ejects the engine if it is not ejected and gives no sign of a query that it runs. Health
+     * checks don't count as a sign: an engine that hangs may still answer them.
+     *
+     * @return whether it was ejected now
+     */
+    boolean ejectIfUnresponsive(EngineState engine, long nowNs) {
+        if (engine.isEjected(nowNs) || !isUnresponsive(engine, nowNs)) {
+            return false;
+        }
+        eject(engine, nowNs);
+        return true;
+    }
+
+    private boolean isUnresponsive(EngineState engine, long nowNs) {
+        for (QueryState query : engine.running) {
+            long withoutSignNs = nowNs - Math.max(query.attemptStartNs, engine.lastSignNs);
+            if (withoutSignNs > Math.max(MIN_UNRESPONSIVE_NS, patienceNs(query))) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    private double patienceNs(QueryState query) {
+        if (progressIntervalNs > 0) {
+            return UNRESPONSIVE_INTERVALS * progressIntervalNs;
+        }
+        double limitLog = UNRESPONSIVE_LOG + Math.max(0, responseTimes.fleetSlownessLog());
+        return query.expectedDurationNs() * Math.exp(limitLog / query.statistics.consistency());
+    }
+}
--- /dev/null
+++ b/decisions/src/main/java/ashlink/decisions/OverloadDetector.java
@@ -0,0 +1,59 @@
+package ashlink.decisions;
+
+import java.util.Collection;
+
+/**
+ * Decides whether an engine is overloaded: its recent load report says so, it rejected an attempt a
+ * short time ago, or its responses are far slower than expected.
+ */
+final class OverloadDetector {
+
+    /** Utilization of cores, memory or disks from which an engine is overloaded. */
+    private static final double BUSY_FRACTION = 0.95;
+
+    /** Fraction of the engines up to which the overloaded ones are few. */
+    private static final double FEW_FRACTION = 0.3;
+
+    private final ResponseTimeModel responseTimes;
+    private final FleetLoadEstimator fleetLoad;
+    private boolean fewOverloaded = true;
+
+    OverloadDetector(ResponseTimeModel responseTimes, FleetLoadEstimator fleetLoad) {
+        this.responseTimes = responseTimes;
+        this.fleetLoad = fleetLoad;
+    }
+
+    boolean isOverloaded(EngineState engine, long nowNs) {
+        return reportsOverload(engine, nowNs)
+                || nowNs - engine.lastRejectionNs < EngineState.RECENT_NS
+                || responseTimes.slownessLog(engine, nowNs) > ResponseTimeModel.SLOW_LOG;
+    }
+
+    private boolean reportsOverload(EngineState engine, long nowNs) {
+        return engine.hasRecentReport(nowNs)
+                && (engine.report.queued() >= 1
+                        || engine.report.cpuUtilization() >= BUSY_FRACTION
+                        || engine.report.memoryUtilization() >= BUSY_FRACTION
+                        || engine.report.diskUtilization() >= BUSY_FRACTION
+                        || fleetLoad.threadsPerCore(engine)
+                                >= ConcurrencyLimit.INITIAL_THREADS_PER_CORE);
+    }
+
+    /** Whether few of the engines with a recent report were overloaded at the last update. */
+    boolean areFewOverloaded() {
+        return fewOverloaded;
+    }
+
+    /** Counts the overloaded engines; called at a fixed interval. */
+    void update(Collection<EngineState> engines, long nowNs) {
+        long reporting = 0;
+        long overloaded = 0;
+        for (EngineState engine : engines) {
+            if (engine.hasRecentReport(nowNs)) {
+                reporting++;
+                overloaded += isOverloaded(engine, nowNs) ? 1 : 0;
+            }
+        }
+        fewOverloaded = overloaded <= FEW_FRACTION * reporting;
+    }
+}
--- /dev/null
+++ b/decisions/src/main/java/ashlink/decisions/RestartPolicy.java
@@ -0,0 +1,104 @@
+package ashlink.decisions;
+
+/**
+ * Restarts running queries that a new attempt is expected to serve sooner: those with a bad
+ * execution plan, and those that spill because their memory grant is too small.
+ */
+final class RestartPolicy {
+
+    /** Expected over normal duration from which the plan of a query is bad. */
+    private static final double BAD_PLAN_FACTOR = 4;
+
+    /** Remaining time over that of a new attempt from which a restart pays. */
+    private static final double REMAINING_FACTOR = 2;
+
+    /** Restarts of one query for a bad plan. */
+    private static final int MAX_RESTARTS = 2;
+
+    /** Fraction of its expected duration up to which a query that spills is restarted. */
+    private static final double MAX_SPILL_PROGRESS_FRACTION = 0.2;
+
+    private final long progressIntervalNs;
+    private final AttemptCanceller canceller;
+    private final MemoryGrantEstimator memoryGrants;
+    private final ResponseTimeModel responseTimes;
+    private final ShortQueryClassifier shortQueries;
+
+    /**
+     * A policy.
+     *
+     * @param progressIntervalNs interval of progress messages; 0 if there are none
+     */
+    RestartPolicy(
+            long progressIntervalNs,
+            AttemptCanceller canceller,
+            MemoryGrantEstimator memoryGrants,
+            ResponseTimeModel responseTimes,
+            ShortQueryClassifier shortQueries) {
+        this.progressIntervalNs = progressIntervalNs;
+        this.canceller = canceller;
+        this.memoryGrants = memoryGrants;
+        this.responseTimes = responseTimes;
+        this.shortQueries = shortQueries;
+    }
+
+    /**
+     * Handles a report that the running attempt spills.
+     *
+     * @param neededMb memory that the query needs in total
+     */
+    void onSpill(QueryState query, double neededMb, long nowNs) {
+        memoryGrants.recordSpill(query, neededMb);
+        if (canceller.mayCancel(query)
+                && memoryGrants.isGrantTooSmall(query)
+                && nowNs - query.workingSinceNs
+                        < MAX_SPILL_PROGRESS_FRACTION * query.expectedDurationNs()) {
+            canceller.cancel(query);
+        }
+    }
+
+    /**
+     * Handles a report of progress: restarts the query if what remains is far more than a new
+     * attempt would take, at the present slowness of the engine.
+     *
+     * @param fractionDone fraction of the work that is done, over 0
+     */
+    void onProgress(QueryState query, double fractionDone, long nowNs) {
+        long elapsedNs = nowNs - query.workingSinceNs;
+        double remainingNs = elapsedNs * (1 - fractionDone) / fractionDone;
+        double slownessLog =
+                Math.max(
+                        responseTimes.fleetSlownessLog(),
+                        responseTimes.slownessLog(query.engine, nowNs));
+        double newAttemptNs = query.expectedDurationNs() * Math.exp(Math.max(0, slownessLog));
+        if (remainingNs + elapsedNs > BAD_PLAN_FACTOR * newAttemptNs
+                && remainingNs > REMAINING_FACTOR * newAttemptNs
+                && nowNs + newAttemptNs < query.deadlineNs) {
+            restart(query);
+        }
+    }
+
+    /**
+     * Restarts a long query that runs far longer than expected and has missed its objective, where
+     * engines send no progress messages.
+     */
+    void restartIfOverdue(QueryState query, long nowNs) {
+        double slownessLog =
+                Math.max(0, responseTimes.fleetSlownessLog() - ResponseTimeModel.SLOW_LOG);
+        double limitLog =
+                (Math.log(BAD_PLAN_FACTOR) + slownessLog) / query.statistics.consistency();
+        if (progressIntervalNs == 0
+                && !shortQueries.isShort(query)
+                && nowNs > query.objectiveEndNs()
+                && nowNs - query.attemptStartNs > query.expectedDurationNs() * Math.exp(limitLog)) {
+            restart(query);
+        }
+    }
+
+    private void restart(QueryState query) {
+        if (canceller.mayCancel(query) && query.restarts < MAX_RESTARTS) {
+            query.restarts++;
+            canceller.cancel(query);
+        }
+    }
+}
--- /dev/null
+++ b/decisions/src/main/java/ashlink/decisions/TableGroupPlacement.java
@@ -0,0 +1,68 @@
+package ashlink.decisions;
+
+import ashlink.decisions.api.QueryClass;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.function.Predicate;
+
+/**
+ * Separates queries that lock a group of tables from those that wait for the locks: all routers
+ * hash a group to the same half of the engines for the first and use the other half for the second.
+ * A preference only: if no candidate is in the right half, any will do.
+ */
+final class TableGroupPlacement {
+
+    /** Fraction of the engines on which a table group is locked. */
+    private static final double LOCKING_FRACTION = 0.5;
+
+    private static final long HASH_FACTOR = 31L;
+
+    private final EngineDirectory engines;
+
+    /** Whether there are classes of both sorts. */
+    private final boolean enabled;
+
+    /** Engines on which a table group is locked, by group. */
+    private final Map<Long, List<EngineState>> lockingEngines = new HashMap<>();
+
+    TableGroupPlacement(EngineDirectory engines, List<QueryClass> classes) {
+        this.engines = engines;
+        this.enabled =
+                classes.stream().anyMatch(QueryClass::locksTables)
+                        && classes.stream().anyMatch(QueryClass::waitsForTableLocks);
+    }
+
+    /** Removes the candidates in the wrong half, unless none would be left. */
+    void filter(QueryState query, List<EngineState> candidates) {
+        boolean locks = query.spec.locksTables();
+        if (!enabled || !locks && !query.spec.waitsForTableLocks()) {
+            return;
+        }
+        List<EngineState> locking =
+                lockingEngines.computeIfAbsent(query.tableGroup, this::lockingEnginesOf);
+        Predicate<EngineState> preferred = engine -> locking.contains(engine) == locks;
+        if (candidates.stream().anyMatch(preferred)) {
+            candidates.removeIf(preferred.negate());
+        }
+    }
+
+    private List<EngineState> lockingEnginesOf(long tableGroup) {
+        List<EngineState> ready = engines.ready();
+        ready.sort(
+                Comparator.comparingLong((EngineState engine) -> hash(engine, tableGroup))
+                        .thenComparing(engine -> engine.name));
+        return ready.subList(0, (int) Math.ceil(LOCKING_FRACTION * ready.size()));
+    }
+
+    private static long hash(EngineState engine, long tableGroup) {
+        return new SplittableRandom(HASH_FACTOR * engine.name.hashCode() + tableGroup).nextLong();
+    }
+
+    /** Drops the placement after the endpoint list changed. */
+    void reset() {
+        lockingEngines.clear();
+    }
+}
