--- a/decisions/src/main/java/ashlink/decisions/EndpointSelector.java
+++ b/decisions/src/main/java/ashlink/decisions/EndpointSelector.java
@@ -95,7 +95,7 @@
         if (first.healthCheckPending != second.healthCheckPending) {
             return first.healthCheckPending ? second : first;
         }
-        return loadScore.of(second, query, nowNs) < loadScore.of(first, query, nowNs)
+        return loadScore.score(second, query, nowNs) < loadScore.score(first, query, nowNs)
                 ? second
                 : first;
     }
--- a/decisions/src/main/java/ashlink/decisions/EngineLoadScore.java
+++ b/decisions/src/main/java/ashlink/decisions/EngineLoadScore.java
@@ -44,7 +44,7 @@
     /**
      * Returns the score of the engine for the query; the engine with the lower one is preferred.
      */
-    double of(EngineState engine, QueryState query, long nowNs) {
+    double score(EngineState engine, QueryState query, long nowNs) {
         double load = (engine.workMs + query.expectedWorkMs) / engine.cores / WORK_PER_BUSY_CORE_MS;
         if (engine.hasRecentReport(nowNs)) {
             LoadReport report = engine.report;
--- a/decisions/src/main/java/ashlink/decisions/RestartPolicy.java
+++ b/decisions/src/main/java/ashlink/decisions/RestartPolicy.java
@@ -83,14 +83,16 @@
      * engines send no progress messages.
      */
     void restartIfOverdue(QueryState query, long nowNs) {
+        if (progressIntervalNs != 0
+                || nowNs <= query.objectiveEndNs()
+                || shortQueries.isShort(query)) {
+            return;
+        }
         double slownessLog =
                 Math.max(0, responseTimes.fleetSlownessLog() - ResponseTimeModel.SLOW_LOG);
         double limitLog =
                 (Math.log(BAD_PLAN_FACTOR) + slownessLog) / query.statistics.consistency();
-        if (progressIntervalNs == 0
-                && !shortQueries.isShort(query)
-                && nowNs > query.objectiveEndNs()
-                && nowNs - query.attemptStartNs > query.expectedDurationNs() * Math.exp(limitLog)) {
+        if (nowNs - query.attemptStartNs > query.expectedDurationNs() * Math.exp(limitLog)) {
             restart(query);
         }
     }
