--- a/decisions/src/test/java/ashlink/decisions/AuditTest.java
+++ b/decisions/src/test/java/ashlink/decisions/AuditTest.java
@@ -1,8 +1,8 @@
 package ashlink.decisions;
 
-import static ashlink.decisions.Router.ALLOWED;
-import static ashlink.decisions.Router.LIMITS;
-import static ashlink.decisions.Router.MS;
+import static ashlink.decisions.RouterHarness.CAPABILITIES;
+import static ashlink.decisions.RouterHarness.LIMITS;
+import static ashlink.decisions.RouterHarness.MS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -43,19 +43,19 @@
     private static final Outcome[] OUTCOMES = Outcome.values();
 
     private static Settings settings() {
-        return Router.settings(
+        return RouterHarness.settings(
                 2,
-                ALLOWED,
+                CAPABILITIES,
                 LIMITS,
-                Router.look("look"),
-                Router.report(Set.of("big"), Set.of()),
-                Router.load(RetrySafety.AT_MOST_ONCE, DeduplicationScope.ALL, true));
+                RouterHarness.shortClass("lookup"),
+                RouterHarness.reportClass(Set.of("big"), Set.of()),
+                RouterHarness.loadClass(RetrySafety.AT_MOST_ONCE, DeduplicationScope.ALL, true));
     }
 
     /** Plays the stream of that seed and returns all actions as text. */
-    private static String play(long seed) {
+    private static String replayRandomEvents(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Router router = new Router(settings());
+        RouterHarness router = new RouterHarness(settings());
         Map<Long, StartAttempt> out = new HashMap<>();
         Map<Long, Integer> sent = new HashMap<>();
         Map<Long, Long> deadlines = new HashMap<>();
@@ -65,22 +65,22 @@
         Set<Long> answered = new HashSet<>();
         Set<String> closed = new HashSet<>();
         String[] names = {"a", "b", "c", "d"};
-        router.list(
+        router.changeEndpoints(
                 EndpointListKind.CACHED,
-                Router.ready("a"),
-                Router.ready("b"),
-                Router.entry("c", "z1", "small", EndpointState.READY, 0));
+                RouterHarness.readyEndpoint("a"),
+                RouterHarness.readyEndpoint("b"),
+                RouterHarness.endpoint("c", "z1", "small", EndpointState.READY, 0));
         int checked = 0;
         for (long id = 0; id < 3_000; id++) {
             int kind = random.nextInt(10);
             if (kind < 4) {
-                String text = List.of("look", "report", "load").get(random.nextInt(3));
-                deadlines.put(id, router.now + 3_000 * MS);
+                String text = List.of("lookup", "report", "load").get(random.nextInt(3));
+                deadlines.put(id, router.nowNs + 3_000 * MS);
                 (text.equals("load")
                                 ? loads
                                 : text.equals("report") ? reports : new HashSet<Long>())
                         .add(id);
-                router.ask(
+                router.submit(
                         id,
                         text,
                         text.equals("load") ? "k" + random.nextInt(3) : null,
@@ -102,7 +102,7 @@
                 if (outcome == Outcome.SERVED) {
                     assertTrue(answered.add(which), "answered twice");
                 }
-                router.end(
+                router.endAttempt(
                         which,
                         sent.get(which) - 1,
                         startAttempt.engine(),
@@ -116,11 +116,12 @@
                 } else {
                     closed.add(name);
                 }
-                router.list(
+                router.changeEndpoints(
                         EndpointListKind.DELTA,
-                        Router.entry(name, "z1", name.equals("c") ? "small" : "big", phase, 0));
+                        RouterHarness.endpoint(
+                                name, "z1", name.equals("c") ? "small" : "big", phase, 0));
             } else {
-                router.on(
+                router.deliver(
                         new HealthCheckCompleted(
                                 names[random.nextInt(3)],
                                 OUTCOMES[random.nextInt(OUTCOMES.length)],
@@ -131,38 +132,39 @@
                                         Double.NaN,
                                         Double.NaN)));
             }
-            checked = audit(router, checked, out, sent, loads, reports, ran, answered, closed);
-            timeOut(router, out, sent, deadlines, ran);
-            checked = audit(router, checked, out, sent, loads, reports, ran, answered, closed);
-            router.pass(random.nextInt(40));
-            checked = audit(router, checked, out, sent, loads, reports, ran, answered, closed);
+            checked = checkRules(router, checked, out, sent, loads, reports, ran, answered, closed);
+            expireAttempts(router, out, sent, deadlines, ran);
+            checked = checkRules(router, checked, out, sent, loads, reports, ran, answered, closed);
+            router.advanceMs(random.nextInt(40));
+            checked = checkRules(router, checked, out, sent, loads, reports, ran, answered, closed);
         }
         for (int i = 0; i < 100; i++) {
-            router.pass(50);
-            checked = audit(router, checked, out, sent, loads, reports, ran, answered, closed);
-            timeOut(router, out, sent, deadlines, ran);
+            router.advanceMs(50);
+            checked = checkRules(router, checked, out, sent, loads, reports, ran, answered, closed);
+            expireAttempts(router, out, sent, deadlines, ran);
         }
-        audit(router, checked, out, sent, loads, reports, ran, answered, closed);
+        checkRules(router, checked, out, sent, loads, reports, ran, answered, closed);
         assertEquals(deadlines.keySet(), answered, "every query has its answer");
         return router.actions.toString();
     }
 
-    private static void timeOut(
-            Router router,
+    private static void expireAttempts(
+            RouterHarness router,
             Map<Long, StartAttempt> out,
             Map<Long, Integer> sent,
             Map<Long, Long> deadlines,
             Set<Long> ran) {
         for (long id : out.keySet().stream().sorted().toList()) {
-            if (router.now >= deadlines.get(id)) {
+            if (router.nowNs >= deadlines.get(id)) {
                 ran.add(id);
-                router.end(id, sent.get(id) - 1, out.remove(id).engine(), Outcome.TIMED_OUT, 3_000);
+                router.endAttempt(
+                        id, sent.get(id) - 1, out.remove(id).engine(), Outcome.TIMED_OUT, 3_000);
             }
         }
     }
 
-    private static int audit(
-            Router router,
+    private static int checkRules(
+            RouterHarness router,
             int from,
             Map<Long, StartAttempt> out,
             Map<Long, Integer> sent,
@@ -183,7 +185,8 @@
                         !reports.contains(startAttempt.id()) || !startAttempt.engine().equals("c"),
                         "sent to a wrong kind");
                 assertTrue(
-                        sent.merge(startAttempt.id(), 1, Integer::sum) <= ALLOWED.maxAttempts(),
+                        sent.merge(startAttempt.id(), 1, Integer::sum)
+                                <= CAPABILITIES.maxAttempts(),
                         "too many attempts");
             } else if (action instanceof Reject reject) {
                 assertTrue(
@@ -198,23 +201,23 @@
     }
 
     @Test
-    void randomEventsBreakNoRule() {
+    void randomEventsViolateNoRule() {
         for (long seed = 1; seed <= 5; seed++) {
-            play(seed);
+            replayRandomEvents(seed);
         }
     }
 
     @Test
-    void theSameEventsGiveTheSameActionsWhateverElseRuns() {
-        String alone = play(11);
-        Router other = new Router(settings());
-        other.engines("x", "y");
-        other.ask(1, "look", null, 10);
-        assertEquals(alone, play(11));
+    void sameEventsGiveTheSameActions() {
+        String alone = replayRandomEvents(11);
+        RouterHarness other = new RouterHarness(settings());
+        other.withEngines("x", "y");
+        other.submit(1, "lookup", null, 10);
+        assertEquals(alone, replayRandomEvents(11));
     }
 
     @Test
-    void noSourceLineOfTheModuleIsTooWide() throws IOException {
+    void noSourceLineIsTooWide() throws IOException {
         for (Path source : sources()) {
             List<String> wide = new ArrayList<>(Files.readAllLines(source));
             wide.removeIf(line -> line.length() <= 110);
@@ -223,7 +226,7 @@
     }
 
     @Test
-    void theDeployFileListsEverySourceOfTheModule() throws IOException {
+    void deployFileListsEverySource() throws IOException {
         String deploy = Files.readString(Path.of("../deploy/balancer.toml"));
         int start = deploy.indexOf("policy = [");
         String policy = deploy.substring(start, deploy.indexOf(']', start));
--- a/decisions/src/test/java/ashlink/decisions/Router.java
+++ b/decisions/src/test/java/ashlink/decisions/RouterHarness.java
@@ -38,10 +38,10 @@
  * A router for tests: hands events to a gateway at a time set by the test, answers its probes with
  * the report set for the engine, and keeps what it decided.
  */
-final class Router {
+final class RouterHarness {
 
     static final long MS = 1_000_000L;
-    static final Capabilities ALLOWED =
+    static final Capabilities CAPABILITIES =
             new Capabilities(
                     true,
                     true,
@@ -55,32 +55,32 @@
                     false,
                     false,
                     false);
-    static final LoadReport HALF = new LoadReport(0, 0.5, 0.5, Double.NaN);
+    static final LoadReport HALF_BUSY = new LoadReport(0, 0.5, 0.5, Double.NaN);
     static final PolicyLimits LIMITS =
             new PolicyLimits(1_000 * MS, 0.3, 10_000 * MS, 3, 2_000 * MS, 300 * MS, 0, 0, 0);
 
-    final WorkloadManager gateway;
+    final WorkloadManager workloadManager;
     final List<Action> actions = new ArrayList<>();
 
     /** What probes of an engine tell; one that is not named here is half busy. */
-    final Map<String, LoadReport> reports = new HashMap<>();
+    final Map<String, LoadReport> loadReports = new HashMap<>();
 
     /** Engines whose probes are left without an answer. */
-    final Set<String> mute = new HashSet<>();
+    final Set<String> unansweredEngines = new HashSet<>();
 
     /** Attempts that are out, by query. */
-    final Map<Long, StartAttempt> outstanding = new LinkedHashMap<>();
+    final Map<Long, StartAttempt> inFlight = new LinkedHashMap<>();
 
-    long now = 100_000 * MS;
-    private final Map<Long, Integer> attempts = new HashMap<>();
-    private final PriorityQueue<SetTimer> alarms =
+    long nowNs = 100_000 * MS;
+    private final Map<Long, Integer> attemptCounts = new HashMap<>();
+    private final PriorityQueue<SetTimer> timers =
             new PriorityQueue<>(Comparator.comparingLong(SetTimer::timeNs));
 
-    Router(Settings settings) {
-        gateway = new DefaultWorkloadManager(settings);
+    RouterHarness(Settings settings) {
+        workloadManager = new DefaultWorkloadManager(settings);
     }
 
-    static QueryClass look(String name) {
+    static QueryClass shortClass(String name) {
         return new QueryClass(
                 name,
                 500 * MS,
@@ -99,7 +99,7 @@
                 false);
     }
 
-    static QueryClass report(Set<String> kinds, Set<String> zones) {
+    static QueryClass reportClass(Set<String> kinds, Set<String> zones) {
         return new QueryClass(
                 "report",
                 5_000 * MS,
@@ -118,7 +118,7 @@
                 true);
     }
 
-    static QueryClass load(RetrySafety effect, DeduplicationScope group, boolean inOrder) {
+    static QueryClass loadClass(RetrySafety effect, DeduplicationScope group, boolean inOrder) {
         return new QueryClass(
                 "load",
                 5_000 * MS,
@@ -150,75 +150,76 @@
                 limits);
     }
 
-    static Router with(QueryClass... classes) {
-        return new Router(settings(1, ALLOWED, LIMITS, classes));
+    static RouterHarness withClasses(QueryClass... classes) {
+        return new RouterHarness(settings(1, CAPABILITIES, LIMITS, classes));
     }
 
-    static Endpoint entry(
+    static Endpoint endpoint(
             String engine, String zone, String kind, EndpointState phase, long startedNs) {
         return new Endpoint(engine, phase, zone, kind, zone.hashCode(), startedNs);
     }
 
-    static Endpoint ready(String engine) {
-        return entry(engine, "z1", "big", EndpointState.READY, 0);
+    static Endpoint readyEndpoint(String engine) {
+        return endpoint(engine, "z1", "big", EndpointState.READY, 0);
     }
 
-    Router list(EndpointListKind form, Endpoint... entries) {
-        on(new EndpointsChanged(form, Arrays.asList(entries)));
+    RouterHarness changeEndpoints(EndpointListKind form, Endpoint... entries) {
+        deliver(new EndpointsChanged(form, Arrays.asList(entries)));
         return this;
     }
 
-    Router engines(String... names) {
-        return list(
+    RouterHarness withEngines(String... names) {
+        return changeEndpoints(
                 EndpointListKind.SNAPSHOT,
-                Arrays.stream(names).map(Router::ready).toArray(Endpoint[]::new));
+                Arrays.stream(names).map(RouterHarness::readyEndpoint).toArray(Endpoint[]::new));
     }
 
-    List<Action> on(Event event) {
+    List<Action> deliver(Event event) {
         if (event instanceof AttemptEnded attemptEnded) {
-            outstanding.remove(attemptEnded.id());
+            inFlight.remove(attemptEnded.id());
         }
-        List<Action> decided = gateway.onEvent(event, now);
+        List<Action> decided = workloadManager.onEvent(event, nowNs);
         actions.addAll(decided);
         List<Action> all = new ArrayList<>(decided);
         for (Action action : decided) {
             if (action instanceof SetTimer alarm) {
-                alarms.add(alarm);
+                timers.add(alarm);
             } else if (action instanceof StartAttempt startAttempt) {
-                outstanding.put(startAttempt.id(), startAttempt);
-                attempts.merge(startAttempt.id(), 1, Integer::sum);
+                inFlight.put(startAttempt.id(), startAttempt);
+                attemptCounts.merge(startAttempt.id(), 1, Integer::sum);
             } else if (action instanceof CheckHealth checkHealth
-                    && !mute.contains(checkHealth.engine())) {
+                    && !unansweredEngines.contains(checkHealth.engine())) {
                 all.addAll(
-                        on(
+                        deliver(
                                 new HealthCheckCompleted(
                                         checkHealth.engine(),
                                         Outcome.SERVED,
                                         MS,
-                                        reports.getOrDefault(checkHealth.engine(), HALF))));
+                                        loadReports.getOrDefault(
+                                                checkHealth.engine(), HALF_BUSY))));
             }
         }
         return all;
     }
 
-    List<Action> ask(long id, String queryClass, String key, long workMs) {
-        return ask(id, queryClass, key, 1, workMs, 20_000);
+    List<Action> submit(long id, String queryClass, String key, long workMs) {
+        return submit(id, queryClass, key, 1, workMs, 20_000);
     }
 
-    List<Action> ask(
+    List<Action> submit(
             long id, String queryClass, String key, long tables, long workMs, long withinMs) {
-        return on(
+        return deliver(
                 new QuerySubmitted(
-                        id, queryClass, key, tables, now + withinMs * MS, workMs * MS, 100));
+                        id, queryClass, key, tables, nowNs + withinMs * MS, workMs * MS, 100));
     }
 
-    List<Action> end(long id, int attempt, String engine, Outcome outcome, long tookMs) {
-        return end(id, attempt, engine, outcome, tookMs, LoadReport.NONE);
+    List<Action> endAttempt(long id, int attempt, String engine, Outcome outcome, long tookMs) {
+        return endAttempt(id, attempt, engine, outcome, tookMs, LoadReport.NONE);
     }
 
-    List<Action> end(
+    List<Action> endAttempt(
             long id, int attempt, String engine, Outcome outcome, long tookMs, LoadReport report) {
-        return on(
+        return deliver(
                 new AttemptEnded(
                         id,
                         attempt,
@@ -235,12 +236,12 @@
      * Has the attempts that are out now served, the oldest {@code most} of them, after that time
      * each.
      */
-    void serve(int most, long tookMs) {
+    void serveOldest(int most, long tookMs) {
         for (StartAttempt startAttempt :
-                List.copyOf(outstanding.values()).subList(0, Math.min(most, outstanding.size()))) {
-            end(
+                List.copyOf(inFlight.values()).subList(0, Math.min(most, inFlight.size()))) {
+            endAttempt(
                     startAttempt.id(),
-                    attempts.get(startAttempt.id()) - 1,
+                    attemptCounts.get(startAttempt.id()) - 1,
                     startAttempt.engine(),
                     Outcome.SERVED,
                     tookMs);
@@ -248,27 +249,27 @@
     }
 
     /** Lets time pass, with each alarm at its time, and returns what was decided on the way. */
-    List<Action> pass(long ms) {
+    List<Action> advanceMs(long ms) {
         int from = actions.size();
-        long until = now + ms * MS;
-        while (!alarms.isEmpty() && alarms.peek().timeNs() <= until) {
-            SetTimer due = alarms.poll();
-            now = due.timeNs();
-            on(new TimerFired(due.label()));
+        long until = nowNs + ms * MS;
+        while (!timers.isEmpty() && timers.peek().timeNs() <= until) {
+            SetTimer due = timers.poll();
+            nowNs = due.timeNs();
+            deliver(new TimerFired(due.label()));
         }
-        now = until;
+        nowNs = until;
         return List.copyOf(actions.subList(from, actions.size()));
     }
 
-    static <T extends Action> List<T> only(Class<T> type, List<Action> actions) {
+    static <T extends Action> List<T> ofType(Class<T> type, List<Action> actions) {
         return actions.stream().filter(type::isInstance).map(type::cast).toList();
     }
 
-    List<StartAttempt> sends() {
-        return only(StartAttempt.class, actions);
+    List<StartAttempt> startedAttempts() {
+        return ofType(StartAttempt.class, actions);
     }
 
     static List<String> enginesOf(List<Action> actions) {
-        return only(StartAttempt.class, actions).stream().map(StartAttempt::engine).toList();
+        return ofType(StartAttempt.class, actions).stream().map(StartAttempt::engine).toList();
     }
 }
