--- /dev/null
+++ b/decisions/src/test/java/ashlink/decisions/HealthCheckTest.java
@@ -0,0 +1,58 @@
+package ashlink.decisions;
+
+import static ashlink.decisions.ManyRouters.ROUTERS;
+import static ashlink.decisions.ManyRouters.router;
+import static ashlink.decisions.RouterHarness.enginesOf;
+import static ashlink.decisions.RouterHarness.ofType;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import ashlink.decisions.api.Action;
+import ashlink.decisions.api.Action.CheckHealth;
+import ashlink.decisions.api.LoadReport;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** The health checks before a choice between engines. */
+class HealthCheckTest {
+
+    @Test
+    void staleReportsAreRefreshedBeforeTheLessLoadedIsChosen() {
+        RouterHarness router = router(ROUTERS, 0, 2);
+        router.loadReports.put("e0", new LoadReport(0, 0.9, Double.NaN, Double.NaN));
+        router.loadReports.put("e1", new LoadReport(0, 0.2, Double.NaN, Double.NaN));
+        List<Action> decided = router.submit(1, "report", null, 1_000);
+        assertEquals(2, ofType(CheckHealth.class, decided).size());
+        assertEquals(List.of("e1"), enginesOf(decided));
+    }
+
+    @Test
+    void recentReportsAreNotRefreshed() {
+        RouterHarness router = router(ROUTERS, 0, 2);
+        router.submit(1, "report", null, 1_000);
+        assertTrue(ofType(CheckHealth.class, router.submit(2, "report", null, 1_000)).isEmpty());
+    }
+
+    @Test
+    void candidateWithoutHealthCheckResultIsNotChosen() {
+        RouterHarness router = router(ROUTERS, 0, 2);
+        router.unansweredEngines.add("e0");
+        assertTrue(enginesOf(router.submit(1, "report", null, 1_000)).isEmpty());
+        assertEquals(List.of("e1"), enginesOf(router.advanceMs(25)));
+    }
+
+    @Test
+    void healthChecksDoNotOutnumberTheQueries() {
+        RouterHarness router = router(ROUTERS, 0, 40);
+        for (int i = 0; i < 200; i++) {
+            router.submit(i, "lookup", null, 50);
+            router.advanceMs(300);
+            router.serveOldest(1, 50);
+        }
+        int probes = ofType(CheckHealth.class, router.actions).size();
+        assertTrue(
+                probes > 20 && probes <= 20 + 200 + 60,
+                probes + " probes"); // saved, by query, by second
+        assertEquals(200, router.startedAttempts().size());
+    }
+}
--- /dev/null
+++ b/decisions/src/test/java/ashlink/decisions/ManyRouters.java
@@ -0,0 +1,61 @@
+package ashlink.decisions;
+
+import static ashlink.decisions.RouterHarness.LIMITS;
+import static ashlink.decisions.RouterHarness.MS;
+import static ashlink.decisions.RouterHarness.reportClass;
+import static ashlink.decisions.RouterHarness.shortClass;
+
+import ashlink.decisions.api.Capabilities;
+import ashlink.decisions.api.EngineKind;
+import ashlink.decisions.api.PolicyLimits;
+import ashlink.decisions.api.Settings;
+import java.util.List;
+import java.util.Set;
+
+/**
+ * Routers of a large fleet: each sees a few queries a second and has less than a thread per engine.
+ */
+final class ManyRouters {
+
+    static final int ROUTERS = 200;
+    static final Capabilities WITHOUT_PRIORITIES =
+            new Capabilities(
+                    true,
+                    true,
+                    4,
+                    500 * MS,
+                    true,
+                    false,
+                    0.4,
+                    true,
+                    1_000 * MS,
+                    false,
+                    false,
+                    false);
+
+    static Settings settings(
+            int gateways, int position, Capabilities allowed, PolicyLimits limits) {
+        return new Settings(
+                7 + position,
+                gateways,
+                position,
+                "z1",
+                List.of(shortClass("lookup"), reportClass(Set.of(), Set.of())),
+                List.of(new EngineKind("big", 8, 8_000)),
+                allowed,
+                limits);
+    }
+
+    static String[] engineNames(int engines) {
+        String[] names = new String[engines];
+        for (int i = 0; i < engines; i++) {
+            names[i] = "e" + i;
+        }
+        return names;
+    }
+
+    static RouterHarness router(int gateways, int position, int engines) {
+        return new RouterHarness(settings(gateways, position, WITHOUT_PRIORITIES, LIMITS))
+                .withEngines(engineNames(engines));
+    }
+}
--- a/decisions/src/test/java/ashlink/decisions/RouterHarness.java
+++ b/decisions/src/test/java/ashlink/decisions/RouterHarness.java
@@ -55,6 +55,7 @@
                     false,
                     false,
                     false);
+    static final LoadReport OVERLOADED = new LoadReport(1, 1, 1, 1);
     static final LoadReport HALF_BUSY = new LoadReport(0, 0.5, 0.5, Double.NaN);
     static final PolicyLimits LIMITS =
             new PolicyLimits(1_000 * MS, 0.3, 10_000 * MS, 3, 2_000 * MS, 300 * MS, 0, 0, 0);
@@ -154,6 +155,12 @@
         return new RouterHarness(settings(1, CAPABILITIES, LIMITS, classes));
     }
 
+    /** A router alone, with a class of reports and one of lookups. */
+    static RouterHarness withReportsAndLookups(String... engines) {
+        return withClasses(reportClass(Set.of(), Set.of()), shortClass("lookup"))
+                .withEngines(engines);
+    }
+
     static Endpoint endpoint(
             String engine, String zone, String kind, EndpointState phase, long startedNs) {
         return new Endpoint(engine, phase, zone, kind, zone.hashCode(), startedNs);
@@ -174,6 +181,14 @@
                 Arrays.stream(names).map(RouterHarness::readyEndpoint).toArray(Endpoint[]::new));
     }
 
+    /** Has the engines report that they are overloaded. */
+    void reportOverload(String... engines) {
+        for (String engine : engines) {
+            loadReports.put(engine, OVERLOADED);
+            deliver(new HealthCheckCompleted(engine, Outcome.SERVED, MS, OVERLOADED));
+        }
+    }
+
     List<Action> deliver(Event event) {
         if (event instanceof AttemptEnded attemptEnded) {
             inFlight.remove(attemptEnded.id());
