--- a/decisions/src/test/java/ashlink/decisions/ConcurrencyLimitTest.java
+++ b/decisions/src/test/java/ashlink/decisions/ConcurrencyLimitTest.java
@@ -28,7 +28,8 @@
         for (int i = 0; i < 10; i++) {
             router.submit(i, "report", null, 1_000);
         }
-        assertEquals(3, router.startedAttempts().size()); // 1.5 threads x 4 cores, two threads each
+        // 1.5 threads x 4 cores, two threads per query.
+        assertEquals(3, router.startedAttempts().size());
     }
 
     @Test
@@ -55,10 +56,7 @@
         assertEquals(6, router.startedAttempts().size());
     }
 
-    /**
-     * Plays that many rounds of that length in each of which one query is served and its place is
-     * taken.
-     */
+    /** Serves the oldest query in each of the rounds of that length. */
     private static void serveRounds(RouterHarness router, int rounds, long ms) {
         for (int i = 0; i < rounds; i++) {
             router.advanceMs(ms);
@@ -88,7 +86,8 @@
         RouterHarness router = overloadedRouter(100);
         serveRounds(router, 21, 100);
         assertEquals(4, router.inFlight.size());
-        serveRounds(router, 16, 130); // the next period gained nothing
+        // The throughput of the next period is not higher.
+        serveRounds(router, 16, 130);
         assertEquals(3, router.inFlight.size());
     }
 
@@ -96,13 +95,15 @@
     void limitGrowsToTwiceItsInitialValue() {
         RouterHarness router = overloadedRouter(20);
         long id = 1_000;
-        for (long ms = 150; ms > 40; ms -= 10) { // each period gains
+        // The throughput of each period is higher than before.
+        for (long ms = 150; ms > 40; ms -= 10) {
             for (int i = 0; i < 2_100 / ms; i++) {
                 router.submit(id++, "report", null, 9_000);
                 serveRounds(router, 1, ms);
             }
         }
-        assertEquals(6, router.inFlight.size()); // a seed of six threads, two threads each
+        // Twice the initial six threads, two threads per query.
+        assertEquals(6, router.inFlight.size());
     }
 
     @Test
@@ -184,9 +185,8 @@
         for (int i = 2; i < 20; i++) {
             router.submit(i, "report", null, 20_000);
         }
+        // With an equal part the largest limit would be two threads.
         assertTrue(
-                router.startedAttempts().size() > 3,
-                router.startedAttempts().size()
-                        + " sent"); // an equal share floods up to two threads
+                router.startedAttempts().size() > 3, router.startedAttempts().size() + " started");
     }
 }
--- a/decisions/src/test/java/ashlink/decisions/EngineEjectionTest.java
+++ b/decisions/src/test/java/ashlink/decisions/EngineEjectionTest.java
@@ -20,23 +20,25 @@
 class EngineEjectionTest {
 
     /**
-     * Lookups one after the other; those named answer with an error at once. Returns the sends to
-     * {@code a}.
+     * Submits lookups one after the other and returns the attempts on {@code a}.
+     *
+     * @param lookups number of lookups
+     * @param failing engines that return an error at once
      */
-    private static long attemptsOnA(int lookups, Set<String> bad) {
+    private static long attemptsOnA(int lookups, Set<String> failing) {
         RouterHarness router =
                 RouterHarness.withClasses(shortClass("lookup")).withEngines("a", "b", "c");
         for (int i = 0; i < lookups; i++) {
             router.submit(i, "lookup", null, 20);
-            for (int shot = 0; router.inFlight.containsKey((long) i); shot++) {
-                String text = router.inFlight.get((long) i).engine();
-                router.advanceMs(bad.contains(text) ? 3 : 20);
+            for (int attempt = 0; router.inFlight.containsKey((long) i); attempt++) {
+                String engine = router.inFlight.get((long) i).engine();
+                router.advanceMs(failing.contains(engine) ? 3 : 20);
                 router.endAttempt(
                         i,
-                        shot,
-                        text,
-                        bad.contains(text) ? Outcome.ERROR : Outcome.SERVED,
-                        bad.contains(text) ? 3 : 20);
+                        attempt,
+                        engine,
+                        failing.contains(engine) ? Outcome.ERROR : Outcome.SERVED,
+                        failing.contains(engine) ? 3 : 20);
             }
         }
         return enginesOf(router.actions).stream().filter("a"::equals).count();
@@ -44,27 +46,32 @@
 
     @Test
     void engineThatReturnsErrorsIsEjected() {
-        long sent = attemptsOnA(200, Set.of("a"));
-        assertTrue(sent >= 3 && sent <= 20, "sent " + sent);
+        long attempts = attemptsOnA(200, Set.of("a"));
+        assertTrue(attempts >= 3 && attempts <= 20, attempts + " attempts");
     }
 
     @Test
     void noneIsEjectedIfAllEnginesReturnErrors() {
         long all = attemptsOnA(200, Set.of("a", "b", "c"));
-        assertTrue(all > 200, "sent " + all); // a third of four attempts each
+        // A third of four attempts per lookup.
+        assertTrue(all > 200, all + " attempts");
     }
 
     @Test
     void unresponsiveEngineIsEjectedThoughItAnswersHealthChecks() {
         RouterHarness router = RouterHarness.withReportsAndLookups("a", "b", "c");
-        String silent = enginesOf(router.submit(1, "report", null, 5_000)).get(0);
+        String unresponsive = enginesOf(router.submit(1, "report", null, 5_000)).get(0);
         router.advanceMs(1_000);
         assertTrue(
                 ofType(
                                 CancelAttempt.class,
                                 router.deliver(
                                         new AttemptProgress(
-                                                1, 0, silent, ProgressKind.FRACTION_DONE, 0.2)))
+                                                1,
+                                                0,
+                                                unresponsive,
+                                                ProgressKind.FRACTION_DONE,
+                                                0.2)))
                         .isEmpty());
         assertTrue(ofType(CancelAttempt.class, router.advanceMs(1_500)).isEmpty());
         assertEquals(
@@ -72,9 +79,9 @@
                 ofType(CancelAttempt.class, router.advanceMs(200)));
         List<Log> lines = ofType(Log.class, router.actions);
         assertEquals(1, lines.size());
-        assertTrue(lines.get(0).text().contains(silent), lines.get(0).text());
-        router.endAttempt(1, 0, silent, Outcome.CANCELLED, 1_000);
-        assertNotEquals(silent, router.startedAttempts().get(1).engine());
+        assertTrue(lines.get(0).text().contains(unresponsive), lines.get(0).text());
+        router.endAttempt(1, 0, unresponsive, Outcome.CANCELLED, 1_000);
+        assertNotEquals(unresponsive, router.startedAttempts().get(1).engine());
     }
 
     @Test
--- a/decisions/src/test/java/ashlink/decisions/EngineSelectionTest.java
+++ b/decisions/src/test/java/ashlink/decisions/EngineSelectionTest.java
@@ -85,15 +85,16 @@
                 EndpointListKind.SNAPSHOT,
                 RouterHarness.readyEndpoint("a"),
                 RouterHarness.endpoint("b", "z1", "small", EndpointState.READY, 0),
-                RouterHarness.endpoint("drains", "z1", "small", EndpointState.DRAINING, 0));
+                RouterHarness.endpoint("draining", "z1", "small", EndpointState.DRAINING, 0));
         router.loadReports.put("a", new LoadReport(0, 0.5, Double.NaN, Double.NaN));
         router.loadReports.put("b", router.loadReports.get("a"));
-        for (String text : List.of("a", "b")) {
+        for (String engine : List.of("a", "b")) {
             router.deliver(
                     new HealthCheckCompleted(
-                            text, Outcome.SERVED, MS, router.loadReports.get(text)));
+                            engine, Outcome.SERVED, MS, router.loadReports.get(engine)));
         }
-        router.reportOverload("drains"); // one of three is under pressure
+        // One of three engines is overloaded.
+        router.reportOverload("draining");
         router.advanceMs(60);
         for (int i = 0; i < 20; i++) {
             assertEquals(List.of("b"), enginesOf(router.submit(i, "lookup", null, 50)));
--- a/decisions/src/test/java/ashlink/decisions/FleetOverloadTest.java
+++ b/decisions/src/test/java/ashlink/decisions/FleetOverloadTest.java
@@ -29,12 +29,12 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Many gateways whose engines tell the queries in hand, and nothing or little else. */
+/** A large fleet whose engines report their queries in flight and little else. */
 class FleetOverloadTest {
 
     private static final int ROUTERS = 200;
 
-    /** Cancels heeded, no notes of progress, cost told in answers. */
+    /** Cancellation and reported cost, but no progress messages. */
     private static final Capabilities WITHOUT_PROGRESS =
             new Capabilities(true, true, 4, 500 * MS, true, true, 0.4, false, 0, true, true, false);
 
@@ -45,7 +45,7 @@
         return new LoadReport(Double.NaN, Double.NaN, Double.NaN, Double.NaN, queries);
     }
 
-    private static RouterHarness router(int position, PolicyLimits limits, double queriesInHand) {
+    private static RouterHarness router(int position, PolicyLimits limits, double queriesInFlight) {
         RouterHarness router =
                 new RouterHarness(
                         new Settings(
@@ -58,37 +58,38 @@
                                 WITHOUT_PROGRESS,
                                 limits));
         router.withEngines("a", "b");
-        reportInFlight(router, queriesInHand);
+        reportInFlight(router, queriesInFlight);
         return router;
     }
 
-    private static void reportInFlight(RouterHarness router, double queriesInHand) {
-        for (String text : List.of("a", "b")) {
-            router.loadReports.put(text, inFlightReport(queriesInHand));
+    private static void reportInFlight(RouterHarness router, double queriesInFlight) {
+        for (String engine : List.of("a", "b")) {
+            router.loadReports.put(engine, inFlightReport(queriesInFlight));
             router.deliver(
                     new HealthCheckCompleted(
-                            text, Outcome.SERVED, MS, inFlightReport(queriesInHand)));
+                            engine, Outcome.SERVED, MS, inFlightReport(queriesInFlight)));
         }
-        router.advanceMs(60); // one round of house-keeping takes it up
+        // One maintenance interval, after which the reports count.
+        router.advanceMs(60);
     }
 
-    private static int reportsStartedInASecond(double queriesInHand) {
-        int sent = 0;
+    private static int reportsStartedInASecond(double queriesInFlight) {
+        int started = 0;
         for (int position = 0; position < ROUTERS; position++) {
-            RouterHarness router = router(position, LIMITS, queriesInHand);
+            RouterHarness router = router(position, LIMITS, queriesInFlight);
             router.submit(1, "report", null, 2_000);
             router.advanceMs(1_000);
-            sent += router.startedAttempts().size();
+            started += router.startedAttempts().size();
         }
-        return sent;
+        return started;
     }
 
     @Test
     void inAnOverloadedFleetNotEveryRouterStartsAQuery() {
         assertEquals(ROUTERS, reportsStartedInASecond(1));
-        int crowded = reportsStartedInASecond(40);
-        assertTrue(crowded > 0 && crowded < ROUTERS / 2, crowded + " sent");
-        assertTrue(reportsStartedInASecond(160) < crowded, "limits shrink in proportion");
+        int overloaded = reportsStartedInASecond(40);
+        assertTrue(overloaded > 0 && overloaded < ROUTERS / 2, overloaded + " started");
+        assertTrue(reportsStartedInASecond(160) < overloaded, "limits shrink in proportion");
     }
 
     @Test
@@ -104,7 +105,7 @@
         assertEquals(
                 2,
                 router.startedAttempts().size(),
-                "the lane holds this gateway's part, not all its look-ups");
+                "the reserved capacity is this router's part, not enough for all its lookups");
     }
 
     @Test
@@ -119,8 +120,9 @@
         for (int s = 0; s < 5; s++) {
             assertTrue(
                     ofType(CancelAttempt.class, router.advanceMs(1_000)).isEmpty(),
-                    "not while it can be in time");
-            router.endAttempt(77, 0, engine, Outcome.SERVED, 5); // the engine is not silent
+                    "not while it can meet its objective");
+            // The engine is responsive.
+            router.endAttempt(77, 0, engine, Outcome.SERVED, 5);
         }
         assertEquals(
                 List.of(new CancelAttempt(1, 0)),
@@ -135,9 +137,9 @@
                         inFlightReport(12),
                         inFlightReport(1))) {
             RouterHarness router = router(0, LIMITS, 1);
-            for (String text : List.of("a", "b")) {
-                router.loadReports.put(text, busy);
-                router.deliver(new HealthCheckCompleted(text, Outcome.SERVED, MS, busy));
+            for (String engine : List.of("a", "b")) {
+                router.loadReports.put(engine, busy);
+                router.deliver(new HealthCheckCompleted(engine, Outcome.SERVED, MS, busy));
             }
             router.advanceMs(60);
             for (int i = 0; i < 6; i++) {
@@ -155,8 +157,7 @@
         RouterHarness router = router(0, RETRY_BUDGET, 1);
         router.submit(1, "report", null, 1_000);
         router.endAttempt(1, 0, router.startedAttempts().get(0).engine(), Outcome.ERROR, 10);
-        assertEquals(
-                1, router.startedAttempts().size(), "one query earns a tenth of a further attempt");
+        assertEquals(1, router.startedAttempts().size(), "one query allows a tenth of a retry");
         router.submit(2, "report", null, 1_500);
         assertEquals(
                 List.of(1L, 2L), router.startedAttempts().stream().map(StartAttempt::id).toList());
@@ -164,75 +165,56 @@
 
     @Test
     void submittedQueriesAllowRetriesWithinTheWindowOnly() {
-        for (int late = 0; late < 2; late++) {
+        for (int expired = 0; expired < 2; expired++) {
             RouterHarness router = router(0, RETRY_BUDGET, 1);
             for (int i = 0; i < 10; i++) {
                 router.submit(i, "lookup", null, 10);
                 router.endAttempt(
                         i, 0, router.startedAttempts().get(i).engine(), Outcome.SERVED, 10);
             }
-            router.advanceMs(9_900 + 200L * late);
+            router.advanceMs(9_900 + 200L * expired);
             router.submit(99, "lookup", null, 10);
             int before = router.startedAttempts().size();
             router.endAttempt(
                     99, 0, router.startedAttempts().get(before - 1).engine(), Outcome.ERROR, 10);
-            assertEquals(before + 1 - late, router.startedAttempts().size());
+            assertEquals(before + 1 - expired, router.startedAttempts().size());
         }
     }
 
+    private static Settings tenantSettings() {
+        return new Settings(
+                7,
+                1,
+                0,
+                "z1",
+                List.of(reportClass(Set.of(), Set.of())),
+                List.of(new EngineKind("big", 8, 8_000)),
+                WITHOUT_PROGRESS,
+                LIMITS,
+                List.of(new Tenant("busy", 2), new Tenant("other", 2)),
+                0.2);
+    }
+
+    private static void submitReport(RouterHarness router, long id, String tenant) {
+        long deadlineNs = router.nowNs + 20_000 * MS;
+        router.deliver(
+                new QuerySubmitted(id, "report", null, 1, deadlineNs, 1_000 * MS, 100, tenant));
+    }
+
     @Test
     void queriesBeyondTheTenantQuotaStartLater() {
-        RouterHarness router =
-                new RouterHarness(
-                                new Settings(
-                                        7,
-                                        1,
-                                        0,
-                                        "z1",
-                                        List.of(reportClass(Set.of(), Set.of())),
-                                        List.of(new EngineKind("big", 8, 8_000)),
-                                        WITHOUT_PROGRESS,
-                                        LIMITS,
-                                        List.of(new Tenant("loud", 2), new Tenant("calm", 2)),
-                                        0.2))
-                        .withEngines();
+        RouterHarness router = new RouterHarness(tenantSettings()).withEngines();
         for (int i = 0; i < 60; i++) {
-            router.deliver(
-                    new QuerySubmitted(
-                            i,
-                            "report",
-                            null,
-                            1,
-                            router.nowNs + 20_000 * MS,
-                            1_000 * MS,
-                            100,
-                            "loud"));
+            submitReport(router, i, "busy");
         }
-        router.deliver(
-                new QuerySubmitted(
-                        99,
-                        "report",
-                        null,
-                        1,
-                        router.nowNs + 20_000 * MS,
-                        1_000 * MS,
-                        100,
-                        "calm"));
-        router.deliver(
-                new QuerySubmitted(
-                        100,
-                        "report",
-                        null,
-                        1,
-                        router.nowNs + 20_000 * MS,
-                        1_000 * MS,
-                        100,
-                        "unlisted"));
+        submitReport(router, 99, "other");
+        submitReport(router, 100, "unlisted");
         router.withEngines("a");
-        List<Long> first = router.startedAttempts().stream().map(StartAttempt::id).toList();
-        assertEquals(List.of(0L, 1L), first.subList(0, 2)); // what came first was within the share
-        assertTrue(first.contains(99L) && first.contains(100L), "sent: " + first);
-        assertTrue(first.size() < 62, "not all find room");
+        List<Long> started = router.startedAttempts().stream().map(StartAttempt::id).toList();
+        // The first queries were within the quota.
+        assertEquals(List.of(0L, 1L), started.subList(0, 2));
+        assertTrue(started.contains(99L) && started.contains(100L), "started: " + started);
+        assertTrue(started.size() < 62, "some find no capacity");
     }
 
     @Test
@@ -259,7 +241,8 @@
                     new AttemptEnded(
                             id, 0, "a", Outcome.SERVED, 20 * MS, true, 10, 40, inFlightReport(1)));
         }
-        // The engine starts anew: by the prior of 500 ms it bears little, by the learnt 10 ms many.
+        // The engine restarts: with the prior of 500 ms few queries fit, with the mean of 10 ms
+        // many.
         router.changeEndpoints(
                 EndpointListKind.DELTA,
                 endpoint("a", "z1", "big", EndpointState.READY, router.nowNs));
@@ -295,7 +278,7 @@
         assertEquals(
                 2,
                 router.startedAttempts().size() - 300,
-                "the bound does not bind while no engine is pressed");
+                "the limit does not bind while no engine is overloaded");
         assertFalse(enginesOf(router.actions).isEmpty());
     }
 }
--- a/decisions/src/test/java/ashlink/decisions/HealthCheckTest.java
+++ b/decisions/src/test/java/ashlink/decisions/HealthCheckTest.java
@@ -49,10 +49,9 @@
             router.advanceMs(300);
             router.serveOldest(1, 50);
         }
-        int probes = ofType(CheckHealth.class, router.actions).size();
-        assertTrue(
-                probes > 20 && probes <= 20 + 200 + 60,
-                probes + " probes"); // saved, by query, by second
+        int checks = ofType(CheckHealth.class, router.actions).size();
+        // The credits at the start, one per query and one per second.
+        assertTrue(checks > 20 && checks <= 20 + 200 + 60, checks + " health checks");
         assertEquals(200, router.startedAttempts().size());
     }
 }
--- a/decisions/src/test/java/ashlink/decisions/ManyRouters.java
+++ b/decisions/src/test/java/ashlink/decisions/ManyRouters.java
@@ -34,15 +34,15 @@
                     false);
 
     static Settings settings(
-            int gateways, int position, Capabilities allowed, PolicyLimits limits) {
+            int routers, int position, Capabilities capabilities, PolicyLimits limits) {
         return new Settings(
                 7 + position,
-                gateways,
+                routers,
                 position,
                 "z1",
                 List.of(shortClass("lookup"), reportClass(Set.of(), Set.of())),
                 List.of(new EngineKind("big", 8, 8_000)),
-                allowed,
+                capabilities,
                 limits);
     }
 
@@ -54,8 +54,8 @@
         return names;
     }
 
-    static RouterHarness router(int gateways, int position, int engines) {
-        return new RouterHarness(settings(gateways, position, WITHOUT_PRIORITIES, LIMITS))
+    static RouterHarness router(int routers, int position, int engines) {
+        return new RouterHarness(settings(routers, position, WITHOUT_PRIORITIES, LIMITS))
                 .withEngines(engineNames(engines));
     }
 }
--- a/decisions/src/test/java/ashlink/decisions/ManyRoutersTest.java
+++ b/decisions/src/test/java/ashlink/decisions/ManyRoutersTest.java
@@ -35,10 +35,10 @@
             }
             router.advanceMs(400);
             threads += 2 * router.inFlight.size();
-            assertFalse(router.inFlight.isEmpty(), "a gateway that runs nothing gets one query in");
+            assertFalse(router.inFlight.isEmpty(), "a router that runs nothing starts one query");
         }
-        // Four engines of eight cores at 1.5 threads are 48; the floor is one query a gateway, not
-        // one an engine.
+        // The initial limits are 48 threads (4 engines x 8 cores x 1.5). The floor is one query per
+        // router, not one per engine.
         assertEquals(2 * ROUTERS, threads);
     }
 
@@ -51,11 +51,10 @@
         for (int i = 0; i < 40; i++) {
             router.submit(i, "report", null, 1_000);
         }
-        router.advanceMs(2_000); // probes are earned
-        assertEquals(
-                12,
-                router.inFlight
-                        .size()); // 1.5 threads x 8 cores on each of two engines, two threads each
+        // The credits for health checks accumulate.
+        router.advanceMs(2_000);
+        // 1.5 threads x 8 cores on each of two engines, two threads per query.
+        assertEquals(12, router.inFlight.size());
     }
 
     @Test
--- a/decisions/src/test/java/ashlink/decisions/QueueOrderTest.java
+++ b/decisions/src/test/java/ashlink/decisions/QueueOrderTest.java
@@ -19,6 +19,8 @@
 /** The order of the queue and the queries that are given up in it. */
 class QueueOrderTest {
 
+    private static final long NO_ESTIMATE = 0;
+
     @Test
     void queuedQueriesStartInOrderOfPriorityWeight() {
         RouterHarness router =
@@ -52,14 +54,14 @@
     void likeQueriesStartInOrderOfSubmissionWhileEstimatesAreCorrected() {
         RouterHarness router = RouterHarness.withClasses(shortClass("lookup")).withEngines("a");
         for (int i = 0; i < 80; i++) {
-            router.submit(i, "lookup", null, 0); // without estimates
+            router.submit(i, "lookup", null, NO_ESTIMATE);
             if (i > 30 && i % 2 == 0) {
                 router.nowNs += MS;
-                router.serveOldest(
-                        1, 2); // far under what was taken for usual, which falls with each answer
+                // Far below the expected duration, which falls with each response.
+                router.serveOldest(1, 2);
             }
         }
-        assertTrue(router.startedAttempts().size() < 80, "none was held");
+        assertTrue(router.startedAttempts().size() < 80, "none was queued");
         for (int i = 0; i < 100; i++) {
             router.nowNs += MS;
             router.serveOldest(1, 2);
--- a/decisions/src/test/java/ashlink/decisions/RouterHarness.java
+++ b/decisions/src/test/java/ashlink/decisions/RouterHarness.java
@@ -35,8 +35,8 @@
 import java.util.Set;
 
 /**
- * A router for tests: hands events to a gateway at a time set by the test, answers its probes with
- * the report set for the engine, and keeps what it decided.
+ * A router for tests: delivers events to a workload manager at a time set by the test, answers its
+ * health checks with the load report set for the engine, and records the actions.
  */
 final class RouterHarness {
 
@@ -63,13 +63,13 @@
     final WorkloadManager workloadManager;
     final List<Action> actions = new ArrayList<>();
 
-    /** What probes of an engine tell; one that is not named here is half busy. */
+    /** Load reports by engine; an engine without one reports {@link #HALF_BUSY}. */
     final Map<String, LoadReport> loadReports = new HashMap<>();
 
-    /** Engines whose probes are left without an answer. */
+    /** Engines that do not answer health checks. */
     final Set<String> unansweredEngines = new HashSet<>();
 
-    /** Attempts that are out, by query. */
+    /** Attempts in flight, by query. */
     final Map<Long, StartAttempt> inFlight = new LinkedHashMap<>();
 
     long nowNs = 100_000 * MS;
@@ -139,15 +139,15 @@
     }
 
     static Settings settings(
-            int gateways, Capabilities allowed, PolicyLimits limits, QueryClass... classes) {
+            int routers, Capabilities capabilities, PolicyLimits limits, QueryClass... classes) {
         return new Settings(
                 7,
-                gateways,
+                routers,
                 0,
                 "z1",
                 List.of(classes),
                 List.of(new EngineKind("big", 4, 8_000), new EngineKind("small", 4, 8_000)),
-                allowed,
+                capabilities,
                 limits);
     }
 
@@ -162,8 +162,8 @@
     }
 
     static Endpoint endpoint(
-            String engine, String zone, String kind, EndpointState phase, long startedNs) {
-        return new Endpoint(engine, phase, zone, kind, zone.hashCode(), startedNs);
+            String engine, String zone, String kind, EndpointState state, long startedNs) {
+        return new Endpoint(engine, state, zone, kind, zone.hashCode(), startedNs);
     }
 
     static Endpoint readyEndpoint(String engine) {
@@ -197,8 +197,8 @@
         actions.addAll(decided);
         List<Action> all = new ArrayList<>(decided);
         for (Action action : decided) {
-            if (action instanceof SetTimer alarm) {
-                timers.add(alarm);
+            if (action instanceof SetTimer timer) {
+                timers.add(timer);
             } else if (action instanceof StartAttempt startAttempt) {
                 inFlight.put(startAttempt.id(), startAttempt);
                 attemptCounts.merge(startAttempt.id(), 1, Integer::sum);
@@ -248,8 +248,10 @@
     }
 
     /**
-     * Has the attempts that are out now served, the oldest {@code most} of them, after that time
-     * each.
+     * Ends the oldest attempts in flight as served.
+     *
+     * @param most number of attempts to end
+     * @param tookMs duration of each of them
      */
     void serveOldest(int most, long tookMs) {
         for (StartAttempt startAttempt :
@@ -263,7 +265,7 @@
         }
     }
 
-    /** Lets time pass, with each alarm at its time, and returns what was decided on the way. */
+    /** Advances the time, fires the timers that are due, and returns the actions. */
     List<Action> advanceMs(long ms) {
         int from = actions.size();
         long until = nowNs + ms * MS;
--- a/decisions/src/test/java/ashlink/decisions/SevenRulesTest.java
+++ b/decisions/src/test/java/ashlink/decisions/SevenRulesTest.java
@@ -41,9 +41,9 @@
         RouterHarness router =
                 RouterHarness.withClasses(reportClass(Set.of(), Set.of())).withEngines();
         router.submit(1, "report", null, 1, 100, 900);
-        List<Reject> refused = ofType(Reject.class, router.advanceMs(900));
-        assertEquals(1, refused.size());
-        assertTrue(refused.get(0).retryAfterNs() > 0);
+        List<Reject> rejected = ofType(Reject.class, router.advanceMs(900));
+        assertEquals(1, rejected.size());
+        assertTrue(rejected.get(0).retryAfterNs() > 0);
         assertTrue(ofType(Reject.class, router.advanceMs(5_000)).isEmpty());
     }
 
@@ -156,29 +156,29 @@
                         RouterHarness.settings(2, CAPABILITIES, LIMITS, shortClass("lookup")));
         router.changeEndpoints(
                 EndpointListKind.SNAPSHOT,
-                endpoint("cold", "z1", "big", EndpointState.READY, router.nowNs - MS));
+                endpoint("warming", "z1", "big", EndpointState.READY, router.nowNs - MS));
         for (int i = 0; i < 200; i++) {
             router.submit(i, "lookup", null, 1, 100, 1_000);
             if (!router.startedAttempts().isEmpty()) {
                 router.endAttempt(
                         router.startedAttempts().get(router.startedAttempts().size() - 1).id(),
                         0,
-                        "cold",
+                        "warming",
                         Outcome.SERVED,
                         100);
             }
         }
-        double bears = 3 * 0.3 * 4 * 0.85 * 2_000 / 2;
+        double limitMs = 3 * 0.3 * 4 * 0.85 * 2_000 / 2;
         assertTrue(!router.startedAttempts().isEmpty());
         assertTrue(
-                router.startedAttempts().size() * 100 <= bears,
-                router.startedAttempts().size() + " sent");
+                router.startedAttempts().size() * 100 <= limitMs,
+                router.startedAttempts().size() + " started");
         router.advanceMs(10_000);
         router.serveOldest(100, 100);
         int before = router.startedAttempts().size();
         for (int i = 300; i < 310; i++) {
             router.submit(i, "lookup", null, 100);
-            router.endAttempt(i, 0, "cold", Outcome.SERVED, 100);
+            router.endAttempt(i, 0, "warming", Outcome.SERVED, 100);
         }
         assertEquals(before + 10, router.startedAttempts().size());
     }
@@ -262,13 +262,13 @@
                     Outcome.ERROR,
                     1);
         }
-        long further =
+        long retries =
                 router.startedAttempts().size()
                         - router.startedAttempts().stream()
                                 .map(StartAttempt::id)
                                 .distinct()
                                 .count();
-        assertTrue(further > 0 && further <= 1 + 0.1 * 20, further + " further attempts");
+        assertTrue(retries > 0 && retries <= 1 + 0.1 * 20, retries + " retries");
     }
 
     @Test
@@ -328,11 +328,9 @@
         router.submit(1, "load", "k", 100);
         router.submit(2, "load", "k", 100);
         router.endAttempt(1, 0, router.startedAttempts().get(0).engine(), Outcome.RESET, 10);
+        // The pause is for later queries of the key.
         assertEquals(
-                List.of(1L, 1L),
-                router.startedAttempts().stream()
-                        .map(StartAttempt::id)
-                        .toList()); // the rest is for later ones
+                List.of(1L, 1L), router.startedAttempts().stream().map(StartAttempt::id).toList());
         router.endAttempt(1, 1, router.startedAttempts().get(1).engine(), Outcome.SERVED, 10);
         assertEquals(2, router.startedAttempts().size());
         router.advanceMs(360);
