--- /dev/null
+++ b/decisions/src/test/java/ashlink/decisions/KeyOrderingTest.java
@@ -0,0 +1,93 @@
+package ashlink.decisions;
+
+import static ashlink.decisions.RouterHarness.MS;
+import static ashlink.decisions.TestStates.NOW_NS;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotSame;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import ashlink.decisions.api.DeduplicationScope;
+import ashlink.decisions.api.QueryClass;
+import ashlink.decisions.api.RetrySafety;
+import org.junit.jupiter.api.Test;
+
+/** The order of the queries of one ordering key. */
+class KeyOrderingTest {
+
+    private static final long QUIET_PERIOD_NS = 300 * MS;
+    private static final QueryClass ORDERED =
+            RouterHarness.loadClass(RetrySafety.AT_MOST_ONCE, DeduplicationScope.ALL, true);
+
+    private final KeyOrdering ordering = new KeyOrdering(QUIET_PERIOD_NS);
+    private final QueryState first = submit(1, "k");
+    private final QueryState second = submit(2, "k");
+
+    private QueryState submit(long id, String key) {
+        KeyQueue queue = ordering.queueFor(TestStates.submitted(id, "load", key), ORDERED);
+        QueryState query = TestStates.query(id, new QueryClassStatistics(ORDERED), queue);
+        ordering.add(query);
+        return query;
+    }
+
+    @Test
+    void onlyTheFirstQueryOfAKeyHasItsTurn() {
+        assertTrue(ordering.hasTurn(first, NOW_NS));
+        assertFalse(ordering.hasTurn(second, NOW_NS));
+    }
+
+    @Test
+    void nextQueryHasItsTurnWhenTheFirstIsRemoved() {
+        ordering.remove(first);
+        assertTrue(ordering.hasTurn(second, NOW_NS));
+    }
+
+    @Test
+    void keysAreIndependent() {
+        assertTrue(ordering.hasTurn(submit(3, "other"), NOW_NS));
+    }
+
+    @Test
+    void queryWithoutKeyOrOfAnUnorderedClassHasNoQueue() {
+        QueryClass unordered =
+                RouterHarness.loadClass(RetrySafety.AT_MOST_ONCE, DeduplicationScope.ALL, false);
+        assertNull(ordering.queueFor(TestStates.submitted(4, "load", null), ORDERED));
+        assertNull(ordering.queueFor(TestStates.submitted(4, "load", "k"), unordered));
+        assertTrue(ordering.hasTurn(TestStates.query(4, unordered), NOW_NS));
+    }
+
+    @Test
+    void pauseDelaysTheNextQueryUntilItsEnd() {
+        ordering.pause(first, NOW_NS);
+        ordering.remove(first);
+        assertFalse(ordering.hasTurn(second, NOW_NS + QUIET_PERIOD_NS - 1));
+        assertTrue(ordering.hasTurn(second, NOW_NS + QUIET_PERIOD_NS));
+    }
+
+    @Test
+    void retryIsNotPaused() {
+        first.attempts = 1;
+        ordering.pause(first, NOW_NS);
+        assertTrue(ordering.hasTurn(first, NOW_NS));
+    }
+
+    @Test
+    void idleKeyIsDroppedOnlyAfterItsPause() {
+        KeyQueue queue = first.keyQueue;
+        ordering.pause(first, NOW_NS);
+        ordering.remove(first);
+        ordering.remove(second);
+        ordering.removeIdle(NOW_NS + QUIET_PERIOD_NS - 1);
+        assertSame(queue, ordering.queueFor(TestStates.submitted(5, "load", "k"), ORDERED));
+        ordering.removeIdle(NOW_NS + QUIET_PERIOD_NS);
+        assertNotSame(queue, ordering.queueFor(TestStates.submitted(5, "load", "k"), ORDERED));
+    }
+
+    @Test
+    void keyWithQueriesIsNotDropped() {
+        KeyQueue queue = first.keyQueue;
+        ordering.removeIdle(NOW_NS);
+        assertSame(queue, ordering.queueFor(TestStates.submitted(5, "load", "k"), ORDERED));
+    }
+}
--- /dev/null
+++ b/decisions/src/test/java/ashlink/decisions/TestStates.java
@@ -0,0 +1,82 @@
+package ashlink.decisions;
+
+import static ashlink.decisions.RouterHarness.MS;
+
+import ashlink.decisions.api.Event.AttemptEnded;
+import ashlink.decisions.api.Event.QuerySubmitted;
+import ashlink.decisions.api.LoadReport;
+import ashlink.decisions.api.Outcome;
+import ashlink.decisions.api.QueryClass;
+
+/** Queries and engines for the tests of single rules. */
+final class TestStates {
+
+    static final long NOW_NS = 100_000 * MS;
+    static final double ESTIMATE_MS = 100;
+
+    private TestStates() {}
+
+    /** A query of 100 ms and 100 MB with a deadline in 20 s, submitted now. */
+    static QueryState query(long id, QueryClass spec) {
+        return query(id, new QueryClassStatistics(spec), null);
+    }
+
+    static QueryState query(long id, QueryClassStatistics statistics) {
+        return query(id, statistics, null);
+    }
+
+    static QueryState query(long id, QueryClassStatistics statistics, KeyQueue keyQueue) {
+        return query(id, statistics, keyQueue, ESTIMATE_MS, statistics.spec.priorityWeight());
+    }
+
+    static QueryState query(
+            long id,
+            QueryClassStatistics statistics,
+            KeyQueue keyQueue,
+            double estimateMs,
+            double weight) {
+        return new QueryState(
+                submitted(id, statistics.spec.name(), null),
+                statistics,
+                keyQueue,
+                id,
+                estimateMs,
+                weight,
+                NOW_NS);
+    }
+
+    static QuerySubmitted submitted(long id, String queryClass, String key) {
+        return new QuerySubmitted(
+                id, queryClass, key, 1, NOW_NS + 20_000 * MS, (long) (ESTIMATE_MS * MS), 100);
+    }
+
+    /** A ready engine of four cores and 8,000 MB without load. */
+    static EngineState engine(String name) {
+        EngineState engine = new EngineState(name);
+        engine.endpoint = RouterHarness.readyEndpoint(name);
+        engine.cores = 4;
+        engine.memoryMb = 8_000;
+        return engine;
+    }
+
+    /** Starts an attempt of the query on the engine. */
+    static void start(QueryState query, EngineState engine, long nowNs) {
+        query.startAttempt(engine, nowNs);
+        engine.running.add(query);
+        engine.addLoad(query);
+    }
+
+    /** The end of an attempt that was served. */
+    static AttemptEnded served(QueryState query, long durationMs) {
+        return new AttemptEnded(
+                query.id,
+                query.attempts - 1,
+                "a",
+                Outcome.SERVED,
+                durationMs * MS,
+                true,
+                0,
+                0,
+                LoadReport.NONE);
+    }
+}
