--- /dev/null
+++ b/decisions/src/test/java/ashlink/decisions/QueryClassStatisticsTest.java
@@ -0,0 +1,84 @@
+package ashlink.decisions;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** The statistics of a class with an objective of 500 ms on one thread. */
+class QueryClassStatisticsTest {
+
+    private final QueryClassStatistics statistics =
+            new QueryClassStatistics(RouterHarness.shortClass("lookup"));
+
+    /** Response times that alternate between one and {@code ratio} times the estimate. */
+    private void scatter(double ratio) {
+        for (int i = 0; i < 1_000; i++) {
+            statistics.recordResponse(i % 2 == 0 ? 0 : Math.log(ratio), true);
+        }
+    }
+
+    @Test
+    void priorMeetsTheObjective() {
+        assertEquals(500, statistics.priorWorkMs());
+        assertEquals(500, statistics.meanWorkMs());
+        assertEquals(500, statistics.conservativeWorkMs());
+    }
+
+    @Test
+    void meanFollowsTheEstimates() {
+        statistics.recordEstimate(10);
+        statistics.recordEstimate(30);
+        assertEquals(20, statistics.meanWorkMs());
+    }
+
+    @Test
+    void meanIsTheHigherOfEstimatedAndReportedWork() {
+        statistics.recordEstimate(10);
+        statistics.recordWork(40);
+        assertEquals(40, statistics.meanWorkMs());
+    }
+
+    @Test
+    void priorWeighsLessTheMoreQueriesWereSeen() {
+        for (int i = 0; i < 10; i++) {
+            statistics.recordEstimate(100);
+        }
+        assertEquals(300, statistics.conservativeWorkMs(), 1e-9);
+    }
+
+    @Test
+    void estimatesAreCorrectedByTheLowerQuartile() {
+        scatter(4);
+        assertEquals(10, statistics.correctedMs(10), 2);
+    }
+
+    @Test
+    void scatteredResponsesAreLessConsistent() {
+        scatter(16);
+        assertTrue(statistics.consistency() < 0.5);
+    }
+
+    @Test
+    void narrowResponsesAreConsistent() {
+        scatter(1.1);
+        assertEquals(1, statistics.consistency());
+    }
+
+    @Test
+    void scatterDoesNotCountWhileOnlyEstimatesAreKnown() {
+        scatter(16);
+        statistics.recordEstimate(10);
+        assertEquals(1, statistics.consistency());
+        statistics.recordWork(10);
+        assertTrue(statistics.consistency() < 0.5);
+    }
+
+    @Test
+    void firstResponsesWithoutEstimateMoveTheExpectationFast() {
+        statistics.recordResponse(-1, false);
+        assertEquals(-0.75, statistics.expectedLog());
+        statistics.recordResponse(-1, true);
+        assertEquals(-0.75 - 0.05 * 0.75, statistics.expectedLog(), 1e-12);
+    }
+}
--- /dev/null
+++ b/decisions/src/test/java/ashlink/decisions/TableGroupPlacementTest.java
@@ -0,0 +1,70 @@
+package ashlink.decisions;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import ashlink.decisions.api.DeduplicationScope;
+import ashlink.decisions.api.EndpointListKind;
+import ashlink.decisions.api.Event.EndpointsChanged;
+import ashlink.decisions.api.QueryClass;
+import ashlink.decisions.api.RetrySafety;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+
+/** The engines on which a table group is loaded and read. */
+class TableGroupPlacementTest {
+
+    private static final QueryClass LOAD =
+            RouterHarness.loadClass(RetrySafety.AT_MOST_ONCE, DeduplicationScope.ALL, false);
+    private static final QueryClass REPORT = RouterHarness.reportClass(Set.of(), Set.of());
+    private static final QueryClass LOOKUP = RouterHarness.shortClass("lookup");
+
+    private final EngineDirectory engines = new EngineDirectory(List.of());
+
+    TableGroupPlacementTest() {
+        engines.apply(
+                new EndpointsChanged(
+                        EndpointListKind.SNAPSHOT,
+                        Stream.of("a", "b", "c", "d").map(RouterHarness::readyEndpoint).toList()),
+                engine -> {});
+    }
+
+    private List<EngineState> filtered(List<QueryClass> classes, QueryClass queryClass) {
+        List<EngineState> candidates = new ArrayList<>(engines.all());
+        new TableGroupPlacement(engines, classes)
+                .filter(TestStates.query(1, queryClass), candidates);
+        return candidates;
+    }
+
+    @Test
+    void loadsAndReadersHaveSeparateHalves() {
+        List<QueryClass> classes = List.of(LOAD, REPORT);
+        List<EngineState> loading = filtered(classes, LOAD);
+        List<EngineState> reading = filtered(classes, REPORT);
+        assertEquals(2, loading.size());
+        assertEquals(2, reading.size());
+        loading.retainAll(reading);
+        assertTrue(loading.isEmpty());
+    }
+
+    @Test
+    void otherClassesRunAnywhere() {
+        assertEquals(4, filtered(List.of(LOAD, REPORT, LOOKUP), LOOKUP).size());
+    }
+
+    @Test
+    void withoutReadersLoadsRunAnywhere() {
+        assertEquals(4, filtered(List.of(LOAD, LOOKUP), LOAD).size());
+    }
+
+    @Test
+    void candidatesOfTheOtherHalfAreUsedIfThereAreNoOthers() {
+        List<QueryClass> classes = List.of(LOAD, REPORT);
+        List<EngineState> reading = filtered(classes, REPORT);
+        new TableGroupPlacement(engines, classes).filter(TestStates.query(1, LOAD), reading);
+        assertEquals(2, reading.size());
+    }
+}
