--- a/cli/src/main/java/ashlink/cli/QueryCommand.java
+++ b/cli/src/main/java/ashlink/cli/QueryCommand.java
@@ -106,7 +106,7 @@
         if (statementResult.kind() == StatementResult.Kind.TIMED_OUT) {
             cancel(client, id.get());
         }
-        return statementResult.isRefused()
+        return statementResult.isRejected()
                         || statementResult.kind() == StatementResult.Kind.NOT_SENT
                 ? REFUSED
                 : statementResult.problem().equals("statement-error") ? 1 : MAYBE;
--- a/client/src/main/java/ashlink/client/StatementClient.java
+++ b/client/src/main/java/ashlink/client/StatementClient.java
@@ -19,22 +19,21 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/**
- * Posts statements to a router and fetches their answers page by page. Safe for use by many
- * threads.
- */
+/** Submits statements to a router over HTTP and fetches their results page by page. Thread-safe. */
 public final class StatementClient {
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long S = 1_000_000_000L;
-    private static final long LONGEST_POLL_NS = 10 * S;
-    private static final int NOT_YET = 202;
+    private static final long NS_PER_SECOND = 1_000_000_000L;
+    private static final long MAX_POLL_NS = 10 * NS_PER_SECOND;
+    private static final int OK = 200;
+    private static final int ACCEPTED = 202;
+    private static final int NOT_FOUND = 404;
 
     private final HttpClient http;
     private final URI server;
     private final String authorization;
 
-    /** A client of that server, such as {@code http://127.0.0.1:8123}. */
+    /** A client of a server, such as {@code http://127.0.0.1:8123}. */
     public StatementClient(URI server, String user, String password) {
         this(
                 HttpClient.newBuilder()
@@ -47,7 +46,7 @@
                 password);
     }
 
-    /** The same with connections shared with others. */
+    /** A client that shares the connections of {@code http} with other clients. */
     public StatementClient(HttpClient http, URI server, String user, String password) {
         this.http = http;
         this.server = server;
@@ -59,92 +58,119 @@
     }
 
     /**
-     * Runs a statement.
+     * Runs a statement and fetches all pages of its result.
      *
-     * @param rows of a load, or null
-     * @param key under which it runs once, or null
-     * @param pages is given each page, and what is known while there is none yet
+     * @param statement the SQL text
+     * @param settings settings of the statement, by name
+     * @param rows rows of a load; null for none
+     * @param idempotencyKey key under which the statement runs once; null for none
+     * @param timeoutNs time after which the client gives up
+     * @param pages receives each page, and the statement's state while no page is available
+     * @return how the statement ended; failures of the connection are results, not exceptions
      */
     public StatementResult run(
             String statement,
             Map<String, String> settings,
             JsonNode rows,
-            String key,
+            String idempotencyKey,
             long timeoutNs,
             Consumer<JsonNode> pages)
             throws InterruptedException {
-        long until = System.nanoTime() + timeoutNs;
-        ObjectNode body = JSON.createObjectNode().put("statement", statement);
-        ObjectNode set = body.putObject("settings");
-        settings.forEach(set::put);
-        if (rows != null) {
-            body.set("rows", rows);
-        }
-        long seen = 0;
-        long bytes = 0;
-        boolean sent = false;
+        long deadlineNs = System.nanoTime() + timeoutNs;
+        Progress progress = new Progress();
         try {
-            HttpRequest.Builder first =
-                    request("/v1/statements", until)
-                            .header("Content-Type", "application/json")
-                            .POST(
-                                    HttpRequest.BodyPublishers.ofByteArray(
-                                            JSON.writeValueAsBytes(body)));
-            HttpResponse<byte[]> httpResponse =
-                    send(key == null ? first : first.header("Idempotency-Key", key));
-            while (true) {
-                sent = true;
-                JsonNode node =
-                        httpResponse.body().length == 0
-                                ? JSON.createObjectNode()
-                                : JSON.readTree(httpResponse.body());
-                bytes += httpResponse.body().length;
-                if (httpResponse.statusCode() != 200 && httpResponse.statusCode() != NOT_YET) {
-                    return problem(httpResponse.statusCode(), node, seen, bytes);
-                }
-                pages.accept(node);
-                seen += node.path("rows").isArray() ? node.get("rows").size() : 0;
-                if (httpResponse.statusCode() == 200 && !node.has("nextUri")) {
-                    return new StatementResult(
-                            StatementResult.Kind.SERVED, 200, "", "", 0, 0, seen, bytes);
-                }
-                httpResponse = send(request(node.get("nextUri").asText(), until).GET());
+            HttpRequest.Builder submission = submission(statement, settings, rows, deadlineNs);
+            if (idempotencyKey != null) {
+                submission.header("Idempotency-Key", idempotencyKey);
             }
+            return fetchAll(send(submission), deadlineNs, pages, progress);
         } catch (HttpConnectTimeoutException | ConnectException e) {
-            return new StatementResult(
-                    sent ? StatementResult.Kind.LOST : StatementResult.Kind.NOT_SENT,
-                    0,
-                    "",
-                    String.valueOf(e),
-                    0,
-                    0,
-                    seen,
-                    bytes);
+            StatementResult.Kind kind =
+                    progress.submitted ? StatementResult.Kind.LOST : StatementResult.Kind.NOT_SENT;
+            return progress.result(kind, String.valueOf(e));
         } catch (HttpTimeoutException e) {
-            return new StatementResult(
-                    StatementResult.Kind.TIMED_OUT, 0, "", "", 0, 0, seen, bytes);
+            return progress.result(StatementResult.Kind.TIMED_OUT, "");
         } catch (IOException e) {
-            return new StatementResult(
-                    StatementResult.Kind.LOST, 0, "", String.valueOf(e), 0, 0, seen, bytes);
+            return progress.result(StatementResult.Kind.LOST, String.valueOf(e));
+        }
+    }
+
+    /** What was received of a statement so far. */
+    private static final class Progress {
+        private boolean submitted;
+        private long rows;
+        private long bytes;
+
+        /** A result without a response of the server. */
+        StatementResult result(StatementResult.Kind kind, String detail) {
+            return new StatementResult(kind, 0, "", detail, 0, 0, rows, bytes);
+        }
+    }
+
+    private HttpRequest.Builder submission(
+            String statement, Map<String, String> settings, JsonNode rows, long deadlineNs)
+            throws IOException {
+        ObjectNode body = JSON.createObjectNode().put("statement", statement);
+        ObjectNode settingsNode = body.putObject("settings");
+        settings.forEach(settingsNode::put);
+        if (rows != null) {
+            body.set("rows", rows);
+        }
+        return request("/v1/statements", deadlineNs)
+                .header("Content-Type", "application/json")
+                .POST(HttpRequest.BodyPublishers.ofByteArray(JSON.writeValueAsBytes(body)));
+    }
+
+    private StatementResult fetchAll(
+            HttpResponse<byte[]> submitted,
+            long deadlineNs,
+            Consumer<JsonNode> pages,
+            Progress progress)
+            throws IOException, InterruptedException {
+        HttpResponse<byte[]> response = submitted;
+        while (true) {
+            progress.submitted = true;
+            JsonNode node =
+                    response.body().length == 0
+                            ? JSON.createObjectNode()
+                            : JSON.readTree(response.body());
+            progress.bytes += response.body().length;
+            if (response.statusCode() != OK && response.statusCode() != ACCEPTED) {
+                return problem(response.statusCode(), node, progress.rows, progress.bytes);
+            }
+            pages.accept(node);
+            progress.rows += node.path("rows").isArray() ? node.get("rows").size() : 0;
+            if (response.statusCode() == OK && !node.has("nextUri")) {
+                return new StatementResult(
+                        StatementResult.Kind.SERVED,
+                        OK,
+                        "",
+                        "",
+                        0,
+                        0,
+                        progress.rows,
+                        progress.bytes);
+            }
+            response = send(request(node.get("nextUri").asText(), deadlineNs).GET());
         }
     }
 
-    /** Calls a statement off; false where it was not known. */
+    /** Cancels a statement; returns false if the server does not know it. */
     public boolean cancel(String id) throws IOException, InterruptedException {
-        return send(request("/v1/statements/" + id, System.nanoTime() + LONGEST_POLL_NS).DELETE())
+        return send(request("/v1/statements/" + id, System.nanoTime() + MAX_POLL_NS).DELETE())
                         .statusCode()
-                == 200;
+                == OK;
     }
 
-    private HttpRequest.Builder request(String path, long until) throws HttpTimeoutException {
-        long left = until - System.nanoTime();
-        if (left <= 0) {
-            throw new HttpTimeoutException("the client's time is up");
+    private HttpRequest.Builder request(String path, long deadlineNs) throws HttpTimeoutException {
+        long remainingNs = deadlineNs - System.nanoTime();
+        if (remainingNs <= 0) {
+            throw new HttpTimeoutException("the client's timeout has passed");
         }
         String wait =
-                String.format(Locale.ROOT, "?wait=%.3f", Math.min(left, LONGEST_POLL_NS) / 1e9);
+                String.format(Locale.ROOT, "?wait=%.3f", Math.min(remainingNs, MAX_POLL_NS) / 1e9);
         return HttpRequest.newBuilder(server.resolve(path + wait))
-                .timeout(Duration.ofNanos(left))
+                .timeout(Duration.ofNanos(remainingNs))
                 .header("Authorization", authorization);
     }
 
@@ -156,7 +182,7 @@
     private static StatementResult problem(int status, JsonNode node, long rows, long bytes) {
         String type = node.path("type").asText().replace("/problems/", "");
         StatementResult.Kind kind =
-                status == 404 ? StatementResult.Kind.LOST : StatementResult.Kind.PROBLEM;
+                status == NOT_FOUND ? StatementResult.Kind.LOST : StatementResult.Kind.PROBLEM;
         return new StatementResult(
                 kind,
                 status,
--- a/client/src/main/java/ashlink/client/StatementResult.java
+++ b/client/src/main/java/ashlink/client/StatementResult.java
@@ -1,13 +1,16 @@
 package ashlink.client;
 
 /**
- * How a statement ended, as its client was told.
+ * How a statement ended, as its client saw it.
  *
- * @param status of the last answer, 0 where there was none
- * @param problem last part of the problem's type, empty where there was none
- * @param code of the engine's exception, 0 where there is none
- * @param retryAfterMs when to come back, 0 where that was not told
- * @param rows that were given
+ * @param kind what the client received
+ * @param status HTTP status of the last response; 0 if there was none
+ * @param problem last part of the problem's type; empty if there was none
+ * @param detail description of the problem or of the connection's failure
+ * @param code code of the engine's exception; 0 if there was none
+ * @param retryAfterMs time after which to retry; 0 if the server named none
+ * @param rows rows received
+ * @param bytes bytes of response bodies received
  */
 public record StatementResult(
         Kind kind,
@@ -19,22 +22,22 @@
         long rows,
         long bytes) {
 
-    /** Kinds of end. */
+    /** What the client received at the end. */
     public enum Kind {
-        /** All rows were given. */
+        /** All rows of the result. */
         SERVED,
-        /** The server said what went wrong. */
+        /** A problem description of the server. */
         PROBLEM,
-        /** The client's time was up. */
+        /** Nothing within the client's timeout. */
         TIMED_OUT,
-        /** No connection: nothing was sent. */
+        /** No connection could be made; nothing was sent. */
         NOT_SENT,
         /** The connection broke, or the statement is not known any more. */
         LOST
     }
 
-    /** True where the server said that repeating is harmless. */
-    public boolean isRefused() {
+    /** Whether the server rejected the statement, so that a retry is harmless. */
+    public boolean isRejected() {
         return kind == Kind.PROBLEM
                 && (status == 503 && problem.equals("refused") || status == 429);
     }
--- a/loadtest/src/main/java/ashlink/loadtest/load/HttpLoad.java
+++ b/loadtest/src/main/java/ashlink/loadtest/load/HttpLoad.java
@@ -88,7 +88,7 @@
         int code =
                 statementResult.kind() != StatementResult.Kind.PROBLEM
                         ? 0
-                        : statementResult.isRefused()
+                        : statementResult.isRejected()
                                 ? REFUSED
                                 : statementResult.code() != 0 ? statementResult.code() : FAILED;
         return new Reply(
--- a/report/src/main/java/ashlink/report/CaptureReport.java
+++ b/report/src/main/java/ashlink/report/CaptureReport.java
@@ -45,7 +45,7 @@
                         "outcomes",
                         outcomes(summary),
                         "plots",
-                        List.of(plot(load(summary)), plot(out(summary))));
+                        List.of(plot(load(summary)), plot(inFlight(summary))));
         try {
             config.getTemplate(TEMPLATE).process(model, out);
         } catch (TemplateException e) {
@@ -53,9 +53,9 @@
         }
     }
 
-    private static TreeSet<String> outcomes(CaptureSummary captureSummary) {
+    private static TreeSet<String> outcomes(CaptureSummary summary) {
         TreeSet<String> all = new TreeSet<>();
-        captureSummary.getEngines().values().forEach(map -> all.addAll(map.keySet()));
+        summary.getEngines().values().forEach(map -> all.addAll(map.keySet()));
         return all;
     }
 
@@ -65,52 +65,52 @@
                         BitmapEncoder.getBitmapBytes(chart, BitmapEncoder.BitmapFormat.PNG));
     }
 
-    private static XYChart chart(String title, String text) {
-        XYChart xYChart =
+    private static XYChart chart(String title, String yAxisTitle) {
+        XYChart chart =
                 new XYChartBuilder()
                         .width(WIDTH)
                         .height(HEIGHT)
                         .title(title)
                         .xAxisTitle("seconds")
-                        .yAxisTitle(text)
+                        .yAxisTitle(yAxisTitle)
                         .build();
-        xYChart.getStyler()
+        chart.getStyler()
                 .setLegendPosition(LegendPosition.OutsideE)
                 .setChartBackgroundColor(java.awt.Color.WHITE);
-        return xYChart;
+        return chart;
     }
 
     private static void series(
             XYChart chart,
             String name,
-            CaptureSummary captureSummary,
+            CaptureSummary summary,
             ToDoubleFunction<CaptureSummary.Second> value) {
-        List<Integer> x = new ArrayList<>(captureSummary.getSeconds().keySet());
-        List<Double> y = new ArrayList<>();
-        captureSummary.getSeconds().values().forEach(second -> y.add(value.applyAsDouble(second)));
-        if (!x.isEmpty()) {
-            chart.addSeries(name, x, y).setMarker(SeriesMarkers.NONE);
+        List<Integer> seconds = new ArrayList<>(summary.getSeconds().keySet());
+        List<Double> values = new ArrayList<>();
+        summary.getSeconds().values().forEach(second -> values.add(value.applyAsDouble(second)));
+        if (!seconds.isEmpty()) {
+            chart.addSeries(name, seconds, values).setMarker(SeriesMarkers.NONE);
         }
     }
 
-    private static XYChart load(CaptureSummary captureSummary) {
-        XYChart xYChart = chart("Requests", "a second; held at its end");
-        series(xYChart, "taken", captureSummary, CaptureSummary.Second::getTaken);
-        series(xYChart, "attempts ended", captureSummary, CaptureSummary.Second::getEnded);
-        series(xYChart, "held", captureSummary, CaptureSummary.Second::getHeld);
-        return xYChart;
+    private static XYChart load(CaptureSummary summary) {
+        XYChart chart = chart("Requests", "per second; queued at its end");
+        series(chart, "taken", summary, CaptureSummary.Second::getTaken);
+        series(chart, "attempts ended", summary, CaptureSummary.Second::getEnded);
+        series(chart, "held", summary, CaptureSummary.Second::getHeld);
+        return chart;
     }
 
-    private static XYChart out(CaptureSummary captureSummary) {
-        XYChart xYChart = chart("Out at each engine", "attempts at the end of the second");
-        TreeSet<String> engines = new TreeSet<>(captureSummary.getEngines().keySet());
+    private static XYChart inFlight(CaptureSummary summary) {
+        XYChart chart = chart("In flight at each engine", "attempts at the end of the second");
+        TreeSet<String> engines = new TreeSet<>(summary.getEngines().keySet());
         engines.forEach(
-                text ->
+                engine ->
                         series(
-                                xYChart,
-                                text,
-                                captureSummary,
-                                second -> second.getOut().getOrDefault(text, 0)));
-        return xYChart;
+                                chart,
+                                engine,
+                                summary,
+                                second -> second.getOut().getOrDefault(engine, 0)));
+        return chart;
     }
 }
--- a/report/src/test/java/ashlink/report/CaptureReportTest.java
+++ b/report/src/test/java/ashlink/report/CaptureReportTest.java
@@ -14,9 +14,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** The report of a capture as a page. */
 class CaptureReportTest {
 
-    private static final long S = 1_000_000_000L;
+    private static final long NS_PER_SECOND = 1_000_000_000L;
 
     @Test
     void thePageHasCountsByClassAndEngineAndEscapesNames() throws Exception {
@@ -24,19 +25,27 @@
         CaptureSummary summary = new CaptureSummary();
         summary.accept(
                 new Entry.Step(
-                        new QuerySubmitted(1, "a<b", null, 0, 9 * S, 0, 0),
-                        S,
-                        List.of(new StartAttempt(1, "q1", S))));
+                        new QuerySubmitted(1, "a<b", null, 0, 9 * NS_PER_SECOND, 0, 0),
+                        NS_PER_SECOND,
+                        List.of(new StartAttempt(1, "q1", NS_PER_SECOND))));
         summary.accept(
                 new Entry.Step(
-                        new QuerySubmitted(2, "a<b", null, 0, 9 * S, 0, 0),
-                        2 * S,
+                        new QuerySubmitted(2, "a<b", null, 0, 9 * NS_PER_SECOND, 0, 0),
+                        2 * NS_PER_SECOND,
                         List.of(new Reject(2, 0))));
         summary.accept(
                 new Entry.Step(
                         new AttemptEnded(
-                                1, 0, "q1", Outcome.SERVED, S, true, 0, 0, LoadReport.NONE),
-                        3 * S,
+                                1,
+                                0,
+                                "q1",
+                                Outcome.SERVED,
+                                NS_PER_SECOND,
+                                true,
+                                0,
+                                0,
+                                LoadReport.NONE),
+                        3 * NS_PER_SECOND,
                         List.of()));
         StringWriter page = new StringWriter();
         CaptureReport.write(summary, "t", page);
