--- a/router/src/main/java/ashlink/router/core/Attempt.java
+++ b/router/src/main/java/ashlink/router/core/Attempt.java
@@ -6,22 +6,30 @@
 import java.util.function.BiConsumer;
 
 /**
- * One attempt at a request. A worker drives it through its phases; a time-out or the module may end
- * it at any moment. It ends exactly once, and how is told to the core at once, whatever its worker
- * waits for.
+ * One attempt at a request. A worker advances it through its phases; a timeout or the decision
+ * module may abort it at any time. It ends exactly once, and its end is reported at once, whatever
+ * its worker waits for. Thread-safe.
  */
 public final class Attempt {
 
     /**
-     * What an answer told besides its content; 0 and {@link LoadReport#NONE} where it told nothing.
+     * What a response reports besides its content.
+     *
+     * @param workMs execution time in milliseconds, 0 where unknown
+     * @param memoryMb peak memory in MB, 0 where unknown
+     * @param loadReport the engine's load, {@link LoadReport#NONE} where unknown
      */
     public record AttemptReport(double workMs, double memoryMb, LoadReport loadReport) {
 
-        /** An answer that told nothing. */
+        /** Nothing is known. */
         public static final AttemptReport NONE = new AttemptReport(0, 0, LoadReport.NONE);
     }
 
-    /** How an attempt ended. */
+    /**
+     * How an attempt ended.
+     *
+     * @param answered whether the attempt itself gave the client its final answer
+     */
     record AttemptEnd(
             AttemptEndReason reason, Outcome outcome, boolean answered, AttemptReport report) {}
 
@@ -31,28 +39,30 @@
     private final long startNs;
     private final int priority;
     private final long memoryMb;
-    private final BiConsumer<Attempt, AttemptEnd> whenEnded;
+    private final BiConsumer<Attempt, AttemptEnd> endListener;
+
+    // Guarded by this.
     private AttemptPhase phase = AttemptPhase.QUEUED;
-    private AttemptEndReason aborted;
+    private AttemptEndReason abortReason;
     private boolean ended;
-    private Runnable closer;
-    private Future<?> timer;
+    private Runnable abortHandler;
+    private Future<?> timeout;
 
     Attempt(
             long id,
-            int shot,
+            int attemptNumber,
             String engine,
             long startNs,
             int priority,
             long memoryMb,
-            BiConsumer<Attempt, AttemptEnd> whenEnded) {
+            BiConsumer<Attempt, AttemptEnd> endListener) {
         this.id = id;
-        this.attemptNumber = shot;
+        this.attemptNumber = attemptNumber;
         this.engine = engine;
         this.startNs = startNs;
         this.priority = priority;
         this.memoryMb = memoryMb;
-        this.whenEnded = whenEnded;
+        this.endListener = endListener;
     }
 
     /** Number of the request. */
@@ -65,111 +75,111 @@
         return attemptNumber;
     }
 
-    /** Name of the engine that it goes to. */
+    /** Name of the engine that runs it. */
     public String engine() {
         return engine;
     }
 
-    /** When it was decided, on the core's clock. */
+    /** When the decision module started it, on the core's clock. */
     long startNs() {
         return startNs;
     }
 
-    /** Priority for the engine, 0 to 3, or -1 where the module named none. */
+    /** Priority for the engine, 0 to 3, or -1 where the decision module chose none. */
     public int priority() {
         return priority;
     }
 
-    /** Memory granted, in MB; 0 is the engine's own choice. */
+    /** Memory granted, in MB; 0 leaves the choice to the engine. */
     public long memoryMb() {
         return memoryMb;
     }
 
-    /** How far it has come. */
+    /** Its phase. */
     public synchronized AttemptPhase phase() {
         return phase;
     }
 
-    synchronized void timer(Future<?> future) {
-        timer = future;
+    /** Sets the timer to cancel when the attempt ends. */
+    synchronized void setTimeout(Future<?> timer) {
+        timeout = timer;
         if (ended) {
-            future.cancel(false);
+            timer.cancel(false);
         }
     }
 
-    /**
-     * What closes the attempt's connection; run where the attempt is ended from outside, at once if
-     * it was.
-     */
-    public void closer(Runnable task) {
+    /** Sets what closes the attempt's connection when it is aborted; runs it at once if it was. */
+    public void closer(Runnable handler) {
         synchronized (this) {
-            closer = task;
-            if (aborted == null) {
+            abortHandler = handler;
+            if (abortReason == null) {
                 return;
             }
         }
-        task.run();
+        handler.run();
     }
 
     /**
-     * Goes on to a phase, before the bytes that make it true are written. False where the attempt
-     * is over: the worker then calls {@link #end}, which makes sure that it is told, and stops.
+     * Advances to a phase; called before the bytes that make it true are written. False where the
+     * attempt is over: the worker then calls {@link #end}, which ensures that the end is reported,
+     * and stops.
      */
-    public synchronized boolean advance(AttemptPhase to) {
+    public synchronized boolean advance(AttemptPhase next) {
         if (!ended) {
-            phase = to;
+            phase = next;
         }
-        return !ended && aborted == null;
+        return !ended && abortReason == null;
     }
 
-    /** True once nothing more of it may reach the client. */
+    /** True once nothing more of it may be written to the client. */
     public synchronized boolean isOver() {
-        return ended || aborted != null;
+        return ended || abortReason != null;
     }
 
     /**
-     * Ends it from outside. While a write decides whether the statement can run, its worker tells
-     * the end.
+     * Aborts it. While a write is in progress after which the statement may run, its worker reports
+     * the end; otherwise it is reported before this returns.
      */
-    public void abort(AttemptEndReason cause) {
-        Runnable close;
-        boolean atOnce;
+    public void abort(AttemptEndReason reason) {
+        Runnable handler;
+        boolean endNow;
         synchronized (this) {
-            if (ended || aborted != null) {
+            if (ended || abortReason != null) {
                 return;
             }
-            aborted = cause;
-            atOnce = !phase.isBeingWritten();
-            close = closer;
+            abortReason = reason;
+            endNow = !phase.isBeingWritten();
+            handler = abortHandler;
         }
-        if (atOnce) {
-            end(cause, AttemptReport.NONE);
+        if (endNow) {
+            end(reason, AttemptReport.NONE);
         }
-        if (close != null) {
-            close.run();
+        if (handler != null) {
+            handler.run();
         }
     }
 
     /**
-     * Ends it, unless it has ended; true for the one call that did. An attempt ended from outside
-     * keeps that cause.
+     * Ends it, unless it has ended; an aborted attempt ends with the reason of its abort.
+     *
+     * @return true where this call ended it, with the given reason
      */
-    public boolean end(AttemptEndReason cause, AttemptReport told) {
+    public boolean end(AttemptEndReason reason, AttemptReport report) {
         AttemptEnd end;
-        Future<?> future;
+        Future<?> timer;
         synchronized (this) {
             if (ended) {
                 return false;
             }
             ended = true;
-            AttemptEndReason first = aborted != null ? aborted : cause;
-            end = new AttemptEnd(first, first.outcome(phase), first.answers(phase), told);
-            future = timer;
+            AttemptEndReason first = abortReason != null ? abortReason : reason;
+            end = new AttemptEnd(first, first.outcome(phase), first.answers(phase), report);
+            timer = timeout;
         }
-        if (future != null) {
-            future.cancel(false);
+        if (timer != null) {
+            timer.cancel(false);
         }
-        whenEnded.accept(this, end);
-        return end.reason == cause;
+        endListener.accept(this, end);
+        return end.reason == reason;
     }
 }
--- a/router/src/main/java/ashlink/router/core/AttemptEndReason.java
+++ b/router/src/main/java/ashlink/router/core/AttemptEndReason.java
@@ -3,38 +3,37 @@
 import ashlink.decisions.api.Outcome;
 
 /**
- * Why an attempt ended. {@link #outcome} is the table of phases and causes in
+ * Why an attempt ended. {@link #outcome} implements the table of phases and reasons in
  * docs/native-protocol.md.
  */
 public enum AttemptEndReason {
-    /** The whole answer came. */
+    /** The complete response was received. */
     SERVED,
-    /** The engine answered with an error that is the statement's own: that is the answer. */
+    /** The engine answered with an error of the statement itself, which is the final answer. */
     STATEMENT_ERROR,
-    /** The engine answered with an error of its own; another engine may do better. */
+    /** The engine answered with an error of its own; a retry on another engine may succeed. */
     ENGINE_ERROR,
-    /** The engine said that it did not start the statement. */
+    /** The engine rejected the statement and did not start it. */
     REJECTED,
-    /** The engine said that the request was over when it came, so that it never ran. */
+    /** The engine reported that the request had ended when it arrived, so that it never ran. */
     STALE_REQUEST,
     /**
-     * This router had no thread or connection to spare, or what another attempt needs is no longer
-     * kept.
+     * This router had no free thread or connection, or no longer has the data that a retry needs.
      */
     NO_CAPACITY,
-    /** The engine was told to drain, or left, before the first byte. */
+    /** The engine began to drain, or was deregistered, before the first byte was sent. */
     ENGINE_DRAINING,
     /** No connection could be made. */
     CONNECT_FAILED,
-    /** The connection broke, or its bytes made no sense. */
+    /** The connection broke, or the engine violated the protocol. */
     CONNECTION_BROKEN,
-    /** The attempt's time was up. */
+    /** The attempt's timeout expired. */
     TIMED_OUT,
-    /** The module, or the client in the middle of its insert, called it off. */
+    /** Cancelled by the decision module, or by the client during its insert. */
     CANCELLED;
 
     /**
-     * What the module is told; {@link Outcome#mayHaveRun} is true only from {@link
+     * The outcome for the decision module; {@link Outcome#mayHaveRun} is true only from {@link
      * AttemptPhase#RUNNING} on.
      */
     public Outcome outcome(AttemptPhase phase) {
@@ -53,7 +52,7 @@
         };
     }
 
-    /** True where the client has, or is being given, its final answer by the attempt itself. */
+    /** True where the attempt itself gave, or is giving, the client its final answer. */
     boolean answers(AttemptPhase phase) {
         return this == SERVED || this == STATEMENT_ERROR || phase == AttemptPhase.ANSWERING;
     }
--- a/router/src/main/java/ashlink/router/core/CoreClock.java
+++ b/router/src/main/java/ashlink/router/core/CoreClock.java
@@ -1,18 +1,18 @@
 package ashlink.router.core;
 
 /**
- * The router's clock: nanoseconds that never go back, well above 0 so that times before the start
- * can be told.
+ * The router's monotonic clock, in nanoseconds. It starts well above 0, so that times before the
+ * start of the process are positive too. Thread-safe.
  */
 public final class CoreClock {
 
-    /** What the clock shows at the start: eleven days and a half. */
+    /** Time at the start of the process: eleven days and a half. */
     public static final long START_NS = 1_000_000_000_000_000L;
 
-    private final long zero = System.nanoTime() - START_NS;
+    private final long originNanoTime = System.nanoTime() - START_NS;
 
-    /** The time now. */
+    /** The current time in nanoseconds. */
     public long nowNs() {
-        return System.nanoTime() - zero;
+        return System.nanoTime() - originNanoTime;
     }
 }
--- a/router/src/main/java/ashlink/router/core/CoreRequest.java
+++ b/router/src/main/java/ashlink/router/core/CoreRequest.java
@@ -1,13 +1,15 @@
 package ashlink.router.core;
 
 /**
- * A request as the decisions see it.
+ * A request as the decision module sees it.
  *
- * @param key of the order that it is to keep, or null
- * @param tableGroup number of the group of tables that it reads or writes
- * @param timeLimitNs time from now until the client gives up
- * @param estimatedWorkNs estimate of its work, 0 where there is none
+ * @param queryClass name of its class in the settings
+ * @param key ordering key, or null where its class is not ordered
+ * @param tableGroup number of the table group that it reads or writes, 0 for none
+ * @param timeLimitNs time from submission until the client gives up
+ * @param estimatedWorkNs estimate of its execution time, 0 where there is none
  * @param estimatedMemoryMb estimate of the memory that it needs, 0 where there is none
+ * @param tenant name of the tenant, empty where there is none
  */
 public record CoreRequest(
         String queryClass,
--- /dev/null
+++ b/router/src/main/java/ashlink/router/core/DecisionDispatcher.java
@@ -0,0 +1,330 @@
+package ashlink.router.core;
+
+import ashlink.decisions.api.Action;
+import ashlink.decisions.api.Action.CancelAttempt;
+import ashlink.decisions.api.Action.CheckHealth;
+import ashlink.decisions.api.Action.Fail;
+import ashlink.decisions.api.Action.Log;
+import ashlink.decisions.api.Action.Reject;
+import ashlink.decisions.api.Action.SetAttemptResources;
+import ashlink.decisions.api.Action.SetTimer;
+import ashlink.decisions.api.Action.StartAttempt;
+import ashlink.decisions.api.Event;
+import ashlink.decisions.api.Event.AttemptEnded;
+import ashlink.decisions.api.Event.ClientDisconnected;
+import ashlink.decisions.api.Event.HealthCheckCompleted;
+import ashlink.decisions.api.Event.QuerySubmitted;
+import ashlink.decisions.api.Event.TimerFired;
+import ashlink.decisions.api.Outcome;
+import ashlink.decisions.api.QueryClass;
+import ashlink.decisions.api.WorkloadManager;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.ScheduledThreadPoolExecutor;
+import java.util.concurrent.TimeUnit;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Passes events to the decision module and performs its actions in the order in which it returns
+ * them. All methods run on the decision thread, and none blocks.
+ */
+final class DecisionDispatcher {
+
+    private static final Logger LOG = LoggerFactory.getLogger(DecisionDispatcher.class);
+
+    private final WorkloadManager workloadManager;
+    private final Map<String, QueryClass> classes;
+    private final EngineTransport transport;
+    private final CoreClock clock;
+    private final DecisionThread thread;
+    private final ScheduledThreadPoolExecutor timer;
+    private final OpenRequestTable requests;
+    private final RequestMetrics metrics;
+    private volatile Core.Observer observer = (event, nowNs, actions) -> {};
+
+    DecisionDispatcher(
+            WorkloadManager workloadManager,
+            Map<String, QueryClass> classes,
+            EngineTransport transport,
+            CoreClock clock,
+            DecisionThread thread,
+            ScheduledThreadPoolExecutor timer,
+            OpenRequestTable requests,
+            RequestMetrics metrics) {
+        this.workloadManager = workloadManager;
+        this.classes = classes;
+        this.transport = transport;
+        this.clock = clock;
+        this.thread = thread;
+        this.timer = timer;
+        this.requests = requests;
+        this.metrics = metrics;
+    }
+
+    /** Sets the observer; may be called on any thread. */
+    void observe(Core.Observer newObserver) {
+        observer = newObserver;
+    }
+
+    // Events.
+
+    /** Passes an event to the module and performs its actions; false if the module threw. */
+    boolean dispatch(Event event) {
+        List<Action> actions;
+        long nowNs = clock.nowNs();
+        try {
+            actions = workloadManager.onEvent(event, nowNs);
+        } catch (RuntimeException e) {
+            metrics.onDecisionError();
+            LOG.error("decision module threw: event={}", event, e);
+            return false;
+        }
+        observer.onDecision(event, nowNs, actions);
+        for (Action action : actions) {
+            perform(action);
+        }
+        return true;
+    }
+
+    /** Opens a request and submits it to the module. */
+    void submit(OpenRequest openRequest, long deadlineNs) {
+        requests.add(openRequest);
+        CoreRequest request = openRequest.request;
+        metrics.onAdmitted(request.queryClass());
+        openRequest.deadlineTimer =
+                timer.schedule(
+                        () -> thread.execute(() -> onDeadline(openRequest)),
+                        deadlineNs - clock.nowNs(),
+                        TimeUnit.NANOSECONDS);
+        boolean dispatched =
+                dispatch(
+                        new QuerySubmitted(
+                                openRequest.id,
+                                request.queryClass(),
+                                request.key(),
+                                request.tableGroup(),
+                                deadlineNs,
+                                request.estimatedWorkNs(),
+                                request.estimatedMemoryMb(),
+                                request.tenant()));
+        if (!dispatched && !openRequest.answered) {
+            answerWithFallback(openRequest, FinalAnswer.DECISION_ERROR);
+        }
+    }
+
+    /** The client of a request disconnected or cancelled it. */
+    void clientDisconnected(long id) {
+        OpenRequest openRequest = requests.unanswered(id);
+        if (openRequest != null) {
+            requests.markAnswered(openRequest, FinalAnswer.CLIENT_DISCONNECTED);
+            dispatch(new ClientDisconnected(id));
+        }
+    }
+
+    /** Aborts all attempts and answers all requests whose response has not begun. */
+    void answerAll() {
+        for (OpenRequest openRequest : requests.snapshot()) {
+            if (!openRequest.answered) {
+                if (openRequest.attempt != null) {
+                    openRequest.attempt.abort(AttemptEndReason.CANCELLED);
+                }
+                if (!openRequest.isAnswering()) {
+                    answerWithFallback(openRequest, FinalAnswer.SHUTDOWN);
+                }
+            }
+        }
+    }
+
+    /**
+     * Answers a request for which the module gave no answer in time: the client gets one before it
+     * gives up in any case.
+     */
+    private void onDeadline(OpenRequest openRequest) {
+        if (openRequest.answered) {
+            return;
+        }
+        if (openRequest.attempt != null) {
+            openRequest.attempt.abort(AttemptEndReason.TIMED_OUT);
+            if (openRequest.isAnswering()) {
+                // The attempt's end is in the queue and counts as the answer.
+                return;
+            }
+        }
+        LOG.error(
+                "request without answer at its deadline: request={} class={}",
+                openRequest.id,
+                openRequest.request.queryClass());
+        answerWithFallback(openRequest, FinalAnswer.DEADLINE_EXCEEDED);
+    }
+
+    private void answerWithFallback(OpenRequest openRequest, FinalAnswer answer) {
+        boolean mayHaveRun =
+                openRequest.mayHaveRun
+                        || openRequest.attempt != null && openRequest.attempt.phase().mayRun();
+        requests.markAnswered(openRequest, answer);
+        QueryClass queryClass = classes.get(openRequest.request.queryClass());
+        if (FallbackResponse.mayReject(queryClass, mayHaveRun)) {
+            openRequest.sink.reject(0);
+        } else {
+            openRequest.sink.fail();
+        }
+        dispatch(new ClientDisconnected(openRequest.id));
+    }
+
+    // Actions.
+
+    private void perform(Action action) {
+        if (action instanceof StartAttempt startAttempt) {
+            startAttempt(startAttempt);
+        } else if (action instanceof SetAttemptResources resources) {
+            setResources(resources);
+        } else if (action instanceof Reject reject) {
+            reject(reject);
+        } else if (action instanceof Fail fail) {
+            fail(fail);
+        } else if (action instanceof CancelAttempt cancelAttempt) {
+            cancel(cancelAttempt);
+        } else if (action instanceof CheckHealth checkHealth) {
+            checkHealth(checkHealth.engine());
+        } else if (action instanceof SetTimer setTimer) {
+            setTimer(setTimer);
+        } else if (action instanceof Log log) {
+            LOG.warn("{}", log.text());
+        }
+    }
+
+    private void setResources(SetAttemptResources resources) {
+        OpenRequest openRequest = requests.get(resources.id());
+        if (openRequest != null) {
+            openRequest.priority = resources.priority();
+            openRequest.memoryMb = resources.memoryMb();
+        }
+    }
+
+    private void reject(Reject reject) {
+        OpenRequest openRequest = requests.unanswered(reject.id());
+        if (openRequest != null) {
+            requests.markAnswered(openRequest, FinalAnswer.REJECTED);
+            openRequest.sink.reject(reject.retryAfterNs());
+        }
+    }
+
+    private void fail(Fail fail) {
+        OpenRequest openRequest = requests.unanswered(fail.id());
+        if (openRequest != null) {
+            requests.markAnswered(openRequest, FinalAnswer.FAILED);
+            openRequest.sink.fail();
+        }
+    }
+
+    private void cancel(CancelAttempt cancelAttempt) {
+        OpenRequest openRequest = requests.get(cancelAttempt.id());
+        if (openRequest != null
+                && openRequest.attempt != null
+                && openRequest.attempt.attemptNumber() == cancelAttempt.attempt()) {
+            openRequest.attempt.abort(AttemptEndReason.CANCELLED);
+        }
+    }
+
+    private void checkHealth(String engine) {
+        long startNs = clock.nowNs();
+        transport.checkHealth(
+                engine,
+                (outcome, loadReport) ->
+                        thread.execute(
+                                () ->
+                                        dispatch(
+                                                new HealthCheckCompleted(
+                                                        engine,
+                                                        outcome,
+                                                        clock.nowNs() - startNs,
+                                                        loadReport))));
+    }
+
+    private void setTimer(SetTimer setTimer) {
+        timer.schedule(
+                () -> thread.execute(() -> dispatch(new TimerFired(setTimer.label()))),
+                setTimer.timeNs() - clock.nowNs(),
+                TimeUnit.NANOSECONDS);
+    }
+
+    // Attempts.
+
+    private void startAttempt(StartAttempt startAttempt) {
+        OpenRequest openRequest = requests.get(startAttempt.id());
+        if (openRequest == null || openRequest.answered || openRequest.attempt != null) {
+            LOG.error(
+                    "decision module started an attempt of an ineligible request:"
+                            + " request={} state={}",
+                    startAttempt.id(),
+                    openRequest == null
+                            ? "closed"
+                            : openRequest.answered ? "answered" : "in-flight");
+            return;
+        }
+        Attempt attempt =
+                new Attempt(
+                        openRequest.id,
+                        openRequest.attempts++,
+                        startAttempt.engine(),
+                        clock.nowNs(),
+                        openRequest.priority,
+                        openRequest.memoryMb,
+                        (ended, end) -> onAttemptEnd(openRequest, ended, end));
+        openRequest.attempt = attempt;
+        attempt.setTimeout(
+                timer.schedule(
+                        () -> attempt.abort(AttemptEndReason.TIMED_OUT),
+                        startAttempt.timeoutNs(),
+                        TimeUnit.NANOSECONDS));
+        openRequest.sink.start(attempt);
+    }
+
+    /** Runs on the thread that ended the attempt. */
+    private void onAttemptEnd(OpenRequest openRequest, Attempt attempt, Attempt.AttemptEnd end) {
+        if (end.answered()
+                && end.outcome() != Outcome.SERVED
+                && end.reason() != AttemptEndReason.STATEMENT_ERROR) {
+            openRequest.sink.abortPartial(end.outcome());
+        }
+        thread.execute(() -> recordEnd(attempt, end));
+    }
+
+    private void recordEnd(Attempt attempt, Attempt.AttemptEnd end) {
+        OpenRequest openRequest = requests.get(attempt.id());
+        metrics.onAttemptEnded(attempt.engine(), end.outcome().name());
+        if (openRequest == null || openRequest.attempt != attempt) {
+            return;
+        }
+        openRequest.attempt = null;
+        openRequest.mayHaveRun |= end.outcome().mayHaveRun();
+        boolean requestOver = end.answered() || openRequest.answered;
+        if (!openRequest.answered && end.answered()) {
+            requests.markAnswered(openRequest, finalAnswer(end.reason()));
+        }
+        if (openRequest.answered) {
+            requests.remove(openRequest);
+        }
+        dispatch(
+                new AttemptEnded(
+                        attempt.id(),
+                        attempt.attemptNumber(),
+                        attempt.engine(),
+                        end.outcome(),
+                        clock.nowNs() - attempt.startNs(),
+                        requestOver,
+                        end.report().workMs(),
+                        end.report().memoryMb(),
+                        end.report().loadReport()));
+    }
+
+    private static FinalAnswer finalAnswer(AttemptEndReason reason) {
+        if (reason == AttemptEndReason.SERVED) {
+            return FinalAnswer.SERVED;
+        }
+        return reason == AttemptEndReason.STATEMENT_ERROR
+                ? FinalAnswer.ERROR
+                : FinalAnswer.INCOMPLETE;
+    }
+}
--- a/router/src/main/java/ashlink/router/core/EngineTransport.java
+++ b/router/src/main/java/ashlink/router/core/EngineTransport.java
@@ -3,16 +3,16 @@
 import ashlink.decisions.api.LoadReport;
 import ashlink.decisions.api.Outcome;
 
-/** Reaches engines for the core. */
+/** Reaches engines for the core. Thread-safe. */
 public interface EngineTransport {
 
-    /** Takes the result of a probe, once. */
+    /** Receives the result of one health check, exactly once, on any thread. */
     @FunctionalInterface
     interface HealthCheckListener {
-        /** The probe came back. */
+        /** The health check completed, with {@link LoadReport#NONE} where it brought no report. */
         void onHealthCheckCompleted(Outcome outcome, LoadReport report);
     }
 
-    /** Asks an engine whether it answers, and for its report; does not wait. */
-    void checkHealth(String engine, HealthCheckListener back);
+    /** Starts a health check of an engine; does not block. */
+    void checkHealth(String engine, HealthCheckListener listener);
 }
--- a/router/src/main/java/ashlink/router/core/FallbackResponse.java
+++ b/router/src/main/java/ashlink/router/core/FallbackResponse.java
@@ -1,24 +1,23 @@
 package ashlink.router.core;
 
-import ashlink.decisions.api.DeduplicationScope;
 import ashlink.decisions.api.QueryClass;
-import ashlink.decisions.api.RetrySafety;
 
 /**
- * What a request is told where the module cannot be asked any more: it has thrown, its answer is
- * overdue, or the router stops. The same line that the module draws, on the safe side.
+ * Chooses the final answer of a request for which the decision module gives none: it threw, the
+ * request is past its deadline, or the router stops.
  */
 final class FallbackResponse {
 
     private FallbackResponse() {}
 
-    /** True where trying again is harmless: a refusal; else a failure, which promises nothing. */
-    static boolean refuse(QueryClass queryClass, boolean mayHaveRun) {
-        return !mayHaveRun
-                || queryClass != null
-                        && (queryClass.retrySafety() == RetrySafety.IDEMPOTENT
-                                || queryClass.retrySafety() == RetrySafety.DEDUPLICATED
-                                        && queryClass.deduplicationScope()
-                                                == DeduplicationScope.ALL);
+    /**
+     * Whether the client may be sent a rejection, which promises that a retry is harmless;
+     * otherwise it is sent a failure.
+     *
+     * @param queryClass class of the request, or null where the settings have no such class
+     * @param mayHaveRun whether an attempt may have been executed
+     */
+    static boolean mayReject(QueryClass queryClass, boolean mayHaveRun) {
+        return queryClass == null ? !mayHaveRun : queryClass.mayBeRejected(mayHaveRun);
     }
 }
--- a/router/src/main/java/ashlink/router/core/PrometheusRequestMetrics.java
+++ b/router/src/main/java/ashlink/router/core/PrometheusRequestMetrics.java
@@ -5,23 +5,22 @@
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 import java.util.function.IntSupplier;
 
-/** What the core counts, in a registry. */
+/** Counts in a Prometheus registry. */
 public final class PrometheusRequestMetrics implements RequestMetrics {
 
     private final Counter requests;
     private final Counter answers;
     private final Counter attempts;
-    private final Counter moduleErrors;
-
+    private final Counter decisionErrors;
     private final PrometheusRegistry registry;
 
-    /** Counts into that registry. */
+    /** Registers the counters. */
     public PrometheusRequestMetrics(PrometheusRegistry registry) {
         this.registry = registry;
         requests =
                 Counter.builder()
                         .name("ashlink_requests")
-                        .help("Requests taken")
+                        .help("Requests admitted")
                         .labelNames("class")
                         .register(registry);
         answers =
@@ -36,7 +35,7 @@
                         .help("Attempts ended")
                         .labelNames("engine", "outcome")
                         .register(registry);
-        moduleErrors =
+        decisionErrors =
                 Counter.builder()
                         .name("ashlink_module_errors")
                         .help("Exceptions of the decision module")
@@ -44,16 +43,16 @@
     }
 
     @Override
-    public void registerGauges(IntSupplier queued, IntSupplier open) {
+    public void registerGauges(IntSupplier queuedEvents, IntSupplier openRequests) {
         GaugeWithCallback.builder()
                 .name("ashlink_queue")
                 .help("Events waiting for the decision thread")
-                .callback(callback -> callback.call(queued.getAsInt()))
+                .callback(callback -> callback.call(queuedEvents.getAsInt()))
                 .register(registry);
         GaugeWithCallback.builder()
                 .name("ashlink_open_requests")
                 .help("Requests without a final answer")
-                .callback(callback -> callback.call(open.getAsInt()))
+                .callback(callback -> callback.call(openRequests.getAsInt()))
                 .register(registry);
     }
 
@@ -63,8 +62,8 @@
     }
 
     @Override
-    public void onAnswered(String queryClass, String answer) {
-        answers.labelValues(queryClass, answer).inc();
+    public void onAnswered(String queryClass, FinalAnswer answer) {
+        answers.labelValues(queryClass, answer.label()).inc();
     }
 
     @Override
@@ -74,6 +73,6 @@
 
     @Override
     public void onDecisionError() {
-        moduleErrors.inc();
+        decisionErrors.inc();
     }
 }
--- a/router/src/main/java/ashlink/router/core/RequestMetrics.java
+++ b/router/src/main/java/ashlink/router/core/RequestMetrics.java
@@ -2,22 +2,27 @@
 
 import java.util.function.IntSupplier;
 
-/** What the core counts, for whoever wants to know. */
+/** Receives what the core counts. Methods are called on any thread and must not block. */
 public interface RequestMetrics {
 
-    /** Counts nothing. */
+    /** Ignores everything. */
     RequestMetrics NONE = new RequestMetrics() {};
 
-    /** The core is made; what is given tells its sizes at any time. */
-    default void registerGauges(IntSupplier queued, IntSupplier open) {}
+    /**
+     * Called once, when the core is created; the suppliers may be called at any time.
+     *
+     * @param queuedEvents events that wait for the decision thread
+     * @param openRequests requests without a final answer
+     */
+    default void registerGauges(IntSupplier queuedEvents, IntSupplier openRequests) {}
 
-    /** A request of that class was taken. */
+    /** A request was admitted to the decision module. */
     default void onAdmitted(String queryClass) {}
 
-    /** A request got its final answer, in that way. */
-    default void onAnswered(String queryClass, String answer) {}
+    /** A request got its final answer. */
+    default void onAnswered(String queryClass, FinalAnswer answer) {}
 
-    /** An attempt at an engine ended. */
+    /** An attempt ended; {@code outcome} is the name of an {@code Outcome}. */
     default void onAttemptEnded(String engine, String outcome) {}
 
     /** The decision module threw. */
--- a/router/src/main/java/ashlink/router/core/ResponseSink.java
+++ b/router/src/main/java/ashlink/router/core/ResponseSink.java
@@ -3,20 +3,24 @@
 import ashlink.decisions.api.Outcome;
 
 /**
- * Where the answer of a request goes. No method may wait: all are called by threads that others
- * depend on.
+ * Receives the attempts and the final answer of one request. No method may block: they are called
+ * on the decision thread or on a thread that serves other requests too.
  */
 public interface ResponseSink {
 
-    /** Starts an attempt; whoever drives it ends it. */
+    /** Starts an attempt; the implementation ends it by {@link Attempt#end}. */
     void start(Attempt attempt);
 
-    /** Final: not done, trying again is harmless; come back after that time, where it is over 0. */
+    /**
+     * Final answer: rejected, a retry is harmless.
+     *
+     * @param retryAfterNs time after which to retry, 0 where none is given
+     */
     void reject(long retryAfterNs);
 
-    /** Final: failed, with no promise about its effect. */
+    /** Final answer: failed, with no promise about the effect of the statement. */
     void fail();
 
-    /** Final: an answer of which the client has a part broke off. */
-    void abortPartial(Outcome how);
+    /** Final answer: the response broke off after the client received a part of it. */
+    void abortPartial(Outcome outcome);
 }
--- a/router/src/main/java/ashlink/router/core/StatementOutcome.java
+++ b/router/src/main/java/ashlink/router/core/StatementOutcome.java
@@ -1,35 +1,41 @@
 package ashlink.router.core;
 
-import java.util.Locale;
-
-/** How a statement was answered. */
+/**
+ * How a statement was answered. Ordinals are stored in the key log: constants are only appended.
+ */
 public enum StatementOutcome {
-    /** The engine's whole answer. */
-    SERVED,
-    /** The engine's exception, or one of this router about what the engine answered. */
-    ERROR,
-    /** Not run: trying again is harmless. */
-    REFUSED,
-    /** The same, of a request that the decisions never saw. */
-    TURNED_AWAY,
-    /** No promise about its effect. */
-    FAILED,
-    /** Its answer broke off after its first part. */
-    BROKEN,
-    /** The client called it off. */
-    CANCELLED,
-    /** The client sent what makes no sense. */
-    BAD_INPUT,
-    /** The client is gone; nobody was told. */
-    GONE;
+    /** The engine's complete response. */
+    SERVED("served"),
+    /** The engine's exception, or one of this router about the engine's response. */
+    ERROR("error"),
+    /** Rejected by the decision module; it did not run, and a retry is harmless. */
+    REFUSED("refused"),
+    /** Rejected before the decision module received it; a retry is harmless. */
+    TURNED_AWAY("turned away"),
+    /** Failed, with no promise about its effect. */
+    FAILED("failed"),
+    /** The response broke off after its first part. */
+    BROKEN("broken"),
+    /** Cancelled by the client. */
+    CANCELLED("cancelled"),
+    /** The client violated the protocol. */
+    BAD_INPUT("bad input"),
+    /** The client disconnected before an answer. */
+    GONE("gone");
+
+    private final String word;
+
+    StatementOutcome(String word) {
+        this.word = word;
+    }
 
     /** True where the statement provably did not run. */
     public boolean isHarmless() {
         return this == REFUSED || this == TURNED_AWAY;
     }
 
-    /** The word for logs. */
+    /** The word for it in the HTTP interface and in logs. */
     public String word() {
-        return name().toLowerCase(Locale.ROOT).replace('_', ' ');
+        return word;
     }
 }
--- a/router/src/main/java/ashlink/router/core/package-info.java
+++ b/router/src/main/java/ashlink/router/core/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The core of a router: requests and answers of no particular protocol, the thread that owns the
- * decision module, and attempts. Fronts bring requests and sinks for their answers; a transport
- * probes engines.
+ * The protocol-independent core of a router: admission of requests, the thread that owns the
+ * decision module, attempts and their outcomes. Client listeners submit requests with a {@link
+ * ashlink.router.core.ResponseSink}; an {@link ashlink.router.core.EngineTransport} checks the
+ * health of engines.
  */
 package ashlink.router.core;
--- a/router/src/test/java/ashlink/router/core/AttemptEndReasonTest.java
+++ b/router/src/test/java/ashlink/router/core/AttemptEndReasonTest.java
@@ -12,65 +12,64 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
+/** Outcomes of attempts by phase and reason, and the exactly-once report of an attempt's end. */
 class AttemptEndReasonTest {
 
     private final List<Attempt.AttemptEnd> ends = new ArrayList<>();
 
     private Attempt attempt(AttemptPhase phase) {
-        Attempt attempt = new Attempt(1, 0, "q1", 0, -1, 0, (at, end) -> ends.add(end));
+        Attempt attempt = new Attempt(1, 0, "q1", 0, -1, 0, (ended, end) -> ends.add(end));
         attempt.advance(phase);
         return attempt;
     }
 
     @ParameterizedTest
     @EnumSource(AttemptEndReason.class)
-    void whatProvablyLackedSomethingNeverCountsAsRunAndWhatHadAllMayHave(AttemptEndReason cause) {
+    void statementMayHaveRunOnlyOnceTheEngineHasItComplete(AttemptEndReason reason) {
         for (AttemptPhase phase : AttemptPhase.values()) {
-            Outcome outcome = cause.outcome(phase);
-            if (cause == AttemptEndReason.SERVED) {
+            Outcome outcome = reason.outcome(phase);
+            if (reason == AttemptEndReason.SERVED) {
                 assertTrue(outcome.mayHaveRun());
             } else if (!phase.mayRun()) {
-                assertFalse(outcome.mayHaveRun(), cause + " while " + phase + " is " + outcome);
-            } else if (cause != AttemptEndReason.REJECTED && cause != AttemptEndReason.STALE_REQUEST
+                assertFalse(outcome.mayHaveRun(), reason + " while " + phase + " is " + outcome);
+            } else if (reason != AttemptEndReason.REJECTED
+                            && reason != AttemptEndReason.STALE_REQUEST
                     || phase == AttemptPhase.ANSWERING) {
-                assertTrue(outcome.mayHaveRun(), cause + " while " + phase + " is " + outcome);
+                assertTrue(outcome.mayHaveRun(), reason + " while " + phase + " is " + outcome);
             }
         }
     }
 
     @Test
-    void anEndIsToldOnceAndTheFirstCauseHolds() {
+    void endIsReportedOnceWithTheFirstReason() {
         for (AttemptPhase phase :
                 EnumSet.complementOf(EnumSet.of(AttemptPhase.SENDING, AttemptPhase.ENDING))) {
             ends.clear();
-            Attempt a = attempt(phase);
-            a.abort(AttemptEndReason.TIMED_OUT);
-            assertFalse(a.advance(AttemptPhase.RUNNING));
-            assertFalse(a.end(AttemptEndReason.SERVED, Attempt.AttemptReport.NONE));
-            a.abort(AttemptEndReason.CANCELLED);
+            Attempt attempt = attempt(phase);
+            attempt.abort(AttemptEndReason.TIMED_OUT);
+            assertFalse(attempt.advance(AttemptPhase.RUNNING));
+            assertFalse(attempt.end(AttemptEndReason.SERVED, Attempt.AttemptReport.NONE));
+            attempt.abort(AttemptEndReason.CANCELLED);
             assertEquals(1, ends.size(), phase.toString());
             assertEquals(AttemptEndReason.TIMED_OUT.outcome(phase), ends.get(0).outcome());
         }
     }
 
     @Test
-    void whileAWriteDecidesItsWriterTellsTheEnd() {
+    void abortDuringAWriteIsReportedByTheWriter() {
         for (AttemptPhase phase : List.of(AttemptPhase.SENDING, AttemptPhase.ENDING)) {
             ends.clear();
             Attempt failed = attempt(phase);
             failed.abort(AttemptEndReason.TIMED_OUT);
             assertEquals(0, ends.size());
-            failed.end(
-                    AttemptEndReason.CONNECTION_BROKEN,
-                    Attempt.AttemptReport.NONE); // the write threw: its last byte never left
+            // The write threw: its last byte was not sent.
+            failed.end(AttemptEndReason.CONNECTION_BROKEN, Attempt.AttemptReport.NONE);
             assertEquals(Outcome.NOT_SENT, ends.get(0).outcome());
             ends.clear();
             Attempt written = attempt(phase);
             written.abort(AttemptEndReason.TIMED_OUT);
-            assertFalse(
-                    written.advance(
-                            AttemptPhase
-                                    .RUNNING)); // the write was through before the socket closed
+            // The write was complete before the socket was closed.
+            assertFalse(written.advance(AttemptPhase.RUNNING));
             written.end(AttemptEndReason.CANCELLED, Attempt.AttemptReport.NONE);
             assertEquals(Outcome.TIMED_OUT, ends.get(0).outcome());
         }
