--- a/router/src/main/java/ashlink/router/discovery/EndpointListStore.java
+++ b/router/src/main/java/ashlink/router/discovery/EndpointListStore.java
@@ -19,28 +19,38 @@
 import java.util.zip.CRC32C;
 
 /**
- * The last list of engines in a file: magic, version, length, checksum (CRC32C), entries. Written
- * beside the old one and moved into its place, so that a crash leaves one of the two whole; a file
- * that is not whole is told apart and not used. Start times are kept as milliseconds since 1970,
- * since the router's clock starts anew.
+ * Stores the last endpoint list in a file: magic, version, length, checksum (CRC32C), entries. A
+ * save writes a new file and renames it over the old one, so that a crash leaves one of the two
+ * complete; a truncated or damaged file is detected and not used. Start times are stored in
+ * milliseconds since 1970, since the router's clock starts anew with its process.
  */
 public final class EndpointListStore {
 
     private static final int MAGIC = 0x41534c4b;
     private static final int VERSION = 1;
-    private static final String STORED_REMOVED = "GONE";
     private static final int HEADER_BYTES = 16;
-    private static final int MOST_ENTRIES = 100_000;
-    private static final long MS = 1_000_000L;
+    private static final int MAX_ENTRIES = 100_000;
+    private static final long NS_PER_MS = 1_000_000L;
+
+    /** Name under which {@link EndpointState#REMOVED} is stored in files of all versions. */
+    private static final String STORED_REMOVED = "GONE";
 
     private final Path file;
 
-    /** Keeps the list in that file. */
+    /** Creates a store in that file, which need not exist. */
     public EndpointListStore(Path file) {
         this.file = file;
     }
 
-    /** The list kept, empty where there is none; an exception tells why a file cannot be used. */
+    /**
+     * Reads the stored list.
+     *
+     * @param nowNs the current time on the router's clock
+     * @param nowEpochMs the current time in milliseconds since 1970
+     * @return the list, empty where there is no file
+     * @throws IOException if the file cannot be read, or is truncated, damaged or of another
+     *     version
+     */
     public List<Endpoint> load(long nowNs, long nowEpochMs) throws IOException {
         byte[] bytes;
         try {
@@ -48,81 +58,106 @@
         } catch (NoSuchFileException e) {
             return List.of();
         }
-        ByteBuffer header = ByteBuffer.wrap(bytes);
-        if (bytes.length < HEADER_BYTES || header.getInt() != MAGIC || header.getInt() != VERSION) {
-            throw new IOException(file + " is no list of engines of version " + VERSION);
-        }
-        int length = header.getInt();
-        int sum = header.getInt();
-        if (length != bytes.length - HEADER_BYTES || checksum(bytes, HEADER_BYTES, length) != sum) {
-            throw new IOException(file + " is torn or damaged");
-        }
+        int length = checkHeader(bytes);
         DataInputStream in =
                 new DataInputStream(new ByteArrayInputStream(bytes, HEADER_BYTES, length));
         int count = in.readInt();
-        if (count < 0 || count > MOST_ENTRIES) {
+        if (count < 0 || count > MAX_ENTRIES) {
             throw new IOException(file + " says that it holds " + count + " engines");
         }
-        List<Endpoint> entries = new ArrayList<>();
+        List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            String engine = in.readUTF();
-            EndpointState phase = state(in.readUTF());
-            String zone = in.readUTF();
-            String kind = in.readUTF();
-            long cell = in.readLong();
-            long startedMs = in.readLong();
-            long started = startedMs == 0 ? 0 : Math.max(1, nowNs - (nowEpochMs - startedMs) * MS);
-            entries.add(new Endpoint(engine, phase, zone, kind, cell, started));
+            endpoints.add(readEndpoint(in, nowNs, nowEpochMs));
         }
-        return entries;
+        return endpoints;
     }
 
-    /** Keeps a list; when this returns it is on the disk. */
-    public void save(List<Endpoint> entries, long nowNs, long nowEpochMs) throws IOException {
-        ByteArrayOutputStream payload = new ByteArrayOutputStream();
-        DataOutputStream out = new DataOutputStream(payload);
-        out.writeInt(entries.size());
-        for (Endpoint endpoint : entries) {
-            out.writeUTF(endpoint.engine());
-            out.writeUTF(storedName(endpoint.state()));
-            out.writeUTF(endpoint.zone());
-            out.writeUTF(endpoint.kind());
-            out.writeLong(endpoint.cell());
-            out.writeLong(
-                    endpoint.startedNs() == 0
-                            ? 0
-                            : nowEpochMs - (nowNs - endpoint.startedNs()) / MS);
+    /** Checks magic, version, length and checksum; returns the length of the entries in bytes. */
+    private int checkHeader(byte[] bytes) throws IOException {
+        ByteBuffer header = ByteBuffer.wrap(bytes);
+        if (bytes.length < HEADER_BYTES || header.getInt() != MAGIC || header.getInt() != VERSION) {
+            throw new IOException(file + " is no list of engines of version " + VERSION);
         }
-        byte[] bytes = payload.toByteArray();
-        ByteBuffer whole = ByteBuffer.allocate(HEADER_BYTES + bytes.length);
-        whole.putInt(MAGIC)
+        int length = header.getInt();
+        int checksum = header.getInt();
+        if (length != bytes.length - HEADER_BYTES
+                || checksum(bytes, HEADER_BYTES, length) != checksum) {
+            throw new IOException(file + " is torn or damaged");
+        }
+        return length;
+    }
+
+    private static Endpoint readEndpoint(DataInputStream in, long nowNs, long nowEpochMs)
+            throws IOException {
+        String engine = in.readUTF();
+        EndpointState state = state(in.readUTF());
+        String zone = in.readUTF();
+        String kind = in.readUTF();
+        long cell = in.readLong();
+        long startedEpochMs = in.readLong();
+        long startedNs =
+                startedEpochMs == 0
+                        ? 0
+                        : Math.max(1, nowNs - (nowEpochMs - startedEpochMs) * NS_PER_MS);
+        return new Endpoint(engine, state, zone, kind, cell, startedNs);
+    }
+
+    /**
+     * Stores a list; when this returns, it is durable.
+     *
+     * @param nowNs the current time on the router's clock
+     * @param nowEpochMs the current time in milliseconds since 1970
+     */
+    public void save(List<Endpoint> endpoints, long nowNs, long nowEpochMs) throws IOException {
+        byte[] entries = encode(endpoints, nowNs, nowEpochMs);
+        ByteBuffer content = ByteBuffer.allocate(HEADER_BYTES + entries.length);
+        content.putInt(MAGIC)
                 .putInt(VERSION)
-                .putInt(bytes.length)
-                .putInt(checksum(bytes, 0, bytes.length))
-                .put(bytes)
+                .putInt(entries.length)
+                .putInt(checksum(entries, 0, entries.length))
+                .put(entries)
                 .flip();
-        Files.createDirectories(file.toAbsolutePath().getParent());
-        Path beside = file.resolveSibling(file.getFileName() + ".new");
+        Path directory = file.toAbsolutePath().getParent();
+        Files.createDirectories(directory);
+        Path newFile = file.resolveSibling(file.getFileName() + ".new");
         try (FileChannel channel =
                 FileChannel.open(
-                        beside,
+                        newFile,
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE,
                         StandardOpenOption.TRUNCATE_EXISTING)) {
-            while (whole.hasRemaining()) {
-                channel.write(whole);
+            while (content.hasRemaining()) {
+                channel.write(content);
             }
             channel.force(true);
         }
         Files.move(
-                beside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        try (FileChannel folder =
-                FileChannel.open(file.toAbsolutePath().getParent(), StandardOpenOption.READ)) {
-            folder.force(true);
+                newFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        // The rename is durable only once the directory is.
+        try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
+            channel.force(true);
+        }
+    }
+
+    private static byte[] encode(List<Endpoint> endpoints, long nowNs, long nowEpochMs)
+            throws IOException {
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+        DataOutputStream out = new DataOutputStream(bytes);
+        out.writeInt(endpoints.size());
+        for (Endpoint endpoint : endpoints) {
+            out.writeUTF(endpoint.engine());
+            out.writeUTF(storedName(endpoint.state()));
+            out.writeUTF(endpoint.zone());
+            out.writeUTF(endpoint.kind());
+            out.writeLong(endpoint.cell());
+            out.writeLong(
+                    endpoint.startedNs() == 0
+                            ? 0
+                            : nowEpochMs - (nowNs - endpoint.startedNs()) / NS_PER_MS);
         }
+        return bytes.toByteArray();
     }
 
-    /** The name under which a state is stored; files of all versions have the same names. */
     private static String storedName(EndpointState state) {
         return state == EndpointState.REMOVED ? STORED_REMOVED : state.name();
     }
--- a/router/src/main/java/ashlink/router/discovery/EndpointRegistry.java
+++ b/router/src/main/java/ashlink/router/discovery/EndpointRegistry.java
@@ -12,150 +12,149 @@
 import java.util.Optional;
 
 /**
- * What is believed of each engine: where it stands by the list, and when its process started, by
- * what it tells of its time up and by how connections to it fare. Decides only; times are the
- * caller's, in nanoseconds.
+ * The state and the start time of each configured engine. Start times follow from the uptimes that
+ * engines report and from the success of connections. Pure state: no I/O, and times are the
+ * caller's, in nanoseconds of the core's clock. Not thread-safe.
  *
- * <p>An engine that restarts unseen would be given its full load while cold. Two signs tell of a
- * restart: its time up is shorter than it should be, or it took a connection after one that could
- * not be made. The second comes with the first connection, before any query; the first corrects it.
+ * <p>An engine whose restart goes undetected would receive its full load while it warms up. A
+ * restart is detected by an uptime shorter than expected, or by a connection that succeeds after
+ * one that failed. The latter comes before any query; the former corrects it.
  */
 public final class EndpointRegistry {
 
-    /**
-     * Difference of two told start times up to which they are the same: engines tell whole seconds.
-     */
-    private static final long SAME_START_NS = 2_000_000_000L;
+    /** Start times that differ by no more are equal: engines report their uptime in seconds. */
+    private static final long START_TOLERANCE_NS = 2_000_000_000L;
+
+    /** Start time of an engine that is not warming up. */
+    private static final long STARTED_LONG_AGO = 0;
 
-    private static final class Known {
+    private static final class EngineRecord {
         EngineSpec spec;
-        EndpointState phase;
-        long startedNs;
+        EndpointState state;
+        long startedNs = STARTED_LONG_AGO;
+
+        /** The last connection could not be made. */
         boolean unreachable;
-        boolean assumed;
+
+        /** The start time is assumed after a failed connection, not reported by the engine. */
+        boolean startAssumed;
     }
 
-    private final long coldNs;
-    private final Map<String, Known> engines = new LinkedHashMap<>();
+    private final long slowStartNs;
+    private final Map<String, EngineRecord> engines = new LinkedHashMap<>();
 
-    /** A roster for engines that are cold for that long after their start. */
-    public EndpointRegistry(long coldNs) {
-        this.coldNs = coldNs;
+    /**
+     * Creates an empty registry.
+     *
+     * @param slowStartNs time after its start for which an engine warms up
+     */
+    public EndpointRegistry(long slowStartNs) {
+        this.slowStartNs = slowStartNs;
     }
 
-    /** The whole list is now this one. */
+    /** Replaces the configured engines; an engine with a new address is a new process. */
     public EndpointsChanged configure(Iterable<EngineSpec> specs) {
-        Map<String, Known> before = new LinkedHashMap<>(engines);
+        Map<String, EngineRecord> before = new LinkedHashMap<>(engines);
         engines.clear();
-        for (EngineSpec engineSpec : specs) {
-            Known known = before.getOrDefault(engineSpec.name(), new Known());
-            boolean moved =
-                    known.spec != null && !known.spec.address().equals(engineSpec.address());
-            if (moved) {
-                known = new Known(); // another process under the same name
+        for (EngineSpec spec : specs) {
+            EngineRecord engine = before.getOrDefault(spec.name(), new EngineRecord());
+            boolean hasNewAddress =
+                    engine.spec != null && !engine.spec.address().equals(spec.address());
+            if (hasNewAddress) {
+                engine = new EngineRecord();
             }
-            known.spec = engineSpec;
-            known.phase = engineSpec.phase();
-            engines.put(engineSpec.name(), known);
+            engine.spec = spec;
+            engine.state = spec.phase();
+            engines.put(spec.name(), engine);
         }
         return new EndpointsChanged(EndpointListKind.SNAPSHOT, entries());
     }
 
-    /**
-     * The list says that of one engine; nothing where the engine is not known or nothing changes.
-     */
-    public Optional<EndpointsChanged> phase(String engine, EndpointState phase) {
-        Known known = engines.get(engine);
-        if (known == null || known.phase == phase) {
+    /** Sets the state of an engine; empty where the engine is unknown or its state is the same. */
+    public Optional<EndpointsChanged> phase(String name, EndpointState state) {
+        EngineRecord engine = engines.get(name);
+        if (engine == null || engine.state == state) {
             return Optional.empty();
         }
-        known.phase = phase;
-        return Optional.of(changed(known));
+        engine.state = state;
+        return Optional.of(changed(engine));
     }
 
-    /** An engine told how long it has been up. */
-    public Optional<EndpointsChanged> uptime(String engine, long upNs, long now) {
-        Known known = engines.get(engine);
-        if (known == null || upNs < 0) {
+    /** An engine reported its uptime; empty where its start time does not change. */
+    public Optional<EndpointsChanged> uptime(String name, long uptimeNs, long nowNs) {
+        EngineRecord engine = engines.get(name);
+        if (engine == null || uptimeNs < 0) {
             return Optional.empty();
         }
-        long started = now - upNs;
-        boolean longAgo = known.startedNs == 0 && upNs >= coldNs;
-        boolean same = known.startedNs != 0 && Math.abs(started - known.startedNs) <= SAME_START_NS;
-        boolean older =
-                known.startedNs != 0
-                        && started < known.startedNs
-                        && !known.assumed; // rounding, or a late answer
-        if (longAgo || same || older) {
+        long startedNs = nowNs - uptimeNs;
+        boolean isStartKnown = engine.startedNs != STARTED_LONG_AGO;
+        boolean isWarm = uptimeNs >= slowStartNs;
+        boolean isSame =
+                isStartKnown && Math.abs(startedNs - engine.startedNs) <= START_TOLERANCE_NS;
+        // An earlier start than a reported one is due to rounding or to a late response.
+        boolean isStale = isStartKnown && startedNs < engine.startedNs && !engine.startAssumed;
+        if (!isStartKnown && isWarm || isSame || isStale) {
             return Optional.empty();
         }
-        known.startedNs = upNs >= coldNs ? 0 : Math.max(1, started); // 0 is long ago
-        known.assumed = false;
-        return Optional.of(changed(known));
+        engine.startedNs = isWarm ? STARTED_LONG_AGO : Math.max(1, startedNs);
+        engine.startAssumed = false;
+        return Optional.of(changed(engine));
     }
 
-    /** No connection could be made to an engine. */
-    public void unreachable(String engine) {
-        Known known = engines.get(engine);
-        if (known != null) {
-            known.unreachable = true;
+    /** A connection to an engine could not be made. */
+    public void unreachable(String name) {
+        EngineRecord engine = engines.get(name);
+        if (engine != null) {
+            engine.unreachable = true;
         }
     }
 
     /**
-     * A connection was made; after one that failed the engine counts as just started, until it
-     * tells otherwise.
+     * A connection to an engine was made; after one that failed, the engine is assumed to have just
+     * started, until it reports an uptime.
      */
-    public Optional<EndpointsChanged> connected(String engine, long now) {
-        Known known = engines.get(engine);
-        if (known == null || !known.unreachable) {
+    public Optional<EndpointsChanged> connected(String name, long nowNs) {
+        EngineRecord engine = engines.get(name);
+        if (engine == null || !engine.unreachable) {
             return Optional.empty();
         }
-        known.unreachable = false;
-        if (coldNs <= 0) {
+        engine.unreachable = false;
+        if (slowStartNs <= 0) {
             return Optional.empty();
         }
-        known.startedNs = now;
-        known.assumed = true;
-        return Optional.of(changed(known));
+        engine.startedNs = nowNs;
+        engine.startAssumed = true;
+        return Optional.of(changed(engine));
     }
 
-    /** The start times in hand, for a list that is kept; 0 is long ago. */
+    /** The engines that are not removed, with their start times; 0 is long ago. */
     public List<Endpoint> entries() {
-        List<Endpoint> entries = new ArrayList<>();
-        for (Known known : engines.values()) {
-            if (known.phase != EndpointState.REMOVED) {
-                entries.add(entry(known));
+        List<Endpoint> endpoints = new ArrayList<>();
+        for (EngineRecord engine : engines.values()) {
+            if (engine.state != EndpointState.REMOVED) {
+                endpoints.add(endpoint(engine));
             }
         }
-        return entries;
+        return endpoints;
     }
 
-    /**
-     * Believes a list that was kept through a restart, where the engines in it are still configured
-     * alike.
-     */
-    public void remember(Iterable<Endpoint> kept) {
-        for (Endpoint endpoint : kept) {
-            Known known = engines.get(endpoint.engine());
-            if (known != null && known.startedNs == 0) {
-                known.startedNs = Math.max(0, endpoint.startedNs());
+    /** Restores the start times of a stored list for those engines that are still configured. */
+    public void remember(Iterable<Endpoint> stored) {
+        for (Endpoint endpoint : stored) {
+            EngineRecord engine = engines.get(endpoint.engine());
+            if (engine != null && engine.startedNs == STARTED_LONG_AGO) {
+                engine.startedNs = Math.max(0, endpoint.startedNs());
             }
         }
     }
 
-    private static EndpointsChanged changed(Known known) {
-        return new EndpointsChanged(EndpointListKind.DELTA, List.of(entry(known)));
+    private static EndpointsChanged changed(EngineRecord engine) {
+        return new EndpointsChanged(EndpointListKind.DELTA, List.of(endpoint(engine)));
     }
 
-    private static Endpoint entry(Known known) {
-        EngineSpec engineSpec = known.spec;
+    private static Endpoint endpoint(EngineRecord engine) {
+        EngineSpec spec = engine.spec;
         return new Endpoint(
-                engineSpec.name(),
-                known.phase,
-                engineSpec.zone(),
-                engineSpec.kind(),
-                engineSpec.cell(),
-                known.startedNs);
+                spec.name(), engine.state, spec.zone(), spec.kind(), spec.cell(), engine.startedNs);
     }
 }
--- a/router/src/main/java/ashlink/router/discovery/package-info.java
+++ b/router/src/main/java/ashlink/router/discovery/package-info.java
@@ -1,2 +1,5 @@
-/** The list of engines: what is believed of them, and the last list kept through a restart. */
+/**
+ * Discovery of engines from the configuration: the registry of endpoints with their start times,
+ * and the store from which a restarted router restores them.
+ */
 package ashlink.router.discovery;
--- a/router/src/test/java/ashlink/router/discovery/EndpointRegistryTest.java
+++ b/router/src/test/java/ashlink/router/discovery/EndpointRegistryTest.java
@@ -16,11 +16,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Detection of restarts by the endpoint registry, and durability of the stored endpoint list. */
 class EndpointRegistryTest {
 
-    private static final long S = 1_000_000_000L;
-    private static final long NOW = 1_000_000 * S;
-    private final EndpointRegistry roster = new EndpointRegistry(14 * S);
+    private static final long SECOND = 1_000_000_000L;
+    private static final long NOW = 1_000_000 * SECOND;
+    private final EndpointRegistry registry = new EndpointRegistry(14 * SECOND);
 
     private static EngineSpec spec(int port) {
         return new EngineSpec(
@@ -33,77 +34,78 @@
     }
 
     private long started() {
-        return roster.entries().get(0).startedNs();
+        return registry.entries().get(0).startedNs();
     }
 
     @Test
-    void anEngineThatHasBeenUpForLongIsNotCold() {
-        roster.configure(List.of(spec(1)));
-        assertTrue(roster.uptime("q1", 15 * S, NOW).isEmpty());
+    void engineWithALongUptimeIsNotWarmingUp() {
+        registry.configure(List.of(spec(1)));
+        assertTrue(registry.uptime("q1", 15 * SECOND, NOW).isEmpty());
         assertEquals(0, started());
     }
 
     @Test
-    void aShorterTimeUpTellsOfARestartAndRoundingDoesNot() {
-        roster.configure(List.of(spec(1)));
-        assertTrue(roster.uptime("q1", 100 * S, NOW).isEmpty());
-        assertTrue(roster.uptime("q1", 3 * S, NOW).isPresent());
-        assertEquals(NOW - 3 * S, started());
-        assertTrue(roster.uptime("q1", 4 * S, NOW + 2 * S).isEmpty());
-        assertTrue(roster.uptime("q1", 1 * S, NOW + 9 * S).isPresent());
-        assertEquals(NOW + 8 * S, started());
+    void shorterUptimeIsARestartAndRoundingIsNot() {
+        registry.configure(List.of(spec(1)));
+        assertTrue(registry.uptime("q1", 100 * SECOND, NOW).isEmpty());
+        assertTrue(registry.uptime("q1", 3 * SECOND, NOW).isPresent());
+        assertEquals(NOW - 3 * SECOND, started());
+        assertTrue(registry.uptime("q1", 4 * SECOND, NOW + 2 * SECOND).isEmpty());
+        assertTrue(registry.uptime("q1", 1 * SECOND, NOW + 9 * SECOND).isPresent());
+        assertEquals(NOW + 8 * SECOND, started());
     }
 
     @Test
-    void aConnectionAfterOneThatFailedCountsAsAStartUntilTheEngineTellsOtherwise() {
-        roster.configure(List.of(spec(1)));
-        assertTrue(roster.connected("q1", NOW).isEmpty());
-        roster.unreachable("q1");
-        assertTrue(roster.connected("q1", NOW).isPresent());
+    void connectionAfterAFailedOneIsAStartUntilAnUptimeIsReported() {
+        registry.configure(List.of(spec(1)));
+        assertTrue(registry.connected("q1", NOW).isEmpty());
+        registry.unreachable("q1");
+        assertTrue(registry.connected("q1", NOW).isPresent());
         assertEquals(NOW, started());
-        assertTrue(roster.uptime("q1", 5 * S, NOW + S).isPresent());
-        assertEquals(NOW - 4 * S, started());
-        assertTrue(roster.connected("q1", NOW + S).isEmpty());
-        roster.unreachable("q1");
-        roster.connected("q1", NOW + 2 * S);
-        assertTrue(
-                roster.uptime("q1", 500 * S, NOW + 3 * S)
-                        .isPresent()); // it had only not been reached
+        assertTrue(registry.uptime("q1", 5 * SECOND, NOW + SECOND).isPresent());
+        assertEquals(NOW - 4 * SECOND, started());
+        assertTrue(registry.connected("q1", NOW + SECOND).isEmpty());
+        registry.unreachable("q1");
+        registry.connected("q1", NOW + 2 * SECOND);
+        // It was unreachable but had not restarted.
+        assertTrue(registry.uptime("q1", 500 * SECOND, NOW + 3 * SECOND).isPresent());
         assertEquals(0, started());
     }
 
     @Test
-    void anotherAddressIsAnotherProcessAndAPhaseIsToldOnce() {
-        roster.configure(List.of(spec(1)));
-        roster.uptime("q1", 3 * S, NOW);
-        roster.configure(List.of(spec(1)));
-        assertEquals(NOW - 3 * S, started());
-        roster.configure(List.of(spec(2)));
+    void newAddressIsANewProcessAndAnUnchangedStateIsNotReported() {
+        registry.configure(List.of(spec(1)));
+        registry.uptime("q1", 3 * SECOND, NOW);
+        registry.configure(List.of(spec(1)));
+        assertEquals(NOW - 3 * SECOND, started());
+        registry.configure(List.of(spec(2)));
         assertEquals(0, started());
-        assertTrue(roster.phase("q1", EndpointState.DRAINING).isPresent());
-        assertTrue(roster.phase("q1", EndpointState.DRAINING).isEmpty());
-        assertTrue(roster.phase("unknown", EndpointState.DRAINING).isEmpty());
+        assertTrue(registry.phase("q1", EndpointState.DRAINING).isPresent());
+        assertTrue(registry.phase("q1", EndpointState.DRAINING).isEmpty());
+        assertTrue(registry.phase("unknown", EndpointState.DRAINING).isEmpty());
     }
 
     @Test
-    void aKeptListComesBackAndATornOrDamagedOneIsFound(@TempDir Path dir) throws IOException {
+    void savedListIsLoadedAndATruncatedOrDamagedOneIsDetected(@TempDir Path dir)
+            throws IOException {
         Path file = dir.resolve("list");
         EndpointListStore store = new EndpointListStore(file);
         assertEquals(List.of(), store.load(NOW, 5_000_000));
         List<Endpoint> list =
                 List.of(
-                        new Endpoint("q1", EndpointState.DRAINING, "z", "k", 3, NOW - 2 * S),
+                        new Endpoint("q1", EndpointState.DRAINING, "z", "k", 3, NOW - 2 * SECOND),
                         new Endpoint("q2", EndpointState.READY, "z", "k", 0, 0));
         store.save(list, NOW, 5_000_000);
         assertEquals(list, store.load(NOW, 5_000_000));
-        assertEquals(NOW - 12 * S, store.load(NOW, 5_010_000).get(0).startedNs());
-        byte[] whole = Files.readAllBytes(file);
-        for (int cut = 0; cut < whole.length; cut++) {
-            Files.write(file, java.util.Arrays.copyOf(whole, cut));
-            assertThrows(IOException.class, () -> store.load(NOW, 5_000_000), "cut at " + cut);
+        assertEquals(NOW - 12 * SECOND, store.load(NOW, 5_010_000).get(0).startedNs());
+        byte[] complete = Files.readAllBytes(file);
+        for (int length = 0; length < complete.length; length++) {
+            Files.write(file, java.util.Arrays.copyOf(complete, length));
+            assertThrows(
+                    IOException.class, () -> store.load(NOW, 5_000_000), "truncated to " + length);
         }
-        for (int i = 0; i < whole.length; i++) {
-            byte[] flipped = whole.clone();
+        for (int i = 0; i < complete.length; i++) {
+            byte[] flipped = complete.clone();
             flipped[i] ^= 1;
             Files.write(file, flipped);
             assertThrows(IOException.class, () -> store.load(NOW, 5_000_000), "flipped at " + i);
--- a/router/src/test/java/ashlink/router/discovery/StoredListTest.java
+++ b/router/src/test/java/ashlink/router/discovery/StoredListTest.java
@@ -16,18 +16,18 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The list of engines that an earlier build saved is read as it was, and refused where it is
- * damaged. It is {@code src/test/resources/stored/engines.list}; the README beside tells how it was
- * written.
+ * An endpoint list saved by an earlier build is read with the same content, and is not used where
+ * it is damaged. It is {@code src/test/resources/stored/engines.list}; the README beside it
+ * describes how it was written.
  */
 class StoredListTest {
 
-    private static final long MS = 1_000_000L;
-    private static final long SECOND = 1_000 * MS;
+    private static final long MILLISECOND = 1_000_000L;
+    private static final long SECOND = 1_000 * MILLISECOND;
     private static final long DAY = 24 * 3_600 * SECOND;
     private static final long SAVED_MS = 1_700_000_000_000L;
 
-    /** The router's clock at the load: as if it had started long ago. */
+    /** Time of the load on the router's clock, as if the router had started long ago. */
     private static final long NOW = 100 * DAY;
 
     @TempDir Path folder;
@@ -39,7 +39,7 @@
                 new Endpoint("q3", EndpointState.REMOVED, "", "", Long.MAX_VALUE, startedOfThird));
     }
 
-    private IOException refused(byte[] bytes) throws IOException {
+    private IOException loadFailure(byte[] bytes) throws IOException {
         Path file = Files.write(folder.resolve("engines.list"), bytes);
         return assertThrows(
                 IOException.class, () -> new EndpointListStore(file).load(NOW, SAVED_MS));
@@ -50,13 +50,13 @@
     }
 
     @Test
-    void theListIsReadAsItWasSaved() throws Exception {
+    void storedListIsReadAsItWasSaved() throws Exception {
         EndpointListStore store = new EndpointListStore(StoredFiles.stored("engines.list"));
         assertEquals(expected(NOW - 2 * SECOND, NOW - 90 * DAY), store.load(NOW, SAVED_MS));
     }
 
     @Test
-    void startTimesAreOfTheRoutersClockAtTheLoad() throws Exception {
+    void startTimesAreConvertedToTheRoutersClock() throws Exception {
         EndpointListStore store = new EndpointListStore(StoredFiles.stored("engines.list"));
         assertEquals(
                 expected(NOW - 12 * SECOND, NOW - 90 * DAY - 10 * SECOND),
@@ -64,38 +64,39 @@
     }
 
     @Test
-    void aSaveOfTheSameListGivesTheSameBytes() throws Exception {
+    void savingTheSameListWritesTheSameBytes() throws Exception {
         Path file = folder.resolve("engines.list");
         new EndpointListStore(file).save(expected(NOW - 2 * SECOND, NOW - 90 * DAY), NOW, SAVED_MS);
         assertArrayEquals(stored(), Files.readAllBytes(file));
     }
 
     @Test
-    void aListWithAnyByteChangedIsRefused() throws Exception {
-        byte[] whole = stored();
-        for (int i = 0; i < whole.length; i++) {
-            byte[] changed = whole.clone();
+    void listWithAnyByteChangedIsNotLoaded() throws Exception {
+        byte[] complete = stored();
+        for (int i = 0; i < complete.length; i++) {
+            byte[] changed = complete.clone();
             changed[i] ^= 1;
-            refused(changed);
+            loadFailure(changed);
         }
     }
 
     @Test
-    void aListThatEndsEarlyIsRefused() throws Exception {
-        byte[] whole = stored();
-        for (int length = 0; length < whole.length; length++) {
-            refused(Arrays.copyOf(whole, length));
+    void truncatedListIsNotLoaded() throws Exception {
+        byte[] complete = stored();
+        for (int length = 0; length < complete.length; length++) {
+            loadFailure(Arrays.copyOf(complete, length));
         }
     }
 
     @Test
-    void theRefusalNamesTheFile() throws Exception {
-        byte[] whole = stored();
+    void failureNamesTheFile() throws Exception {
+        byte[] complete = stored();
         String path = folder.resolve("engines.list").toString();
         assertEquals(
                 path + " is torn or damaged",
-                refused(Arrays.copyOf(whole, whole.length - 1)).getMessage());
-        whole[0] ^= 1;
-        assertEquals(path + " is no list of engines of version 1", refused(whole).getMessage());
+                loadFailure(Arrays.copyOf(complete, complete.length - 1)).getMessage());
+        complete[0] ^= 1;
+        assertEquals(
+                path + " is no list of engines of version 1", loadFailure(complete).getMessage());
     }
 }
