--- /dev/null
+++ b/router/src/main/java/ashlink/router/core/AttemptRunner.java
@@ -0,0 +1,136 @@
+package ashlink.router.core;
+
+import ashlink.decisions.api.Action.CancelAttempt;
+import ashlink.decisions.api.Action.StartAttempt;
+import ashlink.decisions.api.Event;
+import ashlink.decisions.api.Event.AttemptEnded;
+import ashlink.decisions.api.Outcome;
+import java.util.concurrent.ScheduledThreadPoolExecutor;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Starts and cancels the attempts that the decision module requests, and reports their ends to it.
+ * Unless stated otherwise, methods run on the decision thread; none blocks.
+ */
+final class AttemptRunner {
+
+    private static final Logger LOG = LoggerFactory.getLogger(AttemptRunner.class);
+
+    private final CoreClock clock;
+    private final DecisionThread thread;
+    private final ScheduledThreadPoolExecutor timer;
+    private final OpenRequestTable requests;
+    private final RequestMetrics metrics;
+    private final Consumer<Event> dispatcher;
+
+    /**
+     * Creates a runner.
+     *
+     * @param dispatcher passes an event to the decision module
+     */
+    AttemptRunner(
+            CoreClock clock,
+            DecisionThread thread,
+            ScheduledThreadPoolExecutor timer,
+            OpenRequestTable requests,
+            RequestMetrics metrics,
+            Consumer<Event> dispatcher) {
+        this.clock = clock;
+        this.thread = thread;
+        this.timer = timer;
+        this.requests = requests;
+        this.metrics = metrics;
+        this.dispatcher = dispatcher;
+    }
+
+    /** Starts an attempt; ignores one of a request that is answered or has an attempt in flight. */
+    void start(StartAttempt startAttempt) {
+        OpenRequest openRequest = requests.get(startAttempt.id());
+        if (openRequest == null || openRequest.answered || openRequest.attempt != null) {
+            LOG.error(
+                    "decision module started an attempt of an ineligible request:"
+                            + " request={} state={}",
+                    startAttempt.id(),
+                    openRequest == null
+                            ? "closed"
+                            : openRequest.answered ? "answered" : "in-flight");
+            return;
+        }
+        Attempt attempt =
+                new Attempt(
+                        openRequest.id,
+                        openRequest.attempts++,
+                        startAttempt.engine(),
+                        clock.nowNs(),
+                        openRequest.priority,
+                        openRequest.memoryMb,
+                        (ended, end) -> onEnd(openRequest, ended, end));
+        openRequest.attempt = attempt;
+        attempt.setTimeout(
+                timer.schedule(
+                        () -> attempt.abort(AttemptEndReason.TIMED_OUT),
+                        startAttempt.timeoutNs(),
+                        TimeUnit.NANOSECONDS));
+        openRequest.sink.start(attempt);
+    }
+
+    /** Cancels an attempt; ignores one that is not in flight. */
+    void cancel(CancelAttempt cancelAttempt) {
+        OpenRequest openRequest = requests.get(cancelAttempt.id());
+        if (openRequest != null
+                && openRequest.attempt != null
+                && openRequest.attempt.attemptNumber() == cancelAttempt.attempt()) {
+            openRequest.attempt.abort(AttemptEndReason.CANCELLED);
+        }
+    }
+
+    /** Called on the thread that ended the attempt. */
+    private void onEnd(OpenRequest openRequest, Attempt attempt, Attempt.AttemptEnd end) {
+        if (end.answered()
+                && end.outcome() != Outcome.SERVED
+                && end.reason() != AttemptEndReason.STATEMENT_ERROR) {
+            openRequest.sink.abortPartial(end.outcome());
+        }
+        thread.execute(() -> recordEnd(attempt, end));
+    }
+
+    private void recordEnd(Attempt attempt, Attempt.AttemptEnd end) {
+        OpenRequest openRequest = requests.get(attempt.id());
+        metrics.onAttemptEnded(attempt.engine(), end.outcome().name());
+        if (openRequest == null || openRequest.attempt != attempt) {
+            return;
+        }
+        openRequest.attempt = null;
+        openRequest.mayHaveRun |= end.outcome().mayHaveRun();
+        boolean requestOver = end.answered() || openRequest.answered;
+        if (!openRequest.answered && end.answered()) {
+            requests.markAnswered(openRequest, finalAnswer(end.reason()));
+        }
+        if (openRequest.answered) {
+            requests.remove(openRequest);
+        }
+        dispatcher.accept(
+                new AttemptEnded(
+                        attempt.id(),
+                        attempt.attemptNumber(),
+                        attempt.engine(),
+                        end.outcome(),
+                        clock.nowNs() - attempt.startNs(),
+                        requestOver,
+                        end.report().workMs(),
+                        end.report().memoryMb(),
+                        end.report().loadReport()));
+    }
+
+    private static FinalAnswer finalAnswer(AttemptEndReason reason) {
+        if (reason == AttemptEndReason.SERVED) {
+            return FinalAnswer.SERVED;
+        }
+        return reason == AttemptEndReason.STATEMENT_ERROR
+                ? FinalAnswer.ERROR
+                : FinalAnswer.INCOMPLETE;
+    }
+}
--- a/router/src/main/java/ashlink/router/core/DecisionDispatcher.java
+++ b/router/src/main/java/ashlink/router/core/DecisionDispatcher.java
@@ -10,12 +10,10 @@
 import ashlink.decisions.api.Action.SetTimer;
 import ashlink.decisions.api.Action.StartAttempt;
 import ashlink.decisions.api.Event;
-import ashlink.decisions.api.Event.AttemptEnded;
 import ashlink.decisions.api.Event.ClientDisconnected;
 import ashlink.decisions.api.Event.HealthCheckCompleted;
 import ashlink.decisions.api.Event.QuerySubmitted;
 import ashlink.decisions.api.Event.TimerFired;
-import ashlink.decisions.api.Outcome;
 import ashlink.decisions.api.QueryClass;
 import ashlink.decisions.api.WorkloadManager;
 import java.util.List;
@@ -41,6 +39,7 @@
     private final ScheduledThreadPoolExecutor timer;
     private final OpenRequestTable requests;
     private final RequestMetrics metrics;
+    private final AttemptRunner attempts;
     private volatile Core.Observer observer = (event, nowNs, actions) -> {};
 
     DecisionDispatcher(
@@ -60,6 +59,7 @@
         this.timer = timer;
         this.requests = requests;
         this.metrics = metrics;
+        this.attempts = new AttemptRunner(clock, thread, timer, requests, metrics, this::dispatch);
     }
 
     /** Sets the observer; may be called on any thread. */
@@ -176,7 +176,7 @@
 
     private void perform(Action action) {
         if (action instanceof StartAttempt startAttempt) {
-            startAttempt(startAttempt);
+            attempts.start(startAttempt);
         } else if (action instanceof SetAttemptResources resources) {
             setResources(resources);
         } else if (action instanceof Reject reject) {
@@ -184,7 +184,7 @@
         } else if (action instanceof Fail fail) {
             fail(fail);
         } else if (action instanceof CancelAttempt cancelAttempt) {
-            cancel(cancelAttempt);
+            attempts.cancel(cancelAttempt);
         } else if (action instanceof CheckHealth checkHealth) {
             checkHealth(checkHealth.engine());
         } else if (action instanceof SetTimer setTimer) {
@@ -218,15 +218,6 @@
         }
     }
 
-    private void cancel(CancelAttempt cancelAttempt) {
-        OpenRequest openRequest = requests.get(cancelAttempt.id());
-        if (openRequest != null
-                && openRequest.attempt != null
-                && openRequest.attempt.attemptNumber() == cancelAttempt.attempt()) {
-            openRequest.attempt.abort(AttemptEndReason.CANCELLED);
-        }
-    }
-
     private void checkHealth(String engine) {
         long startNs = clock.nowNs();
         transport.checkHealth(
@@ -248,83 +239,4 @@
                 setTimer.timeNs() - clock.nowNs(),
                 TimeUnit.NANOSECONDS);
     }
-
-    // Attempts.
-
-    private void startAttempt(StartAttempt startAttempt) {
-        OpenRequest openRequest = requests.get(startAttempt.id());
-        if (openRequest == null || openRequest.answered || openRequest.attempt != null) {
-            LOG.error(
-                    "decision module started an attempt of an ineligible request:"
-                            + " request={} state={}",
-                    startAttempt.id(),
-                    openRequest == null
-                            ? "closed"
-                            : openRequest.answered ? "answered" : "in-flight");
-            return;
-        }
-        Attempt attempt =
-                new Attempt(
-                        openRequest.id,
-                        openRequest.attempts++,
-                        startAttempt.engine(),
-                        clock.nowNs(),
-                        openRequest.priority,
-                        openRequest.memoryMb,
-                        (ended, end) -> onAttemptEnd(openRequest, ended, end));
-        openRequest.attempt = attempt;
-        attempt.setTimeout(
-                timer.schedule(
-                        () -> attempt.abort(AttemptEndReason.TIMED_OUT),
-                        startAttempt.timeoutNs(),
-                        TimeUnit.NANOSECONDS));
-        openRequest.sink.start(attempt);
-    }
-
-    /** Runs on the thread that ended the attempt. */
-    private void onAttemptEnd(OpenRequest openRequest, Attempt attempt, Attempt.AttemptEnd end) {
-        if (end.answered()
-                && end.outcome() != Outcome.SERVED
-                && end.reason() != AttemptEndReason.STATEMENT_ERROR) {
-            openRequest.sink.abortPartial(end.outcome());
-        }
-        thread.execute(() -> recordEnd(attempt, end));
-    }
-
-    private void recordEnd(Attempt attempt, Attempt.AttemptEnd end) {
-        OpenRequest openRequest = requests.get(attempt.id());
-        metrics.onAttemptEnded(attempt.engine(), end.outcome().name());
-        if (openRequest == null || openRequest.attempt != attempt) {
-            return;
-        }
-        openRequest.attempt = null;
-        openRequest.mayHaveRun |= end.outcome().mayHaveRun();
-        boolean requestOver = end.answered() || openRequest.answered;
-        if (!openRequest.answered && end.answered()) {
-            requests.markAnswered(openRequest, finalAnswer(end.reason()));
-        }
-        if (openRequest.answered) {
-            requests.remove(openRequest);
-        }
-        dispatch(
-                new AttemptEnded(
-                        attempt.id(),
-                        attempt.attemptNumber(),
-                        attempt.engine(),
-                        end.outcome(),
-                        clock.nowNs() - attempt.startNs(),
-                        requestOver,
-                        end.report().workMs(),
-                        end.report().memoryMb(),
-                        end.report().loadReport()));
-    }
-
-    private static FinalAnswer finalAnswer(AttemptEndReason reason) {
-        if (reason == AttemptEndReason.SERVED) {
-            return FinalAnswer.SERVED;
-        }
-        return reason == AttemptEndReason.STATEMENT_ERROR
-                ? FinalAnswer.ERROR
-                : FinalAnswer.INCOMPLETE;
-    }
 }
