--- a/router/src/main/java/ashlink/router/core/Core.java
+++ b/router/src/main/java/ashlink/router/core/Core.java
@@ -80,8 +80,7 @@
         requests = new OpenRequestTable(metrics);
         decisionThread = new DecisionThread(name + "-decisions");
         metrics.registerGauges(decisionThread::queuedTasks, requests::unansweredCount);
-        timer = new ScheduledThreadPoolExecutor(1, task -> daemon(task, name + "-timer"));
-        timer.setRemoveOnCancelPolicy(true);
+        timer = DaemonTimer.create(name + "-timer");
         dispatcher =
                 new DecisionDispatcher(
                         workloadManager,
@@ -94,12 +93,6 @@
                         metrics);
     }
 
-    private static Thread daemon(Runnable task, String name) {
-        Thread thread = new Thread(task, name);
-        thread.setDaemon(true);
-        return thread;
-    }
-
     /** Starts the decision thread. */
     public void start() {
         decisionThread.start();
