--- a/background/src/main/java/ashlink/background/Lease.java
+++ b/background/src/main/java/ashlink/background/Lease.java
@@ -2,18 +2,21 @@
 
 import ashlink.background.plan.Decision.Resource;
 
-/** What a run may use. Its methods are called by the run's own thread. */
+/**
+ * The right of one run to use processor time and disk traffic within the budgets. Its public
+ * methods are called by the thread of the run only.
+ */
 public final class Lease {
 
-    /**
-     * A run that asks at each step of its work asks the planner only once in this much processor
-     * time.
-     */
-    private static final long SLICE_NS = 1_000_000L;
+    /** Processor time below which a safe point doesn't call the planner. */
+    private static final long MIN_CHARGE_NS = 1_000_000L;
 
     private final Scheduler scheduler;
     private final long run;
+
+    /** Guarded by this; 0 while no grant is there. */
     private double granted;
+
     private long chargedNs = Scheduler.threadCpuNs();
 
     Lease(Scheduler scheduler, long run) {
@@ -22,23 +25,30 @@
     }
 
     /**
-     * Waits until so many bytes may be moved; more than the budget gives at once comes in parts.
+     * Waits until that many bytes may be read or written. An amount over the burst of the budget is
+     * granted in parts.
+     *
+     * @throws InterruptedException if the run is cancelled or its time is up
      */
-    public void bytes(long count) throws InterruptedException {
-        long left = count;
-        while (left > 0) {
-            left -= (long) scheduler.await(this, Resource.BYTES, left);
+    public void acquireBytes(long count) throws InterruptedException {
+        long remaining = count;
+        while (remaining > 0) {
+            remaining -= (long) scheduler.acquire(this, Resource.BYTES, remaining);
         }
     }
 
-    /** A safe point: waits until the processor time used since the last one is paid for. */
+    /**
+     * A safe point: waits until the processor time used since the last one fits the budget.
+     *
+     * @throws InterruptedException if the run is cancelled or its time is up
+     */
     public void checkpoint() throws InterruptedException {
-        long used = Scheduler.threadCpuNs() - chargedNs;
-        if (used >= SLICE_NS) {
-            chargedNs += used;
-            double left = used;
-            while (left > 0) {
-                left -= scheduler.await(this, Resource.CPU, left);
+        long usedNs = unchargedNs();
+        if (usedNs >= MIN_CHARGE_NS) {
+            chargedNs += usedNs;
+            double remainingNs = usedNs;
+            while (remainingNs > 0) {
+                remainingNs -= scheduler.acquire(this, Resource.CPU, remainingNs);
             }
         }
         if (Thread.interrupted()) {
@@ -50,8 +60,8 @@
         return run;
     }
 
-    /** Processor time that no safe point has paid for. */
-    long unpaidNs() {
+    /** Processor time in nanoseconds that no safe point has charged. */
+    long unchargedNs() {
         return Scheduler.threadCpuNs() - chargedNs;
     }
 
--- a/background/src/main/java/ashlink/background/Scheduler.java
+++ b/background/src/main/java/ashlink/background/Scheduler.java
@@ -21,37 +21,64 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Carries out a planner's decisions: one thread that decides, and one for each run. */
+/**
+ * Carries out a planner's decisions, with one thread that decides and one for each run.
+ *
+ * <p>Thread-safe. All threads are daemons.
+ */
 public final class Scheduler {
 
     private static final Logger LOG = LoggerFactory.getLogger(Scheduler.class);
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
-    private static final long LOOK_NS = 100_000_000L;
+    private static final long DECISION_INTERVAL_NS = 100_000_000L;
+    private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long STACK_BYTES = 256 << 10;
 
+    private static final long STOP_POLL_MS = 10;
+
+    /** The thread of a run; the lease is null until that thread has begun. */
     private record Running(Thread thread, Lease lease) {}
 
     private final String name;
+
+    /** Guarded by this. */
     private final Planner planner;
+
     private final DoubleSupplier pressure;
-    private final Map<String, BackgroundWork> work = new HashMap<>();
+
+    /** Work by the name of its task. Guarded by this. */
+    private final Map<String, BackgroundWork> workByTask = new HashMap<>();
+
+    /** Runs in progress by their id. Guarded by this. */
     private final Map<Long, Running> running = new HashMap<>();
-    private final Thread thread;
+
+    private final Thread plannerThread;
     private final AtomicLong failed = new AtomicLong();
     private final AtomicLong abandoned = new AtomicLong();
     private final AtomicLong dropped = new AtomicLong();
     private final AtomicLong ended = new AtomicLong();
-    private boolean news;
+
+    /** True if an event arrived after the last decision. Guarded by this. */
+    private boolean signalled;
+
+    /** Guarded by this. */
     private boolean killed;
 
-    /** A scheduler that looks how hard service is pressed (0 to 1) ten times a second. */
+    /**
+     * Starts a scheduler.
+     *
+     * @param name prefix of the names of its threads
+     * @param seed seed of the jitter of periodic tasks
+     * @param pressure pressure on the service from 0 to 1, read at least ten times a second; called
+     *     by the planner's thread without a lock
+     */
     public Scheduler(String name, Limits limits, long seed, DoubleSupplier pressure) {
         this.name = name;
         this.planner = new Planner(limits, seed);
         this.pressure = pressure;
-        this.thread = new Thread(null, this::decide, name + "-background", STACK_BYTES);
-        thread.setDaemon(true);
-        thread.start();
+        this.plannerThread = new Thread(null, this::decide, name + "-background", STACK_BYTES);
+        plannerThread.setDaemon(true);
+        plannerThread.start();
     }
 
     static long threadCpuNs() {
@@ -59,103 +86,111 @@
     }
 
     // ---- Tasks
-    /** Takes a task; false where one of that name is there, there are too many, or all stops. */
-    public synchronized boolean add(TaskSpec spec, BackgroundWork doing) {
-        List<Decision> out = new ArrayList<>();
-        boolean taken = planner.add(spec, System.nanoTime(), out);
-        if (taken) {
-            work.put(spec.name(), doing);
+    /**
+     * Adds a task.
+     *
+     * @return false if the name is in use, the scheduler stops, or the queue is full of tasks that
+     *     are as important
+     */
+    public synchronized boolean add(TaskSpec spec, BackgroundWork work) {
+        List<Decision> decisions = new ArrayList<>();
+        boolean added = planner.add(spec, System.nanoTime(), decisions);
+        if (added) {
+            workByTask.put(spec.name(), work);
         }
-        perform(out);
-        wake();
-        return taken;
+        perform(decisions);
+        signal();
+        return added;
     }
 
-    /** Calls a task off, and its run. */
+    /** Removes a task and interrupts its run; an unknown name is ignored. */
     public synchronized void cancel(String task) {
-        List<Decision> out = new ArrayList<>();
-        planner.cancel(task, System.nanoTime(), out);
-        perform(out);
-        wake();
+        List<Decision> decisions = new ArrayList<>();
+        planner.cancel(task, System.nanoTime(), decisions);
+        perform(decisions);
+        signal();
     }
 
     /**
-     * Takes no more, lets last runs and those under way end for that time, and interrupts the rest;
-     * true if all ended.
+     * Stops: accepts no more tasks, waits for the runs in progress and the final runs up to the
+     * limit, and interrupts the rest.
+     *
+     * @return true if all runs ended
+     * @throws InterruptedException if the caller is interrupted while it waits
      */
     public boolean stop(long limitNs) throws InterruptedException {
         synchronized (this) {
-            List<Decision> out = new ArrayList<>();
-            planner.stop(System.nanoTime(), limitNs, out);
-            perform(out);
-            wake();
+            List<Decision> decisions = new ArrayList<>();
+            planner.stop(System.nanoTime(), limitNs, decisions);
+            perform(decisions);
+            signal();
             while (!planner.isStopped() && !killed) {
-                wait(10);
+                wait(STOP_POLL_MS);
             }
-            boolean all = running.isEmpty();
+            boolean allEnded = running.isEmpty();
             kill();
-            return all;
+            return allEnded;
         }
     }
 
-    /** Ends at once, as a crash would. */
+    /** Interrupts all threads at once, without waiting or final runs. */
     public synchronized void kill() {
         killed = true;
-        thread.interrupt();
-        running.values().forEach(r -> r.thread.interrupt());
+        plannerThread.interrupt();
+        running.values().forEach(run -> run.thread.interrupt());
     }
 
-    // ---- Figures
+    // ---- Counters
     /** Runs that ended. */
     public long ended() {
         return ended.get();
     }
 
-    /** Runs that threw. */
+    /** Runs that threw, other than by an interrupt. */
     public long failed() {
         return failed.get();
     }
 
-    /** Runs given up, since they did not heed an interrupt. */
+    /** Runs that were abandoned, since they ignored an interrupt. */
     public long abandoned() {
         return abandoned.get();
     }
 
-    /** Runs that gave way. */
+    /** Queued runs that were evicted, by more important ones or by the stop. */
     public long dropped() {
         return dropped.get();
     }
 
-    /** Runs that wait. */
+    /** Runs that are due and wait. */
     public synchronized int waiting() {
         return planner.waiting();
     }
 
     // ---- Deciding
-    private synchronized void wake() {
-        news = true;
+    private synchronized void signal() {
+        signalled = true;
         notifyAll();
     }
 
     private void decide() {
         try {
             while (true) {
-                double pressed = pressure.getAsDouble();
+                double currentPressure = pressure.getAsDouble();
                 synchronized (this) {
                     if (killed) {
                         return;
                     }
-                    news = false;
-                    planner.pressure(pressed, System.nanoTime());
+                    signalled = false;
+                    planner.pressure(currentPressure, System.nanoTime());
                     perform(planner.decide(System.nanoTime()));
-                    long wait = planner.waitNs(System.nanoTime(), LOOK_NS);
-                    if (!news && wait > 0) {
-                        wait(wait / 1_000_000, (int) (wait % 1_000_000));
+                    long waitNs = planner.waitNs(System.nanoTime(), DECISION_INTERVAL_NS);
+                    if (!signalled && waitNs > 0) {
+                        wait(waitNs / NANOS_PER_MILLI, (int) (waitNs % NANOS_PER_MILLI));
                     }
                 }
             }
         } catch (InterruptedException e) {
-            LOG.debug("background work of {} ends", name);
+            LOG.debug("background scheduler ends name={}", name);
         }
     }
 
@@ -171,54 +206,55 @@
             } else if (decision instanceof Abandon abandon) {
                 abandoned.incrementAndGet();
                 LOG.warn(
-                        "background run {} does not end; its task rests until it does",
+                        "background run {} does not end; its task is not started until it does",
                         abandon.run());
             } else if (decision instanceof Drop drop) {
                 dropped.incrementAndGet();
-                work.remove(drop.task());
-                LOG.info("background task {} gave way", drop.task());
+                workByTask.remove(drop.task());
+                LOG.info("background task evicted task={}", drop.task());
             }
         }
     }
 
     private void begin(Start start) {
-        BackgroundWork doing = work.get(start.task());
+        BackgroundWork work = workByTask.get(start.task());
         Thread thread =
-                new Thread(null, () -> run(start, doing), name + "-" + start.task(), STACK_BYTES);
+                new Thread(null, () -> run(start, work), name + "-" + start.task(), STACK_BYTES);
         thread.setDaemon(true);
         running.put(start.run(), new Running(thread, null));
         thread.start();
     }
 
-    private void run(Start start, BackgroundWork doing) {
+    private void run(Start start, BackgroundWork work) {
         Lease lease = new Lease(this, start.run());
         synchronized (this) {
             running.put(start.run(), new Running(Thread.currentThread(), lease));
         }
-        boolean well = false;
+        boolean succeeded = false;
         try {
-            doing.run(lease);
-            well = true;
+            work.run(lease);
+            succeeded = true;
         } catch (InterruptedException e) {
-            LOG.info("background task {} was interrupted", start.task());
+            LOG.info("background task interrupted task={}", start.task());
         } catch (Exception | Error e) {
             failed.incrementAndGet();
-            LOG.warn("background task {} failed: {}", start.task(), e.toString());
+            LOG.warn("background task failed task={} error={}", start.task(), e.toString());
         } finally {
             ended.incrementAndGet();
             synchronized (this) {
                 running.remove(start.run());
-                planner.charge(Resource.CPU, lease.unpaidNs(), System.nanoTime());
-                planner.ended(start.run(), well, System.nanoTime());
-                wake();
+                planner.charge(Resource.CPU, lease.unchargedNs(), System.nanoTime());
+                planner.ended(start.run(), succeeded, System.nanoTime());
+                signal();
             }
         }
     }
 
-    double await(Lease lease, Resource resource, double amount) throws InterruptedException {
+    /** Waits until the planner grants the run an amount, the requested one or less. */
+    double acquire(Lease lease, Resource resource, double amount) throws InterruptedException {
         synchronized (this) {
-            planner.ask(lease.run(), resource, amount, System.nanoTime());
-            wake();
+            planner.request(lease.run(), resource, amount, System.nanoTime());
+            signal();
         }
         return lease.awaitGrant();
     }
--- a/background/src/main/java/ashlink/background/package-info.java
+++ b/background/src/main/java/ashlink/background/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Runs background work beside the service: threads, budgets and a stop that waits. What runs when
- * is the planner's.
+ * Runs background work beside the service: threads, budgets and an orderly stop. What runs when is
+ * decided by {@link ashlink.background.plan.Planner}.
  */
 package ashlink.background;
--- a/background/src/main/java/ashlink/background/plan/Budget.java
+++ b/background/src/main/java/ashlink/background/plan/Budget.java
@@ -1,82 +1,94 @@
 package ashlink.background.plan;
 
 /**
- * An amount that comes back at a rate, up to a most: in any window of w seconds no more than {@code
- * most + rate * w} is given, whatever the clock does. Use that could not be asked for beforehand is
- * charged and leaves a debt.
+ * A token bucket: in any window of {@code w} seconds it grants at most {@code capacity + rate * w}
+ * tokens, even if the clock jumps or goes back. Use that could not be requested beforehand is
+ * charged afterwards and may leave the bucket in debt.
+ *
+ * <p>Not thread-safe. Times are readings of one clock in nanoseconds; a reading before the last one
+ * refills nothing.
  */
 public final class Budget {
 
-    private static final double NS = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
-    private final double most;
-    private final double perSecond;
-    private double share = 1;
-    private double left;
-    private long lastNs;
+    private final double capacity;
+    private final double tokensPerSecond;
+    private double rateFraction = 1;
+    private double available;
+    private long lastRefillNs;
     private boolean started;
 
-    /** A full budget. */
-    public Budget(double most, double perSecond) {
-        if (!(most > 0 && perSecond > 0)) {
+    /**
+     * A full bucket.
+     *
+     * @param capacity the largest amount that is granted at once, over 0
+     * @param tokensPerSecond refill rate, over 0
+     * @throws IllegalArgumentException if either is not over 0
+     */
+    public Budget(double capacity, double tokensPerSecond) {
+        if (!(capacity > 0 && tokensPerSecond > 0)) {
             throw new IllegalArgumentException(
-                    "a budget of " + most + " and " + perSecond + " a second");
+                    "a budget of " + capacity + " and " + tokensPerSecond + " a second");
         }
-        this.most = most;
-        this.perSecond = perSecond;
-        this.left = most;
+        this.capacity = capacity;
+        this.tokensPerSecond = tokensPerSecond;
+        this.available = capacity;
     }
 
-    private void pass(long nowNs) {
-        if (started && nowNs > lastNs) {
-            left = Math.min(most, left + perSecond * share * (nowNs - lastNs) / NS);
+    private void refill(long nowNs) {
+        if (started && nowNs > lastRefillNs) {
+            double refilled = tokensPerSecond * rateFraction * (nowNs - lastRefillNs);
+            available = Math.min(capacity, available + refilled / NANOS_PER_SECOND);
         }
-        lastNs =
-                started
-                        ? Math.max(lastNs, nowNs)
-                        : nowNs; // a clock that goes back gives nothing twice
+        // A clock that goes back must not refill the same time twice.
+        lastRefillNs = started ? Math.max(lastRefillNs, nowNs) : nowNs;
         started = true;
     }
 
-    /** From now on only that share of the rate comes back. */
-    void share(double of, long nowNs) {
-        pass(nowNs);
-        share = of;
+    /** From now on refills at this fraction of the rate, over 0 and at most 1. */
+    void setRateFraction(double fraction, long nowNs) {
+        refill(nowNs);
+        rateFraction = fraction;
     }
 
     /**
-     * Gives the amount if it is there; what is over the most is asked for in parts by the caller.
+     * Takes the amount if it is available. A caller that needs more than the capacity requests it
+     * in parts.
      */
     public boolean take(double amount, long nowNs) {
-        pass(nowNs);
-        if (amount > left) {
+        refill(nowNs);
+        if (amount > available) {
             return false;
         }
-        left -= amount;
+        available -= amount;
         return true;
     }
 
-    /** Charges what was used without asking. */
+    /** Charges what was used without a request; may leave a debt. */
     public void charge(double amount, long nowNs) {
-        pass(nowNs);
-        left -= amount;
+        refill(nowNs);
+        available -= amount;
     }
 
-    /** Gives back what was asked for and not used. */
+    /** Returns tokens that were taken and not used; the bucket holds its capacity at most. */
     public void giveBack(double amount, long nowNs) {
-        pass(nowNs);
-        left = Math.min(most, left + amount);
+        refill(nowNs);
+        available = Math.min(capacity, available + amount);
     }
 
-    /** Time from now until that amount can be there, at least 1 ns where it is not. */
+    /** Time in nanoseconds until the amount can be available; at least 1 if it is not yet. */
     public long waitNs(double amount, long nowNs) {
-        pass(nowNs);
-        double missing = amount - left;
-        return missing <= 0 ? 0 : (long) Math.ceil(missing / (perSecond * share) * NS) + 1;
+        refill(nowNs);
+        double missing = amount - available;
+        return missing <= 0
+                ? 0
+                : (long) Math.ceil(missing / (tokensPerSecond * rateFraction) * NANOS_PER_SECOND)
+                        + 1;
     }
 
-    /** The largest amount that is given at once. */
-    public double most() {
-        return most;
+    /** The largest amount that is granted at once. */
+    public double capacity() {
+        return capacity;
     }
 }
--- a/background/src/main/java/ashlink/background/plan/Decision.java
+++ b/background/src/main/java/ashlink/background/plan/Decision.java
@@ -1,26 +1,27 @@
 package ashlink.background.plan;
 
-/** What the planner wants done. */
+/** An action that the planner decided on; the scheduler carries it out. */
 public sealed interface Decision {
 
-    /** Start a run of that task. */
+    /** Start a run of the task. */
     record Start(long run, String task) implements Decision {}
 
-    /** Let a run that asked for it go on, with so much. */
+    /** Let the run that requested the resource go on, with this amount of it. */
     record Grant(long run, Resource resource, double amount) implements Decision {}
 
-    /** Interrupt a run: its time is up, or it was cancelled. */
+    /** Interrupt a run: it reached its time limit, or its task was cancelled. */
     record Interrupt(long run) implements Decision {}
 
     /**
-     * A run did not heed its interrupt: its place goes to others, and its task rests until it ends.
+     * A run ignored its interrupt: its slot is free for others, and its task is not started again
+     * until the run ends.
      */
     record Abandon(long run) implements Decision {}
 
-    /** A run that waited gave way to others, or to the stop. */
+    /** A queued run was evicted, by more important ones or by the stop. */
     record Drop(String task) implements Decision {}
 
-    /** What runs are given in amounts. */
+    /** A resource that runs request in amounts. */
     enum Resource {
         /** Nanoseconds of processor time. */
         CPU,
--- a/background/src/main/java/ashlink/background/plan/Planner.java
+++ b/background/src/main/java/ashlink/background/plan/Planner.java
@@ -2,398 +2,267 @@
 
 import ashlink.background.plan.Decision.Abandon;
 import ashlink.background.plan.Decision.Drop;
-import ashlink.background.plan.Decision.Grant;
 import ashlink.background.plan.Decision.Interrupt;
 import ashlink.background.plan.Decision.Resource;
 import ashlink.background.plan.Decision.Start;
 import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.EnumMap;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.SplittableRandom;
 
 /**
- * Decides what background work runs. Told what happens and when, it answers with decisions; the
- * same story gives the same decisions.
+ * Decides what background work runs. Takes events with their times and answers with decisions; the
+ * same events with the same seed give the same decisions.
  *
- * <p>Order: each waiting run has a turn, the time at which it came due and the slack of its
- * priority together; the earliest turn goes first. So a run waits only for those with earlier
- * turns, and no stream of later ones can starve it. A task has one run at most, waiting or under
- * way: what it missed meanwhile is one run, not many.
+ * <p>Order: the waiting run with the earliest deadline goes first, which is its due time plus the
+ * slack of its priority. So a run waits only for those with earlier deadlines, and no stream of
+ * later ones can starve it. A task has one run at most, queued or in progress: periods that passed
+ * meanwhile make one run, not many.
+ *
+ * <p>Not thread-safe. Times are readings of one clock in nanoseconds; a clock that goes back counts
+ * as one that stands still.
  */
 public final class Planner {
 
-    /** Pressure from which on {@link Priority#LOW} is not started until it is late. */
-    private static final double PRESSED = 0.5;
-
-    private static final int MOST_DOUBLINGS = 6;
-
-    /** Longest rest of a task that fails: an hour, or its own time where that is longer. */
-    private static final long LONGEST_REST_NS = 3_600_000_000_000L;
-
-    private static final class Task {
-        final TaskSpec spec;
-        long dueNs;
-        int fails;
-        long missed;
-        boolean cancelled;
-        boolean atStopDue;
-        Run run;
-
-        Task(TaskSpec spec, long dueNs) {
-            this.spec = spec;
-            this.dueNs = dueNs;
-        }
-
-        long turnNs() {
-            return dueNs + spec.priority().slackNs();
-        }
-    }
-
-    private static final class Run {
-        final long id;
-        final Task task;
-        final long startNs;
-        final boolean last;
-        final Map<Resource, Double> asks = new EnumMap<>(Resource.class);
-        long interruptedNs = -1;
-        boolean abandoned;
-
-        Run(long id, Task task, long startNs, boolean last) {
-            this.last = last;
-            this.id = id;
-            this.task = task;
-            this.startNs = startNs;
-        }
-    }
-
-    private static final Comparator<Task> BY_TURN =
-            Comparator.comparingLong(Task::turnNs).thenComparing(t -> t.spec.name());
+    /** Pressure from which on {@link Priority#LOW} is postponed up to its longest delay. */
+    private static final double LOW_PRIORITY_MAX_PRESSURE = 0.5;
 
     private final Limits limits;
-    private final SplittableRandom random;
-    private final Map<Resource, Budget> budgets = new EnumMap<>(Resource.class);
-    private final Map<String, Task> tasks = new LinkedHashMap<>();
-    private final Map<Long, Run> runs = new LinkedHashMap<>();
+    private final RunQueue queue;
+    private final TaskTimer timer;
+    private final ResourceBudgets budgets;
     private double pressure;
-    private long lastRun;
     private long nowNs;
     private boolean stopping;
-    private long stopAtNs;
+    private long stopDeadlineNs;
 
-    /** A planner without tasks; {@code seed} moves their times. */
+    /** A planner without tasks; {@code seed} gives the jitter of their periods. */
     public Planner(Limits limits, long seed) {
         this.limits = limits;
-        this.random = new SplittableRandom(seed);
-        budgets.put(Resource.CPU, new Budget(limits.cpuBurstNs(), limits.cpuShare() * 1e9));
-        budgets.put(Resource.BYTES, new Budget(limits.bytesBurst(), limits.bytesPerSecond()));
+        this.queue = new RunQueue(limits);
+        this.timer = new TaskTimer(seed);
+        this.budgets = new ResourceBudgets(limits);
     }
 
-    private void pass(long now) {
-        nowNs = Math.max(nowNs, now); // a clock that goes back is as one that stands
+    private void advance(long now) {
+        nowNs = Math.max(nowNs, now);
     }
 
-    // ---- What happens
+    // ---- Events
     /**
-     * There is a task; false where it is known already, all stops, or it would have to give way at
-     * once.
+     * Adds a task; a less important one may be evicted for it.
+     *
+     * @return false if the name is in use, the planner stops, or the queue is full of tasks that
+     *     are as important
      */
-    public boolean add(TaskSpec spec, long now, List<Decision> out) {
-        pass(now);
-        if (stopping || tasks.containsKey(spec.name())) {
+    public boolean add(TaskSpec spec, long now, List<Decision> decisions) {
+        advance(now);
+        if (stopping || queue.contains(spec.name())) {
             return false;
         }
-        Task t = new Task(spec, spec.everyNs() == 0 ? nowNs : nowNs + moved(spec));
-        if (spec.everyNs() == 0 && waiting() >= limits.mostWaiting()) {
-            Task least =
-                    tasks.values().stream()
-                            .filter(x -> x.run == null && x.spec.everyNs() == 0)
-                            .max(
-                                    Comparator.comparing((Task x) -> x.spec.priority())
-                                            .thenComparing(BY_TURN))
-                            .orElse(null);
-            if (least == null || least.spec.priority().compareTo(spec.priority()) <= 0) {
+        BackgroundTask task = new BackgroundTask(spec, timer.firstDueNs(spec, nowNs));
+        if (spec.isOneTime() && waiting() >= limits.maxQueued()) {
+            BackgroundTask evicted = queue.evictionCandidate(spec.priority());
+            if (evicted == null) {
                 return false;
             }
-            tasks.remove(least.spec.name());
-            out.add(new Drop(least.spec.name()));
+            queue.remove(evicted);
+            decisions.add(new Drop(evicted.spec.name()));
         }
-        tasks.put(spec.name(), t);
+        queue.add(task);
         return true;
     }
 
-    /** Nobody wants a task any more: it is forgotten, and its run interrupted. */
-    public void cancel(String task, long now, List<Decision> out) {
-        pass(now);
-        Task t = tasks.get(task);
-        if (t != null) {
-            t.cancelled = true;
-            if (t.run == null) {
-                tasks.remove(task);
-            } else {
-                interrupt(t.run, out);
-            }
+    /** Removes a task and interrupts its run; an unknown name is ignored. */
+    public void cancel(String name, long now, List<Decision> decisions) {
+        advance(now);
+        BackgroundTask task = queue.task(name);
+        if (task == null) {
+            return;
+        }
+        task.cancelled = true;
+        if (task.run == null) {
+            queue.remove(task);
+        } else {
+            interrupt(task.run, decisions);
         }
     }
 
-    /** How hard service is pressed, from 0 to 1: both rates shrink to what the limits leave. */
-    public void pressure(double of, long now) {
-        pass(now);
-        pressure = Math.max(0, Math.min(1, of));
-        double share = Math.max(limits.leastShare(), 1 - pressure);
-        budgets.values().forEach(budget -> budget.share(share, nowNs));
+    /** Sets the pressure on the service, from 0 to 1: it lowers the rates of all resources. */
+    public void pressure(double current, long now) {
+        advance(now);
+        pressure = Math.max(0, Math.min(1, current));
+        budgets.setPressure(pressure, nowNs);
     }
 
     /**
-     * A run wants so much before it goes on; asked for more than is ever given at once, it gets
-     * that.
+     * A run requests an amount before it goes on. A request over the largest amount that is granted
+     * at once is granted that amount.
      */
-    public void ask(long run, Resource resource, double amount, long now) {
-        pass(now);
-        Run r = runs.get(run);
-        if (r != null) {
-            r.asks.put(resource, Math.min(amount, budgets.get(resource).most()));
+    public void request(long run, Resource resource, double amount, long now) {
+        advance(now);
+        TaskRun requester = queue.run(run);
+        if (requester != null) {
+            budgets.request(requester, resource, amount);
         }
     }
 
-    /** A run has used so much without asking. */
+    /** A run has used an amount without a request. */
     public void charge(Resource resource, double amount, long now) {
-        pass(now);
-        budgets.get(resource).charge(amount, nowNs);
+        advance(now);
+        budgets.charge(resource, amount, nowNs);
     }
 
-    /** A run ended; {@code well} false where it threw. */
-    public void ended(long run, boolean well, long now) {
-        pass(now);
-        Run r = runs.remove(run);
-        if (r == null) {
-            return;
-        }
-        Task task = r.task;
-        task.run = null;
-        if (task.spec.everyNs() == 0
-                || task.cancelled
-                || stopping && (r.last || !task.spec.atStop())) {
-            tasks.remove(task.spec.name(), task);
+    /** A run ended; {@code succeeded} is false if it threw. */
+    public void ended(long run, boolean succeeded, long now) {
+        advance(now);
+        TaskRun ended = queue.removeRun(run);
+        if (ended == null) {
             return;
         }
-        if (stopping) {
-            task.atStopDue = true; // what came up since it began is for one more run
+        BackgroundTask task = ended.task;
+        boolean lastOfStop = stopping && (ended.isFinal || !task.spec.finalRun());
+        if (task.spec.isOneTime() || task.cancelled || lastOfStop) {
+            queue.remove(task);
+        } else if (stopping) {
+            // The run began before the stop: work that arrived since then needs a final one.
+            task.finalRunPending = true;
             task.dueNs = nowNs;
-            return;
-        }
-        task.fails = well && r.interruptedNs < 0 ? 0 : task.fails + 1;
-        if (task.fails > 0) {
-            long rest = task.spec.everyNs() << Math.min(task.fails, MOST_DOUBLINGS);
-            task.dueNs = nowNs + Math.max(task.spec.everyNs(), Math.min(rest, LONGEST_REST_NS));
         } else {
-            long next = task.dueNs + moved(task.spec);
-            if (next <= nowNs) {
-                task.missed += (nowNs - task.dueNs) / task.spec.everyNs();
-                next = nowNs + moved(task.spec);
-            }
-            task.dueNs = next;
+            timer.reschedule(task, succeeded && !ended.isInterrupted(), nowNs);
         }
     }
 
-    /** All ends: nothing more starts but last runs, and what runs has that long. */
-    public void stop(long now, long limitNs, List<Decision> out) {
-        pass(now);
+    /** Stops: only final runs start from here on, and all runs are interrupted at the limit. */
+    public void stop(long now, long limitNs, List<Decision> decisions) {
+        advance(now);
         if (stopping) {
             return;
         }
         stopping = true;
-        stopAtNs = nowNs + limitNs;
-        for (Task task : new ArrayList<>(tasks.values())) {
-            if (task.run == null && !task.spec.atStop()) {
-                tasks.remove(task.spec.name());
-                out.add(new Drop(task.spec.name()));
+        stopDeadlineNs = nowNs + limitNs;
+        for (BackgroundTask task : new ArrayList<>(queue.tasks())) {
+            if (task.run == null && !task.spec.finalRun()) {
+                queue.remove(task);
+                decisions.add(new Drop(task.spec.name()));
             } else if (task.run == null) {
                 task.dueNs = Math.min(task.dueNs, nowNs);
-                task.atStopDue = true;
+                task.finalRunPending = true;
             }
         }
     }
 
-    /** True once all has stopped, but for runs that were given up. */
-    public boolean isStopped() {
-        return stopping
-                && runs.values().stream().allMatch(run -> run.abandoned)
-                && tasks.values().stream().noneMatch(this::mayLast);
-    }
-
-    private boolean mayLast(Task task) {
-        return task.run == null && task.atStopDue && nowNs < stopAtNs;
-    }
-
     // ---- Decisions
-    /** All that is to be done now. */
+    /** All decisions that are due now. */
     public List<Decision> decide(long now) {
-        pass(now);
-        List<Decision> out = new ArrayList<>();
-        overtime(out);
-        grant(out);
-        start(out);
-        return out;
+        advance(now);
+        List<Decision> decisions = new ArrayList<>();
+        interruptOverdue(decisions);
+        budgets.grant(queue.runs(), nowNs, decisions);
+        startDue(decisions);
+        return decisions;
     }
 
-    private void overtime(List<Decision> out) {
-        for (Run run : runs.values()) {
-            boolean late =
-                    nowNs - run.startNs >= run.task.spec.runNs() || stopping && nowNs >= stopAtNs;
-            if (late && run.interruptedNs < 0) {
-                interrupt(run, out);
+    private void interruptOverdue(List<Decision> decisions) {
+        for (TaskRun run : queue.runs()) {
+            boolean timeIsUp =
+                    nowNs - run.startNs >= run.task.spec.maxRunNs()
+                            || stopping && nowNs >= stopDeadlineNs;
+            if (timeIsUp) {
+                interrupt(run, decisions);
             }
-            if (run.interruptedNs >= 0
+            if (run.isInterrupted()
                     && !run.abandoned
-                    && nowNs - run.interruptedNs >= limits.graceNs()) {
-                run.abandoned = true;
-                run.asks.clear();
-                out.add(new Abandon(run.id));
+                    && nowNs - run.interruptedNs() >= limits.graceNs()) {
+                run.abandon();
+                decisions.add(new Abandon(run.id));
             }
         }
     }
 
-    private void interrupt(Run run, List<Decision> out) {
-        if (run.interruptedNs < 0) {
-            run.interruptedNs = nowNs;
-            run.asks.clear();
-            out.add(new Interrupt(run.id));
-        }
+    private long interruptNs(TaskRun run) {
+        return stopping ? Math.min(stopDeadlineNs, run.limitNs()) : run.limitNs();
     }
 
-    /**
-     * In order of turns, and nobody goes past one that waits: a large amount is not starved by
-     * small ones.
-     */
-    private void grant(List<Decision> out) {
-        for (Resource resource : Resource.values()) {
-            for (Run run : asking(resource)) {
-                double amount = run.asks.get(resource);
-                if (!budgets.get(resource).take(amount, nowNs)) {
-                    break;
-                }
-                run.asks.remove(resource);
-                out.add(new Grant(run.id, resource, amount));
-            }
+    private void interrupt(TaskRun run, List<Decision> decisions) {
+        if (!run.isInterrupted()) {
+            run.interrupt(nowNs);
+            decisions.add(new Interrupt(run.id));
         }
     }
 
-    private List<Run> asking(Resource resource) {
-        return runs.values().stream()
-                .filter(run -> run.asks.containsKey(resource))
-                .sorted(Comparator.comparing((Run run) -> run.task, BY_TURN))
-                .toList();
-    }
-
-    private void start(List<Decision> out) {
-        List<Task> due =
-                new ArrayList<>(
-                        tasks.values().stream().filter(this::mayStart).sorted(BY_TURN).toList());
-        for (Task task : due) {
-            if (!hasPlace(task.spec.priority())) {
-                if (task.spec.priority() == Priority.HIGH) {
-                    return;
-                }
-                continue; // the last place is still there for those of high priority
+    private void startDue(List<Decision> decisions) {
+        for (BackgroundTask task : queue.inOrder(this::mayStart)) {
+            if (queue.hasSlot(task.spec.priority())) {
+                TaskRun run = queue.start(task, nowNs, stopping);
+                decisions.add(new Start(run.id, task.spec.name()));
+            } else if (task.spec.priority() == Priority.HIGH) {
+                return; // without a slot for high priority there is none for others
             }
-            task.run = new Run(++lastRun, task, nowNs, stopping);
-            runs.put(task.run.id, task.run);
-            task.atStopDue = false;
-            out.add(new Start(task.run.id, task.spec.name()));
         }
     }
 
-    private boolean mayStart(Task task) {
-        if (task.run != null || task.dueNs > nowNs || stopping && !mayLast(task)) {
+    private boolean mayStart(BackgroundTask task) {
+        if (task.run != null || task.dueNs > nowNs || stopping && !mayRunFinally(task)) {
             return false;
         }
-        return stopping
-                || task.spec.priority() != Priority.LOW
-                || pressure < PRESSED
-                || nowNs - task.dueNs >= task.spec.latestNs();
+        return !isPostponed(task) || nowNs - task.dueNs >= task.spec.maxDelayNs();
+    }
+
+    private boolean isPostponed(BackgroundTask task) {
+        return !stopping
+                && task.spec.priority() == Priority.LOW
+                && pressure >= LOW_PRIORITY_MAX_PRESSURE;
     }
 
-    private boolean hasPlace(Priority priority) {
-        long taken = runs.values().stream().filter(run -> !run.abandoned).count();
-        long plain =
-                runs.values().stream()
-                        .filter(run -> !run.abandoned && run.task.spec.priority() != Priority.HIGH)
-                        .count();
-        return taken < limits.runsAtOnce()
-                && (priority == Priority.HIGH
-                        || limits.runsAtOnce() == 1
-                        || plain < limits.runsAtOnce() - 1);
+    private boolean mayRunFinally(BackgroundTask task) {
+        return task.run == null && task.finalRunPending && nowNs < stopDeadlineNs;
     }
 
+    // ---- State
     /**
-     * Time from now until something may have to be decided though nothing happens; at most {@code
-     * mostNs}.
+     * Time in nanoseconds until a decision may be due without a further event; at most {@code
+     * maxWaitNs}.
      */
-    public long waitNs(long now, long mostNs) {
-        pass(now);
-        long at = nowNs + mostNs;
-        for (Task task : tasks.values()) {
+    public long waitNs(long now, long maxWaitNs) {
+        advance(now);
+        long nextNs = Math.min(nowNs + maxWaitNs, budgets.nextGrantNs(queue.runs(), nowNs));
+        for (BackgroundTask task : queue.tasks()) {
             if (task.run == null
-                    && hasPlace(task.spec.priority())
-                    && (!stopping || mayLast(task))) {
-                boolean held =
-                        task.spec.priority() == Priority.LOW && pressure >= PRESSED && !stopping;
-                at = Math.min(at, task.dueNs + (held ? task.spec.latestNs() : 0));
-            }
-        }
-        for (Run run : runs.values()) {
-            if (!run.abandoned) {
-                at =
-                        Math.min(
-                                at,
-                                run.interruptedNs >= 0
-                                        ? run.interruptedNs + limits.graceNs()
-                                        : stopping
-                                                ? Math.min(
-                                                        stopAtNs,
-                                                        run.startNs + run.task.spec.runNs())
-                                                : run.startNs + run.task.spec.runNs());
+                    && queue.hasSlot(task.spec.priority())
+                    && (!stopping || mayRunFinally(task))) {
+                long postponedNs = isPostponed(task) ? task.spec.maxDelayNs() : 0;
+                nextNs = Math.min(nextNs, task.dueNs + postponedNs);
             }
         }
-        for (Resource resource : Resource.values()) {
-            List<Run> asking = asking(resource);
-            if (!asking.isEmpty()) {
-                at =
-                        Math.min(
-                                at,
-                                nowNs
-                                        + budgets.get(resource)
-                                                .waitNs(asking.get(0).asks.get(resource), nowNs));
+        for (TaskRun run : queue.runs()) {
+            if (run.isInterrupted() && !run.abandoned) {
+                nextNs = Math.min(nextNs, run.interruptedNs() + limits.graceNs());
+            } else if (!run.abandoned) {
+                nextNs = Math.min(nextNs, interruptNs(run));
             }
         }
-        return Math.max(0, at - nowNs);
+        return Math.max(0, nextNs - nowNs);
     }
 
-    private long moved(TaskSpec spec) {
-        double by = spec.jitter() == 0 ? 0 : spec.jitter() * (2 * random.nextDouble() - 1);
-        return Math.max(1, Math.round(spec.everyNs() * (1 + by)));
+    /** True once all runs have ended or were abandoned after a stop. */
+    public boolean isStopped() {
+        return stopping
+                && queue.running() == 0
+                && queue.tasks().stream().noneMatch(this::mayRunFinally);
     }
 
-    // ---- What is
     /** Runs that are due and wait. */
     public int waiting() {
-        return (int)
-                tasks.values().stream()
-                        .filter(task -> task.run == null && task.dueNs <= nowNs)
-                        .count();
+        return queue.queued(nowNs);
     }
 
-    /** Runs under way that were not given up. */
+    /** Runs in progress that were not abandoned. */
     public int running() {
-        return (int) runs.values().stream().filter(run -> !run.abandoned).count();
+        return queue.running();
     }
 
-    /** Runs that a repeated task would have had and did not, as it was late. */
+    /** Periods that passed without a run of that task, as a run was late; 0 for an unknown task. */
     public long missed(String task) {
-        Task t = tasks.get(task);
-        return t == null ? 0 : t.missed;
+        BackgroundTask known = queue.task(task);
+        return known == null ? 0 : known.missedRuns;
     }
 }
--- a/background/src/main/java/ashlink/background/plan/Priority.java
+++ b/background/src/main/java/ashlink/background/plan/Priority.java
@@ -1,12 +1,12 @@
 package ashlink.background.plan;
 
-/** How long after its time a run may be passed over by runs that came due later. */
+/** Priority of a task: how long after its due time later runs may overtake it. */
 public enum Priority {
-    /** Upkeep on which service leans: expiry, the list. */
+    /** Upkeep that the service depends on, such as expiry and the endpoint list. */
     HIGH(0),
-    /** Upkeep that can wait a little: journals, retention. */
+    /** Upkeep that can wait a little, such as journals and retention. */
     NORMAL(2_000_000_000L),
-    /** Work for people: reports. Not started under pressure, until it is late. */
+    /** Work for people, such as reports; under pressure postponed up to its longest delay. */
     LOW(20_000_000_000L);
 
     private final long slackNs;
@@ -15,7 +15,7 @@
         this.slackNs = slackNs;
     }
 
-    /** That time, in nanoseconds. */
+    /** Time from the due time to the deadline by which runs are ordered, in nanoseconds. */
     public long slackNs() {
         return slackNs;
     }
--- /dev/null
+++ b/background/src/main/java/ashlink/background/plan/ResourceBudgets.java
@@ -0,0 +1,80 @@
+package ashlink.background.plan;
+
+import ashlink.background.plan.Decision.Grant;
+import ashlink.background.plan.Decision.Resource;
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.EnumMap;
+import java.util.List;
+import java.util.Map;
+
+/** Grants processor time and disk traffic to runs, from one token bucket for each resource. */
+final class ResourceBudgets {
+
+    private static final double NANOS_PER_SECOND = 1e9;
+
+    private final Map<Resource, Budget> buckets = new EnumMap<>(Resource.class);
+    private final double minRateFraction;
+
+    ResourceBudgets(Limits limits) {
+        minRateFraction = limits.minRateFraction();
+        buckets.put(
+                Resource.CPU,
+                new Budget(limits.cpuBurstNs(), limits.cpuCores() * NANOS_PER_SECOND));
+        buckets.put(Resource.BYTES, new Budget(limits.burstBytes(), limits.bytesPerSecond()));
+    }
+
+    /** Lowers all rates by the pressure on the service, from 0 to 1. */
+    void setPressure(double pressure, long nowNs) {
+        double rateFraction = Math.max(minRateFraction, 1 - pressure);
+        buckets.values().forEach(bucket -> bucket.setRateFraction(rateFraction, nowNs));
+    }
+
+    /** Records a request; one over the capacity is cut to the capacity. */
+    void request(TaskRun run, Resource resource, double amount) {
+        run.requests.put(resource, Math.min(amount, buckets.get(resource).capacity()));
+    }
+
+    void charge(Resource resource, double amount, long nowNs) {
+        buckets.get(resource).charge(amount, nowNs);
+    }
+
+    /**
+     * Grants in order of deadlines. None overtakes a request that waits, so that small requests
+     * cannot starve a large one.
+     */
+    void grant(Collection<TaskRun> runs, long nowNs, List<Decision> decisions) {
+        for (Resource resource : Resource.values()) {
+            for (TaskRun run : requesting(runs, resource)) {
+                double amount = run.requests.get(resource);
+                if (!buckets.get(resource).take(amount, nowNs)) {
+                    break;
+                }
+                run.requests.remove(resource);
+                decisions.add(new Grant(run.id, resource, amount));
+            }
+        }
+    }
+
+    /**
+     * The earliest time at which a request may be granted; {@code Long.MAX_VALUE} if none waits.
+     */
+    long nextGrantNs(Collection<TaskRun> runs, long nowNs) {
+        long nextNs = Long.MAX_VALUE;
+        for (Resource resource : Resource.values()) {
+            List<TaskRun> requesting = requesting(runs, resource);
+            if (!requesting.isEmpty()) {
+                double amount = requesting.get(0).requests.get(resource);
+                nextNs = Math.min(nextNs, nowNs + buckets.get(resource).waitNs(amount, nowNs));
+            }
+        }
+        return nextNs;
+    }
+
+    private static List<TaskRun> requesting(Collection<TaskRun> runs, Resource resource) {
+        return runs.stream()
+                .filter(run -> run.requests.containsKey(resource))
+                .sorted(Comparator.comparing((TaskRun run) -> run.task, BackgroundTask.BY_DEADLINE))
+                .toList();
+    }
+}
--- /dev/null
+++ b/background/src/main/java/ashlink/background/plan/RunQueue.java
@@ -0,0 +1,125 @@
+package ashlink.background.plan;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Predicate;
+
+/**
+ * The tasks of a planner, those that wait in order of their deadlines, and the runs that take the
+ * slots. Abandoned runs take none.
+ */
+final class RunQueue {
+
+    private final Limits limits;
+    private final Map<String, BackgroundTask> tasks = new LinkedHashMap<>();
+    private final Map<Long, TaskRun> runs = new LinkedHashMap<>();
+    private long lastRunId;
+
+    RunQueue(Limits limits) {
+        this.limits = limits;
+    }
+
+    boolean contains(String task) {
+        return tasks.containsKey(task);
+    }
+
+    /** The task of that name, or null. */
+    BackgroundTask task(String name) {
+        return tasks.get(name);
+    }
+
+    Collection<BackgroundTask> tasks() {
+        return tasks.values();
+    }
+
+    void add(BackgroundTask task) {
+        tasks.put(task.spec.name(), task);
+    }
+
+    void remove(BackgroundTask task) {
+        tasks.remove(task.spec.name(), task);
+    }
+
+    /** The run of that id, or null. */
+    TaskRun run(long id) {
+        return runs.get(id);
+    }
+
+    Collection<TaskRun> runs() {
+        return runs.values();
+    }
+
+    /** Starts a run of a task that has none. */
+    TaskRun start(BackgroundTask task, long nowNs, boolean isFinal) {
+        TaskRun run = new TaskRun(++lastRunId, task, nowNs, isFinal);
+        task.run = run;
+        task.finalRunPending = false;
+        runs.put(run.id, run);
+        return run;
+    }
+
+    /** Removes a run and detaches it from its task; null if it is unknown. */
+    TaskRun removeRun(long id) {
+        TaskRun run = runs.remove(id);
+        if (run != null) {
+            run.task.run = null;
+        }
+        return run;
+    }
+
+    /** Tasks that are due and wait. */
+    int queued(long nowNs) {
+        return (int)
+                tasks.values().stream()
+                        .filter(task -> task.run == null && task.dueNs <= nowNs)
+                        .count();
+    }
+
+    /** Runs in progress, without those abandoned. */
+    int running() {
+        return (int) runs.values().stream().filter(run -> !run.abandoned).count();
+    }
+
+    /** The tasks that qualify, earliest deadline first; a copy. */
+    List<BackgroundTask> inOrder(Predicate<BackgroundTask> qualifies) {
+        return new ArrayList<>(
+                tasks.values().stream()
+                        .filter(qualifies)
+                        .sorted(BackgroundTask.BY_DEADLINE)
+                        .toList());
+    }
+
+    /**
+     * The waiting one-time task to evict for a new one: of the lowest priority, the one with the
+     * latest deadline. Null if none is less important than the new one.
+     */
+    BackgroundTask evictionCandidate(Priority newcomer) {
+        return tasks.values().stream()
+                .filter(task -> task.run == null && task.spec.isOneTime())
+                .max(
+                        Comparator.comparing((BackgroundTask task) -> task.spec.priority())
+                                .thenComparing(BackgroundTask.BY_DEADLINE))
+                .filter(task -> task.spec.priority().compareTo(newcomer) > 0)
+                .orElse(null);
+    }
+
+    /** True if a run of that priority may take a slot; the last of several is for high priority. */
+    boolean hasSlot(Priority priority) {
+        int maxRuns = limits.maxConcurrentRuns();
+        if (running() >= maxRuns) {
+            return false;
+        }
+        if (priority == Priority.HIGH || maxRuns == 1) {
+            return true;
+        }
+        long belowHigh =
+                runs.values().stream()
+                        .filter(run -> !run.abandoned && run.task.spec.priority() != Priority.HIGH)
+                        .count();
+        return belowHigh < maxRuns - 1;
+    }
+}
--- a/background/src/main/java/ashlink/background/plan/TaskSpec.java
+++ b/background/src/main/java/ashlink/background/plan/TaskSpec.java
@@ -1,58 +1,77 @@
 package ashlink.background.plan;
 
 /**
- * A kind of background work.
+ * Specification of a background task.
  *
- * @param name unique in a planner
- * @param everyNs time between runs; 0 for work that runs once
- * @param jitter share of {@code everyNs} by which each time is moved at random, from 0 to 0.5
- * @param latestNs how late a run may start before it goes ahead under pressure too
- * @param runNs longest run; one that takes longer is interrupted
- * @param atStop true where a last run is wanted when all stops
+ * @param name unique in a planner, not empty
+ * @param priority order among due runs
+ * @param periodNs time between runs in nanoseconds; 0 for a task that runs once
+ * @param jitter fraction of the period by which each due time is moved at random, from 0 to 0.5
+ * @param maxDelayNs how long after its due time a run starts even under pressure, in nanoseconds
+ * @param maxRunNs longest run in nanoseconds; a longer one is interrupted
+ * @param finalRun true if the task runs once more when the scheduler stops
  */
 public record TaskSpec(
         String name,
         Priority priority,
-        long everyNs,
+        long periodNs,
         double jitter,
-        long latestNs,
-        long runNs,
-        boolean atStop) {
+        long maxDelayNs,
+        long maxRunNs,
+        boolean finalRun) {
 
-    /** Checks the ranges. */
+    private static final double DEFAULT_JITTER = 0.1;
+    private static final int DEFAULT_MAX_DELAY_PERIODS = 4;
+
+    /**
+     * Checks the ranges.
+     *
+     * @throws IllegalArgumentException if a value is out of its range
+     */
     public TaskSpec {
         if (name.isEmpty()
-                || everyNs < 0
+                || periodNs < 0
                 || !(jitter >= 0 && jitter <= 0.5)
-                || latestNs < 0
-                || runNs <= 0) {
+                || maxDelayNs < 0
+                || maxRunNs <= 0) {
             throw new IllegalArgumentException(
-                    "a task "
+                    "background task "
                             + name
-                            + " every "
-                            + everyNs
-                            + " ns, jitter "
+                            + ": periodNs="
+                            + periodNs
+                            + " jitter="
                             + jitter
-                            + ", latest "
-                            + latestNs
-                            + " ns, run "
-                            + runNs
-                            + " ns");
+                            + " maxDelayNs="
+                            + maxDelayNs
+                            + " maxRunNs="
+                            + maxRunNs);
         }
     }
 
-    /** Work that is repeated, with a tenth of jitter. */
-    public static TaskSpec every(String name, Priority priority, long everyNs, long runNs) {
-        return new TaskSpec(name, priority, everyNs, 0.1, 4 * everyNs, runNs, false);
+    /** A periodic task, with a jitter of a tenth. */
+    public static TaskSpec every(String name, Priority priority, long periodNs, long maxRunNs) {
+        return new TaskSpec(
+                name,
+                priority,
+                periodNs,
+                DEFAULT_JITTER,
+                DEFAULT_MAX_DELAY_PERIODS * periodNs,
+                maxRunNs,
+                false);
     }
 
-    /** Work that runs once, as soon as it may. */
-    public static TaskSpec once(String name, Priority priority, long latestNs, long runNs) {
-        return new TaskSpec(name, priority, 0, 0, latestNs, runNs, false);
+    /** A task that is due at once and runs once. */
+    public static TaskSpec once(String name, Priority priority, long maxDelayNs, long maxRunNs) {
+        return new TaskSpec(name, priority, 0, 0, maxDelayNs, maxRunNs, false);
     }
 
-    /** The same with a last run when all stops. */
+    /** The same task with a final run when the scheduler stops. */
     public TaskSpec alsoAtStop() {
-        return new TaskSpec(name, priority, everyNs, jitter, latestNs, runNs, true);
+        return new TaskSpec(name, priority, periodNs, jitter, maxDelayNs, maxRunNs, true);
+    }
+
+    /** True if the task runs once only. */
+    boolean isOneTime() {
+        return periodNs == 0;
     }
 }
--- /dev/null
+++ b/background/src/main/java/ashlink/background/plan/TaskTimer.java
@@ -0,0 +1,49 @@
+package ashlink.background.plan;
+
+import java.util.SplittableRandom;
+
+/** Decides when a periodic task is due again: jittered periods, and a backoff after failures. */
+final class TaskTimer {
+
+    private static final int MAX_BACKOFF_DOUBLINGS = 6;
+
+    /** Longest backoff: an hour, or the task's own period if that is longer. */
+    private static final long MAX_BACKOFF_NS = 3_600_000_000_000L;
+
+    private final SplittableRandom random;
+
+    TaskTimer(long seed) {
+        this.random = new SplittableRandom(seed);
+    }
+
+    /** When a task that is added now is first due. */
+    long firstDueNs(TaskSpec spec, long nowNs) {
+        return spec.isOneTime() ? nowNs : nowNs + jitteredPeriodNs(spec);
+    }
+
+    /** Sets the next due time of a periodic task whose run ended now. */
+    void reschedule(BackgroundTask task, boolean succeeded, long nowNs) {
+        task.consecutiveFailures = succeeded ? 0 : task.consecutiveFailures + 1;
+        if (task.consecutiveFailures > 0) {
+            task.dueNs = nowNs + backoffNs(task);
+            return;
+        }
+        long nextNs = task.dueNs + jitteredPeriodNs(task.spec);
+        if (nextNs <= nowNs) {
+            task.missedRuns += (nowNs - task.dueNs) / task.spec.periodNs();
+            nextNs = nowNs + jitteredPeriodNs(task.spec);
+        }
+        task.dueNs = nextNs;
+    }
+
+    private static long backoffNs(BackgroundTask task) {
+        long periodNs = task.spec.periodNs();
+        long doubledNs = periodNs << Math.min(task.consecutiveFailures, MAX_BACKOFF_DOUBLINGS);
+        return Math.max(periodNs, Math.min(doubledNs, MAX_BACKOFF_NS));
+    }
+
+    private long jitteredPeriodNs(TaskSpec spec) {
+        double offset = spec.jitter() == 0 ? 0 : spec.jitter() * (2 * random.nextDouble() - 1);
+        return Math.max(1, Math.round(spec.periodNs() * (1 + offset)));
+    }
+}
--- a/background/src/main/java/ashlink/background/plan/package-info.java
+++ b/background/src/main/java/ashlink/background/plan/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What background work runs when, and with how much: decided without I/O, clock, thread or unseeded
- * randomness.
+ * The planner of background work: which task runs when, and with how much processor time and disk
+ * traffic. Pure state: no I/O, clock, thread or unseeded randomness.
  */
 package ashlink.background.plan;
--- a/background/src/test/java/ashlink/background/plan/PlannerProperties.java
+++ b/background/src/test/java/ashlink/background/plan/PlannerProperties.java
@@ -14,67 +14,82 @@
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
 
+/** Properties of {@link Planner} over random events. */
 class PlannerProperties {
 
-    private record Given(long atNs, double amount) {}
+    private record Added(String name, Priority priority, long atNs) {}
 
-    /**
-     * Runs that ask, on a clock that stands, jumps and goes back; all grants of bytes with the
-     * greatest time seen.
-     */
-    private static List<Given> story(Limits limits, long seed, int steps) {
-        SplittableRandom random = new SplittableRandom(seed);
-        Planner planner = new Planner(limits, seed);
-        List<Given> given = new ArrayList<>();
-        List<Long> runs = new ArrayList<>();
-        long now = 1L << 40;
-        long greatest = 0; // what the planner takes for the time
-        for (int i = 0; i < steps; i++) {
-            int what = random.nextInt(20);
+    private record Granted(long atNs, double amount) {}
+
+    /** Random runs with requests, on a clock that stands, jumps and goes back. */
+    private static final class Replay {
+
+        private final SplittableRandom random;
+        private final Planner planner;
+        private final List<Granted> grants = new ArrayList<>();
+        private final List<Long> runs = new ArrayList<>();
+        private long now = 1L << 40;
+        private long greatest; // what the planner takes for the time
+
+        Replay(Limits limits, long seed) {
+            random = new SplittableRandom(seed);
+            planner = new Planner(limits, seed);
+        }
+
+        void step(int index) {
+            moveClock();
+            sendEvent(index);
+            for (Decision decision : planner.decide(now)) {
+                if (decision instanceof Start start) {
+                    runs.add(start.run());
+                } else if (decision instanceof Grant grant) {
+                    grants.add(new Granted(greatest, grant.amount()));
+                }
+            }
+        }
+
+        private void moveClock() {
+            int kind = random.nextInt(20);
             now +=
-                    what == 0
+                    kind == 0
                             ? -random.nextLong(1L << 32)
-                            : what == 1 ? random.nextLong(1L << 36) : random.nextLong(1L << 24);
+                            : kind == 1 ? random.nextLong(1L << 36) : random.nextLong(1L << 24);
             greatest = Math.max(greatest, now);
-            List<Decision> out = new ArrayList<>();
+        }
+
+        private void sendEvent(int index) {
             switch (random.nextInt(6)) {
-                case 0 ->
-                        planner.add(
-                                TaskSpec.once(
-                                        "t" + i,
-                                        Priority.values()[random.nextInt(3)],
-                                        1L << 30,
-                                        1L << 40),
-                                now,
-                                out);
+                case 0 -> addTask(index);
                 case 1 -> planner.pressure(random.nextDouble(), now);
                 case 2 -> {
                     if (!runs.isEmpty() && random.nextInt(4) == 0) {
-                        planner.ended(
-                                runs.remove(random.nextInt(runs.size())),
-                                random.nextBoolean(),
-                                now);
+                        long run = runs.remove(random.nextInt(runs.size()));
+                        planner.ended(run, random.nextBoolean(), now);
                     }
                 }
                 default -> {
                     if (!runs.isEmpty()) {
-                        planner.ask(
-                                runs.get(random.nextInt(runs.size())),
-                                Resource.BYTES,
-                                1 + random.nextInt(200_000),
-                                now);
+                        long run = runs.get(random.nextInt(runs.size()));
+                        planner.request(run, Resource.BYTES, 1 + random.nextInt(200_000), now);
                     }
                 }
             }
-            for (Decision decision : planner.decide(now)) {
-                if (decision instanceof Start start) {
-                    runs.add(start.run());
-                } else if (decision instanceof Grant grant) {
-                    given.add(new Given(greatest, grant.amount()));
-                }
-            }
         }
-        return given;
+
+        private void addTask(int index) {
+            Priority priority = Priority.values()[random.nextInt(3)];
+            TaskSpec spec = TaskSpec.once("t" + index, priority, 1L << 30, 1L << 40);
+            planner.add(spec, now, new ArrayList<>());
+        }
+    }
+
+    /** All grants of bytes, each with the greatest time seen. */
+    private static List<Granted> replay(Limits limits, long seed, int steps) {
+        Replay replay = new Replay(limits, seed);
+        for (int i = 0; i < steps; i++) {
+            replay.step(i);
+        }
+        return replay.grants;
     }
 
     @Property(tries = 200, seed = "42")
@@ -83,25 +98,25 @@
             @ForAll @DoubleRange(min = 1e3, max = 1e7) double rate,
             @ForAll @DoubleRange(min = 1e3, max = 1e6) double burst,
             @ForAll @IntRange(min = 1, max = 6) int atOnce) {
-        List<Given> given =
-                story(new Limits(atOnce, 50, 0.25, 20e6, rate, burst, 0.1, 1L << 30), seed, 600);
-        for (int i = 0; i < given.size(); i++) {
+        List<Granted> grants =
+                replay(new Limits(atOnce, 50, 0.25, 20e6, rate, burst, 0.1, 1L << 30), seed, 600);
+        for (int i = 0; i < grants.size(); i++) {
             double sum = 0;
-            for (int j = i; j < given.size(); j++) {
-                sum += given.get(j).amount;
-                double most = burst + rate * (given.get(j).atNs - given.get(i).atNs) / 1e9;
+            for (int j = i; j < grants.size(); j++) {
+                sum += grants.get(j).amount;
+                double maxBytes = burst + rate * (grants.get(j).atNs - grants.get(i).atNs) / 1e9;
                 assertTrue(
-                        sum <= most * (1 + 1e-9),
-                        "given " + sum + " of " + most + " from grant " + i + " to " + j);
+                        sum <= maxBytes * (1 + 1e-9),
+                        "granted " + sum + " of " + maxBytes + " from grant " + i + " to " + j);
             }
         }
     }
 
     @Property(tries = 50, seed = "43")
-    void theSameStoryGivesTheSameDecisions(@ForAll long seed) {
+    void sameEventsGiveSameDecisions(@ForAll long seed) {
         Limits limits = new Limits(3, 50, 0.25, 20e6, 1e6, 1e5, 0.1, 1L << 30);
-        List<Given> once = story(limits, seed, 300);
-        assertEquals(once, story(limits, seed, 300));
+        List<Granted> once = replay(limits, seed, 300);
+        assertEquals(once, replay(limits, seed, 300));
     }
 
     @Property(tries = 100, seed = "44")
@@ -111,35 +126,36 @@
         PlannerTest.Sim sim =
                 new PlannerTest.Sim(
                         new Limits(atOnce, 10_000, 0.25, 20e6, 1e6, 1e5, 0.1, PlannerTest.S));
-        record Asked(String name, Priority priority, long atNs) {}
-        List<Asked> asked = new ArrayList<>();
+        List<Added> additions = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
-            Priority p = Priority.values()[random.nextInt(3)];
-            asked.add(new Asked("t" + i, p, sim.now));
+            Priority priority = Priority.values()[random.nextInt(3)];
+            additions.add(new Added("t" + i, priority, sim.now));
             sim.add(
-                    TaskSpec.once("t" + i, p, 1L << 40, PlannerTest.S),
+                    TaskSpec.once("t" + i, priority, 1L << 40, PlannerTest.S),
                     1 + random.nextLong(20 * PlannerTest.MS));
             sim.until(sim.now + 1 + random.nextLong(10 * PlannerTest.MS));
         }
         sim.until(sim.now + 30 * PlannerTest.S);
-        for (Asked a : asked) {
-            long start = sim.startsOf(a.name).get(0);
+        for (Added added : additions) {
+            long start = sim.startsOf(added.name).get(0);
             long ahead =
-                    asked.stream()
+                    additions.stream()
                             .filter(
-                                    b ->
-                                            b.atNs + b.priority.slackNs()
-                                                    <= a.atNs + a.priority.slackNs())
+                                    other ->
+                                            other.atNs + other.priority.slackNs()
+                                                    <= added.atNs + added.priority.slackNs())
                             .count();
-            long bound = a.atNs + ahead * 20 * PlannerTest.MS + 21 * PlannerTest.MS;
+            long bound = added.atNs + ahead * 20 * PlannerTest.MS + 21 * PlannerTest.MS;
             assertTrue(
                     start
                             <= Math.max(
                                     bound,
-                                    a.atNs + a.priority.slackNs() + 21 * PlannerTest.MS * ahead),
-                    a
+                                    added.atNs
+                                            + added.priority.slackNs()
+                                            + 21 * PlannerTest.MS * ahead),
+                    added
                             + " started after "
-                            + (start - a.atNs) / 1e6
+                            + (start - added.atNs) / 1e6
                             + " ms with "
                             + ahead
                             + " ahead");
--- a/background/src/test/java/ashlink/background/plan/PlannerTest.java
+++ b/background/src/test/java/ashlink/background/plan/PlannerTest.java
@@ -17,6 +17,7 @@
 import java.util.PriorityQueue;
 import org.junit.jupiter.api.Test;
 
+/** Order, budgets, backoff and stop of {@link Planner}, on a simulated clock. */
 class PlannerTest {
 
     static final long MS = 1_000_000L;
@@ -24,17 +25,18 @@
 
     /** A planner whose runs take a given time, and what it decided when. */
     static final class Sim {
-        record Done(long run, long atNs) {}
+        /** The end of a run. */
+        record RunEnd(long run, long atNs) {}
 
         final Planner planner;
         final Map<String, Long> takes = new HashMap<>();
         final Map<Long, String> started = new HashMap<>();
         final List<String> log = new ArrayList<>();
         final Map<String, List<Long>> starts = new HashMap<>();
-        final PriorityQueue<Done> ends =
-                new PriorityQueue<>(java.util.Comparator.comparingLong(Done::atNs));
+        final PriorityQueue<RunEnd> ends =
+                new PriorityQueue<>(java.util.Comparator.comparingLong(RunEnd::atNs));
         long now = 1_000 * S;
-        int most;
+        int maxRunning;
 
         Sim(Limits limits) {
             planner = new Planner(limits, 5);
@@ -43,9 +45,9 @@
         boolean add(TaskSpec spec, long takesNs) {
             takes.put(spec.name(), takesNs);
             List<Decision> out = new ArrayList<>();
-            boolean taken = planner.add(spec, now, out);
+            boolean added = planner.add(spec, now, out);
             perform(out);
-            return taken;
+            return added;
         }
 
         void perform(List<Decision> decisions) {
@@ -55,7 +57,7 @@
                     starts.computeIfAbsent(start.task(), text -> new ArrayList<>()).add(now);
                     log.add("start " + start.task());
                     if (takes.get(start.task()) >= 0) {
-                        ends.add(new Done(start.run(), now + takes.get(start.task())));
+                        ends.add(new RunEnd(start.run(), now + takes.get(start.task())));
                     }
                 } else if (decision instanceof Drop drop) {
                     log.add("drop " + drop.task());
@@ -65,7 +67,7 @@
                     log.add("abandon " + started.get(abandon.run()));
                 }
             }
-            most = Math.max(most, planner.running());
+            maxRunning = Math.max(maxRunning, planner.running());
         }
 
         void until(long end) {
@@ -89,7 +91,7 @@
     }
 
     @Test
-    void aRepeatedTaskKeepsItsTimeWithinItsJitterAndIsNeverTwoRunsAtOnce() {
+    void aPeriodicTaskStaysWithinItsJitterAndNeverRunsTwiceAtOnce() {
         Sim sim = new Sim(limits(2, 10));
         sim.add(TaskSpec.every("save", Priority.NORMAL, 100 * MS, S), 10 * MS);
         sim.until(sim.now + 10 * S);
@@ -102,11 +104,11 @@
         assertTrue(
                 starts.stream().map(t -> t % (100 * MS)).distinct().count() > 20,
                 "jitter moves them");
-        assertEquals(1, sim.most);
+        assertEquals(1, sim.maxRunning);
     }
 
     @Test
-    void thousandsThatAreDueAtOnceGoInTurnWithinTheirPlaces() {
+    void thousandsDueAtOnceRunByDeadlineWithinTheSlots() {
         Sim sim = new Sim(limits(3, 5_000));
         for (int i = 0; i < 4_000; i++) {
             assertTrue(
@@ -120,7 +122,7 @@
         assertTrue(sim.log.contains("start urgent"), "the last place is for high priority");
         sim.until(sim.now + 5 * S);
         assertEquals(4_001, sim.started.size());
-        assertEquals(3, sim.most);
+        assertEquals(3, sim.maxRunning);
         int lastNormal = sim.log.lastIndexOf("start t3999");
         assertTrue(
                 sim.log.indexOf("start t0") > lastNormal,
@@ -132,10 +134,10 @@
         Sim sim = new Sim(limits(1, 100));
         sim.add(TaskSpec.every("report", Priority.LOW, 30 * S, S), 50 * MS);
         long from = sim.now;
-        int n = 0;
+        int count = 0;
         while (sim.now < from + 120 * S) {
             sim.add(
-                    TaskSpec.once("u" + n++, Priority.HIGH, S, S),
+                    TaskSpec.once("u" + count++, Priority.HIGH, S, S),
                     10 * MS); // more than the one place can run
             sim.until(sim.now + 9 * MS);
         }
@@ -149,7 +151,7 @@
     }
 
     @Test
-    void underOverloadTheLeastImportantGivesWayAndUrgentWorkDoesNot() {
+    void aFullQueueEvictsTheLeastImportant() {
         Sim sim = new Sim(limits(1, 3));
         sim.add(TaskSpec.once("running", Priority.NORMAL, S, S), S);
         sim.until(sim.now + MS);
@@ -168,7 +170,7 @@
     }
 
     @Test
-    void underPressureLowWorkWaitsUntilItIsLateAndBudgetsShrink() {
+    void underPressureLowWorkIsPostponedAndBudgetsShrink() {
         Sim sim = new Sim(limits(2, 10));
         sim.planner.pressure(1, sim.now);
         sim.add(TaskSpec.once("report", Priority.LOW, 5 * S, S), MS);
@@ -176,7 +178,10 @@
         long from = sim.now;
         sim.until(from + 10 * S);
         assertEquals(from, sim.startsOf("save").get(0));
-        assertEquals(from + 5 * S, sim.startsOf("report").get(0), "late, it goes all the same");
+        assertEquals(
+                from + 5 * S,
+                sim.startsOf("report").get(0),
+                "after its longest delay it starts all the same");
         sim.add(TaskSpec.once("copy", Priority.NORMAL, 5 * S, 100 * S), -1);
         sim.until(sim.now + MS);
         long run =
@@ -189,14 +194,14 @@
         assertEquals(2 * S, sim.now - began, 20 * MS, "a tenth of 1 MB a second is left");
     }
 
-    /** Asks until so many bytes were given, and returns when it began. */
+    /** Requests until that many bytes were granted, and returns when it began. */
     private static long grantTime(Sim sim, long run, double bytes) {
         long from = sim.now;
-        double given = 0;
-        while (given < bytes) {
-            sim.planner.ask(run, Resource.BYTES, bytes - given, sim.now);
+        double granted = 0;
+        while (granted < bytes) {
+            sim.planner.request(run, Resource.BYTES, bytes - granted, sim.now);
             for (Decision decision : sim.planner.decide(sim.now)) {
-                given += decision instanceof Grant grant ? grant.amount() : 0;
+                granted += decision instanceof Grant grant ? grant.amount() : 0;
             }
             sim.now += MS;
         }
@@ -204,7 +209,7 @@
     }
 
     @Test
-    void aTaskThatThrowsRestsLongerEachTimeAndOneThatHangsGivesItsPlaceBack() {
+    void aFailingTaskBacksOffExponentiallyAndAHangingOneLosesItsSlot() {
         Sim sim = new Sim(limits(1, 10));
         sim.add(TaskSpec.every("bad", Priority.NORMAL, S, S), -1);
         sim.until(sim.now + 2 * S);
@@ -247,7 +252,7 @@
     }
 
     @Test
-    void aStopGivesLastRunsWaitsAndThenInterrupts() {
+    void aStopStartsFinalRunsWaitsAndThenInterrupts() {
         Sim sim = new Sim(limits(3, 10));
         sim.add(TaskSpec.every("list", Priority.HIGH, 100 * S, S).alsoAtStop(), 10 * MS);
         sim.add(TaskSpec.every("clean", Priority.NORMAL, 100 * S, S), 10 * MS);
@@ -267,7 +272,7 @@
     }
 
     @Test
-    void whatIsCalledOffDoesNotRunAgain() {
+    void aCancelledTaskDoesNotRunAgain() {
         Sim sim = new Sim(limits(2, 10));
         sim.add(TaskSpec.every("save", Priority.NORMAL, 100 * MS, S), 50 * MS);
         sim.until(sim.now + 500 * MS);
