--- a/wire/src/main/java/ashlink/wire/Blocks.java
+++ b/wire/src/main/java/ashlink/wire/Blocks.java
@@ -7,16 +7,16 @@
 import java.util.Map;
 
 /**
- * Reads blocks of one peer: only to their end, or whole where all columns are of plain types. One
- * for each connection; it keeps the types that it parsed last.
+ * Reads blocks of one peer: skips them, or decodes those whose columns are all of plain types. One
+ * for each connection, not thread-safe; caches the types that it parsed last.
  */
 public final class Blocks {
 
-    private static final int TYPES_KEPT = 256;
+    private static final int MAX_CACHED_TYPES = 256;
     private static final int INFO_OVERFLOWS = 1;
     private static final int INFO_BUCKET = 2;
 
-    /** Rows and columns of a block that was passed over. */
+    /** Rows and columns of a skipped block. */
     public record Size(long rows, long columns) {
 
         /** True for the block that ends a stream of blocks. */
@@ -32,7 +32,7 @@
             new LinkedHashMap<>(16, 0.75f, true) {
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, ColumnType> eldest) {
-                    return size() > TYPES_KEPT;
+                    return size() > MAX_CACHED_TYPES;
                 }
             };
 
@@ -43,7 +43,7 @@
         this.frames = new FrameSource(in, limits.frameBytes());
     }
 
-    /** Passes over the block that follows. */
+    /** Skips the block that follows. */
     public Size skip(boolean compressed) throws IOException {
         ByteSource from = compressed ? frames : in;
         readInfo(from);
@@ -64,11 +64,11 @@
     }
 
     /** Reads the block that follows; only plain types are taken. */
-    public Block read(boolean compressed, int mostRows) throws IOException {
+    public Block read(boolean compressed, int maxRows) throws IOException {
         ByteSource from = compressed ? frames : in;
         readInfo(from);
         int columns = (int) from.readCount("number of columns", limits.columns());
-        int rows = (int) from.readCount("number of rows", mostRows);
+        int rows = (int) from.readCount("number of rows", maxRows);
         List<Block.Column> read = new ArrayList<>();
         for (int i = 0; i < columns; i++) {
             String name = from.readString("a column's name", limits.nameBytes());
@@ -86,12 +86,12 @@
 
     /**
      * Reads the block that follows with the values of all types; the block is in memory, and no
-     * longer than its bytes tell.
+     * longer than its bytes say.
      */
-    public Table readValues(int mostRows) throws IOException {
+    public Table readValues(int maxRows) throws IOException {
         readInfo(in);
         int columns = (int) in.readCount("number of columns", limits.columns());
-        int rows = (int) in.readCount("number of rows", mostRows);
+        int rows = (int) in.readCount("number of rows", maxRows);
         List<String> names = new ArrayList<>();
         List<String> types = new ArrayList<>();
         List<Object[]> values = new ArrayList<>();
--- a/wire/src/main/java/ashlink/wire/ByteBuf.java
+++ b/wire/src/main/java/ashlink/wire/ByteBuf.java
@@ -8,34 +8,37 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** A buffer that grows to a limit, with writers for the protocol's values. */
+/**
+ * A buffer that grows to a limit, with writers for the protocol's values. Writers beyond the limit
+ * or the quota throw a {@link WireException} with {@code TOO_LARGE}. Not thread-safe.
+ */
 public final class ByteBuf {
 
     private static final VarHandle INT =
             MethodHandles.byteArrayViewVarHandle(int[].class, ByteOrder.LITTLE_ENDIAN);
     private static final VarHandle LONG =
             MethodHandles.byteArrayViewVarHandle(long[].class, ByteOrder.LITTLE_ENDIAN);
-    private static final int FIRST_BYTES = 1024;
+    private static final int INITIAL_BYTES = 1024;
 
     /**
-     * A buffer that grew beyond this is let go when it is cleared: one large packet must not stay
-     * in memory.
+     * A buffer that grew beyond this is released when it is cleared: one large packet must not
+     * occupy its memory for the life of a connection.
      */
-    private static final int KEPT_BYTES = 4 << 20;
+    private static final int MAX_RETAINED_BYTES = 4 << 20;
 
-    private final long mostBytes;
+    private final long maxBytes;
     private final Quota quota;
-    private byte[] bytes = new byte[FIRST_BYTES];
+    private byte[] bytes = new byte[INITIAL_BYTES];
     private int size;
 
     /** A buffer of at most that many bytes. */
-    public ByteBuf(long mostBytes) {
-        this(mostBytes, Quota.NONE);
+    public ByteBuf(long maxBytes) {
+        this(maxBytes, Quota.NONE);
     }
 
-    /** A buffer of at most that many bytes, which asks for its memory there as it grows. */
-    public ByteBuf(long mostBytes, Quota quota) {
-        this.mostBytes = Math.min(mostBytes, Integer.MAX_VALUE - 16);
+    /** A buffer of at most that many bytes, whose growth is taken from the quota. */
+    public ByteBuf(long maxBytes, Quota quota) {
+        this.maxBytes = Math.min(maxBytes, Integer.MAX_VALUE - 16);
         this.quota = quota;
     }
 
@@ -59,7 +62,7 @@
     /** Empties it. */
     public void clear() {
         size = 0;
-        if (bytes.length > KEPT_BYTES) {
+        if (bytes.length > MAX_RETAINED_BYTES) {
             release();
         }
     }
@@ -67,8 +70,8 @@
     /** Empties it and gives all its memory back. */
     public void release() {
         size = 0;
-        quota.give(bytes.length - FIRST_BYTES);
-        bytes = new byte[FIRST_BYTES];
+        quota.give(bytes.length - INITIAL_BYTES);
+        bytes = new byte[INITIAL_BYTES];
     }
 
     /** Cuts it back to an earlier size. */
@@ -87,26 +90,26 @@
         out.write(bytes, 0, size);
     }
 
-    private void room(int more) throws WireException {
-        if ((long) size + more > mostBytes) {
+    private void ensureCapacity(int additional) throws WireException {
+        if ((long) size + additional > maxBytes) {
             throw new WireException(
                     WireException.Reason.TOO_LARGE,
-                    "a packet is over the limit of " + mostBytes + " bytes");
+                    "a packet is over the limit of " + maxBytes + " bytes");
         }
-        if (size + more > bytes.length) {
-            int wanted = (int) Math.max(size + more, Math.min(mostBytes, bytes.length * 2L));
-            if (!quota.take(wanted - bytes.length)) {
+        if (size + additional > bytes.length) {
+            int capacity = (int) Math.max(size + additional, Math.min(maxBytes, bytes.length * 2L));
+            if (!quota.take(capacity - bytes.length)) {
                 throw new WireException(
                         WireException.Reason.TOO_LARGE,
                         "the memory set aside for answers is used up");
             }
-            bytes = Arrays.copyOf(bytes, wanted);
+            bytes = Arrays.copyOf(bytes, capacity);
         }
     }
 
     /** Appends bytes. */
     public ByteBuf append(byte[] from, int offset, int length) throws WireException {
-        room(length);
+        ensureCapacity(length);
         System.arraycopy(from, offset, bytes, size, length);
         size += length;
         return this;
@@ -114,7 +117,7 @@
 
     /** Appends a byte. */
     public ByteBuf putByte(int value) throws WireException {
-        room(1);
+        ensureCapacity(1);
         bytes[size++] = (byte) value;
         return this;
     }
@@ -134,22 +137,22 @@
         return putByte((int) rest);
     }
 
-    /** Appends two bytes, least first. */
+    /** Appends two bytes, least significant first. */
     public ByteBuf putShort(int value) throws WireException {
         return putByte(value).putByte(value >>> 8);
     }
 
-    /** Appends four bytes, least first. */
+    /** Appends four bytes, least significant first. */
     public ByteBuf putInt(int value) throws WireException {
-        room(Integer.BYTES);
+        ensureCapacity(Integer.BYTES);
         INT.set(bytes, size, value);
         size += Integer.BYTES;
         return this;
     }
 
-    /** Appends eight bytes, least first. */
+    /** Appends eight bytes, least significant first. */
     public ByteBuf putLong(long value) throws WireException {
-        room(Long.BYTES);
+        ensureCapacity(Long.BYTES);
         LONG.set(bytes, size, value);
         size += Long.BYTES;
         return this;
--- a/wire/src/main/java/ashlink/wire/ByteSource.java
+++ b/wire/src/main/java/ashlink/wire/ByteSource.java
@@ -7,19 +7,25 @@
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 
-/** Reads the protocol's values from a buffer that a subclass fills. */
+/**
+ * Reads the protocol's values from a buffer that a subclass fills. Bad input throws a {@link
+ * WireException}. Not thread-safe.
+ */
 public abstract class ByteSource {
 
     private static final VarHandle INT =
             MethodHandles.byteArrayViewVarHandle(int[].class, ByteOrder.LITTLE_ENDIAN);
     private static final VarHandle LONG =
             MethodHandles.byteArrayViewVarHandle(long[].class, ByteOrder.LITTLE_ENDIAN);
-    private static final int VAR_BYTES = 10;
+    private static final int MAX_VAR_INT_BYTES = 10;
 
-    /** Bytes in hand: from {@code pos} to {@code end}. */
+    /** Holds the buffered bytes, from {@code pos} to {@code end}. */
     protected byte[] buffer;
 
+    /** Index of the next byte to read. */
     protected int pos;
+
+    /** Index after the last buffered byte. */
     protected int end;
 
     /** Starts with that buffer, empty. */
@@ -28,12 +34,12 @@
     }
 
     /**
-     * Replaces the bytes in hand, all of which were read, by at least one more; false at the end of
-     * the stream.
+     * Replaces the buffered bytes, all of which were read, by at least one more; false at the end
+     * of the stream.
      */
     protected abstract boolean refill() throws IOException;
 
-    private void more() throws IOException {
+    private void refillOrFail() throws IOException {
         if (!refill()) {
             throw new WireException(
                     WireException.Reason.TRUNCATED, "the stream ends within a value");
@@ -43,7 +49,7 @@
     /** Reads one byte, 0 to 255. */
     public final int readByte() throws IOException {
         if (pos == end) {
-            more();
+            refillOrFail();
         }
         return buffer[pos++] & 0xff;
     }
@@ -63,21 +69,21 @@
 
     /** Reads a flag; anything but 0 and 1 is malformed. */
     public final boolean readFlag() throws IOException {
-        int b = readByte();
-        if (b > 1) {
-            throw new WireException(WireException.Reason.MALFORMED, "a flag is " + b);
+        int flag = readByte();
+        if (flag > 1) {
+            throw new WireException(WireException.Reason.MALFORMED, "a flag is " + flag);
         }
-        return b == 1;
+        return flag == 1;
     }
 
     /** Reads an unsigned number of variable length, up to 2^63 - 1. */
     public final long readVarUInt() throws IOException {
         long value = 0;
-        for (int i = 0; i < VAR_BYTES; i++) {
-            int b = readByte();
-            value |= (long) (b & 0x7f) << (7 * i);
-            if (b < 0x80) {
-                if (value < 0 || i == VAR_BYTES - 1 && b > 0) {
+        for (int i = 0; i < MAX_VAR_INT_BYTES; i++) {
+            int next = readByte();
+            value |= (long) (next & 0x7f) << (7 * i);
+            if (next < 0x80) {
+                if (value < 0 || i == MAX_VAR_INT_BYTES - 1 && next > 0) {
                     throw new WireException(
                             WireException.Reason.TOO_LARGE, "a number is over 2^63 - 1");
                 }
@@ -85,21 +91,27 @@
             }
         }
         throw new WireException(
-                WireException.Reason.MALFORMED, "a number has over " + VAR_BYTES + " bytes");
+                WireException.Reason.MALFORMED,
+                "a number has over " + MAX_VAR_INT_BYTES + " bytes");
     }
 
-    /** Reads an unsigned number that is a length or count of {@code what}, at most {@code most}. */
-    public final long readCount(String what, long most) throws IOException {
+    /** Reads an unsigned number that is a length or count of {@code what}, at most {@code max}. */
+    public final long readCount(String what, long max) throws IOException {
         long value = readVarUInt();
-        if (value > most) {
+        if (value > max) {
             throw new WireException(
                     WireException.Reason.TOO_LARGE,
-                    what + " is " + value + ", over the limit of " + most);
+                    what + " is " + value + ", over the limit of " + max);
         }
         return value;
     }
 
-    /** Reads four bytes, least first. */
+    /** Reads two bytes, least significant first, as a number from 0 to 65535. */
+    final int readUnsignedShort() throws IOException {
+        return readByte() | readByte() << 8;
+    }
+
+    /** Reads four bytes, least significant first. */
     public final int readInt() throws IOException {
         if (end - pos >= Integer.BYTES) {
             int value = (int) INT.get(buffer, pos);
@@ -109,7 +121,7 @@
         return readByte() | readByte() << 8 | readByte() << 16 | readByte() << 24;
     }
 
-    /** Reads eight bytes, least first. */
+    /** Reads eight bytes, least significant first. */
     public final long readLong() throws IOException {
         if (end - pos >= Long.BYTES) {
             long value = (long) LONG.get(buffer, pos);
@@ -119,19 +131,22 @@
         return readInt() & 0xffffffffL | (long) readInt() << 32;
     }
 
-    /** Reads bytes with their length before them; the array is no longer than what came. */
-    public final byte[] readBytes(String what, int most) throws IOException {
-        byte[] bytes = new byte[(int) readCount("length of " + what, most)];
+    /**
+     * Reads bytes with their length before them. The array is allocated by that length, so {@code
+     * maxBytes} bounds its memory.
+     */
+    public final byte[] readBytes(String what, int maxBytes) throws IOException {
+        byte[] bytes = new byte[(int) readCount("length of " + what, maxBytes)];
         readFully(bytes, 0, bytes.length);
         return bytes;
     }
 
     /**
-     * Reads a text with its length before it; bytes that are no UTF-8 become the replacement
+     * Reads a text with its length before it; bytes that are not UTF-8 become the replacement
      * character.
      */
-    public final String readString(String what, int most) throws IOException {
-        int length = (int) readCount("length of " + what, most);
+    public final String readString(String what, int maxBytes) throws IOException {
+        int length = (int) readCount("length of " + what, maxBytes);
         if (end - pos >= length) {
             String text = new String(buffer, pos, length, StandardCharsets.UTF_8);
             pos += length;
@@ -147,12 +162,12 @@
         int done = 0;
         while (done < length) {
             if (pos == end) {
-                more();
+                refillOrFail();
             }
-            int n = Math.min(length - done, end - pos);
-            System.arraycopy(buffer, pos, into, from + done, n);
-            pos += n;
-            done += n;
+            int count = Math.min(length - done, end - pos);
+            System.arraycopy(buffer, pos, into, from + done, count);
+            pos += count;
+            done += count;
         }
     }
 
@@ -161,26 +176,27 @@
         long left = length;
         while (left > 0) {
             if (pos == end) {
-                more();
+                refillOrFail();
             }
-            int n = (int) Math.min(left, end - pos);
-            pos += n;
-            left -= n;
+            int count = (int) Math.min(left, end - pos);
+            pos += count;
+            left -= count;
         }
     }
 
     /** Passes over that many texts, each with its length before it. */
-    public final void skipStrings(long count, long mostEach) throws IOException {
+    public final void skipStrings(long count, long maxEachBytes) throws IOException {
         for (long i = 0; i < count; i++) {
             if (pos < end && buffer[pos] >= 0 && end - pos > buffer[pos]) {
-                pos += 1 + buffer[pos]; // short and in hand: no calls
+                // Short and buffered: skipped without a call.
+                pos += 1 + buffer[pos];
             } else {
-                skip(readCount("length of a text in a column", mostEach));
+                skip(readCount("length of a text in a column", maxEachBytes));
             }
         }
     }
 
-    /** Says that the stream ended where a packet could have begun. */
+    /** The exception for a stream that ends between packets. */
     public static EOFException ended() {
         return new EOFException("the peer closed the connection");
     }
--- a/wire/src/main/java/ashlink/wire/ClientInfo.java
+++ b/wire/src/main/java/ashlink/wire/ClientInfo.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /**
- * What a Query packet tells of the client behind it. Trace and replica fields are passed over: a
- * router is the first and only hop.
+ * The client information of a Query packet. Trace and replica fields are skipped: a router is the
+ * first and only hop. A client that connects by HTTP leaves the fields of its program empty.
  */
 public record ClientInfo(
         String user,
@@ -24,57 +24,85 @@
     private static final int HTTP = 2;
     private static final int TRACE_BYTES = 24;
 
-    /** One that tells nothing. */
+    /** The information of a client that sends none. */
     public static final ClientInfo NONE = new ClientInfo("", "", "", "", "", "", 0, 0, 0, 0, "");
 
     /** Reads it as a peer of that revision writes it. */
     static ClientInfo read(ByteSource in, int revision, WireLimits limits) throws IOException {
-        int most = limits.nameBytes();
-        int kind = in.readByte();
-        if (kind == 0) {
+        int maxBytes = limits.nameBytes();
+        int queryKind = in.readByte();
+        if (queryKind == 0) {
             return NONE;
         }
-        String user = in.readString("initial user", most);
-        String id = in.readString("initial query id", most);
-        String address = in.readString("initial address", most);
+        String user = in.readString("initial user", maxBytes);
+        String id = in.readString("initial query id", maxBytes);
+        String address = in.readString("initial address", maxBytes);
         if (revision >= Revision.INITIAL_QUERY_START_TIME) {
             in.readLong();
         }
-        int door = in.readByte();
-        String osUser = "";
-        String host = "";
-        String name = "";
-        int major = 0;
-        int minor = 0;
-        int spoken = 0;
-        if (door == TCP) {
-            osUser = in.readString("os user", most);
-            host = in.readString("client host", most);
-            name = in.readString("client name", most);
-            major = (int) in.readCount("version", Integer.MAX_VALUE);
-            minor = (int) in.readCount("version", Integer.MAX_VALUE);
-            spoken = (int) in.readCount("revision", Integer.MAX_VALUE);
-        } else if (door == HTTP) {
-            in.readByte();
-            in.readString("user agent", most);
-            if (revision >= Revision.X_FORWARDED_FOR) {
-                in.readString("forwarded for", most);
-            }
-            if (revision >= Revision.REFERER) {
-                in.readString("referer", most);
-            }
+        int transport = in.readByte();
+        Program program = Program.NONE;
+        if (transport == TCP) {
+            program = Program.read(in, maxBytes);
+        } else if (transport == HTTP) {
+            skipHttpRequest(in, revision, maxBytes);
         }
-        String quotaKey = revision >= Revision.QUOTA_KEY ? in.readString("quota key", most) : "";
+        String quotaKey =
+                revision >= Revision.QUOTA_KEY ? in.readString("quota key", maxBytes) : "";
         if (revision >= Revision.DISTRIBUTED_DEPTH) {
             in.readVarUInt();
         }
-        int patch =
-                revision >= Revision.VERSION_PATCH && door == TCP
-                        ? (int) in.readCount("version", Integer.MAX_VALUE)
-                        : 0;
+        boolean hasPatch = revision >= Revision.VERSION_PATCH && transport == TCP;
+        int patch = hasPatch ? (int) in.readCount("version", Integer.MAX_VALUE) : 0;
+        skipTraceAndReplicas(in, revision, maxBytes);
+        return new ClientInfo(
+                user,
+                id,
+                address,
+                program.osUser,
+                program.host,
+                program.name,
+                program.major,
+                program.minor,
+                program.revision,
+                patch,
+                quotaKey);
+    }
+
+    /** The program of a client that speaks the native protocol. */
+    private record Program(
+            String osUser, String host, String name, int major, int minor, int revision) {
+
+        static final Program NONE = new Program("", "", "", 0, 0, 0);
+
+        static Program read(ByteSource in, int maxBytes) throws IOException {
+            return new Program(
+                    in.readString("os user", maxBytes),
+                    in.readString("client host", maxBytes),
+                    in.readString("client name", maxBytes),
+                    (int) in.readCount("version", Integer.MAX_VALUE),
+                    (int) in.readCount("version", Integer.MAX_VALUE),
+                    (int) in.readCount("revision", Integer.MAX_VALUE));
+        }
+    }
+
+    private static void skipHttpRequest(ByteSource in, int revision, int maxBytes)
+            throws IOException {
+        in.readByte();
+        in.readString("user agent", maxBytes);
+        if (revision >= Revision.X_FORWARDED_FOR) {
+            in.readString("forwarded for", maxBytes);
+        }
+        if (revision >= Revision.REFERER) {
+            in.readString("referer", maxBytes);
+        }
+    }
+
+    private static void skipTraceAndReplicas(ByteSource in, int revision, int maxBytes)
+            throws IOException {
         if (revision >= Revision.OPENTELEMETRY && in.readFlag()) {
             in.skip(TRACE_BYTES);
-            in.readString("trace state", most);
+            in.readString("trace state", maxBytes);
             in.readByte();
         }
         if (revision >= Revision.PARALLEL_REPLICAS) {
@@ -82,8 +110,6 @@
             in.readVarUInt();
             in.readVarUInt();
         }
-        return new ClientInfo(
-                user, id, address, osUser, host, name, major, minor, spoken, patch, quotaKey);
     }
 
     /** Appends it for a peer of that revision. */
--- a/wire/src/main/java/ashlink/wire/ClientPacket.java
+++ b/wire/src/main/java/ashlink/wire/ClientPacket.java
@@ -8,9 +8,9 @@
     QUERY,
     /** A block of an insert or of an external table. */
     DATA,
-    /** Asks for the running statement to be stopped. */
+    /** Cancels the running statement. */
     CANCEL,
-    /** Asks for a Pong. */
+    /** Requests a Pong. */
     PING;
 
     /** The kind of that number; anything else is malformed. */
--- /dev/null
+++ b/wire/src/main/java/ashlink/wire/DictionaryReader.java
@@ -0,0 +1,60 @@
+package ashlink.wire;
+
+import java.io.IOException;
+
+/**
+ * Reads a column of low cardinality: blocks of a dictionary and of indexes into it. The first value
+ * of a nullable dictionary stands for null.
+ */
+record DictionaryReader(ValueReader inner, boolean nullable) implements ValueReader {
+
+    private static final long INDEX_WIDTH_MASK = 0xff;
+
+    @Override
+    public void readPrefix(ByteSource in) throws IOException {
+        // The version; ColumnType.LowCardinality checks it where columns are skipped.
+        in.readLong();
+    }
+
+    @Override
+    public Object[] read(ByteSource in, int rows) throws IOException {
+        Object[] values = new Object[rows];
+        int done = 0;
+        while (done < rows) {
+            int indexWidth = (int) (in.readLong() & INDEX_WIDTH_MASK);
+            Object[] dictionary = inner.read(in, count(in.readLong(), ValueReaders.MAX_VALUES));
+            int blockRows = count(in.readLong(), rows - done);
+            if (blockRows == 0) {
+                throw new WireException(
+                        WireException.Reason.MALFORMED, "a dictionary without values");
+            }
+            for (int i = 0; i < blockRows; i++) {
+                int index = readIndex(in, indexWidth);
+                if (index < 0 || index >= dictionary.length) {
+                    throw new WireException(
+                            WireException.Reason.MALFORMED,
+                            "value " + index + " of a dictionary of " + dictionary.length);
+                }
+                values[done++] = nullable && index == 0 ? null : dictionary[index];
+            }
+        }
+        return values;
+    }
+
+    private static int readIndex(ByteSource in, int width) throws IOException {
+        return switch (width) {
+            case 0 -> in.readByte();
+            case 1 -> in.readUnsignedShort();
+            case 2 -> in.readInt();
+            default -> (int) in.readLong();
+        };
+    }
+
+    private static int count(long value, long max) throws WireException {
+        if (value < 0 || value > max) {
+            throw new WireException(
+                    WireException.Reason.MALFORMED, "a dictionary has " + value + " values");
+        }
+        return (int) value;
+    }
+}
--- a/wire/src/main/java/ashlink/wire/FrameSource.java
+++ b/wire/src/main/java/ashlink/wire/FrameSource.java
@@ -2,66 +2,78 @@
 
 import java.io.IOException;
 
-/** Reads what compressed frames hold, with their checksums verified. */
+/** Reads the content of compressed frames, and verifies their checksums. */
 public final class FrameSource extends ByteSource {
 
-    private static final int REST = Compression.HEADER_BYTES;
+    private static final int HEADER_BYTES = Compression.HEADER_BYTES;
 
     private final StreamSource in;
-    private final int mostBytes;
+    private final int maxBytes;
     private byte[] frame = new byte[0];
 
     /** Reads frames of at most that many bytes, before and after compression. */
-    public FrameSource(StreamSource in, int mostBytes) {
+    public FrameSource(StreamSource in, int maxBytes) {
         super(new byte[0]);
         this.in = in;
-        this.mostBytes = mostBytes;
+        this.maxBytes = maxBytes;
     }
 
     @Override
     protected boolean refill() throws IOException {
-        long low = in.readLong();
-        long high = in.readLong();
+        long checksumLow = in.readLong();
+        long checksumHigh = in.readLong();
         int method = in.readByte();
-        int size = in.readInt();
-        int length = in.readInt();
+        int frameBytes = in.readInt();
+        int contentBytes = in.readInt();
         Compression compression = Compression.of(method);
-        if (size < REST || size - REST > mostBytes || length <= 0 || length > mostBytes) {
+        checkSizes(frameBytes, contentBytes);
+        readFrame(method, frameBytes, contentBytes);
+        long[] checksum = CityHash.hash128(frame, 0, frameBytes);
+        if (checksum[0] != checksumLow || checksum[1] != checksumHigh) {
             throw new WireException(
-                    size < REST || length == 0
-                            ? WireException.Reason.MALFORMED
-                            : WireException.Reason.TOO_LARGE,
+                    WireException.Reason.CHECKSUM, "the checksum of a compressed frame is wrong");
+        }
+        if (buffer.length < contentBytes) {
+            buffer = new byte[contentBytes];
+        }
+        compression.decompress(
+                frame, HEADER_BYTES, frameBytes - HEADER_BYTES, buffer, contentBytes);
+        pos = 0;
+        end = contentBytes;
+        return true;
+    }
+
+    private void checkSizes(int frameBytes, int contentBytes) throws WireException {
+        boolean tooShort = frameBytes < HEADER_BYTES || contentBytes == 0;
+        if (tooShort
+                || frameBytes - HEADER_BYTES > maxBytes
+                || contentBytes < 0
+                || contentBytes > maxBytes) {
+            throw new WireException(
+                    tooShort ? WireException.Reason.MALFORMED : WireException.Reason.TOO_LARGE,
                     "a compressed frame of "
-                            + Integer.toUnsignedString(size)
+                            + Integer.toUnsignedString(frameBytes)
                             + " bytes holds "
-                            + Integer.toUnsignedString(length)
+                            + Integer.toUnsignedString(contentBytes)
                             + ", the limit is "
-                            + mostBytes);
+                            + maxBytes);
         }
-        if (frame.length < size) {
-            frame = new byte[size];
+    }
+
+    /** Reads the rest of the frame; its header is written back, since the checksum covers it. */
+    private void readFrame(int method, int frameBytes, int contentBytes) throws IOException {
+        if (frame.length < frameBytes) {
+            frame = new byte[frameBytes];
         }
         frame[0] = (byte) method;
         for (int i = 0; i < Integer.BYTES; i++) {
-            frame[1 + i] = (byte) (size >>> 8 * i);
-            frame[5 + i] = (byte) (length >>> 8 * i);
-        }
-        in.readFully(frame, REST, size - REST);
-        long[] sum = CityHash.hash128(frame, 0, size);
-        if (sum[0] != low || sum[1] != high) {
-            throw new WireException(
-                    WireException.Reason.CHECKSUM, "the checksum of a compressed frame is wrong");
-        }
-        if (buffer.length < length) {
-            buffer = new byte[length];
+            frame[1 + i] = (byte) (frameBytes >>> 8 * i);
+            frame[1 + Integer.BYTES + i] = (byte) (contentBytes >>> 8 * i);
         }
-        compression.decompress(frame, REST, size - REST, buffer, length);
-        pos = 0;
-        end = length;
-        return true;
+        in.readFully(frame, HEADER_BYTES, frameBytes - HEADER_BYTES);
     }
 
-    /** Lets go of large buffers between blocks; all in hand must have been read. */
+    /** Checks that the last frame of a block holds nothing beyond the block. */
     void endOfBlock() throws WireException {
         if (pos != end) {
             throw new WireException(
--- a/wire/src/main/java/ashlink/wire/PlainValues.java
+++ b/wire/src/main/java/ashlink/wire/PlainValues.java
@@ -27,8 +27,8 @@
             case "String" -> from.readString("a text", limits.textBytes());
             case "UInt8", "Bool" -> (long) from.readByte();
             case "Int8", "Enum8" -> (long) (byte) from.readByte();
-            case "UInt16", "Date" -> (long) (from.readByte() | from.readByte() << 8);
-            case "Int16" -> (long) (short) (from.readByte() | from.readByte() << 8);
+            case "UInt16", "Date" -> (long) from.readUnsignedShort();
+            case "Int16" -> (long) (short) from.readUnsignedShort();
             case "UInt32", "DateTime" -> from.readInt() & 0xffffffffL;
             case "Int32" -> (long) from.readInt();
             case "UInt64", "Int64" -> from.readLong();
@@ -42,15 +42,16 @@
     }
 
     static void write(String type, List<Object> values, ByteBuf to) throws WireException {
-        for (Object v : values) {
+        for (Object value : values) {
             switch (base(type)) {
-                case "String" -> to.putString((String) v);
-                case "UInt8", "Int8", "Bool", "Enum8" -> to.putByte((int) whole(v));
-                case "UInt16", "Int16", "Date" -> to.putShort((int) whole(v));
-                case "UInt32", "Int32", "DateTime" -> to.putInt((int) whole(v));
-                case "UInt64", "Int64" -> to.putLong(whole(v));
-                case "Float32" -> to.putInt(Float.floatToIntBits(((Number) v).floatValue()));
-                case "Float64" -> to.putLong(Double.doubleToLongBits(((Number) v).doubleValue()));
+                case "String" -> to.putString((String) value);
+                case "UInt8", "Int8", "Bool", "Enum8" -> to.putByte((int) integer(value));
+                case "UInt16", "Int16", "Date" -> to.putShort((int) integer(value));
+                case "UInt32", "Int32", "DateTime" -> to.putInt((int) integer(value));
+                case "UInt64", "Int64" -> to.putLong(integer(value));
+                case "Float32" -> to.putInt(Float.floatToIntBits(((Number) value).floatValue()));
+                case "Float64" ->
+                        to.putLong(Double.doubleToLongBits(((Number) value).doubleValue()));
                 default ->
                         throw new WireException(
                                 WireException.Reason.UNKNOWN_TYPE,
@@ -59,7 +60,7 @@
         }
     }
 
-    private static long whole(Object value) {
+    private static long integer(Object value) {
         return ((Number) value).longValue();
     }
 
--- a/wire/src/main/java/ashlink/wire/Quota.java
+++ b/wire/src/main/java/ashlink/wire/Quota.java
@@ -1,9 +1,9 @@
 package ashlink.wire;
 
-/** Memory that many buffers share. */
+/** A limit on the memory that all buffers take together. Implementations are thread-safe. */
 public interface Quota {
 
-    /** Grants all that is asked for. */
+    /** No limit. */
     Quota NONE =
             new Quota() {
                 @Override
@@ -15,9 +15,13 @@
                 public void give(long bytes) {}
             };
 
-    /** Takes that many bytes, or none where they are not there. */
+    /**
+     * Takes that many bytes.
+     *
+     * @return false, with nothing taken, if the limit would be exceeded
+     */
     boolean take(long bytes);
 
-    /** Gives bytes back. */
+    /** Returns bytes that were taken. */
     void give(long bytes);
 }
--- a/wire/src/main/java/ashlink/wire/Revision.java
+++ b/wire/src/main/java/ashlink/wire/Revision.java
@@ -1,7 +1,7 @@
 package ashlink.wire;
 
 /**
- * Revisions of the protocol at which a field came in, as the public specification names them. Both
+ * Revisions of the protocol that introduced a field, as the public specification names them. Both
  * ends use the lesser of their two revisions.
  */
 public final class Revision {
--- /dev/null
+++ b/wire/src/main/java/ashlink/wire/ScalarReader.java
@@ -0,0 +1,11 @@
+package ashlink.wire;
+
+import java.io.IOException;
+
+/** Reads one value of a type that has no other values within it. Stateless. */
+@FunctionalInterface
+interface ScalarReader {
+
+    /** Reads the next value; null only for the type {@code Nothing}. */
+    Object read(ByteSource in) throws IOException;
+}
--- a/wire/src/main/java/ashlink/wire/ServerPacket.java
+++ b/wire/src/main/java/ashlink/wire/ServerPacket.java
@@ -59,7 +59,7 @@
                 || this == PROFILE_EVENTS;
     }
 
-    /** True for kinds whose block is compressed where the statement asks for compression. */
+    /** True for kinds whose block is compressed if the statement requests compression. */
     public boolean isCompressible() {
         return this == DATA || this == TOTALS || this == EXTREMES;
     }
--- a/wire/src/main/java/ashlink/wire/Setting.java
+++ b/wire/src/main/java/ashlink/wire/Setting.java
@@ -1,4 +1,4 @@
 package ashlink.wire;
 
-/** A setting of a query, as text; {@code flags} are passed on as they came. */
+/** A setting of a query, as text; {@code flags} are passed on unchanged. */
 public record Setting(String name, long flags, String value) {}
--- a/wire/src/main/java/ashlink/wire/StreamSource.java
+++ b/wire/src/main/java/ashlink/wire/StreamSource.java
@@ -5,14 +5,14 @@
 
 /**
  * Reads from a stream, and copies what is read to a tap while one is set: a relay passes packets on
- * as they came, and reads them only to find where they end.
+ * unchanged, and reads them only to find where they end.
  */
 public final class StreamSource extends ByteSource {
 
     private final InputStream in;
     private ByteBuf tap;
     private int tapFrom;
-    private long before;
+    private long consumedBefore;
 
     /** Reads through a buffer of that many bytes. */
     public StreamSource(InputStream in, int bufferBytes) {
@@ -23,21 +23,21 @@
     @Override
     protected boolean refill() throws IOException {
         flushTap();
-        before += end;
+        consumedBefore += end;
         pos = 0;
         end = 0;
         tapFrom = 0;
-        int n = in.read(buffer, 0, buffer.length);
-        if (n <= 0) {
+        int count = in.read(buffer, 0, buffer.length);
+        if (count <= 0) {
             return false;
         }
-        end = n;
+        end = count;
         return true;
     }
 
-    /** Bytes read from the stream so far, without those in hand that were not asked for yet. */
+    /** Bytes read from the stream so far, without those that are only buffered. */
     public long consumed() {
-        return before + pos;
+        return consumedBefore + pos;
     }
 
     /** From here on what is read is also appended to {@code to}. */
--- /dev/null
+++ b/wire/src/main/java/ashlink/wire/TimeReaders.java
@@ -0,0 +1,73 @@
+package ashlink.wire;
+
+import ashlink.wire.TypeParser.Term;
+import java.io.IOException;
+import java.time.DateTimeException;
+import java.time.Instant;
+import java.time.LocalDate;
+import java.time.ZoneId;
+import java.time.ZoneOffset;
+import java.time.format.DateTimeFormatter;
+import java.time.format.DateTimeFormatterBuilder;
+import java.time.temporal.ChronoField;
+import java.util.Locale;
+
+/** The readers of dates and times, as texts of ISO 8601. */
+final class TimeReaders {
+
+    private static final int NANO_DIGITS = 9;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
+
+    private TimeReaders() {}
+
+    /** Days since 1970 in two bytes. */
+    static Object readDate(ByteSource in) throws IOException {
+        return LocalDate.ofEpochDay(in.readUnsignedShort()).toString();
+    }
+
+    /** Signed days since 1970 in four bytes. */
+    static Object readDate32(ByteSource in) throws IOException {
+        return LocalDate.ofEpochDay(in.readInt()).toString();
+    }
+
+    /** {@code DateTime([zone])}: seconds since 1970 in four bytes. */
+    static ScalarReader seconds(Term term) {
+        ZoneId zone = zoneArgument(term, 0);
+        return in ->
+                DateTimeFormatter.ISO_OFFSET_DATE_TIME.format(
+                        Instant.ofEpochSecond(in.readInt() & 0xffffffffL)
+                                .atZone(zone)
+                                .toOffsetDateTime());
+    }
+
+    /** {@code DateTime64(digits[, zone])}: ticks of that decimal fraction of a second. */
+    static ScalarReader ticks(Term term) {
+        int digits = Math.min(NANO_DIGITS, ScalarReaders.optionalIntArgument(term, 0));
+        ZoneId zone = zoneArgument(term, 1);
+        DateTimeFormatter format =
+                new DateTimeFormatterBuilder()
+                        .appendPattern("uuuu-MM-dd'T'HH:mm:ss")
+                        .appendFraction(ChronoField.NANO_OF_SECOND, digits, digits, true)
+                        .appendOffsetId()
+                        .toFormatter(Locale.ROOT);
+        long ticksPerSecond = (long) Math.pow(10, digits);
+        return in -> {
+            long ticks = in.readLong();
+            long nanos = Math.floorMod(ticks, ticksPerSecond) * (NANOS_PER_SECOND / ticksPerSecond);
+            return format.format(
+                    Instant.ofEpochSecond(Math.floorDiv(ticks, ticksPerSecond), nanos)
+                            .atZone(zone)
+                            .toOffsetDateTime());
+        };
+    }
+
+    /** UTC where the zone is left out or unknown here: the instant is right in any zone. */
+    private static ZoneId zoneArgument(Term term, int index) {
+        String name = index < term.arguments().size() ? term.arguments().get(index).name() : "";
+        try {
+            return name.isEmpty() ? ZoneOffset.UTC : ZoneId.of(name);
+        } catch (DateTimeException unknownZone) {
+            return ZoneOffset.UTC;
+        }
+    }
+}
--- a/wire/src/main/java/ashlink/wire/TypeParser.java
+++ b/wire/src/main/java/ashlink/wire/TypeParser.java
@@ -12,7 +12,7 @@
 public final class TypeParser {
 
     /** Types within types; deeper is malformed, long before the stack of a thread ends. */
-    private static final int DEEPEST = 32;
+    private static final int MAX_DEPTH = 32;
 
     private static final ColumnType TEXT = new ColumnType.Text();
     private static final ColumnType POINT = new ColumnType.Fixed(16);
@@ -90,15 +90,15 @@
             return plain;
         }
         TypeParser parser = new TypeParser(text);
-        return parser.type(parser.whole());
+        return parser.type(parser.completeTerm());
     }
 
     /** Reads a type as it is written; only its form is checked. */
     static Term term(String text) throws WireException {
-        return new TypeParser(text).whole();
+        return new TypeParser(text).completeTerm();
     }
 
-    private Term whole() throws WireException {
+    private Term completeTerm() throws WireException {
         Term term = term(0);
         if (pos < text.length()) {
             throw malformed("something follows the type");
@@ -121,49 +121,50 @@
 
     // ---- Text to terms
     private Term term(int depth) throws WireException {
-        if (depth > DEEPEST) {
-            throw malformed("over " + DEEPEST + " types within each other");
+        if (depth > MAX_DEPTH) {
+            throw malformed("over " + MAX_DEPTH + " types within each other");
         }
-        blanks();
+        skipWhitespace();
         if (pos < text.length() && text.charAt(pos) == '\'') {
-            return endOf(new Term(quoted('\''), List.of(), true, ""));
+            return withValue(new Term(quoted('\''), List.of(), true, ""));
         }
         String name = word();
-        blanks();
+        skipWhitespace();
         if (pos < text.length()
                 && text.charAt(pos) != '('
                 && text.charAt(pos) != ','
                 && text.charAt(pos) != ')'
                 && text.charAt(pos) != '=') {
-            name = word(); // the name of an element came first
-            blanks();
+            // The first word was the name of an element.
+            name = word();
+            skipWhitespace();
         }
         List<Term> arguments = new ArrayList<>();
         if (pos < text.length() && text.charAt(pos) == '(') {
             do {
                 pos++;
                 arguments.add(term(depth + 1));
-                blanks();
+                skipWhitespace();
             } while (pos < text.length() && text.charAt(pos) == ',');
             if (pos >= text.length() || text.charAt(pos) != ')') {
                 throw malformed("a parenthesis is not closed");
             }
             pos++;
-            blanks();
+            skipWhitespace();
         }
-        return endOf(new Term(name, arguments, false, ""));
+        return withValue(new Term(name, arguments, false, ""));
     }
 
     /** Takes the value of an element of an enumeration, where there is one. */
-    private Term endOf(Term term) throws WireException {
-        blanks();
+    private Term withValue(Term term) throws WireException {
+        skipWhitespace();
         if (pos >= text.length() || text.charAt(pos) != '=') {
             return term;
         }
         pos++;
-        blanks();
+        skipWhitespace();
         String value = word();
-        blanks();
+        skipWhitespace();
         return new Term(term.name, term.arguments, term.quoted, value);
     }
 
@@ -194,7 +195,7 @@
         return text.substring(from, pos++);
     }
 
-    private void blanks() {
+    private void skipWhitespace() {
         while (pos < text.length() && Character.isWhitespace(text.charAt(pos))) {
             pos++;
         }
@@ -238,13 +239,13 @@
         };
     }
 
-    private ColumnType tuple(Term t) throws WireException {
-        if (t.arguments.isEmpty()) {
+    private ColumnType tuple(Term term) throws WireException {
+        if (term.arguments.isEmpty()) {
             throw unknown(text);
         }
         List<ColumnType> elements = new ArrayList<>();
-        for (Term a : t.arguments) {
-            elements.add(type(a));
+        for (Term element : term.arguments) {
+            elements.add(type(element));
         }
         return new ColumnType.Tuple(List.copyOf(elements));
     }
@@ -271,16 +272,16 @@
         return term.arguments.get(index);
     }
 
-    private int number(Term term, int index, int most) throws WireException {
+    private int number(Term term, int index, int max) throws WireException {
         String digits = argument(term, index).name;
         try {
             int value = Integer.parseInt(digits);
-            if (value > 0 && value <= most) {
+            if (value > 0 && value <= max) {
                 return value;
             }
-        } catch (NumberFormatException e) {
-            // said below
+        } catch (NumberFormatException ignored) {
+            // Reported below, as a number out of range is.
         }
-        throw malformed(term.name + " takes a number from 1 to " + most + ", not " + digits);
+        throw malformed(term.name + " takes a number from 1 to " + max + ", not " + digits);
     }
 }
--- a/wire/src/main/java/ashlink/wire/ValueReader.java
+++ b/wire/src/main/java/ashlink/wire/ValueReader.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 
 /**
- * Reads the values of a column exactly. A value is a {@code Long} (whole numbers up to 32 bits), a
+ * Reads the values of a column exactly. A value is a {@code Long} (integers up to 32 bits), a
  * {@code BigInteger} (wider ones), {@code Float}, {@code Double}, {@code Boolean}, {@code
  * BigDecimal}, a {@code String} (dates, times, enumerations, UUIDs, addresses), a {@code byte[]}
  * (texts, which may be any bytes), a {@code List} (arrays, tuples; maps as lists of pairs), or
@@ -11,7 +11,7 @@
  */
 public interface ValueReader {
 
-    /** Reads what stands before the values of a column, once for a column with rows. */
+    /** Reads the prefix of the values of a column, once for a column with rows. */
     default void readPrefix(ByteSource in) throws IOException {}
 
     /** Reads that many values. */
--- a/wire/src/main/java/ashlink/wire/WireException.java
+++ b/wire/src/main/java/ashlink/wire/WireException.java
@@ -2,9 +2,7 @@
 
 import java.io.IOException;
 
-/**
- * Bytes that are not what the protocol says; the one exception that the codec throws for bad input.
- */
+/** Input that violates the protocol or a limit; the only exception that the codec throws for it. */
 public final class WireException extends IOException {
 
     /** What was wrong. */
--- a/wire/src/main/java/ashlink/wire/WireLimits.java
+++ b/wire/src/main/java/ashlink/wire/WireLimits.java
@@ -1,7 +1,8 @@
 package ashlink.wire;
 
 /**
- * What a reader takes at most; beyond it a {@link WireException} says {@code TOO_LARGE}.
+ * Limits of a reader, in bytes or counts; beyond them it throws a {@link WireException} with {@code
+ * TOO_LARGE}.
  *
  * @param nameBytes a name, a user, a setting's name, a type's text
  * @param textBytes a statement, a setting's value, an exception's message
@@ -13,7 +14,7 @@
 public record WireLimits(
         int nameBytes, int textBytes, int settings, int columns, long packetBytes, int frameBytes) {
 
-    /** Room for all that public clients send by default. */
+    /** Enough for all that public clients send by default. */
     public static final WireLimits DEFAULT =
             new WireLimits(64 << 10, 16 << 20, 1_000, 10_000, 256L << 20, 64 << 20);
 
--- a/wire/src/test/java/ashlink/wire/CityHashTest.java
+++ b/wire/src/test/java/ashlink/wire/CityHashTest.java
@@ -6,6 +6,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
+/** {@link CityHash} beside the implementation of a public client. */
 class CityHashTest {
 
     @Test
@@ -13,9 +14,10 @@
         byte[] bytes = new byte[5000];
         new Random(1).nextBytes(bytes);
         for (int i = 0; i < 30; i++) {
-            bytes[i] &=
-                    0x7f; // that client takes bytes over 127 for negative at the end of texts of 1
-            // to 3 or 17 to 19 bytes
+            // That client takes bytes over 127 as negative at the end of texts of 1 to 3 or 17 to
+            // 19
+            // bytes.
+            bytes[i] &= 0x7f;
         }
         for (int length = 0; length < 1000; length++) {
             assertArrayEquals(
--- a/wire/src/test/java/ashlink/wire/CodecProperties.java
+++ b/wire/src/test/java/ashlink/wire/CodecProperties.java
@@ -171,7 +171,7 @@
             try {
                 new Blocks(source(bytes), SMALL).skip(compressed);
                 new Blocks(source(bytes), SMALL).read(compressed, 1000);
-            } catch (WireException e) {
+            } catch (WireException expected) {
                 // all that it may throw
             }
         }
@@ -185,8 +185,8 @@
         ByteBuf bytes = new ByteBuf();
         Block.of(new Block.Column("s", "String", List.of("a".repeat(100), "b".repeat(50))))
                 .write(compression, bytes);
-        int i = bit % (bytes.size() * 8);
-        bytes.array()[i / 8] ^= (byte) (1 << i % 8);
+        int flipped = bit % (bytes.size() * 8);
+        bytes.array()[flipped / 8] ^= (byte) (1 << flipped % 8);
         assertThrows(WireException.class, () -> new Blocks(source(bytes), SMALL).skip(true));
     }
 
@@ -207,7 +207,7 @@
                     case 3 -> new Blocks(source(byteBuf), SMALL).skip(false);
                     default -> Hello.Server.read(source(byteBuf), SMALL);
                 }
-            } catch (WireException e) {
+            } catch (WireException expected) {
                 // all that it may throw
             }
         }
