--- /dev/null
+++ b/sql/src/main/java/ashlink/sql/CallReader.java
@@ -0,0 +1,90 @@
+package ashlink.sql;
+
+import ashlink.sql.grammar.SqlLexer;
+
+/** Reads names and calls of functions, with those whose arguments have keywords between them. */
+final class CallReader {
+
+    private final Readers readers;
+    private final TokenCursor cursor;
+    private final Tokens tokens;
+    private final AnalysisBuilder analysis;
+
+    CallReader(Readers readers) {
+        this.readers = readers;
+        this.cursor = readers.cursor;
+        this.tokens = readers.tokens;
+        this.analysis = readers.analysis;
+    }
+
+    /** A name with parts, or a call. */
+    void nameOrCall(Scope scope) {
+        String name = cursor.expectName("a name");
+        if (!cursor.at(SqlLexer.OPEN)) {
+            return;
+        }
+        analysis.function(name);
+        if (name.equalsIgnoreCase("CAST") || name.equalsIgnoreCase("TRY_CAST")) {
+            cast(scope);
+        } else if (name.equalsIgnoreCase("EXTRACT")
+                && Vocabulary.UNITS.contains(keywordInBracket())) {
+            tokens.take();
+            cursor.takeKeyword();
+            cursor.expectKeyword("FROM");
+            readers.expressions.bracketed(SqlLexer.CLOSE, scope);
+        } else if (name.equalsIgnoreCase("SUBSTRING")
+                || name.equalsIgnoreCase("TRIM")
+                || name.equalsIgnoreCase("POSITION")) {
+            callWithKeywords(scope);
+        } else {
+            tokens.take();
+            readers.expressions.parenthesis(scope);
+            if (cursor.at(SqlLexer.OPEN)) { // the first brackets had parameters
+                tokens.take();
+                readers.expressions.parenthesis(scope);
+            }
+        }
+    }
+
+    private String keywordInBracket() {
+        Token token = tokens.peek(1);
+        return token == null ? "" : token.upper();
+    }
+
+    private void cast(Scope scope) {
+        tokens.take();
+        cursor.enter();
+        readers.operands.operand(scope);
+        while (!cursor.atKeyword("AS") && readers.operators.tryOperator(scope)) {
+            // up to its own AS
+        }
+        if (cursor.tryKeyword("AS")) {
+            readers.types.type();
+        } else {
+            cursor.expect(SqlLexer.COMMA, "the type of a cast");
+            readers.expressions.expression(scope);
+        }
+        cursor.expect(SqlLexer.CLOSE, "the end of a cast");
+        cursor.exit();
+    }
+
+    /** A call whose arguments may have keywords between them. */
+    private void callWithKeywords(Scope scope) {
+        tokens.take();
+        cursor.enter();
+        for (String text : new String[] {"BOTH", "LEADING", "TRAILING"}) {
+            cursor.tryKeyword(text);
+        }
+        if (!cursor.atKeyword("FROM")) {
+            readers.expressions.expression(scope);
+        }
+        while (!cursor.at(SqlLexer.CLOSE)) {
+            if (!cursor.tryKeyword("FROM") && !cursor.tryKeyword("FOR")) {
+                cursor.expect(SqlLexer.COMMA, "another argument");
+            }
+            readers.expressions.expression(scope);
+        }
+        tokens.take();
+        cursor.exit();
+    }
+}
--- /dev/null
+++ b/sql/src/main/java/ashlink/sql/ClauseReader.java
@@ -0,0 +1,199 @@
+package ashlink.sql;
+
+import ashlink.sql.grammar.SqlLexer;
+
+/** Reads the clauses of a query after FROM, and the options of its output. */
+final class ClauseReader {
+
+    private final Readers readers;
+    private final TokenCursor cursor;
+    private final Tokens tokens;
+    private final AnalysisBuilder analysis;
+
+    ClauseReader(Readers readers) {
+        this.readers = readers;
+        this.cursor = readers.cursor;
+        this.tokens = readers.tokens;
+        this.analysis = readers.analysis;
+    }
+
+    /** Reads the next clause; false, with nothing taken, if none follows. */
+    boolean tryClause(Scope scope) {
+        Token token = tokens.peek();
+        if (token == null) {
+            return false;
+        }
+        switch (token.upper()) {
+            case "PREWHERE", "WHERE", "HAVING", "QUALIFY" -> {
+                cursor.takeKeyword();
+                readers.expressions.expression(scope);
+            }
+            case "GROUP" -> group(scope);
+            case "WINDOW" -> readers.windows.clause(scope);
+            case "ORDER" -> {
+                cursor.takeKeyword();
+                cursor.expectKeyword("BY");
+                orderList(scope);
+            }
+            case "LIMIT" -> limit(scope);
+            case "OFFSET" -> {
+                cursor.takeKeyword();
+                readers.expressions.expression(scope);
+                if (!cursor.tryKeyword("ROW")) {
+                    cursor.tryKeyword("ROWS");
+                }
+            }
+            case "FETCH" -> fetch(scope);
+            case "WITH" -> {
+                cursor.takeKeyword();
+                if (!cursor.tryKeyword("TOTALS") && !cursor.tryKeyword("CUBE")) {
+                    cursor.expectKeyword("ROLLUP");
+                }
+            }
+            default -> {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    private void group(Scope scope) {
+        cursor.takeKeyword();
+        cursor.expectKeyword("BY");
+        if (cursor.tryKeyword("ALL")) {
+            return;
+        }
+        if (cursor.atKeywords("GROUPING", "SETS")) {
+            cursor.takeKeyword();
+            cursor.takeKeyword();
+        }
+        readers.expressions.list(scope);
+    }
+
+    /** Expressions with their directions and fillings. */
+    void orderList(Scope scope) {
+        if (cursor.atKeyword("ALL")
+                && (tokens.peek(1) == null
+                        || tokens.peek(1).type == SqlLexer.CLOSE
+                        || Vocabulary.CLAUSES.contains(tokens.peek(1).upper()))) {
+            cursor.takeKeyword();
+            orderOptions(scope);
+            return;
+        }
+        do {
+            if (cursor.at(SqlLexer.COMMA)) {
+                tokens.take();
+            }
+            readers.expressions.expression(scope);
+            orderOptions(scope);
+        } while (cursor.at(SqlLexer.COMMA));
+        if (cursor.tryKeyword("INTERPOLATE") && cursor.at(SqlLexer.OPEN)) {
+            tokens.take();
+            readers.expressions.parenthesis(scope);
+        }
+    }
+
+    private void orderOptions(Scope scope) {
+        while (true) {
+            if (cursor.tryKeyword("ASC")
+                    || cursor.tryKeyword("DESC")
+                    || cursor.tryKeyword("ASCENDING")
+                    || cursor.tryKeyword("DESCENDING")) {
+                continue;
+            }
+            if (cursor.tryKeyword("NULLS")) {
+                if (!cursor.tryKeyword("FIRST")) {
+                    cursor.expectKeyword("LAST");
+                }
+            } else if (cursor.tryKeyword("COLLATE")
+                    || cursor.tryKeyword("FROM")
+                    || cursor.tryKeyword("TO")
+                    || cursor.tryKeyword("STEP")
+                    || cursor.tryKeyword("STALENESS")) {
+                readers.expressions.expression(scope);
+            } else if (cursor.atKeywords("WITH", "FILL")) {
+                cursor.takeKeyword();
+                cursor.takeKeyword();
+            } else {
+                return;
+            }
+        }
+    }
+
+    private void limit(Scope scope) {
+        cursor.takeKeyword();
+        readers.expressions.expression(scope);
+        if (cursor.at(SqlLexer.COMMA)) {
+            tokens.take();
+            readers.expressions.expression(scope);
+        }
+        if (cursor.tryKeyword("OFFSET")) {
+            readers.expressions.expression(scope);
+        }
+        if (cursor.tryKeyword("BY")) {
+            readers.expressions.list(scope);
+        } else if (cursor.atKeywords("WITH", "TIES")) {
+            cursor.takeKeyword();
+            cursor.takeKeyword();
+        }
+    }
+
+    private void fetch(Scope scope) {
+        cursor.takeKeyword();
+        if (!cursor.tryKeyword("FIRST")) {
+            cursor.expectKeyword("NEXT");
+        }
+        if (!cursor.atKeyword("ROW") && !cursor.atKeyword("ROWS")) {
+            readers.expressions.expression(scope);
+        }
+        if (!cursor.tryKeyword("ROWS")) {
+            cursor.expectKeyword("ROW");
+        }
+        if (!cursor.tryKeyword("ONLY")) {
+            cursor.expectKeyword("WITH");
+            cursor.expectKeyword("TIES");
+        }
+    }
+
+    /** The end of a statement: where its output goes, its format and its settings. */
+    void outputOptions() {
+        while (true) {
+            if (cursor.atKeywords("INTO", "OUTFILE")) {
+                cursor.takeKeyword();
+                cursor.takeKeyword();
+                cursor.expectLiteral("a file");
+                analysis.doubt("it writes a file at the client");
+                while (cursor.tryKeyword("AND")
+                        || cursor.tryKeyword("STDOUT")
+                        || cursor.tryKeyword("APPEND")
+                        || cursor.tryKeyword("TRUNCATE")) {
+                    // each changes only how the file is written
+                }
+                if (cursor.tryKeyword("COMPRESSION")) {
+                    cursor.expectLiteral("a compression");
+                }
+            } else if (cursor.tryKeyword("FORMAT")) {
+                cursor.expectName("a format");
+            } else if (cursor.tryKeyword("SETTINGS")) {
+                settings();
+            } else {
+                return;
+            }
+        }
+    }
+
+    /** {@code name = value} with commas between. */
+    void settings() {
+        do {
+            if (cursor.at(SqlLexer.COMMA)) {
+                tokens.take();
+            }
+            String name = cursor.expectName("a setting");
+            cursor.expect(SqlLexer.OPERATOR, "=");
+            int from = tokens.offset();
+            readers.expressions.expression(new Scope(null));
+            Token last = tokens.last();
+            analysis.settings.put(name, last.from >= from ? last.text : "");
+        } while (cursor.at(SqlLexer.COMMA));
+    }
+}
--- /dev/null
+++ b/sql/src/main/java/ashlink/sql/DefinitionReader.java
@@ -0,0 +1,162 @@
+package ashlink.sql;
+
+import ashlink.sql.Token.Role;
+import ashlink.sql.grammar.SqlLexer;
+import java.util.Set;
+
+/** Reads statements that define tables and other objects, or change rows by a condition. */
+final class DefinitionReader {
+
+    /** Words between the first one of a definition and the name of its object. */
+    private static final Set<String> OBJECTS =
+            Set.of(
+                    "TABLE",
+                    "VIEW",
+                    "DATABASE",
+                    "DICTIONARY",
+                    "FUNCTION",
+                    "TABLES",
+                    "DATABASES",
+                    "TEMPORARY",
+                    "MATERIALIZED",
+                    "LIVE",
+                    "WINDOW",
+                    "OR",
+                    "REPLACE",
+                    "IF",
+                    "NOT",
+                    "EXISTS",
+                    "SYNC",
+                    "PERMANENTLY",
+                    "INDEX",
+                    "NAMED",
+                    "COLLECTION",
+                    "USER",
+                    "ROLE",
+                    "QUOTA",
+                    "POLICY",
+                    "ROW",
+                    "SETTINGS",
+                    "PROFILE",
+                    "UNIQUE",
+                    "WORKLOAD",
+                    "RESOURCE",
+                    "ALL",
+                    "FROM",
+                    "COLUMN",
+                    "CONSTRAINT");
+
+    /** Objects of access control and of the server, which are no tables. */
+    private static final Set<String> ACCESS =
+            Set.of(
+                    "USER",
+                    "ROLE",
+                    "QUOTA",
+                    "POLICY",
+                    "PROFILE",
+                    "COLLECTION",
+                    "WORKLOAD",
+                    "RESOURCE");
+
+    private final Readers readers;
+    private final TokenCursor cursor;
+    private final Tokens tokens;
+    private final AnalysisBuilder analysis;
+
+    DefinitionReader(Readers readers) {
+        this.readers = readers;
+        this.cursor = readers.cursor;
+        this.tokens = readers.tokens;
+        this.analysis = readers.analysis;
+    }
+
+    /** CREATE, DROP and the like: the kind of their object, then its name. */
+    Kind define() {
+        cursor.takeKeyword();
+        boolean database = false;
+        boolean access = false;
+        boolean all = false;
+        boolean table = false;
+        while (tokens.peek() != null && OBJECTS.contains(tokens.peek().upper())) {
+            Token next = tokens.peek(1);
+            if (table && next != null && next.type == SqlLexer.DOT) {
+                break; // a database of that name
+            }
+            database |= cursor.atKeyword("DATABASE");
+            all |= cursor.atKeyword("ALL") || cursor.atKeyword("TABLES");
+            table |=
+                    cursor.atKeyword("TABLE")
+                            || cursor.atKeyword("VIEW")
+                            || cursor.atKeyword("DICTIONARY");
+            access |= ACCESS.contains(tokens.peek().upper()) || cursor.atKeyword("FUNCTION");
+            cursor.takeKeyword();
+        }
+        if (access || all || database) {
+            analysis.allTables = false;
+            return readers.statements.skipRest(access ? Kind.ADMINISTRATION : Kind.DDL);
+        }
+        analysis.writes.add(readers.tables.tableName());
+        return readers.statements.skipRest(Kind.DDL);
+    }
+
+    /** ALTER of a table or of another object. */
+    Kind alter() {
+        cursor.takeKeyword();
+        if (!cursor.atKeyword("TABLE")) {
+            analysis.allTables = false;
+            return readers.statements.requireRest(Kind.ADMINISTRATION);
+        }
+        cursor.takeKeyword();
+        analysis.writes.add(readers.tables.tableName());
+        if (cursor.tryKeyword("ON")) {
+            cursor.expectKeyword("CLUSTER");
+            cursor.expectName("a cluster");
+        }
+        boolean rows = cursor.atKeyword("DELETE") || cursor.atKeyword("UPDATE");
+        return readers.statements.skipRest(rows ? Kind.WRITE : Kind.DDL);
+    }
+
+    /** RENAME and EXCHANGE of tables or other objects. */
+    Kind rename() {
+        cursor.takeKeyword();
+        if (!cursor.tryKeyword("TABLE")
+                && !cursor.tryKeyword("TABLES")
+                && !cursor.tryKeyword("DICTIONARY")) {
+            analysis.allTables = false;
+            return readers.statements.skipRest(Kind.DDL);
+        }
+        do {
+            if (cursor.at(SqlLexer.COMMA)) {
+                tokens.take();
+            }
+            analysis.writes.add(readers.tables.tableName());
+            if (!cursor.tryKeyword("TO")) {
+                cursor.expectKeyword("AND");
+            }
+            analysis.writes.add(readers.tables.tableName());
+        } while (cursor.at(SqlLexer.COMMA));
+        return readers.statements.skipRest(Kind.DDL);
+    }
+
+    /** The table of a DELETE or UPDATE, and its condition. */
+    Kind changeByCondition() {
+        analysis.writes.add(readers.tables.tableName());
+        while (tokens.peek() != null && !cursor.at(SqlLexer.SEMICOLON)) {
+            if (cursor.atKeyword("SET")
+                    || cursor.atKeyword("WHERE")
+                    || cursor.atKeyword("ON")
+                    || cursor.atKeyword("IN")
+                    || cursor.atKeyword("CLUSTER")
+                    || cursor.atKeyword("PARTITION")
+                    || cursor.at(SqlLexer.COMMA)) {
+                Token token = tokens.take();
+                token.role = token.type == SqlLexer.WORD ? Role.KEYWORD : Role.SYMBOL;
+            } else if (cursor.tryKeyword("SETTINGS")) {
+                readers.clauses.settings();
+            } else {
+                readers.expressions.expression(new Scope(null));
+            }
+        }
+        return Kind.WRITE;
+    }
+}
--- /dev/null
+++ b/sql/src/main/java/ashlink/sql/InsertReader.java
@@ -0,0 +1,95 @@
+package ashlink.sql;
+
+import ashlink.sql.grammar.SqlLexer;
+
+/** Reads INSERT statements up to their data. */
+final class InsertReader {
+
+    private final Readers readers;
+    private final TokenCursor cursor;
+    private final Tokens tokens;
+    private final AnalysisBuilder analysis;
+
+    InsertReader(Readers readers) {
+        this.readers = readers;
+        this.cursor = readers.cursor;
+        this.tokens = readers.tokens;
+        this.analysis = readers.analysis;
+    }
+
+    /** An INSERT; the scope has the queries that a WITH before it has named. */
+    Kind insert(Scope scope) {
+        cursor.takeKeyword();
+        cursor.expectKeyword("INTO");
+        cursor.tryKeyword("TABLE");
+        target(scope);
+        if (cursor.at(SqlLexer.OPEN) && !readers.queries.startsQuery()) {
+            tokens.take();
+            readers.expressions.parenthesis(scope); // columns
+        }
+        if (cursor.tryKeyword("PARTITION")) {
+            cursor.expectKeyword("BY");
+            readers.expressions.expression(scope);
+        }
+        boolean fromFile = tryFile();
+        if (cursor.tryKeyword("SETTINGS")) {
+            readers.clauses.settings();
+        }
+        return source(scope, fromFile);
+    }
+
+    private void target(Scope scope) {
+        boolean function = cursor.atKeyword("FUNCTION") && Token.isName(tokens.peek(1));
+        if (function) {
+            cursor.takeKeyword();
+            cursor.expectName("a table function");
+            cursor.expect(SqlLexer.OPEN, "arguments");
+            readers.expressions.parenthesis(scope);
+            analysis.allTables = false;
+        } else {
+            analysis.writes.add(readers.tables.tableName());
+        }
+    }
+
+    private boolean tryFile() {
+        if (!cursor.atKeywords("FROM", "INFILE")) {
+            return false;
+        }
+        cursor.takeKeyword();
+        cursor.takeKeyword();
+        cursor.expectLiteral("a file");
+        if (cursor.tryKeyword("COMPRESSION")) {
+            cursor.expectLiteral("a compression");
+        }
+        return true;
+    }
+
+    /** Where the rows come from: a format, values, a file or a query. */
+    private Kind source(Scope scope, boolean fromFile) {
+        if (cursor.tryKeyword("FORMAT")) {
+            cursor.expectName("a format");
+            if (cursor.tryKeyword("SETTINGS")) {
+                readers.clauses.settings();
+            }
+            analysis.takesData = !fromFile;
+            return Kind.LOAD;
+        }
+        if (cursor.tryKeyword("VALUES")) {
+            analysis.takesData = true;
+            return Kind.LOAD;
+        }
+        if (fromFile) {
+            return Kind.LOAD;
+        }
+        if (tokens.peek() == null) {
+            // The native protocol sends the rows without a word for them.
+            analysis.takesData = true;
+            return Kind.LOAD;
+        }
+        if (!readers.queries.startsQuery()) {
+            throw cursor.unexpected("VALUES, FORMAT or a query");
+        }
+        readers.queries.query(scope);
+        return Kind.WRITE;
+    }
+}
--- a/sql/src/main/java/ashlink/sql/NormalizedSql.java
+++ b/sql/src/main/java/ashlink/sql/NormalizedSql.java
@@ -33,7 +33,7 @@
         return switch (token.role) {
             case LITERAL -> "?";
             case KEYWORD -> token.upper();
-            case NAME, ALIAS -> name(ExpressionReader.plain(token));
+            case NAME, ALIAS -> name(Token.unquoted(token));
             default -> token.text;
         };
     }
@@ -51,10 +51,10 @@
      * The tokens of a text that was not understood, without its literals, as far as they can be
      * made out.
      */
-    static String rough(String text, int most) {
+    static String rough(String text, int maxTokens) {
         StringBuilder rough = new StringBuilder();
         try {
-            Tokens tokens = new Tokens(text, Math.min(most, ROUGH_TOKENS));
+            Tokens tokens = new Tokens(text, Math.min(maxTokens, ROUGH_TOKENS));
             while (tokens.peek() != null) {
                 Token token = tokens.take();
                 boolean literal =
--- /dev/null
+++ b/sql/src/main/java/ashlink/sql/OperatorReader.java
@@ -0,0 +1,272 @@
+package ashlink.sql;
+
+import ashlink.sql.Token.Role;
+import ashlink.sql.grammar.SqlLexer;
+import java.util.List;
+
+/** Reads what may follow an operand: operators, parts of a name, aliases, modifiers of columns. */
+final class OperatorReader {
+
+    private final Readers readers;
+    private final TokenCursor cursor;
+    private final Tokens tokens;
+
+    OperatorReader(Readers readers) {
+        this.readers = readers;
+        this.cursor = readers.cursor;
+        this.tokens = readers.tokens;
+    }
+
+    /**
+     * Reads on where an operator, a part of a name, an alias or the like follows.
+     *
+     * @return false, with nothing taken, if the expression ends here
+     */
+    boolean tryOperator(Scope scope) {
+        if (tokens.peek() == null) {
+            return false;
+        }
+        cursor.enter();
+        boolean more = operator(tokens.peek(), scope);
+        cursor.exit();
+        return more;
+    }
+
+    private boolean operator(Token token, Scope scope) {
+        switch (token.type) {
+            case SqlLexer.WORD -> {
+                return keywordOperator(scope, token);
+            }
+            case SqlLexer.BACKTICKED, SqlLexer.QUOTED -> {
+                return tryAlias();
+            }
+            case SqlLexer.NUMBER -> {
+                return tryTupleElement(token);
+            }
+            case SqlLexer.OPERATOR,
+                    SqlLexer.PLUS,
+                    SqlLexer.MINUS,
+                    SqlLexer.STAR,
+                    SqlLexer.ARROW -> {
+                tokens.take();
+                readers.operands.operand(scope);
+            }
+            case SqlLexer.QUESTION, SqlLexer.MANY -> conditional(scope);
+            case SqlLexer.CAST -> {
+                tokens.take();
+                readers.types.type();
+            }
+            case SqlLexer.DOT -> namePart();
+            case SqlLexer.OPEN_SQUARE -> {
+                tokens.take();
+                readers.expressions.bracketed(SqlLexer.CLOSE_SQUARE, scope);
+            }
+            default -> {
+                return false;
+            }
+        }
+        return true;
+    }
+
+    /** {@code condition ? value : other}. */
+    private void conditional(Scope scope) {
+        tokens.take();
+        readers.expressions.expression(scope);
+        cursor.expect(SqlLexer.COLON, "the other branch");
+        readers.expressions.expression(scope);
+    }
+
+    /** An element of a tuple, {@code .1}, which the lexer takes for a number. */
+    private boolean tryTupleElement(Token token) {
+        if (token.text.charAt(0) != '.') {
+            return false;
+        }
+        tokens.take();
+        return true;
+    }
+
+    /** An alias without AS, where an operand is complete. */
+    private boolean tryAlias() {
+        if (!endsOperand(tokens.last())) {
+            return false;
+        }
+        alias();
+        return true;
+    }
+
+    private void alias() {
+        cursor.expectName("an alias");
+        tokens.last().role = Role.ALIAS;
+    }
+
+    private void namePart() {
+        tokens.take();
+        if (cursor.at(SqlLexer.NUMBER) || cursor.at(SqlLexer.STAR)) {
+            tokens.take();
+        } else {
+            cursor.expectName("a part of a name");
+        }
+    }
+
+    private boolean keywordOperator(Scope scope, Token token) {
+        String text = token.upper();
+        Token next = tokens.peek(1);
+        switch (text) {
+            case "AND", "OR", "XOR", "DIV", "MOD", "LIKE", "ILIKE", "REGEXP", "COLLATE" -> {
+                cursor.takeKeyword();
+                readers.operands.operand(scope);
+            }
+            case "BETWEEN" -> between(scope);
+            case "NOT" -> negation();
+            case "GLOBAL" -> {
+                if (next == null || !next.is("IN") && !next.is("NOT")) {
+                    return false;
+                }
+                cursor.takeKeyword();
+            }
+            case "IN" -> in(scope);
+            case "IS" -> is(scope);
+            case "AS" -> {
+                cursor.takeKeyword();
+                alias();
+            }
+            case "OVER" -> readers.windows.over(scope);
+            case "FILTER" -> filter(scope);
+            case "IGNORE", "RESPECT" -> {
+                cursor.takeKeyword();
+                cursor.expectKeyword("NULLS");
+            }
+            case "EXCEPT", "REPLACE", "APPLY" -> {
+                return tryColumnModifier(scope, next);
+            }
+            default -> {
+                return !Vocabulary.CLAUSES.contains(text) && tryAlias();
+            }
+        }
+        return true;
+    }
+
+    private void between(Scope scope) {
+        cursor.takeKeyword();
+        readers.operands.operand(scope);
+        while (!cursor.atKeyword("AND") && tryOperator(scope)) {
+            // up to its own AND
+        }
+        cursor.expectKeyword("AND");
+        readers.operands.operand(scope);
+    }
+
+    private void negation() {
+        cursor.takeKeyword();
+        if (!cursor.atKeyword("IN")
+                && !cursor.atKeyword("LIKE")
+                && !cursor.atKeyword("ILIKE")
+                && !cursor.atKeyword("BETWEEN")
+                && !cursor.atKeyword("REGEXP")) {
+            throw cursor.unexpected("an operator");
+        }
+    }
+
+    private void filter(Scope scope) {
+        cursor.takeKeyword();
+        cursor.expect(SqlLexer.OPEN, "a condition in brackets");
+        cursor.expectKeyword("WHERE");
+        readers.expressions.bracketed(SqlLexer.CLOSE, scope);
+    }
+
+    private static boolean endsOperand(Token last) {
+        return last.role == Role.NAME
+                || last.role == Role.LITERAL
+                || last.type == SqlLexer.CLOSE
+                || last.type == SqlLexer.CLOSE_SQUARE
+                || last.type == SqlLexer.STAR
+                || last.type == SqlLexer.CLOSE_CURLY
+                || last.is("END")
+                || last.type == SqlLexer.NUMBER
+                || Vocabulary.UNITS.contains(last.upper());
+    }
+
+    /**
+     * {@code * EXCEPT (...)}, {@code REPLACE (...)}, {@code APPLY (...)}; a query after EXCEPT is
+     * another query.
+     */
+    private boolean tryColumnModifier(Scope scope, Token next) {
+        if (next == null
+                || next.is("SELECT")
+                || next.is("WITH")
+                || next.is("DISTINCT")
+                || next.is("ALL")) {
+            return false;
+        }
+        if (next.type == SqlLexer.OPEN) {
+            Token inner = tokens.peek(2);
+            if (inner != null
+                    && (inner.is("SELECT") || inner.is("WITH") || inner.type == SqlLexer.OPEN)) {
+                return false;
+            }
+            cursor.takeKeyword();
+            tokens.take();
+            readers.expressions.bracketed(SqlLexer.CLOSE, scope);
+        } else {
+            cursor.takeKeyword();
+            readers.operands.operand(scope);
+        }
+        return true;
+    }
+
+    /** IN and what follows it: a list, a query, or a table's name. */
+    private void in(Scope scope) {
+        cursor.takeKeyword();
+        Token next = tokens.peek();
+        if (next != null && next.type == SqlLexer.OPEN) {
+            int from = tokens.position();
+            tokens.take();
+            readers.expressions.parenthesis(scope);
+            collapseLiterals(from);
+        } else if (Token.isName(next)
+                && (tokens.peek(1) == null || tokens.peek(1).type != SqlLexer.OPEN)
+                && !Vocabulary.LITERALS.contains(next.upper())) {
+            readers.tables.table(scope);
+        } else {
+            readers.operands.operand(scope);
+        }
+    }
+
+    /**
+     * Makes lists of literals of any length the same: of the tokens since {@code from}, all but the
+     * first literal are dropped. A list with anything else in it stays.
+     */
+    private void collapseLiterals(int from) {
+        List<Token> list = tokens.taken().subList(from, tokens.position());
+        for (Token token : list) {
+            boolean inLiteralList =
+                    token.role == Role.LITERAL
+                            || token.role == Role.DROPPED
+                            || token.type == SqlLexer.COMMA
+                            || token.type == SqlLexer.OPEN
+                            || token.type == SqlLexer.CLOSE;
+            if (!inLiteralList) {
+                return;
+            }
+        }
+        boolean first = true;
+        for (Token token : list.subList(1, list.size() - 1)) {
+            if (token.role == Role.LITERAL && first) {
+                first = false;
+            } else {
+                token.role = Role.DROPPED;
+            }
+        }
+    }
+
+    private void is(Scope scope) {
+        cursor.takeKeyword();
+        cursor.tryKeyword("NOT");
+        if (cursor.tryKeyword("DISTINCT")) {
+            cursor.expectKeyword("FROM");
+            readers.operands.operand(scope);
+        } else {
+            cursor.expectKeyword("NULL");
+        }
+    }
+}
--- a/sql/src/main/java/ashlink/sql/Scope.java
+++ b/sql/src/main/java/ashlink/sql/Scope.java
@@ -3,7 +3,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Names that stand for queries, as seen from one query; inner ones hide outer ones. */
+/** Names of queries given by WITH, as visible from one query; inner ones hide outer ones. */
 final class Scope {
 
     private final Scope outer;
@@ -18,8 +18,8 @@
     }
 
     boolean has(String name) {
-        for (Scope s = this; s != null; s = s.outer) {
-            if (s.names.contains(name)) {
+        for (Scope scope = this; scope != null; scope = scope.outer) {
+            if (scope.names.contains(name)) {
                 return true;
             }
         }
--- /dev/null
+++ b/sql/src/main/java/ashlink/sql/StatementParser.java
@@ -0,0 +1,237 @@
+package ashlink.sql;
+
+import ashlink.sql.Token.Role;
+import ashlink.sql.grammar.SqlLexer;
+import java.util.Set;
+
+/** Reads a whole text of one statement or several, and finds its kind. */
+final class StatementParser {
+
+    private final Readers readers;
+    private final TokenCursor cursor;
+    private final Tokens tokens;
+    private final AnalysisBuilder analysis;
+
+    StatementParser(Readers readers) {
+        this.readers = readers;
+        this.cursor = readers.cursor;
+        this.tokens = readers.tokens;
+        this.analysis = readers.analysis;
+    }
+
+    /** Reads the whole text: one statement, or several. */
+    Kind text() {
+        Kind first = null;
+        int statements = 0;
+        while (true) {
+            while (cursor.at(SqlLexer.SEMICOLON)) {
+                tokens.take().role = Role.DROPPED;
+            }
+            if (tokens.peek() == null) {
+                break;
+            }
+            if (statements > 0) {
+                tokens.last().role = Role.SYMBOL; // one between two statements
+            }
+            Kind kind = statement();
+            statements++;
+            first = first == null ? kind : first;
+            if (analysis.takesData) {
+                break; // the rest is data
+            }
+            if (tokens.peek() != null && !cursor.at(SqlLexer.SEMICOLON)) {
+                throw cursor.unexpected("the end of the statement");
+            }
+        }
+        if (statements == 0) {
+            throw new UnsupportedSyntaxException("there is no statement", 0);
+        }
+        return statements > 1 ? Kind.SEVERAL : first;
+    }
+
+    private Kind statement() {
+        if (readers.queries.startsQuery()) {
+            return query();
+        }
+        return switch (tokens.peek().upper()) {
+            case "INSERT" -> readers.inserts.insert(new Scope(null));
+            case "EXPLAIN" -> explain();
+            case "SHOW" -> requireRest(Kind.READ);
+            case "DESCRIBE", "DESC" -> describe();
+            case "EXISTS" -> exists();
+            case "CREATE", "ATTACH", "DETACH", "DROP", "TRUNCATE", "UNDROP" ->
+                    readers.definitions.define();
+            case "ALTER" -> readers.definitions.alter();
+            case "RENAME", "EXCHANGE" -> readers.definitions.rename();
+            case "DELETE" -> {
+                cursor.takeKeyword();
+                cursor.expectKeyword("FROM");
+                yield readers.definitions.changeByCondition();
+            }
+            case "UPDATE" -> {
+                cursor.takeKeyword();
+                yield readers.definitions.changeByCondition();
+            }
+            case "OPTIMIZE" -> administer(analysis.writes);
+            case "CHECK" -> administer(analysis.reads);
+            case "SET" -> set();
+            case "USE" -> use();
+            case "BEGIN", "START", "COMMIT", "ROLLBACK" -> transaction();
+            case "SYSTEM", "KILL", "GRANT", "REVOKE", "BACKUP", "RESTORE" -> {
+                analysis.allTables = false;
+                yield requireRest(Kind.ADMINISTRATION);
+            }
+            default ->
+                    throw new UnsupportedSyntaxException(
+                            "no statement starts like this", tokens.offset());
+        };
+    }
+
+    private Kind administer(Set<String> tables) {
+        cursor.takeKeyword();
+        cursor.expectKeyword("TABLE");
+        tables.add(readers.tables.tableName());
+        return skipRest(Kind.ADMINISTRATION);
+    }
+
+    private Kind use() {
+        cursor.takeKeyword();
+        cursor.expectName("a database");
+        return Kind.SESSION;
+    }
+
+    /** A query; named queries may also come before an INSERT. */
+    private Kind query() {
+        if (cursor.atKeyword("WITH")) {
+            Scope scope = new Scope(null);
+            readers.queries.with(scope);
+            if (cursor.atKeyword("INSERT")) {
+                return readers.inserts.insert(scope);
+            }
+            readers.queries.query(scope);
+            return Kind.READ;
+        }
+        readers.queries.query(new Scope(null));
+        return Kind.READ;
+    }
+
+    private Kind explain() {
+        cursor.takeKeyword();
+        while (tokens.peek() != null
+                && !readers.queries.startsQuery()
+                && !cursor.atKeyword("INSERT")) {
+            if (cursor.at(SqlLexer.SEMICOLON)) {
+                throw cursor.unexpected("a statement");
+            }
+            Token token = tokens.take();
+            token.role =
+                    token.type == SqlLexer.WORD
+                            ? Role.KEYWORD
+                            : token.type == SqlLexer.NUMBER ? Role.LITERAL : Role.SYMBOL;
+        }
+        if (cursor.atKeyword("INSERT")) {
+            readers.inserts.insert(new Scope(null));
+            analysis.reads.addAll(analysis.writes);
+            analysis.writes.clear();
+            analysis.takesData = false;
+            return Kind.READ;
+        }
+        return query();
+    }
+
+    private Kind describe() {
+        cursor.takeKeyword();
+        cursor.tryKeyword("TABLE");
+        if (readers.queries.startsQuery()) {
+            tokens.take();
+            cursor.enter();
+            readers.queries.query(new Scope(null));
+            cursor.expect(SqlLexer.CLOSE, "the end of a query in brackets");
+            cursor.exit();
+        } else if (tokens.peek(1) != null && tokens.peek(1).type == SqlLexer.OPEN) {
+            readers.tables.function(new Scope(null));
+        } else {
+            analysis.reads.add(readers.tables.tableName());
+        }
+        readers.clauses.outputOptions();
+        return Kind.READ;
+    }
+
+    private Kind exists() {
+        cursor.takeKeyword();
+        boolean database = false;
+        while (cursor.atKeyword("TEMPORARY")
+                || cursor.atKeyword("TABLE")
+                || cursor.atKeyword("VIEW")
+                || cursor.atKeyword("DICTIONARY")
+                || cursor.atKeyword("DATABASE")) {
+            database |= cursor.atKeyword("DATABASE");
+            cursor.takeKeyword();
+        }
+        if (database) {
+            cursor.expectName("a database");
+        } else {
+            analysis.reads.add(readers.tables.tableName());
+        }
+        readers.clauses.outputOptions();
+        return Kind.READ;
+    }
+
+    private Kind set() {
+        cursor.takeKeyword();
+        if (cursor.atKeyword("ROLE") || cursor.atKeyword("DEFAULT")) {
+            return skipRest(Kind.SESSION);
+        }
+        if (cursor.atKeyword("TRANSACTION")) {
+            return skipRest(Kind.TRANSACTION);
+        }
+        readers.clauses.settings();
+        return Kind.SESSION;
+    }
+
+    private Kind transaction() {
+        boolean start = cursor.atKeyword("START");
+        cursor.takeKeyword();
+        if (!cursor.tryKeyword("TRANSACTION") && start) {
+            throw cursor.unexpected("TRANSACTION");
+        }
+        return Kind.TRANSACTION;
+    }
+
+    /** As {@link #skipRest}, but the rest must not be empty. */
+    Kind requireRest(Kind kind) {
+        if (tokens.peek() == null || tokens.peek(1) == null && tokens.position() == 0) {
+            throw cursor.unexpected("the rest of the statement");
+        }
+        return skipRest(kind);
+    }
+
+    /** Skips the rest of a statement whose kind is known already; its brackets must match. */
+    Kind skipRest(Kind kind) {
+        int open = 0;
+        while (tokens.peek() != null && (open > 0 || !cursor.at(SqlLexer.SEMICOLON))) {
+            Token token = tokens.take();
+            boolean opens =
+                    token.type == SqlLexer.OPEN
+                            || token.type == SqlLexer.OPEN_SQUARE
+                            || token.type == SqlLexer.OPEN_CURLY;
+            boolean closes =
+                    token.type == SqlLexer.CLOSE
+                            || token.type == SqlLexer.CLOSE_SQUARE
+                            || token.type == SqlLexer.CLOSE_CURLY;
+            open += opens ? 1 : closes ? -1 : 0;
+            if (open < 0 || token.type == SqlLexer.SEMICOLON) {
+                throw new UnsupportedSyntaxException(
+                        "a bracket is not closed, or closes nothing", token.from);
+            }
+            token.role =
+                    token.type == SqlLexer.NUMBER || token.type == SqlLexer.STRING
+                            ? Role.LITERAL
+                            : Token.isName(token) ? Role.NAME : Role.SYMBOL;
+        }
+        if (open > 0) {
+            throw new UnsupportedSyntaxException("a bracket is not closed", tokens.offset());
+        }
+        return kind;
+    }
+}
--- /dev/null
+++ b/sql/src/main/java/ashlink/sql/TableReader.java
@@ -0,0 +1,196 @@
+package ashlink.sql;
+
+import ashlink.sql.grammar.SqlLexer;
+import java.util.Locale;
+
+/** Reads the tables, queries and table functions after FROM and JOIN. */
+final class TableReader {
+
+    private final Readers readers;
+    private final TokenCursor cursor;
+    private final Tokens tokens;
+    private final AnalysisBuilder analysis;
+
+    TableReader(Readers readers) {
+        this.readers = readers;
+        this.cursor = readers.cursor;
+        this.tokens = readers.tokens;
+        this.analysis = readers.analysis;
+    }
+
+    /** The sources after FROM: tables, queries and calls, joined. */
+    void from(Scope scope) {
+        source(scope);
+        while (true) {
+            if (cursor.at(SqlLexer.COMMA)) {
+                tokens.take();
+                source(scope);
+            } else if (atArrayJoin()) {
+                while (!cursor.tryKeyword("JOIN")) {
+                    cursor.takeKeyword();
+                }
+                readers.expressions.list(scope);
+            } else if (atJoin()) {
+                while (!cursor.tryKeyword("JOIN")) {
+                    cursor.takeKeyword();
+                }
+                source(scope);
+                if (cursor.tryKeyword("ON")) {
+                    readers.expressions.expression(scope);
+                } else if (cursor.tryKeyword("USING")) {
+                    readers.expressions.list(scope);
+                }
+            } else {
+                return;
+            }
+        }
+    }
+
+    private boolean atArrayJoin() {
+        return cursor.atKeywords("ARRAY", "JOIN")
+                || (cursor.atKeyword("LEFT") || cursor.atKeyword("INNER"))
+                        && tokens.peek(1) != null
+                        && tokens.peek(1).is("ARRAY");
+    }
+
+    private boolean atJoin() {
+        int ahead = 0;
+        while (tokens.peek(ahead) != null
+                && Vocabulary.JOINS.contains(tokens.peek(ahead).upper())) {
+            ahead++;
+        }
+        return tokens.peek(ahead) != null && tokens.peek(ahead).is("JOIN");
+    }
+
+    private void source(Scope scope) {
+        if (cursor.at(SqlLexer.OPEN)) {
+            boolean query = readers.queries.startsQuery();
+            tokens.take();
+            cursor.enter();
+            if (query) {
+                readers.queries.query(scope);
+            } else {
+                from(scope);
+            }
+            cursor.expect(SqlLexer.CLOSE, "the end of a bracket");
+            cursor.exit();
+        } else if (Token.isName(tokens.peek())
+                && tokens.peek(1) != null
+                && tokens.peek(1).type == SqlLexer.OPEN) {
+            function(scope);
+        } else {
+            table(scope);
+        }
+        sourceOptions(scope);
+    }
+
+    private void sourceOptions(Scope scope) {
+        boolean named = false;
+        while (true) {
+            if (cursor.tryKeyword("FINAL")) {
+                continue;
+            }
+            if (cursor.tryKeyword("SAMPLE")) {
+                ratio();
+                if (cursor.tryKeyword("OFFSET")) {
+                    ratio();
+                }
+            } else if (!named && (cursor.tryKeyword("AS") || atAlias())) {
+                cursor.expectName("an alias");
+                aliasColumns();
+                named = true;
+            } else {
+                return;
+            }
+        }
+    }
+
+    private boolean atAlias() {
+        Token token = tokens.peek();
+        return Token.isName(token) && !Vocabulary.CLAUSES.contains(token.upper());
+    }
+
+    private void aliasColumns() {
+        if (cursor.at(SqlLexer.OPEN)) {
+            tokens.take();
+            readers.queries.columnNames();
+        }
+    }
+
+    private void ratio() {
+        cursor.expectNumber("a ratio");
+        if (cursor.at(SqlLexer.OPERATOR) && tokens.peek().text.equals("/")) {
+            tokens.take();
+            cursor.expectNumber("a ratio");
+        }
+    }
+
+    /** A table that is read, unless its name stands for a query. */
+    void table(Scope scope) {
+        int from = tokens.position();
+        String name = tableName();
+        boolean simple = tokens.position() == from + 1;
+        if (simple && scope.has(Token.unquoted(tokens.last()))) {
+            return;
+        }
+        analysis.reads.add(name);
+    }
+
+    /**
+     * Takes {@code [database.]table}; a parameter in its place, or three parts, is not understood.
+     */
+    String tableName() {
+        if (cursor.at(SqlLexer.OPEN_CURLY)) {
+            throw new UnsupportedSyntaxException(
+                    "a table whose name is a parameter", tokens.offset());
+        }
+        String first = cursor.expectName("a table");
+        if (!cursor.at(SqlLexer.DOT)) {
+            return qualified(readers.database, first);
+        }
+        tokens.take();
+        String second = cursor.expectName("a table");
+        if (cursor.at(SqlLexer.DOT)) {
+            throw new UnsupportedSyntaxException("a name of three parts", tokens.offset());
+        }
+        return qualified(first, second);
+    }
+
+    private static String qualified(String database, String table) {
+        return database.isEmpty() ? quoted(table) : quoted(database) + "." + quoted(table);
+    }
+
+    private static String quoted(String part) {
+        return part.indexOf('.') >= 0 ? "`" + part + "`" : part;
+    }
+
+    /** A call in place of a table. */
+    void function(Scope scope) {
+        String name = cursor.expectName("a table function");
+        String lower = name.toLowerCase(Locale.ROOT);
+        tokens.take();
+        if (lower.equals("view") || lower.equals("viewifpermitted")) {
+            if (!readers.queries.startsQuery()) {
+                throw cursor.unexpected("a query");
+            }
+            cursor.enter();
+            readers.queries.query(scope);
+            if (cursor.tryKeyword("ELSE")) {
+                readers.expressions.expression(scope);
+            }
+            cursor.expect(SqlLexer.CLOSE, "the end of a view");
+            cursor.exit();
+            return;
+        }
+        if (Vocabulary.OUTSIDE_TABLES.contains(lower)) {
+            analysis.doubt("it reads from outside by " + lower);
+            analysis.allTables = false;
+        } else if (Vocabulary.PATTERN_TABLES.contains(lower)) {
+            analysis.allTables = false;
+        } else if (!Vocabulary.HARMLESS_TABLES.contains(lower)) {
+            throw new UnsupportedSyntaxException("an unknown table function", tokens.last().from);
+        }
+        analysis.unstable |= lower.equals("generaterandom") || lower.equals("fuzzjson");
+        readers.expressions.parenthesis(scope);
+    }
+}
--- a/sql/src/main/java/ashlink/sql/TextChars.java
+++ b/sql/src/main/java/ashlink/sql/TextChars.java
@@ -4,10 +4,7 @@
 import org.antlr.v4.runtime.IntStream;
 import org.antlr.v4.runtime.misc.Interval;
 
-/**
- * The characters of a text for the lexer, without a copy: most of a large insert is never looked
- * at.
- */
+/** The characters of a text for the lexer, without a copy: most of a large insert is never read. */
 final class TextChars implements CharStream {
 
     private final String text;
@@ -25,8 +22,8 @@
     }
 
     @Override
-    public int LA(int i) {
-        int at = i > 0 ? pos + i - 1 : pos + i;
+    public int LA(int offset) {
+        int at = offset > 0 ? pos + offset - 1 : pos + offset;
         return at < 0 || at >= end ? IntStream.EOF : text.charAt(at);
     }
 
--- a/sql/src/main/java/ashlink/sql/Token.java
+++ b/sql/src/main/java/ashlink/sql/Token.java
@@ -1,13 +1,14 @@
 package ashlink.sql;
 
+import ashlink.sql.grammar.SqlLexer;
 import java.util.Locale;
 
-/** A token and what the reader took it for. */
+/** A token and the role that the reader found for it. */
 final class Token {
 
     /**
-     * What a token is to the statement; names are kept as they are, keywords in capitals, literals
-     * not at all.
+     * What a token is to the statement. The normalized text has names unchanged, keywords in
+     * capitals, and a mark in place of literals.
      */
     enum Role {
         SYMBOL,
@@ -33,7 +34,7 @@
         this.upper = word ? text.toUpperCase(Locale.ROOT) : "";
     }
 
-    /** The word in capitals; empty for all that is no word. */
+    /** The word in capitals; empty for a token that is not a word. */
     String upper() {
         return upper;
     }
@@ -41,4 +42,29 @@
     boolean is(String keyword) {
         return upper.equals(keyword);
     }
+
+    /** True for a word and for a quoted name; false for null. */
+    static boolean isName(Token token) {
+        return token != null
+                && (token.type == SqlLexer.WORD
+                        || token.type == SqlLexer.BACKTICKED
+                        || token.type == SqlLexer.QUOTED);
+    }
+
+    /** A name without its quotes and escapes. */
+    static String unquoted(Token token) {
+        if (token.type == SqlLexer.WORD) {
+            return token.text;
+        }
+        char quote = token.text.charAt(0);
+        StringBuilder unquoted = new StringBuilder();
+        for (int i = 1; i < token.text.length() - 1; i++) {
+            char next = token.text.charAt(i);
+            if (next == '\\' || next == quote) {
+                next = token.text.charAt(++i);
+            }
+            unquoted.append(next);
+        }
+        return unquoted.toString();
+    }
 }
--- a/sql/src/main/java/ashlink/sql/Tokens.java
+++ b/sql/src/main/java/ashlink/sql/Tokens.java
@@ -5,23 +5,25 @@
 import java.util.List;
 import org.antlr.v4.runtime.Token;
 
-/** The tokens of a text, made as they are asked for; comments are gone. */
+/**
+ * The tokens of a text without its comments, made lazily: data after an INSERT is never scanned.
+ */
 final class Tokens {
 
     private final String text;
     private final TextChars chars;
     private final SqlLexer lexer;
-    private final int most;
+    private final int maxTokens;
     private final List<ashlink.sql.Token> made = new ArrayList<>();
     private int next;
     private boolean ended;
 
-    Tokens(String text, int most) {
+    Tokens(String text, int maxTokens) {
         this.text = text;
-        this.most = most;
+        this.maxTokens = maxTokens;
         chars = new TextChars(text);
         if (!text.isEmpty() && text.charAt(0) == '\ufeff') {
-            chars.seek(1); // a byte order mark says nothing
+            chars.seek(1); // a byte order mark
         }
         lexer = new SqlLexer(chars);
         lexer.removeErrorListeners();
@@ -59,12 +61,13 @@
         return made.subList(0, next);
     }
 
-    int place() {
+    /** Number of tokens taken so far. */
+    int position() {
         return next;
     }
 
     /** Character at which the next token starts. */
-    int at() {
+    int offset() {
         ashlink.sql.Token token = peek(0);
         return token == null ? text.length() : token.from;
     }
@@ -75,18 +78,15 @@
             ended = true;
             return;
         }
-        if (made.size() >= most) {
-            throw new UnsupportedSyntaxException("over " + most + " tokens", token.getStartIndex());
+        if (made.size() >= maxTokens) {
+            throw new UnsupportedSyntaxException(
+                    "over " + maxTokens + " tokens", token.getStartIndex());
         }
         int from = token.getStartIndex();
         int to = token.getStopIndex() + 1;
         int type = token.getType();
         if (type == SqlLexer.BLOCK_COMMENT) {
-            int inner = text.indexOf("/*", from + 2);
-            if (inner >= 0 && inner + 1 < to) {
-                // Versions differ on whether such comments end at the first or at the matching end.
-                throw new UnsupportedSyntaxException("a comment within a comment", inner);
-            }
+            checkNoInnerComment(from, to);
             return;
         }
         if (type == SqlLexer.OPEN_COMMENT) {
@@ -97,12 +97,7 @@
                     "a stray character U+" + String.format("%04X", (int) text.charAt(from)), from);
         }
         if (type == SqlLexer.HEREDOC) {
-            String tag = text.substring(from, to);
-            int close = text.indexOf(tag, to);
-            if (close < 0) {
-                throw new UnsupportedSyntaxException("a heredoc is not closed", from);
-            }
-            to = close + tag.length();
+            to = heredocEnd(from, to);
             chars.seek(to);
             type = SqlLexer.STRING;
         }
@@ -110,4 +105,22 @@
                 new ashlink.sql.Token(
                         type, text.substring(from, to), from, to, type == SqlLexer.WORD));
     }
+
+    /** Versions differ on whether a comment ends at the first or at the matching end. */
+    private void checkNoInnerComment(int from, int to) {
+        int inner = text.indexOf("/*", from + 2);
+        if (inner >= 0 && inner + 1 < to) {
+            throw new UnsupportedSyntaxException("a comment within a comment", inner);
+        }
+    }
+
+    /** The end of a heredoc whose opening tag is at that place. */
+    private int heredocEnd(int from, int tagEnd) {
+        String tag = text.substring(from, tagEnd);
+        int close = text.indexOf(tag, tagEnd);
+        if (close < 0) {
+            throw new UnsupportedSyntaxException("a heredoc is not closed", from);
+        }
+        return close + tag.length();
+    }
 }
--- a/sql/src/test/java/ashlink/sql/Corpus.java
+++ b/sql/src/test/java/ashlink/sql/Corpus.java
@@ -8,9 +8,10 @@
 import java.util.List;
 import java.util.TreeSet;
 
-/** Statements with what is to be read of them: a file that was reviewed by hand. */
+/** Statements with their expected analyses: a file that was reviewed by hand. */
 final class Corpus {
 
+    /** A statement with its expected analysis; flags as {@link #flags} has them. */
     record Case(
             Kind kind,
             TreeSet<String> reads,
@@ -25,14 +26,14 @@
         try (InputStream in = Corpus.class.getResourceAsStream("/ashlink/sql/corpus.tsv")) {
             for (String line : new String(in.readAllBytes(), StandardCharsets.UTF_8).split("\n")) {
                 if (!line.startsWith("#")) {
-                    String[] f = line.split("\t", -1);
+                    String[] fields = line.split("\t", -1);
                     cases.add(
                             new Case(
-                                    Kind.valueOf(f[0]),
-                                    names(f[1]),
-                                    names(f[2]),
-                                    f[3],
-                                    unescaped(f[4])));
+                                    Kind.valueOf(fields[0]),
+                                    names(fields[1]),
+                                    names(fields[2]),
+                                    fields[3],
+                                    unescaped(fields[4])));
                 }
             }
         }
@@ -46,16 +47,25 @@
     private static String unescaped(String text) {
         StringBuilder plain = new StringBuilder();
         for (int i = 0; i < text.length(); i++) {
-            char c = text.charAt(i);
-            if (c == '\\') {
-                c = text.charAt(++i);
-                c = c == 'n' ? '\n' : c == 't' ? '\t' : c == 'r' ? '\r' : c == '0' ? '\0' : c;
+            char next = text.charAt(i);
+            if (next == '\\') {
+                next = unescaped(text.charAt(++i));
             }
-            plain.append(c);
+            plain.append(next);
         }
         return plain.toString();
     }
 
+    private static char unescaped(char escaped) {
+        return switch (escaped) {
+            case 'n' -> '\n';
+            case 't' -> '\t';
+            case 'r' -> '\r';
+            case '0' -> '\0';
+            default -> escaped;
+        };
+    }
+
     static String flags(StatementAnalysis statementAnalysis) {
         return (statementAnalysis.harmless() ? "h" : "")
                 + (statementAnalysis.unstable() ? "u" : "")
--- a/sql/src/test/java/ashlink/sql/CorpusTest.java
+++ b/sql/src/test/java/ashlink/sql/CorpusTest.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Analyses of the statements of {@link Corpus}. */
 class CorpusTest {
 
     private final StatementReader reader = new StatementReader();
@@ -15,33 +16,24 @@
     void everyStatementIsReadRightOrMarkedUnknown() throws Exception {
         List<String> wrong = new ArrayList<>();
         List<Corpus.Case> cases = Corpus.cases();
-        for (Corpus.Case c : cases) {
-            StatementAnalysis statementAnalysis = reader.read(c.statement(), "");
-            String got =
-                    statementAnalysis.kind()
-                            + " "
-                            + statementAnalysis.reads()
-                            + " "
-                            + statementAnalysis.writes()
-                            + " "
-                            + Corpus.flags(statementAnalysis);
-            String wanted = c.kind() + " " + c.reads() + " " + c.writes() + " " + c.flags();
-            if (!got.equals(wanted)) {
+        for (Corpus.Case corpusCase : cases) {
+            StatementAnalysis analysis = reader.read(corpusCase.statement(), "");
+            String actual = actual(analysis);
+            String expected = expected(corpusCase);
+            if (!actual.equals(expected)) {
                 wrong.add(
-                        c.statement()
-                                + "\n    wanted "
-                                + wanted
-                                + "\n    got    "
-                                + got
+                        corpusCase.statement()
+                                + "\n    expected "
+                                + expected
+                                + "\n    actual   "
+                                + actual
                                 + " "
-                                + statementAnalysis.reason()
+                                + analysis.reason()
                                 + " at "
-                                + statementAnalysis.at());
+                                + analysis.at());
             }
             assertEquals(
-                    statementAnalysis.kind() == Kind.UNKNOWN,
-                    statementAnalysis.at() >= 0,
-                    c.statement());
+                    analysis.kind() == Kind.UNKNOWN, analysis.at() >= 0, corpusCase.statement());
         }
         assertTrue(cases.size() >= 400, cases.size() + " statements");
         assertEquals(
@@ -50,16 +42,36 @@
                 wrong.size() + " of " + cases.size() + "\n" + String.join("\n", wrong));
     }
 
+    private static String actual(StatementAnalysis analysis) {
+        return analysis.kind()
+                + " "
+                + analysis.reads()
+                + " "
+                + analysis.writes()
+                + " "
+                + Corpus.flags(analysis);
+    }
+
+    private static String expected(Corpus.Case corpusCase) {
+        return corpusCase.kind()
+                + " "
+                + corpusCase.reads()
+                + " "
+                + corpusCase.writes()
+                + " "
+                + corpusCase.flags();
+    }
+
     @Test
     void theNormalTextOfAStatementReadsAsItself() throws Exception {
-        for (Corpus.Case c : Corpus.cases()) {
-            StatementAnalysis statementAnalysis = reader.read(c.statement(), "");
+        for (Corpus.Case corpusCase : Corpus.cases()) {
+            StatementAnalysis statementAnalysis = reader.read(corpusCase.statement(), "");
             if (statementAnalysis.kind() != Kind.UNKNOWN
                     && !statementAnalysis.normal().contains("{")) {
                 StatementAnalysis again = reader.read(statementAnalysis.normal(), "");
-                assertEquals(statementAnalysis.normal(), again.normal(), c.statement());
-                assertEquals(statementAnalysis.kind(), again.kind(), c.statement());
-                assertEquals(statementAnalysis.reads(), again.reads(), c.statement());
+                assertEquals(statementAnalysis.normal(), again.normal(), corpusCase.statement());
+                assertEquals(statementAnalysis.kind(), again.kind(), corpusCase.statement());
+                assertEquals(statementAnalysis.reads(), again.reads(), corpusCase.statement());
             }
         }
     }
--- a/sql/src/test/java/ashlink/sql/LimitsTest.java
+++ b/sql/src/test/java/ashlink/sql/LimitsTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Statements made to be dear: an honest answer, in bounded memory, on a small stack. */
+/** Statements made to be expensive: a correct answer, in bounded memory, on a small stack. */
 class LimitsTest {
 
     private final StatementReader reader = new StatementReader();
@@ -18,10 +18,11 @@
     private StatementAnalysis read(String text, long stackBytes) throws InterruptedException {
         StatementAnalysis[] read = new StatementAnalysis[1];
         Throwable[] thrown = new Throwable[1];
-        Thread t = new Thread(null, () -> read[0] = reader.read(text, ""), "small", stackBytes);
-        t.setUncaughtExceptionHandler((x, failure) -> thrown[0] = failure);
-        t.start();
-        t.join();
+        Thread thread =
+                new Thread(null, () -> read[0] = reader.read(text, ""), "small", stackBytes);
+        thread.setUncaughtExceptionHandler((ignored, failure) -> thrown[0] = failure);
+        thread.start();
+        thread.join();
         assertEquals(null, thrown[0]);
         return read[0];
     }
@@ -75,7 +76,7 @@
     }
 
     @Test
-    void dataOfAnInsertIsNotLookedAt() throws Exception {
+    void dataOfAnInsertIsNotRead() throws Exception {
         String data = "(1, 'a'),".repeat(7 << 20) + " this ' is /* no SQL";
         StatementAnalysis statementAnalysis = read("INSERT INTO t VALUES " + data);
         assertEquals(Kind.LOAD, statementAnalysis.kind());
--- a/sql/src/test/java/ashlink/sql/ReaderProperties.java
+++ b/sql/src/test/java/ashlink/sql/ReaderProperties.java
@@ -110,12 +110,12 @@
     @Property(tries = 500, seed = "42")
     void literalsBlanksCommentsCaseAndListLengthsDoNotMatter(
             @ForAll("shapes") Shape shape,
-            @ForAll("literals") List<String> a,
-            @ForAll("literals") List<String> b,
+            @ForAll("literals") List<String> literals,
+            @ForAll("literals") List<String> otherLiterals,
             @ForAll("blanks") String blank,
             @ForAll boolean upper,
             @ForAll @IntRange(min = 1, max = 60) int length) {
-        StatementAnalysis first = reader.read(shape.text(a, " ", false), "");
+        StatementAnalysis first = reader.read(shape.text(literals, " ", false), "");
         Shape other =
                 new Shape(
                         shape.column(),
@@ -124,20 +124,27 @@
                         shape.function(),
                         shape.join(),
                         length);
-        StatementAnalysis second = reader.read(other.text(b, blank, upper), "");
+        StatementAnalysis second = reader.read(other.text(otherLiterals, blank, upper), "");
         assertEquals(Kind.READ, first.kind(), first.reason());
         assertEquals(first.normal(), second.normal());
         assertEquals(first.fingerprint(), second.fingerprint());
     }
 
     @Property(tries = 500, seed = "43")
-    void anotherNameOperatorOrShapeDoes(@ForAll("shapes") Shape a, @ForAll("shapes") Shape b) {
+    void anotherNameOperatorOrShapeDoes(
+            @ForAll("shapes") Shape first, @ForAll("shapes") Shape second) {
         Shape sameLists =
-                new Shape(b.column(), b.operator(), b.table(), b.function(), b.join(), a.lists());
-        if (!a.equals(sameLists)) {
+                new Shape(
+                        second.column(),
+                        second.operator(),
+                        second.table(),
+                        second.function(),
+                        second.join(),
+                        first.lists());
+        if (!first.equals(sameLists)) {
             assertNotEquals(
-                    reader.read(a.text(List.of("1"), " ", false), "").fingerprint(),
-                    reader.read(b.text(List.of("1"), " ", false), "").fingerprint());
+                    reader.read(first.text(List.of("1"), " ", false), "").fingerprint(),
+                    reader.read(second.text(List.of("1"), " ", false), "").fingerprint());
         }
     }
 
@@ -149,16 +156,16 @@
             @ForAll @IntRange(min = 0, max = 2) int how)
             throws Exception {
         List<Corpus.Case> cases = Corpus.cases();
-        Corpus.Case c = cases.get(which % cases.size());
-        String text = c.statement();
-        int i = text.isEmpty() ? 0 : at % text.length();
+        Corpus.Case corpusCase = cases.get(which % cases.size());
+        String text = corpusCase.statement();
+        int index = text.isEmpty() ? 0 : at % text.length();
         String mutated =
                 how == 0
-                        ? text.substring(0, i)
+                        ? text.substring(0, index)
                         : how == 1
-                                ? text.substring(0, i) + by + text.substring(i)
-                                : text.substring(0, i)
-                                        + text.substring(Math.min(text.length(), i + 1));
+                                ? text.substring(0, index) + by + text.substring(index)
+                                : text.substring(0, index)
+                                        + text.substring(Math.min(text.length(), index + 1));
         StatementAnalysis statementAnalysis = reader.read(mutated, "");
         String words =
                 mutated.replaceAll(
--- a/sql/src/test/java/ashlink/sql/SqlBenchRun.java
+++ b/sql/src/test/java/ashlink/sql/SqlBenchRun.java
@@ -61,8 +61,8 @@
         if (chars > 2000) {
             return null;
         }
-        Statement s = CCJSqlParserUtil.parse(statement());
-        return new TablesNamesFinder<Void>().getTables(s);
+        Statement parsed = CCJSqlParserUtil.parse(statement());
+        return new TablesNamesFinder<Void>().getTables(parsed);
     }
 
     @Test
