--- a/sql/src/main/java/ashlink/sql/AnalysisBuilder.java
+++ b/sql/src/main/java/ashlink/sql/AnalysisBuilder.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** What the readers of one text have found so far. */
+/** The analysis of one text, as its readers build it. For one thread. */
 final class AnalysisBuilder {
 
     final TreeSet<String> reads = new TreeSet<>();
@@ -16,10 +16,12 @@
     boolean takesData;
     String doubt = "";
 
+    /** Records why a read is not harmless; the first reason stays. */
     void doubt(String reason) {
         doubt = doubt.isEmpty() ? reason : doubt;
     }
 
+    /** Records a call of a function. */
     void function(String name) {
         String lower = name.toLowerCase(Locale.ROOT);
         unstable |= Vocabulary.UNSTABLE.contains(lower);
--- a/sql/src/main/java/ashlink/sql/ExpressionReader.java
+++ b/sql/src/main/java/ashlink/sql/ExpressionReader.java
@@ -19,7 +19,7 @@
         this.tokens = readers.tokens;
     }
 
-    /** Expressions with commas between them; a comma before the end is let pass. */
+    /** Expressions with commas between them; a trailing comma before FROM is allowed. */
     void list(Scope scope) {
         expression(scope);
         while (cursor.at(SqlLexer.COMMA)) {
@@ -31,7 +31,7 @@
         }
     }
 
-    /** What stands in brackets up to their end, which is taken; it may be nothing. */
+    /** A list after an opening bracket, which may be empty, and the closing bracket. */
     void bracketed(int close, Scope scope) {
         cursor.enter();
         if (!cursor.at(close)) {
--- a/sql/src/main/java/ashlink/sql/Kind.java
+++ b/sql/src/main/java/ashlink/sql/Kind.java
@@ -1,6 +1,6 @@
 package ashlink.sql;
 
-/** What a statement is. */
+/** The kind of a statement. */
 public enum Kind {
     /** Only reads. */
     READ,
--- a/sql/src/main/java/ashlink/sql/NormalizedSql.java
+++ b/sql/src/main/java/ashlink/sql/NormalizedSql.java
@@ -9,8 +9,8 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * The text that a fingerprint is of: one blank between tokens, keywords in capitals, {@code ?} for
- * each literal.
+ * The normalized text of a statement, from which its fingerprint is computed: one blank between
+ * tokens, keywords in capitals, {@code ?} for each literal.
  */
 final class NormalizedSql {
 
@@ -48,8 +48,8 @@
     }
 
     /**
-     * The tokens of a text that was not understood, without its literals, as far as they can be
-     * made out.
+     * The tokens of a text that was not understood, without its literals, up to the first invalid
+     * one.
      */
     static String rough(String text, int maxTokens) {
         StringBuilder rough = new StringBuilder();
--- a/sql/src/main/java/ashlink/sql/Readers.java
+++ b/sql/src/main/java/ashlink/sql/Readers.java
@@ -2,7 +2,7 @@
 
 /**
  * The readers of one text by recursive descent, which call each other, with the state that they
- * share: the tokens, the nesting and what was found so far. For one thread.
+ * share: the tokens, the nesting and the analysis. For one thread.
  *
  * <p>All readers throw {@link UnsupportedSyntaxException} where a text is not understood.
  */
--- a/sql/src/main/java/ashlink/sql/StatementAnalysis.java
+++ b/sql/src/main/java/ashlink/sql/StatementAnalysis.java
@@ -4,21 +4,22 @@
 import java.util.SortedSet;
 
 /**
- * What was read of a statement.
+ * The analysis of a text of one statement or several.
  *
- * @param reads tables that it reads, as {@code database.table}; without a database where none is
- *     known
- * @param writes tables that it writes, makes or drops
- * @param allTables false where it may touch others, which a pattern or another server names
- * @param harmless true only if running it again changes nothing: a read that was understood whole
- * @param unstable true if it may answer otherwise each time: functions of time or chance
+ * @param reads tables that it reads, as {@code database.table}, or {@code table} if the database is
+ *     unknown
+ * @param writes tables that it writes, creates or drops
+ * @param allTables false if it may touch other tables, by a pattern or through another server
+ * @param harmless true only if running it again changes nothing: a read that was understood to its
+ *     end
+ * @param unstable true if its result may differ each time: functions of time or randomness
  * @param takesData true if its rows come from the client after it
- * @param settings that it sets for itself
+ * @param settings that it sets, by name
  * @param fingerprint 128 bits in hex, the same for statements that differ in literal values only;
  *     of an unknown statement that of its tokens
- * @param normal the text that the fingerprint is of
+ * @param normal the normalized text, from which the fingerprint is computed
  * @param reason why it is unknown, or why it is not harmless though it reads; empty otherwise
- * @param at character of the text at which reading ended, -1 where it was understood
+ * @param at index of the character at which reading ended, -1 if it was understood
  */
 public record StatementAnalysis(
         Kind kind,
--- a/sql/src/main/java/ashlink/sql/StatementParser.java
+++ b/sql/src/main/java/ashlink/sql/StatementParser.java
@@ -4,7 +4,7 @@
 import ashlink.sql.grammar.SqlLexer;
 import java.util.Set;
 
-/** Reads a whole text of one statement or several, and finds its kind. */
+/** Reads a text of one statement or several, and finds its kind. */
 final class StatementParser {
 
     private final Readers readers;
@@ -19,7 +19,7 @@
         this.analysis = readers.analysis;
     }
 
-    /** Reads the whole text: one statement, or several. */
+    /** Reads to the end of the text: one statement, or several. */
     Kind text() {
         Kind first = null;
         int statements = 0;
@@ -31,7 +31,8 @@
                 break;
             }
             if (statements > 0) {
-                tokens.last().role = Role.SYMBOL; // one between two statements
+                // A semicolon between two statements is part of the normalized text.
+                tokens.last().role = Role.SYMBOL;
             }
             Kind kind = statement();
             statements++;
--- a/sql/src/main/java/ashlink/sql/UnsupportedSyntaxException.java
+++ b/sql/src/main/java/ashlink/sql/UnsupportedSyntaxException.java
@@ -1,7 +1,8 @@
 package ashlink.sql;
 
 /**
- * A statement is not understood from here on; no more than a long jump, so it has no stack trace.
+ * A statement is not understood from an offset on. It ends the reading of a text and never leaves
+ * {@link StatementReader}, so it has no stack trace.
  */
 final class UnsupportedSyntaxException extends RuntimeException {
 
--- a/sql/src/main/java/ashlink/sql/Vocabulary.java
+++ b/sql/src/main/java/ashlink/sql/Vocabulary.java
@@ -2,7 +2,7 @@
 
 import java.util.Set;
 
-/** Words that mean something to the reader, by the public documentation. */
+/** Sets of words with a meaning for the readers, by the public documentation. */
 final class Vocabulary {
 
     /**
@@ -102,13 +102,10 @@
                     "GLOBAL", "LOCAL", "ANY", "ALL", "ASOF", "SEMI", "ANTI", "INNER", "LEFT",
                     "RIGHT", "FULL", "OUTER", "CROSS", "PASTE");
 
-    /** Operators that are words, after an operand. */
-    static final Set<String> OPERATORS =
-            Set.of("AND", "OR", "XOR", "DIV", "MOD", "LIKE", "ILIKE", "REGEXP", "IN", "BETWEEN");
-
     /** Literals that are words. */
     static final Set<String> LITERALS = Set.of("NULL", "TRUE", "FALSE", "INF", "INFINITY", "NAN");
 
+    /** Units of intervals. */
     static final Set<String> UNITS =
             Set.of(
                     "NANOSECOND",
@@ -134,7 +131,7 @@
                     "QUARTERS",
                     "YEARS");
 
-    /** Table functions that make rows of nothing, or of what this server has. */
+    /** Table functions that generate rows, or read tables of this server. */
     static final Set<String> HARMLESS_TABLES =
             Set.of(
                     "numbers",
@@ -152,7 +149,7 @@
                     "view",
                     "viewifpermitted");
 
-    /** Table functions that read from elsewhere: what that does there is not ours to know. */
+    /** Table functions that read from other servers or files; what that does there is unknown. */
     static final Set<String> OUTSIDE_TABLES =
             Set.of(
                     "remote",
