--- a/wire/src/main/java/ashlink/wire/ByteBuf.java
+++ b/wire/src/main/java/ashlink/wire/ByteBuf.java
@@ -47,7 +47,7 @@
         this(Integer.MAX_VALUE);
     }
 
-    /** Bytes in it. */
+    /** The number of bytes in it. */
     public int size() {
         return size;
     }
@@ -67,19 +67,19 @@
         }
     }
 
-    /** Empties it and gives all its memory back. */
+    /** Empties it and returns its memory to the quota. */
     public void release() {
         size = 0;
         quota.give(bytes.length - INITIAL_BYTES);
         bytes = new byte[INITIAL_BYTES];
     }
 
-    /** Cuts it back to an earlier size. */
+    /** Truncates it to an earlier size, in bytes. */
     public void truncate(int to) {
         size = Math.min(size, to);
     }
 
-    /** Drops that many bytes from the front. */
+    /** Removes that many bytes from the front. */
     public void dropFront(int count) {
         System.arraycopy(bytes, count, bytes, 0, size - count);
         size -= count;
--- a/wire/src/main/java/ashlink/wire/ByteSource.java
+++ b/wire/src/main/java/ashlink/wire/ByteSource.java
@@ -171,20 +171,20 @@
         }
     }
 
-    /** Passes over that many bytes. */
+    /** Skips that many bytes. */
     public final void skip(long length) throws IOException {
-        long left = length;
-        while (left > 0) {
+        long remaining = length;
+        while (remaining > 0) {
             if (pos == end) {
                 refillOrFail();
             }
-            int count = (int) Math.min(left, end - pos);
+            int count = (int) Math.min(remaining, end - pos);
             pos += count;
-            left -= count;
+            remaining -= count;
         }
     }
 
-    /** Passes over that many texts, each with its length before it. */
+    /** Skips that many texts, each with its length before it. */
     public final void skipStrings(long count, long maxEachBytes) throws IOException {
         for (long i = 0; i < count; i++) {
             if (pos < end && buffer[pos] >= 0 && end - pos > buffer[pos]) {
--- a/wire/src/main/java/ashlink/wire/ColumnType.java
+++ b/wire/src/main/java/ashlink/wire/ColumnType.java
@@ -3,19 +3,19 @@
 import java.io.IOException;
 import java.util.List;
 
-/** A type of column, as far as it takes to find where a column of it ends. */
+/** The layout of a column, as far as is needed to find its end. */
 public sealed interface ColumnType {
 
     /** Longest text in a column: longer than any block may be. */
     long TEXT_BYTES = Integer.MAX_VALUE;
 
-    /** Passes over what stands before the values of a column, once for a column with rows. */
+    /** Skips the prefix of the values of a column, once for a column with rows. */
     default void skipPrefix(ByteSource in) throws IOException {}
 
-    /** Passes over that many values. */
+    /** Skips that many values. */
     void skipValues(ByteSource in, long rows) throws IOException;
 
-    /** Values of one size. */
+    /** Values of a fixed size, in bytes. */
     record Fixed(long bytes) implements ColumnType {
         @Override
         public void skipValues(ByteSource in, long rows) throws IOException {
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Where each array ends, then the elements of all. */
+    /** The index at which each array ends, then the elements of all arrays. */
     record Array(ColumnType inner) implements ColumnType {
         @Override
         public void skipPrefix(ByteSource in) throws IOException {
@@ -83,12 +83,15 @@
         }
     }
 
-    /** A dictionary in each block, and for each value its number there. */
+    /** Blocks of a dictionary, and for each value its index there. */
     record LowCardinality(ColumnType inner) implements ColumnType {
         private static final long VERSION = 1;
         private static final int OWN_KEYS = 1 << 9;
         private static final int SHARED_KEYS = 1 << 8;
 
+        /** Indexes have {@code 1 << width} bytes, up to 8. */
+        private static final int MAX_INDEX_WIDTH = 3;
+
         @Override
         public void skipPrefix(ByteSource in) throws IOException {
             long version = in.readLong();
@@ -101,24 +104,30 @@
 
         @Override
         public void skipValues(ByteSource in, long rows) throws IOException {
-            long left = rows;
-            while (left > 0) {
+            long remaining = rows;
+            while (remaining > 0) {
                 long flags = in.readLong();
-                int width = (int) (flags & 0xff);
-                if (width > 3 || (flags & SHARED_KEYS) != 0 || (flags & OWN_KEYS) == 0) {
+                int indexWidth = (int) (flags & 0xff);
+                if (indexWidth > MAX_INDEX_WIDTH
+                        || (flags & SHARED_KEYS) != 0
+                        || (flags & OWN_KEYS) == 0) {
                     throw new WireException(
                             WireException.Reason.UNKNOWN_TYPE,
                             "a dictionary with flags " + Long.toHexString(flags) + " is unknown");
                 }
                 inner.skipValues(in, in.readLong());
-                long here = in.readLong();
-                if (here <= 0 || here > left) {
+                long blockRows = in.readLong();
+                if (blockRows <= 0 || blockRows > remaining) {
                     throw new WireException(
                             WireException.Reason.MALFORMED,
-                            "a dictionary is followed by " + here + " of " + left + " values");
+                            "a dictionary is followed by "
+                                    + blockRows
+                                    + " of "
+                                    + remaining
+                                    + " values");
                 }
-                in.skip(product(1L << width, here));
-                left -= here;
+                in.skip(product(1L << indexWidth, blockRows));
+                remaining -= blockRows;
             }
         }
     }
--- a/wire/src/main/java/ashlink/wire/Compression.java
+++ b/wire/src/main/java/ashlink/wire/Compression.java
@@ -22,8 +22,8 @@
     static final int CHECKSUM_BYTES = 16;
     static final int HEADER_BYTES = 9;
 
-    /** The largest piece that one frame is made of, as other programs do. */
-    private static final int PIECE_BYTES = 1 << 20;
+    /** The most content of one frame that is written, as in public clients. */
+    private static final int FRAME_CONTENT_BYTES = 1 << 20;
 
     private static final int ZSTD_LEVEL = 1;
     private static final LZ4Compressor LZ4_WRITE = LZ4Factory.fastestInstance().fastCompressor();
@@ -48,14 +48,14 @@
 
     /** Appends the bytes as frames. */
     public void compress(byte[] from, int offset, int length, ByteBuf to) throws WireException {
-        for (int done = 0; done < length; done += PIECE_BYTES) {
-            frame(from, offset + done, Math.min(PIECE_BYTES, length - done), to);
+        for (int done = 0; done < length; done += FRAME_CONTENT_BYTES) {
+            writeFrame(from, offset + done, Math.min(FRAME_CONTENT_BYTES, length - done), to);
         }
     }
 
-    private void frame(byte[] from, int offset, int length, ByteBuf to) throws WireException {
-        byte[] out = new byte[HEADER_BYTES + bound(length)];
-        int size =
+    private void writeFrame(byte[] from, int offset, int length, ByteBuf to) throws WireException {
+        byte[] out = new byte[HEADER_BYTES + maxCompressedLength(length)];
+        int frameBytes =
                 HEADER_BYTES
                         + switch (this) {
                             case NONE -> {
@@ -83,14 +83,14 @@
                         };
         out[0] = (byte) method;
         for (int i = 0; i < Integer.BYTES; i++) {
-            out[1 + i] = (byte) (size >>> 8 * i);
-            out[5 + i] = (byte) (length >>> 8 * i);
+            out[1 + i] = (byte) (frameBytes >>> 8 * i);
+            out[1 + Integer.BYTES + i] = (byte) (length >>> 8 * i);
         }
-        long[] sum = CityHash.hash128(out, 0, size);
-        to.putLong(sum[0]).putLong(sum[1]).append(out, 0, size);
+        long[] checksum = CityHash.hash128(out, 0, frameBytes);
+        to.putLong(checksum[0]).putLong(checksum[1]).append(out, 0, frameBytes);
     }
 
-    private int bound(int length) {
+    private int maxCompressedLength(int length) {
         return switch (this) {
             case NONE -> length;
             case LZ4 -> LZ4_WRITE.maxCompressedLength(length);
@@ -98,11 +98,15 @@
         };
     }
 
-    /** Decompresses to exactly {@code length} bytes. */
+    /**
+     * Decompresses the {@code size} bytes at the offset to exactly {@code length} bytes.
+     *
+     * @throws WireException with {@code MALFORMED} if they are damaged or have another length
+     */
     void decompress(byte[] from, int offset, int size, byte[] to, int length) throws WireException {
-        long made;
+        long decompressed;
         try {
-            made =
+            decompressed =
                     switch (this) {
                         case NONE -> {
                             if (size == length) {
@@ -118,10 +122,10 @@
                     WireException.Reason.MALFORMED,
                     "a compressed frame is damaged: " + e.getMessage());
         }
-        if (made != length) {
+        if (decompressed != length) {
             throw new WireException(
                     WireException.Reason.MALFORMED,
-                    "a compressed frame holds " + made + " bytes and says " + length);
+                    "a compressed frame holds " + decompressed + " bytes and says " + length);
         }
     }
 }
--- a/wire/src/main/java/ashlink/wire/Hello.java
+++ b/wire/src/main/java/ashlink/wire/Hello.java
@@ -7,7 +7,7 @@
 
     private Hello() {}
 
-    /** What a client says of itself; the kind of packet is read and written with it. */
+    /** The Hello of a client. */
     public record Client(
             String name,
             int major,
@@ -42,7 +42,7 @@
         }
     }
 
-    /** What a server says of itself. */
+    /** The Hello of a server. */
     public record Server(
             String name,
             int major,
--- a/wire/src/main/java/ashlink/wire/PlainPackets.java
+++ b/wire/src/main/java/ashlink/wire/PlainPackets.java
@@ -2,14 +2,12 @@
 
 import java.io.IOException;
 
-/**
- * Packets of a server that carry neither a block nor an end, for readers that only pass over them.
- */
+/** Packets of a server that carry neither a block nor an end, for readers that only skip them. */
 public final class PlainPackets {
 
     private PlainPackets() {}
 
-    /** Passes over what follows the kind, as a server of that revision writes it. */
+    /** Skips what follows the kind, as a server of that revision writes it. */
     public static void skip(ServerPacket kind, ByteSource in, int revision, WireLimits limits)
             throws IOException {
         switch (kind) {
--- a/wire/src/main/java/ashlink/wire/QueryPacket.java
+++ b/wire/src/main/java/ashlink/wire/QueryPacket.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.Set;
 
-/** A statement as it crosses the wire. {@code stage} 2 is to completion. */
+/**
+ * A Query packet: a statement with its settings. Its stage says how far the statement is executed,
+ * {@link #COMPLETE} for all clients but servers.
+ */
 public record QueryPacket(
         String id,
         ClientInfo client,
@@ -17,10 +20,10 @@
     /** Run the statement to its end. */
     public static final int COMPLETE = 2;
 
-    private static final int STAGES = 8;
+    private static final int MAX_STAGE = 8;
 
     /** Settings that older clients write as a number; all others that they may send are texts. */
-    private static final Set<String> NUMBERS =
+    private static final Set<String> NUMERIC_SETTINGS =
             Set.of(
                     "max_execution_time",
                     "max_block_size",
@@ -54,7 +57,7 @@
             throw new WireException(
                     WireException.Reason.MALFORMED, "a secret between servers is not taken here");
         }
-        int stage = (int) in.readCount("stage", STAGES);
+        int stage = (int) in.readCount("stage", MAX_STAGE);
         boolean compressed = in.readFlag();
         return new QueryPacket(
                 id,
@@ -68,7 +71,7 @@
     private static List<Setting> settings(ByteSource in, WireLimits limits) throws IOException {
         List<Setting> settings = new ArrayList<>();
         for (String name = name(in, limits); !name.isEmpty(); name = name(in, limits)) {
-            more(settings, limits);
+            checkCount(settings, limits);
             long flags = in.readVarUInt();
             settings.add(
                     new Setting(
@@ -80,9 +83,9 @@
     private static List<Setting> oldSettings(ByteSource in, WireLimits limits) throws IOException {
         List<Setting> settings = new ArrayList<>();
         for (String name = name(in, limits); !name.isEmpty(); name = name(in, limits)) {
-            more(settings, limits);
+            checkCount(settings, limits);
             String value =
-                    NUMBERS.contains(name)
+                    NUMERIC_SETTINGS.contains(name)
                             ? Long.toString(in.readVarUInt())
                             : in.readString("value of " + name, limits.textBytes());
             settings.add(new Setting(name, 0, value));
@@ -94,7 +97,7 @@
         return in.readString("a setting's name", limits.nameBytes());
     }
 
-    private static void more(List<Setting> settings, WireLimits limits) throws WireException {
+    private static void checkCount(List<Setting> settings, WireLimits limits) throws WireException {
         if (settings.size() >= limits.settings()) {
             throw new WireException(
                     WireException.Reason.TOO_LARGE,
@@ -119,7 +122,7 @@
         to.putVarUInt(stage).putFlag(compressed).putString(statement);
     }
 
-    /** The value of a setting, the last one given, or null. */
+    /** The value of a setting, null if it is not set; of several, the last one. */
     public String setting(String name) {
         String value = null;
         for (Setting setting : settings) {
--- a/wire/src/main/java/ashlink/wire/ServerError.java
+++ b/wire/src/main/java/ashlink/wire/ServerError.java
@@ -5,7 +5,7 @@
 /** An Exception packet; {@code nested} is its cause or null. */
 public record ServerError(int code, String name, String message, String stack, ServerError nested) {
 
-    private static final int DEEPEST = 16;
+    private static final int MAX_NESTING = 16;
 
     /** An error without a cause. */
     public ServerError(int code, String name, String message) {
@@ -24,9 +24,9 @@
         String message = in.readString("an exception's message", limits.textBytes());
         String stack = in.readString("an exception's stack", limits.textBytes());
         boolean more = in.readFlag();
-        if (more && depth >= DEEPEST) {
+        if (more && depth >= MAX_NESTING) {
             throw new WireException(
-                    WireException.Reason.TOO_LARGE, "over " + DEEPEST + " nested exceptions");
+                    WireException.Reason.TOO_LARGE, "over " + MAX_NESTING + " nested exceptions");
         }
         return new ServerError(
                 code, name, message, stack, more ? read(in, limits, depth + 1) : null);
