--- a/sql/src/main/java/ashlink/sql/NormalizedSql.java
+++ b/sql/src/main/java/ashlink/sql/NormalizedSql.java
@@ -9,8 +9,8 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * The text that a fingerprint is of: one blank between tokens, keywords in capitals, {@code ?} for
- * each literal.
+ * The normalized text of a statement, from which its fingerprint is computed: one blank between
+ * tokens, keywords in capitals, {@code ?} for each literal.
  */
 final class NormalizedSql {
 
@@ -33,7 +33,7 @@
         return switch (token.role) {
             case LITERAL -> "?";
             case KEYWORD -> token.upper();
-            case NAME, ALIAS -> name(ExpressionReader.plain(token));
+            case NAME, ALIAS -> name(Token.unquoted(token));
             default -> token.text;
         };
     }
@@ -48,13 +48,13 @@
     }
 
     /**
-     * The tokens of a text that was not understood, without its literals, as far as they can be
-     * made out.
+     * The tokens of a text that was not understood, without its literals, up to the first invalid
+     * one.
      */
-    static String rough(String text, int most) {
+    static String rough(String text, int maxTokens) {
         StringBuilder rough = new StringBuilder();
         try {
-            Tokens tokens = new Tokens(text, Math.min(most, ROUGH_TOKENS));
+            Tokens tokens = new Tokens(text, Math.min(maxTokens, ROUGH_TOKENS));
             while (tokens.peek() != null) {
                 Token token = tokens.take();
                 boolean literal =
