--- a/decisions/src/test/java/ashlink/decisions/SlowStartTest.java
+++ b/decisions/src/test/java/ashlink/decisions/SlowStartTest.java
@@ -67,7 +67,7 @@
         SlowStart slowStart = slowStart(1, LIMITS);
         startedAt(NOW_NS);
         int burst = 0;
-        while (slowStart.allows(query, engine, NOW_NS)) {
+        while (burst < 100 && slowStart.allows(query, engine, NOW_NS)) {
             slowStart.recordStart(query, engine, NOW_NS);
             burst++;
         }
