--- a/control/src/main/java/ashlink/control/channel/ControlClient.java
+++ b/control/src/main/java/ashlink/control/channel/ControlClient.java
@@ -59,11 +59,11 @@
     }
 
     /** Sends a frame and waits for its answer; one that tells of an error is an exception. */
-    public JsonNode ask(JsonNode frame) throws IOException {
+    public JsonNode request(JsonNode frame) throws IOException {
         send(frame);
         JsonNode answer = Frames.read(in);
         if (answer == null) {
-            throw Frames.ended();
+            throw Frames.connectionClosed();
         }
         if (answer.has("error")) {
             throw new IOException(peer + ": " + answer.get("error").asText());
--- a/control/src/main/java/ashlink/control/channel/ControlServer.java
+++ b/control/src/main/java/ashlink/control/channel/ControlServer.java
@@ -27,7 +27,7 @@
 public final class ControlServer implements AutoCloseable {
 
     private static final Logger LOG = LoggerFactory.getLogger(ControlServer.class);
-    private static final int MOST_CONNECTIONS = 512;
+    private static final int MAX_CONNECTIONS = 512;
     private static final int HANDSHAKE_MS = 5_000;
     private static final int IDLE_MS = 120_000;
     private static final double FRAMES_BURST = 500;
@@ -83,7 +83,7 @@
         while (!closed) {
             try {
                 SSLSocket sSLSocket = (SSLSocket) server.accept();
-                if (sockets.size() >= MOST_CONNECTIONS) {
+                if (sockets.size() >= MAX_CONNECTIONS) {
                     LOG.warn(
                             "control connection of {} closed: {} are open, which is the limit",
                             sSLSocket.getRemoteSocketAddress(),
--- a/control/src/main/java/ashlink/control/channel/Frames.java
+++ b/control/src/main/java/ashlink/control/channel/Frames.java
@@ -18,7 +18,7 @@
  */
 final class Frames {
 
-    static final int MOST_BYTES = 256 << 10;
+    static final int MAX_FRAME_BYTES = 256 << 10;
     static final ObjectMapper JSON =
             JsonMapper.builder(
                             JsonFactory.builder()
@@ -43,9 +43,12 @@
                         | in.readUnsignedByte() << 16
                         | in.readUnsignedByte() << 8
                         | in.readUnsignedByte();
-        if (length <= 0 || length > MOST_BYTES) {
+        if (length <= 0 || length > MAX_FRAME_BYTES) {
             throw new IOException(
-                    "a frame says that it has " + length + " bytes; the limit is " + MOST_BYTES);
+                    "a frame says that it has "
+                            + length
+                            + " bytes; the limit is "
+                            + MAX_FRAME_BYTES);
         }
         byte[] bytes = new byte[length];
         in.readFully(bytes);
@@ -62,9 +65,12 @@
 
     static void write(DataOutputStream out, JsonNode node) throws IOException {
         byte[] bytes = JSON.writeValueAsBytes(node);
-        if (bytes.length > MOST_BYTES) {
+        if (bytes.length > MAX_FRAME_BYTES) {
             throw new IOException(
-                    "a frame of " + bytes.length + " bytes is over the limit of " + MOST_BYTES);
+                    "a frame of "
+                            + bytes.length
+                            + " bytes is over the limit of "
+                            + MAX_FRAME_BYTES);
         }
         byte[] frame = new byte[4 + bytes.length];
         frame[0] = (byte) (bytes.length >>> 24);
@@ -76,7 +82,7 @@
         out.flush();
     }
 
-    static EOFException ended() {
+    static EOFException connectionClosed() {
         return new EOFException("the peer closed the connection");
     }
 }
--- a/control/src/main/java/ashlink/control/member/CommandLog.java
+++ b/control/src/main/java/ashlink/control/member/CommandLog.java
@@ -24,7 +24,7 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(CommandLog.class);
     private static final long SEGMENT_BYTES = 4L << 20;
-    private static final int SLACK = 1_000;
+    private static final int REWRITE_SLACK_RECORDS = 1_000;
 
     private final KeyValueLog log;
     private final ReplicatedCommandSet set;
@@ -48,7 +48,7 @@
                         in.readUTF(),
                         in.readUTF(),
                         in.readLong(),
-                        Intent.values()[in.readByte()],
+                        Intent.ofCode(in.readByte()),
                         in.readUTF(),
                         in.readUTF());
         set.add(operatorCommand, in.readLong() - nowMs, nowMs);
@@ -60,7 +60,7 @@
         out.writeUTF(operatorCommand.subject());
         out.writeUTF(operatorCommand.owner());
         out.writeLong(operatorCommand.revision());
-        out.writeByte(operatorCommand.intent().ordinal());
+        out.writeByte(operatorCommand.intent().code());
         out.writeUTF(operatorCommand.by());
         out.writeUTF(operatorCommand.why());
         out.writeLong(untilMs);
@@ -69,7 +69,7 @@
 
     /** Keeps a notice; returns once it is on the disk. */
     void put(OperatorCommand operatorCommand, long leftMs, long nowMs) throws IOException {
-        if (log.written() > SLACK + 4L * set.size()) {
+        if (log.written() > REWRITE_SLACK_RECORDS + 4L * set.size()) {
             rewrite(nowMs);
         }
         log.append(record(operatorCommand, nowMs + leftMs));
@@ -79,7 +79,7 @@
     /** Writes the set anew; what was written before goes once that is on the disk. */
     void rewrite(long nowMs) throws IOException {
         List<byte[]> records = new ArrayList<>();
-        for (ReplicatedCommandSet.CommandWithTtl ttl : set.all(nowMs)) {
+        for (ReplicatedCommandSet.CommandWithTtl ttl : set.commands(nowMs)) {
             records.add(record(ttl.notice(), nowMs + ttl.leftMs()));
         }
         log.rewrite(records);
--- /dev/null
+++ b/control/src/main/java/ashlink/control/member/ControlWords.java
@@ -0,0 +1,101 @@
+package ashlink.control.member;
+
+import ashlink.fleet.command.Intent;
+import ashlink.fleet.membership.MembershipUpdate.State;
+
+/**
+ * The words of the control channel's JSON. Routers of different builds exchange them, so they stay
+ * as they are whatever the Java constants are called. Stateless.
+ */
+final class ControlWords {
+
+    static final String OP = "op";
+    static final String OP_SWIM = "swim";
+    static final String OP_COMMANDS = "notices";
+    static final String OP_DIGEST = "digest";
+    static final String OP_PUT = "put";
+    static final String OP_STATUS = "status";
+    static final String OP_PUT_RESULT = "known";
+
+    static final String COMMANDS = "notices";
+    static final String SUBJECT = "subject";
+    static final String OWNER = "owner";
+    static final String REVISION = "revision";
+    static final String INTENT = "intent";
+    static final String ISSUER = "by";
+    static final String REASON = "why";
+    static final String TTL_MS = "leftMs";
+    static final String RECEIVED_MS = "learntMs";
+
+    static final String DIGEST = "digest";
+    static final String HASH = "hash";
+    static final String REPLY = "back";
+
+    static final String ADDRESS = "address";
+    static final String KIND = "kind";
+    static final String KIND_PING = "ping";
+    static final String KIND_PING_REQ = "ping-for";
+    static final String KIND_ACK = "ack";
+    static final String SEQUENCE = "number";
+    static final String TARGET = "target";
+    static final String ACKNOWLEDGED_MEMBER = "of";
+    static final String UPDATES = "rumors";
+    static final String MEMBER = "member";
+    static final String INCARNATION = "incarnation";
+    static final String STATE = "state";
+
+    static final String ROUTER = "router";
+    static final String NEW_COMMANDS = "fresh";
+    static final String DURABLE = "durable";
+    static final String TIME_MS = "atMs";
+    static final String CERTIFICATE_EXPIRES_MS = "certificateEndsMs";
+    static final String MEMBERS = "members";
+
+    private ControlWords() {}
+
+    /** The word of an intent. */
+    static String word(Intent intent) {
+        return switch (intent) {
+            case NONE -> "NONE";
+            case DRAIN -> "DRAIN";
+            case STOP -> "STOP";
+        };
+    }
+
+    /**
+     * The intent of a word.
+     *
+     * @throws IllegalArgumentException if no intent has that word
+     */
+    static Intent intent(String word) {
+        return switch (word) {
+            case "NONE" -> Intent.NONE;
+            case "DRAIN" -> Intent.DRAIN;
+            case "STOP" -> Intent.STOP;
+            default -> throw new IllegalArgumentException("unknown intent " + word);
+        };
+    }
+
+    /** The word of a member's state. */
+    static String word(State state) {
+        return switch (state) {
+            case ALIVE -> "ALIVE";
+            case SUSPECT -> "SUSPECT";
+            case DEAD -> "GONE";
+        };
+    }
+
+    /**
+     * The member state of a word.
+     *
+     * @throws IllegalArgumentException if no state has that word
+     */
+    static State state(String word) {
+        return switch (word) {
+            case "ALIVE" -> State.ALIVE;
+            case "SUSPECT" -> State.SUSPECT;
+            case "GONE" -> State.DEAD;
+            default -> throw new IllegalArgumentException("unknown member state " + word);
+        };
+    }
+}
--- a/control/src/main/java/ashlink/control/member/FleetMember.java
+++ b/control/src/main/java/ashlink/control/member/FleetMember.java
@@ -39,39 +39,39 @@
     private static final Logger LOG = LoggerFactory.getLogger(FleetMember.class);
     private static final Logger AUDIT = LoggerFactory.getLogger("ashlink.control.audit");
     private static final long MS = 1_000_000L;
-    private static final long LOOK_NS = 10 * MS;
-    private static final long COMPARE_NS = 1_000 * MS;
-    private static final int MOST_NOTICES = 1_000;
+    private static final long TICK_NS = 10 * MS;
+    private static final long ANTI_ENTROPY_NS = 1_000 * MS;
+    private static final int MAX_COMMANDS = 1_000;
     private static final long DAY_MS = 86_400_000L;
 
     /** A node's settings; {@code peers} are the other routers by name. */
     public record Spec(
             String name,
             InetSocketAddress listen,
-            Path state,
+            Path stateDir,
             Map<String, InetSocketAddress> peers,
-            SwimConfig terms,
+            SwimConfig swimConfig,
             long seed) {}
 
     private final Spec spec;
     private final Identity identity;
-    private final RouterControl controlled;
+    private final RouterControl router;
     private final ControlServer server;
-    private final Map<String, PeerConnection> links = new HashMap<>();
-    private final ReplicatedCommandSet notices =
-            new ReplicatedCommandSet(MOST_NOTICES, 30 * DAY_MS, 60 * DAY_MS);
-    private final CommandLog journal;
-    private final CommandDisseminator carrier;
-    private final Set<OperatorCommand> obeyed = new HashSet<>();
+    private final Map<String, PeerConnection> connections = new HashMap<>();
+    private final ReplicatedCommandSet commands =
+            new ReplicatedCommandSet(MAX_COMMANDS, 30 * DAY_MS, 60 * DAY_MS);
+    private final CommandLog commandLog;
+    private final CommandDisseminator disseminator;
+    private final Set<OperatorCommand> executedStops = new HashSet<>();
     private final Map<OperatorCommand, Long> learntMs = new HashMap<>();
     private final Thread thread;
     private Swim swim;
-    private boolean unsaved;
+    private boolean logFailed;
     private volatile boolean closed;
 
     /** A node that knows its notices from before: they are in force when this returns. */
     public FleetMember(Spec spec, Identity identity, RouterControl controlled) throws IOException {
-        this(spec, identity, controlled, FolderDisk.writing(spec.state()));
+        this(spec, identity, controlled, FolderDisk.writing(spec.stateDir()));
     }
 
     /** The same with another disk. */
@@ -79,12 +79,12 @@
             throws IOException {
         this.spec = spec;
         this.identity = identity;
-        this.controlled = controlled;
-        this.carrier = new CommandDisseminator(notices, spec.seed());
-        this.journal = new CommandLog(disk, notices, System.currentTimeMillis());
-        notices.all(nowMs()).stream()
+        this.router = controlled;
+        this.disseminator = new CommandDisseminator(commands, spec.seed());
+        this.commandLog = new CommandLog(disk, commands, System.currentTimeMillis());
+        commands.commands(nowMs()).stream()
                 .filter(ttl -> ttl.notice().intent() == Intent.STOP)
-                .forEach(ttl -> obeyed.add(ttl.notice()));
+                .forEach(ttl -> executedStops.add(ttl.notice()));
         this.server = new ControlServer(identity, spec.listen(), this::handle);
         this.thread = new Thread(null, this::run, spec.name() + "-gossip", 256 << 10);
         thread.setDaemon(true);
@@ -102,14 +102,14 @@
                 .forEach(
                         (peer, at) -> {
                             seeds.put(peer, at.getHostString() + ":" + at.getPort());
-                            links.put(peer, new PeerConnection(identity, peer, at));
+                            connections.put(peer, new PeerConnection(identity, peer, at));
                         });
         swim =
                 new Swim(
                         spec.name(),
                         address().getHostString() + ":" + address().getPort(),
                         seeds,
-                        spec.terms(),
+                        spec.swimConfig(),
                         spec.seed());
         server.start();
         thread.start();
@@ -129,14 +129,14 @@
                 synchronized (this) {
                     swim.tick(now).forEach(this::send);
                     if (now >= compareNs) {
-                        compareNs = now + COMPARE_NS;
-                        carry(carrier.compare(links.keySet()));
-                        saveAgain();
-                        notices.forget(nowMs());
+                        compareNs = now + ANTI_ENTROPY_NS;
+                        transmit(disseminator.startAntiEntropy(connections.keySet()));
+                        retryPersist();
+                        commands.removeExpired(nowMs());
                         apply(); // what is over is over
                     }
                 }
-                Thread.sleep(LOOK_NS / MS);
+                Thread.sleep(TICK_NS / MS);
             }
         } catch (InterruptedException e) {
             LOG.debug("{} gossips no more", spec.name());
@@ -144,7 +144,7 @@
     }
 
     private void send(Swim.Send send) {
-        link(send.member(), send.address())
+        connectionTo(send.member(), send.address())
                 .send(
                         ControlCodec.swim(
                                 send.message(),
@@ -152,8 +152,8 @@
     }
 
     /** The way to a peer; one that no setting names is reached where it says that it is. */
-    private PeerConnection link(String peer, String address) {
-        return links.computeIfAbsent(
+    private PeerConnection connectionTo(String peer, String address) {
+        return connections.computeIfAbsent(
                 peer,
                 text -> {
                     int colon = address.lastIndexOf(':');
@@ -166,38 +166,38 @@
                 });
     }
 
-    private void carry(List<CommandDisseminator.Transmission> all) {
+    private void transmit(List<CommandDisseminator.Transmission> all) {
         for (CommandDisseminator.Transmission transmission : all) {
-            PeerConnection link = links.get(transmission.peer());
+            PeerConnection link = connections.get(transmission.peer());
             if (link != null
                     && transmission
                             instanceof CommandDisseminator.Transmission.SendCommands sendCommands) {
-                link.send(ControlCodec.notices("notices", sendCommands.notices()));
+                link.send(ControlCodec.notices(ControlWords.OP_COMMANDS, sendCommands.commands()));
             } else if (link != null
                     && transmission
                             instanceof CommandDisseminator.Transmission.SendDigest sendDigest) {
-                link.send(ControlCodec.digest(sendDigest.digest(), sendDigest.back()));
+                link.send(ControlCodec.digest(sendDigest.digest(), sendDigest.reply()));
             }
         }
     }
 
     /** Takes notices: on the disk first, then in force, then carried on. */
-    private synchronized List<CommandWithTtl> take(List<CommandWithTtl> held, String from) {
+    private synchronized List<CommandWithTtl> merge(List<CommandWithTtl> held, String from) {
         List<CommandWithTtl> fresh = new ArrayList<>();
         long now = nowMs();
         for (CommandWithTtl ttl : held) {
-            if (notices.add(ttl.notice(), ttl.leftMs(), now)) {
-                save(ttl, now);
+            if (commands.add(ttl.notice(), ttl.leftMs(), now)) {
+                persist(ttl, now);
                 learntMs.put(ttl.notice(), now);
                 fresh.add(ttl);
             }
         }
-        if (learntMs.size() > 2 * MOST_NOTICES) {
+        if (learntMs.size() > 2 * MAX_COMMANDS) {
             learntMs.clear();
         }
         if (!fresh.isEmpty()) {
             apply();
-            carry(carrier.spread(fresh, links.keySet(), from));
+            transmit(disseminator.disseminate(fresh, connections.keySet(), from));
         }
         return fresh;
     }
@@ -206,24 +206,24 @@
      * A disk that fails is no reason to send fresh work to an engine that drains: the notice is in
      * force, told on, and said not to be safe from a crash, until the disk takes it.
      */
-    private void save(CommandWithTtl ttl, long now) {
+    private void persist(CommandWithTtl ttl, long now) {
         try {
-            journal.put(ttl.notice(), ttl.leftMs(), now);
+            commandLog.put(ttl.notice(), ttl.leftMs(), now);
         } catch (IOException e) {
-            if (!unsaved) {
+            if (!logFailed) {
                 LOG.error(
                         "notices are not kept: a crash would forget what came since: {}",
                         e.toString());
             }
-            unsaved = true;
+            logFailed = true;
         }
     }
 
-    private void saveAgain() {
-        if (unsaved) {
+    private void retryPersist() {
+        if (logFailed) {
             try {
-                journal.rewrite(nowMs());
-                unsaved = false;
+                commandLog.rewrite(nowMs());
+                logFailed = false;
                 LOG.info("notices are kept again");
             } catch (IOException e) {
                 LOG.debug("notices are still not kept: {}", e.toString());
@@ -234,64 +234,64 @@
     private void apply() {
         Set<String> engines = new HashSet<>();
         Intent self = Intent.NONE;
-        for (Map.Entry<String, Intent> entry : notices.intents(nowMs()).entrySet()) {
+        for (Map.Entry<String, Intent> entry : commands.intents(nowMs()).entrySet()) {
             if (entry.getKey().startsWith("engine:")) {
                 engines.add(entry.getKey().substring("engine:".length()));
             } else if (entry.getKey().equals(OperatorCommand.router(spec.name()))) {
                 self = entry.getValue();
             }
         }
-        controlled.drained(engines);
-        boolean stops = self == Intent.STOP && isFresh();
-        controlled.refuse(self == Intent.DRAIN || stops);
+        router.drained(engines);
+        boolean stops = self == Intent.STOP && isStopPending();
+        router.refuse(self == Intent.DRAIN || stops);
         if (stops) {
-            notices.all(nowMs()).forEach(ttl -> obeyed.add(ttl.notice()));
-            controlled.stop();
+            commands.commands(nowMs()).forEach(ttl -> executedStops.add(ttl.notice()));
+            router.stop();
         }
     }
 
     /** A stop is obeyed once: who is started again after it was told to stop stays. */
-    private boolean isFresh() {
-        return notices.all(nowMs()).stream()
+    private boolean isStopPending() {
+        return commands.commands(nowMs()).stream()
                 .anyMatch(
                         ttl ->
                                 ttl.notice().subject().equals(OperatorCommand.router(spec.name()))
                                         && ttl.notice().intent() == Intent.STOP
                                         && ttl.leftMs() > 0
-                                        && !obeyed.contains(ttl.notice()));
+                                        && !executedStops.contains(ttl.notice()));
     }
 
     // ---- Frames
     private JsonNode handle(Peer from, JsonNode frame) throws IOException {
-        String op = ControlCodec.text(frame, "op");
+        String op = ControlCodec.text(frame, ControlWords.OP);
         switch (op) {
-            case "swim" -> {
-                need(from, Role.ROUTER);
+            case ControlWords.OP_SWIM -> {
+                requireRole(from, Role.ROUTER);
                 synchronized (this) {
                     swim.receive(
                                     from.name(),
-                                    ControlCodec.text(frame, "address"),
+                                    ControlCodec.text(frame, ControlWords.ADDRESS),
                                     ControlCodec.swim(frame),
                                     System.nanoTime())
                             .forEach(this::send);
                 }
                 return null;
             }
-            case "notices" -> {
-                need(from, Role.ROUTER);
-                take(ControlCodec.notices(frame), from.name());
+            case ControlWords.OP_COMMANDS -> {
+                requireRole(from, Role.ROUTER);
+                merge(ControlCodec.notices(frame), from.name());
                 return null;
             }
-            case "digest" -> {
-                need(from, Role.ROUTER);
-                compared(from.name(), frame);
+            case ControlWords.OP_DIGEST -> {
+                requireRole(from, Role.ROUTER);
+                onDigest(from.name(), frame);
                 return null;
             }
-            case "put" -> {
+            case ControlWords.OP_PUT -> {
                 return put(from, ControlCodec.notices(frame));
             }
-            case "status" -> {
-                need(from, Role.OBSERVE);
+            case ControlWords.OP_STATUS -> {
+                requireRole(from, Role.OBSERVE);
                 return status();
             }
             default ->
@@ -302,29 +302,32 @@
         }
     }
 
-    private static void need(Peer from, Role role) throws IOException {
+    private static void requireRole(Peer from, Role role) throws IOException {
         if (!from.roles().contains(role)) {
             throw new IOException(
                     from.name() + " has no role " + role.word() + ", only " + from.roles());
         }
     }
 
-    private synchronized void compared(String peer, JsonNode frame) throws IOException {
-        carry(
-                carrier.compared(
-                        peer, ControlCodec.digest(frame), frame.path("back").asBoolean(), nowMs()));
+    private synchronized void onDigest(String peer, JsonNode frame) throws IOException {
+        transmit(
+                disseminator.onDigest(
+                        peer,
+                        ControlCodec.digest(frame),
+                        frame.path(ControlWords.REPLY).asBoolean(),
+                        nowMs()));
     }
 
     /** A command: its notices say who issued them, and that is who sent them. */
     private JsonNode put(Peer from, List<CommandWithTtl> held) throws IOException {
         for (CommandWithTtl ttl : held) {
-            need(from, ttl.notice().intent() == Intent.STOP ? Role.STOP : Role.DRAIN);
+            requireRole(from, ttl.notice().intent() == Intent.STOP ? Role.STOP : Role.DRAIN);
             if (!ttl.notice().by().equals(from.name())) {
                 throw new IOException(
                         "a notice by " + ttl.notice().by() + " comes from " + from.name());
             }
         }
-        List<CommandWithTtl> fresh = take(held, "");
+        List<CommandWithTtl> fresh = merge(held, "");
         for (CommandWithTtl ttl : held) {
             AUDIT.atInfo()
                     .addKeyValue("by", from.name())
@@ -337,41 +340,41 @@
                     .addKeyValue("fresh", fresh.contains(ttl))
                     .log("command");
         }
-        return ControlCodec.op("known")
-                .put("router", spec.name())
-                .put("fresh", fresh.size())
-                .put("durable", isSaved());
+        return ControlCodec.op(ControlWords.OP_PUT_RESULT)
+                .put(ControlWords.ROUTER, spec.name())
+                .put(ControlWords.NEW_COMMANDS, fresh.size())
+                .put(ControlWords.DURABLE, isDurable());
     }
 
-    private synchronized boolean isSaved() {
-        return !unsaved;
+    private synchronized boolean isDurable() {
+        return !logFailed;
     }
 
     private synchronized ObjectNode status() {
         ObjectNode objectNode =
-                ControlCodec.notices("status", notices.all(nowMs()))
-                        .put("router", spec.name())
-                        .put("atMs", nowMs())
-                        .put("durable", isSaved())
-                        .put("certificateEndsMs", identity.endsMs());
-        for (JsonNode node : objectNode.path("notices")) {
+                ControlCodec.notices(ControlWords.OP_STATUS, commands.commands(nowMs()))
+                        .put(ControlWords.ROUTER, spec.name())
+                        .put(ControlWords.TIME_MS, nowMs())
+                        .put(ControlWords.DURABLE, isDurable())
+                        .put(ControlWords.CERTIFICATE_EXPIRES_MS, identity.endsMs());
+        for (JsonNode node : objectNode.path(ControlWords.COMMANDS)) {
             learntMs.forEach(
                     (notice, at) -> {
-                        if (notice.subject().equals(node.path("subject").asText())
-                                && notice.owner().equals(node.path("owner").asText())
-                                && notice.revision() == node.path("revision").asLong()) {
-                            ((ObjectNode) node).put("learntMs", at);
+                        if (notice.subject().equals(node.path(ControlWords.SUBJECT).asText())
+                                && notice.owner().equals(node.path(ControlWords.OWNER).asText())
+                                && notice.revision() == node.path(ControlWords.REVISION).asLong()) {
+                            ((ObjectNode) node).put(ControlWords.RECEIVED_MS, at);
                         }
                     });
         }
-        ArrayNode members = objectNode.putArray("members");
+        ArrayNode members = objectNode.putArray(ControlWords.MEMBERS);
         for (MembershipUpdate membershipUpdate : swim.members().values()) {
             members.addObject()
-                    .put("member", membershipUpdate.member())
-                    .put("state", membershipUpdate.state().name())
-                    .put("incarnation", membershipUpdate.incarnation());
+                    .put(ControlWords.MEMBER, membershipUpdate.member())
+                    .put(ControlWords.STATE, ControlWords.word(membershipUpdate.state()))
+                    .put(ControlWords.INCARNATION, membershipUpdate.incarnation());
         }
-        controlled.status(objectNode);
+        router.status(objectNode);
         return objectNode;
     }
 
@@ -381,9 +384,9 @@
         thread.interrupt();
         server.close();
         synchronized (this) {
-            links.values().forEach(PeerConnection::close);
+            connections.values().forEach(PeerConnection::close);
             try {
-                journal.close();
+                commandLog.close();
             } catch (IOException e) {
                 LOG.warn("notices: {}", e.toString());
             }
--- a/control/src/main/java/ashlink/control/member/PeerConnection.java
+++ b/control/src/main/java/ashlink/control/member/PeerConnection.java
@@ -17,15 +17,15 @@
 final class PeerConnection {
 
     private static final Logger LOG = LoggerFactory.getLogger(PeerConnection.class);
-    private static final int QUEUE = 64;
+    private static final int QUEUE_FRAMES = 64;
     private static final int CONNECT_MS = 1_000;
-    private static final long REST_MS = 200;
+    private static final long RETRY_PAUSE_MS = 200;
     private static final long STACK_BYTES = 256 << 10;
 
     private final Identity identity;
     private final InetSocketAddress address;
     private final String peer;
-    private final ArrayBlockingQueue<JsonNode> queue = new ArrayBlockingQueue<>(QUEUE);
+    private final ArrayBlockingQueue<JsonNode> queue = new ArrayBlockingQueue<>(QUEUE_FRAMES);
     private final Thread thread;
     private volatile boolean closed;
     private volatile ControlClient client;
@@ -56,16 +56,16 @@
                     client.send(frame);
                 } catch (IOException e) {
                     LOG.debug("{} is not reached: {}", peer, e.toString());
-                    drop();
-                    TimeUnit.MILLISECONDS.sleep(REST_MS);
+                    disconnect();
+                    TimeUnit.MILLISECONDS.sleep(RETRY_PAUSE_MS);
                 }
             }
         } catch (InterruptedException e) {
-            drop();
+            disconnect();
         }
     }
 
-    private void drop() {
+    private void disconnect() {
         ControlClient controlClient = client;
         client = null;
         if (controlClient != null) {
--- a/control/src/main/java/ashlink/control/tls/Role.java
+++ b/control/src/main/java/ashlink/control/tls/Role.java
@@ -1,20 +1,24 @@
 package ashlink.control.tls;
 
-import java.util.Locale;
-
 /** What the holder of a certificate may do. */
 public enum Role {
-    /** Is a router: gossips, and carries notices. */
-    ROUTER,
-    /** Asks for state. */
-    OBSERVE,
-    /** Issues drains and their withdrawal. */
-    DRAIN,
+    /** Takes part in membership and command dissemination. */
+    ROUTER("router"),
+    /** Reads the state of routers. */
+    OBSERVE("observe"),
+    /** Issues and withdraws drains. */
+    DRAIN("drain"),
     /** Stops routers. */
-    STOP;
+    STOP("stop");
+
+    private final String word;
+
+    Role(String word) {
+        this.word = word;
+    }
 
-    /** The word in certificates and on the command line. */
+    /** The word in certificates and on the command line; the same in every build. */
     public String word() {
-        return name().toLowerCase(Locale.ROOT);
+        return word;
     }
 }
--- a/control/src/main/java/ashlink/control/tool/FleetClient.java
+++ b/control/src/main/java/ashlink/control/tool/FleetClient.java
@@ -83,7 +83,7 @@
 
     private Result ask(String name, InetSocketAddress at, JsonNode frame) {
         try (ControlClient controlClient = new ControlClient(identity, at, name, timeoutMs)) {
-            return new Result(name, controlClient.ask(frame), "", System.currentTimeMillis());
+            return new Result(name, controlClient.request(frame), "", System.currentTimeMillis());
         } catch (IOException e) {
             return new Result(
                     name, null, String.valueOf(e.getMessage()), System.currentTimeMillis());
--- a/control/src/test/java/ashlink/control/ControlTest.java
+++ b/control/src/test/java/ashlink/control/ControlTest.java
@@ -346,7 +346,7 @@
                 () -> {
                     try (ControlClient controlClient =
                             new ControlClient(stranger, addresses.get("r1"), "r1", 2_000)) {
-                        controlClient.ask(ControlCodec.op("status"));
+                        controlClient.request(ControlCodec.op("status"));
                     }
                 });
         authority.issue("old", Set.of(Role.OBSERVE), Duration.ofMinutes(-10));
@@ -356,7 +356,7 @@
                 () -> {
                     try (ControlClient controlClient =
                             new ControlClient(expired, addresses.get("r1"), "r1", 2_000)) {
-                        controlClient.ask(ControlCodec.op("status"));
+                        controlClient.request(ControlCodec.op("status"));
                     }
                 });
         assertTrue(routers.get("r1").drained.isEmpty());
@@ -380,7 +380,7 @@
                         2_000)) {
             assertEquals(
                     "r1",
-                    controlClient.ask(ControlCodec.op("status")).get("router").asText(),
+                    controlClient.request(ControlCodec.op("status")).get("router").asText(),
                     "a new operator");
         }
         try (ControlClient controlClient =
@@ -391,7 +391,7 @@
                         2_000)) {
             assertEquals(
                     "r1",
-                    controlClient.ask(ControlCodec.op("status")).get("router").asText(),
+                    controlClient.request(ControlCodec.op("status")).get("router").asText(),
                     "an old one");
         }
         authority.retire();
@@ -407,7 +407,7 @@
                                     addresses.get("r1"),
                                     "r1",
                                     2_000)) {
-                        controlClient.ask(ControlCodec.op("status"));
+                        controlClient.request(ControlCodec.op("status"));
                     }
                 },
                 "the old authority is not trusted any more");
--- /dev/null
+++ b/control/src/test/java/ashlink/control/member/ControlWordsTest.java
@@ -0,0 +1,97 @@
+package ashlink.control.member;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import ashlink.fleet.command.Intent;
+import ashlink.fleet.command.OperatorCommand;
+import ashlink.fleet.command.ReplicatedCommandSet.CommandKey;
+import ashlink.fleet.command.ReplicatedCommandSet.CommandWithTtl;
+import ashlink.fleet.membership.MembershipUpdate;
+import ashlink.fleet.membership.MembershipUpdate.State;
+import ashlink.fleet.membership.Message;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+
+/** Frames as routers of other builds write and read them, to the byte. */
+class ControlWordsTest {
+
+    private static final List<MembershipUpdate> UPDATES =
+            Stream.of(State.ALIVE, State.SUSPECT, State.DEAD)
+                    .map(state -> new MembershipUpdate("r3", "a:3", 4, state))
+                    .toList();
+    private static final String RUMORS =
+            Stream.of("ALIVE", "SUSPECT", "GONE")
+                    .map(
+                            state ->
+                                    "{\"member\":\"r3\",\"address\":\"a:3\",\"incarnation\":4,"
+                                            + "\"state\":\""
+                                            + state
+                                            + "\"}")
+                    .collect(java.util.stream.Collectors.joining(",", "\"rumors\":[", "]}"));
+
+    private static void assertSwimFrame(String expected, Message message) throws Exception {
+        assertEquals(expected + RUMORS, ControlCodec.swim(message, "a:1").toString());
+        assertEquals(message, ControlCodec.swim(ControlCodec.swim(message, "a:1")));
+    }
+
+    @Test
+    void pingFrameKeepsItsWords() throws Exception {
+        assertSwimFrame(
+                "{\"op\":\"swim\",\"address\":\"a:1\",\"kind\":\"ping\",\"number\":7,",
+                new Message.Ping(7, UPDATES));
+    }
+
+    @Test
+    void pingReqFrameKeepsItsWords() throws Exception {
+        assertSwimFrame(
+                "{\"op\":\"swim\",\"address\":\"a:1\",\"kind\":\"ping-for\",\"number\":7,"
+                        + "\"target\":\"r2\",",
+                new Message.PingReq(7, "r2", UPDATES));
+    }
+
+    @Test
+    void ackFrameKeepsItsWords() throws Exception {
+        assertSwimFrame(
+                "{\"op\":\"swim\",\"address\":\"a:1\",\"kind\":\"ack\",\"number\":7,"
+                        + "\"of\":\"r2\",",
+                new Message.Ack(7, "r2", UPDATES));
+    }
+
+    @Test
+    void commandFrameKeepsItsWords() throws Exception {
+        for (Intent intent : Intent.values()) {
+            List<CommandWithTtl> commands =
+                    List.of(
+                            new CommandWithTtl(
+                                    new OperatorCommand("engine:q1", "ann", 3, intent, "ben", "x"),
+                                    5_000));
+            String word = Map.of(0, "NONE", 1, "DRAIN", 2, "STOP").get(intent.code());
+            String expected =
+                    "{\"op\":\"put\",\"notices\":[{\"subject\":\"engine:q1\",\"owner\":\"ann\","
+                            + "\"revision\":3,\"intent\":\""
+                            + word
+                            + "\",\"by\":\"ben\",\"why\":\"x\",\"leftMs\":5000}]}";
+            assertEquals(expected, ControlCodec.notices("put", commands).toString());
+            assertEquals(commands, ControlCodec.notices(ControlCodec.notices("put", commands)));
+        }
+    }
+
+    @Test
+    void digestFrameKeepsItsWords() throws Exception {
+        Map<CommandKey, Integer> digest = Map.of(new CommandKey("engine:q1", "ann"), -5);
+        assertEquals(
+                "{\"op\":\"digest\",\"back\":true,\"digest\":[{\"subject\":\"engine:q1\","
+                        + "\"owner\":\"ann\",\"hash\":-5}]}",
+                ControlCodec.digest(digest, true).toString());
+        assertEquals(digest, ControlCodec.digest(ControlCodec.digest(digest, true)));
+    }
+
+    @Test
+    void unknownWordsAreRejected() {
+        assertThrows(IllegalArgumentException.class, () -> ControlWords.state("DEAD"));
+        assertThrows(IllegalArgumentException.class, () -> ControlWords.intent("PAUSE"));
+    }
+}
--- a/control/src/test/java/ashlink/control/member/StoredNoticesTest.java
+++ b/control/src/test/java/ashlink/control/member/StoredNoticesTest.java
@@ -65,7 +65,9 @@
     }
 
     private static List<String> lines(ReplicatedCommandSet set) {
-        return set.all(NOW_MS).stream().map(held -> line(held.notice(), held.leftMs())).toList();
+        return set.commands(NOW_MS).stream()
+                .map(held -> line(held.notice(), held.leftMs()))
+                .toList();
     }
 
     private static String line(OperatorCommand operatorCommand, long leftMs) {
--- a/fleet/src/main/java/ashlink/fleet/command/CommandDisseminator.java
+++ b/fleet/src/main/java/ashlink/fleet/command/CommandDisseminator.java
@@ -17,10 +17,10 @@
 public final class CommandDisseminator {
 
     /** Peers that are told at once. */
-    private static final int ALL = 32;
+    private static final int BROADCAST_LIMIT = 32;
 
-    private static final int SAMPLE = 6;
-    private static final int CHUNK = 200;
+    private static final int FANOUT = 6;
+    private static final int MAX_COMMANDS_PER_MESSAGE = 200;
 
     /** What is to be sent. */
     public sealed interface Transmission {
@@ -29,13 +29,13 @@
         String peer();
 
         /** These notices. */
-        record SendCommands(String peer, List<CommandWithTtl> notices) implements Transmission {}
+        record SendCommands(String peer, List<CommandWithTtl> commands) implements Transmission {}
 
         /**
-         * What is known, for the peer to send what is lacked; {@code back}: an answer to a
+         * What is known, for the peer to send what is lacked; {@code reply}: an answer to a
          * comparison, which is not answered.
          */
-        record SendDigest(String peer, Map<CommandKey, Integer> digest, boolean back)
+        record SendDigest(String peer, Map<CommandKey, Integer> digest, boolean reply)
                 implements Transmission {}
     }
 
@@ -49,12 +49,12 @@
     }
 
     /** Something is new here; it came from that peer, or empty. */
-    public List<Transmission> spread(
+    public List<Transmission> disseminate(
             List<CommandWithTtl> fresh, Collection<String> peers, String from) {
         List<String> to = new ArrayList<>(peers);
         to.remove(from);
-        boolean many = to.size() > ALL;
-        while (many && to.size() > SAMPLE) {
+        boolean many = to.size() > BROADCAST_LIMIT;
+        while (many && to.size() > FANOUT) {
             to.remove(random.nextInt(to.size()));
         }
         return fresh.isEmpty()
@@ -65,7 +65,7 @@
     }
 
     /** It is time to compare with somebody. */
-    public List<Transmission> compare(Collection<String> peers) {
+    public List<Transmission> startAntiEntropy(Collection<String> peers) {
         if (peers.isEmpty()) {
             return List.of();
         }
@@ -76,15 +76,20 @@
     }
 
     /** A peer told what it knows: it gets what it lacks, and is asked for what it has otherwise. */
-    public List<Transmission> compared(
+    public List<Transmission> onDigest(
             String peer, Map<CommandKey, Integer> theirs, boolean back, long nowMs) {
         List<Transmission> out = new ArrayList<>();
-        List<CommandWithTtl> lacked = set.lackedBy(theirs, nowMs);
-        for (int i = 0; i < lacked.size(); i += CHUNK) {
+        List<CommandWithTtl> lacked = set.missingFrom(theirs, nowMs);
+        for (int i = 0; i < lacked.size(); i += MAX_COMMANDS_PER_MESSAGE) {
             out.add(
                     new Transmission.SendCommands(
                             peer,
-                            List.copyOf(lacked.subList(i, Math.min(lacked.size(), i + CHUNK)))));
+                            List.copyOf(
+                                    lacked.subList(
+                                            i,
+                                            Math.min(
+                                                    lacked.size(),
+                                                    i + MAX_COMMANDS_PER_MESSAGE)))));
         }
         if (!back && !theirs.equals(set.digest())) {
             out.add(new Transmission.SendDigest(peer, set.digest(), true));
--- a/fleet/src/main/java/ashlink/fleet/command/Intent.java
+++ b/fleet/src/main/java/ashlink/fleet/command/Intent.java
@@ -1,11 +1,38 @@
 package ashlink.fleet.command;
 
-/** What an operator wants of a subject; the later of these is the stronger. */
+import java.util.List;
+
+/**
+ * What an operator wants of a subject, in ascending order of strength: of two concurrent commands
+ * the one with the stronger intent wins.
+ */
 public enum Intent {
-    /** Nothing any more: what was wanted before is withdrawn. */
-    NONE,
-    /** It gets no fresh work. */
-    DRAIN,
-    /** It ends, once its work is done. */
-    STOP
+    /** Withdraws the owner's earlier command. */
+    NONE(0),
+    /** The subject gets no new work. */
+    DRAIN(1),
+    /** The subject stops once its work is done. */
+    STOP(2);
+
+    private static final List<Intent> BY_CODE = List.of(NONE, DRAIN, STOP);
+
+    private final int code;
+
+    Intent(int code) {
+        this.code = code;
+    }
+
+    /** The number of this intent in command logs and digests; the same in every build. */
+    public int code() {
+        return code;
+    }
+
+    /**
+     * The intent with that number.
+     *
+     * @throws IndexOutOfBoundsException if no intent has it
+     */
+    public static Intent ofCode(int code) {
+        return BY_CODE.get(code);
+    }
 }
--- a/fleet/src/main/java/ashlink/fleet/command/OperatorCommand.java
+++ b/fleet/src/main/java/ashlink/fleet/command/OperatorCommand.java
@@ -20,7 +20,7 @@
         implements Comparable<OperatorCommand> {
 
     /** Longest text of any part. */
-    public static final int MOST_CHARS = 256;
+    public static final int MAX_FIELD_CHARS = 256;
 
     private static final Comparator<OperatorCommand> ORDER =
             Comparator.comparingLong(OperatorCommand::revision)
@@ -35,7 +35,7 @@
                     "a notice on " + subject + " of " + owner + ", revision " + revision);
         }
         for (String text : new String[] {subject, owner, by, why}) {
-            if (text.length() > MOST_CHARS) {
+            if (text.length() > MAX_FIELD_CHARS) {
                 throw new IllegalArgumentException(
                         "a notice with " + text.length() + " characters in one part");
             }
@@ -57,7 +57,7 @@
      * enumeration is not.
      */
     int digest() {
-        return Objects.hash(subject, owner, revision, intent.ordinal(), by, why);
+        return Objects.hash(subject, owner, revision, intent.code(), by, why);
     }
 
     /** Which of two notices of the same owner and subject holds: the greater. */
--- a/fleet/src/main/java/ashlink/fleet/command/ReplicatedCommandSet.java
+++ b/fleet/src/main/java/ashlink/fleet/command/ReplicatedCommandSet.java
@@ -28,21 +28,20 @@
         }
     }
 
-    private record Entry(OperatorCommand notice, long untilMs) {}
+    private record Entry(OperatorCommand command, long expiresMs) {}
 
-    private final int most;
-    private final long longestMs;
-    private final long rememberedMs;
+    private final int maxEntries;
+    private final long maxTtlMs;
+    private final long tombstoneMs;
     private final Map<CommandKey, Entry> entries = new TreeMap<>();
 
     /**
      * An empty set.
      *
-     * @param most says that are known at most; a new one past it is not taken
-     * @param longestMs longest time that a notice may hold
-     * @param rememberedMs time for which one that is over is remembered; at least {@code
-     *     longestMs}, so that whoever still has an older one has it no longer than the newer is
-     *     remembered
+     * @param maxEntries says that are known at most; a new one past it is not taken
+     * @param maxTtlMs longest time that a notice may hold
+     * @param tombstoneMs time for which one that is over is remembered; at least {@code maxTtlMs},
+     *     so that whoever still has an older one has it no longer than the newer is remembered
      */
     public ReplicatedCommandSet(int most, long longestMs, long rememberedMs) {
         if (rememberedMs < longestMs) {
@@ -52,30 +51,30 @@
                             + " ms, less than the longest of "
                             + longestMs);
         }
-        this.most = most;
-        this.longestMs = longestMs;
-        this.rememberedMs = rememberedMs;
+        this.maxEntries = most;
+        this.maxTtlMs = longestMs;
+        this.tombstoneMs = rememberedMs;
     }
 
-    private static CommandKey say(OperatorCommand operatorCommand) {
+    private static CommandKey keyOf(OperatorCommand operatorCommand) {
         return new CommandKey(operatorCommand.subject(), operatorCommand.owner());
     }
 
     /** Adds a notice that still holds for that long; true if anything is otherwise than before. */
     public boolean add(OperatorCommand operatorCommand, long leftMs, long nowMs) {
-        long until = nowMs + Math.min(leftMs, longestMs);
-        Entry held = entries.get(say(operatorCommand));
-        if (held == null && entries.size() >= most) {
-            forget(nowMs);
-            if (entries.size() >= most) {
+        long until = nowMs + Math.min(leftMs, maxTtlMs);
+        Entry held = entries.get(keyOf(operatorCommand));
+        if (held == null && entries.size() >= maxEntries) {
+            removeExpired(nowMs);
+            if (entries.size() >= maxEntries) {
                 return false;
             }
         }
-        int newer = held == null ? 1 : operatorCommand.compareTo(held.notice);
-        if (newer < 0 || newer == 0 && until <= held.untilMs) {
+        int newer = held == null ? 1 : operatorCommand.compareTo(held.command);
+        if (newer < 0 || newer == 0 && until <= held.expiresMs) {
             return false;
         }
-        entries.put(say(operatorCommand), new Entry(operatorCommand, until));
+        entries.put(keyOf(operatorCommand), new Entry(operatorCommand, until));
         return newer > 0;
     }
 
@@ -83,10 +82,10 @@
     public Intent intent(String subject, long nowMs) {
         Intent strongest = Intent.NONE;
         for (Entry entry : entries.values()) {
-            if (entry.notice.subject().equals(subject)
-                    && entry.untilMs > nowMs
-                    && entry.notice.intent().compareTo(strongest) > 0) {
-                strongest = entry.notice.intent();
+            if (entry.command.subject().equals(subject)
+                    && entry.expiresMs > nowMs
+                    && entry.command.intent().compareTo(strongest) > 0) {
+                strongest = entry.command.intent();
             }
         }
         return strongest;
@@ -96,10 +95,10 @@
     public Map<String, Intent> intents(long nowMs) {
         Map<String, Intent> all = new TreeMap<>();
         for (Entry entry : entries.values()) {
-            if (entry.untilMs > nowMs && entry.notice.intent() != Intent.NONE) {
+            if (entry.expiresMs > nowMs && entry.command.intent() != Intent.NONE) {
                 all.merge(
-                        entry.notice.subject(),
-                        entry.notice.intent(),
+                        entry.command.subject(),
+                        entry.command.intent(),
                         (a, b) -> a.compareTo(b) > 0 ? a : b);
             }
         }
@@ -109,7 +108,7 @@
     /** The next revision for a say: more than any that is known of it. */
     public long nextRevision(String subject, String owner) {
         Entry entry = entries.get(new CommandKey(subject, owner));
-        return entry == null ? 1 : entry.notice.revision() + 1;
+        return entry == null ? 1 : entry.command.revision() + 1;
     }
 
     /** Owners who want something of a subject now. */
@@ -117,28 +116,28 @@
         return entries.values().stream()
                 .filter(
                         entry ->
-                                entry.notice.subject().equals(subject)
-                                        && entry.untilMs > nowMs
-                                        && entry.notice.intent() != Intent.NONE)
-                .map(entry -> entry.notice.owner())
+                                entry.command.subject().equals(subject)
+                                        && entry.expiresMs > nowMs
+                                        && entry.command.intent() != Intent.NONE)
+                .map(entry -> entry.command.owner())
                 .toList();
     }
 
     /** All notices, also those that are over and remembered. */
-    public List<CommandWithTtl> all(long nowMs) {
+    public List<CommandWithTtl> commands(long nowMs) {
         return entries.values().stream()
-                .map(entry -> new CommandWithTtl(entry.notice, entry.untilMs - nowMs))
+                .map(entry -> new CommandWithTtl(entry.command, entry.expiresMs - nowMs))
                 .toList();
     }
 
     /** What the holder of that digest lacks. */
-    public List<CommandWithTtl> lackedBy(Map<CommandKey, Integer> digest, long nowMs) {
+    public List<CommandWithTtl> missingFrom(Map<CommandKey, Integer> digest, long nowMs) {
         List<CommandWithTtl> lacked = new ArrayList<>();
         entries.forEach(
                 (say, entry) -> {
                     Integer theirs = digest.get(say);
-                    if (theirs == null || theirs != entry.notice.digest()) {
-                        lacked.add(new CommandWithTtl(entry.notice, entry.untilMs - nowMs));
+                    if (theirs == null || theirs != entry.command.digest()) {
+                        lacked.add(new CommandWithTtl(entry.command, entry.expiresMs - nowMs));
                     }
                 });
         return lacked;
@@ -147,13 +146,13 @@
     /** Says with a hash of what is known of each, for who compares. */
     public Map<CommandKey, Integer> digest() {
         Map<CommandKey, Integer> digest = new TreeMap<>();
-        entries.forEach((say, entry) -> digest.put(say, entry.notice.digest()));
+        entries.forEach((say, entry) -> digest.put(say, entry.command.digest()));
         return digest;
     }
 
     /** Forgets what has been over for long enough. */
-    public void forget(long nowMs) {
-        entries.values().removeIf(entry -> nowMs - entry.untilMs > rememberedMs);
+    public void removeExpired(long nowMs) {
+        entries.values().removeIf(entry -> nowMs - entry.expiresMs > tombstoneMs);
     }
 
     /** Says that are known. */
--- a/fleet/src/main/java/ashlink/fleet/membership/MembershipUpdate.java
+++ b/fleet/src/main/java/ashlink/fleet/membership/MembershipUpdate.java
@@ -10,7 +10,7 @@
         /** Maybe gone: it did not answer, neither directly nor through others. */
         SUSPECT,
         /** Gone: the suspicion was not refuted in time. */
-        GONE
+        DEAD
     }
 
     /**
--- a/fleet/src/main/java/ashlink/fleet/membership/Message.java
+++ b/fleet/src/main/java/ashlink/fleet/membership/Message.java
@@ -6,14 +6,15 @@
 public sealed interface Message {
 
     /** Rumors that ride along. */
-    List<MembershipUpdate> rumors();
+    List<MembershipUpdate> updates();
 
     /** Are you there? */
-    record Ping(long number, List<MembershipUpdate> rumors) implements Message {}
+    record Ping(long sequence, List<MembershipUpdate> updates) implements Message {}
 
     /** Ask that one for me. */
-    record PingFor(long number, String target, List<MembershipUpdate> rumors) implements Message {}
+    record PingReq(long sequence, String target, List<MembershipUpdate> updates)
+            implements Message {}
 
-    /** Yes, or: that one is. {@code of} is the member that is there. */
-    record Ack(long number, String of, List<MembershipUpdate> rumors) implements Message {}
+    /** Yes, or: that one is. {@code member} is the member that is there. */
+    record Ack(long sequence, String member, List<MembershipUpdate> updates) implements Message {}
 }
--- a/fleet/src/main/java/ashlink/fleet/membership/Swim.java
+++ b/fleet/src/main/java/ashlink/fleet/membership/Swim.java
@@ -3,7 +3,7 @@
 import ashlink.fleet.membership.MembershipUpdate.State;
 import ashlink.fleet.membership.Message.Ack;
 import ashlink.fleet.membership.Message.Ping;
-import ashlink.fleet.membership.Message.PingFor;
+import ashlink.fleet.membership.Message.PingReq;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -21,49 +21,50 @@
     /** A message to a member at an address. */
     public record Send(String member, String address, Message message) {}
 
-    private static final class Known {
-        MembershipUpdate rumor;
+    private static final class MemberRecord {
+        MembershipUpdate latest;
         long suspectUntilNs;
 
-        Known(MembershipUpdate rumor) {
-            this.rumor = rumor;
+        MemberRecord(MembershipUpdate rumor) {
+            this.latest = rumor;
         }
     }
 
-    private static final class Told {
-        final MembershipUpdate rumor;
-        int times;
+    private static final class PendingUpdate {
+        final MembershipUpdate update;
+        int transmissions;
 
-        Told(MembershipUpdate rumor) {
-            this.rumor = rumor;
+        PendingUpdate(MembershipUpdate rumor) {
+            this.update = rumor;
         }
     }
 
     /** A ping on behalf of another. */
-    private record Relayed(String asker, String askerAddress, long theirNumber, String target) {}
+    private record RelayedPing(
+            String requester, String requesterAddress, long requesterSequence, String target) {}
 
-    private final SwimConfig terms;
+    private final SwimConfig config;
     private final SplittableRandom random;
-    private final Map<String, Known> members = new TreeMap<>();
-    private final Map<String, Told> rumors = new TreeMap<>();
-    private final Map<Long, Relayed> relayed = new HashMap<>();
-    private final List<String> order = new ArrayList<>();
+    private final Map<String, MemberRecord> members = new TreeMap<>();
+    private final Map<String, PendingUpdate> pendingUpdates = new TreeMap<>();
+    private final Map<Long, RelayedPing> relayedPings = new HashMap<>();
+    private final List<String> probeOrder = new ArrayList<>();
     private MembershipUpdate self;
-    private long numbers;
+    private long lastSequence;
     private long periods;
     private long nextPeriodNs;
-    private long lastNs;
-    private boolean begun;
-    private String asked;
-    private long askedNumber;
-    private long indirectAtNs;
-    private boolean indirectDone;
-    private long falseAlarms;
+    private long lastTickNs;
+    private boolean started;
+    private String pingTarget;
+    private long pingSequence;
+    private long pingReqAtNs;
+    private boolean pingReqSent;
+    private long refutedSuspicions;
 
     /** A member of that name and address, which knows some others by address. */
     public Swim(
             String name, String address, Map<String, String> seeds, SwimConfig terms, long seed) {
-        this.terms = terms;
+        this.config = terms;
         this.random = new SplittableRandom(seed);
         this.self = new MembershipUpdate(name, address, 0, State.ALIVE);
         seeds.forEach(
@@ -71,38 +72,41 @@
                     if (!member.equals(name)) {
                         members.put(
                                 member,
-                                new Known(new MembershipUpdate(member, at, 0, State.ALIVE)));
+                                new MemberRecord(new MembershipUpdate(member, at, 0, State.ALIVE)));
                     }
                 });
-        tell(self);
+        disseminate(self);
     }
 
     // ---- Time
     /** The time has come to look. */
     public List<Send> tick(long now) {
         List<Send> out = new ArrayList<>();
-        if (!begun) {
-            begun = true;
-            nextPeriodNs = now + random.nextLong(terms.periodNs());
+        if (!started) {
+            started = true;
+            nextPeriodNs = now + random.nextLong(config.periodNs());
         }
-        long slept = begun && lastNs > 0 ? now - lastNs - terms.periodNs() : 0;
-        lastNs = now;
-        if (slept > 2 * terms.periodNs()) {
-            awake(slept, now);
+        long slept = started && lastTickNs > 0 ? now - lastTickNs - config.periodNs() : 0;
+        lastTickNs = now;
+        if (slept > 2 * config.periodNs()) {
+            resumeAfterPause(slept, now);
         }
-        suspicionsOver(now);
-        if (asked != null && !indirectDone && now >= indirectAtNs) {
-            indirectDone = true;
-            for (String helper : some(terms.indirect(), asked)) {
-                out.add(to(helper, new PingFor(askedNumber, asked, gossip())));
+        expireSuspicions(now);
+        if (pingTarget != null && !pingReqSent && now >= pingReqAtNs) {
+            pingReqSent = true;
+            for (String helper : randomAliveMembers(config.pingReqMembers(), pingTarget)) {
+                out.add(
+                        sendTo(
+                                helper,
+                                new PingReq(pingSequence, pingTarget, piggybackedUpdates())));
             }
         }
         if (now >= nextPeriodNs) {
-            if (asked != null) {
-                suspect(asked, now);
+            if (pingTarget != null) {
+                suspect(pingTarget, now);
             }
-            nextPeriodNs = Math.max(nextPeriodNs + terms.periodNs(), now + terms.periodNs() / 2);
-            begin(now, out);
+            nextPeriodNs = Math.max(nextPeriodNs + config.periodNs(), now + config.periodNs() / 2);
+            startProtocolPeriod(now, out);
         }
         return out;
     }
@@ -111,38 +115,38 @@
      * This member stood still itself: answers may have come and gone unread, and nobody is to be
      * blamed. The pending ask is dropped, and suspicions get the time that was slept.
      */
-    private void awake(long slept, long now) {
-        asked = null;
-        relayed.clear();
+    private void resumeAfterPause(long slept, long now) {
+        pingTarget = null;
+        relayedPings.clear();
         nextPeriodNs = now;
         members.values().forEach(known -> known.suspectUntilNs += slept);
     }
 
-    private void begin(long now, List<Send> out) {
+    private void startProtocolPeriod(long now, List<Send> out) {
         periods++;
-        asked = null;
-        relayed.clear();
-        String next = next();
+        pingTarget = null;
+        relayedPings.clear();
+        String next = nextPingTarget();
         if (next != null) {
-            asked = next;
-            askedNumber = ++numbers;
-            indirectAtNs = now + terms.ackNs();
-            indirectDone = false;
-            out.add(to(next, new Ping(askedNumber, gossip())));
+            pingTarget = next;
+            pingSequence = ++lastSequence;
+            pingReqAtNs = now + config.pingTimeoutNs();
+            pingReqSent = false;
+            out.add(sendTo(next, new Ping(pingSequence, piggybackedUpdates())));
         }
-        if (periods % terms.regainPeriods() == 0) {
+        if (periods % config.deadPingPeriods() == 0) {
             List<String> gone =
                     members.entrySet().stream()
-                            .filter(entry -> entry.getValue().rumor.state() == State.GONE)
+                            .filter(entry -> entry.getValue().latest.state() == State.DEAD)
                             .map(Map.Entry::getKey)
                             .toList();
             if (!gone.isEmpty()) {
                 String one = gone.get(random.nextInt(gone.size()));
-                List<MembershipUpdate> with = new ArrayList<>(gossip());
+                List<MembershipUpdate> with = new ArrayList<>(piggybackedUpdates());
                 with.add(
                         members.get(one)
-                                .rumor); // it learns what is said of it, and can refute that
-                out.add(to(one, new Ping(++numbers, with)));
+                                .latest); // it learns what is said of it, and can refute that
+                out.add(sendTo(one, new Ping(++lastSequence, with)));
             }
         }
     }
@@ -150,33 +154,33 @@
     /**
      * The next in a random order that has each member once: the time until one is asked is bounded.
      */
-    private String next() {
+    private String nextPingTarget() {
         while (true) {
-            if (order.isEmpty()) {
+            if (probeOrder.isEmpty()) {
                 members.forEach(
                         (text, known) -> {
-                            if (known.rumor.state() != State.GONE) {
-                                order.add(random.nextInt(order.size() + 1), text);
+                            if (known.latest.state() != State.DEAD) {
+                                probeOrder.add(random.nextInt(probeOrder.size() + 1), text);
                             }
                         });
-                if (order.isEmpty()) {
+                if (probeOrder.isEmpty()) {
                     return null;
                 }
             }
-            String text = order.remove(order.size() - 1);
-            if (members.containsKey(text) && members.get(text).rumor.state() != State.GONE) {
+            String text = probeOrder.remove(probeOrder.size() - 1);
+            if (members.containsKey(text) && members.get(text).latest.state() != State.DEAD) {
                 return text;
             }
         }
     }
 
-    private List<String> some(int count, String but) {
+    private List<String> randomAliveMembers(int count, String but) {
         List<String> from =
                 new ArrayList<>(
                         members.entrySet().stream()
                                 .filter(
                                         entry ->
-                                                entry.getValue().rumor.state() == State.ALIVE
+                                                entry.getValue().latest.state() == State.ALIVE
                                                         && !entry.getKey().equals(but))
                                 .map(Map.Entry::getKey)
                                 .toList());
@@ -187,56 +191,57 @@
         return chosen;
     }
 
-    private Send to(String member, Message message) {
-        return new Send(member, members.get(member).rumor.address(), message);
+    private Send sendTo(String member, Message message) {
+        return new Send(member, members.get(member).latest.address(), message);
     }
 
     // ---- Messages
     /** A message came from that member. */
     public List<Send> receive(String from, String address, Message message, long now) {
         List<Send> out = new ArrayList<>();
-        Known sender = members.get(from);
+        MemberRecord sender = members.get(from);
         if (sender == null && !from.equals(self.member())) {
-            believe(new MembershipUpdate(from, address, 0, State.ALIVE), now);
+            apply(new MembershipUpdate(from, address, 0, State.ALIVE), now);
         }
-        message.rumors().forEach(membershipUpdate -> believe(membershipUpdate, now));
+        message.updates().forEach(membershipUpdate -> apply(membershipUpdate, now));
         if (message instanceof Ping ping) {
-            List<MembershipUpdate> with = new ArrayList<>(gossip());
-            if (sender != null && sender.rumor.state() != State.ALIVE) {
-                with.add(sender.rumor); // who is taken for gone and speaks is told so
+            List<MembershipUpdate> with = new ArrayList<>(piggybackedUpdates());
+            if (sender != null && sender.latest.state() != State.ALIVE) {
+                with.add(sender.latest); // who is taken for gone and speaks is told so
             }
-            out.add(new Send(from, address, new Ack(ping.number(), self.member(), with)));
-        } else if (message instanceof PingFor pingFor && members.containsKey(pingFor.target())) {
-            long number = ++numbers;
-            relayed.put(number, new Relayed(from, address, pingFor.number(), pingFor.target()));
-            out.add(to(pingFor.target(), new Ping(number, gossip())));
+            out.add(new Send(from, address, new Ack(ping.sequence(), self.member(), with)));
+        } else if (message instanceof PingReq pingFor && members.containsKey(pingFor.target())) {
+            long number = ++lastSequence;
+            relayedPings.put(
+                    number, new RelayedPing(from, address, pingFor.sequence(), pingFor.target()));
+            out.add(sendTo(pingFor.target(), new Ping(number, piggybackedUpdates())));
         } else if (message instanceof Ack ack) {
-            Relayed r = relayed.remove(ack.number());
-            if (r != null && r.target.equals(ack.of())) {
+            RelayedPing r = relayedPings.remove(ack.sequence());
+            if (r != null && r.target.equals(ack.member())) {
                 out.add(
                         new Send(
-                                r.asker,
-                                r.askerAddress,
-                                new Ack(r.theirNumber, ack.of(), gossip())));
-            } else if (ack.number() == askedNumber && ack.of().equals(asked)) {
-                asked = null;
+                                r.requester,
+                                r.requesterAddress,
+                                new Ack(r.requesterSequence, ack.member(), piggybackedUpdates())));
+            } else if (ack.sequence() == pingSequence && ack.member().equals(pingTarget)) {
+                pingTarget = null;
             }
         }
         return out;
     }
 
-    private void believe(MembershipUpdate membershipUpdate, long now) {
+    private void apply(MembershipUpdate membershipUpdate, long now) {
         if (membershipUpdate.member().equals(self.member())) {
             if (membershipUpdate.incarnation() >= self.incarnation()
                     && membershipUpdate.state() != State.ALIVE) {
-                falseAlarms++;
+                refutedSuspicions++;
                 self =
                         new MembershipUpdate(
                                 self.member(),
                                 self.address(),
                                 membershipUpdate.incarnation() + 1,
                                 State.ALIVE); // refutes it
-                tell(self);
+                disseminate(self);
             } else if (membershipUpdate.incarnation() > self.incarnation()) {
                 self =
                         new MembershipUpdate(
@@ -244,32 +249,32 @@
                                 self.address(),
                                 membershipUpdate.incarnation() + 1,
                                 State.ALIVE); // of an earlier life
-                tell(self);
+                disseminate(self);
             }
             return;
         }
-        Known known = members.get(membershipUpdate.member());
+        MemberRecord known = members.get(membershipUpdate.member());
         if (known == null) {
-            if (membershipUpdate.state() == State.GONE) {
+            if (membershipUpdate.state() == State.DEAD) {
                 return; // nothing to forget
             }
-            known = new Known(membershipUpdate);
+            known = new MemberRecord(membershipUpdate);
             members.put(membershipUpdate.member(), known);
-        } else if (membershipUpdate.overrides(known.rumor)) {
-            known.rumor = membershipUpdate;
+        } else if (membershipUpdate.overrides(known.latest)) {
+            known.latest = membershipUpdate;
         } else {
             return;
         }
         if (membershipUpdate.state() == State.SUSPECT) {
-            known.suspectUntilNs = now + suspicionNs();
+            known.suspectUntilNs = now + suspicionTimeoutNs();
         }
-        tell(membershipUpdate);
+        disseminate(membershipUpdate);
     }
 
     private void suspect(String member, long now) {
-        MembershipUpdate membershipUpdate = members.get(member).rumor;
+        MembershipUpdate membershipUpdate = members.get(member).latest;
         if (membershipUpdate.state() == State.ALIVE) {
-            believe(
+            apply(
                     new MembershipUpdate(
                             member,
                             membershipUpdate.address(),
@@ -279,48 +284,48 @@
         }
     }
 
-    private void suspicionsOver(long now) {
-        for (Known known : members.values()) {
-            if (known.rumor.state() == State.SUSPECT && now >= known.suspectUntilNs) {
-                known.rumor =
+    private void expireSuspicions(long now) {
+        for (MemberRecord known : members.values()) {
+            if (known.latest.state() == State.SUSPECT && now >= known.suspectUntilNs) {
+                known.latest =
                         new MembershipUpdate(
-                                known.rumor.member(),
-                                known.rumor.address(),
-                                known.rumor.incarnation(),
-                                State.GONE);
-                tell(known.rumor);
+                                known.latest.member(),
+                                known.latest.address(),
+                                known.latest.incarnation(),
+                                State.DEAD);
+                disseminate(known.latest);
             }
         }
     }
 
-    private double logOfMembers() {
+    private double log2OfMembers() {
         return Math.log(members.size() + 2.0) / Math.log(2);
     }
 
-    private long suspicionNs() {
-        return (long) (terms.suspicion() * logOfMembers() * terms.periodNs());
+    private long suspicionTimeoutNs() {
+        return (long) (config.suspicionFactor() * log2OfMembers() * config.periodNs());
     }
 
     // ---- Rumors
-    private void tell(MembershipUpdate membershipUpdate) {
-        rumors.put(membershipUpdate.member(), new Told(membershipUpdate));
+    private void disseminate(MembershipUpdate membershipUpdate) {
+        pendingUpdates.put(membershipUpdate.member(), new PendingUpdate(membershipUpdate));
     }
 
     /** The rumors told least often so far, each as often as the paper has it. */
-    private List<MembershipUpdate> gossip() {
-        int most = (int) Math.ceil(terms.spread() * logOfMembers());
-        List<Told> chosen =
-                rumors.values().stream()
+    private List<MembershipUpdate> piggybackedUpdates() {
+        int most = (int) Math.ceil(config.disseminationFactor() * log2OfMembers());
+        List<PendingUpdate> chosen =
+                pendingUpdates.values().stream()
                         .sorted(
-                                Comparator.comparingInt((Told told) -> told.times)
-                                        .thenComparing(told -> told.rumor.member()))
-                        .limit(terms.rumors())
+                                Comparator.comparingInt((PendingUpdate told) -> told.transmissions)
+                                        .thenComparing(told -> told.update.member()))
+                        .limit(config.maxUpdatesPerMessage())
                         .toList();
         List<MembershipUpdate> out = new ArrayList<>();
-        for (Told told : chosen) {
-            out.add(told.rumor);
-            if (++told.times >= most) {
-                rumors.remove(told.rumor.member());
+        for (PendingUpdate told : chosen) {
+            out.add(told.update);
+            if (++told.transmissions >= most) {
+                pendingUpdates.remove(told.update.member());
             }
         }
         return out;
@@ -330,23 +335,25 @@
     /** What is held of each member, this one left out. */
     public Map<String, MembershipUpdate> members() {
         Map<String, MembershipUpdate> all = new TreeMap<>();
-        members.forEach((text, known) -> all.put(text, known.rumor));
+        members.forEach((text, known) -> all.put(text, known.latest));
         return all;
     }
 
     /** What is held of one member; null of one that is not known. */
-    public State held(String member) {
-        Known known = members.get(member);
-        return known == null ? null : known.rumor.state();
+    public State stateOf(String member) {
+        MemberRecord known = members.get(member);
+        return known == null ? null : known.latest.state();
     }
 
     /** Times that this member was suspected and refuted it. */
-    public long falseAlarms() {
-        return falseAlarms;
+    public long refutedSuspicions() {
+        return refutedSuspicions;
     }
 
     /** When to look again at the latest, for a clock that goes by {@link #tick}. */
-    public long nextNs() {
-        return asked != null && !indirectDone ? Math.min(nextPeriodNs, indirectAtNs) : nextPeriodNs;
+    public long nextTickNs() {
+        return pingTarget != null && !pingReqSent
+                ? Math.min(nextPeriodNs, pingReqAtNs)
+                : nextPeriodNs;
     }
 }
--- a/fleet/src/main/java/ashlink/fleet/supervise/RestartPolicy.java
+++ b/fleet/src/main/java/ashlink/fleet/supervise/RestartPolicy.java
@@ -27,11 +27,15 @@
     /**
      * Terms of restarts, in nanoseconds.
      *
-     * @param goodNs a run of that length counts as good
-     * @param loopRuns short runs within {@code loopNs} that make a loop
+     * @param stableRunNs a run of that length counts as good
+     * @param crashLoopRuns short runs within {@code crashLoopWindowNs} that make a loop
      */
     public record RestartLimits(
-            long firstNs, long longestNs, long goodNs, int loopRuns, long loopNs) {
+            long initialBackoffNs,
+            long maxBackoffNs,
+            long stableRunNs,
+            int crashLoopRuns,
+            long crashLoopWindowNs) {
 
         /**
          * Half a second to half a minute; a minute is good; five within five minutes are a loop.
@@ -41,15 +45,15 @@
                         500_000_000L, 30_000_000_000L, 60_000_000_000L, 5, 300_000_000_000L);
     }
 
-    private static final int BAD_SETTINGS = 2;
+    private static final int INVALID_SETTINGS_STATUS = 2;
 
-    private final RestartLimits terms;
-    private final ArrayDeque<Long> shortEnds = new ArrayDeque<>();
-    private int inARow;
+    private final RestartLimits limits;
+    private final ArrayDeque<Long> shortRunEndsNs = new ArrayDeque<>();
+    private int consecutiveShortRuns;
 
     /** Restarts by those terms. */
     public RestartPolicy(RestartLimits terms) {
-        this.terms = terms;
+        this.limits = terms;
     }
 
     /** A run ended with that status; {@code asked} true if it was told to. */
@@ -57,21 +61,24 @@
         if (asked || status == 0) {
             return new Decision(What.DONE, 0);
         }
-        if (status == BAD_SETTINGS) {
+        if (status == INVALID_SETTINGS_STATUS) {
             return new Decision(What.GIVE_UP, 0);
         }
-        if (endedNs - startedNs >= terms.goodNs()) {
-            inARow = 0;
-            shortEnds.clear();
+        if (endedNs - startedNs >= limits.stableRunNs()) {
+            consecutiveShortRuns = 0;
+            shortRunEndsNs.clear();
             return new Decision(What.AGAIN, 0);
         }
-        shortEnds.add(endedNs);
-        while (endedNs - shortEnds.peek() > terms.loopNs()) {
-            shortEnds.remove();
+        shortRunEndsNs.add(endedNs);
+        while (endedNs - shortRunEndsNs.peek() > limits.crashLoopWindowNs()) {
+            shortRunEndsNs.remove();
         }
-        long pause = Math.min(terms.longestNs(), terms.firstNs() << Math.min(inARow++, 30));
-        return shortEnds.size() >= terms.loopRuns()
-                ? new Decision(What.LOOP, terms.longestNs())
-                : new Decision(What.AGAIN, pause < 0 ? terms.longestNs() : pause);
+        long pause =
+                Math.min(
+                        limits.maxBackoffNs(),
+                        limits.initialBackoffNs() << Math.min(consecutiveShortRuns++, 30));
+        return shortRunEndsNs.size() >= limits.crashLoopRuns()
+                ? new Decision(What.LOOP, limits.maxBackoffNs())
+                : new Decision(What.AGAIN, pause < 0 ? limits.maxBackoffNs() : pause);
     }
 }
--- a/fleet/src/test/java/ashlink/fleet/command/DisseminationSimulation.java
+++ b/fleet/src/test/java/ashlink/fleet/command/DisseminationSimulation.java
@@ -66,7 +66,7 @@
 
     private void compare(String text) {
         if (!dead.contains(text)) {
-            send(text, routers.get(text).carrier.compare(peers(text)));
+            send(text, routers.get(text).carrier.startAntiEntropy(peers(text)));
         }
         at(1_000, () -> compare(text));
     }
@@ -86,12 +86,12 @@
             return;
         }
         if (transmission instanceof CommandDisseminator.Transmission.SendCommands sendCommands) {
-            learn(transmission.peer(), sendCommands.notices(), from);
+            learn(transmission.peer(), sendCommands.commands(), from);
         } else if (transmission instanceof CommandDisseminator.Transmission.SendDigest sendDigest) {
             send(
                     transmission.peer(),
-                    router.carrier.compared(
-                            from, sendDigest.digest(), sendDigest.back(), nowMs + router.clockMs));
+                    router.carrier.onDigest(
+                            from, sendDigest.digest(), sendDigest.reply(), nowMs + router.clockMs));
         }
     }
 
@@ -105,7 +105,7 @@
                 router.learntMs = nowMs;
             }
         }
-        send(name, router.carrier.spread(fresh, peers(name), from));
+        send(name, router.carrier.disseminate(fresh, peers(name), from));
     }
 
     void tell(String router, OperatorCommand operatorCommand) {
--- a/fleet/src/test/java/ashlink/fleet/command/ReplicatedCommandSetProperties.java
+++ b/fleet/src/test/java/ashlink/fleet/command/ReplicatedCommandSetProperties.java
@@ -57,7 +57,7 @@
         shuffled.addAll(some(new SplittableRandom(seed), 0));
         shuffled.addAll(notices.subList(0, random.nextInt(notices.size())));
         Collections.shuffle(shuffled, new Random(seed));
-        assertEquals(of(notices).all(0), of(shuffled).all(0));
+        assertEquals(of(notices).commands(0), of(shuffled).commands(0));
         assertEquals(of(notices).digest(), of(shuffled).digest());
     }
 
@@ -66,18 +66,18 @@
         SplittableRandom random = new SplittableRandom(seed);
         ReplicatedCommandSet a = of(some(random, random.nextInt(10)));
         ReplicatedCommandSet b = of(some(random, random.nextInt(10)));
-        List<ReplicatedCommandSet.CommandWithTtl> toB = a.lackedBy(b.digest(), 0);
-        b.lackedBy(a.digest(), 0).forEach(ttl -> a.add(ttl.notice(), ttl.leftMs(), 0));
+        List<ReplicatedCommandSet.CommandWithTtl> toB = a.missingFrom(b.digest(), 0);
+        b.missingFrom(a.digest(), 0).forEach(ttl -> a.add(ttl.notice(), ttl.leftMs(), 0));
         toB.forEach(ttl -> b.add(ttl.notice(), ttl.leftMs(), 0));
-        assertEquals(a.all(0), b.all(0));
-        assertTrue(a.lackedBy(b.digest(), 0).isEmpty());
+        assertEquals(a.commands(0), b.commands(0));
+        assertTrue(a.missingFrom(b.digest(), 0).isEmpty());
     }
 
     @Property(tries = 300, seed = "3")
     void anOlderNoticeNeverChangesANewer(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         ReplicatedCommandSet set = of(some(random, 8));
-        List<ReplicatedCommandSet.CommandWithTtl> before = set.all(0);
+        List<ReplicatedCommandSet.CommandWithTtl> before = set.commands(0);
         for (ReplicatedCommandSet.CommandWithTtl ttl : before) {
             if (ttl.notice().revision() > 1) {
                 OperatorCommand old =
@@ -89,7 +89,7 @@
                 assertFalse(set.add(old, 7 * DAY, 0));
             }
         }
-        assertEquals(before, set.all(0));
+        assertEquals(before, set.commands(0));
     }
 
     @Example
@@ -126,9 +126,9 @@
         assertEquals(Intent.NONE, s.intent("engine:q1", 1_000));
         s.add(notice("engine:q1", "ann", 1, Intent.STOP), 7 * DAY, 2_000);
         assertEquals(Intent.NONE, s.intent("engine:q1", 2_001), "from a backup");
-        s.forget(13 * DAY);
+        s.removeExpired(13 * DAY);
         assertEquals(1, s.size());
-        s.forget(15 * DAY);
+        s.removeExpired(15 * DAY);
         assertEquals(0, s.size());
         s.add(notice("engine:q1", "ann", 1, Intent.DRAIN), 1000 * DAY, 0);
         assertEquals(
--- a/fleet/src/test/java/ashlink/fleet/membership/MembershipSimulation.java
+++ b/fleet/src/test/java/ashlink/fleet/membership/MembershipSimulation.java
@@ -71,12 +71,12 @@
         if (!paused.contains(text)) {
             members.get(text).tick(now).forEach(s -> send(text, s));
         }
-        at(Math.max(MS, Math.min(50 * MS, members.get(text).nextNs() - now)), () -> tick(text));
+        at(Math.max(MS, Math.min(50 * MS, members.get(text).nextTickNs() - now)), () -> tick(text));
     }
 
     private void send(String from, Swim.Send send) {
         messages++;
-        mostRumors = Math.max(mostRumors, send.message().rumors().size());
+        mostRumors = Math.max(mostRumors, send.message().updates().size());
         if (random.nextDouble() < loss || !passes.test(from, send.member())) {
             return;
         }
@@ -116,7 +116,7 @@
                         entry ->
                                 !entry.getKey().equals(of)
                                         && !dead.contains(entry.getKey())
-                                        && entry.getValue().held(of) == state)
+                                        && entry.getValue().stateOf(of) == state)
                 .count();
     }
 
@@ -129,7 +129,7 @@
                         entry.getValue().members().values().stream()
                                 .filter(
                                         membershipUpdate ->
-                                                membershipUpdate.state() == State.GONE
+                                                membershipUpdate.state() == State.DEAD
                                                         && !dead.contains(
                                                                 membershipUpdate.member()))
                                 .count();
--- a/fleet/src/test/java/ashlink/fleet/membership/SwimRun.java
+++ b/fleet/src/test/java/ashlink/fleet/membership/SwimRun.java
@@ -20,19 +20,19 @@
             long messages = sim.messages;
             sim.run(20 * S);
             double each = (sim.messages - messages) / 20.0 / n;
-            long alarms = sim.members.values().stream().mapToLong(Swim::falseAlarms).sum();
+            long alarms = sim.members.values().stream().mapToLong(Swim::refutedSuspicions).sum();
             long wrong = sim.wronglyGone();
             sim.dead.add("r0500");
             long from = sim.now;
             double first = 0;
             double half = 0;
-            while (sim.holding("r0500", State.GONE) < n - 1 && sim.now - from < 120 * S) {
+            while (sim.holding("r0500", State.DEAD) < n - 1 && sim.now - from < 120 * S) {
                 sim.run(S / 10);
                 long suspects =
-                        sim.holding("r0500", State.SUSPECT) + sim.holding("r0500", State.GONE);
+                        sim.holding("r0500", State.SUSPECT) + sim.holding("r0500", State.DEAD);
                 first = first == 0 && suspects > 0 ? (sim.now - from) / 1e9 : first;
                 half =
-                        half == 0 && sim.holding("r0500", State.GONE) > n / 2
+                        half == 0 && sim.holding("r0500", State.DEAD) > n / 2
                                 ? (sim.now - from) / 1e9
                                 : half;
             }
--- a/fleet/src/test/java/ashlink/fleet/membership/SwimTest.java
+++ b/fleet/src/test/java/ashlink/fleet/membership/SwimTest.java
@@ -17,9 +17,11 @@
         assertEquals(0, sim.wronglyGone());
         sim.dead.add("r0007");
         sim.run(15 * S);
-        assertEquals(23, sim.holding("r0007", State.GONE));
+        assertEquals(23, sim.holding("r0007", State.DEAD));
         assertEquals(0, sim.wronglyGone());
-        assertTrue(sim.mostRumors <= SwimConfig.DEFAULT.rumors() + 1, "messages are bounded");
+        assertTrue(
+                sim.mostRumors <= SwimConfig.DEFAULT.maxUpdatesPerMessage() + 1,
+                "messages are bounded");
     }
 
     @Test
@@ -62,13 +64,13 @@
         sim.run(5 * S);
         sim.paused.add("r0003");
         sim.run(30 * S);
-        assertEquals(23, sim.holding("r0003", State.GONE));
+        assertEquals(23, sim.holding("r0003", State.DEAD));
         sim.paused.remove("r0003");
         sim.run(S);
         assertEquals(
                 0,
                 sim.members.get("r0003").members().values().stream()
-                        .filter(membershipUpdate -> membershipUpdate.state() == State.GONE)
+                        .filter(membershipUpdate -> membershipUpdate.state() == State.DEAD)
                         .count());
         sim.run(30 * S);
         assertEquals(0, sim.wronglyGone());
