--- a/fleet/src/main/java/ashlink/fleet/membership/MembershipUpdate.java
+++ b/fleet/src/main/java/ashlink/fleet/membership/MembershipUpdate.java
@@ -1,21 +1,23 @@
 package ashlink.fleet.membership;
 
-/** What is said of a member, as far as its incarnation: only the member itself raises that. */
+/**
+ * The state of a member in one of its incarnations. Only the member itself raises its incarnation.
+ */
 public record MembershipUpdate(String member, String address, long incarnation, State state) {
 
-    /** What a member is held for. */
+    /** A member's state, in ascending order of precedence within an incarnation. */
     public enum State {
-        /** There. */
+        /** The member acknowledges pings. */
         ALIVE,
-        /** Maybe gone: it did not answer, neither directly nor through others. */
+        /** The member acknowledged neither a direct nor an indirect ping. */
         SUSPECT,
-        /** Gone: the suspicion was not refuted in time. */
+        /** The suspicion was not refuted in time. */
         DEAD
     }
 
     /**
-     * True if this is to be believed where that other is known (the order of the paper; one that is
-     * gone may come back).
+     * Whether this update replaces a known one of the same member: the higher incarnation wins,
+     * then the later state. Unlike in the paper, a higher incarnation revives a dead member.
      */
     boolean overrides(MembershipUpdate known) {
         if (incarnation != known.incarnation) {
@@ -23,4 +25,9 @@
         }
         return state.compareTo(known.state) > 0;
     }
+
+    /** The same member and incarnation in another state. */
+    MembershipUpdate withState(State newState) {
+        return new MembershipUpdate(member, address, incarnation, newState);
+    }
 }
--- a/fleet/src/main/java/ashlink/fleet/membership/Message.java
+++ b/fleet/src/main/java/ashlink/fleet/membership/Message.java
@@ -2,19 +2,19 @@
 
 import java.util.List;
 
-/** What members say to each other; each carries rumors. */
+/** A message between members; each piggybacks membership updates. */
 public sealed interface Message {
 
-    /** Rumors that ride along. */
+    /** The piggybacked updates. */
     List<MembershipUpdate> updates();
 
-    /** Are you there? */
+    /** Requests an {@link Ack} with the same sequence number. */
     record Ping(long sequence, List<MembershipUpdate> updates) implements Message {}
 
-    /** Ask that one for me. */
+    /** Requests the receiver to ping a target and to forward its ack. */
     record PingReq(long sequence, String target, List<MembershipUpdate> updates)
             implements Message {}
 
-    /** Yes, or: that one is. {@code member} is the member that is there. */
+    /** Confirms that {@code member} is alive: the sender, or the target of a ping-req. */
     record Ack(long sequence, String member, List<MembershipUpdate> updates) implements Message {}
 }
--- a/fleet/src/main/java/ashlink/fleet/membership/SwimConfig.java
+++ b/fleet/src/main/java/ashlink/fleet/membership/SwimConfig.java
@@ -1,16 +1,17 @@
 package ashlink.fleet.membership;
 
 /**
- * Times and numbers of the protocol, in the terms of the paper.
+ * Parameters of SWIM.
  *
- * @param periodNs protocol period: one member is asked in each
- * @param pingTimeoutNs time for the direct answer; the rest of the period is for the indirect one
- * @param pingReqMembers members that are asked to ask (k of the paper)
- * @param suspicionFactor periods of suspicion, times the logarithm of the number of members
- * @param maxUpdatesPerMessage that ride along at most
- * @param disseminationFactor times that a rumor is told on, times the logarithm of the number of
- *     members (lambda)
- * @param deadPingPeriods periods between two pings of a member that is gone: how a cut heals
+ * @param periodNs protocol period; one member is pinged in each
+ * @param pingTimeoutNs time for the ack of a direct ping; ping-reqs have the rest of the period
+ * @param pingReqMembers members that get a ping-req (k of the paper)
+ * @param suspicionFactor suspicion timeout in protocol periods, times log2 of the number of members
+ * @param maxUpdatesPerMessage most membership updates piggybacked on a message
+ * @param disseminationFactor messages that carry an update, times log2 of the number of members
+ *     (lambda of the paper)
+ * @param deadPingPeriods protocol periods between two pings of a dead member, by which the sides of
+ *     a healed network partition find each other
  */
 public record SwimConfig(
         long periodNs,
@@ -21,7 +22,7 @@
         double disseminationFactor,
         int deadPingPeriods) {
 
-    /** A member asked each 250 ms. */
+    /** A protocol period of 250 ms. */
     public static final SwimConfig DEFAULT =
             new SwimConfig(250_000_000L, 80_000_000L, 3, 3, 12, 3, 8);
 }
