--- /dev/null
+++ b/control/src/main/java/ashlink/control/member/CommandExecutor.java
@@ -0,0 +1,62 @@
+package ashlink.control.member;
+
+import ashlink.fleet.command.Intent;
+import ashlink.fleet.command.OperatorCommand;
+import ashlink.fleet.command.ReplicatedCommandSet;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * Applies the commands in force to this router. A stop is executed once: a router that is started
+ * again under the same stop keeps running. Not thread-safe.
+ */
+final class CommandExecutor {
+
+    private static final String ENGINE_PREFIX = OperatorCommand.engine("");
+
+    private final String subject;
+    private final RouterControl router;
+    private final ReplicatedCommandSet commands;
+    private final Set<OperatorCommand> executedStops = new HashSet<>();
+
+    /** Takes the stops that the set already has as executed. */
+    CommandExecutor(String name, RouterControl router, ReplicatedCommandSet commands, long nowMs) {
+        this.subject = OperatorCommand.router(name);
+        this.router = router;
+        this.commands = commands;
+        commands.commands(nowMs).stream()
+                .filter(command -> command.notice().intent() == Intent.STOP)
+                .forEach(command -> executedStops.add(command.notice()));
+    }
+
+    /** Applies what is in force now. */
+    void apply(long nowMs) {
+        Set<String> drainedEngines = new HashSet<>();
+        Intent own = Intent.NONE;
+        for (Map.Entry<String, Intent> entry : commands.intents(nowMs).entrySet()) {
+            if (entry.getKey().startsWith(ENGINE_PREFIX)) {
+                drainedEngines.add(entry.getKey().substring(ENGINE_PREFIX.length()));
+            } else if (entry.getKey().equals(subject)) {
+                own = entry.getValue();
+            }
+        }
+        router.drained(drainedEngines);
+        boolean stops = own == Intent.STOP && isStopPending(nowMs);
+        router.refuse(own == Intent.DRAIN || stops);
+        if (stops) {
+            commands.commands(nowMs).forEach(command -> executedStops.add(command.notice()));
+            router.stop();
+        }
+    }
+
+    private boolean isStopPending(long nowMs) {
+        return commands.commands(nowMs).stream()
+                .anyMatch(
+                        command ->
+                                command.notice().subject().equals(subject)
+                                        && command.notice().intent() == Intent.STOP
+                                        && command.leftMs() > 0
+                                        && !executedStops.contains(command.notice()));
+    }
+}
--- /dev/null
+++ b/control/src/main/java/ashlink/control/member/CommandStore.java
@@ -0,0 +1,100 @@
+package ashlink.control.member;
+
+import ashlink.capture.log.Disk;
+import ashlink.fleet.command.OperatorCommand;
+import ashlink.fleet.command.ReplicatedCommandSet;
+import ashlink.fleet.command.ReplicatedCommandSet.CommandWithTtl;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * A router's commands, in memory and in the log on disk. A failed write does not hold a command
+ * back: it is in force and not durable until the log is written again. Times are in milliseconds of
+ * this machine's wall clock. Not thread-safe.
+ */
+final class CommandStore implements AutoCloseable {
+
+    private static final Logger LOG = LoggerFactory.getLogger(CommandStore.class);
+    private static final int MAX_COMMANDS = 1_000;
+    private static final int MAX_RECEIVED_TIMES = 2 * MAX_COMMANDS;
+    private static final long DAY_MS = 86_400_000L;
+    private static final long MAX_TTL_MS = 30 * DAY_MS;
+    private static final long TOMBSTONE_MS = 60 * DAY_MS;
+
+    private final ReplicatedCommandSet commands =
+            new ReplicatedCommandSet(MAX_COMMANDS, MAX_TTL_MS, TOMBSTONE_MS);
+    private final CommandLog log;
+    private final Map<OperatorCommand, Long> receivedMs = new HashMap<>();
+    private boolean logFailed;
+
+    /** Reads the commands that a disk has. */
+    CommandStore(Disk disk, long nowMs) throws IOException {
+        this.log = new CommandLog(disk, commands, nowMs);
+    }
+
+    /** The commands in memory. */
+    ReplicatedCommandSet commands() {
+        return commands;
+    }
+
+    /** When this process first received each command. */
+    Map<OperatorCommand, Long> receivedMs() {
+        return receivedMs;
+    }
+
+    /** Whether all commands are on the disk. */
+    boolean isDurable() {
+        return !logFailed;
+    }
+
+    /** Merges commands, each synced to disk first; returns those that changed the set. */
+    List<CommandWithTtl> merge(List<CommandWithTtl> received, long nowMs) {
+        List<CommandWithTtl> changed = new ArrayList<>();
+        for (CommandWithTtl command : received) {
+            if (commands.add(command.notice(), command.leftMs(), nowMs)) {
+                persist(command, nowMs);
+                receivedMs.put(command.notice(), nowMs);
+                changed.add(command);
+            }
+        }
+        if (receivedMs.size() > MAX_RECEIVED_TIMES) {
+            receivedMs.clear();
+        }
+        return changed;
+    }
+
+    private void persist(CommandWithTtl command, long nowMs) {
+        try {
+            log.put(command.notice(), command.leftMs(), nowMs);
+        } catch (IOException e) {
+            if (!logFailed) {
+                LOG.error("command log write failed durable=false error={}", e.toString());
+            }
+            logFailed = true;
+        }
+    }
+
+    /** Writes the log anew if an earlier write failed. */
+    void retryPersist(long nowMs) {
+        if (!logFailed) {
+            return;
+        }
+        try {
+            log.rewrite(nowMs);
+            logFailed = false;
+            LOG.info("command log written durable=true");
+        } catch (IOException e) {
+            LOG.debug("command log write failed again error={}", e.toString());
+        }
+    }
+
+    @Override
+    public void close() throws IOException {
+        log.close();
+    }
+}
