--- a/control/src/main/java/ashlink/control/member/CommandLog.java
+++ b/control/src/main/java/ashlink/control/member/CommandLog.java
@@ -16,9 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps a router's notices on disk, in the log of captures: a notice is synced before anything is
- * done upon it, so that what a router has once heard it knows after a crash. Times are kept as of
- * the wall clock of this machine.
+ * The command log of a router on disk, in the format of the capture log. {@link #put} returns once
+ * the record is synced, so a command that was applied is known after a crash. Expiry is stored in
+ * milliseconds since 1970. Not thread-safe.
  */
 final class CommandLog implements AutoCloseable {
 
@@ -29,7 +29,7 @@
     private final KeyValueLog log;
     private final ReplicatedCommandSet set;
 
-    /** Reads what the disk has into the set, and goes on from there. */
+    /** Merges what the disk has into the set, and rewrites the log. */
     CommandLog(Disk disk, ReplicatedCommandSet set, long nowMs) throws IOException {
         this.set = set;
         this.log = new KeyValueLog(disk, SEGMENT_BYTES, nowMs);
@@ -67,7 +67,7 @@
         return bytes.toByteArray();
     }
 
-    /** Keeps a notice; returns once it is on the disk. */
+    /** Appends a command; returns once it is synced to disk. */
     void put(OperatorCommand operatorCommand, long leftMs, long nowMs) throws IOException {
         if (log.written() > REWRITE_SLACK_RECORDS + 4L * set.size()) {
             rewrite(nowMs);
@@ -76,7 +76,7 @@
         log.sync();
     }
 
-    /** Writes the set anew; what was written before goes once that is on the disk. */
+    /** Replaces the log by the commands of the set; the old one is deleted once that is synced. */
     void rewrite(long nowMs) throws IOException {
         List<byte[]> records = new ArrayList<>();
         for (ReplicatedCommandSet.CommandWithTtl ttl : set.commands(nowMs)) {
--- a/control/src/main/java/ashlink/control/member/PeerConnection.java
+++ b/control/src/main/java/ashlink/control/member/PeerConnection.java
@@ -11,8 +11,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The way to another router: a connection when there is something to say, and a bounded queue whose
- * oldest goes first.
+ * A connection to another router, opened when there is a frame to send, with a bounded queue that
+ * drops its oldest frame when full. Thread-safe.
  */
 final class PeerConnection {
 
--- a/control/src/main/java/ashlink/control/member/RouterControl.java
+++ b/control/src/main/java/ashlink/control/member/RouterControl.java
@@ -3,18 +3,18 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Set;
 
-/** What a node does to its router. */
+/** What a fleet member applies to its router. Called by any thread, one call at a time. */
 public interface RouterControl {
 
-    /** These engines get no fresh work, whatever the list says. */
+    /** Sets the engines that get no new work, whatever the endpoint list has. */
     void drained(Set<String> engines);
 
-    /** The router takes no fresh requests, or does again. */
+    /** Sets whether the router rejects new requests. */
     void refuse(boolean refuses);
 
-    /** The router ends, once its work is done or its time is up; returns at once. */
+    /** Starts a graceful shutdown; returns at once. */
     void stop();
 
-    /** Adds what there is to tell of the router. */
+    /** Adds the router's own fields to a status page. */
     void status(ObjectNode to);
 }
--- a/control/src/main/java/ashlink/control/member/package-info.java
+++ b/control/src/main/java/ashlink/control/member/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A router as a member of its fleet: notices kept and carried on, members watched, commands of
- * operators done.
+ * A router as a member of its fleet: gossips membership, replicates and logs operators' commands,
+ * and applies them to its router.
  */
 package ashlink.control.member;
--- a/control/src/main/java/ashlink/control/tool/FleetClient.java
+++ b/control/src/main/java/ashlink/control/tool/FleetClient.java
@@ -20,16 +20,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 
-/** Asks and tells many routers at once, so many in parallel; each has its own result. */
+/** Sends requests to many routers in parallel; each has its own result. */
 public final class FleetClient implements AutoCloseable {
 
     private static final long POLL_MS = 50;
 
     /**
-     * What came of one router; {@code answer} null where it was not reached, for the reason in
-     * {@code error}.
+     * The result of one router: its answer, or null and an error if it was not reached.
      *
-     * @param atMs when that was known, in milliseconds since 1970
+     * @param atMs time of the result, in milliseconds since 1970
      */
     public record Result(String router, JsonNode answer, String error, long atMs) {
 
@@ -44,7 +43,7 @@
     private final int timeoutMs;
     private final ExecutorService pool;
 
-    /** A tool for those routers, by name; each has so long to answer. */
+    /** A client of routers by name; each request times out after {@code timeoutMs}. */
     public FleetClient(
             Identity identity, Map<String, InetSocketAddress> routers, int atOnce, int timeoutMs) {
         this.identity = identity;
@@ -60,21 +59,21 @@
                         });
     }
 
-    /** Puts a frame to all routers. */
+    /** Sends a frame to all routers. */
     public Map<String, Result> ask(JsonNode frame) throws InterruptedException {
-        Map<String, Future<Result>> asked = new LinkedHashMap<>();
-        routers.forEach((name, at) -> asked.put(name, pool.submit(() -> ask(name, at, frame))));
+        Map<String, Future<Result>> pending = new LinkedHashMap<>();
+        routers.forEach((name, at) -> pending.put(name, pool.submit(() -> ask(name, at, frame))));
         Map<String, Result> results = new LinkedHashMap<>();
-        for (Map.Entry<String, Future<Result>> entry : asked.entrySet()) {
+        for (Map.Entry<String, Future<Result>> entry : pending.entrySet()) {
             try {
                 results.put(entry.getKey(), entry.getValue().get());
-            } catch (ExecutionException x) {
+            } catch (ExecutionException failure) {
                 results.put(
                         entry.getKey(),
                         new Result(
                                 entry.getKey(),
                                 null,
-                                String.valueOf(x.getCause()),
+                                String.valueOf(failure.getCause()),
                                 System.currentTimeMillis()));
             }
         }
@@ -90,12 +89,12 @@
         }
     }
 
-    /** The state of all routers. */
+    /** The status of all routers. */
     public Map<String, Result> status() throws InterruptedException {
         return ask(ControlCodec.op("status"));
     }
 
-    /** The notice that follows on all that the reached routers know of this say. */
+    /** The command that supersedes all that the reached routers know of a subject and owner. */
     public OperatorCommand next(
             String subject, String owner, Intent intent, String why, Map<String, Result> known)
             throws IOException {
@@ -113,7 +112,7 @@
         return new OperatorCommand(subject, owner, revision + 1, intent, identity.name(), why);
     }
 
-    /** Owners who want something of a subject, as the reached routers know it. */
+    /** Owners with an intent in force for a subject, by the reached routers. */
     public static List<String> owners(String subject, Map<String, Result> known)
             throws IOException {
         List<String> owners = new ArrayList<>();
@@ -132,14 +131,14 @@
         return owners;
     }
 
-    /** Tells all routers of a notice. */
+    /** Submits a command to all routers. */
     public Map<String, Result> put(OperatorCommand operatorCommand, long leftMs)
             throws InterruptedException {
         return ask(
                 ControlCodec.notices("put", List.of(new CommandWithTtl(operatorCommand, leftMs))));
     }
 
-    /** True if a router's state has that notice, or a newer one of the same say. */
+    /** Whether a router has a command, or a newer one of the same subject and owner. */
     public static boolean knows(Result result, OperatorCommand operatorCommand) {
         try {
             return result.isReached()
@@ -158,16 +157,16 @@
     }
 
     /**
-     * Asks for states until that share of all routers is as wanted, or the time is up; returns the
-     * last states.
+     * Polls the status until a fraction of all routers satisfies a condition or the timeout is
+     * over; returns the last status.
      */
-    public Map<String, Result> await(double share, long timeoutNs, Predicate<Result> wanted)
+    public Map<String, Result> await(double fraction, long timeoutNs, Predicate<Result> condition)
             throws InterruptedException {
-        long until = System.nanoTime() + timeoutNs;
+        long deadlineNs = System.nanoTime() + timeoutNs;
         while (true) {
             Map<String, Result> now = status();
-            long good = now.values().stream().filter(wanted).count();
-            if (good >= Math.ceil(share * routers.size()) || System.nanoTime() > until) {
+            long good = now.values().stream().filter(condition).count();
+            if (good >= Math.ceil(fraction * routers.size()) || System.nanoTime() > deadlineNs) {
                 return now;
             }
             TimeUnit.MILLISECONDS.sleep(POLL_MS);
--- a/control/src/main/java/ashlink/control/tool/package-info.java
+++ b/control/src/main/java/ashlink/control/tool/package-info.java
@@ -1,2 +1,2 @@
-/** What operators do to a fleet: asked of all routers at once, told of each. */
+/** Client of operators: queries all routers of a fleet and submits commands to them. */
 package ashlink.control.tool;
--- a/control/src/test/java/ashlink/control/ControlTest.java
+++ b/control/src/test/java/ashlink/control/ControlTest.java
@@ -45,7 +45,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Nodes on real sockets: notices that reach some, and then all. */
+/** Fleet members on real sockets. */
 class ControlTest {
 
     private static final Duration DAY = Duration.ofDays(1);
@@ -57,7 +57,7 @@
     private final Map<String, Fake> routers = new HashMap<>();
     private CertificateAuthority authority;
 
-    /** A router that only notes what it is told. */
+    /** A router that records the calls. */
     private static final class Fake implements RouterControl {
         volatile Set<String> drained = Set.of();
         volatile boolean refuses;
@@ -152,7 +152,7 @@
         return new FleetClient(new Identity(dir.resolve("keys"), operator), of, 8, 2_000);
     }
 
-    private OperatorCommand tell(String operator, Intent intent, String... reached)
+    private OperatorCommand submit(String operator, Intent intent, String... reached)
             throws Exception {
         try (FleetClient fleetClient = tool(operator, reached)) {
             OperatorCommand operatorCommand =
@@ -179,35 +179,35 @@
 
     // ---- Drains
     @Test
-    void aDrainThatReachesHalfReachesAllAlsoThoughOneThatKnewItDies() throws Exception {
+    void drainSubmittedToHalfReachesAllThoughAReceiverDies() throws Exception {
         fleet(6);
-        tell("ann", Intent.DRAIN, "r1", "r2", "r3");
+        submit("ann", Intent.DRAIN, "r1", "r2", "r3");
         kill("r1");
         await("all know it", () -> all(true));
         start("r1");
         assertTrue(
                 routers.get("r1").drained.contains("q1"),
                 "before its first query, from its own disk");
-        tell("ann", Intent.NONE, "r6");
+        submit("ann", Intent.NONE, "r6");
         await("all know that it is over", () -> all(false));
     }
 
     @Test
-    void oneThatWasDownWhileAllHeardOfItIsToldWhenItIsBack() throws Exception {
+    void restartedRouterReceivesCommandsItMissed() throws Exception {
         fleet(3);
         kill("r3");
-        tell("ann", Intent.DRAIN, "r1", "r2");
+        submit("ann", Intent.DRAIN, "r1", "r2");
         start("r3");
         await("it is told", () -> all(true));
     }
 
     @Test
-    void aToolThatIsRunAgainAndTwoOperatorsDoNotUndoEachOther() throws Exception {
+    void operatorsDoNotOverrideEachOther() throws Exception {
         fleet(3);
-        OperatorCommand first = tell("ann", Intent.DRAIN);
-        OperatorCommand again = tell("ann", Intent.DRAIN);
+        OperatorCommand first = submit("ann", Intent.DRAIN);
+        OperatorCommand again = submit("ann", Intent.DRAIN);
         assertEquals(first.revision() + 1, again.revision());
-        tell("ben", Intent.DRAIN, "r2");
+        submit("ben", Intent.DRAIN, "r2");
         await(
                 "all know both",
                 () -> {
@@ -227,7 +227,7 @@
                         throw new IllegalStateException(e);
                     }
                 });
-        tell("ann", Intent.NONE);
+        submit("ann", Intent.NONE);
         Thread.sleep(300);
         assertTrue(all(true), "ben still wants it");
         try (FleetClient fleetClient = tool("ann")) {
@@ -240,13 +240,13 @@
     }
 
     @Test
-    void aReplayedNoticeAndDataFromABackupUndoNothing() throws Exception {
+    void replayedCommandAndRestoredBackupChangeNothing() throws Exception {
         fleet(3);
-        OperatorCommand drain = tell("ann", Intent.DRAIN);
+        OperatorCommand drain = submit("ann", Intent.DRAIN);
         await("all know it", () -> all(true));
         kill("r3");
         copy(dir.resolve("r3"), dir.resolve("backup"));
-        tell("ann", Intent.NONE, "r1", "r2");
+        submit("ann", Intent.NONE, "r1", "r2");
         await("the others know that it is over", () -> all(false));
         try (FleetClient fleetClient = tool("ann", "r1")) {
             fleetClient.put(drain, HOUR_MS);
@@ -280,7 +280,7 @@
     }
 
     @Test
-    void aRouterIsDrainedAndStoppedOnce() throws Exception {
+    void routerIsDrainedAndExecutesStopOnce() throws Exception {
         fleet(2);
         try (FleetClient fleetClient = tool("ann")) {
             fleetClient.put(
@@ -302,7 +302,7 @@
 
     // ---- Who may what
     @Test
-    void onlyThoseOfTheFleetAreHeardAndEachInItsRole() throws Exception {
+    void onlyFleetCertificatesAreAcceptedWithinTheirRoles() throws Exception {
         fleet(1);
         try (FleetClient fleetClient = tool("eve")) {
             assertTrue(fleetClient.status().get("r1").isReached());
@@ -363,7 +363,7 @@
     }
 
     @Test
-    void whileAuthoritiesChangeBothAreTrusted() throws Exception {
+    void bothAuthoritiesAreTrustedDuringRenewal() throws Exception {
         fleet(1);
         Files.createDirectories(dir.resolve("before"));
         copy(dir.resolve("keys"), dir.resolve("before"));
@@ -414,7 +414,7 @@
     }
 
     @Test
-    void garbageLongFramesAndFloodsEndOnlyTheirOwnConnection() throws Exception {
+    void malformedFramesAndFloodsAffectOnlyTheirConnection() throws Exception {
         fleet(2);
         try (Socket plain = new Socket("127.0.0.1", addresses.get("r1").getPort())) {
             plain.getOutputStream().write("GET / HTTP/1.1\r\n\r\n".getBytes());
@@ -460,7 +460,7 @@
             thread.start();
             flood.add(thread);
         }
-        tell("ben", Intent.DRAIN, "r1");
+        submit("ben", Intent.DRAIN, "r1");
         await("a command comes through", () -> all(true));
         for (Thread thread : flood) {
             thread.interrupt();
@@ -468,7 +468,7 @@
     }
 
     @Test
-    void aDrainIsInForceThoughTheDiskIsFullAndKeptOnceItIsNot() throws Exception {
+    void drainIsInForceOnFullDiskAndDurableOnceWritable() throws Exception {
         fleet(2);
         kill("r1");
         FaultyDisk disk = new FaultyDisk();
--- a/control/src/test/java/ashlink/control/member/StoredNoticesTest.java
+++ b/control/src/test/java/ashlink/control/member/StoredNoticesTest.java
@@ -83,18 +83,18 @@
     }
 
     @Test
-    void theNoticesAreReadAsTheyWereWritten() throws Exception {
+    void commandsAreReadAsWritten() throws Exception {
         assertEquals(EXPECTED, lines(open()));
     }
 
     @Test
-    void theNoticesThatAreWrittenAnewAtAStartAreReadTheSame() throws Exception {
+    void rewrittenLogIsReadTheSame() throws Exception {
         open();
         assertEquals(EXPECTED, lines(open()));
     }
 
     @Test
-    void theStrongestThatStillHoldsIsWantedOfEachSubject() throws Exception {
+    void strongestIntentInForceIsReadForEachSubject() throws Exception {
         assertEquals(
                 Map.of(
                         "engine:q1",
--- a/fleet/src/main/java/ashlink/fleet/command/CommandDisseminator.java
+++ b/fleet/src/main/java/ashlink/fleet/command/CommandDisseminator.java
@@ -9,32 +9,28 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides to whom a router carries notices: what is new to it goes to all peers at once, or to a
- * sample where there are many, each of whom does the same; and from time to time it compares all
- * that it knows with one peer, whatever is held of that peer, so that what was lost on the way
- * arrives all the same.
+ * Decides to which peers a router sends commands: new ones at once to all peers, or to a random
+ * sample in a large fleet (gossip), and periodically a digest to one random peer (anti-entropy), by
+ * which lost ones arrive. Peers count whatever their membership state. Pure state; not thread-safe.
  */
 public final class CommandDisseminator {
 
-    /** Peers that are told at once. */
+    /** Most peers that all get a new command at once. */
     private static final int BROADCAST_LIMIT = 32;
 
     private static final int FANOUT = 6;
     private static final int MAX_COMMANDS_PER_MESSAGE = 200;
 
-    /** What is to be sent. */
+    /** A message to send to a peer. */
     public sealed interface Transmission {
 
-        /** To whom. */
+        /** The receiver. */
         String peer();
 
-        /** These notices. */
+        /** Commands to merge. */
         record SendCommands(String peer, List<CommandWithTtl> commands) implements Transmission {}
 
-        /**
-         * What is known, for the peer to send what is lacked; {@code reply}: an answer to a
-         * comparison, which is not answered.
-         */
+        /** A digest of the sender's set; {@code reply} if it answers one, and is not answered. */
         record SendDigest(String peer, Map<CommandKey, Integer> digest, boolean reply)
                 implements Transmission {}
     }
@@ -42,29 +38,29 @@
     private final ReplicatedCommandSet set;
     private final SplittableRandom random;
 
-    /** Carries the notices of that set. */
+    /** A disseminator of a set; the seed determines the random choices. */
     public CommandDisseminator(ReplicatedCommandSet set, long seed) {
         this.set = set;
         this.random = new SplittableRandom(seed);
     }
 
-    /** Something is new here; it came from that peer, or empty. */
+    /** Sends new commands on, to all peers but the one that they came from; empty if none. */
     public List<Transmission> disseminate(
-            List<CommandWithTtl> fresh, Collection<String> peers, String from) {
-        List<String> to = new ArrayList<>(peers);
-        to.remove(from);
-        boolean many = to.size() > BROADCAST_LIMIT;
-        while (many && to.size() > FANOUT) {
-            to.remove(random.nextInt(to.size()));
+            List<CommandWithTtl> commands, Collection<String> peers, String from) {
+        List<String> receivers = new ArrayList<>(peers);
+        receivers.remove(from);
+        boolean many = receivers.size() > BROADCAST_LIMIT;
+        while (many && receivers.size() > FANOUT) {
+            receivers.remove(random.nextInt(receivers.size()));
         }
-        return fresh.isEmpty()
+        return commands.isEmpty()
                 ? List.of()
-                : to.stream()
-                        .map(text -> (Transmission) new Transmission.SendCommands(text, fresh))
+                : receivers.stream()
+                        .map(peer -> (Transmission) new Transmission.SendCommands(peer, commands))
                         .toList();
     }
 
-    /** It is time to compare with somebody. */
+    /** Sends the digest to a random peer. */
     public List<Transmission> startAntiEntropy(Collection<String> peers) {
         if (peers.isEmpty()) {
             return List.of();
@@ -75,23 +71,25 @@
                         all.get(random.nextInt(all.size())), set.digest(), false));
     }
 
-    /** A peer told what it knows: it gets what it lacks, and is asked for what it has otherwise. */
+    /**
+     * Answers a peer's digest with the commands that it lacks and, if the sets differ, a digest.
+     */
     public List<Transmission> onDigest(
-            String peer, Map<CommandKey, Integer> theirs, boolean back, long nowMs) {
+            String peer, Map<CommandKey, Integer> peerDigest, boolean reply, long nowMs) {
         List<Transmission> out = new ArrayList<>();
-        List<CommandWithTtl> lacked = set.missingFrom(theirs, nowMs);
-        for (int i = 0; i < lacked.size(); i += MAX_COMMANDS_PER_MESSAGE) {
+        List<CommandWithTtl> missing = set.missingFrom(peerDigest, nowMs);
+        for (int i = 0; i < missing.size(); i += MAX_COMMANDS_PER_MESSAGE) {
             out.add(
                     new Transmission.SendCommands(
                             peer,
                             List.copyOf(
-                                    lacked.subList(
+                                    missing.subList(
                                             i,
                                             Math.min(
-                                                    lacked.size(),
+                                                    missing.size(),
                                                     i + MAX_COMMANDS_PER_MESSAGE)))));
         }
-        if (!back && !theirs.equals(set.digest())) {
+        if (!reply && !peerDigest.equals(set.digest())) {
             out.add(new Transmission.SendDigest(peer, set.digest(), true));
         }
         return out;
--- a/fleet/src/main/java/ashlink/fleet/command/OperatorCommand.java
+++ b/fleet/src/main/java/ashlink/fleet/command/OperatorCommand.java
@@ -4,22 +4,21 @@
 import java.util.Objects;
 
 /**
- * What one operator wants of one subject. Each owner has a say of its own on each subject; of an
- * owner's notices on a subject the one of the highest revision holds. A revision is one more than
- * the highest that its issuer knew of: it is no time, so clocks may be apart. Two of the same
- * revision were issued on different sides of a cut: then the stronger intent holds, on every router
- * the same.
+ * What one operator wants of one subject. Each owner has its own command per subject; the one of
+ * the highest revision is in force. A revision is a logical clock: one more than the highest that
+ * its issuer knew. Two of the same revision were issued concurrently, then the stronger intent wins
+ * on every router.
  *
  * @param subject {@code engine:NAME} or {@code router:NAME}
- * @param owner whose say it is
- * @param by who issued it: the owner, or who overruled it
- * @param why for people
+ * @param owner the operator to whom the command belongs
+ * @param by the issuer: the owner, or who overrides it
+ * @param why reason, for people
  */
 public record OperatorCommand(
         String subject, String owner, long revision, Intent intent, String by, String why)
         implements Comparable<OperatorCommand> {
 
-    /** Longest text of any part. */
+    /** Most characters of each text. */
     public static final int MAX_FIELD_CHARS = 256;
 
     private static final Comparator<OperatorCommand> ORDER =
@@ -28,7 +27,11 @@
                     .thenComparing(OperatorCommand::by)
                     .thenComparing(OperatorCommand::why);
 
-    /** Checks the form. */
+    /**
+     * Checks the parts.
+     *
+     * @throws IllegalArgumentException if one is malformed or too long
+     */
     public OperatorCommand {
         if (!subject.matches("(engine|router):.+") || owner.isEmpty() || revision < 1) {
             throw new IllegalArgumentException(
@@ -42,25 +45,22 @@
         }
     }
 
-    /** The subject that is an engine. */
+    /** The subject of an engine. */
     public static String engine(String name) {
         return "engine:" + name;
     }
 
-    /** The subject that is a router. */
+    /** The subject of a router. */
     public static String router(String name) {
         return "router:" + name;
     }
 
-    /**
-     * A hash for who compares: the same in every process, which that of a record with an
-     * enumeration is not.
-     */
+    /** A hash that is the same in every process and build. */
     int digest() {
         return Objects.hash(subject, owner, revision, intent.code(), by, why);
     }
 
-    /** Which of two notices of the same owner and subject holds: the greater. */
+    /** Total order of the commands of one owner on one subject: the greatest is in force. */
     @Override
     public int compareTo(OperatorCommand other) {
         return ORDER.compare(this, other);
--- a/fleet/src/main/java/ashlink/fleet/command/ReplicatedCommandSet.java
+++ b/fleet/src/main/java/ashlink/fleet/command/ReplicatedCommandSet.java
@@ -6,25 +6,33 @@
 import java.util.TreeMap;
 
 /**
- * The notices that a router knows. Adding is commutative, associative and idempotent: the same
- * notices in any order, any number of times, give the same set. So what reaches a router late,
- * twice, or from a backup never undoes what is newer.
+ * A state-based CRDT: a map of last-writer-wins registers with expiry, one register per pair of
+ * subject and owner.
  *
- * <p>A notice ends by its time; it is remembered beyond that, so that an older one does not come to
- * life again. Times are of the router's own clock, in milliseconds: what travels is how long a
- * notice still has, not when it ends.
+ * <p>Merge rule: the register keeps the greater command by the total order of {@link
+ * OperatorCommand#compareTo} (revision, then intent, issuer, reason); for an equal command it keeps
+ * the later expiry. The merge of registers is a maximum, hence commutative, associative and
+ * idempotent, as long as {@code maxEntries} rejects none.
+ *
+ * <p>Clock: the revision is a logical clock per register, one more than the highest that the issuer
+ * knew. Expiry is in milliseconds of the local wall clock; only the remaining time to live is
+ * exchanged, so clocks need not agree.
+ *
+ * <p>Invariants: a register's command never decreases while the register is kept; an expired
+ * command has no effect and stays as a tombstone for {@code tombstoneMs}, so that an older one with
+ * a time to live of at most {@code maxTtlMs} cannot take effect again. Pure state; not thread-safe.
  */
 public final class ReplicatedCommandSet {
 
-    /** A notice and how long it still holds, in milliseconds; 0 or less is over. */
+    /** A command and its remaining time to live in milliseconds; 0 or less is expired. */
     public record CommandWithTtl(OperatorCommand notice, long leftMs) {}
 
-    /** Names a say: that of an owner on a subject. */
+    /** The key of a register: a subject and the owner of the command. */
     public record CommandKey(String subject, String owner) implements Comparable<CommandKey> {
         @Override
         public int compareTo(CommandKey commandKey) {
-            int c = subject.compareTo(commandKey.subject);
-            return c != 0 ? c : owner.compareTo(commandKey.owner);
+            int bySubject = subject.compareTo(commandKey.subject);
+            return bySubject != 0 ? bySubject : owner.compareTo(commandKey.owner);
         }
     }
 
@@ -38,17 +46,16 @@
     /**
      * An empty set.
      *
-     * @param maxEntries says that are known at most; a new one past it is not taken
-     * @param maxTtlMs longest time that a notice may hold
-     * @param tombstoneMs time for which one that is over is remembered; at least {@code maxTtlMs},
-     *     so that whoever still has an older one has it no longer than the newer is remembered
+     * @param maxEntries most registers; a command for a further one is rejected
+     * @param maxTtlMs longest time to live of a command; a longer one is cut to it
+     * @param tombstoneMs time for which an expired command is kept; at least {@code maxTtlMs}
      */
     public ReplicatedCommandSet(int most, long longestMs, long rememberedMs) {
         if (rememberedMs < longestMs) {
             throw new IllegalArgumentException(
-                    "remembered for "
+                    "tombstones for "
                             + rememberedMs
-                            + " ms, less than the longest of "
+                            + " ms, less than the longest time to live of "
                             + longestMs);
         }
         this.maxEntries = most;
@@ -60,25 +67,28 @@
         return new CommandKey(operatorCommand.subject(), operatorCommand.owner());
     }
 
-    /** Adds a notice that still holds for that long; true if anything is otherwise than before. */
+    /**
+     * Merges a command with its remaining time to live; returns whether the register's command
+     * changed. A longer time to live alone is taken over and returns false.
+     */
     public boolean add(OperatorCommand operatorCommand, long leftMs, long nowMs) {
-        long until = nowMs + Math.min(leftMs, maxTtlMs);
-        Entry held = entries.get(keyOf(operatorCommand));
-        if (held == null && entries.size() >= maxEntries) {
+        long expiresMs = nowMs + Math.min(leftMs, maxTtlMs);
+        Entry known = entries.get(keyOf(operatorCommand));
+        if (known == null && entries.size() >= maxEntries) {
             removeExpired(nowMs);
             if (entries.size() >= maxEntries) {
                 return false;
             }
         }
-        int newer = held == null ? 1 : operatorCommand.compareTo(held.command);
-        if (newer < 0 || newer == 0 && until <= held.expiresMs) {
+        int order = known == null ? 1 : operatorCommand.compareTo(known.command);
+        if (order < 0 || order == 0 && expiresMs <= known.expiresMs) {
             return false;
         }
-        entries.put(keyOf(operatorCommand), new Entry(operatorCommand, until));
-        return newer > 0;
+        entries.put(keyOf(operatorCommand), new Entry(operatorCommand, expiresMs));
+        return order > 0;
     }
 
-    /** What holds of a subject: the strongest of what its owners want. */
+    /** The strongest intent in force for a subject, over its owners. */
     public Intent intent(String subject, long nowMs) {
         Intent strongest = Intent.NONE;
         for (Entry entry : entries.values()) {
@@ -91,7 +101,7 @@
         return strongest;
     }
 
-    /** All subjects of which something holds, with what. */
+    /** The strongest intent in force by subject; subjects without one are left out. */
     public Map<String, Intent> intents(long nowMs) {
         Map<String, Intent> all = new TreeMap<>();
         for (Entry entry : entries.values()) {
@@ -99,19 +109,19 @@
                 all.merge(
                         entry.command.subject(),
                         entry.command.intent(),
-                        (a, b) -> a.compareTo(b) > 0 ? a : b);
+                        (left, right) -> left.compareTo(right) > 0 ? left : right);
             }
         }
         return all;
     }
 
-    /** The next revision for a say: more than any that is known of it. */
+    /** The next revision of a register: one more than the known one. */
     public long nextRevision(String subject, String owner) {
         Entry entry = entries.get(new CommandKey(subject, owner));
         return entry == null ? 1 : entry.command.revision() + 1;
     }
 
-    /** Owners who want something of a subject now. */
+    /** Owners with an intent in force for a subject. */
     public List<String> owners(String subject, long nowMs) {
         return entries.values().stream()
                 .filter(
@@ -123,39 +133,39 @@
                 .toList();
     }
 
-    /** All notices, also those that are over and remembered. */
+    /** All commands, expired ones too. */
     public List<CommandWithTtl> commands(long nowMs) {
         return entries.values().stream()
                 .map(entry -> new CommandWithTtl(entry.command, entry.expiresMs - nowMs))
                 .toList();
     }
 
-    /** What the holder of that digest lacks. */
+    /** The commands that a peer with that digest lacks or has otherwise. */
     public List<CommandWithTtl> missingFrom(Map<CommandKey, Integer> digest, long nowMs) {
-        List<CommandWithTtl> lacked = new ArrayList<>();
+        List<CommandWithTtl> missing = new ArrayList<>();
         entries.forEach(
-                (say, entry) -> {
-                    Integer theirs = digest.get(say);
+                (key, entry) -> {
+                    Integer theirs = digest.get(key);
                     if (theirs == null || theirs != entry.command.digest()) {
-                        lacked.add(new CommandWithTtl(entry.command, entry.expiresMs - nowMs));
+                        missing.add(new CommandWithTtl(entry.command, entry.expiresMs - nowMs));
                     }
                 });
-        return lacked;
+        return missing;
     }
 
-    /** Says with a hash of what is known of each, for who compares. */
+    /** A hash of each register, for the comparison with a peer. */
     public Map<CommandKey, Integer> digest() {
         Map<CommandKey, Integer> digest = new TreeMap<>();
-        entries.forEach((say, entry) -> digest.put(say, entry.command.digest()));
+        entries.forEach((key, entry) -> digest.put(key, entry.command.digest()));
         return digest;
     }
 
-    /** Forgets what has been over for long enough. */
+    /** Removes the tombstones whose time is over. */
     public void removeExpired(long nowMs) {
         entries.values().removeIf(entry -> nowMs - entry.expiresMs > tombstoneMs);
     }
 
-    /** Says that are known. */
+    /** Number of registers. */
     public int size() {
         return entries.size();
     }
--- a/fleet/src/main/java/ashlink/fleet/command/package-info.java
+++ b/fleet/src/main/java/ashlink/fleet/command/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What operators want of engines and routers, as notices whose order of arrival does not matter.
- * Without I/O, clock or randomness.
+ * Operators' commands for engines and routers, replicated without coordination as a CRDT. Without
+ * I/O or clock; random choices follow from a seed.
  */
 package ashlink.fleet.command;
--- a/fleet/src/main/java/ashlink/fleet/supervise/RestartPolicy.java
+++ b/fleet/src/main/java/ashlink/fleet/supervise/RestartPolicy.java
@@ -3,32 +3,34 @@
 import java.util.ArrayDeque;
 
 /**
- * When a process that ended is started again: at once after a good while, later and later after
- * short ones. Many short runs within a while are a loop: it goes on at the longest pause, and is
- * said to be one.
+ * Decides when a process that exited is restarted: at once after a stable run, with exponential
+ * backoff after short runs, at the longest backoff in a crash loop. Pure state; not thread-safe.
+ * Times are in nanoseconds of one monotonic clock.
  */
 public final class RestartPolicy {
 
-    /** What is done about an end. */
+    /** What to do after an exit. */
     public enum What {
-        /** It ended as it should: nothing. */
+        /** Nothing: the exit was requested or successful. */
         DONE,
-        /** It cannot start as it is set up: nothing, until somebody changes that. */
+        /** Nothing: the settings are invalid. */
         GIVE_UP,
-        /** It is started again, after a pause. */
+        /** Restart after the backoff. */
         AGAIN,
-        /** The same, and it is a loop. */
+        /** Restart after the longest backoff: the process is in a crash loop. */
         LOOP
     }
 
-    /** A decision; {@code pauseNs} before the next start. */
+    /** The action and the backoff before the restart, in nanoseconds. */
     public record Decision(What what, long pauseNs) {}
 
     /**
-     * Terms of restarts, in nanoseconds.
+     * Limits of restarts, in nanoseconds.
      *
-     * @param stableRunNs a run of that length counts as good
-     * @param crashLoopRuns short runs within {@code crashLoopWindowNs} that make a loop
+     * @param initialBackoffNs backoff after the first short run; doubles with each further one
+     * @param maxBackoffNs longest backoff
+     * @param stableRunNs shortest run that resets the backoff
+     * @param crashLoopRuns short runs within {@code crashLoopWindowNs} that make a crash loop
      */
     public record RestartLimits(
             long initialBackoffNs,
@@ -37,9 +39,7 @@
             int crashLoopRuns,
             long crashLoopWindowNs) {
 
-        /**
-         * Half a second to half a minute; a minute is good; five within five minutes are a loop.
-         */
+        /** Backoff of 0.5 s to 30 s, reset by a run of 60 s; a crash loop is 5 runs in 300 s. */
         public static final RestartLimits DEFAULT =
                 new RestartLimits(
                         500_000_000L, 30_000_000_000L, 60_000_000_000L, 5, 300_000_000_000L);
@@ -51,14 +51,19 @@
     private final ArrayDeque<Long> shortRunEndsNs = new ArrayDeque<>();
     private int consecutiveShortRuns;
 
-    /** Restarts by those terms. */
-    public RestartPolicy(RestartLimits terms) {
-        this.limits = terms;
+    /** A policy with those limits. */
+    public RestartPolicy(RestartLimits limits) {
+        this.limits = limits;
     }
 
-    /** A run ended with that status; {@code asked} true if it was told to. */
-    public Decision ended(long startedNs, long endedNs, int status, boolean asked) {
-        if (asked || status == 0) {
+    /**
+     * Decides after an exit.
+     *
+     * @param status exit status of the process
+     * @param requested whether the exit was requested
+     */
+    public Decision ended(long startedNs, long endedNs, int status, boolean requested) {
+        if (requested || status == 0) {
             return new Decision(What.DONE, 0);
         }
         if (status == INVALID_SETTINGS_STATUS) {
--- a/fleet/src/main/java/ashlink/fleet/supervise/package-info.java
+++ b/fleet/src/main/java/ashlink/fleet/supervise/package-info.java
@@ -1,2 +1,2 @@
-/** When a process that ended is started again. Without I/O or clock. */
+/** Restarts of a process that exited. Without I/O or clock. */
 package ashlink.fleet.supervise;
--- a/fleet/src/test/java/ashlink/fleet/command/DisseminationSimulation.java
+++ b/fleet/src/test/java/ashlink/fleet/command/DisseminationSimulation.java
@@ -21,12 +21,12 @@
 
     private static final class Router {
         final ReplicatedCommandSet set = new ReplicatedCommandSet(1_000, 30 * DAY, 60 * DAY);
-        final CommandDisseminator carrier;
+        final CommandDisseminator disseminator;
         final long clockMs;
-        long learntMs = -1;
+        long receivedMs = -1;
 
         Router(long seed, long clockMs) {
-            this.carrier = new CommandDisseminator(set, seed);
+            this.disseminator = new CommandDisseminator(set, seed);
             this.clockMs = clockMs;
         }
     }
@@ -66,7 +66,7 @@
 
     private void compare(String text) {
         if (!dead.contains(text)) {
-            send(text, routers.get(text).carrier.startAntiEntropy(peers(text)));
+            send(text, routers.get(text).disseminator.startAntiEntropy(peers(text)));
         }
         at(1_000, () -> compare(text));
     }
@@ -86,30 +86,30 @@
             return;
         }
         if (transmission instanceof CommandDisseminator.Transmission.SendCommands sendCommands) {
-            learn(transmission.peer(), sendCommands.commands(), from);
+            receive(transmission.peer(), sendCommands.commands(), from);
         } else if (transmission instanceof CommandDisseminator.Transmission.SendDigest sendDigest) {
             send(
                     transmission.peer(),
-                    router.carrier.onDigest(
+                    router.disseminator.onDigest(
                             from, sendDigest.digest(), sendDigest.reply(), nowMs + router.clockMs));
         }
     }
 
     /** A router hears of notices: from a peer, or from the tool. */
-    void learn(String name, List<CommandWithTtl> held, String from) {
+    void receive(String name, List<CommandWithTtl> held, String from) {
         Router router = routers.get(name);
         List<CommandWithTtl> fresh = new ArrayList<>();
         for (CommandWithTtl ttl : held) {
             if (router.set.add(ttl.notice(), ttl.leftMs(), nowMs + router.clockMs)) {
                 fresh.add(ttl);
-                router.learntMs = nowMs;
+                router.receivedMs = nowMs;
             }
         }
-        send(name, router.carrier.disseminate(fresh, peers(name), from));
+        send(name, router.disseminator.disseminate(fresh, peers(name), from));
     }
 
-    void tell(String router, OperatorCommand operatorCommand) {
-        learn(router, List.of(new CommandWithTtl(operatorCommand, DAY)), "");
+    void submit(String router, OperatorCommand operatorCommand) {
+        receive(router, List.of(new CommandWithTtl(operatorCommand, DAY)), "");
     }
 
     void run(long ms) {
@@ -128,15 +128,15 @@
     }
 
     /** Time at which the last router alive learnt anything new. */
-    long lastLearntMs() {
+    long lastReceivedMs() {
         return routers.entrySet().stream()
                 .filter(entry -> !dead.contains(entry.getKey()))
-                .mapToLong(entry -> entry.getValue().learntMs)
+                .mapToLong(entry -> entry.getValue().receivedMs)
                 .max()
                 .orElse(0);
     }
 
-    Map<String, Long> holding(String subject) {
+    Map<String, Long> countByIntent(String subject) {
         Map<String, Long> by = new HashMap<>();
         routers.keySet().stream()
                 .filter(text -> !dead.contains(text))
--- a/fleet/src/test/java/ashlink/fleet/command/ModelCheckTest.java
+++ b/fleet/src/test/java/ashlink/fleet/command/ModelCheckTest.java
@@ -88,7 +88,7 @@
         return new Found(known.size(), wrong);
     }
 
-    private static State learn(
+    private static State receive(
             State state, int r, int notices, boolean diskFirst, TreeSet<Message> messages) {
         int all = state.memory.get(r) | notices;
         return new State(
@@ -103,7 +103,13 @@
         List<State> out = new ArrayList<>();
         for (int r = 0; r < ROUTERS; r++) {
             for (int notice = 1; notice <= 2; notice++) {
-                out.add(learn(state, r, notice, diskFirst, state.messages)); // the tool reaches it
+                out.add(
+                        receive(
+                                state,
+                                r,
+                                notice,
+                                diskFirst,
+                                state.messages)); // the tool reaches it
             }
             if (!diskFirst) {
                 out.add(
@@ -135,13 +141,13 @@
             TreeSet<Message> fewer = new TreeSet<>(state.messages);
             fewer.remove(message);
             out.add(new State(state.memory, state.disk, state.seen, fewer, state.crashes)); // lost
-            out.add(learn(state, message.to, message.notices, diskFirst, fewer));
+            out.add(receive(state, message.to, message.notices, diskFirst, fewer));
         }
         return out;
     }
 
     @Test
-    void noRouterThatSawTheNewerActsOnTheOlder() {
+    void routerThatSawNewerCommandNeverActsOnOlder() {
         Found found = explore(true);
         System.out.println("notices: " + found.states + " states, none wrong");
         assertEquals(0, found.wrong);
@@ -149,7 +155,7 @@
     }
 
     @Test
-    void withoutTheDiskBeforeTheActTheCheckFindsWhatGoesWrong() {
+    void modelCheckFindsViolationIfDiskIsWrittenAfterApplying() {
         assertTrue(
                 explore(false).wrong > 0,
                 "a crash forgets the newer, and a late message brings the older");
--- a/fleet/src/test/java/ashlink/fleet/command/ReplicatedCommandSetProperties.java
+++ b/fleet/src/test/java/ashlink/fleet/command/ReplicatedCommandSetProperties.java
@@ -24,7 +24,7 @@
         return new ReplicatedCommandSet(1_000, 7 * DAY, 14 * DAY);
     }
 
-    private static OperatorCommand notice(
+    private static OperatorCommand command(
             String subject, String owner, long revision, Intent intent) {
         return new OperatorCommand(subject, owner, revision, intent, owner, "");
     }
@@ -34,7 +34,7 @@
         List<OperatorCommand> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             all.add(
-                    notice(
+                    command(
                             "engine:q" + random.nextInt(3),
                             "op" + random.nextInt(2),
                             1 + random.nextInt(3),
@@ -50,7 +50,7 @@
     }
 
     @Property(tries = 300, seed = "1")
-    void anyOrderAndAnyNumberOfTimesGiveTheSame(@ForAll long seed) {
+    void mergeIsCommutativeAndIdempotent(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<OperatorCommand> notices = some(random, 1 + random.nextInt(12));
         List<OperatorCommand> shuffled = new ArrayList<>(notices);
@@ -62,7 +62,7 @@
     }
 
     @Property(tries = 300, seed = "2")
-    void setsThatTellEachOtherWhatTheyLackAreTheSameAfterwards(@ForAll long seed) {
+    void setsConvergeAfterExchangeOfMissingCommands(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         ReplicatedCommandSet a = of(some(random, random.nextInt(10)));
         ReplicatedCommandSet b = of(some(random, random.nextInt(10)));
@@ -81,7 +81,7 @@
         for (ReplicatedCommandSet.CommandWithTtl ttl : before) {
             if (ttl.notice().revision() > 1) {
                 OperatorCommand old =
-                        notice(
+                        command(
                                 ttl.notice().subject(),
                                 ttl.notice().owner(),
                                 ttl.notice().revision() - 1,
@@ -93,16 +93,16 @@
     }
 
     @Example
-    void aDigestIsTheSameInEveryProcess() {
-        assertEquals(DIGEST, notice("engine:q1", "ann", 3, Intent.DRAIN).digest());
+    void digestIsTheSameInEveryProcess() {
+        assertEquals(DIGEST, command("engine:q1", "ann", 3, Intent.DRAIN).digest());
     }
 
     @Example
-    void eachOwnerHasASayAndTheStrongestHolds() {
+    void strongestIntentOverOwnersIsInForce() {
         ReplicatedCommandSet s = set();
-        s.add(notice("engine:q1", "ann", 1, Intent.DRAIN), DAY, 0);
-        s.add(notice("engine:q1", "ben", 1, Intent.DRAIN), DAY, 0);
-        s.add(notice("engine:q1", "ann", 2, Intent.NONE), DAY, 0);
+        s.add(command("engine:q1", "ann", 1, Intent.DRAIN), DAY, 0);
+        s.add(command("engine:q1", "ben", 1, Intent.DRAIN), DAY, 0);
+        s.add(command("engine:q1", "ann", 2, Intent.NONE), DAY, 0);
         assertEquals(Intent.DRAIN, s.intent("engine:q1", 1), "ben still wants it");
         assertEquals(List.of("ben"), s.owners("engine:q1", 1));
         s.add(
@@ -119,18 +119,18 @@
     }
 
     @Example
-    void aNoticeEndsByItsTimeAndAnOlderOneStaysDead() {
+    void expiredCommandIsTombstoneForOlderOnes() {
         ReplicatedCommandSet s = set();
-        s.add(notice("engine:q1", "ann", 2, Intent.DRAIN), 1_000, 0);
+        s.add(command("engine:q1", "ann", 2, Intent.DRAIN), 1_000, 0);
         assertEquals(Intent.DRAIN, s.intent("engine:q1", 999));
         assertEquals(Intent.NONE, s.intent("engine:q1", 1_000));
-        s.add(notice("engine:q1", "ann", 1, Intent.STOP), 7 * DAY, 2_000);
+        s.add(command("engine:q1", "ann", 1, Intent.STOP), 7 * DAY, 2_000);
         assertEquals(Intent.NONE, s.intent("engine:q1", 2_001), "from a backup");
         s.removeExpired(13 * DAY);
         assertEquals(1, s.size());
         s.removeExpired(15 * DAY);
         assertEquals(0, s.size());
-        s.add(notice("engine:q1", "ann", 1, Intent.DRAIN), 1000 * DAY, 0);
+        s.add(command("engine:q1", "ann", 1, Intent.DRAIN), 1000 * DAY, 0);
         assertEquals(
                 Intent.NONE,
                 s.intent("engine:q1", 8 * DAY),
@@ -138,14 +138,14 @@
     }
 
     @Example
-    void aFullSetTakesNoNewSayButNewerOnesOfThoseItHas() {
+    void fullSetRejectsNewRegistersAndUpdatesExistingOnes() {
         ReplicatedCommandSet set = new ReplicatedCommandSet(2, DAY, DAY);
-        assertTrue(set.add(notice("engine:a", "o", 1, Intent.DRAIN), DAY, 0));
-        assertTrue(set.add(notice("engine:b", "o", 1, Intent.DRAIN), DAY, 0));
-        assertFalse(set.add(notice("engine:c", "o", 1, Intent.DRAIN), DAY, 0));
-        assertTrue(set.add(notice("engine:a", "o", 2, Intent.NONE), DAY, 0));
+        assertTrue(set.add(command("engine:a", "o", 1, Intent.DRAIN), DAY, 0));
+        assertTrue(set.add(command("engine:b", "o", 1, Intent.DRAIN), DAY, 0));
+        assertFalse(set.add(command("engine:c", "o", 1, Intent.DRAIN), DAY, 0));
+        assertTrue(set.add(command("engine:a", "o", 2, Intent.NONE), DAY, 0));
         assertTrue(
-                set.add(notice("engine:c", "o", 1, Intent.DRAIN), DAY, 3 * DAY),
+                set.add(command("engine:c", "o", 1, Intent.DRAIN), DAY, 3 * DAY),
                 "those that are over made room");
     }
 }
--- a/fleet/src/test/java/ashlink/fleet/membership/MembershipSimulation.java
+++ b/fleet/src/test/java/ashlink/fleet/membership/MembershipSimulation.java
@@ -38,7 +38,7 @@
     long now = 1_000 * S;
     long numbers;
     long messages;
-    int mostRumors;
+    int maxUpdates;
 
     MembershipSimulation(int count, double loss, long seed) {
         this.random = new SplittableRandom(seed);
@@ -76,7 +76,7 @@
 
     private void send(String from, Swim.Send send) {
         messages++;
-        mostRumors = Math.max(mostRumors, send.message().updates().size());
+        maxUpdates = Math.max(maxUpdates, send.message().updates().size());
         if (random.nextDouble() < loss || !passes.test(from, send.member())) {
             return;
         }
@@ -110,7 +110,7 @@
     }
 
     /** Members alive that hold that one for this state. */
-    long holding(String of, State state) {
+    long countInState(String of, State state) {
         return members.entrySet().stream()
                 .filter(
                         entry ->
@@ -121,7 +121,7 @@
     }
 
     /** Pairs of members alive of which the first holds the second for gone. */
-    long wronglyGone() {
+    long wronglyDead() {
         long wrong = 0;
         for (Map.Entry<String, Swim> entry : members.entrySet()) {
             if (!dead.contains(entry.getKey())) {
--- a/fleet/src/test/java/ashlink/fleet/membership/SwimRun.java
+++ b/fleet/src/test/java/ashlink/fleet/membership/SwimRun.java
@@ -12,7 +12,7 @@
     private static final long S = MembershipSimulation.S;
 
     @Test
-    void aThousand() {
+    void thousandMembers() {
         int n = 1_000;
         for (double loss : new double[] {0.01, 0.05, 0.2}) {
             MembershipSimulation sim = new MembershipSimulation(n, loss, 1);
@@ -21,18 +21,19 @@
             sim.run(20 * S);
             double each = (sim.messages - messages) / 20.0 / n;
             long alarms = sim.members.values().stream().mapToLong(Swim::refutedSuspicions).sum();
-            long wrong = sim.wronglyGone();
+            long wrong = sim.wronglyDead();
             sim.dead.add("r0500");
             long from = sim.now;
             double first = 0;
             double half = 0;
-            while (sim.holding("r0500", State.DEAD) < n - 1 && sim.now - from < 120 * S) {
+            while (sim.countInState("r0500", State.DEAD) < n - 1 && sim.now - from < 120 * S) {
                 sim.run(S / 10);
                 long suspects =
-                        sim.holding("r0500", State.SUSPECT) + sim.holding("r0500", State.DEAD);
+                        sim.countInState("r0500", State.SUSPECT)
+                                + sim.countInState("r0500", State.DEAD);
                 first = first == 0 && suspects > 0 ? (sim.now - from) / 1e9 : first;
                 half =
-                        half == 0 && sim.holding("r0500", State.DEAD) > n / 2
+                        half == 0 && sim.countInState("r0500", State.DEAD) > n / 2
                                 ? (sim.now - from) / 1e9
                                 : half;
             }
@@ -50,7 +51,7 @@
                     Math.E / (Math.E - 1) * SwimConfig.DEFAULT.periodNs() / 1e9,
                     half,
                     (sim.now - from) / 1e9,
-                    sim.mostRumors);
+                    sim.maxUpdates);
         }
     }
 }
--- a/fleet/src/test/java/ashlink/fleet/membership/SwimTest.java
+++ b/fleet/src/test/java/ashlink/fleet/membership/SwimTest.java
@@ -11,21 +11,21 @@
     private static final long S = MembershipSimulation.S;
 
     @Test
-    void aMemberThatDiesIsHeldForGoneByAllAndNobodyElseIs() {
+    void failedMemberIsDeclaredDeadByAllAndNoOtherIs() {
         MembershipSimulation sim = new MembershipSimulation(24, 0.01, 1);
         sim.run(10 * S);
-        assertEquals(0, sim.wronglyGone());
+        assertEquals(0, sim.wronglyDead());
         sim.dead.add("r0007");
         sim.run(15 * S);
-        assertEquals(23, sim.holding("r0007", State.DEAD));
-        assertEquals(0, sim.wronglyGone());
+        assertEquals(23, sim.countInState("r0007", State.DEAD));
+        assertEquals(0, sim.wronglyDead());
         assertTrue(
-                sim.mostRumors <= SwimConfig.DEFAULT.maxUpdatesPerMessage() + 1,
+                sim.maxUpdates <= SwimConfig.DEFAULT.maxUpdatesPerMessage() + 1,
                 "messages are bounded");
     }
 
     @Test
-    void theSameSeedGivesTheSameStory() {
+    void sameSeedGivesSameRun() {
         MembershipSimulation a = new MembershipSimulation(24, 0.05, 3);
         MembershipSimulation b = new MembershipSimulation(24, 0.05, 3);
         a.run(20 * S);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aCutBetweenHallsHealsInBothDirections() {
+    void membershipConvergesAfterPartition() {
         MembershipSimulation sim = new MembershipSimulation(24, 0.01, 2);
         sim.run(5 * S);
         sim.passes =
@@ -44,27 +44,27 @@
                         (Integer.parseInt(from.substring(1)) < 12)
                                 == (Integer.parseInt(to.substring(1)) < 12);
         sim.run(60 * S);
-        assertEquals(2 * 12 * 12, sim.wronglyGone(), "each side holds the other for gone");
+        assertEquals(2 * 12 * 12, sim.wronglyDead(), "each side holds the other for gone");
         sim.passes = (from, to) -> true;
         sim.run(40 * S);
-        assertEquals(0, sim.wronglyGone());
+        assertEquals(0, sim.wronglyDead());
     }
 
     @Test
-    void oneThatHearsAndIsNotHeardIsSavedByOthers() {
+    void pingReqsPreventSuspicionAcrossOneWayLinkFailure() {
         MembershipSimulation sim = new MembershipSimulation(24, 0.01, 4);
         sim.passes = (from, to) -> !(from.equals("r0001") && to.equals("r0002"));
         sim.run(60 * S);
-        assertEquals(0, sim.wronglyGone(), "indirect pings go around the broken way");
+        assertEquals(0, sim.wronglyDead(), "indirect pings go around the broken way");
     }
 
     @Test
-    void oneThatWasPausedComesBackAndDoesNotBelieveThatTheWorldHasDied() {
+    void pausedMemberRejoinsWithoutDeclaringOthersDead() {
         MembershipSimulation sim = new MembershipSimulation(24, 0.01, 5);
         sim.run(5 * S);
         sim.paused.add("r0003");
         sim.run(30 * S);
-        assertEquals(23, sim.holding("r0003", State.DEAD));
+        assertEquals(23, sim.countInState("r0003", State.DEAD));
         sim.paused.remove("r0003");
         sim.run(S);
         assertEquals(
@@ -73,13 +73,13 @@
                         .filter(membershipUpdate -> membershipUpdate.state() == State.DEAD)
                         .count());
         sim.run(30 * S);
-        assertEquals(0, sim.wronglyGone());
+        assertEquals(0, sim.wronglyDead());
     }
 
     @Test
-    void allThatRestartAtOnceFindEachOther() {
+    void membersStartedTogetherConverge() {
         MembershipSimulation sim = new MembershipSimulation(48, 0.05, 6);
         sim.run(20 * S);
-        assertEquals(0, sim.wronglyGone());
+        assertEquals(0, sim.wronglyDead());
     }
 }
--- a/fleet/src/test/java/ashlink/fleet/supervise/RestartPolicyTest.java
+++ b/fleet/src/test/java/ashlink/fleet/supervise/RestartPolicyTest.java
@@ -11,7 +11,7 @@
     private static final long S = 1_000_000_000L;
 
     @Test
-    void shortRunsPauseLongerUntilTheyAreALoopAndAGoodOneMakesGood() {
+    void backoffGrowsToCrashLoopAndStableRunResetsIt() {
         RestartPolicy restartPolicy = new RestartPolicy(RestartPolicy.RestartLimits.DEFAULT);
         assertEquals(new Decision(What.AGAIN, S / 2), restartPolicy.ended(0, S, 137, false));
         assertEquals(new Decision(What.AGAIN, S), restartPolicy.ended(2 * S, 3 * S, 137, false));
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void whoWasToldToEndStaysEndedAndWhoCannotStartIsLeft() {
+    void requestedExitAndInvalidSettingsAreNotRestarted() {
         RestartPolicy restartPolicy = new RestartPolicy(RestartPolicy.RestartLimits.DEFAULT);
         assertEquals(What.DONE, restartPolicy.ended(0, S, 0, false).what());
         assertEquals(What.DONE, restartPolicy.ended(0, S, 143, true).what());
