--- a/control/src/main/java/ashlink/control/member/ControlCodec.java
+++ b/control/src/main/java/ashlink/control/member/ControlCodec.java
@@ -18,7 +18,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Frames of the control channel, to and from what they say. */
+/** Frames of the control channel, to and from what they key. */
 public final class ControlCodec {
 
     private static final JsonNodeFactory JSON = JsonNodeFactory.instance;
@@ -26,17 +26,16 @@
 
     private ControlCodec() {}
 
-    /** A frame that asks for something. */
+    /** A frame with an operation and no arguments. */
     public static ObjectNode op(String name) {
         return JSON.objectNode().put(ControlWords.OP, name);
     }
 
-    // ---- Notices
-    /** Notices as a frame of that name. */
-    public static ObjectNode notices(String op, List<CommandWithTtl> held) {
+    /** A frame with an operation and commands. */
+    public static ObjectNode notices(String op, List<CommandWithTtl> commands) {
         ObjectNode objectNode = op(op);
         ArrayNode all = objectNode.putArray(ControlWords.COMMANDS);
-        for (CommandWithTtl ttl : held) {
+        for (CommandWithTtl ttl : commands) {
             OperatorCommand operatorCommand = ttl.notice();
             all.addObject()
                     .put(ControlWords.SUBJECT, operatorCommand.subject())
@@ -50,51 +49,55 @@
         return objectNode;
     }
 
-    /** The notices of a frame; an exception where one makes no sense. */
-    public static List<CommandWithTtl> notices(JsonNode n) throws IOException {
-        List<CommandWithTtl> held = new ArrayList<>();
-        for (JsonNode x : list(n, ControlWords.COMMANDS)) {
+    /**
+     * The commands of a frame.
+     *
+     * @throws IOException if one is malformed
+     */
+    public static List<CommandWithTtl> notices(JsonNode json) throws IOException {
+        List<CommandWithTtl> commands = new ArrayList<>();
+        for (JsonNode entry : list(json, ControlWords.COMMANDS)) {
             try {
-                held.add(
+                commands.add(
                         new CommandWithTtl(
                                 new OperatorCommand(
-                                        text(x, ControlWords.SUBJECT),
-                                        text(x, ControlWords.OWNER),
-                                        x.path(ControlWords.REVISION).asLong(),
-                                        ControlWords.intent(text(x, ControlWords.INTENT)),
-                                        text(x, ControlWords.ISSUER),
-                                        text(x, ControlWords.REASON)),
-                                x.path(ControlWords.TTL_MS).asLong()));
+                                        text(entry, ControlWords.SUBJECT),
+                                        text(entry, ControlWords.OWNER),
+                                        entry.path(ControlWords.REVISION).asLong(),
+                                        ControlWords.intent(text(entry, ControlWords.INTENT)),
+                                        text(entry, ControlWords.ISSUER),
+                                        text(entry, ControlWords.REASON)),
+                                entry.path(ControlWords.TTL_MS).asLong()));
             } catch (IllegalArgumentException e) {
                 throw new IOException("a notice makes no sense: " + e.getMessage());
             }
         }
-        return held;
+        return commands;
     }
 
-    static ObjectNode digest(Map<CommandKey, Integer> digest, boolean back) {
-        ObjectNode objectNode = op(ControlWords.OP_DIGEST).put(ControlWords.REPLY, back);
+    static ObjectNode digest(Map<CommandKey, Integer> digest, boolean reply) {
+        ObjectNode objectNode = op(ControlWords.OP_DIGEST).put(ControlWords.REPLY, reply);
         ArrayNode all = objectNode.putArray(ControlWords.DIGEST);
         digest.forEach(
-                (say, hash) ->
+                (key, hash) ->
                         all.addObject()
-                                .put(ControlWords.SUBJECT, say.subject())
-                                .put(ControlWords.OWNER, say.owner())
+                                .put(ControlWords.SUBJECT, key.subject())
+                                .put(ControlWords.OWNER, key.owner())
                                 .put(ControlWords.HASH, hash));
         return objectNode;
     }
 
-    static Map<CommandKey, Integer> digest(JsonNode n) throws IOException {
+    static Map<CommandKey, Integer> digest(JsonNode json) throws IOException {
         Map<CommandKey, Integer> digest = new TreeMap<>();
-        for (JsonNode x : list(n, ControlWords.DIGEST)) {
+        for (JsonNode entry : list(json, ControlWords.DIGEST)) {
             digest.put(
-                    new CommandKey(text(x, ControlWords.SUBJECT), text(x, ControlWords.OWNER)),
-                    x.path(ControlWords.HASH).asInt());
+                    new CommandKey(
+                            text(entry, ControlWords.SUBJECT), text(entry, ControlWords.OWNER)),
+                    entry.path(ControlWords.HASH).asInt());
         }
         return digest;
     }
 
-    // ---- Membership
     static ObjectNode swim(Message message, String address) {
         ObjectNode objectNode = op(ControlWords.OP_SWIM).put(ControlWords.ADDRESS, address);
         if (message instanceof Ping ping) {
@@ -112,9 +115,9 @@
                     .put(ControlWords.SEQUENCE, ack.sequence())
                     .put(ControlWords.ACKNOWLEDGED_MEMBER, ack.member());
         }
-        ArrayNode rumors = objectNode.putArray(ControlWords.UPDATES);
+        ArrayNode updates = objectNode.putArray(ControlWords.UPDATES);
         for (MembershipUpdate membershipUpdate : message.updates()) {
-            rumors.addObject()
+            updates.addObject()
                     .put(ControlWords.MEMBER, membershipUpdate.member())
                     .put(ControlWords.ADDRESS, membershipUpdate.address())
                     .put(ControlWords.INCARNATION, membershipUpdate.incarnation())
@@ -123,36 +126,36 @@
         return objectNode;
     }
 
-    static Message swim(JsonNode n) throws IOException {
-        List<MembershipUpdate> rumors = new ArrayList<>();
+    static Message swim(JsonNode json) throws IOException {
+        List<MembershipUpdate> updates = new ArrayList<>();
         try {
-            for (JsonNode r : list(n, ControlWords.UPDATES)) {
-                rumors.add(
+            for (JsonNode entry : list(json, ControlWords.UPDATES)) {
+                updates.add(
                         new MembershipUpdate(
-                                text(r, ControlWords.MEMBER),
-                                text(r, ControlWords.ADDRESS),
-                                r.path(ControlWords.INCARNATION).asLong(),
-                                ControlWords.state(text(r, ControlWords.STATE))));
+                                text(entry, ControlWords.MEMBER),
+                                text(entry, ControlWords.ADDRESS),
+                                entry.path(ControlWords.INCARNATION).asLong(),
+                                ControlWords.state(text(entry, ControlWords.STATE))));
             }
         } catch (IllegalArgumentException e) {
             throw new IOException("a rumor makes no sense: " + e.getMessage());
         }
-        long number = n.path(ControlWords.SEQUENCE).asLong();
-        return switch (text(n, ControlWords.KIND)) {
-            case ControlWords.KIND_PING -> new Ping(number, rumors);
+        long number = json.path(ControlWords.SEQUENCE).asLong();
+        return switch (text(json, ControlWords.KIND)) {
+            case ControlWords.KIND_PING -> new Ping(number, updates);
             case ControlWords.KIND_PING_REQ ->
-                    new PingReq(number, text(n, ControlWords.TARGET), rumors);
+                    new PingReq(number, text(json, ControlWords.TARGET), updates);
             case ControlWords.KIND_ACK ->
-                    new Ack(number, text(n, ControlWords.ACKNOWLEDGED_MEMBER), rumors);
+                    new Ack(number, text(json, ControlWords.ACKNOWLEDGED_MEMBER), updates);
             default ->
                     throw new IOException(
-                            "a message of kind " + text(n, ControlWords.KIND) + " is unknown");
+                            "a message of kind " + text(json, ControlWords.KIND) + " is unknown");
         };
     }
 
-    static String text(JsonNode n, String field) throws IOException {
-        JsonNode v = n.path(field);
-        if (!v.isTextual() || v.textValue().length() > OperatorCommand.MAX_FIELD_CHARS) {
+    static String text(JsonNode json, String field) throws IOException {
+        JsonNode value = json.path(field);
+        if (!value.isTextual() || value.textValue().length() > OperatorCommand.MAX_FIELD_CHARS) {
             throw new IOException(
                     "field "
                             + field
@@ -160,14 +163,14 @@
                             + OperatorCommand.MAX_FIELD_CHARS
                             + " characters");
         }
-        return v.textValue();
+        return value.textValue();
     }
 
-    private static JsonNode list(JsonNode n, String field) throws IOException {
-        JsonNode v = n.path(field);
-        if (!v.isArray() || v.size() > MAX_LIST_ENTRIES) {
+    private static JsonNode list(JsonNode json, String field) throws IOException {
+        JsonNode value = json.path(field);
+        if (!value.isArray() || value.size() > MAX_LIST_ENTRIES) {
             throw new IOException("field " + field + " is no list of at most " + MAX_LIST_ENTRIES);
         }
-        return v;
+        return value;
     }
 }
--- a/control/src/test/java/ashlink/control/ControlTest.java
+++ b/control/src/test/java/ashlink/control/ControlTest.java
@@ -300,39 +300,47 @@
         }
     }
 
-    // ---- Who may what
+    // ---- Authorization
+
+    private JsonNode status(Identity identity) throws IOException {
+        try (ControlClient controlClient =
+                new ControlClient(identity, addresses.get("r1"), "r1", 2_000)) {
+            return controlClient.request(ControlCodec.op("status"));
+        }
+    }
+
+    private String errorOf(FleetClient client, String subject, String owner, Intent intent)
+            throws InterruptedException {
+        OperatorCommand command = new OperatorCommand(subject, owner, 1, intent, owner, "");
+        return client.put(command, HOUR_MS).get("r1").error();
+    }
+
     @Test
-    void onlyFleetCertificatesAreAcceptedWithinTheirRoles() throws Exception {
+    void observerMayReadStatusAndNotDrain() throws Exception {
         fleet(1);
         try (FleetClient fleetClient = tool("eve")) {
             assertTrue(fleetClient.status().get("r1").isReached());
-            Result result =
-                    fleetClient
-                            .put(
-                                    new OperatorCommand(
-                                            "engine:q1", "eve", 1, Intent.DRAIN, "eve", ""),
-                                    HOUR_MS)
-                            .get("r1");
-            assertTrue(result.error().contains("no role drain"), result.error());
+            String error = errorOf(fleetClient, "engine:q1", "eve", Intent.DRAIN);
+            assertTrue(error.contains("no role drain"), error);
         }
+        assertTrue(routers.get("r1").drained.isEmpty());
+    }
+
+    @Test
+    void drainerMayNotStopNorIssueCommandsOfOthers() throws Exception {
+        fleet(1);
         try (FleetClient fleetClient = tool("ben")) {
-            Result result =
-                    fleetClient
-                            .put(
-                                    new OperatorCommand(
-                                            "router:r1", "ben", 1, Intent.STOP, "ben", ""),
-                                    HOUR_MS)
-                            .get("r1");
-            assertTrue(result.error().contains("no role stop"), result.error());
-            result =
-                    fleetClient
-                            .put(
-                                    new OperatorCommand(
-                                            "engine:q1", "ann", 1, Intent.DRAIN, "ann", ""),
-                                    HOUR_MS)
-                            .get("r1");
-            assertTrue(result.error().contains("by ann comes from ben"), result.error());
+            String error = errorOf(fleetClient, "router:r1", "ben", Intent.STOP);
+            assertTrue(error.contains("no role stop"), error);
+            error = errorOf(fleetClient, "engine:q1", "ann", Intent.DRAIN);
+            assertTrue(error.contains("by ann comes from ben"), error);
         }
+        assertTrue(routers.get("r1").drained.isEmpty());
+    }
+
+    @Test
+    void foreignAndExpiredCertificatesAreRejected() throws Exception {
+        fleet(1);
         CertificateAuthority foreign = new CertificateAuthority(dir.resolve("foreign"));
         foreign.renew(DAY);
         foreign.issue("ann", Set.of(Role.OBSERVE, Role.DRAIN), DAY);
@@ -341,24 +349,10 @@
                 dir.resolve("foreign/ca.crt"),
                 StandardCopyOption.REPLACE_EXISTING);
         Identity stranger = new Identity(dir.resolve("foreign"), "ann");
-        assertThrows(
-                IOException.class,
-                () -> {
-                    try (ControlClient controlClient =
-                            new ControlClient(stranger, addresses.get("r1"), "r1", 2_000)) {
-                        controlClient.request(ControlCodec.op("status"));
-                    }
-                });
+        assertThrows(IOException.class, () -> status(stranger));
         authority.issue("old", Set.of(Role.OBSERVE), Duration.ofMinutes(-10));
         Identity expired = new Identity(dir.resolve("keys"), "old");
-        assertThrows(
-                IOException.class,
-                () -> {
-                    try (ControlClient controlClient =
-                            new ControlClient(expired, addresses.get("r1"), "r1", 2_000)) {
-                        controlClient.request(ControlCodec.op("status"));
-                    }
-                });
+        assertThrows(IOException.class, () -> status(expired));
         assertTrue(routers.get("r1").drained.isEmpty());
     }
 
@@ -372,49 +366,23 @@
         authority.issue("ann", Set.of(Role.OBSERVE), DAY);
         kill("r1");
         start("r1"); // shows its old certificate, and trusts both authorities
-        try (ControlClient controlClient =
-                new ControlClient(
-                        new Identity(dir.resolve("keys"), "ann"),
-                        addresses.get("r1"),
-                        "r1",
-                        2_000)) {
-            assertEquals(
-                    "r1",
-                    controlClient.request(ControlCodec.op("status")).get("router").asText(),
-                    "a new operator");
-        }
-        try (ControlClient controlClient =
-                new ControlClient(
-                        new Identity(dir.resolve("before"), "eve"),
-                        addresses.get("r1"),
-                        "r1",
-                        2_000)) {
-            assertEquals(
-                    "r1",
-                    controlClient.request(ControlCodec.op("status")).get("router").asText(),
-                    "an old one");
-        }
+        Identity renewed = new Identity(dir.resolve("keys"), "ann");
+        assertEquals("r1", status(renewed).get("router").asText(), "a new operator");
+        Identity old = new Identity(dir.resolve("before"), "eve");
+        assertEquals("r1", status(old).get("router").asText(), "an old one");
         authority.retire();
         authority.issue("r1", Set.of(Role.ROUTER), DAY);
         kill("r1");
         start("r1");
+        Identity retired = new Identity(dir.resolve("before"), "eve");
         assertThrows(
                 IOException.class,
-                () -> {
-                    try (ControlClient controlClient =
-                            new ControlClient(
-                                    new Identity(dir.resolve("before"), "eve"),
-                                    addresses.get("r1"),
-                                    "r1",
-                                    2_000)) {
-                        controlClient.request(ControlCodec.op("status"));
-                    }
-                },
+                () -> status(retired),
                 "the old authority is not trusted any more");
     }
 
     @Test
-    void malformedFramesAndFloodsAffectOnlyTheirConnection() throws Exception {
+    void malformedFramesEndOnlyTheirConnection() throws Exception {
         fleet(2);
         try (Socket plain = new Socket("127.0.0.1", addresses.get("r1").getPort())) {
             plain.getOutputStream().write("GET / HTTP/1.1\r\n\r\n".getBytes());
@@ -443,6 +411,14 @@
                 assertEquals(-1, sSLSocket.getInputStream().read(), "closed");
             }
         }
+        submit("ben", Intent.DRAIN, "r1");
+        await("a command comes through", () -> all(true));
+    }
+
+    @Test
+    void floodDoesNotKeepOutOtherConnections() throws Exception {
+        fleet(2);
+        Identity ann = new Identity(dir.resolve("keys"), "ann");
         List<Thread> flood = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             Thread thread =
--- a/fleet/src/test/java/ashlink/fleet/command/CommandDisseminatorTest.java
+++ b/fleet/src/test/java/ashlink/fleet/command/CommandDisseminatorTest.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/** Dissemination of commands among simulated routers. */
 class CommandDisseminatorTest {
 
     private static OperatorCommand command(String owner, long revision, Intent intent) {
--- a/fleet/src/test/java/ashlink/fleet/command/DisseminationSimulation.java
+++ b/fleet/src/test/java/ashlink/fleet/command/DisseminationSimulation.java
@@ -12,7 +12,7 @@
 import java.util.SplittableRandom;
 import java.util.function.BiPredicate;
 
-/** Notices between many routers in simulated time, with clocks that are apart. From a seed. */
+/** Commands between many routers in simulated time, with clocks that are apart. From a seed. */
 final class DisseminationSimulation {
 
     private static final long DAY = 86_400_000L;
@@ -95,17 +95,17 @@
         }
     }
 
-    /** A router hears of notices: from a peer, or from the tool. */
-    void receive(String name, List<CommandWithTtl> held, String from) {
+    /** A router receives commands from a peer or from the client. */
+    void receive(String name, List<CommandWithTtl> received, String from) {
         Router router = routers.get(name);
-        List<CommandWithTtl> fresh = new ArrayList<>();
-        for (CommandWithTtl ttl : held) {
+        List<CommandWithTtl> changed = new ArrayList<>();
+        for (CommandWithTtl ttl : received) {
             if (router.set.add(ttl.notice(), ttl.leftMs(), nowMs + router.clockMs)) {
-                fresh.add(ttl);
+                changed.add(ttl);
                 router.receivedMs = nowMs;
             }
         }
-        send(name, router.disseminator.disseminate(fresh, peers(name), from));
+        send(name, router.disseminator.disseminate(changed, peers(name), from));
     }
 
     void submit(String router, OperatorCommand operatorCommand) {
@@ -123,8 +123,8 @@
     }
 
     Intent intent(String router, String subject) {
-        Router r = routers.get(router);
-        return r.set.intent(subject, nowMs + r.clockMs);
+        Router target = routers.get(router);
+        return target.set.intent(subject, nowMs + target.clockMs);
     }
 
     /** Time at which the last router alive learnt anything new. */
--- a/fleet/src/test/java/ashlink/fleet/command/ModelCheckTest.java
+++ b/fleet/src/test/java/ashlink/fleet/command/ModelCheckTest.java
@@ -12,26 +12,26 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All states that three routers reach with two notices of one owner (a drain, then its withdrawal),
- * messages between them that are lost, late and out of order, and a crash: no router that has seen
- * the newer acts on the older.
+ * All states that three routers reach with two commands of one owner (a drain, then its
+ * withdrawal), messages between them that are lost, late and out of order, and a crash: no router
+ * that has seen the newer acts on the older.
  */
 class ModelCheckTest {
 
     private static final int ROUTERS = 3;
-    private static final int MOST_IN_FLIGHT = 3;
+    private static final int MAX_IN_FLIGHT = 3;
     private static final OperatorCommand DRAIN =
             new OperatorCommand("engine:q1", "ann", 1, Intent.DRAIN, "ann", "");
     private static final OperatorCommand UNDRAIN =
             new OperatorCommand("engine:q1", "ann", 2, Intent.NONE, "ann", "");
 
-    /** Bits 1 and 2 stand for the notices. */
-    private record Message(int to, int notices) implements Comparable<Message> {
+    /** Bits 1 and 2 stand for the commands. */
+    private record Message(int to, int commands) implements Comparable<Message> {
         @Override
         public int compareTo(Message message) {
             return to != message.to
                     ? Integer.compare(to, message.to)
-                    : Integer.compare(notices, message.notices);
+                    : Integer.compare(commands, message.commands);
         }
     }
 
@@ -48,12 +48,12 @@
 
     private record Found(int states, int wrong) {}
 
-    private static ReplicatedCommandSet set(int notices) {
+    private static ReplicatedCommandSet set(int commands) {
         ReplicatedCommandSet set = new ReplicatedCommandSet(10, 1_000, 1_000);
-        if ((notices & 2) != 0) {
+        if ((commands & 2) != 0) {
             set.add(UNDRAIN, 1_000, 0); // in an order that is not theirs
         }
-        if ((notices & 1) != 0) {
+        if ((commands & 1) != 0) {
             set.add(DRAIN, 1_000, 0);
         }
         return set;
@@ -89,12 +89,14 @@
     }
 
     private static State receive(
-            State state, int r, int notices, boolean diskFirst, TreeSet<Message> messages) {
-        int all = state.memory.get(r) | notices;
+            State state, int router, int commands, boolean diskFirst, TreeSet<Message> messages) {
+        int all = state.memory.get(router) | commands;
         return new State(
-                with(state.memory, r, all),
-                diskFirst ? with(state.disk, r, state.disk.get(r) | notices) : state.disk,
-                with(state.seen, r, state.seen.get(r) | notices),
+                with(state.memory, router, all),
+                diskFirst
+                        ? with(state.disk, router, state.disk.get(router) | commands)
+                        : state.disk,
+                with(state.seen, router, state.seen.get(router) | commands),
                 messages,
                 state.crashes);
     }
@@ -102,12 +104,12 @@
     private static List<State> next(State state, boolean diskFirst) {
         List<State> out = new ArrayList<>();
         for (int r = 0; r < ROUTERS; r++) {
-            for (int notice = 1; notice <= 2; notice++) {
+            for (int command = 1; command <= 2; command++) {
                 out.add(
                         receive(
                                 state,
                                 r,
-                                notice,
+                                command,
                                 diskFirst,
                                 state.messages)); // the tool reaches it
             }
@@ -120,36 +122,46 @@
                                 state.messages,
                                 state.crashes));
             }
-            if (state.crashes < 1) {
-                out.add(
-                        new State(
-                                with(state.memory, r, state.disk.get(r)),
-                                state.disk,
-                                state.seen,
-                                state.messages,
-                                state.crashes + 1));
-            }
+            addCrash(state, r, out);
             for (int to = 0; to < ROUTERS; to++) {
-                if (to != r && state.memory.get(r) != 0 && state.messages.size() < MOST_IN_FLIGHT) {
+                if (to != r && state.memory.get(r) != 0 && state.messages.size() < MAX_IN_FLIGHT) {
                     TreeSet<Message> more = new TreeSet<>(state.messages);
                     more.add(new Message(to, state.memory.get(r)));
                     out.add(new State(state.memory, state.disk, state.seen, more, state.crashes));
                 }
             }
         }
+        addDeliveries(state, diskFirst, out);
+        return out;
+    }
+
+    /** A router crashes and restarts with what its disk has. */
+    private static void addCrash(State state, int router, List<State> out) {
+        if (state.crashes < 1) {
+            out.add(
+                    new State(
+                            with(state.memory, router, state.disk.get(router)),
+                            state.disk,
+                            state.seen,
+                            state.messages,
+                            state.crashes + 1));
+        }
+    }
+
+    /** Each message in flight is lost or arrives. */
+    private static void addDeliveries(State state, boolean diskFirst, List<State> out) {
         for (Message message : state.messages) {
             TreeSet<Message> fewer = new TreeSet<>(state.messages);
             fewer.remove(message);
             out.add(new State(state.memory, state.disk, state.seen, fewer, state.crashes)); // lost
-            out.add(receive(state, message.to, message.notices, diskFirst, fewer));
+            out.add(receive(state, message.to, message.commands, diskFirst, fewer));
         }
-        return out;
     }
 
     @Test
     void routerThatSawNewerCommandNeverActsOnOlder() {
         Found found = explore(true);
-        System.out.println("notices: " + found.states + " states, none wrong");
+        System.out.println("commands: " + found.states + " states, none wrong");
         assertEquals(0, found.wrong);
         assertTrue(found.states > 5_000, found.states + " states");
     }
--- a/fleet/src/test/java/ashlink/fleet/command/ReplicatedCommandSetProperties.java
+++ b/fleet/src/test/java/ashlink/fleet/command/ReplicatedCommandSetProperties.java
@@ -13,6 +13,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
+/** CRDT properties and expiry of the command set. */
 class ReplicatedCommandSetProperties {
 
     private static final long DAY = 86_400_000L;
@@ -43,34 +44,34 @@
         return all;
     }
 
-    private static ReplicatedCommandSet of(List<OperatorCommand> notices) {
-        ReplicatedCommandSet s = set();
-        notices.forEach(operatorCommand -> s.add(operatorCommand, DAY, 0));
-        return s;
+    private static ReplicatedCommandSet of(List<OperatorCommand> commands) {
+        ReplicatedCommandSet set = set();
+        commands.forEach(operatorCommand -> set.add(operatorCommand, DAY, 0));
+        return set;
     }
 
     @Property(tries = 300, seed = "1")
     void mergeIsCommutativeAndIdempotent(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<OperatorCommand> notices = some(random, 1 + random.nextInt(12));
-        List<OperatorCommand> shuffled = new ArrayList<>(notices);
+        List<OperatorCommand> commands = some(random, 1 + random.nextInt(12));
+        List<OperatorCommand> shuffled = new ArrayList<>(commands);
         shuffled.addAll(some(new SplittableRandom(seed), 0));
-        shuffled.addAll(notices.subList(0, random.nextInt(notices.size())));
+        shuffled.addAll(commands.subList(0, random.nextInt(commands.size())));
         Collections.shuffle(shuffled, new Random(seed));
-        assertEquals(of(notices).commands(0), of(shuffled).commands(0));
-        assertEquals(of(notices).digest(), of(shuffled).digest());
+        assertEquals(of(commands).commands(0), of(shuffled).commands(0));
+        assertEquals(of(commands).digest(), of(shuffled).digest());
     }
 
     @Property(tries = 300, seed = "2")
     void setsConvergeAfterExchangeOfMissingCommands(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        ReplicatedCommandSet a = of(some(random, random.nextInt(10)));
-        ReplicatedCommandSet b = of(some(random, random.nextInt(10)));
-        List<ReplicatedCommandSet.CommandWithTtl> toB = a.missingFrom(b.digest(), 0);
-        b.missingFrom(a.digest(), 0).forEach(ttl -> a.add(ttl.notice(), ttl.leftMs(), 0));
-        toB.forEach(ttl -> b.add(ttl.notice(), ttl.leftMs(), 0));
-        assertEquals(a.commands(0), b.commands(0));
-        assertTrue(a.missingFrom(b.digest(), 0).isEmpty());
+        ReplicatedCommandSet left = of(some(random, random.nextInt(10)));
+        ReplicatedCommandSet right = of(some(random, random.nextInt(10)));
+        List<ReplicatedCommandSet.CommandWithTtl> toRight = left.missingFrom(right.digest(), 0);
+        right.missingFrom(left.digest(), 0).forEach(ttl -> left.add(ttl.notice(), ttl.leftMs(), 0));
+        toRight.forEach(ttl -> right.add(ttl.notice(), ttl.leftMs(), 0));
+        assertEquals(left.commands(0), right.commands(0));
+        assertTrue(left.missingFrom(right.digest(), 0).isEmpty());
     }
 
     @Property(tries = 300, seed = "3")
@@ -99,42 +100,42 @@
 
     @Example
     void strongestIntentOverOwnersIsInForce() {
-        ReplicatedCommandSet s = set();
-        s.add(command("engine:q1", "ann", 1, Intent.DRAIN), DAY, 0);
-        s.add(command("engine:q1", "ben", 1, Intent.DRAIN), DAY, 0);
-        s.add(command("engine:q1", "ann", 2, Intent.NONE), DAY, 0);
-        assertEquals(Intent.DRAIN, s.intent("engine:q1", 1), "ben still wants it");
-        assertEquals(List.of("ben"), s.owners("engine:q1", 1));
-        s.add(
+        ReplicatedCommandSet set = set();
+        set.add(command("engine:q1", "ann", 1, Intent.DRAIN), DAY, 0);
+        set.add(command("engine:q1", "ben", 1, Intent.DRAIN), DAY, 0);
+        set.add(command("engine:q1", "ann", 2, Intent.NONE), DAY, 0);
+        assertEquals(Intent.DRAIN, set.intent("engine:q1", 1), "ben still wants it");
+        assertEquals(List.of("ben"), set.owners("engine:q1", 1));
+        set.add(
                 new OperatorCommand(
                         "engine:q1",
                         "ben",
-                        s.nextRevision("engine:q1", "ben"),
+                        set.nextRevision("engine:q1", "ben"),
                         Intent.NONE,
                         "ann",
                         "overruled"),
                 DAY,
                 0);
-        assertEquals(Intent.NONE, s.intent("engine:q1", 1));
+        assertEquals(Intent.NONE, set.intent("engine:q1", 1));
     }
 
     @Example
     void expiredCommandIsTombstoneForOlderOnes() {
-        ReplicatedCommandSet s = set();
-        s.add(command("engine:q1", "ann", 2, Intent.DRAIN), 1_000, 0);
-        assertEquals(Intent.DRAIN, s.intent("engine:q1", 999));
-        assertEquals(Intent.NONE, s.intent("engine:q1", 1_000));
-        s.add(command("engine:q1", "ann", 1, Intent.STOP), 7 * DAY, 2_000);
-        assertEquals(Intent.NONE, s.intent("engine:q1", 2_001), "from a backup");
-        s.removeExpired(13 * DAY);
-        assertEquals(1, s.size());
-        s.removeExpired(15 * DAY);
-        assertEquals(0, s.size());
-        s.add(command("engine:q1", "ann", 1, Intent.DRAIN), 1000 * DAY, 0);
+        ReplicatedCommandSet set = set();
+        set.add(command("engine:q1", "ann", 2, Intent.DRAIN), 1_000, 0);
+        assertEquals(Intent.DRAIN, set.intent("engine:q1", 999));
+        assertEquals(Intent.NONE, set.intent("engine:q1", 1_000));
+        set.add(command("engine:q1", "ann", 1, Intent.STOP), 7 * DAY, 2_000);
+        assertEquals(Intent.NONE, set.intent("engine:q1", 2_001), "from a backup");
+        set.removeExpired(13 * DAY);
+        assertEquals(1, set.size());
+        set.removeExpired(15 * DAY);
+        assertEquals(0, set.size());
+        set.add(command("engine:q1", "ann", 1, Intent.DRAIN), 1000 * DAY, 0);
         assertEquals(
                 Intent.NONE,
-                s.intent("engine:q1", 8 * DAY),
-                "no notice holds for longer than the longest");
+                set.intent("engine:q1", 8 * DAY),
+                "no command exceeds the longest time to live");
     }
 
     @Example
@@ -146,6 +147,6 @@
         assertTrue(set.add(command("engine:a", "o", 2, Intent.NONE), DAY, 0));
         assertTrue(
                 set.add(command("engine:c", "o", 1, Intent.DRAIN), DAY, 3 * DAY),
-                "those that are over made room");
+                "expired ones were removed");
     }
 }
--- a/fleet/src/test/java/ashlink/fleet/membership/MembershipSimulation.java
+++ b/fleet/src/test/java/ashlink/fleet/membership/MembershipSimulation.java
@@ -56,8 +56,8 @@
         }
     }
 
-    static String name(int i) {
-        return String.format("r%04d", i);
+    static String name(int index) {
+        return String.format("r%04d", index);
     }
 
     void at(long in, Runnable what) {
@@ -83,17 +83,17 @@
         at(MS + random.nextLong(9 * MS), () -> deliver(from, send));
     }
 
-    private void deliver(String from, Swim.Send s) {
-        if (dead.contains(s.member())) {
+    private void deliver(String from, Swim.Send send) {
+        if (dead.contains(send.member())) {
             return;
         }
-        if (paused.contains(s.member())) {
-            at(50 * MS, () -> deliver(from, s)); // in its socket until it goes on
+        if (paused.contains(send.member())) {
+            at(50 * MS, () -> deliver(from, send)); // in its socket until it goes on
             return;
         }
-        members.get(s.member())
-                .receive(from, "at-" + from, s.message(), now)
-                .forEach(x -> send(s.member(), x));
+        members.get(send.member())
+                .receive(from, "at-" + from, send.message(), now)
+                .forEach(reply -> send(send.member(), reply));
     }
 
     void until(long end) {
@@ -109,7 +109,7 @@
         until(now + forNs);
     }
 
-    /** Members alive that hold that one for this state. */
+    /** Members alive that have a member in that state. */
     long countInState(String of, State state) {
         return members.entrySet().stream()
                 .filter(
@@ -120,7 +120,7 @@
                 .count();
     }
 
-    /** Pairs of members alive of which the first holds the second for gone. */
+    /** Pairs of members alive of which the first takes the second for dead. */
     long wronglyDead() {
         long wrong = 0;
         for (Map.Entry<String, Swim> entry : members.entrySet()) {
--- a/fleet/src/test/java/ashlink/fleet/membership/SwimTest.java
+++ b/fleet/src/test/java/ashlink/fleet/membership/SwimTest.java
@@ -6,6 +6,7 @@
 import ashlink.fleet.membership.MembershipUpdate.State;
 import org.junit.jupiter.api.Test;
 
+/** SWIM among simulated members. */
 class SwimTest {
 
     private static final long S = MembershipSimulation.S;
@@ -26,13 +27,13 @@
 
     @Test
     void sameSeedGivesSameRun() {
-        MembershipSimulation a = new MembershipSimulation(24, 0.05, 3);
-        MembershipSimulation b = new MembershipSimulation(24, 0.05, 3);
-        a.run(20 * S);
-        b.run(20 * S);
-        assertEquals(a.messages, b.messages);
-        a.members.forEach(
-                (text, swim) -> assertEquals(swim.members(), b.members.get(text).members()));
+        MembershipSimulation first = new MembershipSimulation(24, 0.05, 3);
+        MembershipSimulation second = new MembershipSimulation(24, 0.05, 3);
+        first.run(20 * S);
+        second.run(20 * S);
+        assertEquals(first.messages, second.messages);
+        first.members.forEach(
+                (text, swim) -> assertEquals(swim.members(), second.members.get(text).members()));
     }
 
     @Test
@@ -44,7 +45,7 @@
                         (Integer.parseInt(from.substring(1)) < 12)
                                 == (Integer.parseInt(to.substring(1)) < 12);
         sim.run(60 * S);
-        assertEquals(2 * 12 * 12, sim.wronglyDead(), "each side holds the other for gone");
+        assertEquals(2 * 12 * 12, sim.wronglyDead(), "each side takes the other for dead");
         sim.passes = (from, to) -> true;
         sim.run(40 * S);
         assertEquals(0, sim.wronglyDead());
@@ -55,7 +56,7 @@
         MembershipSimulation sim = new MembershipSimulation(24, 0.01, 4);
         sim.passes = (from, to) -> !(from.equals("r0001") && to.equals("r0002"));
         sim.run(60 * S);
-        assertEquals(0, sim.wronglyDead(), "indirect pings go around the broken way");
+        assertEquals(0, sim.wronglyDead(), "ping-reqs pass around the failed link");
     }
 
     @Test
--- a/fleet/src/test/java/ashlink/fleet/supervise/RestartPolicyTest.java
+++ b/fleet/src/test/java/ashlink/fleet/supervise/RestartPolicyTest.java
@@ -6,6 +6,7 @@
 import ashlink.fleet.supervise.RestartPolicy.What;
 import org.junit.jupiter.api.Test;
 
+/** Restarts after exits at given times. */
 class RestartPolicyTest {
 
     private static final long S = 1_000_000_000L;
