--- a/control/src/main/java/ashlink/control/channel/ControlServer.java
+++ b/control/src/main/java/ashlink/control/channel/ControlServer.java
@@ -20,9 +20,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes connections of routers and operators. Each shows a certificate of the fleet; each has its
- * rate, past which its frames are read later; past the number of connections further ones are
- * closed.
+ * Accepts connections of routers and operators, authenticated by certificates of the fleet. Frames
+ * past the rate limit of a connection are read later; connections past the limit are closed.
  */
 public final class ControlServer implements AutoCloseable {
 
@@ -82,20 +81,20 @@
     private void accept() {
         while (!closed) {
             try {
-                SSLSocket sSLSocket = (SSLSocket) server.accept();
+                SSLSocket socket = (SSLSocket) server.accept();
                 if (sockets.size() >= MAX_CONNECTIONS) {
                     LOG.warn(
-                            "control connection of {} closed: {} are open, which is the limit",
-                            sSLSocket.getRemoteSocketAddress(),
+                            "control connection rejected peer={} openConnections={}",
+                            socket.getRemoteSocketAddress(),
                             sockets.size());
-                    sSLSocket.close();
+                    socket.close();
                     continue;
                 }
-                sockets.add(sSLSocket);
-                thread(() -> serve(sSLSocket), name + "-control-" + sSLSocket.getPort()).start();
+                sockets.add(socket);
+                thread(() -> serve(socket), name + "-control-" + socket.getPort()).start();
             } catch (IOException e) {
                 if (!closed) {
-                    LOG.warn("control: no connection could be taken: {}", e.toString());
+                    LOG.warn("control accept failed error={}", e.toString());
                     pause(50_000_000L);
                 }
             }
@@ -110,29 +109,28 @@
         }
     }
 
-    private void serve(SSLSocket sSLSocket) {
-        try (sSLSocket) {
-            sSLSocket.setTcpNoDelay(true);
-            sSLSocket.setSoTimeout(HANDSHAKE_MS);
-            sSLSocket.startHandshake();
-            X509Certificate x509Certificate =
-                    (X509Certificate) sSLSocket.getSession().getPeerCertificates()[0];
+    private void serve(SSLSocket socket) {
+        try (socket) {
+            socket.setTcpNoDelay(true);
+            socket.setSoTimeout(HANDSHAKE_MS);
+            socket.startHandshake();
+            X509Certificate certificate =
+                    (X509Certificate) socket.getSession().getPeerCertificates()[0];
             Peer peer =
                     new Peer(
-                            Identity.name(x509Certificate),
-                            Identity.roles(x509Certificate),
-                            String.valueOf(sSLSocket.getRemoteSocketAddress()));
-            sSLSocket.setSoTimeout(IDLE_MS);
+                            Identity.name(certificate),
+                            Identity.roles(certificate),
+                            String.valueOf(socket.getRemoteSocketAddress()));
+            socket.setSoTimeout(IDLE_MS);
             Budget rate = new Budget(FRAMES_BURST, FRAMES_PER_S);
             DataInputStream in =
-                    new DataInputStream(
-                            new BufferedInputStream(sSLSocket.getInputStream(), 16 << 10));
-            DataOutputStream out = new DataOutputStream(sSLSocket.getOutputStream());
+                    new DataInputStream(new BufferedInputStream(socket.getInputStream(), 16 << 10));
+            DataOutputStream out = new DataOutputStream(socket.getOutputStream());
             for (JsonNode frame = Frames.read(in);
                     frame != null && !closed;
                     frame = Frames.read(in)) {
                 while (!rate.take(1, System.nanoTime())) {
-                    pause(rate.waitNs(1, System.nanoTime())); // a flood waits in its own socket
+                    pause(rate.waitNs(1, System.nanoTime()));
                 }
                 JsonNode answer = answer(peer, frame);
                 if (answer != null) {
@@ -141,11 +139,11 @@
             }
         } catch (IOException e) {
             LOG.info(
-                    "control connection of {} ended: {}",
-                    sSLSocket.getRemoteSocketAddress(),
+                    "control connection ended peer={} error={}",
+                    socket.getRemoteSocketAddress(),
                     e.toString());
         } finally {
-            sockets.remove(sSLSocket);
+            sockets.remove(socket);
         }
     }
 
@@ -153,7 +151,7 @@
         try {
             return handler.handle(peer, frame);
         } catch (IOException | RuntimeException e) {
-            LOG.info("control: {} asked in vain: {}", peer.name(), e.toString());
+            LOG.info("control request failed peer={} error={}", peer.name(), e.toString());
             return Frames.JSON.createObjectNode().put("error", String.valueOf(e.getMessage()));
         }
     }
@@ -164,13 +162,13 @@
         try {
             server.close();
         } catch (IOException e) {
-            LOG.debug("control: {}", e.toString());
+            LOG.debug("control close failed error={}", e.toString());
         }
         for (Socket socket : sockets) {
             try {
                 socket.close();
             } catch (IOException e) {
-                LOG.debug("control: {}", e.toString());
+                LOG.debug("control close failed error={}", e.toString());
             }
         }
     }
--- a/control/src/main/java/ashlink/control/member/PeerConnection.java
+++ b/control/src/main/java/ashlink/control/member/PeerConnection.java
@@ -55,7 +55,7 @@
                     }
                     client.send(frame);
                 } catch (IOException e) {
-                    LOG.debug("{} is not reached: {}", peer, e.toString());
+                    LOG.debug("peer unreachable peer={} error={}", peer, e.toString());
                     disconnect();
                     TimeUnit.MILLISECONDS.sleep(RETRY_PAUSE_MS);
                 }
