--- a/control/src/main/java/ashlink/control/member/CommandLog.java
+++ b/control/src/main/java/ashlink/control/member/CommandLog.java
@@ -16,20 +16,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps a router's notices on disk, in the log of captures: a notice is synced before anything is
- * done upon it, so that what a router has once heard it knows after a crash. Times are kept as of
- * the wall clock of this machine.
+ * The command log of a router on disk, in the format of the capture log. {@link #put} returns once
+ * the record is synced, so a command that was applied is known after a crash. Expiry is stored in
+ * milliseconds since 1970. Not thread-safe.
  */
 final class CommandLog implements AutoCloseable {
 
     private static final Logger LOG = LoggerFactory.getLogger(CommandLog.class);
     private static final long SEGMENT_BYTES = 4L << 20;
-    private static final int SLACK = 1_000;
+    private static final int REWRITE_SLACK_RECORDS = 1_000;
 
     private final KeyValueLog log;
     private final ReplicatedCommandSet set;
 
-    /** Reads what the disk has into the set, and goes on from there. */
+    /** Merges what the disk has into the set, and rewrites the log. */
     CommandLog(Disk disk, ReplicatedCommandSet set, long nowMs) throws IOException {
         this.set = set;
         this.log = new KeyValueLog(disk, SEGMENT_BYTES, nowMs);
@@ -48,7 +48,7 @@
                         in.readUTF(),
                         in.readUTF(),
                         in.readLong(),
-                        Intent.values()[in.readByte()],
+                        Intent.ofCode(in.readByte()),
                         in.readUTF(),
                         in.readUTF());
         set.add(operatorCommand, in.readLong() - nowMs, nowMs);
@@ -60,26 +60,26 @@
         out.writeUTF(operatorCommand.subject());
         out.writeUTF(operatorCommand.owner());
         out.writeLong(operatorCommand.revision());
-        out.writeByte(operatorCommand.intent().ordinal());
+        out.writeByte(operatorCommand.intent().code());
         out.writeUTF(operatorCommand.by());
         out.writeUTF(operatorCommand.why());
         out.writeLong(untilMs);
         return bytes.toByteArray();
     }
 
-    /** Keeps a notice; returns once it is on the disk. */
+    /** Appends a command; returns once it is synced to disk. */
     void put(OperatorCommand operatorCommand, long leftMs, long nowMs) throws IOException {
-        if (log.written() > SLACK + 4L * set.size()) {
+        if (log.written() > REWRITE_SLACK_RECORDS + 4L * set.size()) {
             rewrite(nowMs);
         }
         log.append(record(operatorCommand, nowMs + leftMs));
         log.sync();
     }
 
-    /** Writes the set anew; what was written before goes once that is on the disk. */
+    /** Replaces the log by the commands of the set; the old one is deleted once that is synced. */
     void rewrite(long nowMs) throws IOException {
         List<byte[]> records = new ArrayList<>();
-        for (ReplicatedCommandSet.CommandWithTtl ttl : set.all(nowMs)) {
+        for (ReplicatedCommandSet.CommandWithTtl ttl : set.commands(nowMs)) {
             records.add(record(ttl.notice(), nowMs + ttl.leftMs()));
         }
         log.rewrite(records);
--- a/control/src/main/java/ashlink/control/member/ControlCodec.java
+++ b/control/src/main/java/ashlink/control/member/ControlCodec.java
@@ -1,6 +1,5 @@
 package ashlink.control.member;
 
-import ashlink.fleet.command.Intent;
 import ashlink.fleet.command.OperatorCommand;
 import ashlink.fleet.command.ReplicatedCommandSet.CommandKey;
 import ashlink.fleet.command.ReplicatedCommandSet.CommandWithTtl;
@@ -8,7 +7,7 @@
 import ashlink.fleet.membership.Message;
 import ashlink.fleet.membership.Message.Ack;
 import ashlink.fleet.membership.Message.Ping;
-import ashlink.fleet.membership.Message.PingFor;
+import ashlink.fleet.membership.Message.PingReq;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
@@ -19,147 +18,159 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Frames of the control channel, to and from what they say. */
+/** Frames of the control channel, to and from what they key. */
 public final class ControlCodec {
 
     private static final JsonNodeFactory JSON = JsonNodeFactory.instance;
-    private static final int MOST = 2_000;
+    private static final int MAX_LIST_ENTRIES = 2_000;
 
     private ControlCodec() {}
 
-    /** A frame that asks for something. */
+    /** A frame with an operation and no arguments. */
     public static ObjectNode op(String name) {
-        return JSON.objectNode().put("op", name);
+        return JSON.objectNode().put(ControlWords.OP, name);
     }
 
-    // ---- Notices
-    /** Notices as a frame of that name. */
-    public static ObjectNode notices(String op, List<CommandWithTtl> held) {
+    /** A frame with an operation and commands. */
+    public static ObjectNode notices(String op, List<CommandWithTtl> commands) {
         ObjectNode objectNode = op(op);
-        ArrayNode all = objectNode.putArray("notices");
-        for (CommandWithTtl ttl : held) {
+        ArrayNode all = objectNode.putArray(ControlWords.COMMANDS);
+        for (CommandWithTtl ttl : commands) {
             OperatorCommand operatorCommand = ttl.notice();
             all.addObject()
-                    .put("subject", operatorCommand.subject())
-                    .put("owner", operatorCommand.owner())
-                    .put("revision", operatorCommand.revision())
-                    .put("intent", operatorCommand.intent().name())
-                    .put("by", operatorCommand.by())
-                    .put("why", operatorCommand.why())
-                    .put("leftMs", ttl.leftMs());
+                    .put(ControlWords.SUBJECT, operatorCommand.subject())
+                    .put(ControlWords.OWNER, operatorCommand.owner())
+                    .put(ControlWords.REVISION, operatorCommand.revision())
+                    .put(ControlWords.INTENT, ControlWords.word(operatorCommand.intent()))
+                    .put(ControlWords.ISSUER, operatorCommand.by())
+                    .put(ControlWords.REASON, operatorCommand.why())
+                    .put(ControlWords.TTL_MS, ttl.leftMs());
         }
         return objectNode;
     }
 
-    /** The notices of a frame; an exception where one makes no sense. */
-    public static List<CommandWithTtl> notices(JsonNode n) throws IOException {
-        List<CommandWithTtl> held = new ArrayList<>();
-        for (JsonNode x : list(n, "notices")) {
+    /**
+     * The commands of a frame.
+     *
+     * @throws IOException if one is malformed
+     */
+    public static List<CommandWithTtl> notices(JsonNode json) throws IOException {
+        List<CommandWithTtl> commands = new ArrayList<>();
+        for (JsonNode entry : list(json, ControlWords.COMMANDS)) {
             try {
-                held.add(
+                commands.add(
                         new CommandWithTtl(
                                 new OperatorCommand(
-                                        text(x, "subject"),
-                                        text(x, "owner"),
-                                        x.path("revision").asLong(),
-                                        Intent.valueOf(text(x, "intent")),
-                                        text(x, "by"),
-                                        text(x, "why")),
-                                x.path("leftMs").asLong()));
+                                        text(entry, ControlWords.SUBJECT),
+                                        text(entry, ControlWords.OWNER),
+                                        entry.path(ControlWords.REVISION).asLong(),
+                                        ControlWords.intent(text(entry, ControlWords.INTENT)),
+                                        text(entry, ControlWords.ISSUER),
+                                        text(entry, ControlWords.REASON)),
+                                entry.path(ControlWords.TTL_MS).asLong()));
             } catch (IllegalArgumentException e) {
                 throw new IOException("a notice makes no sense: " + e.getMessage());
             }
         }
-        return held;
+        return commands;
     }
 
-    static ObjectNode digest(Map<CommandKey, Integer> digest, boolean back) {
-        ObjectNode objectNode = op("digest").put("back", back);
-        ArrayNode all = objectNode.putArray("digest");
+    static ObjectNode digest(Map<CommandKey, Integer> digest, boolean reply) {
+        ObjectNode objectNode = op(ControlWords.OP_DIGEST).put(ControlWords.REPLY, reply);
+        ArrayNode all = objectNode.putArray(ControlWords.DIGEST);
         digest.forEach(
-                (say, hash) ->
+                (key, hash) ->
                         all.addObject()
-                                .put("subject", say.subject())
-                                .put("owner", say.owner())
-                                .put("hash", hash));
+                                .put(ControlWords.SUBJECT, key.subject())
+                                .put(ControlWords.OWNER, key.owner())
+                                .put(ControlWords.HASH, hash));
         return objectNode;
     }
 
-    static Map<CommandKey, Integer> digest(JsonNode n) throws IOException {
+    static Map<CommandKey, Integer> digest(JsonNode json) throws IOException {
         Map<CommandKey, Integer> digest = new TreeMap<>();
-        for (JsonNode x : list(n, "digest")) {
+        for (JsonNode entry : list(json, ControlWords.DIGEST)) {
             digest.put(
-                    new CommandKey(text(x, "subject"), text(x, "owner")), x.path("hash").asInt());
+                    new CommandKey(
+                            text(entry, ControlWords.SUBJECT), text(entry, ControlWords.OWNER)),
+                    entry.path(ControlWords.HASH).asInt());
         }
         return digest;
     }
 
-    // ---- Membership
     static ObjectNode swim(Message message, String address) {
-        ObjectNode objectNode = op("swim").put("address", address);
+        ObjectNode objectNode = op(ControlWords.OP_SWIM).put(ControlWords.ADDRESS, address);
         if (message instanceof Ping ping) {
-            objectNode.put("kind", "ping").put("number", ping.number());
-        } else if (message instanceof PingFor pingFor) {
             objectNode
-                    .put("kind", "ping-for")
-                    .put("number", pingFor.number())
-                    .put("target", pingFor.target());
+                    .put(ControlWords.KIND, ControlWords.KIND_PING)
+                    .put(ControlWords.SEQUENCE, ping.sequence());
+        } else if (message instanceof PingReq pingFor) {
+            objectNode
+                    .put(ControlWords.KIND, ControlWords.KIND_PING_REQ)
+                    .put(ControlWords.SEQUENCE, pingFor.sequence())
+                    .put(ControlWords.TARGET, pingFor.target());
         } else if (message instanceof Ack ack) {
-            objectNode.put("kind", "ack").put("number", ack.number()).put("of", ack.of());
+            objectNode
+                    .put(ControlWords.KIND, ControlWords.KIND_ACK)
+                    .put(ControlWords.SEQUENCE, ack.sequence())
+                    .put(ControlWords.ACKNOWLEDGED_MEMBER, ack.member());
         }
-        ArrayNode rumors = objectNode.putArray("rumors");
-        for (MembershipUpdate membershipUpdate : message.rumors()) {
-            rumors.addObject()
-                    .put("member", membershipUpdate.member())
-                    .put("address", membershipUpdate.address())
-                    .put("incarnation", membershipUpdate.incarnation())
-                    .put("state", membershipUpdate.state().name());
+        ArrayNode updates = objectNode.putArray(ControlWords.UPDATES);
+        for (MembershipUpdate membershipUpdate : message.updates()) {
+            updates.addObject()
+                    .put(ControlWords.MEMBER, membershipUpdate.member())
+                    .put(ControlWords.ADDRESS, membershipUpdate.address())
+                    .put(ControlWords.INCARNATION, membershipUpdate.incarnation())
+                    .put(ControlWords.STATE, ControlWords.word(membershipUpdate.state()));
         }
         return objectNode;
     }
 
-    static Message swim(JsonNode n) throws IOException {
-        List<MembershipUpdate> rumors = new ArrayList<>();
+    static Message swim(JsonNode json) throws IOException {
+        List<MembershipUpdate> updates = new ArrayList<>();
         try {
-            for (JsonNode r : list(n, "rumors")) {
-                rumors.add(
+            for (JsonNode entry : list(json, ControlWords.UPDATES)) {
+                updates.add(
                         new MembershipUpdate(
-                                text(r, "member"),
-                                text(r, "address"),
-                                r.path("incarnation").asLong(),
-                                MembershipUpdate.State.valueOf(text(r, "state"))));
+                                text(entry, ControlWords.MEMBER),
+                                text(entry, ControlWords.ADDRESS),
+                                entry.path(ControlWords.INCARNATION).asLong(),
+                                ControlWords.state(text(entry, ControlWords.STATE))));
             }
         } catch (IllegalArgumentException e) {
             throw new IOException("a rumor makes no sense: " + e.getMessage());
         }
-        long number = n.path("number").asLong();
-        return switch (text(n, "kind")) {
-            case "ping" -> new Ping(number, rumors);
-            case "ping-for" -> new PingFor(number, text(n, "target"), rumors);
-            case "ack" -> new Ack(number, text(n, "of"), rumors);
+        long number = json.path(ControlWords.SEQUENCE).asLong();
+        return switch (text(json, ControlWords.KIND)) {
+            case ControlWords.KIND_PING -> new Ping(number, updates);
+            case ControlWords.KIND_PING_REQ ->
+                    new PingReq(number, text(json, ControlWords.TARGET), updates);
+            case ControlWords.KIND_ACK ->
+                    new Ack(number, text(json, ControlWords.ACKNOWLEDGED_MEMBER), updates);
             default ->
-                    throw new IOException("a message of kind " + text(n, "kind") + " is unknown");
+                    throw new IOException(
+                            "a message of kind " + text(json, ControlWords.KIND) + " is unknown");
         };
     }
 
-    static String text(JsonNode n, String field) throws IOException {
-        JsonNode v = n.path(field);
-        if (!v.isTextual() || v.textValue().length() > OperatorCommand.MOST_CHARS) {
+    static String text(JsonNode json, String field) throws IOException {
+        JsonNode value = json.path(field);
+        if (!value.isTextual() || value.textValue().length() > OperatorCommand.MAX_FIELD_CHARS) {
             throw new IOException(
                     "field "
                             + field
                             + " is no text of at most "
-                            + OperatorCommand.MOST_CHARS
+                            + OperatorCommand.MAX_FIELD_CHARS
                             + " characters");
         }
-        return v.textValue();
+        return value.textValue();
     }
 
-    private static JsonNode list(JsonNode n, String field) throws IOException {
-        JsonNode v = n.path(field);
-        if (!v.isArray() || v.size() > MOST) {
-            throw new IOException("field " + field + " is no list of at most " + MOST);
+    private static JsonNode list(JsonNode json, String field) throws IOException {
+        JsonNode value = json.path(field);
+        if (!value.isArray() || value.size() > MAX_LIST_ENTRIES) {
+            throw new IOException("field " + field + " is no list of at most " + MAX_LIST_ENTRIES);
         }
-        return v;
+        return value;
     }
 }
--- a/control/src/main/java/ashlink/control/member/PeerConnection.java
+++ b/control/src/main/java/ashlink/control/member/PeerConnection.java
@@ -11,21 +11,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The way to another router: a connection when there is something to say, and a bounded queue whose
- * oldest goes first.
+ * A connection to another router, opened when there is a frame to send, with a bounded queue that
+ * drops its oldest frame when full. Thread-safe.
  */
 final class PeerConnection {
 
     private static final Logger LOG = LoggerFactory.getLogger(PeerConnection.class);
-    private static final int QUEUE = 64;
+    private static final int QUEUE_FRAMES = 64;
     private static final int CONNECT_MS = 1_000;
-    private static final long REST_MS = 200;
+    private static final long RETRY_PAUSE_MS = 200;
     private static final long STACK_BYTES = 256 << 10;
 
     private final Identity identity;
     private final InetSocketAddress address;
     private final String peer;
-    private final ArrayBlockingQueue<JsonNode> queue = new ArrayBlockingQueue<>(QUEUE);
+    private final ArrayBlockingQueue<JsonNode> queue = new ArrayBlockingQueue<>(QUEUE_FRAMES);
     private final Thread thread;
     private volatile boolean closed;
     private volatile ControlClient client;
@@ -55,17 +55,17 @@
                     }
                     client.send(frame);
                 } catch (IOException e) {
-                    LOG.debug("{} is not reached: {}", peer, e.toString());
-                    drop();
-                    TimeUnit.MILLISECONDS.sleep(REST_MS);
+                    LOG.debug("peer unreachable peer={} error={}", peer, e.toString());
+                    disconnect();
+                    TimeUnit.MILLISECONDS.sleep(RETRY_PAUSE_MS);
                 }
             }
         } catch (InterruptedException e) {
-            drop();
+            disconnect();
         }
     }
 
-    private void drop() {
+    private void disconnect() {
         ControlClient controlClient = client;
         client = null;
         if (controlClient != null) {
--- a/control/src/test/java/ashlink/control/member/StoredNoticesTest.java
+++ b/control/src/test/java/ashlink/control/member/StoredNoticesTest.java
@@ -65,7 +65,9 @@
     }
 
     private static List<String> lines(ReplicatedCommandSet set) {
-        return set.all(NOW_MS).stream().map(held -> line(held.notice(), held.leftMs())).toList();
+        return set.commands(NOW_MS).stream()
+                .map(held -> line(held.notice(), held.leftMs()))
+                .toList();
     }
 
     private static String line(OperatorCommand operatorCommand, long leftMs) {
@@ -81,18 +83,18 @@
     }
 
     @Test
-    void theNoticesAreReadAsTheyWereWritten() throws Exception {
+    void commandsAreReadAsWritten() throws Exception {
         assertEquals(EXPECTED, lines(open()));
     }
 
     @Test
-    void theNoticesThatAreWrittenAnewAtAStartAreReadTheSame() throws Exception {
+    void rewrittenLogIsReadTheSame() throws Exception {
         open();
         assertEquals(EXPECTED, lines(open()));
     }
 
     @Test
-    void theStrongestThatStillHoldsIsWantedOfEachSubject() throws Exception {
+    void strongestIntentInForceIsReadForEachSubject() throws Exception {
         assertEquals(
                 Map.of(
                         "engine:q1",
--- a/fleet/src/main/java/ashlink/fleet/membership/Message.java
+++ b/fleet/src/main/java/ashlink/fleet/membership/Message.java
@@ -2,18 +2,19 @@
 
 import java.util.List;
 
-/** What members say to each other; each carries rumors. */
+/** A message between members; each piggybacks membership updates. */
 public sealed interface Message {
 
-    /** Rumors that ride along. */
-    List<MembershipUpdate> rumors();
+    /** The piggybacked updates. */
+    List<MembershipUpdate> updates();
 
-    /** Are you there? */
-    record Ping(long number, List<MembershipUpdate> rumors) implements Message {}
+    /** Requests an {@link Ack} with the same sequence number. */
+    record Ping(long sequence, List<MembershipUpdate> updates) implements Message {}
 
-    /** Ask that one for me. */
-    record PingFor(long number, String target, List<MembershipUpdate> rumors) implements Message {}
+    /** Requests the receiver to ping a target and to forward its ack. */
+    record PingReq(long sequence, String target, List<MembershipUpdate> updates)
+            implements Message {}
 
-    /** Yes, or: that one is. {@code of} is the member that is there. */
-    record Ack(long number, String of, List<MembershipUpdate> rumors) implements Message {}
+    /** Confirms that {@code member} is alive: the sender, or the target of a ping-req. */
+    record Ack(long sequence, String member, List<MembershipUpdate> updates) implements Message {}
 }
--- a/fleet/src/main/java/ashlink/fleet/membership/Swim.java
+++ b/fleet/src/main/java/ashlink/fleet/membership/Swim.java
@@ -3,350 +3,225 @@
 import ashlink.fleet.membership.MembershipUpdate.State;
 import ashlink.fleet.membership.Message.Ack;
 import ashlink.fleet.membership.Message.Ping;
-import ashlink.fleet.membership.Message.PingFor;
+import ashlink.fleet.membership.Message.PingReq;
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import java.util.TreeMap;
 
 /**
- * One member's part of the protocol. Told the time and what was received, it says what to send; the
- * same story gives the same answers.
+ * One member's part of SWIM. In each protocol period it pings one member; without an ack within the
+ * ping timeout it sends ping-reqs to some others, and without an ack by the end of the period it
+ * suspects the member. Membership updates are piggybacked on all messages.
+ *
+ * <p>Pure state: the caller passes the time and the messages received, and sends what is returned;
+ * the same seed and calls give the same results. Times are in nanoseconds of one monotonic clock.
+ * Not thread-safe.
  */
 public final class Swim {
 
     /** A message to a member at an address. */
     public record Send(String member, String address, Message message) {}
 
-    private static final class Known {
-        MembershipUpdate rumor;
-        long suspectUntilNs;
+    /** A ping sent on behalf of a ping-req, and where its ack is forwarded. */
+    private record RelayedPing(
+            String requester, String requesterAddress, long requesterSequence, String target) {}
 
-        Known(MembershipUpdate rumor) {
-            this.rumor = rumor;
-        }
-    }
-
-    private static final class Told {
-        final MembershipUpdate rumor;
-        int times;
-
-        Told(MembershipUpdate rumor) {
-            this.rumor = rumor;
-        }
-    }
-
-    /** A ping on behalf of another. */
-    private record Relayed(String asker, String askerAddress, long theirNumber, String target) {}
-
-    private final SwimConfig terms;
+    private final SwimConfig config;
     private final SplittableRandom random;
-    private final Map<String, Known> members = new TreeMap<>();
-    private final Map<String, Told> rumors = new TreeMap<>();
-    private final Map<Long, Relayed> relayed = new HashMap<>();
-    private final List<String> order = new ArrayList<>();
-    private MembershipUpdate self;
-    private long numbers;
+    private final MembershipList membership;
+    private final PingSchedule pingSchedule;
+    private final Map<Long, RelayedPing> relayedPings = new HashMap<>();
+    private long lastSequence;
     private long periods;
     private long nextPeriodNs;
-    private long lastNs;
-    private boolean begun;
-    private String asked;
-    private long askedNumber;
-    private long indirectAtNs;
-    private boolean indirectDone;
-    private long falseAlarms;
+    private long lastTickNs;
+    private boolean started;
+
+    /** The member whose ack is awaited in this period; null if none is. */
+    private String pingTarget;
 
-    /** A member of that name and address, which knows some others by address. */
+    private long pingSequence;
+    private long pingReqAtNs;
+    private boolean pingReqSent;
+
+    /**
+     * A member that starts with others assumed alive.
+     *
+     * @param address where this member is reached, {@code HOST:PORT}
+     * @param seeds addresses of other members by name
+     * @param seed of the random choices
+     */
     public Swim(
-            String name, String address, Map<String, String> seeds, SwimConfig terms, long seed) {
-        this.terms = terms;
+            String name, String address, Map<String, String> seeds, SwimConfig config, long seed) {
+        this.config = config;
         this.random = new SplittableRandom(seed);
-        this.self = new MembershipUpdate(name, address, 0, State.ALIVE);
-        seeds.forEach(
-                (member, at) -> {
-                    if (!member.equals(name)) {
-                        members.put(
-                                member,
-                                new Known(new MembershipUpdate(member, at, 0, State.ALIVE)));
-                    }
-                });
-        tell(self);
+        this.membership = new MembershipList(name, address, seeds, config);
+        this.pingSchedule = new PingSchedule(random);
     }
 
-    // ---- Time
-    /** The time has come to look. */
-    public List<Send> tick(long now) {
+    /**
+     * Advances the protocol to a time; returns the messages to send. A call that comes more than
+     * three protocol periods after the last one means that the process was paused.
+     */
+    public List<Send> tick(long nowNs) {
         List<Send> out = new ArrayList<>();
-        if (!begun) {
-            begun = true;
-            nextPeriodNs = now + random.nextLong(terms.periodNs());
-        }
-        long slept = begun && lastNs > 0 ? now - lastNs - terms.periodNs() : 0;
-        lastNs = now;
-        if (slept > 2 * terms.periodNs()) {
-            awake(slept, now);
-        }
-        suspicionsOver(now);
-        if (asked != null && !indirectDone && now >= indirectAtNs) {
-            indirectDone = true;
-            for (String helper : some(terms.indirect(), asked)) {
-                out.add(to(helper, new PingFor(askedNumber, asked, gossip())));
-            }
-        }
-        if (now >= nextPeriodNs) {
-            if (asked != null) {
-                suspect(asked, now);
+        if (!started) {
+            started = true;
+            nextPeriodNs = nowNs + random.nextLong(config.periodNs());
+        }
+        long pausedNs = lastTickNs > 0 ? nowNs - lastTickNs - config.periodNs() : 0;
+        lastTickNs = nowNs;
+        if (pausedNs > 2 * config.periodNs()) {
+            resumeAfterPause(pausedNs, nowNs);
+        }
+        membership.expireSuspicions(nowNs);
+        if (pingTarget != null && !pingReqSent && nowNs >= pingReqAtNs) {
+            sendPingReqs(out);
+        }
+        if (nowNs >= nextPeriodNs) {
+            if (pingTarget != null) {
+                membership.suspect(pingTarget, nowNs);
             }
-            nextPeriodNs = Math.max(nextPeriodNs + terms.periodNs(), now + terms.periodNs() / 2);
-            begin(now, out);
+            nextPeriodNs =
+                    Math.max(nextPeriodNs + config.periodNs(), nowNs + config.periodNs() / 2);
+            startProtocolPeriod(nowNs, out);
         }
         return out;
     }
 
     /**
-     * This member stood still itself: answers may have come and gone unread, and nobody is to be
-     * blamed. The pending ask is dropped, and suspicions get the time that was slept.
+     * The process itself was paused, so acks may have been missed: the pending ping is dropped, and
+     * suspicion timeouts are extended by the pause.
      */
-    private void awake(long slept, long now) {
-        asked = null;
-        relayed.clear();
-        nextPeriodNs = now;
-        members.values().forEach(known -> known.suspectUntilNs += slept);
+    private void resumeAfterPause(long pausedNs, long nowNs) {
+        pingTarget = null;
+        relayedPings.clear();
+        nextPeriodNs = nowNs;
+        membership.extendSuspicions(pausedNs);
     }
 
-    private void begin(long now, List<Send> out) {
+    private void sendPingReqs(List<Send> out) {
+        pingReqSent = true;
+        for (String helper : randomAliveMembers(config.pingReqMembers(), pingTarget)) {
+            List<MembershipUpdate> updates = membership.piggybackedUpdates();
+            out.add(sendTo(helper, new PingReq(pingSequence, pingTarget, updates)));
+        }
+    }
+
+    private void startProtocolPeriod(long nowNs, List<Send> out) {
         periods++;
-        asked = null;
-        relayed.clear();
-        String next = next();
+        pingTarget = null;
+        relayedPings.clear();
+        String next = pingSchedule.next(membership::notDead, membership::isNotDead);
         if (next != null) {
-            asked = next;
-            askedNumber = ++numbers;
-            indirectAtNs = now + terms.ackNs();
-            indirectDone = false;
-            out.add(to(next, new Ping(askedNumber, gossip())));
+            pingTarget = next;
+            pingSequence = ++lastSequence;
+            pingReqAtNs = nowNs + config.pingTimeoutNs();
+            pingReqSent = false;
+            out.add(sendTo(next, new Ping(pingSequence, membership.piggybackedUpdates())));
         }
-        if (periods % terms.regainPeriods() == 0) {
-            List<String> gone =
-                    members.entrySet().stream()
-                            .filter(entry -> entry.getValue().rumor.state() == State.GONE)
-                            .map(Map.Entry::getKey)
-                            .toList();
-            if (!gone.isEmpty()) {
-                String one = gone.get(random.nextInt(gone.size()));
-                List<MembershipUpdate> with = new ArrayList<>(gossip());
-                with.add(
-                        members.get(one)
-                                .rumor); // it learns what is said of it, and can refute that
-                out.add(to(one, new Ping(++numbers, with)));
-            }
+        if (periods % config.deadPingPeriods() == 0) {
+            pingDeadMember(out);
         }
     }
 
-    /**
-     * The next in a random order that has each member once: the time until one is asked is bounded.
-     */
-    private String next() {
-        while (true) {
-            if (order.isEmpty()) {
-                members.forEach(
-                        (text, known) -> {
-                            if (known.rumor.state() != State.GONE) {
-                                order.add(random.nextInt(order.size() + 1), text);
-                            }
-                        });
-                if (order.isEmpty()) {
-                    return null;
-                }
-            }
-            String text = order.remove(order.size() - 1);
-            if (members.containsKey(text) && members.get(text).rumor.state() != State.GONE) {
-                return text;
-            }
+    /** Tells a random dead member its state, so that it can refute it if it is alive. */
+    private void pingDeadMember(List<Send> out) {
+        List<String> dead = membership.inState(State.DEAD);
+        if (dead.isEmpty()) {
+            return;
         }
+        String target = dead.get(random.nextInt(dead.size()));
+        List<MembershipUpdate> updates = new ArrayList<>(membership.piggybackedUpdates());
+        updates.add(membership.latest(target));
+        out.add(sendTo(target, new Ping(++lastSequence, updates)));
     }
 
-    private List<String> some(int count, String but) {
-        List<String> from =
-                new ArrayList<>(
-                        members.entrySet().stream()
-                                .filter(
-                                        entry ->
-                                                entry.getValue().rumor.state() == State.ALIVE
-                                                        && !entry.getKey().equals(but))
-                                .map(Map.Entry::getKey)
-                                .toList());
+    private List<String> randomAliveMembers(int count, String excluded) {
+        List<String> candidates = new ArrayList<>(membership.inState(State.ALIVE));
+        candidates.remove(excluded);
         List<String> chosen = new ArrayList<>();
-        while (chosen.size() < count && !from.isEmpty()) {
-            chosen.add(from.remove(random.nextInt(from.size())));
+        while (chosen.size() < count && !candidates.isEmpty()) {
+            chosen.add(candidates.remove(random.nextInt(candidates.size())));
         }
         return chosen;
     }
 
-    private Send to(String member, Message message) {
-        return new Send(member, members.get(member).rumor.address(), message);
+    private Send sendTo(String member, Message message) {
+        return new Send(member, membership.latest(member).address(), message);
     }
 
-    // ---- Messages
-    /** A message came from that member. */
-    public List<Send> receive(String from, String address, Message message, long now) {
+    /** Handles a message received from a member at an address; returns the messages to send. */
+    public List<Send> receive(String from, String address, Message message, long nowNs) {
         List<Send> out = new ArrayList<>();
-        Known sender = members.get(from);
-        if (sender == null && !from.equals(self.member())) {
-            believe(new MembershipUpdate(from, address, 0, State.ALIVE), now);
+        boolean known = membership.latest(from) != null;
+        if (!from.equals(membership.self())) {
+            membership.addSender(from, address, nowNs);
         }
-        message.rumors().forEach(membershipUpdate -> believe(membershipUpdate, now));
+        message.updates().forEach(update -> membership.apply(update, nowNs));
         if (message instanceof Ping ping) {
-            List<MembershipUpdate> with = new ArrayList<>(gossip());
-            if (sender != null && sender.rumor.state() != State.ALIVE) {
-                with.add(sender.rumor); // who is taken for gone and speaks is told so
-            }
-            out.add(new Send(from, address, new Ack(ping.number(), self.member(), with)));
-        } else if (message instanceof PingFor pingFor && members.containsKey(pingFor.target())) {
-            long number = ++numbers;
-            relayed.put(number, new Relayed(from, address, pingFor.number(), pingFor.target()));
-            out.add(to(pingFor.target(), new Ping(number, gossip())));
+            out.add(new Send(from, address, ack(ping, known ? membership.latest(from) : null)));
+        } else if (message instanceof PingReq pingReq
+                && membership.latest(pingReq.target()) != null) {
+            out.add(relay(from, address, pingReq));
         } else if (message instanceof Ack ack) {
-            Relayed r = relayed.remove(ack.number());
-            if (r != null && r.target.equals(ack.of())) {
-                out.add(
-                        new Send(
-                                r.asker,
-                                r.askerAddress,
-                                new Ack(r.theirNumber, ack.of(), gossip())));
-            } else if (ack.number() == askedNumber && ack.of().equals(asked)) {
-                asked = null;
-            }
+            onAck(ack, out);
         }
         return out;
     }
 
-    private void believe(MembershipUpdate membershipUpdate, long now) {
-        if (membershipUpdate.member().equals(self.member())) {
-            if (membershipUpdate.incarnation() >= self.incarnation()
-                    && membershipUpdate.state() != State.ALIVE) {
-                falseAlarms++;
-                self =
-                        new MembershipUpdate(
-                                self.member(),
-                                self.address(),
-                                membershipUpdate.incarnation() + 1,
-                                State.ALIVE); // refutes it
-                tell(self);
-            } else if (membershipUpdate.incarnation() > self.incarnation()) {
-                self =
-                        new MembershipUpdate(
-                                self.member(),
-                                self.address(),
-                                membershipUpdate.incarnation() + 1,
-                                State.ALIVE); // of an earlier life
-                tell(self);
-            }
-            return;
-        }
-        Known known = members.get(membershipUpdate.member());
-        if (known == null) {
-            if (membershipUpdate.state() == State.GONE) {
-                return; // nothing to forget
-            }
-            known = new Known(membershipUpdate);
-            members.put(membershipUpdate.member(), known);
-        } else if (membershipUpdate.overrides(known.rumor)) {
-            known.rumor = membershipUpdate;
-        } else {
-            return;
-        }
-        if (membershipUpdate.state() == State.SUSPECT) {
-            known.suspectUntilNs = now + suspicionNs();
-        }
-        tell(membershipUpdate);
-    }
-
-    private void suspect(String member, long now) {
-        MembershipUpdate membershipUpdate = members.get(member).rumor;
-        if (membershipUpdate.state() == State.ALIVE) {
-            believe(
-                    new MembershipUpdate(
-                            member,
-                            membershipUpdate.address(),
-                            membershipUpdate.incarnation(),
-                            State.SUSPECT),
-                    now);
-        }
-    }
-
-    private void suspicionsOver(long now) {
-        for (Known known : members.values()) {
-            if (known.rumor.state() == State.SUSPECT && now >= known.suspectUntilNs) {
-                known.rumor =
-                        new MembershipUpdate(
-                                known.rumor.member(),
-                                known.rumor.address(),
-                                known.rumor.incarnation(),
-                                State.GONE);
-                tell(known.rumor);
-            }
+    /** An ack; it tells a sender that is suspected or dead its state, so that it can refute it. */
+    private Ack ack(Ping ping, MembershipUpdate sender) {
+        List<MembershipUpdate> updates = new ArrayList<>(membership.piggybackedUpdates());
+        if (sender != null && sender.state() != State.ALIVE) {
+            updates.add(sender);
         }
+        return new Ack(ping.sequence(), membership.self(), updates);
     }
 
-    private double logOfMembers() {
-        return Math.log(members.size() + 2.0) / Math.log(2);
+    private Send relay(String from, String address, PingReq pingReq) {
+        long sequence = ++lastSequence;
+        relayedPings.put(
+                sequence, new RelayedPing(from, address, pingReq.sequence(), pingReq.target()));
+        return sendTo(pingReq.target(), new Ping(sequence, membership.piggybackedUpdates()));
     }
 
-    private long suspicionNs() {
-        return (long) (terms.suspicion() * logOfMembers() * terms.periodNs());
-    }
-
-    // ---- Rumors
-    private void tell(MembershipUpdate membershipUpdate) {
-        rumors.put(membershipUpdate.member(), new Told(membershipUpdate));
-    }
-
-    /** The rumors told least often so far, each as often as the paper has it. */
-    private List<MembershipUpdate> gossip() {
-        int most = (int) Math.ceil(terms.spread() * logOfMembers());
-        List<Told> chosen =
-                rumors.values().stream()
-                        .sorted(
-                                Comparator.comparingInt((Told told) -> told.times)
-                                        .thenComparing(told -> told.rumor.member()))
-                        .limit(terms.rumors())
-                        .toList();
-        List<MembershipUpdate> out = new ArrayList<>();
-        for (Told told : chosen) {
-            out.add(told.rumor);
-            if (++told.times >= most) {
-                rumors.remove(told.rumor.member());
-            }
+    private void onAck(Ack ack, List<Send> out) {
+        RelayedPing relayed = relayedPings.remove(ack.sequence());
+        if (relayed != null && relayed.target.equals(ack.member())) {
+            Ack forwarded =
+                    new Ack(
+                            relayed.requesterSequence,
+                            ack.member(),
+                            membership.piggybackedUpdates());
+            out.add(new Send(relayed.requester, relayed.requesterAddress, forwarded));
+        } else if (ack.sequence() == pingSequence && ack.member().equals(pingTarget)) {
+            pingTarget = null;
         }
-        return out;
     }
 
-    // ---- What is known
-    /** What is held of each member, this one left out. */
+    /** The latest update of each member but this one, by name. */
     public Map<String, MembershipUpdate> members() {
-        Map<String, MembershipUpdate> all = new TreeMap<>();
-        members.forEach((text, known) -> all.put(text, known.rumor));
-        return all;
+        return membership.all();
     }
 
-    /** What is held of one member; null of one that is not known. */
-    public State held(String member) {
-        Known known = members.get(member);
-        return known == null ? null : known.rumor.state();
+    /** The state of a member; null if it is unknown. */
+    public State stateOf(String member) {
+        MembershipUpdate latest = membership.latest(member);
+        return latest == null ? null : latest.state();
     }
 
-    /** Times that this member was suspected and refuted it. */
-    public long falseAlarms() {
-        return falseAlarms;
+    /** Number of suspicions and deaths of this member that it refuted. */
+    public long refutedSuspicions() {
+        return membership.refutedSuspicions();
     }
 
-    /** When to look again at the latest, for a clock that goes by {@link #tick}. */
-    public long nextNs() {
-        return asked != null && !indirectDone ? Math.min(nextPeriodNs, indirectAtNs) : nextPeriodNs;
+    /** Latest time of the next {@link #tick}. */
+    public long nextTickNs() {
+        return pingTarget != null && !pingReqSent
+                ? Math.min(nextPeriodNs, pingReqAtNs)
+                : nextPeriodNs;
     }
 }
--- a/fleet/src/main/java/ashlink/fleet/membership/SwimConfig.java
+++ b/fleet/src/main/java/ashlink/fleet/membership/SwimConfig.java
@@ -1,27 +1,28 @@
 package ashlink.fleet.membership;
 
 /**
- * Times and numbers of the protocol, in the terms of the paper.
+ * Parameters of SWIM.
  *
- * @param periodNs protocol period: one member is asked in each
- * @param ackNs time for the direct answer; the rest of the period is for the indirect one
- * @param indirect members that are asked to ask (k of the paper)
- * @param suspicion periods of suspicion, times the logarithm of the number of members
- * @param rumors that ride along at most
- * @param spread times that a rumor is told on, times the logarithm of the number of members
- *     (lambda)
- * @param regainPeriods periods between two pings of a member that is gone: how a cut heals
+ * @param periodNs protocol period; one member is pinged in each
+ * @param pingTimeoutNs time for the ack of a direct ping; ping-reqs have the rest of the period
+ * @param pingReqMembers members that get a ping-req (k of the paper)
+ * @param suspicionFactor suspicion timeout in protocol periods, times log2 of the number of members
+ * @param maxUpdatesPerMessage most membership updates piggybacked on a message
+ * @param disseminationFactor messages that carry an update, times log2 of the number of members
+ *     (lambda of the paper)
+ * @param deadPingPeriods protocol periods between two pings of a dead member, by which the sides of
+ *     a healed network partition find each other
  */
 public record SwimConfig(
         long periodNs,
-        long ackNs,
-        int indirect,
-        double suspicion,
-        int rumors,
-        double spread,
-        int regainPeriods) {
+        long pingTimeoutNs,
+        int pingReqMembers,
+        double suspicionFactor,
+        int maxUpdatesPerMessage,
+        double disseminationFactor,
+        int deadPingPeriods) {
 
-    /** A member asked each 250 ms. */
+    /** A protocol period of 250 ms. */
     public static final SwimConfig DEFAULT =
             new SwimConfig(250_000_000L, 80_000_000L, 3, 3, 12, 3, 8);
 }
--- a/fleet/src/main/java/ashlink/fleet/supervise/RestartPolicy.java
+++ b/fleet/src/main/java/ashlink/fleet/supervise/RestartPolicy.java
@@ -3,75 +3,87 @@
 import java.util.ArrayDeque;
 
 /**
- * When a process that ended is started again: at once after a good while, later and later after
- * short ones. Many short runs within a while are a loop: it goes on at the longest pause, and is
- * said to be one.
+ * Decides when a process that exited is restarted: at once after a stable run, with exponential
+ * backoff after short runs, at the longest backoff in a crash loop. Pure state; not thread-safe.
+ * Times are in nanoseconds of one monotonic clock.
  */
 public final class RestartPolicy {
 
-    /** What is done about an end. */
+    /** What to do after an exit. */
     public enum What {
-        /** It ended as it should: nothing. */
+        /** Nothing: the exit was requested or successful. */
         DONE,
-        /** It cannot start as it is set up: nothing, until somebody changes that. */
+        /** Nothing: the settings are invalid. */
         GIVE_UP,
-        /** It is started again, after a pause. */
+        /** Restart after the backoff. */
         AGAIN,
-        /** The same, and it is a loop. */
+        /** Restart after the longest backoff: the process is in a crash loop. */
         LOOP
     }
 
-    /** A decision; {@code pauseNs} before the next start. */
+    /** The action and the backoff before the restart, in nanoseconds. */
     public record Decision(What what, long pauseNs) {}
 
     /**
-     * Terms of restarts, in nanoseconds.
+     * Limits of restarts, in nanoseconds.
      *
-     * @param goodNs a run of that length counts as good
-     * @param loopRuns short runs within {@code loopNs} that make a loop
+     * @param initialBackoffNs backoff after the first short run; doubles with each further one
+     * @param maxBackoffNs longest backoff
+     * @param stableRunNs shortest run that resets the backoff
+     * @param crashLoopRuns short runs within {@code crashLoopWindowNs} that make a crash loop
      */
     public record RestartLimits(
-            long firstNs, long longestNs, long goodNs, int loopRuns, long loopNs) {
+            long initialBackoffNs,
+            long maxBackoffNs,
+            long stableRunNs,
+            int crashLoopRuns,
+            long crashLoopWindowNs) {
 
-        /**
-         * Half a second to half a minute; a minute is good; five within five minutes are a loop.
-         */
+        /** Backoff of 0.5 s to 30 s, reset by a run of 60 s; a crash loop is 5 runs in 300 s. */
         public static final RestartLimits DEFAULT =
                 new RestartLimits(
                         500_000_000L, 30_000_000_000L, 60_000_000_000L, 5, 300_000_000_000L);
     }
 
-    private static final int BAD_SETTINGS = 2;
+    private static final int INVALID_SETTINGS_STATUS = 2;
 
-    private final RestartLimits terms;
-    private final ArrayDeque<Long> shortEnds = new ArrayDeque<>();
-    private int inARow;
+    private final RestartLimits limits;
+    private final ArrayDeque<Long> shortRunEndsNs = new ArrayDeque<>();
+    private int consecutiveShortRuns;
 
-    /** Restarts by those terms. */
-    public RestartPolicy(RestartLimits terms) {
-        this.terms = terms;
+    /** A policy with those limits. */
+    public RestartPolicy(RestartLimits limits) {
+        this.limits = limits;
     }
 
-    /** A run ended with that status; {@code asked} true if it was told to. */
-    public Decision ended(long startedNs, long endedNs, int status, boolean asked) {
-        if (asked || status == 0) {
+    /**
+     * Decides after an exit.
+     *
+     * @param status exit status of the process
+     * @param requested whether the exit was requested
+     */
+    public Decision ended(long startedNs, long endedNs, int status, boolean requested) {
+        if (requested || status == 0) {
             return new Decision(What.DONE, 0);
         }
-        if (status == BAD_SETTINGS) {
+        if (status == INVALID_SETTINGS_STATUS) {
             return new Decision(What.GIVE_UP, 0);
         }
-        if (endedNs - startedNs >= terms.goodNs()) {
-            inARow = 0;
-            shortEnds.clear();
+        if (endedNs - startedNs >= limits.stableRunNs()) {
+            consecutiveShortRuns = 0;
+            shortRunEndsNs.clear();
             return new Decision(What.AGAIN, 0);
         }
-        shortEnds.add(endedNs);
-        while (endedNs - shortEnds.peek() > terms.loopNs()) {
-            shortEnds.remove();
+        shortRunEndsNs.add(endedNs);
+        while (endedNs - shortRunEndsNs.peek() > limits.crashLoopWindowNs()) {
+            shortRunEndsNs.remove();
         }
-        long pause = Math.min(terms.longestNs(), terms.firstNs() << Math.min(inARow++, 30));
-        return shortEnds.size() >= terms.loopRuns()
-                ? new Decision(What.LOOP, terms.longestNs())
-                : new Decision(What.AGAIN, pause < 0 ? terms.longestNs() : pause);
+        long pause =
+                Math.min(
+                        limits.maxBackoffNs(),
+                        limits.initialBackoffNs() << Math.min(consecutiveShortRuns++, 30));
+        return shortRunEndsNs.size() >= limits.crashLoopRuns()
+                ? new Decision(What.LOOP, limits.maxBackoffNs())
+                : new Decision(What.AGAIN, pause < 0 ? limits.maxBackoffNs() : pause);
     }
 }
--- a/fleet/src/test/java/ashlink/fleet/command/DisseminationSimulation.java
+++ b/fleet/src/test/java/ashlink/fleet/command/DisseminationSimulation.java
@@ -12,7 +12,7 @@
 import java.util.SplittableRandom;
 import java.util.function.BiPredicate;
 
-/** Notices between many routers in simulated time, with clocks that are apart. From a seed. */
+/** Commands between many routers in simulated time, with clocks that are apart. From a seed. */
 final class DisseminationSimulation {
 
     private static final long DAY = 86_400_000L;
@@ -21,12 +21,12 @@
 
     private static final class Router {
         final ReplicatedCommandSet set = new ReplicatedCommandSet(1_000, 30 * DAY, 60 * DAY);
-        final CommandDisseminator carrier;
+        final CommandDisseminator disseminator;
         final long clockMs;
-        long learntMs = -1;
+        long receivedMs = -1;
 
         Router(long seed, long clockMs) {
-            this.carrier = new CommandDisseminator(set, seed);
+            this.disseminator = new CommandDisseminator(set, seed);
             this.clockMs = clockMs;
         }
     }
@@ -66,7 +66,7 @@
 
     private void compare(String text) {
         if (!dead.contains(text)) {
-            send(text, routers.get(text).carrier.compare(peers(text)));
+            send(text, routers.get(text).disseminator.startAntiEntropy(peers(text)));
         }
         at(1_000, () -> compare(text));
     }
@@ -86,30 +86,30 @@
             return;
         }
         if (transmission instanceof CommandDisseminator.Transmission.SendCommands sendCommands) {
-            learn(transmission.peer(), sendCommands.notices(), from);
+            receive(transmission.peer(), sendCommands.commands(), from);
         } else if (transmission instanceof CommandDisseminator.Transmission.SendDigest sendDigest) {
             send(
                     transmission.peer(),
-                    router.carrier.compared(
-                            from, sendDigest.digest(), sendDigest.back(), nowMs + router.clockMs));
+                    router.disseminator.onDigest(
+                            from, sendDigest.digest(), sendDigest.reply(), nowMs + router.clockMs));
         }
     }
 
-    /** A router hears of notices: from a peer, or from the tool. */
-    void learn(String name, List<CommandWithTtl> held, String from) {
+    /** A router receives commands from a peer or from the client. */
+    void receive(String name, List<CommandWithTtl> received, String from) {
         Router router = routers.get(name);
-        List<CommandWithTtl> fresh = new ArrayList<>();
-        for (CommandWithTtl ttl : held) {
+        List<CommandWithTtl> changed = new ArrayList<>();
+        for (CommandWithTtl ttl : received) {
             if (router.set.add(ttl.notice(), ttl.leftMs(), nowMs + router.clockMs)) {
-                fresh.add(ttl);
-                router.learntMs = nowMs;
+                changed.add(ttl);
+                router.receivedMs = nowMs;
             }
         }
-        send(name, router.carrier.spread(fresh, peers(name), from));
+        send(name, router.disseminator.disseminate(changed, peers(name), from));
     }
 
-    void tell(String router, OperatorCommand operatorCommand) {
-        learn(router, List.of(new CommandWithTtl(operatorCommand, DAY)), "");
+    void submit(String router, OperatorCommand operatorCommand) {
+        receive(router, List.of(new CommandWithTtl(operatorCommand, DAY)), "");
     }
 
     void run(long ms) {
@@ -123,20 +123,20 @@
     }
 
     Intent intent(String router, String subject) {
-        Router r = routers.get(router);
-        return r.set.intent(subject, nowMs + r.clockMs);
+        Router target = routers.get(router);
+        return target.set.intent(subject, nowMs + target.clockMs);
     }
 
     /** Time at which the last router alive learnt anything new. */
-    long lastLearntMs() {
+    long lastReceivedMs() {
         return routers.entrySet().stream()
                 .filter(entry -> !dead.contains(entry.getKey()))
-                .mapToLong(entry -> entry.getValue().learntMs)
+                .mapToLong(entry -> entry.getValue().receivedMs)
                 .max()
                 .orElse(0);
     }
 
-    Map<String, Long> holding(String subject) {
+    Map<String, Long> countByIntent(String subject) {
         Map<String, Long> by = new HashMap<>();
         routers.keySet().stream()
                 .filter(text -> !dead.contains(text))
--- a/fleet/src/test/java/ashlink/fleet/command/ReplicatedCommandSetProperties.java
+++ b/fleet/src/test/java/ashlink/fleet/command/ReplicatedCommandSetProperties.java
@@ -13,6 +13,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
+/** CRDT properties and expiry of the command set. */
 class ReplicatedCommandSetProperties {
 
     private static final long DAY = 86_400_000L;
@@ -24,7 +25,7 @@
         return new ReplicatedCommandSet(1_000, 7 * DAY, 14 * DAY);
     }
 
-    private static OperatorCommand notice(
+    private static OperatorCommand command(
             String subject, String owner, long revision, Intent intent) {
         return new OperatorCommand(subject, owner, revision, intent, owner, "");
     }
@@ -34,7 +35,7 @@
         List<OperatorCommand> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             all.add(
-                    notice(
+                    command(
                             "engine:q" + random.nextInt(3),
                             "op" + random.nextInt(2),
                             1 + random.nextInt(3),
@@ -43,45 +44,45 @@
         return all;
     }
 
-    private static ReplicatedCommandSet of(List<OperatorCommand> notices) {
-        ReplicatedCommandSet s = set();
-        notices.forEach(operatorCommand -> s.add(operatorCommand, DAY, 0));
-        return s;
+    private static ReplicatedCommandSet of(List<OperatorCommand> commands) {
+        ReplicatedCommandSet set = set();
+        commands.forEach(operatorCommand -> set.add(operatorCommand, DAY, 0));
+        return set;
     }
 
     @Property(tries = 300, seed = "1")
-    void anyOrderAndAnyNumberOfTimesGiveTheSame(@ForAll long seed) {
+    void mergeIsCommutativeAndIdempotent(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<OperatorCommand> notices = some(random, 1 + random.nextInt(12));
-        List<OperatorCommand> shuffled = new ArrayList<>(notices);
+        List<OperatorCommand> commands = some(random, 1 + random.nextInt(12));
+        List<OperatorCommand> shuffled = new ArrayList<>(commands);
         shuffled.addAll(some(new SplittableRandom(seed), 0));
-        shuffled.addAll(notices.subList(0, random.nextInt(notices.size())));
+        shuffled.addAll(commands.subList(0, random.nextInt(commands.size())));
         Collections.shuffle(shuffled, new Random(seed));
-        assertEquals(of(notices).all(0), of(shuffled).all(0));
-        assertEquals(of(notices).digest(), of(shuffled).digest());
+        assertEquals(of(commands).commands(0), of(shuffled).commands(0));
+        assertEquals(of(commands).digest(), of(shuffled).digest());
     }
 
     @Property(tries = 300, seed = "2")
-    void setsThatTellEachOtherWhatTheyLackAreTheSameAfterwards(@ForAll long seed) {
+    void setsConvergeAfterExchangeOfMissingCommands(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        ReplicatedCommandSet a = of(some(random, random.nextInt(10)));
-        ReplicatedCommandSet b = of(some(random, random.nextInt(10)));
-        List<ReplicatedCommandSet.CommandWithTtl> toB = a.lackedBy(b.digest(), 0);
-        b.lackedBy(a.digest(), 0).forEach(ttl -> a.add(ttl.notice(), ttl.leftMs(), 0));
-        toB.forEach(ttl -> b.add(ttl.notice(), ttl.leftMs(), 0));
-        assertEquals(a.all(0), b.all(0));
-        assertTrue(a.lackedBy(b.digest(), 0).isEmpty());
+        ReplicatedCommandSet left = of(some(random, random.nextInt(10)));
+        ReplicatedCommandSet right = of(some(random, random.nextInt(10)));
+        List<ReplicatedCommandSet.CommandWithTtl> toRight = left.missingFrom(right.digest(), 0);
+        right.missingFrom(left.digest(), 0).forEach(ttl -> left.add(ttl.notice(), ttl.leftMs(), 0));
+        toRight.forEach(ttl -> right.add(ttl.notice(), ttl.leftMs(), 0));
+        assertEquals(left.commands(0), right.commands(0));
+        assertTrue(left.missingFrom(right.digest(), 0).isEmpty());
     }
 
     @Property(tries = 300, seed = "3")
     void anOlderNoticeNeverChangesANewer(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         ReplicatedCommandSet set = of(some(random, 8));
-        List<ReplicatedCommandSet.CommandWithTtl> before = set.all(0);
+        List<ReplicatedCommandSet.CommandWithTtl> before = set.commands(0);
         for (ReplicatedCommandSet.CommandWithTtl ttl : before) {
             if (ttl.notice().revision() > 1) {
                 OperatorCommand old =
-                        notice(
+                        command(
                                 ttl.notice().subject(),
                                 ttl.notice().owner(),
                                 ttl.notice().revision() - 1,
@@ -89,63 +90,63 @@
                 assertFalse(set.add(old, 7 * DAY, 0));
             }
         }
-        assertEquals(before, set.all(0));
+        assertEquals(before, set.commands(0));
     }
 
     @Example
-    void aDigestIsTheSameInEveryProcess() {
-        assertEquals(DIGEST, notice("engine:q1", "ann", 3, Intent.DRAIN).digest());
+    void digestIsTheSameInEveryProcess() {
+        assertEquals(DIGEST, command("engine:q1", "ann", 3, Intent.DRAIN).digest());
     }
 
     @Example
-    void eachOwnerHasASayAndTheStrongestHolds() {
-        ReplicatedCommandSet s = set();
-        s.add(notice("engine:q1", "ann", 1, Intent.DRAIN), DAY, 0);
-        s.add(notice("engine:q1", "ben", 1, Intent.DRAIN), DAY, 0);
-        s.add(notice("engine:q1", "ann", 2, Intent.NONE), DAY, 0);
-        assertEquals(Intent.DRAIN, s.intent("engine:q1", 1), "ben still wants it");
-        assertEquals(List.of("ben"), s.owners("engine:q1", 1));
-        s.add(
+    void strongestIntentOverOwnersIsInForce() {
+        ReplicatedCommandSet set = set();
+        set.add(command("engine:q1", "ann", 1, Intent.DRAIN), DAY, 0);
+        set.add(command("engine:q1", "ben", 1, Intent.DRAIN), DAY, 0);
+        set.add(command("engine:q1", "ann", 2, Intent.NONE), DAY, 0);
+        assertEquals(Intent.DRAIN, set.intent("engine:q1", 1), "ben still wants it");
+        assertEquals(List.of("ben"), set.owners("engine:q1", 1));
+        set.add(
                 new OperatorCommand(
                         "engine:q1",
                         "ben",
-                        s.nextRevision("engine:q1", "ben"),
+                        set.nextRevision("engine:q1", "ben"),
                         Intent.NONE,
                         "ann",
                         "overruled"),
                 DAY,
                 0);
-        assertEquals(Intent.NONE, s.intent("engine:q1", 1));
+        assertEquals(Intent.NONE, set.intent("engine:q1", 1));
     }
 
     @Example
-    void aNoticeEndsByItsTimeAndAnOlderOneStaysDead() {
-        ReplicatedCommandSet s = set();
-        s.add(notice("engine:q1", "ann", 2, Intent.DRAIN), 1_000, 0);
-        assertEquals(Intent.DRAIN, s.intent("engine:q1", 999));
-        assertEquals(Intent.NONE, s.intent("engine:q1", 1_000));
-        s.add(notice("engine:q1", "ann", 1, Intent.STOP), 7 * DAY, 2_000);
-        assertEquals(Intent.NONE, s.intent("engine:q1", 2_001), "from a backup");
-        s.forget(13 * DAY);
-        assertEquals(1, s.size());
-        s.forget(15 * DAY);
-        assertEquals(0, s.size());
-        s.add(notice("engine:q1", "ann", 1, Intent.DRAIN), 1000 * DAY, 0);
+    void expiredCommandIsTombstoneForOlderOnes() {
+        ReplicatedCommandSet set = set();
+        set.add(command("engine:q1", "ann", 2, Intent.DRAIN), 1_000, 0);
+        assertEquals(Intent.DRAIN, set.intent("engine:q1", 999));
+        assertEquals(Intent.NONE, set.intent("engine:q1", 1_000));
+        set.add(command("engine:q1", "ann", 1, Intent.STOP), 7 * DAY, 2_000);
+        assertEquals(Intent.NONE, set.intent("engine:q1", 2_001), "from a backup");
+        set.removeExpired(13 * DAY);
+        assertEquals(1, set.size());
+        set.removeExpired(15 * DAY);
+        assertEquals(0, set.size());
+        set.add(command("engine:q1", "ann", 1, Intent.DRAIN), 1000 * DAY, 0);
         assertEquals(
                 Intent.NONE,
-                s.intent("engine:q1", 8 * DAY),
-                "no notice holds for longer than the longest");
+                set.intent("engine:q1", 8 * DAY),
+                "no command exceeds the longest time to live");
     }
 
     @Example
-    void aFullSetTakesNoNewSayButNewerOnesOfThoseItHas() {
+    void fullSetRejectsNewRegistersAndUpdatesExistingOnes() {
         ReplicatedCommandSet set = new ReplicatedCommandSet(2, DAY, DAY);
-        assertTrue(set.add(notice("engine:a", "o", 1, Intent.DRAIN), DAY, 0));
-        assertTrue(set.add(notice("engine:b", "o", 1, Intent.DRAIN), DAY, 0));
-        assertFalse(set.add(notice("engine:c", "o", 1, Intent.DRAIN), DAY, 0));
-        assertTrue(set.add(notice("engine:a", "o", 2, Intent.NONE), DAY, 0));
+        assertTrue(set.add(command("engine:a", "o", 1, Intent.DRAIN), DAY, 0));
+        assertTrue(set.add(command("engine:b", "o", 1, Intent.DRAIN), DAY, 0));
+        assertFalse(set.add(command("engine:c", "o", 1, Intent.DRAIN), DAY, 0));
+        assertTrue(set.add(command("engine:a", "o", 2, Intent.NONE), DAY, 0));
         assertTrue(
-                set.add(notice("engine:c", "o", 1, Intent.DRAIN), DAY, 3 * DAY),
-                "those that are over made room");
+                set.add(command("engine:c", "o", 1, Intent.DRAIN), DAY, 3 * DAY),
+                "expired ones were removed");
     }
 }
--- a/fleet/src/test/java/ashlink/fleet/membership/MembershipSimulation.java
+++ b/fleet/src/test/java/ashlink/fleet/membership/MembershipSimulation.java
@@ -38,7 +38,7 @@
     long now = 1_000 * S;
     long numbers;
     long messages;
-    int mostRumors;
+    int maxUpdates;
 
     MembershipSimulation(int count, double loss, long seed) {
         this.random = new SplittableRandom(seed);
@@ -56,8 +56,8 @@
         }
     }
 
-    static String name(int i) {
-        return String.format("r%04d", i);
+    static String name(int index) {
+        return String.format("r%04d", index);
     }
 
     void at(long in, Runnable what) {
@@ -71,29 +71,29 @@
         if (!paused.contains(text)) {
             members.get(text).tick(now).forEach(s -> send(text, s));
         }
-        at(Math.max(MS, Math.min(50 * MS, members.get(text).nextNs() - now)), () -> tick(text));
+        at(Math.max(MS, Math.min(50 * MS, members.get(text).nextTickNs() - now)), () -> tick(text));
     }
 
     private void send(String from, Swim.Send send) {
         messages++;
-        mostRumors = Math.max(mostRumors, send.message().rumors().size());
+        maxUpdates = Math.max(maxUpdates, send.message().updates().size());
         if (random.nextDouble() < loss || !passes.test(from, send.member())) {
             return;
         }
         at(MS + random.nextLong(9 * MS), () -> deliver(from, send));
     }
 
-    private void deliver(String from, Swim.Send s) {
-        if (dead.contains(s.member())) {
+    private void deliver(String from, Swim.Send send) {
+        if (dead.contains(send.member())) {
             return;
         }
-        if (paused.contains(s.member())) {
-            at(50 * MS, () -> deliver(from, s)); // in its socket until it goes on
+        if (paused.contains(send.member())) {
+            at(50 * MS, () -> deliver(from, send)); // in its socket until it goes on
             return;
         }
-        members.get(s.member())
-                .receive(from, "at-" + from, s.message(), now)
-                .forEach(x -> send(s.member(), x));
+        members.get(send.member())
+                .receive(from, "at-" + from, send.message(), now)
+                .forEach(reply -> send(send.member(), reply));
     }
 
     void until(long end) {
@@ -109,19 +109,19 @@
         until(now + forNs);
     }
 
-    /** Members alive that hold that one for this state. */
-    long holding(String of, State state) {
+    /** Members alive that have a member in that state. */
+    long countInState(String of, State state) {
         return members.entrySet().stream()
                 .filter(
                         entry ->
                                 !entry.getKey().equals(of)
                                         && !dead.contains(entry.getKey())
-                                        && entry.getValue().held(of) == state)
+                                        && entry.getValue().stateOf(of) == state)
                 .count();
     }
 
-    /** Pairs of members alive of which the first holds the second for gone. */
-    long wronglyGone() {
+    /** Pairs of members alive of which the first takes the second for dead. */
+    long wronglyDead() {
         long wrong = 0;
         for (Map.Entry<String, Swim> entry : members.entrySet()) {
             if (!dead.contains(entry.getKey())) {
@@ -129,7 +129,7 @@
                         entry.getValue().members().values().stream()
                                 .filter(
                                         membershipUpdate ->
-                                                membershipUpdate.state() == State.GONE
+                                                membershipUpdate.state() == State.DEAD
                                                         && !dead.contains(
                                                                 membershipUpdate.member()))
                                 .count();
--- a/fleet/src/test/java/ashlink/fleet/supervise/RestartPolicyTest.java
+++ b/fleet/src/test/java/ashlink/fleet/supervise/RestartPolicyTest.java
@@ -6,12 +6,13 @@
 import ashlink.fleet.supervise.RestartPolicy.What;
 import org.junit.jupiter.api.Test;
 
+/** Restarts after exits at given times. */
 class RestartPolicyTest {
 
     private static final long S = 1_000_000_000L;
 
     @Test
-    void shortRunsPauseLongerUntilTheyAreALoopAndAGoodOneMakesGood() {
+    void backoffGrowsToCrashLoopAndStableRunResetsIt() {
         RestartPolicy restartPolicy = new RestartPolicy(RestartPolicy.RestartLimits.DEFAULT);
         assertEquals(new Decision(What.AGAIN, S / 2), restartPolicy.ended(0, S, 137, false));
         assertEquals(new Decision(What.AGAIN, S), restartPolicy.ended(2 * S, 3 * S, 137, false));
@@ -32,7 +33,7 @@
     }
 
     @Test
-    void whoWasToldToEndStaysEndedAndWhoCannotStartIsLeft() {
+    void requestedExitAndInvalidSettingsAreNotRestarted() {
         RestartPolicy restartPolicy = new RestartPolicy(RestartPolicy.RestartLimits.DEFAULT);
         assertEquals(What.DONE, restartPolicy.ended(0, S, 0, false).what());
         assertEquals(What.DONE, restartPolicy.ended(0, S, 143, true).what());
