--- a/config/src/main/java/ashlink/config/FleetConfig.java
+++ b/config/src/main/java/ashlink/config/FleetConfig.java
@@ -8,19 +8,29 @@
 import java.util.Map;
 
 /**
- * The routers of a fleet, for who handles them together.
+ * The routers of a fleet, as its operators address them.
  *
- * @param keys folder with {@code ca.crt} and the operator's key and certificate
+ * @param keys directory with {@code ca.crt} and the operator's key and certificate
+ * @param operator name of the operator, which selects the certificate
+ * @param routers the routers by name
  */
 public record FleetConfig(Path keys, String operator, Map<String, Member> routers) {
 
-    /** A router: its hall, its control address, its settings and the file of its log. */
+    /**
+     * A router of the fleet.
+     *
+     * @param hall failure domain that the router runs in; may be empty
+     * @param control address of its control channel
+     * @param config its settings file
+     * @param log its log file
+     */
     public record Member(
             String name, String hall, InetSocketAddress control, Path config, Path log) {}
 
     /**
-     * Reads {@code (fleet ...)}; paths are relative to the file. An exception tells all that is
-     * wrong with it.
+     * Reads {@code (fleet ...)}; relative paths are resolved against the directory of the file.
+     *
+     * @throws ConfigException with all problems of the file
      */
     public static FleetConfig read(Path file) throws ConfigException {
         List<ConfigProblem> problems = new ArrayList<>();
@@ -28,35 +38,7 @@
         Section top = Section.top(file.toString(), nodes, "fleet", problems);
         FleetConfig fleet = null;
         if (problems.isEmpty()) {
-            Path dir = file.toAbsolutePath().getParent();
-            Map<String, Member> routers = new LinkedHashMap<>();
-            top.named("router")
-                    .forEach(
-                            (name, section) -> {
-                                try (section) {
-                                    routers.put(
-                                            name,
-                                            new Member(
-                                                    name,
-                                                    section.text("hall", ""),
-                                                    section.address("control", null),
-                                                    dir.resolve(
-                                                            section.text("config", name + ".sexp")),
-                                                    dir.resolve(
-                                                            section.text("log", name + ".log"))));
-                                }
-                            });
-            if (routers.isEmpty()) {
-                top.problem(
-                        "router",
-                        "a router at least: (router NAME (hall H) (control host:port) (config FILE)"
-                                + " (log FILE))");
-            }
-            fleet =
-                    new FleetConfig(
-                            dir.resolve(top.text("keys", "keys")),
-                            top.text("operator", null),
-                            routers);
+            fleet = readFleet(top, file.toAbsolutePath().getParent());
             top.close();
         }
         if (!problems.isEmpty()) {
@@ -64,4 +46,29 @@
         }
         return fleet;
     }
+
+    private static FleetConfig readFleet(Section top, Path directory) {
+        Map<String, Member> routers = new LinkedHashMap<>();
+        top.namedSections("router")
+                .forEach((name, section) -> routers.put(name, member(name, section, directory)));
+        if (routers.isEmpty()) {
+            top.problem(
+                    "router",
+                    "a router at least: (router NAME (hall H) (control host:port) (config FILE)"
+                            + " (log FILE))");
+        }
+        return new FleetConfig(
+                directory.resolve(top.text("keys", "keys")), top.text("operator", null), routers);
+    }
+
+    private static Member member(String name, Section router, Path directory) {
+        try (Section section = router) {
+            return new Member(
+                    name,
+                    section.text("hall", ""),
+                    section.address("control", null),
+                    directory.resolve(section.text("config", name + ".sexp")),
+                    directory.resolve(section.text("log", name + ".log")));
+        }
+    }
 }
--- /dev/null
+++ b/config/src/main/java/ashlink/config/LoadMetricsReader.java
@@ -0,0 +1,59 @@
+package ashlink.config;
+
+import ashlink.config.RouterConfig.Gauge;
+import ashlink.config.RouterConfig.Gauges;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.regex.Pattern;
+
+/** Reads under which metric names engines report their load: {@code (gauges ...)}. */
+final class LoadMetricsReader {
+
+    private static final char DIVISOR_SEPARATOR = '/';
+    private static final Pattern DIVISOR = Pattern.compile("[0-9]{1,9}");
+
+    private LoadMetricsReader() {}
+
+    static Gauges read(Section top) {
+        try (Section section = top.section("gauges")) {
+            return new Gauges(
+                    metrics(section, "waiting"),
+                    metrics(section, "cores-busy"),
+                    metrics(section, "memory-granted"),
+                    metrics(section, "disks-busy"),
+                    metrics(section, "in-hand"),
+                    metrics(section, "work-ms"),
+                    metrics(section, "memory-mb"),
+                    metrics(section, "uptime-s"));
+        }
+    }
+
+    private static List<Gauge> metrics(Section section, String setting) {
+        List<Gauge> metrics = new ArrayList<>();
+        for (String word : section.words(setting)) {
+            Optional<Gauge> metric = metric(word);
+            if (metric.isEmpty()) {
+                section.problem(
+                        setting,
+                        "names such as QueriesWaiting, or with a divisor such as"
+                                + " CoresBusyPermille/1000");
+            }
+            metric.ifPresent(metrics::add);
+        }
+        return List.copyOf(metrics);
+    }
+
+    /** Parses a metric name, alone or followed by a slash and a divisor over 0. */
+    private static Optional<Gauge> metric(String word) {
+        int slash = word.indexOf(DIVISOR_SEPARATOR);
+        if (slash < 0) {
+            return Optional.of(new Gauge(word, 1));
+        }
+        String digits = word.substring(slash + 1);
+        if (slash == 0 || !DIVISOR.matcher(digits).matches() || Integer.parseInt(digits) == 0) {
+            return Optional.empty();
+        }
+        return Optional.of(new Gauge(word.substring(0, slash), Integer.parseInt(digits)));
+    }
+}
--- /dev/null
+++ b/config/src/main/java/ashlink/config/ProblemReporter.java
@@ -0,0 +1,63 @@
+package ashlink.config;
+
+import java.util.Comparator;
+import java.util.List;
+import java.util.Set;
+import org.apache.commons.text.similarity.LevenshteinDistance;
+
+/**
+ * Adds the problems of one section of a settings file to the list of all problems of that file.
+ *
+ * @param file name of the file as errors show it
+ * @param path path of the section from the top of the file, its parts separated by dots
+ * @param problems list that each problem is added to, in the order of reading
+ */
+record ProblemReporter(String file, String path, List<ConfigProblem> problems) {
+
+    private static final int MAX_SUGGESTION_DISTANCE = 4;
+    private static final LevenshteinDistance DISTANCE =
+            new LevenshteinDistance(MAX_SUGGESTION_DISTANCE);
+
+    /** Returns the reporter of the section {@code name} within this one. */
+    ProblemReporter nested(String name) {
+        return new ProblemReporter(file, settingPath(name), problems);
+    }
+
+    /** Reports a value of the setting {@code name}. */
+    void rejectedValue(Node value, String name, String accepted) {
+        report(value, settingPath(name), value.shown(), accepted);
+    }
+
+    /** Reports a node that has no place in this section. */
+    void rejectedNode(Node node, String accepted) {
+        report(node, path, node.shown(), accepted);
+    }
+
+    /** Reports that the required setting {@code name} is absent from {@code section}. */
+    void missing(Node section, String name, String accepted) {
+        report(section, settingPath(name), "nothing", accepted);
+    }
+
+    /** Reports a setting that the section does not have, with the known name nearest to it. */
+    void unknown(Node setting, String name, Set<String> known) {
+        report(setting, settingPath(name), name, suggestion(name, known));
+    }
+
+    private void report(Node place, String setting, String value, String accepted) {
+        problems.add(
+                new ConfigProblem(file, place.line(), place.column(), setting, value, accepted));
+    }
+
+    private String settingPath(String name) {
+        return path + "." + name;
+    }
+
+    private static String suggestion(String name, Set<String> known) {
+        String all = known.isEmpty() ? "no settings here" : String.join(", ", known);
+        return known.stream()
+                .filter(candidate -> DISTANCE.apply(candidate, name) >= 0)
+                .min(Comparator.comparingInt(candidate -> DISTANCE.apply(candidate, name)))
+                .map(nearest -> nearest + " (the nearest), or any of: " + all)
+                .orElse(all);
+    }
+}
--- /dev/null
+++ b/config/src/main/java/ashlink/config/Quantity.java
@@ -0,0 +1,80 @@
+package ashlink.config;
+
+import java.util.Map;
+import java.util.OptionalDouble;
+
+/**
+ * What a numeric setting accepts: its units and its range.
+ *
+ * @param units factor of each unit to the base unit; an empty name stands for no unit
+ * @param min smallest value accepted, in the base unit
+ * @param max largest value accepted, in the base unit
+ * @param accepted description of the accepted values for error messages
+ */
+record Quantity(Map<String, Double> units, double min, double max, String accepted) {
+
+    private static final Map<String, Double> NO_UNIT = Map.of("", 1.0);
+
+    /** Doubles below this print as integers without loss. */
+    private static final double MAX_EXACT = 1e15;
+
+    /** A number without a unit. */
+    static Quantity number(double min, double max) {
+        return new Quantity(
+                NO_UNIT, min, max, "a number from " + format(min) + " to " + format(max));
+    }
+
+    /** An integer without a unit. */
+    static Quantity integer(long min, long max) {
+        return new Quantity(NO_UNIT, min, max, "a whole number from " + min + " to " + max);
+    }
+
+    /** A duration; the base unit is the nanosecond. */
+    static Quantity duration(long minNs, long maxNs) {
+        return new Quantity(
+                Units.DURATION_NS,
+                minNs,
+                maxNs,
+                "a duration from "
+                        + minNs / (double) Units.NS_PER_S
+                        + "s to "
+                        + maxNs / (double) Units.NS_PER_S
+                        + "s, with ns, us, ms, s, m, h or d");
+    }
+
+    /** A size; the base unit is the byte. */
+    static Quantity size(long minBytes, long maxBytes) {
+        return new Quantity(
+                Units.SIZE_BYTES,
+                minBytes,
+                maxBytes,
+                "a size from "
+                        + minBytes
+                        + "B to "
+                        + maxBytes
+                        + "B, with B, KiB, MiB, GiB, kB, MB or GB");
+    }
+
+    /** A rate from 0; the base unit is once per second. */
+    static Quantity rate(double maxPerS) {
+        return new Quantity(
+                Units.RATE_PER_S,
+                0,
+                maxPerS,
+                "a rate up to " + format(maxPerS) + "/s, with /s, /m or /h");
+    }
+
+    /** Returns the value in the base unit, or nothing where the text is not accepted. */
+    OptionalDouble parse(String text) {
+        OptionalDouble value = Units.parse(text, units);
+        boolean accepts =
+                value.isPresent() && value.getAsDouble() >= min && value.getAsDouble() <= max;
+        return accepts ? value : OptionalDouble.empty();
+    }
+
+    private static String format(double value) {
+        return value == Math.rint(value) && Math.abs(value) < MAX_EXACT
+                ? Long.toString((long) value)
+                : Double.toString(value);
+    }
+}
--- a/config/src/main/java/ashlink/config/SExprReader.java
+++ b/config/src/main/java/ashlink/config/SExprReader.java
@@ -5,7 +5,6 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
 import java.util.List;
 import org.antlr.v4.runtime.BaseErrorListener;
 import org.antlr.v4.runtime.CharStreams;
@@ -14,13 +13,13 @@
 import org.antlr.v4.runtime.Recognizer;
 import org.antlr.v4.runtime.Token;
 
-/** Reads the text of a settings file into nodes. */
+/** Parses the S-expressions of a settings file into nodes. */
 final class SExprReader {
 
-    /** Lists within lists; deeper is no setting of ours, and the parser recurses. */
-    private static final int DEEPEST = 32;
+    /** Limit of nested lists: the parser recurses. */
+    private static final int MAX_DEPTH = 32;
 
-    private static final long MOST_BYTES = 4 << 20;
+    private static final long MAX_FILE_BYTES = 4 * Units.MIB_BYTES;
 
     private final String file;
     private final List<ConfigProblem> problems;
@@ -30,120 +29,127 @@
         this.problems = problems;
     }
 
-    /** Reads a file; what is wrong with its form is added to {@code problems}. */
+    /** Parses a file; syntax errors are added to {@code problems}, and the result is empty. */
     static List<Node> read(Path path, List<ConfigProblem> problems) {
+        SExprReader reader = new SExprReader(path.toString(), problems);
         try {
-            if (Files.size(path) > MOST_BYTES) {
-                problems.add(
-                        new ConfigProblem(
-                                path.toString(),
-                                1,
-                                1,
-                                "",
-                                "a file of " + Files.size(path) + " bytes",
-                                "up to " + MOST_BYTES + " bytes"));
+            if (Files.size(path) > MAX_FILE_BYTES) {
+                reader.problem(
+                        1,
+                        1,
+                        "a file of " + Files.size(path) + " bytes",
+                        "up to " + MAX_FILE_BYTES + " bytes");
                 return List.of();
             }
-            return read(path.toString(), Files.readString(path), problems);
+            return reader.read(Files.readString(path));
         } catch (IOException e) {
-            problems.add(
-                    new ConfigProblem(
-                            path.toString(),
-                            1,
-                            1,
-                            "",
-                            e.toString(),
-                            "a file that can be read as UTF-8"));
+            reader.problem(1, 1, e.toString(), "a file that can be read as UTF-8");
             return List.of();
         }
     }
 
-    /** Reads a text that came from that file. */
+    /** Parses a text that is named {@code file} in errors. */
     static List<Node> read(String file, String text, List<ConfigProblem> problems) {
         return new SExprReader(file, problems).read(text);
     }
 
     private List<Node> read(String text) {
-        BaseErrorListener listener =
-                new BaseErrorListener() {
-                    @Override
-                    public void syntaxError(
-                            Recognizer<?, ?> recognizer,
-                            Object symbol,
-                            int line,
-                            int column,
-                            String message,
-                            RecognitionException failure) {
-                        problems.add(
-                                new ConfigProblem(
-                                        file,
-                                        line,
-                                        column + 1,
-                                        "",
-                                        message,
-                                        "words, texts in quotes, and lists in "
-                                                + "parentheses that are closed"));
-                    }
-                };
+        BaseErrorListener errors = new SyntaxErrorListener();
         SExprLexer lexer = new SExprLexer(CharStreams.fromString(text));
         lexer.removeErrorListeners();
-        lexer.addErrorListener(listener);
+        lexer.addErrorListener(errors);
         CommonTokenStream tokens = new CommonTokenStream(lexer);
         tokens.fill();
-        int depth = 0;
-        for (Token token : tokens.getTokens()) {
-            depth +=
-                    token.getType() == SExprLexer.OPEN
-                            ? 1
-                            : token.getType() == SExprLexer.CLOSE ? -1 : 0;
-            if (depth > DEEPEST) {
-                problems.add(
-                        new ConfigProblem(
-                                file,
-                                token.getLine(),
-                                token.getCharPositionInLine() + 1,
-                                "",
-                                "a list this deep",
-                                "up to " + DEEPEST + " lists within each other"));
-                return List.of();
-            }
+        if (!checkDepth(tokens)) {
+            return List.of();
         }
         SExprParser parser = new SExprParser(tokens);
         parser.removeErrorListeners();
-        parser.addErrorListener(listener);
-        int before = problems.size();
+        parser.addErrorListener(errors);
+        int problemsBefore = problems.size();
         List<SExprParser.FormContext> forms = parser.file().form();
-        return problems.size() > before ? List.of() : nodes(forms);
+        return problems.size() > problemsBefore ? List.of() : nodes(forms);
     }
 
-    private static List<Node> nodes(List<SExprParser.FormContext> forms) {
-        List<Node> nodes = new ArrayList<>();
-        for (SExprParser.FormContext formContext : forms) {
-            Token at = formContext.getStart();
-            int column = at.getCharPositionInLine() + 1;
-            if (formContext.OPEN() != null) {
-                nodes.add(new Node.Form(nodes(formContext.form()), at.getLine(), column));
-            } else {
-                nodes.add(
-                        new Node.Atom(
-                                formContext.TEXT() != null ? unquoted(at.getText()) : at.getText(),
-                                at.getLine(),
-                                column));
+    private boolean checkDepth(CommonTokenStream tokens) {
+        int depth = 0;
+        for (Token token : tokens.getTokens()) {
+            if (token.getType() == SExprLexer.OPEN) {
+                depth++;
+            } else if (token.getType() == SExprLexer.CLOSE) {
+                depth--;
+            }
+            if (depth > MAX_DEPTH) {
+                problem(
+                        token.getLine(),
+                        column(token),
+                        "a list this deep",
+                        "up to " + MAX_DEPTH + " lists within each other");
+                return false;
             }
         }
-        return nodes;
+        return true;
+    }
+
+    private void problem(int line, int column, String value, String accepted) {
+        problems.add(new ConfigProblem(file, line, column, "", value, accepted));
+    }
+
+    /** Columns of errors count from 1, those of the parser from 0. */
+    private static int column(Token token) {
+        return token.getCharPositionInLine() + 1;
     }
 
-    private static String unquoted(String text) {
-        StringBuilder plain = new StringBuilder();
-        for (int i = 1; i < text.length() - 1; i++) {
-            char c = text.charAt(i);
-            if (c == '\\') {
-                c = text.charAt(++i);
-                c = c == 'n' ? '\n' : c == 't' ? '\t' : c;
+    /** Adds the errors of the lexer and the parser to the problems of the file. */
+    private final class SyntaxErrorListener extends BaseErrorListener {
+
+        @Override
+        public void syntaxError(
+                Recognizer<?, ?> recognizer,
+                Object symbol,
+                int line,
+                int column,
+                String message,
+                RecognitionException failure) {
+            problem(
+                    line,
+                    column + 1,
+                    message,
+                    "words, texts in quotes, and lists in parentheses that are closed");
+        }
+    }
+
+    private static List<Node> nodes(List<SExprParser.FormContext> forms) {
+        return forms.stream().map(SExprReader::node).toList();
+    }
+
+    private static Node node(SExprParser.FormContext form) {
+        Token start = form.getStart();
+        if (form.OPEN() != null) {
+            return new Node.Form(nodes(form.form()), start.getLine(), column(start));
+        }
+        String text = form.TEXT() == null ? start.getText() : unquote(start.getText());
+        return new Node.Atom(text, start.getLine(), column(start));
+    }
+
+    private static String unquote(String quoted) {
+        StringBuilder text = new StringBuilder();
+        for (int i = 1; i < quoted.length() - 1; i++) {
+            char character = quoted.charAt(i);
+            if (character == '\\') {
+                i++;
+                character = unescape(quoted.charAt(i));
             }
-            plain.append(c);
+            text.append(character);
         }
-        return plain.toString();
+        return text.toString();
+    }
+
+    private static char unescape(char escaped) {
+        return switch (escaped) {
+            case 'n' -> '\n';
+            case 't' -> '\t';
+            default -> escaped;
+        };
     }
 }
--- a/config/src/main/java/ashlink/config/ScenarioConfigReader.java
+++ b/config/src/main/java/ashlink/config/ScenarioConfigReader.java
@@ -11,22 +11,45 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
+import java.util.stream.Stream;
 
-/** Reads scripted days: {@code (day ...)}. */
+/**
+ * Reads load scenarios with injected faults: {@code (day ...)}. The words of the file are mapped to
+ * types here.
+ */
 public final class ScenarioConfigReader {
 
-    private static final long MS = 1_000_000L;
-    private static final long S = 1_000 * MS;
+    private static final long MIN_DURATION_NS = 100 * Units.NS_PER_MS;
+    private static final long MAX_DURATION_NS = Units.NS_PER_HOUR;
+    private static final long MAX_RETRY_DELAY_NS = 60 * Units.NS_PER_S;
+    private static final long MIN_WORK_NS = 1000;
+    private static final long MAX_MEMORY_BYTES = 1024 * Units.TIB_BYTES;
+    private static final double MAX_RATE_PER_S = 1e6;
+    private static final double MAX_FACTOR = 1000;
+    private static final int MAX_THREADS = 1024;
+    private static final int MAX_RETRIES = 10;
+    private static final int MAX_KEYS = 1_000_000;
+    private static final int MAX_TABLE_GROUPS = 1_000_000;
+    private static final Map<String, FaultKind> FAULT_KINDS = faultKinds();
 
     private ScenarioConfigReader() {}
 
-    /** Reads a file whole; an exception tells all that is wrong with it. */
+    /**
+     * Reads a file.
+     *
+     * @throws ConfigException with all problems of the file
+     */
     public static ScenarioConfig read(Path path) throws ConfigException {
         List<ConfigProblem> problems = new ArrayList<>();
         return read(path.toString(), SExprReader.read(path, problems), problems);
     }
 
-    /** Reads a text that is named {@code file} in errors. */
+    /**
+     * Reads a text.
+     *
+     * @param file name of the text in errors
+     * @throws ConfigException with all problems of the text
+     */
     public static ScenarioConfig read(String file, String text) throws ConfigException {
         List<ConfigProblem> problems = new ArrayList<>();
         return read(file, SExprReader.read(file, text, problems), problems);
@@ -35,93 +58,131 @@
     private static ScenarioConfig read(String file, List<Node> nodes, List<ConfigProblem> problems)
             throws ConfigException {
         Section top = Section.top(file, nodes, "day", problems);
-        ScenarioConfig day = problems.isEmpty() ? day(top) : null;
+        ScenarioConfig scenario = null;
+        if (problems.isEmpty()) {
+            scenario = scenario(top);
+            top.close();
+        }
         if (!problems.isEmpty()) {
             throw new ConfigException(problems);
         }
-        return day;
+        return scenario;
     }
 
-    private static ScenarioConfig day(Section top) {
+    private static ScenarioConfig scenario(Section top) {
         List<RouterSpec> routers = new ArrayList<>();
-        top.named("router")
-                .forEach(
-                        (name, section) -> {
-                            try (section) {
-                                routers.add(new RouterSpec(name, section.text("zone", null)));
-                            }
-                        });
+        top.namedSections("router").forEach((name, section) -> routers.add(router(name, section)));
         Map<String, EngineConfig> engines = new LinkedHashMap<>();
-        top.named("engine")
+        top.namedSections("engine")
                 .forEach(
                         (name, section) ->
                                 engines.put(name, EngineConfigReader.engine(name, section)));
         List<LoadClass> load = new ArrayList<>();
-        top.named("load").forEach((name, section) -> load.add(load(name, section)));
-        Set<String> zones =
-                engines.values().stream().map(EngineConfig::zone).collect(Collectors.toSet());
-        Set<String> names = routers.stream().map(RouterSpec::name).collect(Collectors.toSet());
-        List<Fault> troubles = new ArrayList<>();
-        for (Section section : top.each("trouble")) {
-            try (section) {
-                Fault fault =
-                        new Fault(
-                                section.choice("kind", null, FaultKind.class),
-                                section.duration("at", null, 0, 3600 * S),
-                                section.duration("for", null, 0, 3600 * S),
-                                section.text("target", ""),
-                                section.number("factor", 1.0, 0, 1000));
-                Set<String> targets =
-                        switch (fault.kind()) {
-                            case BURST, HOT_GROUP, LIST_LATE -> Set.of("");
-                            case HEAVY_TAIL ->
-                                    load.stream().map(LoadClass::name).collect(Collectors.toSet());
-                            case ROUTER_KILL, HOT_CALLER -> names;
-                            case HALL_LOST -> zones;
-                            default -> engines.keySet();
-                        };
-                if (!targets.contains(fault.target())) {
-                    section.problem("target", "one of " + String.join(", ", targets));
-                }
-                troubles.add(fault);
-            }
-        }
+        top.namedSections("load").forEach((name, section) -> load.add(load(name, section)));
+        List<Fault> faults = faults(top, new FaultTargets(routers, engines, load));
         if (routers.isEmpty() || engines.isEmpty() || load.isEmpty()) {
             top.problem("day", "a router, an engine and a load at least");
         }
-        ScenarioConfig day =
-                new ScenarioConfig(
-                        top.text("name", null),
-                        top.duration("duration", null, 100 * MS, 3600 * S),
-                        top.whole("seed", 1L, 0, Long.MAX_VALUE / 2),
-                        routers,
-                        engines,
-                        top.rate("rate", null, 1e6),
-                        top.number("http-share", 0.0, 0, 1),
-                        load,
-                        troubles,
-                        top.text("settings", ""));
-        top.close();
-        return day;
+        return new ScenarioConfig(
+                top.text("name", null),
+                top.durationNs("duration", null, MIN_DURATION_NS, MAX_DURATION_NS),
+                top.integer("seed", 1L, 0, Long.MAX_VALUE / 2),
+                routers,
+                engines,
+                top.ratePerS("rate", null, MAX_RATE_PER_S),
+                top.number("http-share", 0.0, 0, 1),
+                load,
+                faults,
+                top.text("settings", ""));
     }
 
-    private static LoadClass load(String name, Section section) {
-        try (Section s = section) {
+    private static RouterSpec router(String name, Section router) {
+        try (Section section = router) {
+            return new RouterSpec(name, section.text("zone", null));
+        }
+    }
+
+    private static LoadClass load(String name, Section load) {
+        try (Section section = load) {
             return new LoadClass(
                     name,
-                    s.number("share", null, 0, 1),
-                    s.duration("work", null, 1000, 3600 * S),
-                    s.number("spread", 0.5, 0, 3),
-                    (int) s.whole("threads", 1L, 1, 1024),
-                    s.number("io", 0.0, 0, 1),
-                    s.size("memory", 1L << 20, 0, 1L << 50) / (double) (1 << 20),
-                    s.duration("timeout", null, MS, 3600 * S),
-                    s.text("user", "default"),
-                    s.flag("write", false),
-                    (int) s.whole("retries", 0L, 0, 10),
-                    s.duration("wait", 0L, 0, 60 * S),
-                    (int) s.whole("keys", 0L, 0, 1_000_000),
-                    (int) s.whole("groups", 1L, 1, 1_000_000));
+                    section.number("share", null, 0, 1),
+                    section.durationNs("work", null, MIN_WORK_NS, MAX_DURATION_NS),
+                    section.number("spread", 0.5, 0, 3),
+                    (int) section.integer("threads", 1L, 1, MAX_THREADS),
+                    section.number("io", 0.0, 0, 1),
+                    section.sizeBytes("memory", Units.MIB_BYTES, 0, MAX_MEMORY_BYTES)
+                            / (double) Units.MIB_BYTES,
+                    section.durationNs("timeout", null, Units.NS_PER_MS, MAX_DURATION_NS),
+                    section.text("user", "default"),
+                    section.flag("write", false),
+                    (int) section.integer("retries", 0L, 0, MAX_RETRIES),
+                    section.durationNs("wait", 0L, 0, MAX_RETRY_DELAY_NS),
+                    (int) section.integer("keys", 0L, 0, MAX_KEYS),
+                    (int) section.integer("groups", 1L, 1, MAX_TABLE_GROUPS));
         }
     }
+
+    private static List<Fault> faults(Section top, FaultTargets targets) {
+        List<Fault> faults = new ArrayList<>();
+        for (Section section : top.repeatedSections("trouble")) {
+            try (section) {
+                Fault fault = fault(section);
+                Set<String> names = targets.names(fault.kind());
+                if (!names.contains(fault.target())) {
+                    section.problem("target", "one of " + String.join(", ", names));
+                }
+                faults.add(fault);
+            }
+        }
+        return faults;
+    }
+
+    private static Fault fault(Section section) {
+        return new Fault(
+                section.choice("kind", null, FAULT_KINDS),
+                section.durationNs("at", null, 0, MAX_DURATION_NS),
+                section.durationNs("for", null, 0, MAX_DURATION_NS),
+                section.text("target", ""),
+                section.number("factor", 1.0, 0, MAX_FACTOR));
+    }
+
+    /** What the faults of a scenario may be injected into. */
+    private record FaultTargets(
+            List<RouterSpec> routers, Map<String, EngineConfig> engines, List<LoadClass> load) {
+
+        /** Returns the accepted targets of a kind of fault; an empty name for none. */
+        Set<String> names(FaultKind kind) {
+            return switch (kind) {
+                case BURST, HOT_GROUP, LIST_LATE -> Set.of("");
+                case HEAVY_TAIL -> names(load.stream().map(LoadClass::name));
+                case ROUTER_KILL, HOT_CALLER -> names(routers.stream().map(RouterSpec::name));
+                case HALL_LOST -> names(engines.values().stream().map(EngineConfig::zone));
+                default -> engines.keySet();
+            };
+        }
+
+        private static Set<String> names(Stream<String> names) {
+            return names.collect(Collectors.toSet());
+        }
+    }
+
+    private static Map<String, FaultKind> faultKinds() {
+        Map<String, FaultKind> words = new LinkedHashMap<>();
+        words.put("hang", FaultKind.HANG);
+        words.put("slow", FaultKind.SLOW);
+        words.put("age", FaultKind.AGE);
+        words.put("crash", FaultKind.CRASH);
+        words.put("drain", FaultKind.DRAIN);
+        words.put("lost-answers", FaultKind.LOST_ANSWERS);
+        words.put("router-kill", FaultKind.ROUTER_KILL);
+        words.put("hall-lost", FaultKind.HALL_LOST);
+        words.put("burst", FaultKind.BURST);
+        words.put("refuse", FaultKind.REFUSE);
+        words.put("heavy-tail", FaultKind.HEAVY_TAIL);
+        words.put("hot-group", FaultKind.HOT_GROUP);
+        words.put("hot-caller", FaultKind.HOT_CALLER);
+        words.put("list-late", FaultKind.LIST_LATE);
+        return words;
+    }
 }
--- a/config/src/main/java/ashlink/config/Section.java
+++ b/config/src/main/java/ashlink/config/Section.java
@@ -4,81 +4,100 @@
 import ashlink.config.Node.Form;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.OptionalDouble;
 import java.util.Set;
-import org.apache.commons.text.similarity.LevenshteinDistance;
 
 /**
- * A list of settings, read by name. A value that is not accepted is noted as a problem and read as
- * its default, so that all problems of a file are found at once; {@link #close} notes settings that
- * nobody asked for.
+ * A section of a settings file, whose settings are read by name. A value that is not accepted is
+ * reported as a problem and read as its default, so that one pass finds all problems of a file.
+ * {@link #close} reports the settings that were never read. Where a default is null, the setting is
+ * required.
  */
 final class Section implements AutoCloseable {
 
-    private static final LevenshteinDistance DISTANCE = new LevenshteinDistance(4);
-
-    private final String file;
-    private final String path;
     private final Form form;
-    private final List<ConfigProblem> problems;
+    private final ProblemReporter reporter;
     private final Map<String, List<Form>> settings = new LinkedHashMap<>();
     private final Set<String> known = new LinkedHashSet<>();
-    private final List<Atom> words = new ArrayList<>();
+    private final List<Atom> strayWords = new ArrayList<>();
 
-    Section(String file, String path, Form form, int from, List<ConfigProblem> problems) {
-        this.file = file;
-        this.path = path;
+    /**
+     * A section made of the items of {@code form} from index {@code firstItem} on.
+     *
+     * @param firstItem 1 behind the head, 2 behind a head and a name
+     */
+    private Section(Form form, int firstItem, ProblemReporter reporter) {
         this.form = form;
-        this.problems = problems;
-        for (Node node :
-                form.items().subList(Math.min(from, form.items().size()), form.items().size())) {
-            if (node instanceof Form f && !f.head().isEmpty()) {
-                settings.computeIfAbsent(f.head(), text -> new ArrayList<>()).add(f);
-            } else if (node instanceof Atom atom) {
-                words.add(atom);
+        this.reporter = reporter;
+        int size = form.items().size();
+        for (Node node : form.items().subList(Math.min(firstItem, size), size)) {
+            if (node instanceof Form setting && !setting.head().isEmpty()) {
+                settings.computeIfAbsent(setting.head(), name -> new ArrayList<>()).add(setting);
+            } else if (node instanceof Atom word) {
+                strayWords.add(word);
             } else {
-                problem(node, path, "a list that starts with the name of a setting");
+                reporter.rejectedNode(node, "a list that starts with the name of a setting");
             }
         }
     }
 
-    /** The file's one top list, which must have that name. */
+    /** Returns the single top-level list of the file, which must have the given name. */
     static Section top(String file, List<Node> nodes, String name, List<ConfigProblem> problems) {
+        ProblemReporter reporter = new ProblemReporter(file, name, problems);
         if (nodes.size() == 1 && nodes.get(0) instanceof Form form && form.head().equals(name)) {
-            return new Section(file, name, form, 1, problems);
+            return new Section(form, 1, reporter);
         }
         if (problems.isEmpty()) {
             problems.add(
                     new ConfigProblem(
                             file, 1, 1, "", "what the file holds", "one list (" + name + " ...)"));
         }
-        return new Section(file, name, new Form(List.of(), 1, 1), 0, problems);
+        return new Section(new Form(List.of(), 1, 1), 0, reporter);
     }
 
-    // ---- Problems
-    void problem(Node at, String setting, String accepted) {
-        problems.add(
-                new ConfigProblem(file, at.line(), at.column(), setting, at.shown(), accepted));
-    }
+    // Problems
 
+    /** Reports the value of the setting {@code name}, or this section where it is absent. */
     void problem(String name, String accepted) {
-        Node at = settings.containsKey(name) ? settings.get(name).get(0) : form;
-        Node value =
-                at instanceof Form f && at != form && f.items().size() > 1 ? f.items().get(1) : at;
-        problem(value, path + "." + name, accepted);
+        Node place = form;
+        if (settings.containsKey(name)) {
+            Form setting = settings.get(name).get(0);
+            place = setting.items().size() > 1 ? setting.items().get(1) : setting;
+        }
+        reporter.rejectedValue(place, name, accepted);
+    }
+
+    /** Reports the setting {@code name} unless its value is empty or one of {@code names}. */
+    void checkOneOf(String name, String value, Collection<String> names) {
+        if (!value.isEmpty() && !names.contains(value)) {
+            problem(name, names.isEmpty() ? "none is set" : "one of " + String.join(", ", names));
+        }
+    }
+
+    /** Reports each of the values of the setting {@code name} that is not among {@code names}. */
+    void checkAllOf(String name, Set<String> values, Collection<String> names) {
+        for (String value : values) {
+            if (!names.contains(value)) {
+                problem(name, "any of " + String.join(", ", names) + ", not " + value);
+            }
+        }
     }
 
-    // ---- Values
+    // Values
+
+    /** Tells whether the setting is present. */
     boolean has(String name) {
         known.add(name);
         return settings.containsKey(name);
     }
 
-    /** The one value of a setting, or null where it is absent or wrong. */
+    /** Returns the single value of a setting, or null where it is absent or not accepted. */
     private Atom atom(String name, String accepted) {
         known.add(name);
         List<Form> forms = settings.get(name);
@@ -86,283 +105,193 @@
             return null;
         }
         if (forms.size() > 1) {
-            problem(forms.get(1), path + "." + name, "this setting once");
+            reporter.rejectedValue(forms.get(1), name, "this setting once");
         }
         List<Node> items = forms.get(0).items();
         if (items.size() == 2 && items.get(1) instanceof Atom atom) {
             return atom;
         }
-        problem(forms.get(0), path + "." + name, accepted);
+        reporter.rejectedValue(forms.get(0), name, accepted);
         return null;
     }
 
-    private void missing(String name, String accepted) {
-        if (!settings.containsKey(name)) {
-            problems.add(
-                    new ConfigProblem(
-                            file,
-                            form.line(),
-                            form.column(),
-                            path + "." + name,
-                            "nothing",
-                            accepted));
+    /** Like {@link #atom(String, String)}; also reports a required setting that is absent. */
+    private Atom atom(String name, String accepted, boolean required) {
+        Atom atom = atom(name, accepted);
+        if (required && !settings.containsKey(name)) {
+            reporter.missing(form, name, accepted);
         }
+        return atom;
     }
 
-    /** A text; {@code absent} null: it must be given. */
-    String text(String name, String absent) {
-        Atom a = atom(name, "one word or text");
-        if (a == null && absent == null) {
-            missing(name, "one word or text");
+    /** Reads a word or a quoted text. */
+    String text(String name, String defaultValue) {
+        Atom atom = atom(name, "one word or text", defaultValue == null);
+        if (atom != null) {
+            return atom.text();
         }
-        return a == null ? absent == null ? "" : absent : a.text();
+        return defaultValue == null ? "" : defaultValue;
     }
 
-    boolean flag(String name, boolean absent) {
-        Atom a = atom(name, "yes or no");
-        if (a != null && !a.text().equals("yes") && !a.text().equals("no")) {
-            problem(a, path + "." + name, "yes or no");
+    /** Reads {@code yes} or {@code no}. */
+    boolean flag(String name, boolean defaultValue) {
+        Atom atom = atom(name, "yes or no");
+        if (atom == null) {
+            return defaultValue;
         }
-        return a == null ? absent : a.text().equals("yes");
-    }
-
-    /**
-     * A number with a unit of that kind, between the bounds; {@code absent} null: it must be given.
-     */
-    private double quantity(
-            String name,
-            Double absent,
-            Map<String, Double> units,
-            double least,
-            double most,
-            String accepted) {
-        Atom a = atom(name, accepted);
-        if (a == null) {
-            if (absent == null) {
-                missing(name, accepted);
-            }
-            return absent == null ? least : absent;
+        if (!atom.text().equals("yes") && !atom.text().equals("no")) {
+            reporter.rejectedValue(atom, name, "yes or no");
         }
-        OptionalDouble value = Units.parse(a.text(), units);
-        if (value.isEmpty() || value.getAsDouble() < least || value.getAsDouble() > most) {
-            problem(a, path + "." + name, accepted);
-            return absent == null ? least : absent;
-        }
-        return value.getAsDouble();
+        return atom.text().equals("yes");
     }
 
-    double number(String name, Double absent, double least, double most) {
-        return quantity(
-                name,
-                absent,
-                Map.of("", 1.0),
-                least,
-                most,
-                "a number from " + shown(least) + " to " + shown(most));
+    /** Reads a number without a unit. */
+    double number(String name, Double defaultValue, double min, double max) {
+        return quantity(name, defaultValue, Quantity.number(min, max));
     }
 
-    long whole(String name, Long absent, long least, long most) {
-        String accepted = "a whole number from " + least + " to " + most;
-        double value =
-                quantity(
-                        name,
-                        absent == null ? null : (double) absent,
-                        Map.of("", 1.0),
-                        least,
-                        most,
-                        accepted);
+    /** Reads an integer without a unit. */
+    long integer(String name, Long defaultValue, long min, long max) {
+        Quantity quantity = Quantity.integer(min, max);
+        double value = quantity(name, toDouble(defaultValue), quantity);
         if (value != Math.rint(value)) {
-            problem(name, accepted);
+            problem(name, quantity.accepted());
         }
         return (long) value;
     }
 
-    /** A duration in nanoseconds. */
-    long duration(String name, Long absentNs, long leastNs, long mostNs) {
-        return (long)
-                quantity(
-                        name,
-                        absentNs == null ? null : (double) absentNs,
-                        Units.DURATION_NS,
-                        leastNs,
-                        mostNs,
-                        "a duration from "
-                                + leastNs / 1e9
-                                + "s to "
-                                + mostNs / 1e9
-                                + "s, with ns, us, ms, s, m, h or d");
+    /** Reads a duration in nanoseconds. */
+    long durationNs(String name, Long defaultNs, long minNs, long maxNs) {
+        return (long) quantity(name, toDouble(defaultNs), Quantity.duration(minNs, maxNs));
     }
 
-    /** A size in bytes. */
-    long size(String name, Long absent, long least, long most) {
-        return (long)
-                quantity(
-                        name,
-                        absent == null ? null : (double) absent,
-                        Units.SIZE_BYTES,
-                        least,
-                        most,
-                        "a size from "
-                                + least
-                                + "B to "
-                                + most
-                                + "B, with B, KiB, MiB, GiB, kB, MB or GB");
+    /** Reads a size in bytes. */
+    long sizeBytes(String name, Long defaultBytes, long minBytes, long maxBytes) {
+        return (long) quantity(name, toDouble(defaultBytes), Quantity.size(minBytes, maxBytes));
     }
 
-    /** A rate a second. */
-    double rate(String name, Double absent, double most) {
-        return quantity(
-                name,
-                absent,
-                Units.RATE_PER_S,
-                0,
-                most,
-                "a rate up to " + shown(most) + "/s, with /s, /m or /h");
+    /** Reads a rate per second, from 0. */
+    double ratePerS(String name, Double defaultPerS, double maxPerS) {
+        return quantity(name, defaultPerS, Quantity.rate(maxPerS));
     }
 
-    /** An address and port; port 0 is any free one. */
-    InetSocketAddress address(String name, InetSocketAddress absent) {
-        String accepted = "host:port with a port from 0 to 65535";
-        Atom a = atom(name, accepted);
-        if (a == null) {
-            if (absent == null) {
-                missing(name, accepted);
-            }
-            return absent;
+    private double quantity(String name, Double defaultValue, Quantity quantity) {
+        double fallback = defaultValue == null ? quantity.min() : defaultValue;
+        Atom atom = atom(name, quantity.accepted(), defaultValue == null);
+        if (atom == null) {
+            return fallback;
         }
-        int colon = a.text().lastIndexOf(':');
-        try {
-            int port = Integer.parseInt(a.text().substring(colon + 1));
-            if (colon > 0 && port >= 0 && port <= 65535) {
-                return new InetSocketAddress(
-                        a.text().substring(0, colon).replaceAll("^\\[|]$", ""), port);
-            }
-        } catch (NumberFormatException e) {
-            // said below
+        OptionalDouble value = quantity.parse(atom.text());
+        if (value.isEmpty()) {
+            reporter.rejectedValue(atom, name, quantity.accepted());
         }
-        problem(a, path + "." + name, accepted);
-        return absent;
+        return value.orElse(fallback);
     }
 
-    <E extends Enum<E>> E choice(String name, E absent, Class<E> type) {
-        String accepted =
-                "one of "
-                        + String.join(
-                                ", ",
-                                java.util.Arrays.stream(type.getEnumConstants())
-                                        .map(Section::word)
-                                        .toList());
-        Atom a = atom(name, accepted);
-        if (a == null) {
-            if (absent == null) {
-                missing(name, accepted);
-            }
-            return absent == null ? type.getEnumConstants()[0] : absent;
+    private static Double toDouble(Long value) {
+        return value == null ? null : (double) value;
+    }
+
+    /** Reads {@code host:port}; port 0 stands for any free port. */
+    InetSocketAddress address(String name, InetSocketAddress defaultValue) {
+        Atom atom = atom(name, AddressParser.ACCEPTED, defaultValue == null);
+        if (atom == null) {
+            return defaultValue;
         }
-        for (E e : type.getEnumConstants()) {
-            if (word(e).equals(a.text())) {
-                return e;
-            }
+        Optional<InetSocketAddress> address = AddressParser.parse(atom.text());
+        if (address.isEmpty()) {
+            reporter.rejectedValue(atom, name, AddressParser.ACCEPTED);
         }
-        problem(a, path + "." + name, accepted);
-        return absent == null ? type.getEnumConstants()[0] : absent;
+        return address.orElse(defaultValue);
     }
 
-    private static String word(Enum<?> e) {
-        return e.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
+    /**
+     * Reads one of some words.
+     *
+     * @param values value of each word, in the order in which errors list the words; not empty
+     */
+    <V> V choice(String name, V defaultValue, Map<String, V> values) {
+        V fallback = defaultValue == null ? values.values().iterator().next() : defaultValue;
+        String accepted = "one of " + String.join(", ", values.keySet());
+        Atom atom = atom(name, accepted, defaultValue == null);
+        if (atom == null) {
+            return fallback;
+        }
+        if (!values.containsKey(atom.text())) {
+            reporter.rejectedValue(atom, name, accepted);
+        }
+        return values.getOrDefault(atom.text(), fallback);
     }
 
-    /** All words of a setting, which may be absent. */
+    /** Reads all words of a setting, in order; empty where it is absent. */
     Set<String> words(String name) {
         known.add(name);
         Set<String> words = new LinkedHashSet<>();
-        for (Form form : settings.getOrDefault(name, List.of())) {
-            for (Node node : form.items().subList(1, form.items().size())) {
+        for (Form setting : settings.getOrDefault(name, List.of())) {
+            for (Node node : setting.items().subList(1, setting.items().size())) {
                 if (node instanceof Atom atom) {
                     words.add(atom.text());
                 } else {
-                    problem(node, path + "." + name, "words");
+                    reporter.rejectedValue(node, name, "words");
                 }
             }
         }
         return words;
     }
 
-    // ---- Sections
-    /** A section that may stand once; empty where it is absent. */
+    // Nested sections
+
+    /** Returns the section of that name, which may occur once; empty where it is absent. */
     Section section(String name) {
         known.add(name);
         List<Form> forms = settings.get(name);
-        if (forms != null && forms.size() > 1) {
-            problem(forms.get(1), path + "." + name, "this section once");
+        if (forms == null) {
+            Form empty = new Form(List.of(), form.line(), form.column());
+            return new Section(empty, 1, reporter.nested(name));
+        }
+        if (forms.size() > 1) {
+            reporter.rejectedValue(forms.get(1), name, "this section once");
         }
-        Form f = forms == null ? new Form(List.of(), form.line(), form.column()) : forms.get(0);
-        return new Section(file, path + "." + name, f, 1, problems);
+        return new Section(forms.get(0), 1, reporter.nested(name));
     }
 
-    /** Sections that start with a name of their own, by that name. */
-    Map<String, Section> named(String name) {
+    /** Returns the sections {@code (name NAME ...)} by their own names, in order. */
+    Map<String, Section> namedSections(String name) {
         known.add(name);
         Map<String, Section> sections = new LinkedHashMap<>();
-        for (Form form : settings.getOrDefault(name, List.of())) {
-            if (form.items().size() < 2 || !(form.items().get(1) instanceof Atom atom)) {
-                problem(form, path + "." + name, "(" + name + " NAME ...)");
+        for (Form section : settings.getOrDefault(name, List.of())) {
+            if (section.items().size() < 2 || !(section.items().get(1) instanceof Atom atom)) {
+                reporter.rejectedValue(section, name, "(" + name + " NAME ...)");
             } else if (sections.containsKey(atom.text())) {
-                problem(atom, path + "." + name, "each name once");
+                reporter.rejectedValue(atom, name, "each name once");
             } else {
-                sections.put(
-                        atom.text(),
-                        new Section(file, path + "." + atom.text(), form, 2, problems));
+                sections.put(atom.text(), new Section(section, 2, reporter.nested(atom.text())));
             }
         }
         return sections;
     }
 
-    /** Sections without names, in order. */
-    List<Section> each(String name) {
+    /** Returns the sections of that name, which have no names of their own, in order. */
+    List<Section> repeatedSections(String name) {
         known.add(name);
         List<Section> sections = new ArrayList<>();
-        for (Form form : settings.getOrDefault(name, List.of())) {
-            sections.add(new Section(file, path + "." + name, form, 1, problems));
+        for (Form section : settings.getOrDefault(name, List.of())) {
+            sections.add(new Section(section, 1, reporter.nested(name)));
         }
         return sections;
     }
 
-    /** Notes what nobody asked for. */
+    /** Reports the settings that were never read. */
     @Override
     public void close() {
-        for (Atom atom : words) {
-            problem(atom, path, "only lists such as (name value)");
+        for (Atom word : strayWords) {
+            reporter.rejectedNode(word, "only lists such as (name value)");
         }
         settings.forEach(
                 (name, forms) -> {
                     if (!known.contains(name)) {
-                        for (Form form : forms) {
-                            problems.add(
-                                    new ConfigProblem(
-                                            file,
-                                            form.line(),
-                                            form.column(),
-                                            path + "." + name,
-                                            name,
-                                            nearest(name)));
-                        }
+                        forms.forEach(setting -> reporter.unknown(setting, name, known));
                     }
                 });
     }
-
-    private String nearest(String name) {
-        String all = known.isEmpty() ? "no settings here" : String.join(", ", known);
-        return known.stream()
-                .filter(text -> DISTANCE.apply(text, name) >= 0)
-                .min(java.util.Comparator.comparingInt(text -> DISTANCE.apply(text, name)))
-                .map(text -> text + " (the nearest), or any of: " + all)
-                .orElse(all);
-    }
-
-    private static String shown(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e15
-                ? Long.toString((long) value)
-                : Double.toString(value);
-    }
 }
--- a/config/src/main/java/ashlink/config/Units.java
+++ b/config/src/main/java/ashlink/config/Units.java
@@ -5,11 +5,22 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Numbers with units, as they stand in settings. */
+/** Numbers with units, as settings files write them. */
 final class Units {
 
+    static final long NS_PER_MS = 1_000_000L;
+    static final long NS_PER_S = 1_000 * NS_PER_MS;
+    static final long NS_PER_HOUR = 3_600 * NS_PER_S;
+    static final long KIB_BYTES = 1L << 10;
+    static final long MIB_BYTES = 1L << 20;
+    static final long GIB_BYTES = 1L << 30;
+    static final long TIB_BYTES = 1L << 40;
+
+    /** Nanoseconds of each unit of time. */
     static final Map<String, Double> DURATION_NS =
             Map.of("ns", 1.0, "us", 1e3, "ms", 1e6, "s", 1e9, "m", 6e10, "h", 3.6e12, "d", 8.64e13);
+
+    /** Bytes of each unit of size. */
     static final Map<String, Double> SIZE_BYTES =
             Map.of(
                     "B",
@@ -26,14 +37,18 @@
                     1e6,
                     "GB",
                     1e9);
+
+    /** Events per second of each unit of rate. */
     static final Map<String, Double> RATE_PER_S =
             Map.of("/s", 1.0, "/m", 1 / 60.0, "/h", 1 / 3600.0);
+
     private static final Pattern NUMBER = Pattern.compile("([0-9]+(?:\\.[0-9]+)?)([A-Za-z/]*)");
 
     private Units() {}
 
     /**
-     * The number in the base unit; nothing where the text has no known unit. A bare 0 needs none.
+     * Returns the number in the base unit, or nothing where the text is no number with one of the
+     * units. A bare 0 needs no unit.
      */
     static OptionalDouble parse(String text, Map<String, Double> units) {
         Matcher matcher = NUMBER.matcher(text);
@@ -41,10 +56,11 @@
             return OptionalDouble.empty();
         }
         double number = Double.parseDouble(matcher.group(1));
-        Double unit =
-                matcher.group(2).isEmpty() && number == 0
-                        ? Double.valueOf(1)
-                        : units.get(matcher.group(2));
-        return unit == null ? OptionalDouble.empty() : OptionalDouble.of(number * unit);
+        String unit = matcher.group(2);
+        if (unit.isEmpty() && number == 0) {
+            return OptionalDouble.of(0);
+        }
+        Double factor = units.get(unit);
+        return factor == null ? OptionalDouble.empty() : OptionalDouble.of(number * factor);
     }
 }
--- a/config/src/main/java/ashlink/config/flat/FieldException.java
+++ b/config/src/main/java/ashlink/config/flat/FieldException.java
@@ -1,13 +1,11 @@
 package ashlink.config.flat;
 
-/**
- * A field that is missing or cannot be read; the message names it, its value and what is accepted.
- */
+/** A field is missing or not accepted; the message names its source, name and value. */
 public class FieldException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
 
-    /** With a message for whoever wrote the field. */
+    /** An exception with that message, which is shown to the writer of the field. */
     public FieldException(String message) {
         super(message);
     }
--- a/config/src/main/java/ashlink/config/flat/Fields.java
+++ b/config/src/main/java/ashlink/config/flat/Fields.java
@@ -3,95 +3,123 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Names and values, read by exact type; {@code what} names their source in complaints. */
+/** Named text values, read as typed fields. Errors name the source, the field and its value. */
 public final class Fields {
 
-    private final String what;
-    private final Map<String, String> values = new HashMap<>();
+    private final String source;
+    private final Map<String, String> values;
 
-    private Fields(String what) {
-        this.what = what;
+    private Fields(String source, Map<String, String> values) {
+        this.source = source;
+        this.values = values;
     }
 
-    /** Fields of that map; {@code what} names where they came from. */
-    public static Fields of(String what, Map<String, String> values) {
-        Fields fields = new Fields(what);
-        fields.values.putAll(values);
-        return fields;
+    /**
+     * Returns the fields of a map, which is copied.
+     *
+     * @param source name of their origin in errors
+     */
+    public static Fields of(String source, Map<String, String> values) {
+        return new Fields(source, new HashMap<>(values));
     }
 
-    /** The text of a field, or null where it is absent. */
+    /** Returns the text of a field, or null where it is absent. */
     public String text(String name) {
         return values.get(name);
     }
 
-    /** The text of a field, or {@code absent}. */
-    public String text(String name, String absent) {
-        return values.getOrDefault(name, absent);
+    /** Returns the text of a field, or {@code defaultValue} where it is absent. */
+    public String text(String name, String defaultValue) {
+        return values.getOrDefault(name, defaultValue);
     }
 
-    /** The text of a field that must be there. */
+    /**
+     * Returns the text of a field.
+     *
+     * @throws FieldException if it is absent
+     */
     public String needed(String name) {
         String value = values.get(name);
         if (value == null) {
-            throw new FieldException(what + ": " + name + " is missing");
+            throw new FieldException(source + ": " + name + " is missing");
         }
         return value;
     }
 
-    /** A whole number that must be there. */
+    /**
+     * Returns an integer.
+     *
+     * @throws FieldException if it is absent or not accepted
+     */
     public long whole(String name) {
-        return parseWhole(name, needed(name));
+        return parseInteger(name, needed(name));
     }
 
-    /** A whole number, or {@code absent}. */
-    public long whole(String name, long absent) {
+    /**
+     * Returns an integer, or {@code defaultValue} where it is absent.
+     *
+     * @throws FieldException if the value is not accepted
+     */
+    public long whole(String name, long defaultValue) {
         String value = values.get(name);
-        return value == null ? absent : parseWhole(name, value);
+        return value == null ? defaultValue : parseInteger(name, value);
     }
 
-    /** A finite number that must be there. */
+    /**
+     * Returns a finite number.
+     *
+     * @throws FieldException if it is absent or not accepted
+     */
     public double number(String name) {
         return parseNumber(name, needed(name));
     }
 
-    /** A finite number, or {@code absent}. */
-    public double number(String name, double absent) {
+    /**
+     * Returns a finite number, or {@code defaultValue} where it is absent.
+     *
+     * @throws FieldException if the value is not accepted
+     */
+    public double number(String name, double defaultValue) {
         String value = values.get(name);
-        return value == null ? absent : parseNumber(name, value);
+        return value == null ? defaultValue : parseNumber(name, value);
     }
 
-    /** Yes or no; no where it is absent. */
+    /**
+     * Returns a flag, false where it is absent.
+     *
+     * @throws FieldException if the value is not accepted
+     */
     public boolean flag(String name) {
         String value = values.getOrDefault(name, "0");
         return switch (value) {
             case "1", "true" -> true;
             case "0", "false" -> false;
-            default -> throw bad(name, value, "a yes or no");
+            default -> throw rejected(name, value, "a yes or no");
         };
     }
 
-    private long parseWhole(String name, String value) {
+    private long parseInteger(String name, String value) {
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw bad(name, value, "a whole number");
+            throw rejected(name, value, "a whole number");
         }
     }
 
     private double parseNumber(String name, String value) {
+        double number;
         try {
-            double number = Double.parseDouble(value);
-            if (Double.isFinite(number)) {
-                return number;
-            }
+            number = Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw bad(name, value, "a number");
+            throw rejected(name, value, "a number");
         }
-        throw bad(name, value, "a finite number");
+        if (!Double.isFinite(number)) {
+            throw rejected(name, value, "a finite number");
+        }
+        return number;
     }
 
-    private FieldException bad(String name, String value, String wanted) {
-        return new FieldException(what + ": " + name + "=" + value + " is not " + wanted);
+    private FieldException rejected(String name, String value, String accepted) {
+        return new FieldException(source + ": " + name + "=" + value + " is not " + accepted);
     }
 }
--- a/config/src/main/java/ashlink/config/flat/LoadReportParser.java
+++ b/config/src/main/java/ashlink/config/flat/LoadReportParser.java
@@ -5,52 +5,71 @@
 import java.util.function.Consumer;
 
 /**
- * Reads an engine's load report, pairs of a name and a number, by the names of the settings; the
- * rest is skipped.
+ * Parses the load report of an engine: pairs of a name and a number. This class maps the names of
+ * the platform to the fields of {@link LoadReport}; pairs of other names are skipped.
  */
 public final class LoadReportParser {
 
+    private static final char NAME_END = ':';
+
+    private double queued = Double.NaN;
+    private double coreUtilization = Double.NaN;
+    private double memoryGranted = Double.NaN;
+    private double diskUtilization = Double.NaN;
+    private double inFlight = Double.NaN;
+
     private LoadReportParser() {}
 
     /**
-     * The report of a text whose pairs stand apart by {@code separator}. What is missing is NaN,
-     * never 0, and so is a value below 0 or without end, as late and noisy reports may have; a pair
-     * without a number is told to {@code complain}, which may throw, and is missing.
+     * Parses a report. A value that is missing, negative or not finite becomes NaN, never 0.
+     *
+     * @param separator character between two pairs; it may also end the text
+     * @param onMalformedPair receives each pair without a number, whose value becomes NaN; may
+     *     throw
      */
-    public static LoadReport read(String text, char separator, Consumer<String> complain) {
-        double waiting = Double.NaN;
-        double cores = Double.NaN;
-        double memory = Double.NaN;
-        double disks = Double.NaN;
-        double inHand = Double.NaN;
-        for (int from = 0; from <= text.length(); ) {
-            int end = text.indexOf(separator, from);
-            String pair = text.substring(from, end < 0 ? text.length() : end);
-            from = end < 0 ? text.length() + 1 : end + 1;
-            if (pair.isEmpty()) {
-                continue; // a separator at the end
-            }
-            int colon = pair.indexOf(':');
-            OptionalDouble told =
-                    colon < 0 ? OptionalDouble.empty() : number(pair.substring(colon + 1));
-            if (told.isEmpty()) {
-                complain.accept(pair);
-                continue;
+    public static LoadReport read(String text, char separator, Consumer<String> onMalformedPair) {
+        LoadReportParser parser = new LoadReportParser();
+        int start = 0;
+        while (start <= text.length()) {
+            int separatorIndex = text.indexOf(separator, start);
+            int end = separatorIndex < 0 ? text.length() : separatorIndex;
+            if (end > start) {
+                parser.readPair(text.substring(start, end), onMalformedPair);
             }
-            double value = told.getAsDouble();
-            switch (pair.substring(0, colon)) {
-                case "pending", "queue" -> waiting = value;
-                case "cpu_share", "util" -> cores = value;
-                case "x0" -> memory = value;
-                case "x1" -> disks = value;
-                case "busy_reqs", "inflight" -> inHand = value;
-                default -> {}
+            start = end + 1;
+        }
+        return parser.report();
+    }
+
+    private void readPair(String pair, Consumer<String> onMalformedPair) {
+        int nameEnd = pair.indexOf(NAME_END);
+        OptionalDouble value =
+                nameEnd < 0 ? OptionalDouble.empty() : parseValue(pair.substring(nameEnd + 1));
+        if (value.isEmpty()) {
+            onMalformedPair.accept(pair);
+            return;
+        }
+        setValue(pair.substring(0, nameEnd), value.getAsDouble());
+    }
+
+    private void setValue(String name, double value) {
+        switch (name) {
+            case "pending", "queue" -> queued = value;
+            case "cpu_share", "util" -> coreUtilization = value;
+            case "x0" -> memoryGranted = value;
+            case "x1" -> diskUtilization = value;
+            case "busy_reqs", "inflight" -> inFlight = value;
+            default -> {
+                // Engines may report more than the router uses.
             }
         }
-        return new LoadReport(waiting, cores, memory, disks, inHand);
     }
 
-    private static OptionalDouble number(String text) {
+    private LoadReport report() {
+        return new LoadReport(queued, coreUtilization, memoryGranted, diskUtilization, inFlight);
+    }
+
+    private static OptionalDouble parseValue(String text) {
         try {
             double value = Double.parseDouble(text);
             return OptionalDouble.of(value >= 0 && Double.isFinite(value) ? value : Double.NaN);
--- a/config/src/main/java/ashlink/config/flat/SettingsReader.java
+++ b/config/src/main/java/ashlink/config/flat/SettingsReader.java
@@ -14,11 +14,16 @@
 import java.util.Set;
 
 /**
- * Reads the settings with which a router starts; complaints name the setting in the platform's
- * words.
+ * Reads the settings of a router from the flat names of the platform; errors name a setting as the
+ * platform does.
  */
 public final class SettingsReader {
 
+    private static final String CORES_OF_KINDS = "extra.kind-cores";
+    private static final String MEMORY_OF_KINDS = "extra.ram-of-kind-mb";
+    private static final String THREADS_OF_CLASSES = "extra.width-by-class";
+    private static final String LIST_SEPARATOR = ",";
+
     private final Fields fields;
 
     private SettingsReader(Fields fields) {
@@ -26,8 +31,9 @@
     }
 
     /**
-     * Returns the settings of a start message, or throws {@link IllegalArgumentException} naming a
-     * bad one.
+     * Returns the settings of a start message.
+     *
+     * @throws IllegalArgumentException naming a setting that is missing or not accepted
      */
     public static Settings read(Fields fields) {
         try {
@@ -43,10 +49,10 @@
                 (int) fields.whole("balancers"),
                 (int) fields.whole("position", 0),
                 fields.text("zone", ""),
-                classes(),
-                kinds(),
-                allowed(),
-                limits(),
+                queryClasses(),
+                engineKinds(),
+                capabilities(),
+                policyLimits(),
                 tenants(),
                 fields.number("over-share-worth", 1));
     }
@@ -55,51 +61,56 @@
         List<Tenant> tenants = new ArrayList<>();
         long count = fields.whole("parties.count", 0);
         for (int i = 0; i < count; i++) {
-            String at = "parties." + i + ".";
+            String prefix = "parties." + i + ".";
             tenants.add(
-                    new Tenant(fields.needed(at + "name"), fields.number(at + "quota-per-s", 0)));
+                    new Tenant(
+                            fields.needed(prefix + "name"),
+                            fields.number(prefix + "quota-per-s", 0)));
         }
         return tenants;
     }
 
-    private List<QueryClass> classes() {
-        List<String> threads = list("extra.width-by-class");
-        List<String> holds = list("extra.writes-tables");
-        List<String> waits = list("extra.waits-for-loads");
+    private List<QueryClass> queryClasses() {
+        List<String> threads = list(THREADS_OF_CLASSES);
+        List<String> locksTables = list("extra.writes-tables");
+        List<String> waitsForTableLocks = list("extra.waits-for-loads");
         List<QueryClass> classes = new ArrayList<>();
         long count = fields.whole("classes.count");
         for (int i = 0; i < count; i++) {
             classes.add(
                     queryClass(
                             "classes." + i + ".",
-                            (int) number("extra.width-by-class", threads, i, 1),
-                            i < holds.size() && holds.get(i).equals("true"),
-                            i < waits.size() && waits.get(i).equals("true")));
+                            (int) numberAt(i, THREADS_OF_CLASSES, threads, 1),
+                            flagAt(i, locksTables),
+                            flagAt(i, waitsForTableLocks)));
         }
         return classes;
     }
 
-    private QueryClass queryClass(String at, int threads, boolean holds, boolean waits) {
-        RetrySafety effect = effect(at + "effect");
+    private QueryClass queryClass(
+            String prefix, int threads, boolean locksTables, boolean waitsForTableLocks) {
+        RetrySafety retrySafety = retrySafety(prefix + "effect");
         return new QueryClass(
-                fields.needed(at + "name"),
-                fields.whole(at + "promise-ns"),
-                fields.number(at + "aim-stretch", 0),
-                fields.whole(at + "deadline-ns"),
-                effect,
-                effect == RetrySafety.DEDUPLICATED ? group(at + "group") : DeduplicationScope.ALL,
-                fields.whole(at + "memory-span-ns", 0),
-                fields.number(at + "gain"),
-                fields.number(at + "late-share", 0),
-                fields.flag(at + "one-at-a-time"),
-                set(at + "host-types-allowed"),
-                set(at + "failure-domains-open"),
+                fields.needed(prefix + "name"),
+                fields.whole(prefix + "promise-ns"),
+                fields.number(prefix + "aim-stretch", 0),
+                fields.whole(prefix + "deadline-ns"),
+                retrySafety,
+                retrySafety == RetrySafety.DEDUPLICATED
+                        ? deduplicationScope(prefix + "group")
+                        : DeduplicationScope.ALL,
+                fields.whole(prefix + "memory-span-ns", 0),
+                fields.number(prefix + "gain"),
+                fields.number(prefix + "late-share", 0),
+                fields.flag(prefix + "one-at-a-time"),
+                set(prefix + "host-types-allowed"),
+                set(prefix + "failure-domains-open"),
                 threads,
-                holds,
-                waits);
+                locksTables,
+                waitsForTableLocks);
     }
 
-    private RetrySafety effect(String name) {
+    private RetrySafety retrySafety(String name) {
         return switch (fields.needed(name)) {
             case "idempotent" -> RetrySafety.IDEMPOTENT;
             case "deduplicated" -> RetrySafety.DEDUPLICATED;
@@ -108,7 +119,7 @@
         };
     }
 
-    private DeduplicationScope group(String name) {
+    private DeduplicationScope deduplicationScope(String name) {
         return switch (fields.needed(name)) {
             case "all" -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
@@ -122,22 +133,22 @@
                 "setting " + name + " is unknown: " + fields.text(name));
     }
 
-    private List<EngineKind> kinds() {
+    private List<EngineKind> engineKinds() {
         List<String> names = list("host-types");
-        List<String> cores = list("extra.kind-cores");
-        List<String> memory = list("extra.ram-of-kind-mb");
+        List<String> cores = list(CORES_OF_KINDS);
+        List<String> memoryMb = list(MEMORY_OF_KINDS);
         List<EngineKind> kinds = new ArrayList<>();
         for (int i = 0; i < names.size(); i++) {
             kinds.add(
                     new EngineKind(
                             names.get(i),
-                            (int) number("extra.kind-cores", cores, i, 1),
-                            number("extra.ram-of-kind-mb", memory, i, 0)));
+                            (int) numberAt(i, CORES_OF_KINDS, cores, 1),
+                            numberAt(i, MEMORY_OF_KINDS, memoryMb, 0)));
         }
         return kinds;
     }
 
-    private Capabilities allowed() {
+    private Capabilities capabilities() {
         return new Capabilities(
                 fields.flag("ceilings.may-probe"),
                 fields.flag("ceilings.cancel"),
@@ -155,7 +166,7 @@
                 fields.text("discovery", "push").equals("ask"));
     }
 
-    private PolicyLimits limits() {
+    private PolicyLimits policyLimits() {
         return new PolicyLimits(
                 fields.whole("rules.stop-sending-within-ns", 0),
                 fields.number("rules.cold-from", 0),
@@ -170,22 +181,29 @@
 
     private List<String> list(String name) {
         String value = fields.text(name, "");
-        return value.isEmpty() ? List.of() : List.of(value.split(","));
+        return value.isEmpty() ? List.of() : List.of(value.split(LIST_SEPARATOR));
     }
 
     private Set<String> set(String name) {
         return new LinkedHashSet<>(list(name));
     }
 
-    private double number(String name, List<String> values, int i, double absent) {
-        if (i >= values.size()) {
-            return absent;
+    /** Returns a number of a list, or {@code defaultValue} where the list is too short. */
+    private static double numberAt(
+            int index, String name, List<String> values, double defaultValue) {
+        if (index >= values.size()) {
+            return defaultValue;
         }
         try {
-            return Double.parseDouble(values.get(i));
+            return Double.parseDouble(values.get(index));
         } catch (NumberFormatException e) {
             throw new IllegalArgumentException(
-                    "setting " + name + " is not a list of numbers: " + values.get(i), e);
+                    "setting " + name + " is not a list of numbers: " + values.get(index), e);
         }
     }
+
+    /** Returns a flag of a list, or false where the list is too short. */
+    private static boolean flagAt(int index, List<String> values) {
+        return index < values.size() && values.get(index).equals("true");
+    }
 }
--- a/config/src/main/java/ashlink/config/flat/package-info.java
+++ b/config/src/main/java/ashlink/config/flat/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The platform's settings as flat names and values, as the simulator's wire writes them and as its
- * JSON flattens: one reader for both. Decides nothing.
+ * Settings and load reports as flat names and values: the form that the protocol of the simulator
+ * and the flattened JSON of the platform have in common. Maps the names of both to the types of the
+ * decision module.
  */
 package ashlink.config.flat;
