--- a/config/src/main/java/ashlink/config/EngineConfig.java
+++ b/config/src/main/java/ashlink/config/EngineConfig.java
@@ -4,21 +4,26 @@
 import java.nio.file.Path;
 
 /**
- * Settings of a stand-in engine.
+ * Settings of an emulated engine.
  *
- * @param speed of a core against a usual one
- * @param knee threads a core at which most work is done
- * @param thrash share of the work lost at twice the knee
- * @param spill times the work that a query without any memory does further
- * @param memoryLine true if a query waits for memory, false if it gets what is left
- * @param disks share of its threads that may read or write at once
- * @param coldFrom share of its capacity at its start
- * @param coldNs time until it is warm
- * @param fallMultiple times what it can do while cold which, sent for {@code fallNs}, makes it fall
- *     over; 0: never
+ * @param listen address to listen on; port 0 stands for any free port
+ * @param zone failure domain that the engine runs in; may be empty
+ * @param kind name of its hardware; may be empty
+ * @param speed speed of a core relative to the reference, which is 1
+ * @param knee threads per core at which throughput is highest
+ * @param thrash fraction of the throughput lost at twice the knee
+ * @param spill extra work of a query without any memory, as a multiple of its work
+ * @param memoryLine true if a query waits for memory, false if it runs with what is free
+ * @param disks fraction of its threads that may perform I/O at once
+ * @param coldFrom fraction of its capacity right after a start
+ * @param coldNs duration of the slow start after which the capacity is complete
+ * @param fallMultiple load, as a multiple of its capacity during slow start, that crashes the
+ *     engine when it lasts {@code fallNs}; 0 disables this
+ * @param fallNs time for which the load must last
  * @param heedsCancel true if a cancel or a closed connection stops the work
- * @param sessions queries that it takes at once; further ones are turned away
- * @param ledger file that each statement is noted in, or null
+ * @param sessions concurrent queries; further ones are rejected
+ * @param seed seed of all random choices
+ * @param ledger file in which each statement is recorded, or null
  */
 public record EngineConfig(
         String name,
--- a/config/src/main/java/ashlink/config/Node.java
+++ b/config/src/main/java/ashlink/config/Node.java
@@ -2,29 +2,32 @@
 
 import java.util.List;
 
-/** A word, a text or a list, and where it stands. */
+/** A node of a parsed settings file and its place; lines and columns count from 1. */
 sealed interface Node {
 
+    /** Longest excerpt of the file in an error message, in characters. */
+    int MAX_SHOWN_CHARS = 60;
+
     int line();
 
     int column();
 
-    /** A word, or a text in quotes without them. */
+    /** A word, or the content of a quoted text. */
     record Atom(String text, int line, int column) implements Node {}
 
     /** A list; that of a setting starts with its name. */
     record Form(List<Node> items, int line, int column) implements Node {
 
-        /** The word that it starts with, or an empty text. */
+        /** Returns the word that the list starts with, or an empty text. */
         String head() {
             return !items.isEmpty() && items.get(0) instanceof Atom atom ? atom.text() : "";
         }
     }
 
-    /** How the node is shown in an error: in short. */
+    /** Returns an excerpt of the node for error messages. */
     default String shown() {
         String text =
                 this instanceof Atom atom ? atom.text() : "(" + ((Form) this).head() + " ...)";
-        return text.length() > 60 ? text.substring(0, 60) + "..." : text;
+        return text.length() > MAX_SHOWN_CHARS ? text.substring(0, MAX_SHOWN_CHARS) + "..." : text;
     }
 }
--- a/config/src/main/java/ashlink/config/Passwords.java
+++ b/config/src/main/java/ashlink/config/Passwords.java
@@ -3,56 +3,64 @@
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.security.SecureRandom;
+import java.util.regex.Pattern;
 import org.bouncycastle.crypto.generators.OpenBSDBCrypt;
 
-/** Salted hashes of passwords: bcrypt, by a library. */
+/** Salted password hashes by bcrypt. Safe for use by several threads. */
 public final class Passwords {
 
-    /** Cost of new hashes: some tens of milliseconds each. */
+    /** Cost of new hashes, the logarithm of the rounds: tens of milliseconds per hash. */
     public static final int COST = 10;
 
     private static final int SALT_BYTES = 16;
 
-    /** Longest password that bcrypt tells apart. */
-    private static final int MOST_BYTES = 72;
+    /** bcrypt ignores the bytes of a password beyond this. */
+    private static final int MAX_PASSWORD_BYTES = 72;
 
+    private static final Pattern HASH =
+            Pattern.compile("\\$2[aby]\\$[0-3][0-9]\\$[./A-Za-z0-9]{53}");
     private static final SecureRandom RANDOM = new SecureRandom();
 
-    /** Checked against where the user is unknown, so that the time tells nothing. */
-    private static final String NOBODY = hash("nobody", COST);
+    /** Compared for unknown users, so that the response time does not reveal which users exist. */
+    private static final String UNKNOWN_USER_HASH = hash("nobody", COST);
 
     private Passwords() {}
 
-    /** The hash of a password, with a new salt; {@code cost} 4 to 31. */
+    /**
+     * Returns the hash of a password with a new salt.
+     *
+     * @param cost logarithm of the rounds, from 4 to 31
+     */
     public static String hash(String password, int cost) {
         byte[] salt = new byte[SALT_BYTES];
         RANDOM.nextBytes(salt);
-        return OpenBSDBCrypt.generate(bounded(password), salt, cost);
+        return OpenBSDBCrypt.generate(truncate(password), salt, cost);
     }
 
-    /** True for a text that is such a hash. */
+    /** Tells whether a text has the form of a hash. */
     public static boolean isHash(String text) {
-        return text.matches("\\$2[aby]\\$[0-3][0-9]\\$[./A-Za-z0-9]{53}");
+        return HASH.matcher(text).matches();
     }
 
     /**
-     * Checks a password; {@code hash} null is an unknown user, empty is a user whose password is
-     * empty.
+     * Compares a password with a hash.
+     *
+     * @param hash hash of the user; null for an unknown user, empty for an empty password
      */
     public static boolean matches(String password, String hash) {
         if (hash == null) {
-            OpenBSDBCrypt.checkPassword(NOBODY, bounded(password));
+            OpenBSDBCrypt.checkPassword(UNKNOWN_USER_HASH, truncate(password));
             return false;
         }
         if (hash.isEmpty()) {
             return MessageDigest.isEqual(password.getBytes(StandardCharsets.UTF_8), new byte[0]);
         }
-        return OpenBSDBCrypt.checkPassword(hash, bounded(password));
+        return OpenBSDBCrypt.checkPassword(hash, truncate(password));
     }
 
-    private static char[] bounded(String password) {
+    private static char[] truncate(String password) {
         String text = password;
-        while (text.getBytes(StandardCharsets.UTF_8).length > MOST_BYTES) {
+        while (text.getBytes(StandardCharsets.UTF_8).length > MAX_PASSWORD_BYTES) {
             text = text.substring(0, text.length() - 1);
         }
         return text.toCharArray();
--- a/config/src/main/java/ashlink/config/RouterConfig.java
+++ b/config/src/main/java/ashlink/config/RouterConfig.java
@@ -5,7 +5,6 @@
 import ashlink.decisions.api.EngineKind;
 import ashlink.decisions.api.PolicyLimits;
 import ashlink.decisions.api.QueryClass;
-import ashlink.decisions.api.RetrySafety;
 import ashlink.decisions.api.Settings;
 import ashlink.decisions.api.Tenant;
 import java.net.InetSocketAddress;
@@ -16,7 +15,35 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** Settings of one router; made by {@link RouterConfigReader} only, so they are checked. */
+/**
+ * The validated settings of one router; {@link RouterConfigReader} creates them.
+ *
+ * @param name name of the router, unique in its fleet
+ * @param zone failure domain that the router runs in; empty where none are set
+ * @param seed seed of the decision module
+ * @param gateways routers of the fleet, this one included
+ * @param position index of this router in the fleet, from 0
+ * @param listen address of the native protocol
+ * @param metrics address of the metrics endpoint, or null
+ * @param stateDir directory of the state that survives a restart, or null
+ * @param bounds limits of memory, counts and time
+ * @param kinds hardware of the engines
+ * @param engines the engines by name, in the order of the file
+ * @param classes the query classes by name, in the order of the file
+ * @param rules rules that assign a class to a statement, in the order in which they are tried
+ * @param defaultClass class of statements that no rule matches
+ * @param defaultWriteClass class of those among them that may write
+ * @param users the users by name
+ * @param tenants the tenants with their quotas
+ * @param overShareWorth fraction of its weight that a query beyond its tenant's quota keeps
+ * @param allowed what the decision module may use
+ * @param limits limits of the rules of the installation
+ * @param gauges metric names under which engines report their load
+ * @param engineLogin credentials of the router at the engines
+ * @param capture settings of the capture
+ * @param http settings of the statement API
+ * @param control settings of the control channel
+ */
 public record RouterConfig(
         String name,
         String zone,
@@ -44,7 +71,12 @@
         HttpSpec http,
         ControlSpec control) {
 
-    /** An engine of the list. */
+    /**
+     * An engine of the static endpoint list.
+     *
+     * @param kind name of its hardware; may be empty
+     * @param cell group of engines that share deduplication
+     */
     public record EngineSpec(
             String name,
             InetSocketAddress address,
@@ -54,15 +86,22 @@
             EndpointState phase) {}
 
     /**
-     * A user: salted hash of the password (bcrypt), empty for one without, and the tenant that it
-     * belongs to.
+     * A user.
+     *
+     * @param passwordHash bcrypt hash of the password; empty for a user without a password
+     * @param tenant tenant that the user belongs to; empty for none
      */
     public record UserSpec(String name, String passwordHash, String tenant) {}
 
     /**
-     * What is captured, and where; {@code dir} null is nothing.
+     * Settings of the capture of events and actions.
      *
-     * @param keySecret by which keys are hashed; empty: one drawn at each start
+     * @param dir directory of the capture; null disables it
+     * @param segmentBytes size at which a segment is closed
+     * @param keptBytes total size beyond which the oldest segments are deleted
+     * @param queue entries that wait to be written before further ones are dropped
+     * @param syncNs interval between two flushes to the disk
+     * @param keySecret secret by which ordering keys are hashed; empty: one drawn at each start
      */
     public record CaptureSpec(
             Path dir,
@@ -73,20 +112,35 @@
             String keySecret) {}
 
     /**
-     * The statement API over HTTP; {@code listen} null: there is none. docs/operating.md has each
-     * setting.
+     * Settings of the statement API over HTTP.
      *
-     * @param spool folder for results, null: they stay in memory
-     * @param pageBytes raw bytes of a result after which a page is full
-     * @param memoryBytes raw bytes of a statement's result that are kept in memory
-     * @param memoryAllBytes the same of all statements
-     * @param spoolStatement bytes of a result on disk that its client has not let go of
-     * @param unpolledNs a statement under way that nobody asks for is called off after that
-     * @param keptNs a result that nobody fetches is dropped after that
-     * @param lingerNs a result whose last page was fetched is dropped after that
-     * @param tombstoneNs time for which a dropped statement is answered as gone
-     * @param renderBytes bytes of answers on their way to clients at once
-     * @param peers addresses of the other routers by name, for polls that reach the wrong one
+     * @param listen address to listen on; null disables the API
+     * @param spool directory for results; null keeps them in memory
+     * @param pageBytes raw size of a result at which a page is complete
+     * @param memoryBytes raw size of a statement's result that stays in memory
+     * @param memoryAllBytes the same of all statements together
+     * @param spoolStatement result bytes of one statement on disk that its client has not
+     *     acknowledged
+     * @param spoolUser the same of all statements of a user
+     * @param spoolAll the same of all statements
+     * @param open statements open at once
+     * @param openUser the same of one user
+     * @param unpolledNs time without a poll after which a running statement is cancelled
+     * @param keptNs time after which a result that is not fetched is deleted
+     * @param lingerNs time after which a result is deleted once its last page was fetched
+     * @param tombstones deleted statements that are remembered
+     * @param tombstoneNs time for which a deleted statement is reported as expired
+     * @param longestWaitNs longest wait of a poll; less than {@code idleNs}
+     * @param bodyBytes longest request body
+     * @param headerBytes longest request header
+     * @param connections client connections at once
+     * @param headerNs time for a client to send a header
+     * @param bodyNs time for a client to send a body
+     * @param idleNs time after which an idle connection is closed
+     * @param renderBytes response bytes in memory at once
+     * @param keys idempotency keys that are remembered
+     * @param keyNs time for which an idempotency key is remembered
+     * @param peers base URLs of the other routers by name, for polls that reach the wrong one
      */
     public record HttpSpec(
             InetSocketAddress listen,
@@ -117,20 +171,29 @@
             Map<String, String> peers) {}
 
     /**
-     * The control channel; {@code listen} null: there is none.
+     * Settings of the control channel between routers.
      *
-     * @param keys folder with {@code ca.crt}, and {@code NAME.crt} and {@code NAME.key} of this
+     * @param listen address to listen on; null disables the channel
+     * @param keys directory with {@code ca.crt}, and {@code NAME.crt} and {@code NAME.key} of this
      *     router
-     * @param peers control addresses of the other routers, by name
+     * @param peers control addresses of the other routers by name
      */
     public record ControlSpec(
             InetSocketAddress listen, Path keys, Map<String, InetSocketAddress> peers) {}
 
-    /** What the router logs in as at the engines. */
+    /** Credentials of the router at the engines. */
     public record EngineLogin(String user, String password) {}
 
     /**
-     * The class of requests that match all that is not empty; the first rule that matches holds.
+     * A rule that assigns a query class. It matches a statement that matches every condition that
+     * is not empty; the first rule that matches decides.
+     *
+     * @param queryClass class that the rule assigns
+     * @param keywords first keywords of a statement, in upper case
+     * @param kinds kinds of statement
+     * @param tables patterns of which one must match the name of a table
+     * @param fingerprints fingerprints of the normalized statement, in hex
+     * @param setting setting of the request that must have {@code value}
      */
     public record ClassRule(
             String queryClass,
@@ -143,12 +206,12 @@
             String setting,
             String value) {}
 
-    /** A value that engines tell under a name, to be divided by {@code divisor}. */
+    /** A metric of the engines; its value is divided by {@code divisor}. */
     public record Gauge(String name, double divisor) {}
 
     /**
-     * Where engines tell their load: of each list the first that is told counts; an empty list is
-     * not told.
+     * Metrics from which the load of an engine is read. Of each list, the first metric that the
+     * engine reports counts; an empty list stands for a value that is not reported.
      */
     public record Gauges(
             List<Gauge> waiting,
@@ -161,17 +224,25 @@
             List<Gauge> uptimeS) {}
 
     /**
-     * Limits of memory, counts and time. All are counted; docs/operating.md says what happens at
-     * each.
+     * Limits of memory, counts and time; docs/operating.md says what happens at each.
      *
-     * @param heldAnswer bytes of an answer kept back before its first byte goes to the client
+     * @param connections client connections at once
+     * @param openRequests requests that are queued or run at once
+     * @param queue events that wait for the decision thread before new requests are rejected
+     * @param heldAnswer bytes of a response that are buffered before its first byte is sent
      * @param heldAnswers the same of all requests together
-     * @param heldInsert bytes of an insert kept so that another attempt can have them
+     * @param heldInsert bytes of an insert that are buffered for a retry
      * @param heldInserts the same of all requests together
-     * @param answerMarginNs time before the client's own deadline by which its answer must be on
-     *     the way
-     * @param queue events that wait for the decision thread before requests are turned away at the
-     *     door
+     * @param packet longest packet of the native protocol in bytes
+     * @param loginNs time for a client to log in
+     * @param connectNs time to connect to an engine
+     * @param idleEngineNs time after which an idle engine connection is closed
+     * @param idleClientNs time after which an idle client connection is closed
+     * @param engineConnections connections to one engine at once
+     * @param stopNs time for open requests to end at shutdown
+     * @param stackBytes stack of each connection thread
+     * @param answerMarginNs time before the client's own deadline by which its response must be
+     *     sent
      */
     public record Bounds(
             int connections,
@@ -191,7 +262,7 @@
             long stackBytes,
             long answerMarginNs) {}
 
-    /** What the decision module is told at its start; {@code seed} as given there. */
+    /** Returns the settings of the decision module. */
     public Settings settings() {
         return new Settings(
                 seed,
@@ -206,39 +277,22 @@
                 overShareWorth);
     }
 
-    /** The name of the strict twin of a class. */
+    /** Returns the name of the at-most-once variant of a class. */
     public static String strictName(String queryClass) {
         return queryClass + "/once";
     }
 
     /**
-     * The classes, and for each that may be repeated and is bound to some engines a twin that may
-     * not: a statement that turns out not to be a plain read keeps the placement of its class and
-     * loses the repeats.
+     * Returns the classes, and an at-most-once variant of each class that may be retried and is
+     * restricted to some engines. A statement that turns out not to be a plain read moves to the
+     * variant: it keeps the placement of its class and is no longer retried.
      */
     public Map<String, QueryClass> allClasses() {
         Map<String, QueryClass> all = new LinkedHashMap<>(classes);
         for (QueryClass queryClass : classes.values()) {
-            if (queryClass.retrySafety() != RetrySafety.AT_MOST_ONCE
-                    && !(queryClass.engineKinds().isEmpty() && queryClass.zones().isEmpty())) {
-                all.put(
-                        strictName(queryClass.name()),
-                        new QueryClass(
-                                strictName(queryClass.name()),
-                                queryClass.latencyObjectiveNs(),
-                                queryClass.objectivePerWork(),
-                                queryClass.deadlineNs(),
-                                RetrySafety.AT_MOST_ONCE,
-                                queryClass.deduplicationScope(),
-                                0,
-                                queryClass.priorityWeight(),
-                                queryClass.lateWeightFraction(),
-                                queryClass.ordered(),
-                                queryClass.engineKinds(),
-                                queryClass.zones(),
-                                queryClass.threads(),
-                                queryClass.locksTables(),
-                                queryClass.waitsForTableLocks()));
+            if (AtMostOnceVariants.isNeeded(queryClass)) {
+                String name = strictName(queryClass.name());
+                all.put(name, AtMostOnceVariants.create(name, queryClass));
             }
         }
         return all;
--- a/config/src/main/java/ashlink/config/RouterConfigReader.java
+++ b/config/src/main/java/ashlink/config/RouterConfigReader.java
@@ -72,13 +72,7 @@
         String zone = top.text("zone", zones.isEmpty() ? "" : zones.iterator().next());
         top.checkOneOf("zone", zone, zones);
         Map<String, EngineSpec> engines = TopologyReader.engines(top, engineKinds, zones);
-        Map<String, QueryClass> queryClasses =
-                QueryClassReader.queryClasses(top, engineKinds, zones);
-        List<Tenant> tenants = UserReader.tenants(top);
-        Map<String, UserSpec> users = UserReader.users(top, tenants);
-        List<ClassRule> rules = ClassRuleReader.rules(top, queryClasses.keySet(), users.keySet());
-        String defaultClass = QueryClassReader.defaultClass(top, queryClasses);
-        String defaultWriteClass = QueryClassReader.defaultWriteClass(top, queryClasses);
+        Workload workload = workload(top, engineKinds, zones);
         Listeners listeners = listeners(top);
         EngineLogin engineLogin = engineLogin(top);
         Path stateDir = top.has("state-dir") ? Path.of(top.text("state-dir", "")) : null;
@@ -94,12 +88,12 @@
                 ResourceLimitsReader.read(top),
                 engineKinds,
                 engines,
-                queryClasses,
-                rules,
-                defaultClass,
-                defaultWriteClass,
-                users,
-                tenants,
+                workload.queryClasses(),
+                workload.rules(),
+                workload.defaultClass(),
+                workload.defaultWriteClass(),
+                workload.users(),
+                workload.tenants(),
                 top.number("over-share-worth", 1.0, 0, 1),
                 PolicyReader.capabilities(top),
                 PolicyReader.policyLimits(top),
@@ -110,6 +104,29 @@
                 ControlConfigReader.read(top));
     }
 
+    /** The groups of settings that refer to each other by name: classes, tenants, users, rules. */
+    private record Workload(
+            Map<String, QueryClass> queryClasses,
+            List<Tenant> tenants,
+            Map<String, UserSpec> users,
+            List<ClassRule> rules,
+            String defaultClass,
+            String defaultWriteClass) {}
+
+    private static Workload workload(Section top, List<EngineKind> engineKinds, Set<String> zones) {
+        Map<String, QueryClass> queryClasses =
+                QueryClassReader.queryClasses(top, engineKinds, zones);
+        List<Tenant> tenants = UserReader.tenants(top);
+        Map<String, UserSpec> users = UserReader.users(top, tenants);
+        return new Workload(
+                queryClasses,
+                tenants,
+                users,
+                ClassRuleReader.rules(top, queryClasses.keySet(), users.keySet()),
+                QueryClassReader.defaultClass(top, queryClasses),
+                QueryClassReader.defaultWriteClass(top, queryClasses));
+    }
+
     /** Addresses to listen on; {@code metrics} is null where there is no metrics listener. */
     private record Listeners(InetSocketAddress nativeProtocol, InetSocketAddress metrics) {}
 
--- a/config/src/main/java/ashlink/config/ScenarioConfig.java
+++ b/config/src/main/java/ashlink/config/ScenarioConfig.java
@@ -4,10 +4,15 @@
 import java.util.Map;
 
 /**
- * A scripted day: a fleet, its load, and what goes wrong.
+ * A load scenario: a fleet, its load, and the faults that are injected.
  *
- * @param httpShare of queries that come by the statement API over HTTP, from 0 to 1
- * @param settings further settings of all routers, as text
+ * @param seed seed of the load and of the faults
+ * @param engines the emulated engines by name, in the order of the file
+ * @param ratePerS queries per second of all classes
+ * @param httpShare fraction of the queries sent through the HTTP statement API, from 0 to 1
+ * @param load the classes of queries
+ * @param troubles the faults, in the order of the file
+ * @param settings further settings of all routers, as text of a settings file
  */
 public record ScenarioConfig(
         String name,
@@ -21,8 +26,8 @@
         List<Fault> troubles,
         String settings) {
 
-    /** The same with another seed, share of HTTP, and more settings of all routers. */
-    public ScenarioConfig with(long newSeed, double newHttpShare, String more) {
+    /** Returns a copy with another seed and HTTP fraction, and with settings appended. */
+    public ScenarioConfig with(long newSeed, double newHttpShare, String moreSettings) {
         return new ScenarioConfig(
                 name,
                 durationNs,
@@ -33,21 +38,29 @@
                 newHttpShare,
                 load,
                 troubles,
-                settings + more);
+                settings + moreSettings);
     }
 
-    /** A router of the day. */
+    /** A router of the scenario. */
     public record RouterSpec(String name, String zone) {}
 
     /**
-     * Queries of one class.
+     * The load of one query class.
      *
-     * @param share of all queries
-     * @param workNs of all threads, on average; drawn log-normally with that spread
-     * @param retries that a client makes after a refusal, or a failure where repeating is safe
-     * @param waitNs before a retry
-     * @param keys that queries of the class are spread over; 0: they have none
-     * @param groups of tables that they are spread over
+     * @param share fraction of all queries
+     * @param workNs mean work of a query, summed over its threads; log-normally distributed
+     * @param spread standard deviation of the logarithm of the work
+     * @param threads threads of a query
+     * @param io fraction of the work that is I/O
+     * @param memoryMb memory that a query needs
+     * @param timeoutNs time after which the client gives up
+     * @param user user that sends the queries
+     * @param write whether the queries are inserts
+     * @param retries times that a client retries after a rejection, or after a failure where
+     *     repeating is safe
+     * @param waitNs delay of the client before a retry
+     * @param keys ordering keys that the queries are spread over; 0: they have none
+     * @param groups table groups that the queries are spread over
      */
     public record LoadClass(
             String name,
@@ -65,38 +78,45 @@
             int keys,
             int groups) {}
 
-    /** What can go wrong. */
+    /** Kinds of injected faults. */
     public enum FaultKind {
-        /** An engine takes all and answers nothing. */
+        /** An engine accepts queries and never responds. */
         HANG,
-        /** An engine works at {@code factor} of its speed. */
+        /** An engine runs at {@code factor} of its speed. */
         SLOW,
-        /** An engine grows slower, down to {@code factor} of its speed. */
+        /** The speed of an engine falls gradually to {@code factor}. */
         AGE,
-        /** An engine dies and comes back cold. */
+        /** An engine crashes and restarts with slow start. */
         CRASH,
-        /** The list says that an engine drains. */
+        /** The endpoint list marks an engine as draining. */
         DRAIN,
-        /** An engine does the work and loses {@code factor} of the answers. */
+        /** An engine executes its queries and loses {@code factor} of the responses. */
         LOST_ANSWERS,
-        /** A router dies and comes back. */
+        /** A router crashes and restarts. */
         ROUTER_KILL,
-        /** All engines of a zone die and come back cold. */
+        /** All engines of a zone crash and restart with slow start. */
         HALL_LOST,
-        /** {@code factor} times the usual load. */
+        /** The load is multiplied by {@code factor}. */
         BURST,
         /** An engine closes each connection at once. */
         REFUSE,
-        /** Queries of a class cost {@code factor} times the usual. */
+        /** The work of a class is multiplied by {@code factor}. */
         HEAVY_TAIL,
-        /** {@code factor} of all queries go to one group of tables. */
+        /** {@code factor} of all queries use one table group. */
         HOT_GROUP,
-        /** {@code factor} of all queries come to one router. */
+        /** {@code factor} of all queries are sent to one router. */
         HOT_CALLER,
-        /** What the list says reaches the routers {@code factor} seconds late. */
+        /** Routers receive endpoint updates {@code factor} seconds late. */
         LIST_LATE
     }
 
-    /** Something that goes wrong; {@code factor} is a speed, a share or a multiple of the load. */
+    /**
+     * An injected fault.
+     *
+     * @param atNs time from the start of the scenario
+     * @param forNs duration
+     * @param target engine, router, zone or class that it affects; empty where the kind has none
+     * @param factor strength; its meaning depends on the kind
+     */
     public record Fault(FaultKind kind, long atNs, long forNs, String target, double factor) {}
 }
--- a/config/src/test/java/ashlink/config/RouterConfigTest.java
+++ b/config/src/test/java/ashlink/config/RouterConfigTest.java
@@ -8,9 +8,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** The settings file of a router: values, defaults, and the problems that are reported. */
 class RouterConfigTest {
 
-    private static final String GOOD =
+    private static final String VALID =
             """
             (router (name r1) (zones h1 h2) (zone h1) ; a comment
               (kind big (cores 8) (memory 16GiB))
@@ -28,25 +29,25 @@
     }
 
     @Test
-    void aWholeFileIsRead() throws ConfigException {
-        RouterConfig routerConfig = RouterConfigReader.read("f.sexp", GOOD);
-        assertEquals(16384, routerConfig.kinds().get(0).memoryMb());
-        assertEquals(2_500_000_000L, routerConfig.classes().get("look").deadlineNs());
-        assertEquals(RetrySafety.AT_MOST_ONCE, routerConfig.classes().get("load").retrySafety());
-        assertEquals(1.5, routerConfig.tenants().get(0).quotaPerS());
+    void readsAValidFile() throws ConfigException {
+        RouterConfig config = RouterConfigReader.read("f.sexp", VALID);
+        assertEquals(16384, config.kinds().get(0).memoryMb());
+        assertEquals(2_500_000_000L, config.classes().get("look").deadlineNs());
+        assertEquals(RetrySafety.AT_MOST_ONCE, config.classes().get("load").retrySafety());
+        assertEquals(1.5, config.tenants().get(0).quotaPerS());
         assertEquals(
                 List.of("load", "look"),
-                routerConfig.settings().classes().stream()
+                config.settings().classes().stream()
                         .map(queryClass -> queryClass.name())
                         .sorted()
                         .toList());
     }
 
     @Test
-    void allProblemsAreToldAtOnceWithPlaceValueAndWhatIsAccepted() {
+    void reportsAllProblemsWithPlaceValueAndAcceptedValues() {
         List<ConfigProblem> found =
                 problems(
-                        GOOD.replace("aim 500ms", "aim 5parsecs")
+                        VALID.replace("aim 500ms", "aim 5parsecs")
                                 .replace("16GiB", "lots")
                                 .replace("(zone h1) (kind big)", "(zone h9) (kind huge)")
                                 .replace("(worth 1)", "(wroth 1)")
@@ -70,7 +71,7 @@
     }
 
     @Test
-    void whatIsNoSExpressionIsToldWithItsPlace() {
+    void reportsThePlaceOfASyntaxError() {
         assertEquals(1, problems("(router (name r1)").get(0).line());
         assertTrue(problems(")").get(0).accepted().contains("parentheses"));
         assertTrue(problems("").get(0).accepted().contains("(router ...)"));
@@ -79,15 +80,15 @@
     }
 
     @Test
-    void writesNeedAClassThatIsNeverRepeated() {
+    void defaultWriteClassMustBeAtMostOnce() {
         List<ConfigProblem> found =
-                problems(GOOD.replace("(default-write-class load)", "(default-write-class look)"));
+                problems(VALID.replace("(default-write-class load)", "(default-write-class look)"));
         assertEquals(1, found.size());
         assertTrue(found.get(0).accepted().contains("load"), found.toString());
     }
 
     @Test
-    void passwordsAreHashedWithSaltAndHashesAreChecked() {
+    void hashesPasswordsWithASaltAndChecksTheFormOfHashes() {
         String text = Passwords.hash("x", 4);
         assertTrue(
                 !text.equals(Passwords.hash("x", 4))
@@ -98,6 +99,6 @@
                         && Passwords.matches("", "")
                         && !Passwords.matches("x", ""));
         assertEquals(
-                1, problems(GOOD.replace("(user u", "(user u (password-hash \"plain\")")).size());
+                1, problems(VALID.replace("(user u", "(user u (password-hash \"plain\")")).size());
     }
 }
