--- a/simulator/src/main/java/ashlink/simulator/LineFields.java
+++ b/simulator/src/main/java/ashlink/simulator/LineFields.java
@@ -4,28 +4,40 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Takes the name=value pairs of a line apart. */
+/** Splits a line of the simulator into its name and its fields {@code name=value}. */
 final class LineFields {
 
+    private static final char FIELD_SEPARATOR = ' ';
+    private static final char VALUE_SEPARATOR = '=';
+
     private LineFields() {}
 
-    /** Reads the pairs of a line behind its first word. */
+    /** Returns the name of a line, its first word. */
+    static String name(String line) {
+        int end = line.indexOf(FIELD_SEPARATOR);
+        return end < 0 ? line : line.substring(0, end);
+    }
+
+    /**
+     * Returns the fields of a line, whose name stands for their source in errors.
+     *
+     * @throws SimulatorProtocolException if a word after the name is no field
+     */
     static Fields of(String line) {
-        int end = line.indexOf(' ');
-        String what = end < 0 ? line : line.substring(0, end);
+        String name = name(line);
         Map<String, String> values = new HashMap<>();
-        int start = end < 0 ? line.length() : end + 1;
+        int start = name.length() + 1;
         while (start < line.length()) {
-            int space = line.indexOf(' ', start);
-            int stop = space < 0 ? line.length() : space;
-            int equals = line.indexOf('=', start);
-            if (equals < 0 || equals >= stop) {
+            int separator = line.indexOf(FIELD_SEPARATOR, start);
+            int end = separator < 0 ? line.length() : separator;
+            int equals = line.indexOf(VALUE_SEPARATOR, start);
+            if (equals < 0 || equals >= end) {
                 throw new SimulatorProtocolException(
-                        what + ": '" + line.substring(start, stop) + "' is no name=value pair");
+                        name + ": '" + line.substring(start, end) + "' is no name=value pair");
             }
-            values.put(line.substring(start, equals), line.substring(equals + 1, stop));
-            start = stop + 1;
+            values.put(line.substring(start, equals), line.substring(equals + 1, end));
+            start = end + 1;
         }
-        return Fields.of(what, values);
+        return Fields.of(name, values);
     }
 }
--- a/simulator/src/main/java/ashlink/simulator/Main.java
+++ b/simulator/src/main/java/ashlink/simulator/Main.java
@@ -8,34 +8,40 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Set;
 
-/**
- * Command line of the jar: {@code simulate} plays the simulator's wire on standard input and
- * output.
- */
+/** The command {@code simulate}: serves the simulator on standard input and output. */
 public final class Main {
 
-    /** The command, and the name that it had before 0.3. */
+    /** The command and its former name, which remains as an alias. */
     private static final Set<String> COMMANDS = Set.of("simulate", "drill");
 
+    private static final int BUFFER_CHARS = 1 << 16;
+    private static final int EXIT_PROTOCOL_ERROR = 1;
+    private static final int EXIT_USAGE = 2;
+
     private Main() {}
 
-    /** Runs the named command; exit status 2 is a wrong call, 1 a line that cannot be read. */
+    /**
+     * Runs the command until the input ends.
+     *
+     * <p>Exits with status 2 if the arguments are wrong, and with status 1 if the input violates
+     * the protocol.
+     */
     public static void main(String[] args) throws IOException {
         if (args.length != 1 || !COMMANDS.contains(args[0])) {
             System.err.println("usage: java -jar ashlink.jar simulate");
-            System.exit(2);
+            System.exit(EXIT_USAGE);
         }
         var in =
                 new BufferedReader(
-                        new InputStreamReader(System.in, StandardCharsets.UTF_8), 1 << 16);
+                        new InputStreamReader(System.in, StandardCharsets.UTF_8), BUFFER_CHARS);
         var out =
                 new BufferedWriter(
-                        new OutputStreamWriter(System.out, StandardCharsets.UTF_8), 1 << 16);
+                        new OutputStreamWriter(System.out, StandardCharsets.UTF_8), BUFFER_CHARS);
         try {
             new SimulatorAdapter().run(in, out);
         } catch (SimulatorProtocolException e) {
             System.err.println("ashlink: " + e.getMessage());
-            System.exit(1);
+            System.exit(EXIT_PROTOCOL_ERROR);
         }
     }
 }
--- a/simulator/src/main/java/ashlink/simulator/SimulatorAdapter.java
+++ b/simulator/src/main/java/ashlink/simulator/SimulatorAdapter.java
@@ -18,118 +18,131 @@
 import java.util.Map;
 
 /**
- * Plays the simulator's wire: reads batches, hands each event to its instance, writes one reply a
- * batch.
+ * Serves the protocol of the simulator: reads batches of lines, hands each event to the instance of
+ * the decision module that it names, and writes one reply per batch. Not safe for use by several
+ * threads.
  */
 final class SimulatorAdapter {
 
-    private record Instance(WorkloadManager gateway, Settings settings) {}
+    private static final long NO_ID = -1;
+
+    private record Instance(WorkloadManager manager, Settings settings) {}
 
     private final Map<Long, Instance> instances = new HashMap<>();
-    private final Map<Long, List<Endpoint>> lists = new HashMap<>();
+    private final Map<Long, List<Endpoint>> endpointLists = new HashMap<>();
     private final StringBuilder reply = new StringBuilder();
+    private final ActionEncoder encoder = new ActionEncoder(reply);
     private long lineNumber;
-    private long now;
+    private long nowNs;
 
     /**
-     * Reads batches until the input ends; throws {@link SimulatorProtocolException} for a line that
-     * cannot be read.
+     * Serves batches until the input ends between two of them.
+     *
+     * @throws SimulatorProtocolException naming the line that violates the protocol
      */
     void run(BufferedReader in, Writer out) throws IOException {
         try {
             while (readBatch(in)) {
-                out.append(reply).append("OK\n");
+                out.append(reply).append(WireNames.BATCH_REPLY).append('\n');
                 out.flush();
             }
         } catch (FieldException e) {
-            throw new SimulatorProtocolException("line " + lineNumber + ": " + e.getMessage());
+            throw new SimulatorProtocolException(lineNumber, e);
         }
     }
 
+    /** Reads a batch and writes the reply; returns false at the end of the input. */
     private boolean readBatch(BufferedReader in) throws IOException {
         reply.setLength(0);
-        String line = next(in);
+        String line = readLine(in);
         while (line != null && line.isEmpty()) {
-            line = next(in);
+            line = readLine(in);
         }
         if (line == null) {
             return false;
         }
-        if (!line.startsWith("SYNC ")) {
-            throw new SimulatorProtocolException("expected SYNC");
-        }
-        now = LineFields.of(line).whole("moment-ns");
-        for (line = need(in); !line.equals("END"); line = need(in)) {
-            take(line, in);
+        requireName(line, WireNames.BATCH_START);
+        nowNs = LineFields.of(line).whole(WireNames.TIME_NS);
+        line = requireLine(in);
+        while (!line.equals(WireNames.BATCH_END)) {
+            dispatch(line, in);
+            line = requireLine(in);
         }
         return true;
     }
 
-    private String next(BufferedReader in) throws IOException {
+    private String readLine(BufferedReader in) throws IOException {
         lineNumber++;
         return in.readLine();
     }
 
-    private String need(BufferedReader in) throws IOException {
-        String line = next(in);
+    private String requireLine(BufferedReader in) throws IOException {
+        String line = readLine(in);
         if (line == null) {
             throw new SimulatorProtocolException("input ends within a batch");
         }
         return line;
     }
 
-    private void take(String line, BufferedReader in) throws IOException {
+    private static void requireName(String line, String name) {
+        if (!line.startsWith(name + " ")) {
+            throw new SimulatorProtocolException("expected " + name);
+        }
+    }
+
+    private void dispatch(String line, BufferedReader in) throws IOException {
         Fields fields = LineFields.of(line);
-        int space = line.indexOf(' ');
-        String name = space < 0 ? line : line.substring(0, space);
+        String name = LineFields.name(line);
         switch (name) {
-            case "LIST" -> readList(fields, in);
-            case "NEW_INSTANCE" -> start(fields);
-            case "RETIRE" -> instances.remove(fields.whole("router-id"));
-            default -> hand(name, fields);
+            case WireNames.ENDPOINT_LIST -> readEndpoints(fields, in);
+            case WireNames.CREATE_INSTANCE -> createInstance(fields);
+            case WireNames.REMOVE_INSTANCE -> instances.remove(fields.whole(WireNames.INSTANCE_ID));
+            default -> handleEvent(name, fields);
         }
     }
 
-    private void readList(Fields fields, BufferedReader in) throws IOException {
-        long count = fields.whole("lines");
-        List<Endpoint> entries = new ArrayList<>();
+    private void readEndpoints(Fields fields, BufferedReader in) throws IOException {
+        long count = fields.whole(WireNames.ENDPOINT_COUNT);
+        List<Endpoint> endpoints = new ArrayList<>();
         for (long i = 0; i < count; i++) {
-            String line = need(in);
-            if (!line.startsWith("M ")) {
-                throw new SimulatorProtocolException("expected M");
-            }
-            entries.add(SimulatorCodec.entry(LineFields.of(line)));
+            String line = requireLine(in);
+            requireName(line, WireNames.ENDPOINT);
+            endpoints.add(EventDecoder.endpoint(LineFields.of(line)));
         }
-        lists.put(fields.whole("list"), List.copyOf(entries));
+        endpointLists.put(fields.whole(WireNames.ENDPOINT_LIST_ID), List.copyOf(endpoints));
     }
 
-    private void start(Fields fields) {
-        long id = fields.whole("router-id");
+    private void createInstance(Fields fields) {
+        long id = fields.whole(WireNames.INSTANCE_ID);
         instances.remove(id);
         try {
             Settings settings = SettingsReader.read(fields);
             instances.put(id, new Instance(new DefaultWorkloadManager(settings), settings));
         } catch (IllegalArgumentException e) {
-            SimulatorCodec.writeBroken(id, e.getMessage(), reply);
+            encoder.encodeInstanceFailure(id, e.getMessage());
         }
     }
 
-    private void hand(String name, Fields fields) {
-        long id = fields.whole("router-id", -1);
+    private void handleEvent(String name, Fields fields) {
+        long id = fields.whole(WireNames.INSTANCE_ID, NO_ID);
         Instance instance = instances.get(id);
         if (instance == null) {
             return;
         }
-        Event event =
-                name.equals("ANNOUNCE")
-                        ? SimulatorCodec.news(
-                                fields, lists.getOrDefault(fields.whole("list", -1), List.of()))
-                        : SimulatorCodec.event(
-                                name, fields, instance.settings().capabilities().reportsCost());
-        if (event != null) {
-            for (Action action : instance.gateway().onEvent(event, now)) {
-                SimulatorCodec.write(id, action, reply);
-            }
+        Event event = decode(name, fields, instance.settings());
+        if (event == null) {
+            return;
+        }
+        for (Action action : instance.manager().onEvent(event, nowNs)) {
+            encoder.encode(id, action);
+        }
+    }
+
+    private Event decode(String name, Fields fields, Settings settings) {
+        if (!name.equals(WireNames.ENDPOINTS_CHANGED)) {
+            return EventDecoder.event(name, fields, settings.capabilities().reportsCost());
         }
+        long listId = fields.whole(WireNames.ENDPOINT_LIST_ID, NO_ID);
+        return EventDecoder.endpointsChanged(fields, endpointLists.getOrDefault(listId, List.of()));
     }
 }
--- a/simulator/src/test/java/ashlink/simulator/MainTest.java
+++ b/simulator/src/test/java/ashlink/simulator/MainTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The adapter as a process: its calls, its exit status and what it prints. */
+/** The adapter as a process: its arguments, exit status and output. */
 class MainTest {
 
     private record Run(int status, String out, String err) {}
@@ -28,7 +28,7 @@
         try (var in = process.getOutputStream()) {
             in.write(input.getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) {
-            // a wrong call ends before it reads
+            // A process with wrong arguments ends before it reads its input.
         }
         String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aWrongCallTellsTheUsage() throws Exception {
+    void wrongArgumentsPrintTheUsage() throws Exception {
         for (String[] args : new String[][] {{}, {"other"}, {"drill", "more"}}) {
             Run run = run("", args);
             assertEquals(2, run.status());
@@ -46,16 +46,24 @@
     }
 
     @Test
-    void theEndOfInputIsAnOrderlyEnd() throws Exception {
+    void endOfInputExitsWithSuccess() throws Exception {
         Run run = run("SYNC moment-ns=5\nEND\n\nSYNC moment-ns=6\nEND\n", "drill");
         assertEquals(new Run(0, "OK\nOK\n", ""), run);
     }
 
     @Test
-    void aLineThatCannotBeReadIsNamed() throws Exception {
+    void malformedLineIsNamed() throws Exception {
         Run run = run("SYNC moment-ns=5\nEND\nSYNC moment-ns=soon\nEND\n", "drill");
         assertEquals(1, run.status());
         assertTrue(run.err().startsWith("ashlink: line 3: "), run.err());
         assertEquals("OK\n", run.out());
     }
+
+    @Test
+    void formerCommandNameIsAnAlias() throws Exception {
+        String input = "SYNC moment-ns=5\nEND\nSYNC moment-ns=6\nEND\n";
+        Run command = run(input, "simulate");
+        assertEquals(new Run(0, "OK\nOK\n", ""), command);
+        assertEquals(command, run(input, "drill"));
+    }
 }
--- a/simulator/src/test/java/ashlink/simulator/SimulatorCodecTest.java
+++ b/simulator/src/test/java/ashlink/simulator/SimulatorProtocolTest.java
@@ -25,8 +25,8 @@
 import java.io.StringWriter;
 import org.junit.jupiter.api.Test;
 
-/** The wire's lines in both directions, and what the adapter makes of whole batches. */
-class SimulatorCodecTest {
+/** Events as they are decoded, actions as they are encoded, and replies to batches of lines. */
+class SimulatorProtocolTest {
 
     private static final String START =
             "NEW_INSTANCE router-id=1 nonce64=9 balancers=2 position=0 zone=z classes.count=1"
@@ -45,12 +45,11 @@
     }
 
     private static Object event(String line) {
-        return SimulatorCodec.event(
-                line.substring(0, line.indexOf(' ')), LineFields.of(line), true);
+        return EventDecoder.event(line.substring(0, line.indexOf(' ')), LineFields.of(line), true);
     }
 
     @Test
-    void readsARequest() {
+    void decodesASubmittedQuery() {
         assertEquals(
                 new QuerySubmitted(5, "q", "k.1", 3, 900, 700, 12.5),
                 event(
@@ -59,7 +58,7 @@
     }
 
     @Test
-    void readsTenantsAndNamesANegativeQuota() throws IOException {
+    void decodesTenantsAndRejectsANegativeQuota() throws IOException {
         assertEquals(
                 "gold",
                 ((QuerySubmitted)
@@ -76,23 +75,24 @@
     }
 
     @Test
-    void readsTheQueriesInHandAndBusyDisks() {
+    void decodesQueriesInFlightAndDiskUtilization() {
         assertEquals(
                 new LoadReport(Double.NaN, Double.NaN, Double.NaN, 0.7, 12),
-                SimulatorCodec.report("busy_reqs:12,x1:0.7"));
+                EventDecoder.loadReport("busy_reqs:12,x1:0.7"));
     }
 
     @Test
-    void aNoisyReportIsReadAndABrokenOneRefused() {
+    void toleratesNoisyLoadReportsAndRejectsMalformedOnes() {
         assertEquals(
                 new LoadReport(Double.NaN, 0.5, Double.NaN, Double.NaN, 3),
-                SimulatorCodec.report("pending:-0.1,cpu_share:0.5,x0:NaN,busy_reqs:3,"));
-        assertThrows(SimulatorProtocolException.class, () -> SimulatorCodec.report("pending:many"));
-        assertThrows(SimulatorProtocolException.class, () -> SimulatorCodec.report("pending"));
+                EventDecoder.loadReport("pending:-0.1,cpu_share:0.5,x0:NaN,busy_reqs:3,"));
+        assertThrows(
+                SimulatorProtocolException.class, () -> EventDecoder.loadReport("pending:many"));
+        assertThrows(SimulatorProtocolException.class, () -> EventDecoder.loadReport("pending"));
     }
 
     @Test
-    void readsAnOutcomeWithItsNoteAndReport() {
+    void decodesAnEndedAttemptWithCostAndLoadReport() {
         assertEquals(
                 new AttemptEnded(
                         5,
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void skipsMessagesThatConcernOthersAndRefusesBrokenOnes() {
+    void skipsUnknownLinesAndRejectsMalformedOnes() {
         assertNull(event("WHISPER router-id=1 neighbour=2 body=00"));
         assertThrows(FieldException.class, () -> event("FIRED router-id=1 label=soon"));
         assertThrows(
@@ -122,17 +122,18 @@
     }
 
     @Test
-    void writesEveryAction() {
+    void encodesEveryAction() {
         StringBuilder out = new StringBuilder();
-        SimulatorCodec.write(4, new StartAttempt(1, "h:1", 80), out);
-        SimulatorCodec.write(4, new SetAttemptResources(1, 2, 640), out);
-        SimulatorCodec.write(4, new Reject(1, 250), out);
-        SimulatorCodec.write(4, new Fail(1), out);
-        SimulatorCodec.write(4, new CancelAttempt(1, 0), out);
-        SimulatorCodec.write(4, new CheckHealth("h:1"), out);
-        SimulatorCodec.write(4, new SetTimer(7, 99), out);
-        SimulatorCodec.write(4, new WatchEndpoints(), out);
-        SimulatorCodec.write(4, new Log("two engines"), out);
+        ActionEncoder encoder = new ActionEncoder(out);
+        encoder.encode(4, new StartAttempt(1, "h:1", 80));
+        encoder.encode(4, new SetAttemptResources(1, 2, 640));
+        encoder.encode(4, new Reject(1, 250));
+        encoder.encode(4, new Fail(1));
+        encoder.encode(4, new CancelAttempt(1, 0));
+        encoder.encode(4, new CheckHealth("h:1"));
+        encoder.encode(4, new SetTimer(7, 99));
+        encoder.encode(4, new WatchEndpoints());
+        encoder.encode(4, new Log("two engines"));
         assertEquals(
                 """
                 FORWARD router-id=4 op-id=1 timeout-ns=80 engine=h:1
@@ -149,7 +150,7 @@
     }
 
     @Test
-    void answersABatch() throws IOException {
+    void repliesToABatch() throws IOException {
         String reply =
                 play(
                         "SYNC moment-ns=0\nEND\n\nSYNC moment-ns=5000000\n"
@@ -164,19 +165,19 @@
     }
 
     @Test
-    void namesABadSetting() throws IOException {
-        String noWorth = START.replace("classes.0.gain=1 ", "");
+    void namesARejectedSetting() throws IOException {
+        String noWeight = START.replace("classes.0.gain=1 ", "");
         assertTrue(
-                play("SYNC moment-ns=0\n" + noWorth + "\nEND\n")
+                play("SYNC moment-ns=0\n" + noWeight + "\nEND\n")
                         .startsWith("BAIL_OUT router-id=1 reason-text="));
-        assertTrue(play("SYNC moment-ns=0\n" + noWorth + "\nEND\n").contains("classes.0.gain"));
+        assertTrue(play("SYNC moment-ns=0\n" + noWeight + "\nEND\n").contains("classes.0.gain"));
         assertTrue(
                 play("SYNC moment-ns=0\n" + START.replace("balancers=2", "balancers=0") + "\nEND\n")
                         .contains("gateways"));
     }
 
     @Test
-    void namesTheLineThatCannotBeRead() {
+    void namesTheMalformedLine() {
         SimulatorProtocolException failure =
                 assertThrows(
                         SimulatorProtocolException.class,
@@ -186,7 +187,7 @@
     }
 
     @Test
-    void forgetsARetiredInstance() throws IOException {
+    void removesARetiredInstance() throws IOException {
         String reply =
                 play(
                         "SYNC moment-ns=5000000\n"
