--- a/simulator/src/test/java/ashlink/simulator/DecisionTranscriptTest.java
+++ b/simulator/src/test/java/ashlink/simulator/DecisionTranscriptTest.java
@@ -22,19 +22,19 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * The decisions on recorded input are the recorded decisions, byte for byte. A change that is meant
- * to keep them must leave this test green; one that is meant to alter them records the transcripts
- * anew with {@link TranscriptRecorder} and says so.
+ * Recorded input leads to the recorded decisions, byte for byte. A refactoring must leave this test
+ * green; a change of decisions records the transcripts anew with {@link TranscriptRecorder} and
+ * says so in its commit.
  */
 class DecisionTranscriptTest {
 
-    private static final int LEAST_EVENTS = 2_000;
-    private static final int LEAST_ACTIONS = 1_000;
+    private static final int MIN_EVENTS = 2_000;
+    private static final int MIN_ACTIONS = 1_000;
 
     /** A line of a reply: its place in the file and the virtual time of its batch. */
     private record Expected(int fileLine, String timeNs, String text) {}
 
-    /** The recorded files, each under its name. */
+    /** Returns the transcripts by file name. */
     static Stream<Named<Path>> transcripts() throws Exception {
         var folder = DecisionTranscriptTest.class.getResource("/transcripts");
         assertTrue(folder != null, "no folder transcripts among the test resources");
@@ -47,16 +47,16 @@
         }
     }
 
-    /** Each scenario of the recorder has its transcript, and there is none beyond. */
+    /** Each scenario has a transcript, and each transcript a scenario. */
     @Test
     void everyScenarioIsRecorded() throws Exception {
         var recorded =
                 transcripts().map(Named::getName).collect(Collectors.toCollection(TreeSet::new));
-        var wanted =
+        var scenarios =
                 Scenarios.all().stream()
                         .map(scenario -> scenario.name() + Transcript.SUFFIX)
                         .collect(Collectors.toCollection(TreeSet::new));
-        assertEquals(wanted, recorded);
+        assertEquals(scenarios, recorded);
     }
 
     /** Plays the input of one transcript and compares every line of the replies. */
@@ -66,10 +66,10 @@
         String name = file.getFileName().toString();
         List<String> lines = Transcript.read(file);
         long events = lines.stream().filter(Transcript::isEvent).count();
-        assertTrue(events >= LEAST_EVENTS, name + " holds only " + events + " events");
+        assertTrue(events >= MIN_EVENTS, name + " has only " + events + " events");
         List<Expected> expected = expected(lines);
         long actions = expected.stream().filter(line -> !line.text().equals("OK")).count();
-        assertTrue(actions >= LEAST_ACTIONS, name + " expects only " + actions + " actions");
+        assertTrue(actions >= MIN_ACTIONS, name + " expects only " + actions + " actions");
         compare(name, expected, play(lines));
     }
 
--- a/simulator/src/test/java/ashlink/simulator/Scenario.java
+++ b/simulator/src/test/java/ashlink/simulator/Scenario.java
@@ -4,20 +4,20 @@
 import java.util.List;
 
 /**
- * One scripted world to record.
+ * A scenario that is recorded.
  *
  * @param name name of its transcript
- * @param seed seed of all that is drawn
+ * @param seed seed of all random choices
  * @param events event lines after which the recording ends
- * @param instances gateways that are played
- * @param engines engines of the list
- * @param perSecond queries a second and gateway, around which the rate swings
- * @param troubles engine troubles a second
- * @param news changes of the list a second
- * @param foreign threads a core, at its peak, that other gateways keep running in the engines
- * @param estimated share of the queries with an estimate of their work
- * @param workMs mean work of each class in milliseconds
- * @param settings settings of the gateways, pairs of the wire
+ * @param instances instances of the decision module
+ * @param engines engines of the endpoint list
+ * @param queriesPerS mean rate of queries of one instance; the rate varies around it
+ * @param faultsPerS rate of faults of engines
+ * @param endpointChangesPerS rate of changes of the endpoint list
+ * @param externalThreadsPerCore peak load of the engines by other routers
+ * @param estimatedFraction fraction of the queries with an estimate of their work
+ * @param workMs mean work of each class
+ * @param settings settings of the instances, as fields of the protocol
  */
 record Scenario(
         String name,
@@ -25,20 +25,20 @@
         int events,
         int instances,
         int engines,
-        double perSecond,
-        double troubles,
-        double news,
-        double foreign,
-        double estimated,
+        double queriesPerS,
+        double faultsPerS,
+        double endpointChangesPerS,
+        double externalThreadsPerCore,
+        double estimatedFraction,
         List<Double> workMs,
         String settings) {
 
-    /** The settings on one line. */
+    /** Returns the settings on one line. */
     String settingsLine() {
         return settings.strip().replaceAll("\\s+", " ");
     }
 
-    /** The settings by name. */
+    /** Returns the settings by name. */
     Fields fields() {
         return LineFields.of("NEW_INSTANCE " + settingsLine());
     }
--- a/simulator/src/test/java/ashlink/simulator/Scenarios.java
+++ b/simulator/src/test/java/ashlink/simulator/Scenarios.java
@@ -2,26 +2,26 @@
 
 import java.util.List;
 
-/** The recorded scenarios; together they reach the branches of the decisions. */
+/** The recorded scenarios, which together reach the branches of the decision module. */
 final class Scenarios {
 
     private Scenarios() {}
 
-    /** All of them, in the order of recording. */
+    /** Returns all scenarios in the order of recording. */
     static List<Scenario> all() {
         return List.of(
                 plainPush(),
-                askedList(),
-                repeatGroups(),
+                polledEndpoints(),
+                deduplicationScopes(),
                 tenantsAndKeys(),
-                coldEngines(),
-                crowd(),
-                smallCrowd(),
-                tableLoads(),
-                notesWithoutCancels(),
-                blindWithCancels(),
-                lateWork(),
-                resendBudget(),
+                slowStart(),
+                overload(),
+                smallOverload(),
+                tableLocks(),
+                progressWithoutCancels(),
+                cancelsWithoutLoadReports(),
+                lateQueries(),
+                retryBudget(),
                 orderedKeys());
     }
 
@@ -57,7 +57,7 @@
                 """);
     }
 
-    private static Scenario askedList() {
+    private static Scenario polledEndpoints() {
         return new Scenario(
                 "asked-list",
                 12,
@@ -83,7 +83,7 @@
                 """);
     }
 
-    private static Scenario repeatGroups() {
+    private static Scenario deduplicationScopes() {
         return new Scenario(
                 "repeat-groups",
                 13,
@@ -147,7 +147,7 @@
                 """);
     }
 
-    private static Scenario coldEngines() {
+    private static Scenario slowStart() {
         return new Scenario(
                 "cold-engines",
                 15,
@@ -176,7 +176,7 @@
                 """);
     }
 
-    private static Scenario crowd() {
+    private static Scenario overload() {
         return new Scenario(
                 "crowd",
                 16,
@@ -208,7 +208,7 @@
                 """);
     }
 
-    private static Scenario smallCrowd() {
+    private static Scenario smallOverload() {
         return new Scenario(
                 "small-crowd",
                 17,
@@ -237,7 +237,7 @@
                 """);
     }
 
-    private static Scenario tableLoads() {
+    private static Scenario tableLocks() {
         return new Scenario(
                 "table-loads",
                 18,
@@ -268,7 +268,7 @@
                 """);
     }
 
-    private static Scenario notesWithoutCancels() {
+    private static Scenario progressWithoutCancels() {
         return new Scenario(
                 "no-cancels",
                 19,
@@ -294,7 +294,7 @@
                 """);
     }
 
-    private static Scenario blindWithCancels() {
+    private static Scenario cancelsWithoutLoadReports() {
         return new Scenario(
                 "blind-with-cancels",
                 20,
@@ -323,7 +323,7 @@
                 """);
     }
 
-    private static Scenario lateWork() {
+    private static Scenario lateQueries() {
         return new Scenario(
                 "late-work",
                 21,
@@ -350,7 +350,7 @@
                 """);
     }
 
-    private static Scenario resendBudget() {
+    private static Scenario retryBudget() {
         return new Scenario(
                 "resend-budget",
                 22,
--- a/simulator/src/test/java/ashlink/simulator/Transcript.java
+++ b/simulator/src/test/java/ashlink/simulator/Transcript.java
@@ -9,23 +9,23 @@
 import java.util.zip.GZIPInputStream;
 import java.util.zip.GZIPOutputStream;
 
-/** The form of a transcript: a packed text whose lines are marked as input or as output. */
+/** The format of a transcript: compressed text whose lines are marked as input or output. */
 final class Transcript {
 
-    /** Ending of the name of a transcript's file. */
+    /** Suffix of the file name of a transcript. */
     static final String SUFFIX = ".txt.gz";
 
-    /** Mark of a line that went in. */
+    /** Prefix of an input line. */
     static final String IN = "> ";
 
-    /** Mark of a line that came out. */
+    /** Prefix of an output line. */
     static final String OUT = "< ";
 
-    private static final Set<String> FRAME = Set.of("SYNC", "END", "LIST", "M");
+    private static final Set<String> NON_EVENT_LINES = Set.of("SYNC", "END", "LIST", "M");
 
     private Transcript() {}
 
-    /** The marked lines of a file. */
+    /** Returns the marked lines of a file. */
     static List<String> read(Path file) throws IOException {
         try (var in = new GZIPInputStream(Files.newInputStream(file))) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8).lines().toList();
@@ -39,8 +39,9 @@
         }
     }
 
-    /** True for a line that tells of an event, and does not only frame a batch or a list. */
+    /** Tells whether a line carries an event, as opposed to framing a batch or a list. */
     static boolean isEvent(String line) {
-        return line.startsWith(IN) && !FRAME.contains(line.substring(IN.length()).split(" ", 2)[0]);
+        return line.startsWith(IN)
+                && !NON_EVENT_LINES.contains(line.substring(IN.length()).split(" ", 2)[0]);
     }
 }
