--- a/capture/src/main/java/ashlink/capture/events/Entry.java
+++ b/capture/src/main/java/ashlink/capture/events/Entry.java
@@ -5,17 +5,24 @@
 import ashlink.decisions.api.Settings;
 import java.util.List;
 
-/** What a capture holds, in order. */
+/** An entry of a capture; entries are in the order in which they happened. */
 public sealed interface Entry {
 
-    /** A module was made: its code by a hash, and its settings. All before is another module's. */
+    /**
+     * A decision module was created; the entries that follow are its own.
+     *
+     * @param moduleHash hash of its code
+     * @param router name of its router
+     */
     record Start(String moduleHash, Settings settings, String router) implements Entry {}
 
-    /** The module was told an event at that time, and did that. */
+    /** The module handled an event at a time, and returned those actions. */
     record Step(Event event, long nowNs, List<Action> actions) implements Entry {}
 
     /**
-     * So many entries are missing here; what follows cannot be decided again until the next start.
+     * Entries are missing; those that follow cannot be replayed until the next start.
+     *
+     * @param entries number of missing entries; 0 if unknown
      */
     record Gap(long entries) implements Entry {}
 }
--- /dev/null
+++ b/capture/src/main/java/ashlink/capture/events/FrameDecoder.java
@@ -0,0 +1,130 @@
+package ashlink.capture.events;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Decodes the values that {@link FrameEncoder} encoded. All methods throw {@link IOException} for
+ * bytes that no encoder wrote. Not safe for use by several threads.
+ */
+final class FrameDecoder {
+
+    private static final int BYTE_MASK = 0xff;
+
+    private byte[] bytes = new byte[0];
+    private int position;
+    private final List<String> texts = new ArrayList<>();
+    private long lastStepNs;
+    private long lastQueryId;
+
+    void startFrame(byte[] frame) {
+        bytes = frame;
+        position = 0;
+    }
+
+    /** Forgets all context. */
+    void startSegment() {
+        texts.clear();
+        lastStepNs = 0;
+        lastQueryId = 0;
+    }
+
+    boolean hasRemaining() {
+        return position < bytes.length;
+    }
+
+    /** Reads a byte as a number from 0 to 255. */
+    int readByte() throws IOException {
+        if (position >= bytes.length) {
+            throw new IOException("a frame ends within an entry");
+        }
+        return bytes[position++] & BYTE_MASK;
+    }
+
+    long readUnsigned() throws IOException {
+        long value = 0;
+        for (int shift = 0; shift < Long.SIZE; shift += Varint.PAYLOAD_BITS) {
+            int next = readByte();
+            value |= (next & Varint.PAYLOAD_MASK) << shift;
+            if (next < Varint.CONTINUATION_BIT) {
+                return value;
+            }
+        }
+        throw new IOException("a number is too long");
+    }
+
+    /** Reads an unsigned varint that is at most {@code max}. */
+    int readCount(int max) throws IOException {
+        long value = readUnsigned();
+        if (value < 0 || value > max) {
+            throw new IOException("a count of " + value + " is over " + max);
+        }
+        return (int) value;
+    }
+
+    long readSigned() throws IOException {
+        long value = readUnsigned();
+        return value >>> 1 ^ -(value & 1);
+    }
+
+    double readDouble() throws IOException {
+        int form = readByte();
+        if (form == DoubleForm.NAN) {
+            return Double.NaN;
+        }
+        if (form == DoubleForm.INTEGER) {
+            return readUnsigned();
+        }
+        long bits = 0;
+        for (int i = 0; i < Long.BYTES; i++) {
+            bits |= (long) readByte() << Byte.SIZE * i;
+        }
+        return Double.longBitsToDouble(bits);
+    }
+
+    boolean readFlag() throws IOException {
+        return readByte() != 0;
+    }
+
+    /** Reads a text, or null. */
+    String readText() throws IOException {
+        int number = readCount(Integer.MAX_VALUE - 1);
+        if (number == 0) {
+            return null;
+        }
+        if (number <= texts.size()) {
+            return texts.get(number - 1);
+        }
+        if (number != texts.size() + 1) {
+            throw new IOException("text " + number + " is not defined in its segment");
+        }
+        int length = readCount(bytes.length - position);
+        String text = new String(bytes, position, length, StandardCharsets.UTF_8);
+        position += length;
+        texts.add(text);
+        return text;
+    }
+
+    /** Reads one of the constants of an enum. */
+    <E extends Enum<E>> E readEnum(E[] constants) throws IOException {
+        return constants[readCount(constants.length - 1)];
+    }
+
+    /** Reads the time of a step in nanoseconds. */
+    long readStepTime() throws IOException {
+        lastStepNs += readSigned();
+        return lastStepNs;
+    }
+
+    /** Reads a time in nanoseconds that was written within the current step. */
+    long readTime() throws IOException {
+        return readSigned() + lastStepNs;
+    }
+
+    long readQueryId() throws IOException {
+        lastQueryId += readSigned();
+        return lastQueryId;
+    }
+}
--- /dev/null
+++ b/capture/src/main/java/ashlink/capture/events/FrameEncoder.java
@@ -0,0 +1,136 @@
+package ashlink.capture.events;
+
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.Map;
+
+/**
+ * Encodes the values of a frame compactly: integers as varints, times and query identifiers as
+ * differences, each text once per segment. {@link FrameDecoder} is the inverse;
+ * docs/capture-format.md has the layout. Not safe for use by several threads.
+ */
+final class FrameEncoder {
+
+    private static final int INITIAL_BYTES = 4096;
+
+    private byte[] bytes = new byte[INITIAL_BYTES];
+    private int size;
+    private final Map<String, Integer> textNumbers = new HashMap<>();
+    private long lastStepNs;
+    private long lastQueryId;
+
+    /** Returns the buffer, of which the first {@link #size()} bytes are the frame. */
+    byte[] bytes() {
+        return bytes;
+    }
+
+    int size() {
+        return size;
+    }
+
+    void startFrame() {
+        size = 0;
+    }
+
+    /** Forgets all context, so that the new segment can be read by itself. */
+    void startSegment() {
+        textNumbers.clear();
+        lastStepNs = 0;
+        lastQueryId = 0;
+    }
+
+    /** Writes the low byte of a value. */
+    void writeByte(int value) {
+        if (size == bytes.length) {
+            bytes = Arrays.copyOf(bytes, 2 * size);
+        }
+        bytes[size++] = (byte) value;
+    }
+
+    /** Writes an unsigned varint. */
+    void writeUnsigned(long value) {
+        long rest = value;
+        while ((rest & ~Varint.PAYLOAD_MASK) != 0) {
+            writeByte((int) (rest & Varint.PAYLOAD_MASK | Varint.CONTINUATION_BIT));
+            rest >>>= Varint.PAYLOAD_BITS;
+        }
+        writeByte((int) rest);
+    }
+
+    /** Writes a signed varint in zigzag form. */
+    void writeSigned(long value) {
+        writeUnsigned(value << 1 ^ value >> 63);
+    }
+
+    /** Writes a double: short if it is NaN or a small natural number, else all of its bits. */
+    void writeDouble(double value) {
+        if (Double.isNaN(value)) {
+            writeByte(DoubleForm.NAN);
+        } else if (isSmallNatural(value)) {
+            writeByte(DoubleForm.INTEGER);
+            writeUnsigned((long) value);
+        } else {
+            writeByte(DoubleForm.BITS);
+            long bits = Double.doubleToRawLongBits(value);
+            for (int i = 0; i < Long.BYTES; i++) {
+                writeByte((int) (bits >>> Byte.SIZE * i));
+            }
+        }
+    }
+
+    private static boolean isSmallNatural(double value) {
+        boolean negativeZero = Double.doubleToRawLongBits(value) == 1L << 63;
+        return value == Math.rint(value)
+                && value >= 0
+                && value < DoubleForm.INTEGER_LIMIT
+                && !negativeZero;
+    }
+
+    void writeFlag(boolean value) {
+        writeByte(value ? 1 : 0);
+    }
+
+    /** Writes a constant by its ordinal: constants of stored enums are never reordered. */
+    void writeEnum(Enum<?> value) {
+        writeByte(value.ordinal());
+    }
+
+    /** Writes a text or null: its number in the segment, with the text where the number is new. */
+    void writeText(String value) {
+        if (value == null) {
+            writeUnsigned(0);
+            return;
+        }
+        Integer knownNumber = textNumbers.get(value);
+        if (knownNumber != null) {
+            writeUnsigned(knownNumber);
+            return;
+        }
+        int number = textNumbers.size() + 1;
+        textNumbers.put(value, number);
+        writeUnsigned(number);
+        byte[] utf8 = value.getBytes(StandardCharsets.UTF_8);
+        writeUnsigned(utf8.length);
+        for (byte utf8Byte : utf8) {
+            writeByte(utf8Byte);
+        }
+    }
+
+    /** Writes the time of a step, as the difference to the step before. */
+    void writeStepTime(long timeNs) {
+        writeSigned(timeNs - lastStepNs);
+        lastStepNs = timeNs;
+    }
+
+    /** Writes a time as the difference to the current step. */
+    void writeTime(long timeNs) {
+        writeSigned(timeNs - lastStepNs);
+    }
+
+    /** Writes the identifier of a query, as the difference to the one written before. */
+    void writeQueryId(long id) {
+        writeSigned(id - lastQueryId);
+        lastQueryId = id;
+    }
+}
--- a/capture/src/main/java/ashlink/capture/events/package-info.java
+++ b/capture/src/main/java/ashlink/capture/events/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What a module is told and does, as bytes: events, actions and settings of {@link
- * ashlink.decisions.api}.
+ * The entries of a capture and their stored form: events, actions and settings of {@link
+ * ashlink.decisions.api}. The stored form is part of the file format; docs/capture-format.md
+ * describes it.
  */
 package ashlink.capture.events;
