--- a/capture/src/main/java/ashlink/capture/log/Disk.java
+++ b/capture/src/main/java/ashlink/capture/log/Disk.java
@@ -4,33 +4,34 @@
 import java.io.IOException;
 import java.util.List;
 
-/** The files of one folder, as far as a log needs them; tests put faults behind it. */
+/** The files of one directory, as a log needs them; tests inject faults through it. */
 public interface Disk extends Closeable {
 
-    /** A file that grows at its end. */
+    /** A file that is open for appending. */
     interface Appender extends Closeable {
-        /** Appends all of these bytes; an exception may leave any part of them behind. */
+        /** Appends bytes; after an exception any part of them may be in the file. */
         void append(byte[] bytes, int from, int length) throws IOException;
 
         /**
-         * Returns once all that was appended is on the disk; after an exception nothing is believed
-         * to be.
+         * Returns once all appended bytes are on the disk.
+         *
+         * @throws IOException if bytes since the last sync may be lost
          */
         void sync() throws IOException;
     }
 
-    /** Names of the files, in order. */
+    /** Returns the names of the files, sorted. */
     List<String> list() throws IOException;
 
-    /** Makes a file that was not there. */
+    /** Creates a file, which must not exist. */
     Appender create(String name) throws IOException;
 
-    /** All bytes of a file. */
+    /** Returns the content of a file. */
     byte[] read(String name) throws IOException;
 
-    /** Length of a file. */
+    /** Returns the length of a file in bytes. */
     long size(String name) throws IOException;
 
-    /** Removes a file. */
+    /** Deletes a file. */
     void delete(String name) throws IOException;
 }
--- a/capture/src/main/java/ashlink/capture/log/FaultyDisk.java
+++ b/capture/src/main/java/ashlink/capture/log/FaultyDisk.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * A folder in memory whose disk fails as it is told: short writes, errors at sync, no space, power
- * loss. For tests of all logs.
+ * A directory in memory with injected faults: short writes, errors at sync, a full disk, delays and
+ * power loss. For tests; safe for use by several threads.
  */
 public final class FaultyDisk implements Disk {
 
@@ -20,27 +20,27 @@
     private volatile int shortWriteIn = -1;
     private volatile long delayMs;
 
-    /** No space for anything more. */
-    public void full(boolean is) {
-        full = is;
+    /** Makes each write fail for lack of space. */
+    public void full(boolean enabled) {
+        full = enabled;
     }
 
-    /** Each sync fails. */
-    public void syncFails(boolean fails) {
-        syncFails = fails;
+    /** Makes each sync fail. */
+    public void syncFails(boolean enabled) {
+        syncFails = enabled;
     }
 
-    /** The write after so many others is cut in half and fails; below 0 none. */
+    /** Makes a write fail halfway, after that many others; a negative number disables this. */
     public void shortWriteIn(int writes) {
         shortWriteIn = writes;
     }
 
-    /** Writes until the short one; below 0 where there is none to come. */
+    /** Returns the number of writes before the short one; negative if there is none. */
     public int shortWriteIn() {
         return shortWriteIn;
     }
 
-    /** Each write and sync takes so long. */
+    /** Delays each write and sync. */
     public void delayMs(long ms) {
         delayMs = ms;
     }
@@ -103,28 +103,29 @@
     }
 
     /**
-     * What may be left after the power went: all that was synced, and of the rest any part, torn or
-     * not there.
+     * Returns a possible state of the disk after a power loss: all synced bytes, and any part of
+     * the others, with some of them zero.
      */
     public synchronized FaultyDisk afterPowerLoss(SplittableRandom random) throws IOException {
-        FaultyDisk left = new FaultyDisk();
+        FaultyDisk survivor = new FaultyDisk();
         for (String name : files.keySet()) {
             byte[] all = files.get(name).toByteArray();
-            int kept =
+            int length =
                     synced.get(name)
                             + (all.length > synced.get(name)
                                     ? random.nextInt(all.length - synced.get(name) + 1)
                                     : 0);
-            byte[] bytes = java.util.Arrays.copyOf(all, kept);
-            for (int i = synced.get(name); i < kept; i++) {
-                bytes[i] = random.nextInt(4) == 0 ? 0 : bytes[i]; // pages that were never written
+            byte[] bytes = java.util.Arrays.copyOf(all, length);
+            for (int i = synced.get(name); i < length; i++) {
+                // Pages that the disk never wrote read as zeros.
+                bytes[i] = random.nextInt(4) == 0 ? 0 : bytes[i];
             }
-            left.put(name, bytes);
+            survivor.put(name, bytes);
         }
-        return left;
+        return survivor;
     }
 
-    /** Puts a file there, synced. */
+    /** Creates or replaces a file, as synced. */
     public synchronized void put(String name, byte[] bytes) throws IOException {
         ByteArrayOutputStream stream = new ByteArrayOutputStream();
         stream.write(bytes);
--- a/capture/src/main/java/ashlink/capture/log/FolderDisk.java
+++ b/capture/src/main/java/ashlink/capture/log/FolderDisk.java
@@ -11,54 +11,59 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A real folder. For writing it is locked, so that two processes never write one capture. */
+/** A directory of the file system. It is locked while it is open for writing. */
 public final class FolderDisk implements Disk {
 
-    private static final String LOCK = "lock";
+    private static final String LOCK_FILE = "lock";
 
-    private final Path folder;
+    private final Path directory;
     private final FileChannel lockChannel;
     private final FileLock lock;
 
-    private FolderDisk(Path folder, FileChannel lockChannel, FileLock lock) {
-        this.folder = folder;
+    private FolderDisk(Path directory, FileChannel lockChannel, FileLock lock) {
+        this.directory = directory;
         this.lockChannel = lockChannel;
         this.lock = lock;
     }
 
-    /** A folder to read. */
-    public static FolderDisk reading(Path folder) {
-        return new FolderDisk(folder, null, null);
+    /** Opens a directory for reading, without a lock. */
+    public static FolderDisk reading(Path directory) {
+        return new FolderDisk(directory, null, null);
     }
 
     /**
-     * A folder to write, made where it is not there; an exception tells that another process has
-     * it.
+     * Opens a directory for writing; creates it where it does not exist.
+     *
+     * @throws IOException if another writer holds its lock
      */
-    public static FolderDisk writing(Path folder) throws IOException {
-        Files.createDirectories(folder);
+    public static FolderDisk writing(Path directory) throws IOException {
+        Files.createDirectories(directory);
         FileChannel channel =
                 FileChannel.open(
-                        folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+                        directory.resolve(LOCK_FILE),
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE);
         FileLock lock = null;
         try {
             lock = channel.tryLock();
         } catch (OverlappingFileLockException e) {
-            // another router of this process has it: told below
+            // Held within this process; reported like a lock of another process.
         }
         if (lock == null) {
             channel.close();
             throw new IOException(
-                    folder + " is being written by another router; each needs a folder of its own");
+                    directory
+                            + " is being written by another router; each needs a folder of its"
+                            + " own");
         }
-        return new FolderDisk(folder, channel, lock);
+        return new FolderDisk(directory, channel, lock);
     }
 
     @Override
     public List<String> list() throws IOException {
-        try (Stream<Path> files = Files.list(folder)) {
+        try (Stream<Path> files = Files.list(directory)) {
             return files.map(path -> path.getFileName().toString())
-                    .filter(text -> !text.equals(LOCK))
+                    .filter(name -> !name.equals(LOCK_FILE))
                     .sorted()
                     .toList();
         }
@@ -68,16 +73,16 @@
     public Appender create(String name) throws IOException {
         FileChannel channel =
                 FileChannel.open(
-                        folder.resolve(name),
+                        directory.resolve(name),
                         StandardOpenOption.CREATE_NEW,
                         StandardOpenOption.WRITE);
-        syncFolder();
+        syncDirectory();
         return new Appender() {
             @Override
             public void append(byte[] bytes, int from, int length) throws IOException {
-                ByteBuffer left = ByteBuffer.wrap(bytes, from, length);
-                while (left.hasRemaining()) {
-                    channel.write(left);
+                ByteBuffer remaining = ByteBuffer.wrap(bytes, from, length);
+                while (remaining.hasRemaining()) {
+                    channel.write(remaining);
                 }
             }
 
@@ -93,25 +98,25 @@
         };
     }
 
-    private void syncFolder() throws IOException {
-        try (FileChannel fileChannel = FileChannel.open(folder, StandardOpenOption.READ)) {
-            fileChannel.force(true);
+    private void syncDirectory() throws IOException {
+        try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
+            channel.force(true);
         }
     }
 
     @Override
     public byte[] read(String name) throws IOException {
-        return Files.readAllBytes(folder.resolve(name));
+        return Files.readAllBytes(directory.resolve(name));
     }
 
     @Override
     public long size(String name) throws IOException {
-        return Files.size(folder.resolve(name));
+        return Files.size(directory.resolve(name));
     }
 
     @Override
     public void delete(String name) throws IOException {
-        Files.deleteIfExists(folder.resolve(name));
+        Files.deleteIfExists(directory.resolve(name));
     }
 
     @Override
--- a/capture/src/main/java/ashlink/capture/log/KeyValueLog.java
+++ b/capture/src/main/java/ashlink/capture/log/KeyValueLog.java
@@ -5,26 +5,36 @@
 import java.util.List;
 
 /**
- * A log that stands for a table: a record for each change. At each start, and when the log has
- * grown far beyond the table, the table is written anew and what was before is removed, once the
- * new is on the disk; a crash between leaves both, and the later records hold. Not for use by
- * several threads at once.
+ * A log of changes that represents a table: one record per change, the later ones override the
+ * earlier ones. {@link #rewrite} replaces the log by the records of the table; a crash during it
+ * leaves both, which represent the same table. Not safe for use by several threads.
  */
 public final class KeyValueLog implements AutoCloseable {
 
-    /** Takes a record as it was written. */
+    /** Receives the records of the log. */
     public interface Reader {
-        /** A record that cannot be read ends the reading. */
+        /**
+         * Handles a record.
+         *
+         * @throws IOException if the record is damaged; ends the reading
+         */
         void read(byte[] record) throws IOException;
     }
 
     private final Disk disk;
     private final long segmentBytes;
+
+    /** Null until the first {@link #rewrite}. */
     private SegmentWriter log;
+
     private long boot;
     private long written;
 
-    /** A log on that disk, which is not read. */
+    /**
+     * A log whose records are not read yet.
+     *
+     * @param nowMs current time, from which the segments of this start get their names
+     */
     public KeyValueLog(Disk disk, long segmentBytes, long nowMs) {
         this.disk = disk;
         this.segmentBytes = segmentBytes;
@@ -32,10 +42,11 @@
     }
 
     /**
-     * Reads all records in order, as far as each segment is whole; returns the segments that are
-     * damaged, and why.
+     * Reads all records in order, of each segment as far as it is intact.
+     *
+     * @return the damaged segments, each with the reason
      */
-    public List<String> read(Reader to) throws IOException {
+    public List<String> read(Reader reader) throws IOException {
         List<String> damaged = new ArrayList<>();
         for (String name : segments()) {
             Segment.Contents contents = Segment.read(disk.read(name));
@@ -44,19 +55,19 @@
             }
             boot = Math.max(boot, contents.boot() + 1);
             for (byte[] frame : contents.frames()) {
-                to.read(frame);
+                reader.read(frame);
             }
         }
         return damaged;
     }
 
     private List<String> segments() throws IOException {
-        return disk.list().stream().filter(text -> text.endsWith(".seg")).toList();
+        return disk.list().stream().filter(name -> name.endsWith(Segment.FILE_SUFFIX)).toList();
     }
 
-    /** Writes the table anew; it is on the disk when this returns. */
+    /** Replaces the log by these records; they are on the disk when this returns. */
     public void rewrite(List<byte[]> table) throws IOException {
-        List<String> before = segments();
+        List<String> oldSegments = segments();
         if (log != null) {
             log.close();
         }
@@ -66,25 +77,26 @@
             append(record);
         }
         sync();
-        for (String name : before) {
+        for (String name : oldSegments) {
             disk.delete(name);
         }
     }
 
-    /** Appends a record. */
+    /** Appends a record; the log must have been rewritten once. */
     public void append(byte[] record) throws IOException {
         log.append(record, record.length, written++);
     }
 
     /**
-     * Returns once all that was appended is on the disk; after an exception nothing since the last
-     * sync is believed to be.
+     * Returns once all records are on the disk.
+     *
+     * @throws IOException if records since the last sync may be lost
      */
     public void sync() throws IOException {
         log.sync();
     }
 
-    /** Records since the table was written anew, with those of the table. */
+    /** Returns the number of records since the last {@link #rewrite}, including its own. */
     public long written() {
         return written;
     }
--- /dev/null
+++ b/capture/src/main/java/ashlink/capture/log/SegmentParser.java
@@ -0,0 +1,84 @@
+package ashlink.capture.log;
+
+import ashlink.capture.log.Segment.Contents;
+import ashlink.capture.log.Segment.State;
+import java.nio.ByteBuffer;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+
+/** Parses the bytes of one segment up to their end or the first error. */
+final class SegmentParser {
+
+    private final byte[] bytes;
+    private final ByteBuffer buffer;
+    private final List<byte[]> frames = new ArrayList<>();
+    private long boot;
+    private int number;
+    private long firstEntry;
+    private int position;
+
+    SegmentParser(byte[] bytes) {
+        this.bytes = bytes;
+        this.buffer = ByteBuffer.wrap(bytes);
+    }
+
+    Contents parse() {
+        if (bytes.length < Segment.HEADER_BYTES) {
+            return contents(State.TORN, "the header ends early");
+        }
+        if (!readHeader()) {
+            return contents(
+                    State.DAMAGED, "the header is no capture's of version " + Segment.VERSION);
+        }
+        while (position < bytes.length) {
+            Contents error = readFrame();
+            if (error != null) {
+                return error;
+            }
+        }
+        return contents(State.WHOLE, "");
+    }
+
+    private boolean readHeader() {
+        int checksum = buffer.getInt(Segment.HEADER_BYTES - Integer.BYTES);
+        if (Segment.headerChecksum(bytes) != checksum
+                || buffer.getInt() != Segment.MAGIC
+                || buffer.getInt() != Segment.VERSION) {
+            return false;
+        }
+        boot = buffer.getLong();
+        number = buffer.getInt();
+        firstEntry = buffer.getLong();
+        position = Segment.HEADER_BYTES;
+        return true;
+    }
+
+    /** Reads the frame at the current position; returns the final result where it is not intact. */
+    private Contents readFrame() {
+        int remaining = bytes.length - position;
+        if (remaining < Segment.FRAME_BYTES) {
+            return contents(State.TORN, "a frame's head ends early");
+        }
+        int length = buffer.getInt(position);
+        if (length <= 0 || length > Segment.MOST_FRAME_BYTES) {
+            return contents(State.DAMAGED, "a frame says that it has " + length + " bytes");
+        }
+        if (remaining - Segment.FRAME_BYTES < length) {
+            return contents(State.TORN, "a frame ends early");
+        }
+        int payload = position + Segment.FRAME_BYTES;
+        int checksum = buffer.getInt(position + Integer.BYTES);
+        if (Segment.frameChecksum(bytes, payload, length) != checksum) {
+            boolean last = payload + length == bytes.length;
+            return contents(last ? State.TORN : State.DAMAGED, "the checksum of a frame is wrong");
+        }
+        frames.add(Arrays.copyOfRange(bytes, payload, payload + length));
+        position = payload + length;
+        return null;
+    }
+
+    private Contents contents(State state, String reason) {
+        return new Contents(state, boot, number, firstEntry, frames, position, reason);
+    }
+}
--- a/capture/src/main/java/ashlink/capture/log/SegmentWriter.java
+++ b/capture/src/main/java/ashlink/capture/log/SegmentWriter.java
@@ -1,113 +1,127 @@
 package ashlink.capture.log;
 
 import java.io.IOException;
-import java.util.ArrayList;
 import java.util.List;
 
 /**
- * Writes frames into segments, and removes the oldest segments past the limit of bytes. After any
- * error the segment in hand is given up: what was appended to it since the last sync is not
- * believed, and the next frame starts another.
+ * Writes frames into segments, and deletes the oldest segments beyond a total size. After any error
+ * the current segment is abandoned: frames that were appended to it since the last sync may be
+ * lost, and the next frame starts another segment. Not safe for use by several threads.
  */
 public final class SegmentWriter implements AutoCloseable {
 
     private final Disk disk;
     private final long boot;
     private final long segmentBytes;
-    private final long keptBytes;
-    private Disk.Appender out;
-    private String name = "";
-    private int number;
-    private long size;
+    private final long retainedBytes;
 
-    /** A writer of one start of a router. */
+    /** The current segment, or null where the next frame starts one. */
+    private Disk.Appender segment;
+
+    private String segmentName = "";
+    private int nextNumber;
+    private long segmentSizeBytes;
+
+    /**
+     * A writer of one start of a router.
+     *
+     * @param boot identifier of the start; larger than those of earlier starts
+     * @param segmentBytes size at which a segment is closed
+     * @param keptBytes total size beyond which the oldest segments are deleted
+     */
     public SegmentWriter(Disk disk, long boot, long segmentBytes, long keptBytes) {
         this.disk = disk;
         this.boot = boot;
         this.segmentBytes = segmentBytes;
-        this.keptBytes = keptBytes;
+        this.retainedBytes = keptBytes;
     }
 
-    /** True where the next frame starts a segment: it must not lean on what earlier ones said. */
+    /** Tells whether the next frame starts a segment; it must not refer to earlier frames then. */
     public boolean startsSegment() {
-        return out == null || size >= segmentBytes;
+        return segment == null || segmentSizeBytes >= segmentBytes;
     }
 
-    /** Appends a frame; {@code firstEntry} is the number of its first entry. */
+    /**
+     * Appends a frame of the first {@code length} bytes of {@code payload}.
+     *
+     * @param firstEntry number of the first entry of the frame
+     */
     public void append(byte[] payload, int length, long firstEntry) throws IOException {
         try {
             if (startsSegment()) {
-                next(firstEntry);
+                startSegment(firstEntry);
             }
             byte[] frame = Segment.frame(payload, length);
-            out.append(frame, 0, frame.length);
-            size += frame.length;
+            segment.append(frame, 0, frame.length);
+            segmentSizeBytes += frame.length;
         } catch (IOException e) {
-            giveUp();
+            abandonSegment(e);
             throw e;
         }
     }
 
-    private void next(long firstEntry) throws IOException {
-        if (out != null) {
-            out.sync();
-            out.close();
-            out = null;
+    private void startSegment(long firstEntry) throws IOException {
+        if (segment != null) {
+            segment.sync();
+            segment.close();
+            segment = null;
         }
-        name = Segment.name(boot, number++);
-        out = disk.create(name);
-        byte[] header = Segment.header(boot, number - 1, firstEntry);
-        out.append(header, 0, header.length);
-        size = header.length;
-        retire();
+        int number = nextNumber++;
+        segmentName = Segment.name(boot, number);
+        segment = disk.create(segmentName);
+        byte[] header = Segment.header(boot, number, firstEntry);
+        segment.append(header, 0, header.length);
+        segmentSizeBytes = header.length;
+        deleteOldSegments();
     }
 
     /** Returns once all frames are on the disk. */
     public void sync() throws IOException {
         try {
-            if (out != null) {
-                out.sync();
+            if (segment != null) {
+                segment.sync();
             }
         } catch (IOException e) {
-            giveUp();
+            abandonSegment(e);
             throw e;
         }
     }
 
-    private void giveUp() {
-        if (out != null) {
-            try {
-                out.close();
-            } catch (IOException e) {
-                // given up all the same
-            }
-            out = null;
+    private void abandonSegment(IOException cause) {
+        if (segment == null) {
+            return;
+        }
+        try {
+            segment.close();
+        } catch (IOException e) {
+            cause.addSuppressed(e);
         }
+        segment = null;
     }
 
-    /** Removes the oldest segments while there are too many bytes; never the one in hand. */
-    private void retire() throws IOException {
-        List<String> segments = new ArrayList<>(disk.list());
-        segments.removeIf(n -> !n.endsWith(".seg"));
-        long total = 0;
-        for (String s : segments) {
-            total += disk.size(s);
+    /** Deletes the oldest segments while they are too large together, never the current one. */
+    private void deleteOldSegments() throws IOException {
+        List<String> names =
+                disk.list().stream().filter(name -> name.endsWith(Segment.FILE_SUFFIX)).toList();
+        long totalBytes = 0;
+        for (String name : names) {
+            totalBytes += disk.size(name);
         }
-        for (String s : segments) {
-            if (total <= keptBytes || s.equals(name)) {
+        for (String name : names) {
+            if (totalBytes <= retainedBytes || name.equals(segmentName)) {
                 return;
             }
-            total -= disk.size(s);
-            disk.delete(s);
+            totalBytes -= disk.size(name);
+            disk.delete(name);
         }
     }
 
     @Override
     public void close() throws IOException {
-        if (out != null) {
+        if (segment != null) {
             sync();
-            out.close();
-            out = null;
+            segment.close();
+            segment = null;
         }
     }
 }
--- a/capture/src/main/java/ashlink/capture/log/package-info.java
+++ b/capture/src/main/java/ashlink/capture/log/package-info.java
@@ -1,2 +1,5 @@
-/** An append-only log of checksummed frames in segments, over a small interface of files. */
+/**
+ * Append-only logs of checksummed frames in segment files. {@link ashlink.capture.log.Disk}
+ * separates them from the file system.
+ */
 package ashlink.capture.log;
