--- a/capture/src/main/java/ashlink/capture/CaptureReader.java
+++ b/capture/src/main/java/ashlink/capture/CaptureReader.java
@@ -9,10 +9,21 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Reads a capture as far as it is whole, segment by segment, and says what is not. */
+/** Reads a capture, of each segment as far as it is intact. Not safe for use by several threads. */
 public final class CaptureReader {
 
-    /** What was found of a segment. */
+    private static final long UNKNOWN_ENTRIES = 0;
+
+    /**
+     * What was read of a segment.
+     *
+     * @param boot identifier of the start of the router that wrote it
+     * @param number number of the segment among those of that start, from 0
+     * @param firstEntry number of its first entry
+     * @param entries number of entries read
+     * @param bytes length of the file
+     * @param why reason of a state other than {@link Segment.State#WHOLE}, else empty
+     */
     public record Found(
             String name,
             Segment.State state,
@@ -24,72 +35,86 @@
             String why) {}
 
     private final Disk disk;
+    private final EntryReader reader = new EntryReader();
 
-    /** Reads that folder. */
+    /** A reader of the capture in a directory. */
     public CaptureReader(Disk disk) {
         this.disk = disk;
     }
 
     /**
-     * Gives all entries in order; a break between segments, and one within, is given as a gap of
-     * unknown size (0).
+     * Reads all entries in order. Where a segment does not continue the one before, a gap of
+     * unknown size precedes its entries.
+     *
+     * @return the segments in order
      */
-    public List<Found> read(Consumer<Entry> to) throws IOException {
-        List<Found> found = new ArrayList<>();
-        EntryReader reader = new EntryReader();
-        Segment.Contents before = null;
+    public List<Found> read(Consumer<Entry> consumer) throws IOException {
+        List<Found> segments = new ArrayList<>();
+        Found previous = null;
         for (String name : disk.list()) {
-            if (!name.endsWith(".seg")) {
-                continue;
+            if (Segment.isSegment(name)) {
+                previous = readSegment(name, previous, consumer);
+                segments.add(previous);
             }
-            byte[] bytes = disk.read(name);
-            Segment.Contents contents = Segment.read(bytes);
-            boolean follows =
-                    contents.number() == 0 && contents.boot() != 0
-                            || before != null
-                                    && before.boot() == contents.boot()
-                                    && before.state() == Segment.State.WHOLE
-                                    && before.number() + 1 == contents.number();
-            if (!follows) {
-                to.accept(new Entry.Gap(0));
-            }
-            reader.startSegment();
-            long[] count = new long[1];
-            Segment.State state = contents.state();
-            String why = contents.why();
-            try {
-                for (byte[] frame : contents.frames()) {
-                    reader.read(
-                            frame,
-                            entry -> {
-                                count[0]++;
-                                to.accept(entry);
-                            });
-                }
-            } catch (IOException | IllegalArgumentException e) {
-                state = Segment.State.DAMAGED;
-                why = String.valueOf(e.getMessage());
+        }
+        return segments;
+    }
+
+    private Found readSegment(String name, Found previous, Consumer<Entry> consumer)
+            throws IOException {
+        byte[] bytes = disk.read(name);
+        Segment.Contents contents = Segment.read(bytes);
+        if (!continues(contents, previous)) {
+            consumer.accept(new Entry.Gap(UNKNOWN_ENTRIES));
+        }
+        CountingConsumer counter = new CountingConsumer(consumer);
+        Segment.State state = contents.state();
+        String reason = contents.why();
+        reader.startSegment();
+        try {
+            for (byte[] frame : contents.frames()) {
+                reader.read(frame, counter);
             }
-            found.add(
-                    new Found(
-                            name,
-                            state,
-                            contents.boot(),
-                            contents.number(),
-                            contents.firstEntry(),
-                            count[0],
-                            bytes.length,
-                            why));
-            before =
-                    new Segment.Contents(
-                            state,
-                            contents.boot(),
-                            contents.number(),
-                            contents.firstEntry(),
-                            List.of(),
-                            contents.readTo(),
-                            why);
+        } catch (IOException | IllegalArgumentException e) {
+            // The checksum is right, yet the frame is no frame of this version.
+            state = Segment.State.DAMAGED;
+            reason = String.valueOf(e.getMessage());
+        }
+        return new Found(
+                name,
+                state,
+                contents.boot(),
+                contents.number(),
+                contents.firstEntry(),
+                counter.count,
+                bytes.length,
+                reason);
+    }
+
+    /** Tells whether no entries are missing between a segment and the one before. */
+    private static boolean continues(Segment.Contents contents, Found previous) {
+        if (contents.number() == 0 && contents.boot() != 0) {
+            return true;
+        }
+        return previous != null
+                && previous.boot() == contents.boot()
+                && previous.state() == Segment.State.WHOLE
+                && previous.number() + 1 == contents.number();
+    }
+
+    private static final class CountingConsumer implements Consumer<Entry> {
+
+        private final Consumer<Entry> consumer;
+        private long count;
+
+        CountingConsumer(Consumer<Entry> consumer) {
+            this.consumer = consumer;
+        }
+
+        @Override
+        public void accept(Entry entry) {
+            count++;
+            consumer.accept(entry);
         }
-        return found;
     }
 }
--- a/capture/src/main/java/ashlink/capture/CaptureSlice.java
+++ b/capture/src/main/java/ashlink/capture/CaptureSlice.java
@@ -3,87 +3,111 @@
 import ashlink.capture.events.Entry;
 import ashlink.capture.events.EntryWriter;
 import ashlink.capture.log.Disk;
+import ashlink.capture.log.Segment;
 import ashlink.capture.log.SegmentWriter;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.function.Consumer;
+import java.util.function.UnaryOperator;
 
 /**
- * Writes a part of a capture as a capture of its own. A part from the start of a router on replays
- * as the whole does; one that begins later begins with that start and a gap, and is for reading
- * only: the module gives no state to begin from.
+ * Writes a part of a capture as a capture of its own. A part that begins with a start can be
+ * replayed. Another begins with the last start before it and a gap, and can only be read: a
+ * decision module cannot be created in the middle. Not safe for use by several threads.
  */
 public final class CaptureSlice implements Consumer<Entry>, AutoCloseable {
 
     private static final long SEGMENT_BYTES = 64L << 20;
     private static final long FRAME_BYTES = 32 << 10;
 
-    private final long from;
-    private final long count;
+    private final long firstIndex;
+    private final long maxCount;
     private final SegmentWriter log;
-    private final EntryWriter writer =
-            new EntryWriter(k -> k); // keys were hashed when they were captured
+
+    /** The keys of a capture are hidden already. */
+    private final EntryWriter writer = new EntryWriter(UnaryOperator.identity());
+
+    /** The last start before the part, or null. */
     private Entry start;
-    private long seen;
-    private long missed;
+
+    private long nextIndex;
+    private long skippedSinceStart;
     private long written;
-    private boolean open;
+    private boolean frameOpen;
 
     /**
-     * A part of {@code count} entries at most, from number {@code from} on, into an empty folder.
+     * A part of a capture.
+     *
+     * @param to directory without a capture, which receives the part
+     * @param boot identifier of the start of the router, for the names of the segments
+     * @param from index of the first entry, from 0
+     * @param count largest number of entries
+     * @throws IOException if the directory has a capture
      */
     public CaptureSlice(Disk to, long boot, long from, long count) throws IOException {
-        if (to.list().stream().anyMatch(text -> text.endsWith(".seg"))) {
+        if (to.list().stream().anyMatch(Segment::isSegment)) {
             throw new IOException("there is a capture in that folder already");
         }
-        this.from = from;
-        this.count = count;
+        this.firstIndex = from;
+        this.maxCount = count;
         this.log = new SegmentWriter(to, boot, SEGMENT_BYTES, Long.MAX_VALUE);
     }
 
-    /** Takes the next entry of the whole. */
+    /** Takes the next entry of the capture, whether or not it belongs to the part. */
     @Override
     public void accept(Entry entry) {
-        long n = seen++;
-        if (n < from) {
-            start = entry instanceof Entry.Start ? entry : start;
-            missed = entry instanceof Entry.Start ? 0 : missed + 1;
-        } else if (n - from < count) {
+        long index = nextIndex++;
+        if (index < firstIndex) {
+            skip(entry);
+        } else if (index - firstIndex < maxCount) {
             if (written == 0 && start != null && !(entry instanceof Entry.Start)) {
-                write(start);
-                if (missed > 0) {
-                    write(new Entry.Gap(missed));
-                }
+                writePrologue();
             }
             write(entry);
         }
     }
 
-    /** Entries written, with what was put before them. */
+    private void skip(Entry entry) {
+        if (entry instanceof Entry.Start) {
+            start = entry;
+            skippedSinceStart = 0;
+        } else {
+            skippedSinceStart++;
+        }
+    }
+
+    private void writePrologue() {
+        write(start);
+        if (skippedSinceStart > 0) {
+            write(new Entry.Gap(skippedSinceStart));
+        }
+    }
+
+    /** Returns the number of entries written, including a start and a gap put before the part. */
     public long written() {
         return written;
     }
 
     private void write(Entry entry) {
         try {
-            if (!open) {
+            if (!frameOpen) {
                 writer.startFrame(log.startsSegment());
-                open = true;
+                frameOpen = true;
             }
             writer.write(entry);
             written++;
             if (writer.size() >= FRAME_BYTES) {
                 flush();
             }
-        } catch (IOException x) {
-            throw new UncheckedIOException(x);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
         }
     }
 
     private void flush() throws IOException {
-        if (open) {
+        if (frameOpen) {
             log.append(writer.bytes(), writer.size(), written);
-            open = false;
+            frameOpen = false;
         }
     }
 
--- a/capture/src/main/java/ashlink/capture/CaptureSummary.java
+++ b/capture/src/main/java/ashlink/capture/CaptureSummary.java
@@ -5,6 +5,7 @@
 import ashlink.decisions.api.Action.Fail;
 import ashlink.decisions.api.Action.Reject;
 import ashlink.decisions.api.Action.StartAttempt;
+import ashlink.decisions.api.Event;
 import ashlink.decisions.api.Event.AttemptEnded;
 import ashlink.decisions.api.Event.ClientDisconnected;
 import ashlink.decisions.api.Event.QuerySubmitted;
@@ -16,191 +17,202 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** What happened in a capture, counted by class, by engine, and by second. */
+/**
+ * Counts what happened in a capture by class, by engine and by second. The getters are read by name
+ * from the template of the report. Not safe for use by several threads.
+ */
 public final class CaptureSummary implements Consumer<Entry> {
 
-    private static final double S = 1e9;
+    private static final double NS_PER_S = 1e9;
 
-    /** Requests of a class by how they ended. */
+    /** Queries of a class by how they ended. */
     public static final class ClassCount {
-        private long taken;
+        private long submitted;
         private long served;
-        private long refused;
+        private long rejected;
         private long failed;
-        private long gone;
+        private long disconnected;
 
-        /** Requests taken. */
+        /** Returns the number of submitted queries. */
         public long getTaken() {
-            return taken;
+            return submitted;
         }
 
-        /** Requests that an engine's answer ended. */
+        /** Returns the number of queries that ended with the response of an engine. */
         public long getServed() {
             return served;
         }
 
-        /** Requests refused. */
+        /** Returns the number of rejected queries. */
         public long getRefused() {
-            return refused;
+            return rejected;
         }
 
-        /** Requests failed. */
+        /** Returns the number of failed queries. */
         public long getFailed() {
             return failed;
         }
 
-        /** Requests whose client went. */
+        /** Returns the number of queries whose client disconnected. */
         public long getGone() {
-            return gone;
+            return disconnected;
         }
     }
 
-    /** One second. */
+    /** The counts of one second. */
     public static final class Second {
-        private long taken;
-        private long ended;
-        private int held;
-        private final Map<String, Integer> out = new TreeMap<>();
+        private long submitted;
+        private long endedAttempts;
+        private int queued;
+        private final Map<String, Integer> inFlight = new TreeMap<>();
 
-        /** Requests taken in it. */
+        /** Returns the number of queries submitted in this second. */
         public long getTaken() {
-            return taken;
+            return submitted;
         }
 
-        /** Attempts ended in it. */
+        /** Returns the number of attempts that ended in this second. */
         public long getEnded() {
-            return ended;
+            return endedAttempts;
         }
 
-        /** Requests held at its end: taken, not answered, and at no engine. */
+        /** Returns the number of open queries without an attempt at the end of this second. */
         public int getHeld() {
-            return held;
+            return queued;
         }
 
-        /** Attempts out at each engine at its end. */
+        /** Returns the number of attempts in flight by engine at the end of this second. */
         public Map<String, Integer> getOut() {
-            return out;
+            return inFlight;
         }
     }
 
     private final Map<String, ClassCount> classes = new LinkedHashMap<>();
-    private final Map<String, Map<String, Long>> engines = new TreeMap<>();
+    private final Map<String, Map<String, Long>> attemptEndsByEngine = new TreeMap<>();
     private final TreeMap<Integer, Second> seconds = new TreeMap<>();
-    private final Map<Long, String> open = new HashMap<>();
-    private final Map<Long, String> sentTo = new HashMap<>();
+    private final Map<Long, String> classByOpenQuery = new HashMap<>();
+    private final Map<Long, String> engineByQuery = new HashMap<>();
     private String router = "";
     private String moduleHash = "";
     private long starts;
     private long gaps;
     private long steps;
-    private long firstNs;
-    private int offset;
+
+    /** Time of the first step since the last start; 0 before it. */
+    private long firstStepNs;
+
+    /** Seconds of the starts before the last one. */
+    private int earlierSeconds;
 
     @Override
     public void accept(Entry entry) {
         if (entry instanceof Entry.Start start) {
-            router = start.router();
-            moduleHash = start.moduleHash();
-            starts++;
-            open.clear();
-            sentTo.clear();
-            start.settings()
-                    .classes()
-                    .forEach(
-                            queryClass ->
-                                    classes.computeIfAbsent(
-                                            queryClass.name(), text -> new ClassCount()));
-            firstNs = 0;
-            offset =
-                    seconds.isEmpty()
-                            ? 0
-                            : seconds.lastKey() + 1; // starts stand one after the other
+            handleStart(start);
         } else if (entry instanceof Entry.Gap) {
             gaps++;
-        } else if (entry instanceof Entry.Step s) {
-            step(s);
+        } else if (entry instanceof Entry.Step step) {
+            handleStep(step);
         }
     }
 
-    private ClassCount of(String queryClass) {
-        return classes.computeIfAbsent(queryClass, text -> new ClassCount());
+    private void handleStart(Entry.Start start) {
+        router = start.router();
+        moduleHash = start.moduleHash();
+        starts++;
+        classByOpenQuery.clear();
+        engineByQuery.clear();
+        start.settings().classes().forEach(queryClass -> counts(queryClass.name()));
+        firstStepNs = 0;
+        earlierSeconds = seconds.isEmpty() ? 0 : seconds.lastKey() + 1;
     }
 
-    private void step(Entry.Step step) {
+    private ClassCount counts(String queryClass) {
+        return classes.computeIfAbsent(queryClass, name -> new ClassCount());
+    }
+
+    private void handleStep(Entry.Step step) {
         steps++;
-        firstNs = firstNs == 0 ? step.nowNs() : firstNs;
-        Second second =
-                seconds.computeIfAbsent(
-                        offset + (int) ((step.nowNs() - firstNs) / S), k -> new Second());
-        if (step.event() instanceof QuerySubmitted querySubmitted) {
-            of(querySubmitted.queryClass()).taken++;
-            second.taken++;
-            open.put(querySubmitted.id(), querySubmitted.queryClass());
-        } else if (step.event() instanceof AttemptEnded attemptEnded) {
-            second.ended++;
-            sentTo.remove(attemptEnded.id());
-            engines.computeIfAbsent(attemptEnded.engine(), k -> new TreeMap<>())
-                    .merge(attemptEnded.outcome().name(), 1L, Long::sum);
-            if (attemptEnded.clientAnswered() && open.containsKey(attemptEnded.id())) {
-                ClassCount classCount = of(open.remove(attemptEnded.id()));
-                classCount.served +=
-                        attemptEnded.outcome() == Outcome.SERVED
-                                        || attemptEnded.outcome() == Outcome.ERROR
-                                ? 1
-                                : 0;
-                classCount.failed +=
-                        attemptEnded.outcome() == Outcome.SERVED
-                                        || attemptEnded.outcome() == Outcome.ERROR
-                                ? 0
-                                : 1;
-            }
-        } else if (step.event() instanceof ClientDisconnected clientDisconnected
-                && open.containsKey(clientDisconnected.id())) {
-            of(open.remove(clientDisconnected.id())).gone++;
+        firstStepNs = firstStepNs == 0 ? step.nowNs() : firstStepNs;
+        int secondIndex = earlierSeconds + (int) ((step.nowNs() - firstStepNs) / NS_PER_S);
+        Second second = seconds.computeIfAbsent(secondIndex, index -> new Second());
+        handleEvent(step.event(), second);
+        step.actions().forEach(this::handleAction);
+        second.queued =
+                classByOpenQuery.size()
+                        - (int)
+                                engineByQuery.keySet().stream()
+                                        .filter(classByOpenQuery::containsKey)
+                                        .count();
+        second.inFlight.clear();
+        engineByQuery.values().forEach(engine -> second.inFlight.merge(engine, 1, Integer::sum));
+    }
+
+    private void handleEvent(Event event, Second second) {
+        if (event instanceof QuerySubmitted submitted) {
+            counts(submitted.queryClass()).submitted++;
+            second.submitted++;
+            classByOpenQuery.put(submitted.id(), submitted.queryClass());
+        } else if (event instanceof AttemptEnded ended) {
+            second.endedAttempts++;
+            handleAttemptEnded(ended);
+        } else if (event instanceof ClientDisconnected disconnected
+                && classByOpenQuery.containsKey(disconnected.id())) {
+            counts(classByOpenQuery.remove(disconnected.id())).disconnected++;
+        }
+    }
+
+    private void handleAttemptEnded(AttemptEnded ended) {
+        engineByQuery.remove(ended.id());
+        attemptEndsByEngine
+                .computeIfAbsent(ended.engine(), engine -> new TreeMap<>())
+                .merge(ended.outcome().name(), 1L, Long::sum);
+        if (!ended.clientAnswered() || !classByOpenQuery.containsKey(ended.id())) {
+            return;
+        }
+        ClassCount counts = counts(classByOpenQuery.remove(ended.id()));
+        if (ended.outcome() == Outcome.SERVED || ended.outcome() == Outcome.ERROR) {
+            counts.served++;
+        } else {
+            counts.failed++;
         }
-        step.actions().forEach(this::did);
-        second.held =
-                open.size() - (int) sentTo.keySet().stream().filter(open::containsKey).count();
-        second.out.clear();
-        sentTo.values().forEach(e -> second.out.merge(e, 1, Integer::sum));
     }
 
-    private void did(Action action) {
-        if (action instanceof StartAttempt startAttempt) {
-            sentTo.put(startAttempt.id(), startAttempt.engine());
-        } else if (action instanceof Reject reject && open.containsKey(reject.id())) {
-            of(open.remove(reject.id())).refused++;
-        } else if (action instanceof Fail fail && open.containsKey(fail.id())) {
-            of(open.remove(fail.id())).failed++;
+    private void handleAction(Action action) {
+        if (action instanceof StartAttempt start) {
+            engineByQuery.put(start.id(), start.engine());
+        } else if (action instanceof Reject reject && classByOpenQuery.containsKey(reject.id())) {
+            counts(classByOpenQuery.remove(reject.id())).rejected++;
+        } else if (action instanceof Fail fail && classByOpenQuery.containsKey(fail.id())) {
+            counts(classByOpenQuery.remove(fail.id())).failed++;
         }
     }
 
-    /** Counts by class. */
+    /** Returns the counts by class. */
     public Map<String, ClassCount> getClasses() {
         return classes;
     }
 
-    /** Ends of attempts by engine and outcome. */
+    /** Returns the number of ended attempts by engine and outcome. */
     public Map<String, Map<String, Long>> getEngines() {
-        return engines;
+        return attemptEndsByEngine;
     }
 
-    /** Counts by second from the first step; those of a later start follow on. */
+    /** Returns the counts by second from the first step; those of later starts follow on. */
     public Map<Integer, Second> getSeconds() {
         return seconds;
     }
 
-    /** Name of the router. */
+    /** Returns the name of the router. */
     public String getRouter() {
         return router;
     }
 
-    /** Hash of the module's code. */
+    /** Returns the hash of the decision module's code at the last start. */
     public String getModuleHash() {
         return moduleHash;
     }
 
-    /** Starts, gaps and steps, in this order. */
+    /** Returns the numbers of starts, gaps and steps, in this order. */
     public List<Long> getTotals() {
         return List.of(starts, gaps, steps);
     }
--- /dev/null
+++ b/capture/src/main/java/ashlink/capture/EngineState.java
@@ -0,0 +1,87 @@
+package ashlink.capture;
+
+import ashlink.decisions.api.Endpoint;
+import ashlink.decisions.api.LoadReport;
+import java.util.Locale;
+
+/** What a decision module knew of an engine at some time, as far as its events show it. */
+final class EngineState {
+
+    private static final double NS_PER_MS = 1e6;
+    private static final double MS_PER_S = 1000;
+
+    /** Null while the engine is not listed. */
+    private Endpoint endpoint;
+
+    private LoadReport loadReport = LoadReport.NONE;
+    private long reportedNs;
+    private int inFlight;
+    private String lastAttemptEnd = "";
+
+    void setEndpoint(Endpoint endpoint) {
+        this.endpoint = endpoint;
+    }
+
+    /** Stores a load report, unless it is empty. */
+    void reportLoad(LoadReport report, long nowNs) {
+        if (!report.equals(LoadReport.NONE)) {
+            loadReport = report;
+            reportedNs = nowNs;
+        }
+    }
+
+    void attemptStarted() {
+        inFlight++;
+    }
+
+    /**
+     * An attempt ended.
+     *
+     * @param counted whether its start was counted
+     * @param description how it ended
+     */
+    void attemptEnded(boolean counted, String description) {
+        if (counted) {
+            inFlight--;
+        }
+        lastAttemptEnd = description;
+    }
+
+    /** Describes the state on one line. */
+    String describe(long nowNs) {
+        String lastEnd = lastAttemptEnd.isEmpty() ? "" : "; last end " + lastAttemptEnd;
+        return describeEndpoint(nowNs)
+                + "; "
+                + inFlight
+                + " of ours out; "
+                + describeLoad(nowNs)
+                + lastEnd;
+    }
+
+    private String describeEndpoint(long nowNs) {
+        if (endpoint == null) {
+            return "not listed";
+        }
+        String uptime =
+                endpoint.startedNs() > 0
+                        ? ", up "
+                                + Math.round((nowNs - endpoint.startedNs()) / NS_PER_MS / MS_PER_S)
+                                + " s"
+                        : "";
+        return endpoint.state() + ", " + endpoint.kind() + ", " + endpoint.zone() + uptime;
+    }
+
+    private String describeLoad(long nowNs) {
+        if (loadReport.equals(LoadReport.NONE)) {
+            return "no report";
+        }
+        return String.format(
+                Locale.ROOT,
+                "report %.0f ms old: waiting %.0f, cores %.2f, memory %.2f, disks %.2f",
+                (nowNs - reportedNs) / NS_PER_MS,
+                loadReport.queued(),
+                loadReport.cpuUtilization(),
+                loadReport.memoryUtilization(),
+                loadReport.diskUtilization());
+    }
+}
--- a/capture/src/main/java/ashlink/capture/JsonExport.java
+++ b/capture/src/main/java/ashlink/capture/JsonExport.java
@@ -8,46 +8,59 @@
 import java.io.IOException;
 import java.io.OutputStream;
 import java.io.UncheckedIOException;
+import java.util.Locale;
 import java.util.function.Consumer;
 
 /**
- * Writes entries as JSON, one a line: the form, its fields by name, and for events and actions
- * their kind.
+ * Writes entries as JSON, one object per line: the form of the entry and its fields by name; events
+ * and actions also have their kind. Names are those of the records, so a renamed record component
+ * changes this output. Not safe for use by several threads.
  */
 public final class JsonExport implements Consumer<Entry>, AutoCloseable {
 
+    private static final String FORM = "form";
+    private static final String TIME = "now_ns";
+    private static final String EVENT = "event";
+    private static final String ACTIONS = "actions";
+    private static final String KIND = "kind";
+
     private final ObjectMapper mapper = new ObjectMapper();
     private final OutputStream out;
 
-    /** Writes to that stream. */
+    /** Writes to a stream, which {@link #close} flushes and leaves open. */
     public JsonExport(OutputStream out) {
         this.out = out;
         mapper.getFactory().configure(JsonGenerator.Feature.AUTO_CLOSE_TARGET, false);
     }
 
+    /**
+     * Writes an entry.
+     *
+     * @throws UncheckedIOException if the stream fails
+     */
     @Override
     public void accept(Entry entry) {
         ObjectNode line = mapper.createObjectNode();
-        line.put("form", entry.getClass().getSimpleName().toLowerCase(java.util.Locale.ROOT));
+        line.put(FORM, entry.getClass().getSimpleName().toLowerCase(Locale.ROOT));
         if (entry instanceof Entry.Step step) {
-            line.put("now_ns", step.nowNs());
-            line.set("event", tagged(step.event()));
-            ArrayNode actions = line.putArray("actions");
-            step.actions().forEach(action -> actions.add(tagged(action)));
+            line.put(TIME, step.nowNs());
+            line.set(EVENT, withKind(step.event()));
+            ArrayNode actions = line.putArray(ACTIONS);
+            step.actions().forEach(action -> actions.add(withKind(action)));
         } else {
             line.setAll((ObjectNode) mapper.valueToTree(entry));
         }
         try {
             out.write(mapper.writeValueAsBytes(line));
-            out.write(10);
+            out.write('\n');
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    private ObjectNode tagged(Object value) {
+    private ObjectNode withKind(Object value) {
         ObjectNode node = mapper.createObjectNode();
-        node.put("kind", value.getClass().getSimpleName());
+        node.put(KIND, value.getClass().getSimpleName());
         if (value.getClass().getRecordComponents().length > 0) {
             node.setAll((ObjectNode) mapper.valueToTree(value));
         }
--- a/capture/src/main/java/ashlink/capture/QueryTimeline.java
+++ b/capture/src/main/java/ashlink/capture/QueryTimeline.java
@@ -7,15 +7,14 @@
 import ashlink.decisions.api.Action.Log;
 import ashlink.decisions.api.Action.Reject;
 import ashlink.decisions.api.Action.StartAttempt;
-import ashlink.decisions.api.Endpoint;
 import ashlink.decisions.api.EndpointListKind;
+import ashlink.decisions.api.Event;
 import ashlink.decisions.api.Event.AttemptEnded;
 import ashlink.decisions.api.Event.AttemptProgress;
 import ashlink.decisions.api.Event.ClientDisconnected;
 import ashlink.decisions.api.Event.EndpointsChanged;
 import ashlink.decisions.api.Event.HealthCheckCompleted;
 import ashlink.decisions.api.Event.QuerySubmitted;
-import ashlink.decisions.api.LoadReport;
 import ashlink.decisions.api.QueryClass;
 import ashlink.decisions.api.RetrySafety;
 import java.util.ArrayList;
@@ -27,38 +26,32 @@
 import java.util.function.Consumer;
 
 /**
- * The story of one request: when it came, what was known when it was sent, how its attempts ended,
- * what it was answered.
+ * Extracts the timeline of one query from a capture: when it was submitted, what was known of the
+ * engines at each attempt, how the attempts ended, and what the client received.
  */
 public final class QueryTimeline implements Consumer<Entry> {
 
-    private static final double MS = 1e6;
+    private static final double NS_PER_MS = 1e6;
 
-    /** What the module had been told of an engine. */
-    private static final class Known {
-        Endpoint listed;
-        LoadReport report = LoadReport.NONE;
-        long reportNs;
-        int out;
-        String lastEnd = "";
-    }
-
-    private final long id;
+    private final long queryId;
     private final List<String> lines = new ArrayList<>();
-    private final Map<String, Known> engines = new LinkedHashMap<>();
+    private final Map<String, EngineState> engines = new LinkedHashMap<>();
     private final Map<String, QueryClass> classes = new HashMap<>();
-    private final Map<Long, String> sentTo = new HashMap<>();
-    private QuerySubmitted request;
-    private long takenNs;
+    private final Map<Long, String> engineByQuery = new HashMap<>();
+
+    /** Null until the query was submitted. */
+    private QuerySubmitted query;
+
+    private long submittedNs;
     private boolean mayHaveRun;
-    private boolean ended;
+    private boolean finished;
 
-    /** The story of the request of that number. */
+    /** The timeline of the query with that identifier. */
     public QueryTimeline(long id) {
-        this.id = id;
+        this.queryId = id;
     }
 
-    /** What was found; empty if the request is not there. */
+    /** Returns the lines of the timeline; empty if the capture does not have the query. */
     public List<String> lines() {
         return List.copyOf(lines);
     }
@@ -67,202 +60,170 @@
     public void accept(Entry entry) {
         if (entry instanceof Entry.Start start) {
             engines.clear();
-            sentTo.clear();
+            engineByQuery.clear();
             classes.clear();
             start.settings()
                     .classes()
                     .forEach(queryClass -> classes.put(queryClass.name(), queryClass));
-        } else if (entry instanceof Entry.Gap gap && request != null && !ended) {
-            lines.add(
-                    "a gap of "
-                            + (gap.entries() == 0 ? "unknown size" : gap.entries() + " entries")
-                            + ": the rest is not known");
-            ended = true;
-        } else if (entry instanceof Entry.Step step && !ended) {
-            told(step);
-            step.actions().forEach(action -> did(action, step.nowNs()));
+        } else if (entry instanceof Entry.Gap gap && query != null && !finished) {
+            String size = gap.entries() == 0 ? "unknown size" : gap.entries() + " entries";
+            lines.add("a gap of " + size + ": the rest is not known");
+            finished = true;
+        } else if (entry instanceof Entry.Step step && !finished) {
+            handleEvent(step.event(), step.nowNs());
+            step.actions().forEach(action -> handleAction(action, step.nowNs()));
         }
     }
 
-    private String at(long now) {
-        return String.format(Locale.ROOT, "%+9.1f ms  ", (now - takenNs) / MS);
+    private void addLine(long nowNs, String text) {
+        String time = String.format(Locale.ROOT, "%+9.1f ms  ", (nowNs - submittedNs) / NS_PER_MS);
+        lines.add(time + text);
     }
 
-    private Known known(String engine) {
-        return engines.computeIfAbsent(engine, text -> new Known());
+    private EngineState engine(String name) {
+        return engines.computeIfAbsent(name, unknown -> new EngineState());
     }
 
-    // ---- What the module was told
-    private void told(Entry.Step step) {
-        long now = step.nowNs();
-        if (step.event() instanceof QuerySubmitted querySubmitted && querySubmitted.id() == id) {
-            request = querySubmitted;
-            takenNs = now;
-            QueryClass queryClass = classes.get(querySubmitted.queryClass());
-            lines.add(
-                    String.format(
-                            Locale.ROOT,
-                            "request %d of class %s%s, worth %.1f, wanted within %.0f ms, to be"
-                                + " answered within %.0f ms, estimated at %.0f ms and %.0f MB%s",
-                            id,
-                            querySubmitted.queryClass(),
-                            querySubmitted.key() == null ? "" : " with key " + querySubmitted.key(),
-                            queryClass == null ? 0 : queryClass.priorityWeight(),
-                            queryClass == null ? 0 : queryClass.latencyObjectiveNs() / MS,
-                            (querySubmitted.deadlineNs() - now) / MS,
-                            querySubmitted.estimatedWorkNs() / MS,
-                            querySubmitted.estimatedMemoryMb(),
-                            rules(queryClass)));
-        } else if (step.event() instanceof AttemptEnded attemptEnded) {
-            Known k = known(attemptEnded.engine());
-            if (sentTo.remove(attemptEnded.id()) != null) {
-                k.out--;
-            }
-            k.lastEnd =
-                    attemptEnded.outcome()
-                            + " after "
-                            + Math.round(attemptEnded.durationNs() / MS)
-                            + " ms";
-            news(attemptEnded.engine(), attemptEnded.loadReport(), now);
-            if (attemptEnded.id() == id) {
-                mayHaveRun |= attemptEnded.outcome().mayHaveRun();
-                lines.add(
-                        at(now)
-                                + "attempt "
-                                + attemptEnded.attempt()
-                                + " at "
-                                + attemptEnded.engine()
-                                + " ended: "
-                                + attemptEnded.outcome()
-                                + (attemptEnded.outcome().mayHaveRun()
-                                        ? ", may have run"
-                                        : ", has not run")
-                                + (attemptEnded.clientAnswered()
-                                        ? "; the client has its answer"
-                                        : ""));
-                ended = attemptEnded.clientAnswered();
-            }
-        } else if (step.event() instanceof HealthCheckCompleted completed) {
-            news(completed.engine(), completed.loadReport(), now);
-        } else if (step.event() instanceof AttemptProgress attemptProgress
-                && attemptProgress.id() == id) {
-            lines.add(
-                    at(now)
-                            + "progress at "
-                            + attemptProgress.engine()
+    private static long roundMs(long durationNs) {
+        return Math.round(durationNs / NS_PER_MS);
+    }
+
+    // Events
+
+    private void handleEvent(Event event, long nowNs) {
+        if (event instanceof QuerySubmitted submitted && submitted.id() == queryId) {
+            handleSubmitted(submitted, nowNs);
+        } else if (event instanceof AttemptEnded ended) {
+            handleAttemptEnded(ended, nowNs);
+        } else if (event instanceof HealthCheckCompleted completed) {
+            engine(completed.engine()).reportLoad(completed.loadReport(), nowNs);
+        } else if (event instanceof AttemptProgress progress && progress.id() == queryId) {
+            addLine(
+                    nowNs,
+                    "progress at "
+                            + progress.engine()
                             + ": "
-                            + attemptProgress.kind()
+                            + progress.kind()
                             + " "
-                            + attemptProgress.amount());
-        } else if (step.event() instanceof ClientDisconnected clientDisconnected
-                && clientDisconnected.id() == id) {
-            lines.add(at(now) + "the client no longer waits");
-            ended = true;
-        } else if (step.event() instanceof EndpointsChanged endpointsChanged) {
-            if (endpointsChanged.kind() != EndpointListKind.DELTA) {
-                engines.values().forEach(k -> k.listed = null);
-            }
-            endpointsChanged
-                    .endpoints()
-                    .forEach(endpoint -> known(endpoint.engine()).listed = endpoint);
-            if (request != null) {
-                lines.add(
-                        at(now)
-                                + "news of the list: "
-                                + endpointsChanged.endpoints().stream()
-                                        .map(endpoint -> endpoint.engine() + " " + endpoint.state())
-                                        .toList());
-            }
+                            + progress.amount());
+        } else if (event instanceof ClientDisconnected disconnected
+                && disconnected.id() == queryId) {
+            addLine(nowNs, "the client no longer waits");
+            finished = true;
+        } else if (event instanceof EndpointsChanged changed) {
+            handleEndpointsChanged(changed, nowNs);
         }
     }
 
-    private static String rules(QueryClass queryClass) {
+    private void handleSubmitted(QuerySubmitted submitted, long nowNs) {
+        query = submitted;
+        submittedNs = nowNs;
+        QueryClass queryClass = classes.get(submitted.queryClass());
+        lines.add(
+                String.format(
+                        Locale.ROOT,
+                        "request %d of class %s%s, worth %.1f, wanted within %.0f ms, to be"
+                                + " answered within %.0f ms, estimated at %.0f ms and %.0f MB%s",
+                        queryId,
+                        submitted.queryClass(),
+                        submitted.key() == null ? "" : " with key " + submitted.key(),
+                        queryClass == null ? 0 : queryClass.priorityWeight(),
+                        queryClass == null ? 0 : queryClass.latencyObjectiveNs() / NS_PER_MS,
+                        (submitted.deadlineNs() - nowNs) / NS_PER_MS,
+                        submitted.estimatedWorkNs() / NS_PER_MS,
+                        submitted.estimatedMemoryMb(),
+                        describeRules(queryClass)));
+    }
+
+    private static String describeRules(QueryClass queryClass) {
         if (queryClass == null) {
             return "";
         }
-        String effect =
+        String retries =
                 queryClass.retrySafety() == RetrySafety.AT_MOST_ONCE ? "; never to run twice" : "";
-        String place =
+        String placement =
                 queryClass.engineKinds().isEmpty() ? "" : "; only on " + queryClass.engineKinds();
-        return effect + place + (queryClass.ordered() ? "; in order of its key" : "");
+        return retries + placement + (queryClass.ordered() ? "; in order of its key" : "");
     }
 
-    private void news(String engine, LoadReport report, long now) {
-        if (!report.equals(LoadReport.NONE)) {
-            known(engine).report = report;
-            known(engine).reportNs = now;
+    private void handleAttemptEnded(AttemptEnded ended, long nowNs) {
+        boolean counted = engineByQuery.remove(ended.id()) != null;
+        EngineState engine = engine(ended.engine());
+        engine.attemptEnded(
+                counted, ended.outcome() + " after " + roundMs(ended.durationNs()) + " ms");
+        engine.reportLoad(ended.loadReport(), nowNs);
+        if (ended.id() != queryId) {
+            return;
+        }
+        boolean attemptMayHaveRun = ended.outcome().mayHaveRun();
+        mayHaveRun |= attemptMayHaveRun;
+        addLine(
+                nowNs,
+                "attempt "
+                        + ended.attempt()
+                        + " at "
+                        + ended.engine()
+                        + " ended: "
+                        + ended.outcome()
+                        + (attemptMayHaveRun ? ", may have run" : ", has not run")
+                        + (ended.clientAnswered() ? "; the client has its answer" : ""));
+        finished = ended.clientAnswered();
+    }
+
+    private void handleEndpointsChanged(EndpointsChanged changed, long nowNs) {
+        if (changed.kind() != EndpointListKind.DELTA) {
+            engines.values().forEach(engine -> engine.setEndpoint(null));
+        }
+        changed.endpoints().forEach(endpoint -> engine(endpoint.engine()).setEndpoint(endpoint));
+        if (query != null) {
+            List<String> states =
+                    changed.endpoints().stream()
+                            .map(endpoint -> endpoint.engine() + " " + endpoint.state())
+                            .toList();
+            addLine(nowNs, "news of the list: " + states);
+        }
+    }
+
+    // Actions
+
+    private void handleAction(Action action, long nowNs) {
+        if (action instanceof StartAttempt start) {
+            handleStartAttempt(start, nowNs);
+        } else if (action instanceof Reject reject && reject.id() == queryId) {
+            addLine(nowNs, describeRejection(reject));
+            finished = true;
+        } else if (action instanceof Fail fail && fail.id() == queryId) {
+            addLine(nowNs, "failed: it may have run and must not run twice");
+            finished = true;
+        } else if (action instanceof CancelAttempt cancel && cancel.id() == queryId) {
+            addLine(nowNs, "attempt " + cancel.attempt() + " called off");
+        } else if (action instanceof Log log && query != null) {
+            addLine(nowNs, "log: " + log.text());
         }
     }
 
-    // ---- What it did
-    private void did(Action action, long now) {
-        if (action instanceof StartAttempt startAttempt) {
-            known(startAttempt.engine()).out++;
-            sentTo.put(startAttempt.id(), startAttempt.engine());
-            if (startAttempt.id() == id) {
-                lines.add(
-                        at(now)
-                                + "sent to "
-                                + startAttempt.engine()
-                                + " for at most "
-                                + Math.round(startAttempt.timeoutNs() / MS)
-                                + " ms; then known of each engine:");
-                engines.forEach(
-                        (name, k) -> lines.add("              " + name + ": " + shown(k, now)));
-            }
-        } else if (action instanceof Reject reject && reject.id() == id) {
-            lines.add(
-                    at(now)
-                            + "refused: trying again is harmless"
-                            + (reject.retryAfterNs() > 0
-                                    ? ", in " + Math.round(reject.retryAfterNs() / MS) + " ms"
-                                    : "")
-                            + (mayHaveRun ? " (it may have run, and may be repeated)" : ""));
-            ended = true;
-        } else if (action instanceof Fail fail && fail.id() == id) {
-            lines.add(at(now) + "failed: it may have run and must not run twice");
-            ended = true;
-        } else if (action instanceof CancelAttempt cancelAttempt && cancelAttempt.id() == id) {
-            lines.add(at(now) + "attempt " + cancelAttempt.attempt() + " called off");
-        } else if (action instanceof Log log && request != null) {
-            lines.add(at(now) + "log: " + log.text());
+    private void handleStartAttempt(StartAttempt start, long nowNs) {
+        engine(start.engine()).attemptStarted();
+        engineByQuery.put(start.id(), start.engine());
+        if (start.id() != queryId) {
+            return;
         }
+        addLine(
+                nowNs,
+                "sent to "
+                        + start.engine()
+                        + " for at most "
+                        + roundMs(start.timeoutNs())
+                        + " ms; then known of each engine:");
+        engines.forEach(
+                (name, engine) ->
+                        lines.add("              " + name + ": " + engine.describe(nowNs)));
     }
 
-    private static String shown(Known known, long now) {
-        String listed =
-                known.listed == null
-                        ? "not listed"
-                        : known.listed.state()
-                                + ", "
-                                + known.listed.kind()
-                                + ", "
-                                + known.listed.zone()
-                                + (known.listed.startedNs() > 0
-                                        ? ", up "
-                                                + Math.round(
-                                                        (now - known.listed.startedNs())
-                                                                / MS
-                                                                / 1000)
-                                                + " s"
-                                        : "");
-        String report =
-                known.report.equals(LoadReport.NONE)
-                        ? "no report"
-                        : String.format(
-                                Locale.ROOT,
-                                "report %.0f ms old: waiting %.0f, cores %.2f, memory %.2f, disks"
-                                        + " %.2f",
-                                (now - known.reportNs) / MS,
-                                known.report.queued(),
-                                known.report.cpuUtilization(),
-                                known.report.memoryUtilization(),
-                                known.report.diskUtilization());
-        return listed
-                + "; "
-                + known.out
-                + " of ours out; "
-                + report
-                + (known.lastEnd.isEmpty() ? "" : "; last end " + known.lastEnd);
+    private String describeRejection(Reject reject) {
+        String delay =
+                reject.retryAfterNs() > 0 ? ", in " + roundMs(reject.retryAfterNs()) + " ms" : "";
+        String caution = mayHaveRun ? " (it may have run, and may be repeated)" : "";
+        return "refused: trying again is harmless" + delay + caution;
     }
 }
--- a/capture/src/main/java/ashlink/capture/Replay.java
+++ b/capture/src/main/java/ashlink/capture/Replay.java
@@ -10,102 +10,122 @@
 import java.util.function.Function;
 
 /**
- * Tells a fresh module all that a captured one was told, at the recorded times, and compares what
- * it does. Nothing but the capture decides: no clock, no thread, no chance. What follows a gap is
- * passed over until the next start.
+ * Replays a capture: hands the recorded events at the recorded times to a new decision module, and
+ * compares its actions with the recorded ones. A decision module depends on nothing else. Steps
+ * after a gap are skipped until the next start. Not safe for use by several threads.
  */
 public final class Replay implements Consumer<Entry> {
 
-    /** Where a replay first did otherwise. */
+    private static final int MAX_DIVERGENCES = 20;
+
+    /**
+     * A step in which the replay decided otherwise.
+     *
+     * @param entry number of the entry in the capture, from 0
+     */
     public record Divergence(long entry, Entry.Step recorded, List<Action> replayed) {}
 
-    private static final int SHOWN = 20;
-    private final Function<Settings, WorkloadManager> module;
-    private WorkloadManager gateway;
+    private final Function<Settings, WorkloadManager> moduleFactory;
+    private final String moduleHash;
+    private final List<Divergence> divergences = new ArrayList<>();
+
+    /** Null before the first start and after a gap. */
+    private WorkloadManager module;
+
     private long entries;
-    private long decided;
-    private long passedOver;
     private long starts;
-    private long differing;
+    private long replayedSteps;
+    private long skippedSteps;
+    private long divergentSteps;
     private boolean hashesDiffer;
-    private final String hash;
-    private final List<Divergence> divergences = new ArrayList<>();
     private long firstNs;
     private long lastNs;
-    private long spanNs;
+    private long earlierSpanNs;
 
-    /** A replay by a module of that hash. */
+    /**
+     * A replay.
+     *
+     * @param module creates the decision module that decides again
+     * @param hash hash of its code, see {@link ModuleHash}
+     */
     public Replay(Function<Settings, WorkloadManager> module, String hash) {
-        this.module = module;
-        this.hash = hash;
+        this.moduleFactory = module;
+        this.moduleHash = hash;
     }
 
     @Override
     public void accept(Entry entry) {
         entries++;
         if (entry instanceof Entry.Start start) {
-            gateway = module.apply(start.settings());
-            starts++;
-            hashesDiffer |= !start.moduleHash().equals(hash);
-            spanNs += lastNs - firstNs;
-            firstNs = 0;
-            lastNs = 0;
+            start(start);
         } else if (entry instanceof Entry.Gap) {
-            gateway = null;
-        } else if (entry instanceof Entry.Step s) {
-            step(s);
+            module = null;
+        } else if (entry instanceof Entry.Step step) {
+            replay(step);
         }
     }
 
-    private void step(Entry.Step step) {
-        if (gateway == null) {
-            passedOver++;
+    private void start(Entry.Start start) {
+        module = moduleFactory.apply(start.settings());
+        starts++;
+        hashesDiffer |= !start.moduleHash().equals(moduleHash);
+        earlierSpanNs += lastNs - firstNs;
+        firstNs = 0;
+        lastNs = 0;
+    }
+
+    private void replay(Entry.Step step) {
+        if (module == null) {
+            skippedSteps++;
             return;
         }
         firstNs = firstNs == 0 ? step.nowNs() : firstNs;
         lastNs = step.nowNs();
-        List<Action> done = gateway.onEvent(step.event(), step.nowNs());
-        decided++;
-        if (!done.equals(step.actions())) {
-            differing++;
-            if (divergences.size() < SHOWN) {
-                divergences.add(new Divergence(entries - 1, step, List.copyOf(done)));
+        List<Action> actions = module.onEvent(step.event(), step.nowNs());
+        replayedSteps++;
+        if (!actions.equals(step.actions())) {
+            divergentSteps++;
+            if (divergences.size() < MAX_DIVERGENCES) {
+                divergences.add(new Divergence(entries - 1, step, List.copyOf(actions)));
             }
         }
     }
 
-    /** Steps that were decided again. */
+    /** Returns the number of replayed steps. */
     public long decided() {
-        return decided;
+        return replayedSteps;
     }
 
-    /** Steps after a gap, which cannot be. */
+    /** Returns the number of steps that were skipped, as they follow a gap. */
     public long passedOver() {
-        return passedOver;
+        return skippedSteps;
     }
 
-    /** Modules that were made. */
+    /** Returns the number of decision modules that the capture covers. */
     public long starts() {
         return starts;
     }
 
-    /** Steps in which the replay did otherwise; after the first of them the rest is open loop. */
+    /**
+     * Returns the number of steps in which the replay decided otherwise. After the first of them,
+     * the recorded events are no longer those that the replayed decisions would have caused.
+     */
     public long differing() {
-        return differing;
+        return divergentSteps;
     }
 
-    /** The first of those steps. */
+    /** Returns the first divergences, up to a limit. */
     public List<Divergence> divergences() {
         return List.copyOf(divergences);
     }
 
-    /** True if a captured module's code was another. */
+    /** Tells whether a part of the capture was recorded with other code. */
     public boolean hashesDiffer() {
         return hashesDiffer;
     }
 
-    /** Time from the first to the last step of each start, in nanoseconds. */
+    /** Returns the time from the first to the last step, summed over the starts. */
     public long spanNs() {
-        return spanNs + lastNs - firstNs;
+        return earlierSpanNs + lastNs - firstNs;
     }
 }
--- a/capture/src/main/java/ashlink/capture/log/KeyValueLog.java
+++ b/capture/src/main/java/ashlink/capture/log/KeyValueLog.java
@@ -62,7 +62,7 @@
     }
 
     private List<String> segments() throws IOException {
-        return disk.list().stream().filter(name -> name.endsWith(Segment.FILE_SUFFIX)).toList();
+        return disk.list().stream().filter(Segment::isSegment).toList();
     }
 
     /** Replaces the log by these records; they are on the disk when this returns. */
--- a/capture/src/main/java/ashlink/capture/log/Segment.java
+++ b/capture/src/main/java/ashlink/capture/log/Segment.java
@@ -10,7 +10,7 @@
  */
 public final class Segment {
 
-    static final String FILE_SUFFIX = ".seg";
+    private static final String FILE_SUFFIX = ".seg";
     static final int MAGIC = 0x41534c43;
     static final int VERSION = 1;
 
@@ -62,6 +62,11 @@
         return String.format("%016x-%08d" + FILE_SUFFIX, boot, number);
     }
 
+    /** Tells whether a file of a directory is a segment, by its name. */
+    public static boolean isSegment(String fileName) {
+        return fileName.endsWith(FILE_SUFFIX);
+    }
+
     static byte[] header(long boot, int number, long firstEntry) {
         ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES);
         buffer.putInt(MAGIC)
--- a/capture/src/main/java/ashlink/capture/log/SegmentWriter.java
+++ b/capture/src/main/java/ashlink/capture/log/SegmentWriter.java
@@ -101,8 +101,7 @@
 
     /** Deletes the oldest segments while they are too large together, never the current one. */
     private void deleteOldSegments() throws IOException {
-        List<String> names =
-                disk.list().stream().filter(name -> name.endsWith(Segment.FILE_SUFFIX)).toList();
+        List<String> names = disk.list().stream().filter(Segment::isSegment).toList();
         long totalBytes = 0;
         for (String name : names) {
             totalBytes += disk.size(name);
--- a/capture/src/main/java/ashlink/capture/package-info.java
+++ b/capture/src/main/java/ashlink/capture/package-info.java
@@ -1,2 +1,5 @@
-/** Captures of all that a decision module was told, and replays of them. */
+/**
+ * Captures of the events and actions of a decision module: recording, reading, replay, and what is
+ * derived from them.
+ */
 package ashlink.capture;
--- a/capture/src/test/java/ashlink/capture/EntryText.java
+++ b/capture/src/test/java/ashlink/capture/EntryText.java
@@ -66,33 +66,15 @@
         }
     }
 
-    // ---- Events
+    // Events
+
     private void event(Event event) {
-        if (event instanceof QuerySubmitted querySubmitted) {
-            line(
-                    "  request",
-                    querySubmitted.id(),
-                    querySubmitted.queryClass(),
-                    querySubmitted.key(),
-                    querySubmitted.tableGroup(),
-                    querySubmitted.deadlineNs(),
-                    querySubmitted.estimatedWorkNs(),
-                    querySubmitted.estimatedMemoryMb(),
-                    querySubmitted.tenant());
-        } else if (event instanceof AttemptEnded attemptEnded) {
-            line(
-                    "  ended",
-                    attemptEnded.id(),
-                    attemptEnded.attempt(),
-                    attemptEnded.engine(),
-                    attemptEnded.outcome().ordinal(),
-                    attemptEnded.durationNs(),
-                    attemptEnded.clientAnswered(),
-                    attemptEnded.workMs(),
-                    attemptEnded.memoryMb(),
-                    report(attemptEnded.loadReport()));
-        } else if (event instanceof TimerFired timerFired) {
-            line("  alarm", timerFired.label());
+        if (event instanceof QuerySubmitted submitted) {
+            querySubmitted(submitted);
+        } else if (event instanceof AttemptEnded ended) {
+            attemptEnded(ended);
+        } else if (event instanceof TimerFired fired) {
+            line("  alarm", fired.label());
         } else if (event instanceof HealthCheckCompleted completed) {
             line(
                     "  probed",
@@ -100,24 +82,51 @@
                     completed.outcome().ordinal(),
                     completed.durationNs(),
                     report(completed.loadReport()));
-        } else if (event instanceof EndpointsChanged endpointsChanged) {
-            line("  list", endpointsChanged.kind().ordinal(), endpointsChanged.endpoints().size());
-            endpointsChanged.endpoints().forEach(this::listEntry);
-        } else if (event instanceof ClientDisconnected clientDisconnected) {
-            line("  gone", clientDisconnected.id());
-        } else if (event instanceof AttemptProgress attemptProgress) {
+        } else if (event instanceof EndpointsChanged changed) {
+            line("  list", changed.kind().ordinal(), changed.endpoints().size());
+            changed.endpoints().forEach(this::endpoint);
+        } else if (event instanceof ClientDisconnected disconnected) {
+            line("  gone", disconnected.id());
+        } else if (event instanceof AttemptProgress progress) {
             line(
                     "  progress",
-                    attemptProgress.id(),
-                    attemptProgress.attempt(),
-                    attemptProgress.engine(),
-                    attemptProgress.kind().ordinal(),
-                    attemptProgress.amount());
+                    progress.id(),
+                    progress.attempt(),
+                    progress.engine(),
+                    progress.kind().ordinal(),
+                    progress.amount());
         } else {
             throw new AssertionError("an event that has no text: " + event);
         }
     }
 
+    private void querySubmitted(QuerySubmitted submitted) {
+        line(
+                "  request",
+                submitted.id(),
+                submitted.queryClass(),
+                submitted.key(),
+                submitted.tableGroup(),
+                submitted.deadlineNs(),
+                submitted.estimatedWorkNs(),
+                submitted.estimatedMemoryMb(),
+                submitted.tenant());
+    }
+
+    private void attemptEnded(AttemptEnded ended) {
+        line(
+                "  ended",
+                ended.id(),
+                ended.attempt(),
+                ended.engine(),
+                ended.outcome().ordinal(),
+                ended.durationNs(),
+                ended.clientAnswered(),
+                ended.workMs(),
+                ended.memoryMb(),
+                report(ended.loadReport()));
+    }
+
     private static String report(LoadReport loadReport) {
         return "("
                 + loadReport.queued()
@@ -132,7 +141,7 @@
                 + ")";
     }
 
-    private void listEntry(Endpoint endpoint) {
+    private void endpoint(Endpoint endpoint) {
         line(
                 "    engine",
                 endpoint.engine(),
@@ -143,7 +152,7 @@
                 endpoint.startedNs());
     }
 
-    // ---- Actions
+    // Actions
     private void action(Action action) {
         if (action instanceof StartAttempt startAttempt) {
             line("  > send", startAttempt.id(), startAttempt.engine(), startAttempt.timeoutNs());
@@ -168,7 +177,7 @@
         }
     }
 
-    // ---- Settings
+    // Settings
     private void settings(Settings settings) {
         line(
                 "  settings",
--- a/capture/src/test/java/ashlink/capture/StoredCaptureTest.java
+++ b/capture/src/test/java/ashlink/capture/StoredCaptureTest.java
@@ -28,16 +28,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Captures that an earlier build wrote are read as they were written, and decided again exactly.
- * They are in {@code src/test/resources/stored/capture}; the README beside tells how they were
- * written.
+ * Captures of an earlier build are read as they were written, and replay without a divergence. They
+ * are in {@code src/test/resources/stored/capture}, with a README on how they were written.
  *
- * <p>The hash of the module in them is data like any other: it changes with each build, so no test
- * asks that it be that of today's rules.
+ * <p>The hash of the decision module in them changes with each build, so no test compares it with
+ * that of the current code.
  */
 class StoredCaptureTest {
 
-    private static final int DAY_STEPS = 300;
+    private static final int RECORDED_STEPS = 300;
 
     private static Path stored(String name) throws URISyntaxException {
         Path folder = Path.of(StoredCaptureTest.class.getResource("/stored/capture").toURI());
@@ -58,13 +57,13 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"kinds", "day"})
-    void allEntriesAreReadAsTheyWereWritten(String name) throws Exception {
+    void entriesAreReadAsTheyWereWritten(String name) throws Exception {
         assertEquals(Files.readString(stored(name + ".txt")), EntryText.of(read(name)));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"kinds", "day"})
-    void allSegmentsAreWholeAndFollowEachOther(String name) throws Exception {
+    void segmentsAreIntactAndConsecutive(String name) throws Exception {
         List<CaptureReader.Found> found =
                 new CaptureReader(FolderDisk.reading(stored(name))).read(entry -> {});
         assertTrue(found.size() > 1, found.toString());
@@ -76,7 +75,7 @@
     }
 
     @Test
-    void theStoredCaptureHasEveryKindOfEventAndAction() throws Exception {
+    void storedCaptureHasEveryKindOfEventAndAction() throws Exception {
         Set<Class<?>> seen = new HashSet<>();
         for (Entry entry : read("kinds")) {
             seen.add(entry.getClass());
@@ -90,9 +89,9 @@
         }
     }
 
-    /** Constants are stored as their ordinal numbers: in another order they mean something else. */
+    /** Constants are stored by ordinal, so their order is part of the format. */
     @Test
-    void constantsKeepTheOrderInWhichTheirNumbersWereStored() {
+    void enumConstantsHaveTheirStoredOrdinals() {
         assertEquals(
                 List.of(RetrySafety.IDEMPOTENT, RetrySafety.DEDUPLICATED, RetrySafety.AT_MOST_ONCE),
                 List.of(RetrySafety.values()));
@@ -126,17 +125,17 @@
     }
 
     @Test
-    void theRulesDecideTheStoredDayAgainWithoutADivergence() throws Exception {
+    void replayHasNoDivergence() throws Exception {
         Replay replay = replay();
         assertEquals(List.of(), replay.divergences());
         assertEquals(0, replay.differing());
     }
 
     @Test
-    void theReplayOfTheStoredDayDecidesEveryStep() throws Exception {
+    void replayCoversEveryStep() throws Exception {
         Replay replay = replay();
         assertEquals(2, replay.starts());
-        assertEquals(DAY_STEPS, replay.decided());
+        assertEquals(RECORDED_STEPS, replay.decided());
         assertEquals(0, replay.passedOver());
     }
 }
--- a/capture/src/test/java/ashlink/capture/StoredDataRecorder.java
+++ b/capture/src/test/java/ashlink/capture/StoredDataRecorder.java
@@ -57,7 +57,7 @@
 
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
-    private static final int DAY_STEPS = 150;
+    private static final int STEPS = 150;
     private static final double SIXTY_FOURTH = 1 / 64.0; // such fractions print the same everywhere
 
     private StoredDataRecorder() {}
@@ -66,9 +66,9 @@
     public static void main(String[] arguments) throws IOException {
         Path folder = Path.of(arguments[0]);
         write(folder, "kinds", kinds(), 600);
-        List<Entry> days = new ArrayList<>(new Day(tightSettings(), 1).entries());
-        days.addAll(new Day(wideSettings(), 2).entries());
-        write(folder, "day", days, 3_000);
+        List<Entry> entries = new ArrayList<>(new ScriptedRouter(tightSettings(), 1).entries());
+        entries.addAll(new ScriptedRouter(wideSettings(), 2).entries());
+        write(folder, "day", entries, 3_000);
     }
 
     private static void write(Path folder, String name, List<Entry> entries, long segmentBytes)
@@ -90,7 +90,7 @@
         Files.writeString(folder.resolve(name + ".txt"), EntryText.of(read));
     }
 
-    // ---- Settings
+    // Settings
     private static Set<String> ordered(String... words) {
         return new LinkedHashSet<>(List.of(words));
     }
@@ -191,7 +191,7 @@
                 1);
     }
 
-    // ---- The capture that is made up
+    // The capture that is made up
     private static List<Entry> kinds() {
         List<Entry> entries = new ArrayList<>();
         entries.add(new Entry.Start("0123456789abcdef", tightSettings(), "r1"));
@@ -266,7 +266,7 @@
     }
 
     /** A day that the rules decide, against engines that answer by chance. */
-    private static final class Day {
+    private static final class ScriptedRouter {
         private final Settings settings;
         private final SplittableRandom random;
         private final WorkloadManager gateway;
@@ -279,7 +279,7 @@
         private long nowNs = 1_000 * SECOND;
         private long lastRequest;
 
-        Day(Settings settings, long seed) {
+        ScriptedRouter(Settings settings, long seed) {
             this.settings = settings;
             this.random = new SplittableRandom(seed);
             this.gateway = new DefaultWorkloadManager(settings);
@@ -290,7 +290,7 @@
                     new Entry.Start(ModuleHash.of(DefaultWorkloadManager.class), settings, "r1"));
             due.add(news(EndpointListKind.CACHED, EndpointState.READY));
             due.add(news(EndpointListKind.SNAPSHOT, EndpointState.READY));
-            while (entries.size() <= DAY_STEPS) {
+            while (entries.size() <= STEPS) {
                 nowNs += random.nextInt(9_000_000);
                 step(next());
             }
