--- a/router/src/main/java/ashlink/router/Router.java
+++ b/router/src/main/java/ashlink/router/Router.java
@@ -19,7 +19,7 @@
 import ashlink.router.frontend.ListenerContext;
 import ashlink.router.frontend.MemoryQuota;
 import ashlink.router.frontend.NativeListener;
-import ashlink.router.frontend.UnknownTableLog;
+import ashlink.router.frontend.UnsupportedStatementLog;
 import ashlink.router.http.HttpListener;
 import ashlink.router.upstream.EngineConnections;
 import ashlink.wire.WireLimits;
@@ -145,7 +145,7 @@
                         new MemoryQuota(bounds.heldInserts()),
                         () -> classifier,
                         new Statements(),
-                        new UnknownTableLog(),
+                        new UnsupportedStatementLog(),
                         boot);
         listener = new NativeListener(context);
         background = new Scheduler(config.name(), Limits.DEFAULT, config.seed(), this::pressure);
--- a/router/src/main/java/ashlink/router/frontend/CredentialCache.java
+++ b/router/src/main/java/ashlink/router/frontend/CredentialCache.java
@@ -14,52 +14,54 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Checks users and passwords. A check is dear on purpose, so few run at once, and one that
- * succeeded is remembered under a keyed digest; one that failed never is.
+ * Verifies users and passwords. A verification is slow on purpose, so few run at once, and those
+ * that succeed are cached under a keyed digest; failures never are. Safe for use by several
+ * threads.
  */
 public final class CredentialCache {
 
-    private static final int AT_ONCE = 4;
-    private static final int REMEMBERED = 10_000;
+    private static final int MAX_CONCURRENT_CHECKS = 4;
+    private static final int MAX_CACHED = 10_000;
+    private static final int SECRET_BYTES = 32;
     private static final String MAC = "HmacSHA256";
 
-    private final Semaphore running = new Semaphore(AT_ONCE);
-    private final Cache<String, Boolean> good =
-            Caffeine.newBuilder().maximumSize(REMEMBERED).build();
+    private final Semaphore checks = new Semaphore(MAX_CONCURRENT_CHECKS);
+    private final Cache<String, Boolean> verified =
+            Caffeine.newBuilder().maximumSize(MAX_CACHED).build();
     private final SecretKeySpec key;
 
-    /** Remembers nothing yet. */
+    /** An empty cache with a new secret. */
     public CredentialCache() {
-        byte[] secret = new byte[32];
+        byte[] secret = new byte[SECRET_BYTES];
         new SecureRandom().nextBytes(secret);
         key = new SecretKeySpec(secret, MAC);
     }
 
-    /** True if a user and password are right and were checked before: costs next to nothing. */
+    /** Tells whether a user and password are cached as verified; fast. */
     public boolean isKnown(Map<String, UserSpec> users, String user, String password) {
         UserSpec spec = users.get(user);
         return spec != null
-                && good.getIfPresent(digest(user, password, spec.passwordHash())) != null;
+                && verified.getIfPresent(digest(user, password, spec.passwordHash())) != null;
     }
 
-    /** True if a user and password are right; may wait for its turn, and takes its time. */
+    /** Tells whether a user and password are right; slow unless cached, and may block. */
     public boolean check(Map<String, UserSpec> users, String user, String password)
             throws InterruptedException {
         UserSpec spec = users.get(user);
         String hash = spec == null ? null : spec.passwordHash();
         String digest = digest(user, password, hash);
-        if (spec != null && good.getIfPresent(digest) != null) {
+        if (spec != null && verified.getIfPresent(digest) != null) {
             return true;
         }
-        running.acquire();
+        checks.acquire();
         try {
             boolean matches = Passwords.matches(password, hash);
             if (matches) {
-                good.put(digest, true);
+                verified.put(digest, true);
             }
             return matches;
         } finally {
-            running.release();
+            checks.release();
         }
     }
 
@@ -75,7 +77,7 @@
             }
             return Base64.getEncoder().encodeToString(mac.doFinal());
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("every Java platform has " + MAC, e);
         }
     }
 }
--- /dev/null
+++ b/router/src/main/java/ashlink/router/frontend/EngineResponseRelay.java
@@ -0,0 +1,253 @@
+package ashlink.router.frontend;
+
+import ashlink.router.core.Attempt;
+import ashlink.router.core.AttemptEndReason;
+import ashlink.router.core.AttemptPhase;
+import ashlink.router.core.StatementOutcome;
+import ashlink.router.upstream.EngineErrors;
+import ashlink.router.upstream.LoadReportReader;
+import ashlink.router.upstream.NativeEngineConnection;
+import ashlink.wire.Blocks;
+import ashlink.wire.ByteBuf;
+import ashlink.wire.ProfileInfo;
+import ashlink.wire.Progress;
+import ashlink.wire.Revision;
+import ashlink.wire.ServerError;
+import ashlink.wire.ServerPacket;
+import ashlink.wire.StreamSource;
+import ashlink.wire.WireException;
+import java.io.IOException;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.Map;
+
+/**
+ * Relays the response of an engine to the client of one attempt, and feeds an insert's data to the
+ * engine.
+ *
+ * <p>The response is buffered until it is complete or exceeds its limit, so that another attempt
+ * can take over without the client noticing. Beyond the limit the attempt is committed: from then
+ * on the client receives its packets, and no other attempt can.
+ */
+final class EngineResponseRelay {
+
+    /** Committed packets are gathered up to this size, for one write instead of many small ones. */
+    private static final int GATHER_BYTES = 64 << 10;
+
+    private static final int MAX_PROFILE_EVENT_ROWS = 100_000;
+
+    private final ListenerContext context;
+    private final RequestExchange exchange;
+    private final Attempt attempt;
+    private final ConnectionLease lease;
+    private final ByteBuf response;
+
+    /** Values that the engine reported beside its response, by name. */
+    private final Map<String, Double> reportedValues = new HashMap<>();
+
+    private boolean committed;
+
+    EngineResponseRelay(
+            ListenerContext context,
+            RequestExchange exchange,
+            Attempt attempt,
+            ConnectionLease lease) {
+        this.context = context;
+        this.exchange = exchange;
+        this.attempt = attempt;
+        this.lease = lease;
+        this.response = new ByteBuf(context.limits().packetBytes(), context.answerQuota());
+    }
+
+    /** Tells whether the client receives the response of this attempt. */
+    boolean isCommitted() {
+        return committed;
+    }
+
+    /** Frees the buffer. */
+    void close() {
+        response.release();
+    }
+
+    /** Relays until the attempt ends; returns why it ended, or null if it is ended already. */
+    AttemptEndReason run() throws IOException, InterruptedException {
+        StreamSource in = lease.connection().in();
+        boolean dataComplete = exchange.feed() == null;
+        while (true) {
+            int packetStart = response.size();
+            in.startTap(response);
+            ServerPacket kind = ServerPacket.of(in.readVarUInt());
+            if (kind == ServerPacket.EXCEPTION) {
+                return handleException(ServerError.read(in, context.limits()), dataComplete);
+            }
+            Blocks.Size block = readPacket(kind, packetStart);
+            if (kind == ServerPacket.END_OF_STREAM) {
+                return handleEndOfStream(dataComplete);
+            }
+            boolean isInsertHeader =
+                    !dataComplete
+                            && kind == ServerPacket.DATA
+                            && block.rows() == 0
+                            && block.columns() > 0;
+            if (isInsertHeader) {
+                AttemptEndReason reason = startFeeding(packetStart);
+                if (reason != null || attempt.isOver()) {
+                    return reason;
+                }
+                dataComplete = true;
+            } else if (!forward()) {
+                return AttemptEndReason.CANCELLED;
+            }
+        }
+    }
+
+    /** Reads the rest of a packet into the buffer, in the layout of the client's revision. */
+    private Blocks.Size readPacket(ServerPacket kind, int packetStart) throws IOException {
+        NativeEngineConnection connection = lease.connection();
+        StreamSource in = connection.in();
+        int clientRevision = exchange.clientRevision();
+        Blocks.Size size = null;
+        boolean clientSupports = true;
+        if (kind == ServerPacket.PROFILE_EVENTS) {
+            readTableName(in);
+            reportedValues.putAll(
+                    LoadReportReader.values(
+                            connection.blocks().read(false, MAX_PROFILE_EVENT_ROWS)));
+            clientSupports = Revision.hasProfileEvents(clientRevision);
+        } else if (kind.hasBlock()) {
+            readTableName(in);
+            size = connection.blocks().skip(kind.isCompressible() && exchange.query().compressed());
+            clientSupports = kind != ServerPacket.LOG || Revision.hasLogs(clientRevision);
+        } else if (kind == ServerPacket.PROGRESS) {
+            Progress progress = Progress.read(in, connection.revision());
+            in.endTap();
+            response.truncate(packetStart);
+            progress.write(clientRevision, response);
+            return null;
+        } else if (kind == ServerPacket.PROFILE_INFO) {
+            ProfileInfo.read(in);
+        } else if (kind == ServerPacket.TABLE_COLUMNS) {
+            readTableName(in);
+            in.readString("columns", context.limits().textBytes());
+            clientSupports = Revision.hasTableColumns(clientRevision);
+        } else if (kind != ServerPacket.END_OF_STREAM) {
+            throw new WireException(
+                    WireException.Reason.MALFORMED, "packet " + kind + " is out of place");
+        }
+        in.endTap();
+        if (!clientSupports) {
+            response.truncate(packetStart);
+        }
+        return size;
+    }
+
+    private void readTableName(StreamSource in) throws IOException {
+        in.readString("table", context.limits().nameBytes());
+    }
+
+    /** Commits and writes the buffer where it is due; returns false if the attempt is over. */
+    private boolean forward() {
+        if (!committed && response.size() > context.config().bounds().heldAnswer()) {
+            if (!attempt.advance(AttemptPhase.ANSWERING)) {
+                return false;
+            }
+            committed = true;
+        }
+        boolean due = response.size() >= GATHER_BYTES || !lease.connection().in().hasBuffered();
+        if (committed && response.size() > 0 && due) {
+            exchange.write(response);
+            response.clear();
+        }
+        return !attempt.isOver();
+    }
+
+    private AttemptEndReason handleEndOfStream(boolean dataComplete) {
+        if (!dataComplete && exchange.waitsForData()) {
+            // The engine ended an insert before it had the data, so nothing of it ran.
+            return AttemptEndReason.CONNECTION_BROKEN;
+        }
+        boolean ended =
+                attempt.end(
+                        AttemptEndReason.SERVED, context.engines().gauges().told(reportedValues));
+        lease.release(ended);
+        if (ended) {
+            exchange.finish(response, StatementOutcome.SERVED);
+        }
+        return null;
+    }
+
+    /** Ends the attempt; the connection is reusable unless the engine still expects data. */
+    private AttemptEndReason handleException(ServerError error, boolean dataComplete)
+            throws IOException {
+        lease.connection().in().endTap();
+        AttemptEndReason reason =
+                committed ? AttemptEndReason.STATEMENT_ERROR : EngineErrors.cause(error.code());
+        exchange.recordError(attempt.engine() + ": code " + error.code() + ": " + error.message());
+        boolean ended = attempt.end(reason, context.engines().gauges().told(reportedValues));
+        lease.release(ended && dataComplete);
+        if (ended && reason == AttemptEndReason.STATEMENT_ERROR) {
+            exchange.finish(response, StatementOutcome.ERROR);
+        }
+        return null;
+    }
+
+    /** Offers the header of an insert to the client, then feeds the engine. */
+    private AttemptEndReason startFeeding(int headerStart)
+            throws IOException, InterruptedException {
+        byte[] header = Arrays.copyOfRange(response.array(), headerStart, response.size());
+        if (!exchange.acceptHeader(response, header)) {
+            exchange.recordError(
+                    attempt.engine() + " has other columns than the engine that was asked first");
+            return AttemptEndReason.ENGINE_ERROR;
+        }
+        response.clear();
+        return feed();
+    }
+
+    /**
+     * Feeds the engine; returns null once it has all data or the attempt is ended, else why not.
+     */
+    private AttemptEndReason feed() throws IOException, InterruptedException {
+        InsertFeed feed = exchange.feed();
+        while (true) {
+            byte[] packet = feed.next(attempt);
+            if (packet == null) {
+                // The client disconnected, or the attempt timed out.
+                return AttemptEndReason.CANCELLED;
+            }
+            while (lease.connection().hasSomething()) {
+                if (!handleEarlyPacket()) {
+                    return null;
+                }
+            }
+            boolean last = feed.isAtEnd();
+            if (last && exchange.waitsForData() && !attempt.advance(AttemptPhase.ENDING)) {
+                return AttemptEndReason.CANCELLED;
+            }
+            lease.connection().write(packet);
+            if (last) {
+                return attempt.advance(AttemptPhase.RUNNING) ? null : AttemptEndReason.CANCELLED;
+            }
+        }
+    }
+
+    /**
+     * Reads a packet that the engine sends before it has all data. Progress and logs are buffered;
+     * an exception ends the attempt, and false is returned.
+     */
+    private boolean handleEarlyPacket() throws IOException {
+        StreamSource in = lease.connection().in();
+        int packetStart = response.size();
+        in.startTap(response);
+        ServerPacket kind = ServerPacket.of(in.readVarUInt());
+        if (kind == ServerPacket.EXCEPTION) {
+            handleException(ServerError.read(in, context.limits()), false);
+            return false;
+        }
+        readPacket(kind, packetStart);
+        if (kind == ServerPacket.END_OF_STREAM) {
+            throw new IOException("the engine ended the insert before it had the data");
+        }
+        return true;
+    }
+}
--- a/router/src/main/java/ashlink/router/frontend/InsertFeed.java
+++ b/router/src/main/java/ashlink/router/frontend/InsertFeed.java
@@ -6,110 +6,125 @@
 import java.util.List;
 
 /**
- * The data of an insert on its way from the client to an engine. All of it is kept while it is
- * within the limit, so that another attempt can have it; past the limit only what was not sent yet
- * is kept, a window at a time, and there is no other attempt.
+ * The data of an insert on its way from the client to an engine. All of it is buffered while it is
+ * within the limit, so that a retry can send it again. Beyond the limit only unsent data is
+ * buffered, up to a window, and there is no retry. Safe for use by several threads: the client's
+ * thread puts, the thread of the current attempt takes.
  */
 public final class InsertFeed {
 
+    /** Unsent bytes beyond which the client has to wait, once the data is not replayable. */
     private static final long WINDOW_BYTES = 4 << 20;
 
-    private final long mostKept;
+    private final long maxReplayBytes;
     private final Quota quota;
+
+    // Guarded by this.
     private final List<byte[]> packets = new ArrayList<>();
-    private long kept;
-    private long unsent;
-    private int next;
+    private long bufferedBytes;
+    private long unsentBytes;
+    private int nextIndex;
     private boolean complete;
     private boolean replayable = true;
     private boolean closed;
 
-    InsertFeed(long mostKept, Quota quota) {
-        this.mostKept = mostKept;
+    InsertFeed(long maxReplayBytes, Quota quota) {
+        this.maxReplayBytes = maxReplayBytes;
         this.quota = quota;
     }
 
     /**
-     * Takes the client's next packet, {@code last} for the one that ends the data; waits while the
-     * window is full.
+     * Appends the client's next packet; blocks while the window is full.
+     *
+     * @param last whether the packet ends the data
      */
     public synchronized void put(byte[] packet, boolean last) throws InterruptedException {
-        if (replayable && (kept + packet.length > mostKept || !quota.take(packet.length))) {
+        if (replayable
+                && (bufferedBytes + packet.length > maxReplayBytes || !quota.take(packet.length))) {
             replayable = false;
             dropSent();
-            quota.give(kept);
+            quota.give(bufferedBytes);
         }
-        while (!closed && !replayable && unsent > 0 && unsent + packet.length > WINDOW_BYTES) {
+        while (!closed
+                && !replayable
+                && unsentBytes > 0
+                && unsentBytes + packet.length > WINDOW_BYTES) {
             wait();
         }
         if (closed) {
             return;
         }
         packets.add(packet);
-        kept += packet.length;
-        unsent += packet.length;
+        bufferedBytes += packet.length;
+        unsentBytes += packet.length;
         complete = last;
         notifyAll();
     }
 
     private void dropSent() {
-        for (byte[] p : packets.subList(0, next)) {
-            kept -= p.length;
+        List<byte[]> sent = packets.subList(0, nextIndex);
+        for (byte[] packet : sent) {
+            bufferedBytes -= packet.length;
         }
-        packets.subList(0, next).clear();
-        next = 0;
+        sent.clear();
+        nextIndex = 0;
     }
 
-    /** Starts over for another attempt; false where a part is no longer kept. */
+    /** Starts over for another attempt; returns false if a part of the data is dropped. */
     synchronized boolean rewind() {
         if (!replayable || closed) {
             return false;
         }
-        next = 0;
-        unsent = kept;
+        nextIndex = 0;
+        unsentBytes = bufferedBytes;
         return true;
     }
 
-    /** The next packet for an attempt; null once the feed is closed or the attempt over. */
+    /**
+     * Returns the next packet; blocks until there is one.
+     *
+     * @return null once the feed is closed or the attempt is over
+     */
     synchronized byte[] next(Attempt attempt) throws InterruptedException {
-        while (!closed && !attempt.isOver() && next == packets.size()) {
+        while (!closed && !attempt.isOver() && nextIndex == packets.size()) {
             wait();
         }
         if (closed || attempt.isOver()) {
             return null;
         }
-        byte[] p = packets.get(next);
-        unsent -= p.length;
+        byte[] packet = packets.get(nextIndex);
+        unsentBytes -= packet.length;
         if (replayable) {
-            next++;
+            nextIndex++;
         } else {
-            packets.remove(next);
-            kept -= p.length;
+            packets.remove(nextIndex);
+            bufferedBytes -= packet.length;
             notifyAll();
         }
-        return p;
+        return packet;
     }
 
-    /** True if what {@link #next} gave last ends the data. */
+    /** Tells whether the packet that {@link #next} returned last ends the data. */
     synchronized boolean isAtEnd() {
-        return complete && next == packets.size();
+        return complete && nextIndex == packets.size();
     }
 
-    /** Wakes who waits, to look whether its attempt is over. */
+    /** Wakes blocked threads, so that they check whether their attempt is over. */
     synchronized void wake() {
         notifyAll();
     }
 
-    /** Lets go of all data; what still comes is dropped. */
+    /** Drops all data, and what the client still sends. */
     synchronized void close() {
-        if (!closed) {
-            closed = true;
-            if (replayable) {
-                quota.give(kept);
-            }
-            packets.clear();
-            kept = 0;
-            notifyAll();
+        if (closed) {
+            return;
+        }
+        closed = true;
+        if (replayable) {
+            quota.give(bufferedBytes);
         }
+        packets.clear();
+        bufferedBytes = 0;
+        notifyAll();
     }
 }
--- a/router/src/main/java/ashlink/router/frontend/ListenerContext.java
+++ b/router/src/main/java/ashlink/router/frontend/ListenerContext.java
@@ -12,11 +12,20 @@
 import java.util.function.Supplier;
 
 /**
- * What a front works with.
+ * What the listeners of a router share.
  *
- * @param settings the settings in force, which a reload replaces
- * @param classifier that of the settings in force, made once for them
- * @param boot text that no other start of this router has
+ * @param settings current settings, which a reload replaces
+ * @param core decides about requests
+ * @param engines connections to the engines
+ * @param workers executor of attempts and final responses
+ * @param timer executor of timeouts; its tasks must not block
+ * @param limits limits of the wire protocol
+ * @param answerQuota budget of buffered responses
+ * @param insertQuota budget of buffered insert data
+ * @param classifier classifier of the current settings
+ * @param statements analyzes statements
+ * @param unsupportedStatements log of statements that cannot be analyzed
+ * @param boot text that is unique to this start of the router
  */
 public record ListenerContext(
         Supplier<RouterConfig> settings,
@@ -29,10 +38,10 @@
         Quota insertQuota,
         Supplier<Classifier> classifier,
         Statements statements,
-        UnknownTableLog unknowns,
+        UnsupportedStatementLog unsupportedStatements,
         String boot) {
 
-    /** The settings in force. */
+    /** Returns the current settings. */
     public RouterConfig config() {
         return settings.get();
     }
--- a/router/src/main/java/ashlink/router/frontend/MemoryQuota.java
+++ b/router/src/main/java/ashlink/router/frontend/MemoryQuota.java
@@ -3,21 +3,21 @@
 import ashlink.wire.Quota;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Memory that all requests of a router share. */
+/** A memory budget shared by all requests of a router. Safe for use by several threads. */
 public final class MemoryQuota implements Quota {
 
-    private final long most;
-    private final AtomicLong taken = new AtomicLong();
+    private final long maxBytes;
+    private final AtomicLong usedBytes = new AtomicLong();
 
-    /** A quota of that many bytes. */
-    public MemoryQuota(long most) {
-        this.most = most;
+    /** An unused budget. */
+    public MemoryQuota(long maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
     @Override
     public boolean take(long bytes) {
-        if (taken.addAndGet(bytes) > most) {
-            taken.addAndGet(-bytes);
+        if (usedBytes.addAndGet(bytes) > maxBytes) {
+            usedBytes.addAndGet(-bytes);
             return false;
         }
         return true;
@@ -25,6 +25,6 @@
 
     @Override
     public void give(long bytes) {
-        taken.addAndGet(-bytes);
+        usedBytes.addAndGet(-bytes);
     }
 }
--- a/router/src/main/java/ashlink/router/frontend/NativeClientConnection.java
+++ b/router/src/main/java/ashlink/router/frontend/NativeClientConnection.java
@@ -13,46 +13,51 @@
 import ashlink.wire.WireLimits;
 import java.io.IOException;
 import java.net.Socket;
+import java.util.Arrays;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * One client's connection, read by its own thread. Its states: login; idle; a statement is open; an
- * insert is being fed; what is left of an insert that was answered early is passed over; closed.
+ * A client connection of the native protocol, read by its own thread. Its states: login; idle; a
+ * statement is open; the client sends the data of an insert; the rest of an insert that got its
+ * response early is discarded; closed.
  */
 final class NativeClientConnection implements Runnable {
 
     private static final Logger LOG = LoggerFactory.getLogger(NativeClientConnection.class);
     private static final int READ_BYTES = 16 << 10;
-    private static final long MS = 1_000_000L;
-    private static final long S = 1_000 * MS;
+    private static final long NS_PER_MS = 1_000_000L;
     private static final int VERSION_MAJOR = 22;
     private static final int VERSION_MINOR = 4;
 
     private final ListenerContext context;
-    private final CredentialCache logins;
+    private final CredentialCache credentials;
     private final Socket socket;
     private final NativeResponseChannel client;
     private final StreamSource in;
     private final Blocks blocks;
-    private final Runnable whenClosed;
+    private final Runnable onClosed;
     private Hello.Client hello;
     private int revision;
+
+    /** The current or last statement; null before the first. */
     private RequestExchange exchange;
-    private boolean fed = true;
+
+    /** Whether the data of the current statement is complete, or it takes none. */
+    private boolean dataComplete = true;
 
     NativeClientConnection(
-            ListenerContext context, CredentialCache logins, Socket socket, Runnable whenClosed)
+            ListenerContext context, CredentialCache credentials, Socket socket, Runnable onClosed)
             throws IOException {
         this.context = context;
-        this.logins = logins;
+        this.credentials = credentials;
         this.socket = socket;
         this.client = new NativeResponseChannel(socket);
         this.in = new StreamSource(socket.getInputStream(), READ_BYTES);
         this.blocks = new Blocks(in, context.limits());
-        this.whenClosed = whenClosed;
+        this.onClosed = onClosed;
     }
 
     @Override
@@ -63,49 +68,48 @@
                         (int)
                                 Math.min(
                                         Integer.MAX_VALUE,
-                                        context.config().bounds().idleClientNs() / MS));
-                while (takePacket()) {
-                    // until the client goes
+                                        context.config().bounds().idleClientNs() / NS_PER_MS));
+                boolean open = true;
+                while (open) {
+                    open = handlePacket();
                 }
             }
         } catch (WireException e) {
-            complain(e);
+            reportProtocolError(e);
         } catch (IOException e) {
-            LOG.debug("client {} is gone: {}", client.peer(), e.toString());
+            LOG.debug("client disconnected client={} error=\"{}\"", client.peer(), e.toString());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
             if (exchange != null && !exchange.isDone()) {
-                exchange.vanished();
+                exchange.clientDisconnected();
             }
             client.close();
-            whenClosed.run();
+            onClosed.run();
         }
     }
 
-    /**
-     * Tells the client what was wrong, unless an answer is under way, which an exception would cut
-     * in two.
-     */
-    private void complain(WireException failure) {
+    /** Reports the error to the client, unless that would break a response in progress. */
+    private void reportProtocolError(WireException failure) {
         LOG.atInfo()
                 .addKeyValue("client", client.peer())
                 .addKeyValue("reason", failure.reason())
                 .log(failure.getMessage());
         try {
             if (exchange != null && !exchange.isDone()) {
-                exchange.refuseInput(failure);
+                exchange.rejectInput(failure);
             } else if (failure.reason() != WireException.Reason.TRUNCATED) {
-                client.write(ResponseWriter.wire(failure));
+                client.write(ResponseWriter.protocol(failure));
             }
-        } catch (IOException gone) {
-            LOG.debug("client {} is gone", client.peer());
+        } catch (IOException e) {
+            LOG.debug("client disconnected client={} error=\"{}\"", client.peer(), e.toString());
         }
     }
 
-    // ---- Login
+    // Login
+
     private boolean login() throws IOException, InterruptedException {
-        Future<?> cut =
+        Future<?> loginTimeout =
                 context.timer()
                         .schedule(
                                 client::close,
@@ -115,6 +119,23 @@
         if (kind < 0) {
             return false;
         }
+        readHello(kind);
+        boolean accepted =
+                credentials.check(context.config().users(), hello.user(), hello.password());
+        loginTimeout.cancel(false);
+        if (!accepted) {
+            LOG.atInfo()
+                    .addKeyValue("client", client.peer())
+                    .addKeyValue("user", hello.user())
+                    .log("login rejected");
+            client.write(ResponseWriter.loginFailed());
+            return false;
+        }
+        writeHello();
+        return true;
+    }
+
+    private void readHello(int kind) throws IOException {
         if (ClientPacket.of(kind) != ClientPacket.HELLO) {
             throw new WireException(WireException.Reason.MALFORMED, "the first packet is no Hello");
         }
@@ -129,17 +150,10 @@
                             + Revision.LOWEST
                             + " is the least");
         }
-        boolean known = logins.check(context.config().users(), hello.user(), hello.password());
-        cut.cancel(false);
-        if (!known) {
-            LOG.atInfo()
-                    .addKeyValue("client", client.peer())
-                    .addKeyValue("user", hello.user())
-                    .log("login refused");
-            client.write(ResponseWriter.login());
-            return false;
-        }
-        ByteBuf answer = new ByteBuf();
+    }
+
+    private void writeHello() throws IOException {
+        ByteBuf packet = new ByteBuf();
         new Hello.Server(
                         "ashlink",
                         VERSION_MAJOR,
@@ -148,75 +162,78 @@
                         "UTC",
                         context.config().name(),
                         0)
-                .write(revision, answer);
-        client.write(answer);
-        return true;
+                .write(revision, packet);
+        client.write(packet);
     }
 
-    // ---- Packets
-    private boolean takePacket() throws IOException, InterruptedException {
+    // Packets
+
+    /** Handles the next packet; returns false at the end of the stream. */
+    private boolean handlePacket() throws IOException, InterruptedException {
         int kind = in.readByteOrEnd();
         if (kind < 0) {
             return false;
         }
         switch (ClientPacket.of(kind)) {
-            case PING -> pong();
-            case QUERY -> takeQuery();
-            case DATA -> takeData();
+            case PING -> handlePing();
+            case QUERY -> handleQuery();
+            case DATA -> handleData();
             case CANCEL -> {
                 if (exchange != null && !exchange.isDone()) {
                     exchange.cancel();
                 }
             }
             case HELLO -> throw new WireException(WireException.Reason.MALFORMED, "a second Hello");
-            default -> throw new IllegalStateException();
+            default -> throw new IllegalStateException("no handler for packet kind " + kind);
         }
         return true;
     }
 
-    private void pong() throws IOException, InterruptedException {
+    private void handlePing() throws IOException, InterruptedException {
         if (exchange != null) {
-            exchange.awaitDone(); // a Pong within an answer would be out of place
+            // A Pong must not interrupt a response.
+            exchange.awaitDone();
         }
         client.write(new ByteBuf().putVarUInt(ServerPacket.PONG.ordinal()));
     }
 
     /**
-     * A block of the insert in hand; what is left of one that was answered before its end is passed
-     * over.
+     * Handles a block of the current insert; discards it if the insert has its response already.
      */
-    private void takeData() throws IOException, InterruptedException {
+    private void handleData() throws IOException, InterruptedException {
         ByteBuf packet = new ByteBuf(context.limits().packetBytes());
         boolean compressed = exchange != null && exchange.query().compressed();
         Blocks.Size size = readData(packet, compressed);
-        InsertFeed feed = exchange == null || fed ? null : exchange.feed();
+        InsertFeed feed = exchange == null || dataComplete ? null : exchange.feed();
         if (feed != null) {
-            fed = size.isEnd();
-            feed.put(java.util.Arrays.copyOf(packet.array(), packet.size()), fed);
+            dataComplete = size.isEnd();
+            feed.put(Arrays.copyOf(packet.array(), packet.size()), dataComplete);
         }
     }
 
-    /** Reads the rest of a Data packet and appends the whole of it. */
-    private Blocks.Size readData(ByteBuf to, boolean compressed) throws IOException {
-        to.putVarUInt(ClientPacket.DATA.ordinal());
-        in.startTap(to);
+    /** Reads the rest of a Data packet and appends the complete packet. */
+    private Blocks.Size readData(ByteBuf target, boolean compressed) throws IOException {
+        target.putVarUInt(ClientPacket.DATA.ordinal());
+        in.startTap(target);
         in.readString("table", context.limits().nameBytes());
         Blocks.Size size = blocks.skip(compressed);
         in.endTap();
         return size;
     }
 
-    private void takeQuery() throws IOException, InterruptedException {
+    private void handleQuery() throws IOException, InterruptedException {
         if (exchange != null) {
-            exchange.awaitDone(); // sent early: it waits for its turn, and its bytes in the socket
+            // The client sent the query early; its bytes wait in the socket.
+            exchange.awaitDone();
         }
         QueryPacket query = QueryPacket.read(in, revision, context.limits());
         ByteBuf external =
                 new ByteBuf(context.config().bounds().heldInsert(), context.insertQuota());
-        while (!readTable(external, query.compressed())) {
-            // tables until the empty block
+        boolean more = true;
+        while (more) {
+            more = !readExternalTable(external, query.compressed());
         }
-        byte[] tables = java.util.Arrays.copyOf(external.array(), external.size());
+        byte[] tables = Arrays.copyOf(external.array(), external.size());
         external.release();
         if (query.stage() != QueryPacket.COMPLETE) {
             throw new WireException(
@@ -226,43 +243,54 @@
         begin(query, tables);
     }
 
-    private boolean readTable(ByteBuf to, boolean compressed) throws IOException {
+    /** Reads an external table; returns true for the empty block that ends them. */
+    private boolean readExternalTable(ByteBuf target, boolean compressed) throws IOException {
         int kind = in.readByte();
         if (ClientPacket.of(kind) != ClientPacket.DATA) {
             throw new WireException(
                     WireException.Reason.MALFORMED,
                     "a query is followed by a packet of kind " + kind);
         }
-        return readData(to, compressed).isEnd();
+        return readData(target, compressed).isEnd();
     }
 
-    // ---- Statements
-    private void begin(QueryPacket query, byte[] tables) {
-        ClientInfo by = query.client();
-        ClientInfo info =
-                new ClientInfo(
-                        hello.user(),
-                        query.id(),
-                        client.peer(),
-                        by.osUser(),
-                        by.host(),
-                        by.name().isEmpty() ? hello.name() : by.name(),
-                        by.major(),
-                        by.minor(),
-                        by.revision(),
-                        by.patch(),
-                        by.quotaKey());
-        QueryPacket named =
+    // Statements
+
+    private void begin(QueryPacket query, byte[] externalTables) {
+        QueryPacket identified =
                 new QueryPacket(
                         query.id(),
-                        info,
+                        clientInfo(query),
                         query.settings(),
                         query.stage(),
                         query.compressed(),
                         query.statement());
         exchange =
                 RequestAdmission.begin(
-                        context, client, revision, hello.user(), hello.database(), named, tables);
-        fed = exchange.feed() == null;
+                        context,
+                        client,
+                        revision,
+                        hello.user(),
+                        hello.database(),
+                        identified,
+                        externalTables);
+        dataComplete = exchange.feed() == null;
+    }
+
+    /** Returns what the client says about itself, with its verified user and address. */
+    private ClientInfo clientInfo(QueryPacket query) {
+        ClientInfo claimed = query.client();
+        return new ClientInfo(
+                hello.user(),
+                query.id(),
+                client.peer(),
+                claimed.osUser(),
+                claimed.host(),
+                claimed.name().isEmpty() ? hello.name() : claimed.name(),
+                claimed.major(),
+                claimed.minor(),
+                claimed.revision(),
+                claimed.patch(),
+                claimed.quotaKey());
     }
 }
--- a/router/src/main/java/ashlink/router/frontend/NativeListener.java
+++ b/router/src/main/java/ashlink/router/frontend/NativeListener.java
@@ -10,38 +10,38 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Accepts clients: a thread with a small stack for each, up to the limit of connections; further
- * ones are closed.
+ * Accepts clients of the native protocol, each with a thread of its own, up to a limit of
+ * connections; further ones are closed.
  */
 public final class NativeListener {
 
     private static final Logger LOG = LoggerFactory.getLogger(NativeListener.class);
     private static final int BACKLOG = 1024;
-    private static final long REST_MS = 50;
+    private static final long ACCEPT_RETRY_DELAY_MS = 50;
 
     private final ListenerContext context;
-    private final CredentialCache logins = new CredentialCache();
+    private final CredentialCache credentials = new CredentialCache();
     private final ServerSocket server;
-    private final Thread thread;
+    private final Thread acceptThread;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private volatile boolean closed;
 
-    /** Listens at the address of the settings; port 0 is any. */
+    /** Binds the address of the settings; port 0 stands for any free port. */
     public NativeListener(ListenerContext context) throws IOException {
         this.context = context;
         server = new ServerSocket();
         server.setReuseAddress(true);
         server.bind(context.config().listen(), BACKLOG);
-        thread = new Thread(this::accept, context.config().name() + "-accept");
-        thread.setDaemon(true);
+        acceptThread = new Thread(this::accept, context.config().name() + "-accept");
+        acceptThread.setDaemon(true);
     }
 
-    /** Starts taking clients. */
+    /** Starts accepting clients. */
     public void start() {
-        thread.start();
+        acceptThread.start();
     }
 
-    /** Where it listens. */
+    /** Returns the address that it listens on. */
     public InetSocketAddress address() {
         return (InetSocketAddress) server.getLocalSocketAddress();
     }
@@ -49,30 +49,30 @@
     private void accept() {
         while (!closed) {
             try {
-                begin(server.accept());
+                startConnection(server.accept());
             } catch (IOException e) {
                 if (!closed) {
-                    LOG.warn("no connection could be taken: {}", e.toString());
-                    rest();
+                    LOG.warn("accept failed error=\"{}\"", e.toString());
+                    pause();
                 }
             }
         }
     }
 
-    /** Guards against spinning where the process has no file handles left. */
-    private static void rest() {
+    /** Prevents a busy loop while the process has no file descriptors. */
+    private static void pause() {
         try {
-            Thread.sleep(REST_MS);
+            Thread.sleep(ACCEPT_RETRY_DELAY_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void begin(Socket socket) throws IOException {
+    private void startConnection(Socket socket) throws IOException {
         try {
             if (sockets.size() >= context.config().bounds().connections()) {
                 LOG.warn(
-                        "connection from {} closed: {} are open, which is the limit",
+                        "connection rejected at the limit client={} connections={}",
                         socket.getRemoteSocketAddress(),
                         sockets.size());
                 socket.close();
@@ -82,7 +82,7 @@
             sockets.add(socket);
             NativeClientConnection connection =
                     new NativeClientConnection(
-                            context, logins, socket, () -> sockets.remove(socket));
+                            context, credentials, socket, () -> sockets.remove(socket));
             Thread thread =
                     new Thread(
                             null,
@@ -100,19 +100,19 @@
         }
     }
 
-    /** Takes no more clients; those in hand stay. */
+    /** Stops accepting clients; open connections remain. */
     public void stopAccepting() throws IOException {
         closed = true;
         server.close();
     }
 
-    /** Closes all clients. */
+    /** Closes all connections. */
     public void closeAll() {
         for (Socket socket : sockets) {
             try {
                 socket.close();
             } catch (IOException e) {
-                // it is gone either way
+                // The connection is unusable either way.
             }
         }
     }
--- a/router/src/main/java/ashlink/router/frontend/NativeResponseChannel.java
+++ b/router/src/main/java/ashlink/router/frontend/NativeResponseChannel.java
@@ -5,9 +5,10 @@
 import ashlink.wire.ServerError;
 import java.io.IOException;
 import java.io.OutputStream;
+import java.net.InetSocketAddress;
 import java.net.Socket;
 
-/** The way to a client of the native protocol: its socket. */
+/** The socket of a client of the native protocol. */
 final class NativeResponseChannel implements ResponseChannel {
 
     private final Socket socket;
@@ -24,11 +25,12 @@
     }
 
     @Override
-    public void end(ByteBuf packets, StatementOutcome how, long retryAfterNs) throws IOException {
+    public void end(ByteBuf packets, StatementOutcome outcome, long retryAfterNs)
+            throws IOException {
         write(packets);
     }
 
-    /** Writes an exception. */
+    /** Writes an error packet. */
     void write(ServerError error) throws IOException {
         ByteBuf packet = new ByteBuf();
         error.write(packet);
@@ -37,7 +39,7 @@
 
     @Override
     public String peer() {
-        return socket.getRemoteSocketAddress() instanceof java.net.InetSocketAddress address
+        return socket.getRemoteSocketAddress() instanceof InetSocketAddress address
                 ? address.getAddress().getHostAddress() + ":" + address.getPort()
                 : "";
     }
@@ -47,7 +49,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // it is gone either way
+            // The connection is unusable either way.
         }
     }
 }
--- a/router/src/main/java/ashlink/router/frontend/RequestAdmission.java
+++ b/router/src/main/java/ashlink/router/frontend/RequestAdmission.java
@@ -12,14 +12,14 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Turns a statement into a request of the core: the same for every front. */
+/** Turns a statement into a request of the core; used by all listeners. */
 public final class RequestAdmission {
 
     private RequestAdmission() {}
 
     /**
-     * Reads and classifies a statement, and puts it to the core; its answer goes to the channel,
-     * maybe before this returns.
+     * Analyzes and classifies a statement, and submits it to the core. The response goes to the
+     * channel, possibly before this method returns.
      */
     public static RequestExchange begin(
             ListenerContext context,
@@ -28,13 +28,14 @@
             String userName,
             String database,
             QueryPacket query,
-            byte[] tables) {
-        Prepared prepared = prepare(context, client, revision, userName, database, query, tables);
+            byte[] externalTables) {
+        Prepared prepared =
+                prepare(context, client, revision, userName, database, query, externalTables);
         prepared.submit();
         return prepared.exchange;
     }
 
-    /** A statement that was read and classified, and not yet put to the core. */
+    /** A statement that is analyzed and classified, and not yet submitted to the core. */
     public static final class Prepared {
         private final ListenerContext context;
         private final RequestExchange exchange;
@@ -46,29 +47,29 @@
             this.request = request;
         }
 
-        /** The statement. */
+        /** Returns the exchange of the statement. */
         public RequestExchange exchange() {
             return exchange;
         }
 
-        /** Time from now until its client gives up, by its class and its own limit. */
-        public long allowedNs() {
+        /** Returns the time until the client gives up, by its class and its own limit. */
+        public long timeLimitNs() {
             return request.timeLimitNs();
         }
 
-        /** Answers it here: it is not put to the core. */
-        public void refuse(String why, long retryAfterNs) {
+        /** Rejects the statement without submitting it. */
+        public void reject(String reason, long retryAfterNs) {
             exchange.finish(
-                    ResponseWriter.refused(retryAfterNs, why),
+                    ResponseWriter.rejected(retryAfterNs, reason),
                     StatementOutcome.TURNED_AWAY,
                     retryAfterNs);
         }
 
-        /** Puts it to the core. */
+        /** Submits the statement to the core. */
         public void submit() {
             if (request.timeLimitNs() <= 0) {
                 exchange.finish(
-                        ResponseWriter.refused(0, "its time was up when it came"),
+                        ResponseWriter.rejected(0, "its time was up when it came"),
                         StatementOutcome.REFUSED);
                 return;
             }
@@ -76,16 +77,16 @@
             if (id < 0) {
                 long retryAfterNs = context.config().allowed().maxRetryAfterNs();
                 exchange.finish(
-                        ResponseWriter.refused(retryAfterNs, "the router is full or stops"),
+                        ResponseWriter.rejected(retryAfterNs, "the router is full or stops"),
                         StatementOutcome.TURNED_AWAY,
                         retryAfterNs);
             } else {
-                exchange.id(id);
+                exchange.setId(id);
             }
         }
     }
 
-    /** Reads and classifies a statement. */
+    /** Analyzes and classifies a statement. */
     public static Prepared prepare(
             ListenerContext context,
             ResponseChannel client,
@@ -93,33 +94,40 @@
             String userName,
             String database,
             QueryPacket query,
-            byte[] tables) {
+            byte[] externalTables) {
         RouterConfig config = context.config();
         Map<String, String> settings = new HashMap<>();
         for (Setting setting : query.settings()) {
             settings.put(setting.name(), setting.value());
         }
-        StatementAnalysis reading = context.statements().read(query.statement(), database);
-        if (reading.kind() == Kind.UNKNOWN) {
-            context.unknowns().tell(reading, userName);
+        StatementAnalysis analysis = context.statements().read(query.statement(), database);
+        if (analysis.kind() == Kind.UNKNOWN) {
+            context.unsupportedStatements().log(analysis, userName);
         }
         QueryClass queryClass =
                 context.classifier()
                         .get()
-                        .decide(userName, database, reading, settings)
+                        .decide(userName, database, analysis, settings)
                         .queryClass();
         UserSpec user = config.users().get(userName);
         CoreRequest request =
                 RequestHints.request(
                         queryClass,
-                        reading,
+                        analysis,
                         settings,
                         user == null ? "" : user.tenant(),
                         config.bounds().answerMarginNs());
         return new Prepared(
                 context,
                 new RequestExchange(
-                        context, client, revision, database, query, tables, queryClass, reading),
+                        context,
+                        client,
+                        revision,
+                        database,
+                        query,
+                        externalTables,
+                        queryClass,
+                        analysis),
                 request);
     }
 }
--- a/router/src/main/java/ashlink/router/frontend/RequestExchange.java
+++ b/router/src/main/java/ashlink/router/frontend/RequestExchange.java
@@ -20,17 +20,21 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.slf4j.event.Level;
 
 /**
- * A statement and its one final answer. Whoever is first to claim the answer writes it; after that
- * nothing is written for this statement.
+ * A statement and its final response. Several threads may try to respond: the client, the decision
+ * thread and the worker of an attempt. The first one claims the response and writes it; nothing is
+ * written for the statement after that. Safe for use by several threads.
  */
 public final class RequestExchange implements ResponseSink {
 
     private static final Logger LOG = LoggerFactory.getLogger(RequestExchange.class);
 
-    /** Time for the final answer to leave; a client that does not read it by then is cut off. */
-    private static final long FINAL_MS = 2_000;
+    /** Time to write the final response; a client that does not read it by then is closed. */
+    private static final long FINAL_WRITE_TIMEOUT_MS = 2_000;
+
+    private static final long NS_PER_MS = 1_000_000;
 
     private final ListenerContext context;
     private final ResponseChannel client;
@@ -42,10 +46,15 @@
     private final InsertFeed feed;
     private final boolean waitsForData;
     private final CountDownLatch done = new CountDownLatch(1);
-    private final long fromNs = System.nanoTime();
+    private final long startNs = System.nanoTime();
     private volatile long id;
+
+    /** Guarded by {@link #client}. */
     private boolean claimed;
+
+    /** Columns of an insert as the first attempt's engine sent them. Guarded by {@link #client}. */
     private byte[] header;
+
     private volatile String lastError = "";
 
     RequestExchange(
@@ -56,7 +65,7 @@
             QueryPacket query,
             byte[] externalTables,
             QueryClass queryClass,
-            StatementAnalysis reading) {
+            StatementAnalysis analysis) {
         this.context = context;
         this.client = client;
         this.clientRevision = clientRevision;
@@ -64,16 +73,16 @@
         this.query = query;
         this.externalTables = externalTables;
         this.queryClass = queryClass;
-        this.waitsForData = Classifier.waitsForData(reading);
+        this.waitsForData = Classifier.waitsForData(analysis);
         this.feed =
-                Classifier.mayTakeData(reading)
+                Classifier.mayTakeData(analysis)
                         ? new InsertFeed(
                                 context.config().bounds().heldInsert(), context.insertQuota())
                         : null;
     }
 
-    void id(long number) {
-        id = number;
+    void setId(long newId) {
+        id = newId;
     }
 
     QueryPacket query() {
@@ -92,25 +101,28 @@
         return database;
     }
 
+    /** Returns the class of the statement. */
     public QueryClass queryClass() {
         return queryClass;
     }
 
-    /** The data that the client may be asked for, or null for a statement that takes none. */
+    /** Returns the data of the client, or null for a statement that takes none. */
     public InsertFeed feed() {
         return feed;
     }
 
-    /** True if the statement plainly cannot run before the end of its data. */
+    /** Tells whether the statement cannot run before the end of its data. */
     boolean waitsForData() {
         return waitsForData;
     }
 
-    void lastError(String text) {
-        lastError = text;
+    /** Stores why an attempt failed, for the message of a final error. */
+    void recordError(String message) {
+        lastError = message;
     }
 
-    // ---- From the core; none of these waits
+    // Called by the core; none of these methods blocks
+
     @Override
     public void start(Attempt attempt) {
         try {
@@ -122,39 +134,43 @@
 
     @Override
     public void reject(long retryAfterNs) {
-        later(
-                ResponseWriter.refused(retryAfterNs, lastError),
+        finishOnWorker(
+                ResponseWriter.rejected(retryAfterNs, lastError),
                 StatementOutcome.REFUSED,
                 retryAfterNs);
     }
 
     @Override
     public void fail() {
-        later(ResponseWriter.failed(lastError), StatementOutcome.FAILED, 0);
+        finishOnWorker(ResponseWriter.failed(lastError), StatementOutcome.FAILED, 0);
     }
 
     @Override
-    public void abortPartial(Outcome how) {
-        later(ResponseWriter.broken(how), StatementOutcome.BROKEN, 0);
+    public void abortPartial(Outcome outcome) {
+        finishOnWorker(ResponseWriter.interrupted(outcome), StatementOutcome.BROKEN, 0);
     }
 
-    private void later(ServerError error, StatementOutcome how, long retryAfterNs) {
-        Future<?> cut = context.timer().schedule(client::close, FINAL_MS, TimeUnit.MILLISECONDS);
+    private void finishOnWorker(ServerError error, StatementOutcome outcome, long retryAfterNs) {
+        Future<?> writeTimeout =
+                context.timer()
+                        .schedule(client::close, FINAL_WRITE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         try {
             context.workers()
                     .execute(
                             () -> {
-                                finish(error, how, retryAfterNs);
-                                cut.cancel(false);
+                                finish(error, outcome, retryAfterNs);
+                                writeTimeout.cancel(false);
                             });
         } catch (RejectedExecutionException e) {
-            client.close(); // the router is stopping and has no thread left
+            // The router is shutting down and has no worker left.
+            client.close();
             done.countDown();
         }
     }
 
-    // ---- Answers; these may wait for the client
-    /** Writes a part of the answer, unless the final answer is out. */
+    // Responses; these methods may block until the client reads
+
+    /** Writes a part of the response, unless the response is claimed. */
     void write(ByteBuf packets) {
         synchronized (client) {
             if (!claimed) {
@@ -163,55 +179,62 @@
         }
     }
 
-    /** Writes the rest of the answer, which ends it. */
-    void finish(ByteBuf packets, StatementOutcome how) {
-        finish(packets, how, 0);
+    /** Writes the rest of the response, unless it is claimed. */
+    void finish(ByteBuf packets, StatementOutcome outcome) {
+        finish(packets, outcome, 0);
     }
 
-    private void finish(ByteBuf packets, StatementOutcome how, long retryAfterNs) {
+    private void finish(ByteBuf packets, StatementOutcome outcome, long retryAfterNs) {
         synchronized (client) {
             if (claimed) {
                 return;
             }
             claimed = true;
             try {
-                client.end(packets, how, retryAfterNs);
+                client.end(packets, outcome, retryAfterNs);
             } catch (IOException e) {
-                client.close(); // its reader sees that, and tells the core
+                // The thread that reads from the client notices, and cancels the request.
+                client.close();
             }
         }
-        ended(how);
+        complete(outcome);
     }
 
-    /** Ends it with an exception. */
-    void finish(ServerError error, StatementOutcome how) {
-        finish(error, how, 0);
+    /** Responds with an error, unless the response is claimed. */
+    void finish(ServerError error, StatementOutcome outcome) {
+        finish(error, outcome, 0);
     }
 
-    /** Ends it with an exception, which tells when to come back. */
-    void finish(ServerError error, StatementOutcome how, long retryAfterNs) {
+    /**
+     * Responds with an error, unless the response is claimed.
+     *
+     * @param retryAfterNs time after which the client may retry; 0 for none
+     */
+    void finish(ServerError error, StatementOutcome outcome, long retryAfterNs) {
         ByteBuf packet = new ByteBuf();
         try {
             error.write(packet);
         } catch (IOException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("an error does not fit into a buffer without limit", e);
         }
-        finish(packet, how, retryAfterNs);
+        finish(packet, outcome, retryAfterNs);
     }
 
     private void send(ByteBuf packets) {
         try {
             client.write(packets);
         } catch (IOException e) {
-            client.close(); // its reader sees that, and tells the core
+            // The thread that reads from the client notices, and cancels the request.
+            client.close();
         }
     }
 
     /**
-     * The columns that an engine wants the insert's data for. The client gets those of the first
-     * attempt; false where another attempt's differ, since the client's data is not for them.
+     * Handles the columns that an engine expects of an insert. The client receives those of the
+     * first attempt. Returns false if those of a later attempt differ, as the client's data does
+     * not match them.
      */
-    boolean header(ByteBuf packets, byte[] block) {
+    boolean acceptHeader(ByteBuf packets, byte[] block) {
         synchronized (client) {
             if (header == null) {
                 header = block;
@@ -224,22 +247,20 @@
         return Arrays.equals(header, block);
     }
 
-    /** The client called it off: it is told at once, and the core that nobody waits any more. */
+    /** The client cancelled the statement: responds at once, and lets the core cancel the work. */
     public void cancel() {
         context.core().clientGone(id);
         finish(ResponseWriter.cancelled(), StatementOutcome.CANCELLED);
     }
 
-    /**
-     * The client sent what makes no sense: that ends the statement, unless an answer is under way.
-     */
-    public void refuseInput(WireException failure) {
+    /** The client violated the protocol: ends the statement, unless the response is claimed. */
+    public void rejectInput(WireException failure) {
         context.core().clientGone(id);
-        finish(ResponseWriter.wire(failure), StatementOutcome.BAD_INPUT);
+        finish(ResponseWriter.protocol(failure), StatementOutcome.BAD_INPUT);
     }
 
-    /** The client is gone; nothing more is written. */
-    public void vanished() {
+    /** The client disconnected; nothing more is written. */
+    public void clientDisconnected() {
         context.core().clientGone(id);
         synchronized (client) {
             if (claimed) {
@@ -247,30 +268,29 @@
             }
             claimed = true;
         }
-        ended(StatementOutcome.GONE);
+        complete(StatementOutcome.GONE);
     }
 
-    private void ended(StatementOutcome how) {
+    private void complete(StatementOutcome outcome) {
         if (feed != null) {
             feed.close();
         }
         done.countDown();
-        if (LOG.isDebugEnabled() || how != StatementOutcome.SERVED) {
-            LOG.atLevel(
-                            how == StatementOutcome.SERVED
-                                    ? org.slf4j.event.Level.DEBUG
-                                    : org.slf4j.event.Level.INFO)
-                    .addKeyValue("request", id)
-                    .addKeyValue("class", queryClass.name())
-                    .addKeyValue("answer", how.word())
-                    .addKeyValue("ms", (System.nanoTime() - fromNs) / 1_000_000)
-                    .addKeyValue("query_id", query.id())
-                    .addKeyValue("client", client.peer())
-                    .log("answered");
+        Level level = outcome == StatementOutcome.SERVED ? Level.DEBUG : Level.INFO;
+        if (!LOG.isEnabledForLevel(level)) {
+            return;
         }
+        LOG.atLevel(level)
+                .addKeyValue("request", id)
+                .addKeyValue("class", queryClass.name())
+                .addKeyValue("answer", outcome.word())
+                .addKeyValue("ms", (System.nanoTime() - startNs) / NS_PER_MS)
+                .addKeyValue("query_id", query.id())
+                .addKeyValue("client", client.peer())
+                .log("answered");
     }
 
-    /** True once the final answer is out. */
+    /** Tells whether the statement has its final response. */
     public boolean isDone() {
         return done.getCount() == 0;
     }
--- a/router/src/main/java/ashlink/router/frontend/RequestHints.java
+++ b/router/src/main/java/ashlink/router/frontend/RequestHints.java
@@ -5,64 +5,66 @@
 import ashlink.sql.StatementAnalysis;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
+import java.util.regex.Pattern;
 import java.util.zip.CRC32C;
 
 /**
- * What a query's settings tell of it: those with the prefix {@code ashlink_}, and its time limit.
+ * Hints that a client gives about a query in its settings: those with the prefix {@code ashlink_},
+ * and the time limit.
  */
 final class RequestHints {
 
-    static final String KEY = "ashlink_key";
-    static final String TABLES = "ashlink_tables";
+    static final String ORDERING_KEY = "ashlink_key";
+    static final String TABLE_GROUP = "ashlink_tables";
     static final String WORK_MS = "ashlink_work_ms";
     static final String MEMORY_MB = "ashlink_memory_mb";
     private static final String TIME_LIMIT_S = "max_execution_time";
-    private static final double MS = 1e6;
-    private static final double S = 1e9;
-    private static final double MOST_MS = 1e12;
+    private static final double NS_PER_MS = 1e6;
+    private static final double NS_PER_S = 1e9;
+
+    /** Larger numbers are ignored as mistakes. */
+    private static final double MAX_NUMBER = 1e12;
+
+    private static final Pattern GROUP_NUMBER = Pattern.compile("[0-9]{1,15}");
 
     private RequestHints() {}
 
-    /** The request that the core is given; what is told wrongly is as if it was not told. */
+    /**
+     * Returns the request for the core. Hints that cannot be read are ignored.
+     *
+     * @param marginNs time before the client's deadline by which its response must be sent
+     */
     static CoreRequest request(
             QueryClass queryClass,
-            StatementAnalysis reading,
+            StatementAnalysis analysis,
             Map<String, String> settings,
             String tenant,
             long marginNs) {
-        double limit = number(settings.get(TIME_LIMIT_S)) * S;
-        long allowed =
-                (long)
-                                (limit > 0
-                                        ? Math.min(limit, queryClass.deadlineNs())
-                                        : queryClass.deadlineNs())
-                        - marginNs;
+        double limitNs = number(settings.get(TIME_LIMIT_S)) * NS_PER_S;
+        double clientTimeoutNs =
+                limitNs > 0 ? Math.min(limitNs, queryClass.deadlineNs()) : queryClass.deadlineNs();
+        long timeoutNs = (long) clientTimeoutNs - marginNs;
         return new CoreRequest(
                 queryClass.name(),
-                settings.get(KEY),
-                tables(reading, settings.get(TABLES)),
-                allowed,
-                (long) (number(settings.get(WORK_MS)) * MS),
+                settings.get(ORDERING_KEY),
+                tableGroup(analysis, settings.get(TABLE_GROUP)),
+                timeoutNs,
+                (long) (number(settings.get(WORK_MS)) * NS_PER_MS),
                 number(settings.get(MEMORY_MB)),
                 tenant);
     }
 
     /**
-     * What the client says: a number as it is, or the checksum of a name; else that of the first
-     * table that is written, or read where none is. Loads and readers of a table meet on the same
-     * number.
+     * Returns the number of the table group: the client's hint if there is one, else the first
+     * table that is written, or read where none is written. A name counts as its checksum, so that
+     * the load and the readers of a table have the same number.
      */
-    private static long tables(StatementAnalysis reading, String told) {
-        String text =
-                told != null
-                        ? told
-                        : !reading.writes().isEmpty()
-                                ? reading.writes().first()
-                                : !reading.reads().isEmpty() ? reading.reads().first() : null;
+    private static long tableGroup(StatementAnalysis analysis, String hint) {
+        String text = hint != null ? hint : firstTable(analysis);
         if (text == null) {
             return 0;
         }
-        if (text.matches("[0-9]{1,15}")) {
+        if (GROUP_NUMBER.matcher(text).matches()) {
             return Long.parseLong(text);
         }
         CRC32C crc = new CRC32C();
@@ -70,13 +72,22 @@
         return crc.getValue();
     }
 
+    /** Returns the name of a table, or null where the statement uses none. */
+    private static String firstTable(StatementAnalysis analysis) {
+        if (!analysis.writes().isEmpty()) {
+            return analysis.writes().first();
+        }
+        return analysis.reads().isEmpty() ? null : analysis.reads().first();
+    }
+
+    /** Returns a positive number; 0 where the text is absent or no such number. */
     private static double number(String text) {
         if (text == null) {
             return 0;
         }
         try {
             double value = Double.parseDouble(text);
-            return value > 0 && value < MOST_MS ? value : 0;
+            return value > 0 && value < MAX_NUMBER ? value : 0;
         } catch (NumberFormatException e) {
             return 0;
         }
--- a/router/src/main/java/ashlink/router/frontend/ResponseChannel.java
+++ b/router/src/main/java/ashlink/router/frontend/ResponseChannel.java
@@ -5,22 +5,24 @@
 import java.io.IOException;
 
 /**
- * The way of answers to a client, in packets of the native protocol. Who holds its lock writes
- * whole packets.
+ * Carries responses to a client, as packets of the native protocol. Writers synchronize on the
+ * channel, so that packets are never interleaved.
  */
 public interface ResponseChannel {
 
-    /** Takes whole packets of an answer; may wait for the client. */
+    /** Writes complete packets of a response; may block until the client reads. */
     void write(ByteBuf packets) throws IOException;
 
     /**
-     * Takes the last packets of a statement's answer, and how it ended; may wait for the client.
+     * Writes the last packets of a statement's response; may block until the client reads.
+     *
+     * @param retryAfterNs time after which the client may retry; 0 for none
      */
-    void end(ByteBuf packets, StatementOutcome how, long retryAfterNs) throws IOException;
+    void end(ByteBuf packets, StatementOutcome outcome, long retryAfterNs) throws IOException;
 
-    /** Who the client is, for logs and for engines. */
+    /** Returns the address of the client, for logs and engines. */
     String peer();
 
-    /** Lets nothing more pass, and wakes who waits in it; safe from any thread. */
+    /** Closes the channel and wakes blocked writers; safe from any thread. */
     void close();
 }
--- a/router/src/main/java/ashlink/router/frontend/ResponseWriter.java
+++ b/router/src/main/java/ashlink/router/frontend/ResponseWriter.java
@@ -5,61 +5,63 @@
 import ashlink.wire.WireException;
 
 /**
- * What clients are told that did not get an engine's answer. Each kind has a code of the public
- * list of its own.
+ * Creates the errors that clients receive in place of an engine's response. Each kind has its own
+ * code, from the public list of the native protocol.
  */
 public final class ResponseWriter {
 
-    /** Not run: trying again is harmless (TOO_MANY_SIMULTANEOUS_QUERIES). */
-    public static final int REFUSED = 202;
+    /** The statement did not run, a retry is safe (TOO_MANY_SIMULTANEOUS_QUERIES). */
+    public static final int REJECTED = 202;
 
-    /** May have run: no promise about the effect (NETWORK_ERROR). */
+    /** The statement may have run (NETWORK_ERROR). */
     public static final int FAILED = 210;
 
-    /** The client called it off (QUERY_WAS_CANCELLED). */
+    /** The client cancelled the statement (QUERY_WAS_CANCELLED). */
     public static final int CANCELLED = 394;
 
-    /** User or password is wrong (AUTHENTICATION_FAILED). */
+    /** The user or the password is wrong (AUTHENTICATION_FAILED). */
     public static final int LOGIN = 516;
 
-    /** Bytes that are not what the protocol says (UNEXPECTED_PACKET_FROM_CLIENT). */
+    /** The bytes violate the protocol (UNEXPECTED_PACKET_FROM_CLIENT). */
     public static final int PROTOCOL = 101;
 
-    /** A column type whose end cannot be found (UNKNOWN_TYPE). */
+    /** A column has an unsupported type (UNKNOWN_TYPE). */
     public static final int UNKNOWN_TYPE = 50;
 
-    /** A limit of this router (TOO_MANY_BYTES). */
+    /** A limit of this router is exceeded (TOO_MANY_BYTES). */
     public static final int LIMIT = 307;
 
-    private static final long MS = 1_000_000L;
+    private static final long NS_PER_MS = 1_000_000L;
 
     private ResponseWriter() {}
 
-    static ServerError refused(long retryAfterNs, String why) {
-        String when =
-                retryAfterNs > 0 ? "; come back in " + (retryAfterNs + MS - 1) / MS + " ms" : "";
+    static ServerError rejected(long retryAfterNs, String reason) {
+        String retryHint =
+                retryAfterNs > 0
+                        ? "; come back in " + (retryAfterNs + NS_PER_MS - 1) / NS_PER_MS + " ms"
+                        : "";
         return new ServerError(
-                REFUSED,
+                REJECTED,
                 "ashlink::Refused",
                 "ashlink: refused, not run, trying again is harmless"
-                        + when
-                        + (why.isEmpty() ? "" : " (" + why + ")"));
+                        + retryHint
+                        + (reason.isEmpty() ? "" : " (" + reason + ")"));
     }
 
-    static ServerError failed(String why) {
+    static ServerError failed(String reason) {
         return new ServerError(
                 FAILED,
                 "ashlink::Failed",
                 "ashlink: failed, may have run, may have had its effect"
-                        + (why.isEmpty() ? "" : " (" + why + ")"));
+                        + (reason.isEmpty() ? "" : " (" + reason + ")"));
     }
 
-    static ServerError broken(Outcome how) {
+    static ServerError interrupted(Outcome outcome) {
         return new ServerError(
                 FAILED,
                 "ashlink::Failed",
                 "ashlink: the answer broke off after its first part, its rest is lost ("
-                        + how
+                        + outcome
                         + ")");
     }
 
@@ -68,11 +70,11 @@
                 CANCELLED, "ashlink::Cancelled", "ashlink: cancelled by the client, may have run");
     }
 
-    static ServerError login() {
+    static ServerError loginFailed() {
         return new ServerError(LOGIN, "ashlink::Login", "ashlink: user or password is wrong");
     }
 
-    static ServerError wire(WireException failure) {
+    static ServerError protocol(WireException failure) {
         int code =
                 switch (failure.reason()) {
                     case UNKNOWN_TYPE -> UNKNOWN_TYPE;
--- /dev/null
+++ b/router/src/main/java/ashlink/router/frontend/UnsupportedStatementLog.java
@@ -0,0 +1,51 @@
+package ashlink.router.frontend;
+
+import ashlink.sql.StatementAnalysis;
+import java.util.concurrent.atomic.AtomicLong;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Logs statements that the SQL reader does not support: fingerprint, position and reason, never
+ * their text. Limits its rate. Safe for use by several threads.
+ */
+public final class UnsupportedStatementLog {
+
+    private static final Logger LOG = LoggerFactory.getLogger(UnsupportedStatementLog.class);
+    private static final int MAX_PER_SECOND = 5;
+    private static final long NS_PER_S = 1_000_000_000L;
+
+    /** Statements that were not logged since the last one that was. */
+    private final AtomicLong suppressed = new AtomicLong();
+
+    // Guarded by this.
+    private long secondStartNs = System.nanoTime();
+    private int loggedInSecond;
+
+    void log(StatementAnalysis analysis, String user) {
+        long suppressedBefore;
+        synchronized (this) {
+            if (!acquire()) {
+                suppressed.incrementAndGet();
+                return;
+            }
+            suppressedBefore = suppressed.getAndSet(0);
+        }
+        LOG.atWarn()
+                .addKeyValue("fingerprint", analysis.fingerprint())
+                .addKeyValue("at", analysis.at())
+                .addKeyValue("user", user)
+                .addKeyValue("suppressed", suppressedBefore)
+                .log("statement not understood: {}", analysis.reason());
+    }
+
+    private boolean acquire() {
+        long nowNs = System.nanoTime();
+        if (nowNs - secondStartNs >= NS_PER_S) {
+            secondStartNs = nowNs;
+            loggedInSecond = 0;
+        }
+        loggedInSecond++;
+        return loggedInSecond <= MAX_PER_SECOND;
+    }
+}
--- a/router/src/main/java/ashlink/router/frontend/package-info.java
+++ b/router/src/main/java/ashlink/router/frontend/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The front that speaks the native protocol: listens, logs clients in, turns statements into
- * requests of the core, and passes answers on. A connection is read by one thread of its own; an
+ * The listener of the native protocol: accepts clients, authenticates them, turns statements into
+ * requests of the core, and relays responses. Each connection is read by a thread of its own; each
  * attempt is driven by a worker.
  */
 package ashlink.router.frontend;
--- a/router/src/main/java/ashlink/router/http/HttpStatement.java
+++ b/router/src/main/java/ashlink/router/http/HttpStatement.java
@@ -176,7 +176,8 @@
             }
         } catch (IOException e) {
             lose(e);
-            exchange.vanished(); // nothing of it can be passed on: what runs is called off where
+            exchange.clientDisconnected(); // nothing of it can be passed on: what runs is called
+            // off where
             // that is allowed
             settle(StatementOutcome.BROKEN, 0);
             throw e;
@@ -512,7 +513,7 @@
         discard();
         synchronized (this) {
             if (exchange != null) {
-                exchange.vanished();
+                exchange.clientDisconnected();
             }
             settle(StatementOutcome.GONE, 0);
         }
--- a/router/src/main/java/ashlink/router/http/StatementRegistry.java
+++ b/router/src/main/java/ashlink/router/http/StatementRegistry.java
@@ -132,7 +132,7 @@
         statements.put(httpStatement.id(), httpStatement);
         RequestAdmission.Prepared prepared = prepare(statementSubmission, httpStatement, user);
         if (claim != null && !keep(claim.entry())) {
-            prepared.refuse("the key could not be kept", FULL_RETRY_NS);
+            prepared.reject("the key could not be kept", FULL_RETRY_NS);
         } else {
             prepared.submit();
         }
@@ -293,9 +293,9 @@
                                     }
                                     feed.put(end, true);
                                 } catch (WireException e) {
-                                    exchange.refuseInput(e);
+                                    exchange.rejectInput(e);
                                 } catch (IOException e) {
-                                    exchange.refuseInput(
+                                    exchange.rejectInput(
                                             new WireException(
                                                     WireException.Reason.MALFORMED,
                                                     String.valueOf(e.getMessage())));
