--- a/router/src/main/java/ashlink/router/Router.java
+++ b/router/src/main/java/ashlink/router/Router.java
@@ -204,7 +204,7 @@
 
     /** Keeps the list where it has changed. */
     private void keep() throws IOException {
-        List<Endpoint> now = engines.entries();
+        List<Endpoint> now = engines.endpoints();
         if (store != null && !now.equals(kept)) {
             store.save(now, clock.nowNs(), System.currentTimeMillis());
             kept = now;
@@ -238,12 +238,12 @@
 
     /** The list says that of an engine. */
     public void phase(String engine, EndpointState phase) {
-        engines.phase(engine, phase);
+        engines.setState(engine, phase);
     }
 
     /** These engines get no fresh work, whatever the list says; also before the start. */
     public void drained(Set<String> names) {
-        engines.drained(names);
+        engines.setDrained(names);
     }
 
     /** Takes no fresh requests, or does again. */
--- a/router/src/main/java/ashlink/router/frontend/EngineResponseRelay.java
+++ b/router/src/main/java/ashlink/router/frontend/EngineResponseRelay.java
@@ -168,7 +168,8 @@
         }
         boolean ended =
                 attempt.end(
-                        AttemptEndReason.SERVED, context.engines().gauges().told(reportedValues));
+                        AttemptEndReason.SERVED,
+                        context.engines().loadReports().attemptReport(reportedValues));
         lease.release(ended);
         if (ended) {
             exchange.finish(response, StatementOutcome.SERVED);
@@ -181,9 +182,10 @@
             throws IOException {
         lease.connection().in().endTap();
         AttemptEndReason reason =
-                committed ? AttemptEndReason.STATEMENT_ERROR : EngineErrors.cause(error.code());
+                committed ? AttemptEndReason.STATEMENT_ERROR : EngineErrors.reason(error.code());
         exchange.recordError(attempt.engine() + ": code " + error.code() + ": " + error.message());
-        boolean ended = attempt.end(reason, context.engines().gauges().told(reportedValues));
+        boolean ended =
+                attempt.end(reason, context.engines().loadReports().attemptReport(reportedValues));
         lease.release(ended && dataComplete);
         if (ended && reason == AttemptEndReason.STATEMENT_ERROR) {
             exchange.finish(response, StatementOutcome.ERROR);
--- a/router/src/main/java/ashlink/router/frontend/RequestExchange.java
+++ b/router/src/main/java/ashlink/router/frontend/RequestExchange.java
@@ -34,8 +34,6 @@
     /** Time to write the final response; a client that does not read it by then is closed. */
     private static final long FINAL_WRITE_TIMEOUT_MS = 2_000;
 
-    private static final long NS_PER_MS = 1_000_000;
-
     private final ListenerContext context;
     private final ResponseChannel client;
     private final int clientRevision;
@@ -284,7 +282,7 @@
                 .addKeyValue("request", id)
                 .addKeyValue("class", queryClass.name())
                 .addKeyValue("answer", outcome.word())
-                .addKeyValue("ms", (System.nanoTime() - startNs) / NS_PER_MS)
+                .addKeyValue("ms", TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs))
                 .addKeyValue("query_id", query.id())
                 .addKeyValue("client", client.peer())
                 .log("answered");
--- a/router/src/main/java/ashlink/router/upstream/EngineConnections.java
+++ b/router/src/main/java/ashlink/router/upstream/EngineConnections.java
@@ -11,13 +11,6 @@
 import ashlink.router.core.CoreClock;
 import ashlink.router.core.EngineTransport;
 import ashlink.router.discovery.EndpointRegistry;
-import ashlink.wire.Block;
-import ashlink.wire.ByteBuf;
-import ashlink.wire.ClientInfo;
-import ashlink.wire.ClientPacket;
-import ashlink.wire.QueryPacket;
-import ashlink.wire.ServerError;
-import ashlink.wire.ServerPacket;
 import ashlink.wire.WireLimits;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -31,176 +24,182 @@
 import java.util.concurrent.Executor;
 import java.util.concurrent.RejectedExecutionException;
 import java.util.function.Consumer;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /**
- * The engines that the list names: their pools, their probes, and what the roster makes of how they
- * fare. News go to the core in the order in which the roster gave them.
+ * The engines of the endpoint list: their states, connection pools and health checks. Changes of
+ * the endpoints go to the core in the order in which the registry reports them. Safe for use by
+ * several threads.
  */
 public final class EngineConnections implements EngineTransport {
 
-    private static final Logger LOG = LoggerFactory.getLogger(EngineConnections.class);
-    private static final int MOST_PROBE_ROWS = 10_000;
-    private static final long S = 1_000_000_000L;
+    private static final long NS_PER_MS = 1_000_000L;
+    private static final long NS_PER_S = 1_000_000_000L;
 
     private final RouterConfig config;
-    private final EndpointRegistry roster;
+
+    /** Guarded by this. */
+    private final EndpointRegistry registry;
+
     private final CoreClock clock;
     private final Executor workers;
-    private final LoadReportReader gauges;
+    private final LoadReportReader loadReports;
     private final WireLimits limits;
-    private final String probeStatement;
+    private final EngineHealthChecker healthChecker;
     private final Map<String, NativeConnectionPool> pools = new ConcurrentHashMap<>();
-    private final Map<String, EndpointState> phases = new ConcurrentHashMap<>();
+    private final Map<String, EndpointState> states = new ConcurrentHashMap<>();
 
-    /** What the list says, without what operators want. */
+    /** States by the endpoint list, without those set by operators. Guarded by this. */
     private final Map<String, EndpointState> listed = new HashMap<>();
 
+    /** Engines that operators drain. Guarded by this. */
     private Set<String> drained = Set.of();
-    private volatile Consumer<EndpointsChanged> news = n -> {};
 
-    /** Reaches engines with threads of {@code workers}. */
+    private volatile Consumer<EndpointsChanged> onChange = change -> {};
+
+    /**
+     * Engines without endpoints; see {@link #start}.
+     *
+     * @param workers runs the health checks
+     */
     public EngineConnections(
             RouterConfig config, CoreClock clock, Executor workers, WireLimits limits) {
         this.config = config;
         this.clock = clock;
         this.workers = workers;
         this.limits = limits;
-        this.roster = new EndpointRegistry(config.limits().slowStartNs());
-        this.gauges = new LoadReportReader(config.gauges());
-        String uptime =
-                config.gauges().uptimeS().stream()
-                        .map(RouterConfig.Gauge::name)
-                        .findFirst()
-                        .orElse("");
-        this.probeStatement =
-                "SELECT metric, toFloat64(value) AS value FROM system.metrics"
-                        + (uptime.isEmpty()
-                                ? ""
-                                : " UNION ALL SELECT '"
-                                        + uptime.replace("'", "")
-                                        + "', toFloat64(uptime())");
+        this.registry = new EndpointRegistry(config.limits().slowStartNs());
+        this.loadReports = new LoadReportReader(config.gauges());
+        this.healthChecker = new EngineHealthChecker(this, config, loadReports, limits);
     }
 
-    /** Reads what answers tell. */
-    public LoadReportReader gauges() {
-        return gauges;
+    /** Returns the reader of load reports. */
+    public LoadReportReader loadReports() {
+        return loadReports;
     }
 
-    // ---- The list
+    // Endpoints
+
     /**
-     * Where news of the list go; what was known before is told as remembered, then as it is
-     * configured.
+     * Starts to report endpoints: first those that were cached, then those that are configured.
+     *
+     * @param listener receives all changes, in order
+     * @param cached endpoints of the last run; may be empty
      */
-    public synchronized void start(Consumer<EndpointsChanged> to, List<Endpoint> kept) {
-        news = to;
-        if (!kept.isEmpty()) {
-            kept.forEach(endpoint -> phases.put(endpoint.engine(), endpoint.state()));
-            to.accept(new EndpointsChanged(EndpointListKind.CACHED, kept));
+    public synchronized void start(Consumer<EndpointsChanged> listener, List<Endpoint> cached) {
+        onChange = listener;
+        if (!cached.isEmpty()) {
+            cached.forEach(endpoint -> states.put(endpoint.engine(), endpoint.state()));
+            listener.accept(new EndpointsChanged(EndpointListKind.CACHED, cached));
         }
-        roster.configure(config.engines().values());
-        roster.remember(kept);
+        registry.configure(config.engines().values());
+        registry.remember(cached);
         configure(config.engines().values());
     }
 
-    /** The whole list is now this one. */
+    /** Replaces all endpoints; pools of unchanged addresses remain. */
     public synchronized void configure(Collection<EngineSpec> specs) {
         Map<String, NativeConnectionPool> before = new HashMap<>(pools);
         pools.clear();
-        phases.clear();
+        states.clear();
         listed.clear();
         List<EngineSpec> effective = new ArrayList<>();
-        for (EngineSpec engineSpec : specs) {
-            listed.put(engineSpec.name(), engineSpec.phase());
+        for (EngineSpec spec : specs) {
+            listed.put(spec.name(), spec.phase());
             effective.add(
                     new EngineSpec(
-                            engineSpec.name(),
-                            engineSpec.address(),
-                            engineSpec.zone(),
-                            engineSpec.kind(),
-                            engineSpec.cell(),
-                            phase(engineSpec.name())));
-            NativeConnectionPool old = before.get(engineSpec.name());
-            boolean same = old != null && old.address().equals(engineSpec.address());
-            pools.put(
-                    engineSpec.name(), same ? before.remove(engineSpec.name()) : pool(engineSpec));
-            phases.put(engineSpec.name(), phase(engineSpec.name()));
+                            spec.name(),
+                            spec.address(),
+                            spec.zone(),
+                            spec.kind(),
+                            spec.cell(),
+                            effectiveState(spec.name())));
+            NativeConnectionPool old = before.get(spec.name());
+            boolean sameAddress = old != null && old.address().equals(spec.address());
+            pools.put(spec.name(), sameAddress ? before.remove(spec.name()) : newPool(spec));
+            states.put(spec.name(), effectiveState(spec.name()));
         }
         before.values().forEach(NativeConnectionPool::close);
-        news.accept(roster.configure(effective));
+        onChange.accept(registry.configure(effective));
     }
 
-    private NativeConnectionPool pool(EngineSpec engineSpec) {
+    private NativeConnectionPool newPool(EngineSpec spec) {
         RouterConfig.Bounds bounds = config.bounds();
         return new NativeConnectionPool(
-                engineSpec.name(),
-                engineSpec.address(),
+                spec.name(),
+                spec.address(),
                 config.name(),
                 config.engineLogin(),
                 bounds.engineConnections(),
-                (int) Math.max(1, bounds.connectNs() / 1_000_000),
+                (int) Math.max(1, bounds.connectNs() / NS_PER_MS),
                 bounds.idleEngineNs(),
                 limits);
     }
 
-    /** The list says that of an engine. */
-    public synchronized void phase(String engine, EndpointState phase) {
-        listed.put(engine, phase);
-        tell(engine);
+    /** Sets the state of an engine by the endpoint list. */
+    public synchronized void setState(String engine, EndpointState state) {
+        listed.put(engine, state);
+        reportState(engine);
     }
 
-    /** Operators want these engines to get no fresh work: that holds whatever the list says. */
-    public synchronized void drained(Set<String> engines) {
+    /** Sets the engines that operators drain, whatever their state by the endpoint list. */
+    public synchronized void setDrained(Set<String> engines) {
         Set<String> changed = new TreeSet<>(engines);
         changed.addAll(drained);
-        changed.removeIf(text -> engines.contains(text) == drained.contains(text));
+        changed.removeIf(engine -> engines.contains(engine) == drained.contains(engine));
         drained = Set.copyOf(engines);
-        changed.forEach(this::tell);
+        changed.forEach(this::reportState);
     }
 
-    /** A drain from anywhere holds. */
-    private EndpointState phase(String engine) {
+    /** Returns the state of an engine, draining if either side drains it. */
+    private EndpointState effectiveState(String engine) {
         return drained.contains(engine)
                 ? EndpointState.DRAINING
                 : listed.getOrDefault(engine, EndpointState.READY);
     }
 
-    private void tell(String engine) {
+    private void reportState(String engine) {
         if (pools.containsKey(engine)) {
-            phases.put(engine, phase(engine));
-            roster.phase(engine, phase(engine)).ifPresent(news);
+            states.put(engine, effectiveState(engine));
+            registry.phase(engine, effectiveState(engine)).ifPresent(onChange);
         }
     }
 
-    /** The list in hand. */
-    public synchronized List<Endpoint> entries() {
-        return roster.entries();
+    /** Returns the current endpoints. */
+    public synchronized List<Endpoint> endpoints() {
+        return registry.entries();
     }
 
-    /** True while the list says that new work may go there; asked just before the first byte. */
+    /** Tells whether an engine accepts new queries; checked just before the first byte. */
     public boolean isReady(String engine) {
-        return phases.get(engine) == EndpointState.READY;
+        return states.get(engine) == EndpointState.READY;
     }
 
-    private synchronized void believe(String engine, boolean reached) {
-        if (reached) {
-            roster.connected(engine, clock.nowNs()).ifPresent(news);
+    private synchronized void reportConnect(String engine, boolean connected) {
+        if (connected) {
+            registry.connected(engine, clock.nowNs()).ifPresent(onChange);
         } else {
-            roster.unreachable(engine);
+            registry.unreachable(engine);
         }
     }
 
-    private synchronized void believeUptime(String engine, double upS) {
-        if (upS >= 0) {
-            roster.uptime(engine, (long) (upS * S), clock.nowNs()).ifPresent(news);
+    /**
+     * Handles a reported uptime, from which restarts are detected.
+     *
+     * @param uptimeS seconds; negative if unknown
+     */
+    synchronized void reportUptime(String engine, double uptimeS) {
+        if (uptimeS >= 0) {
+            registry.uptime(engine, (long) (uptimeS * NS_PER_S), clock.nowNs()).ifPresent(onChange);
         }
     }
 
-    // ---- Connections
+    // Connections
+
     /**
-     * A connection to that engine for that database; an exception where it cannot be reached or
-     * none is free.
+     * Takes a connection to an engine, with a default database.
+     *
+     * @throws NativeConnectionPool.Full if all connections are in use
+     * @throws IOException if the engine is unknown or cannot be reached
      */
     public NativeEngineConnection take(String engine, String database) throws IOException {
         NativeConnectionPool pool = pools.get(engine);
@@ -209,104 +208,48 @@
         }
         try {
             NativeEngineConnection connection = pool.take(database);
-            believe(engine, true);
+            reportConnect(engine, true);
             return connection;
         } catch (NativeConnectionPool.Full e) {
             throw e;
         } catch (IOException e) {
-            believe(engine, false);
+            reportConnect(engine, false);
             throw e;
         }
     }
 
     /**
-     * Takes back a connection; {@code clean} only where its last statement ended and nothing else
-     * is due.
+     * Returns a connection.
+     *
+     * @param reusable whether its last statement ended and nothing more will arrive; it is closed
+     *     otherwise
      */
-    public void giveBack(NativeEngineConnection connection, boolean clean) {
-        if (clean) {
+    public void giveBack(NativeEngineConnection connection, boolean reusable) {
+        if (reusable) {
             connection.pool().giveBack(connection, clock.nowNs());
         } else {
             connection.pool().discard(connection);
         }
     }
 
-    /** Closes connections that have been idle for too long. */
+    /** Closes connections that are idle beyond the limit. */
     public void closeIdle() {
         pools.values().forEach(pool -> pool.closeIdle(clock.nowNs()));
     }
 
-    /** Closes all that is idle. */
+    /** Closes all idle connections; those in use are closed when they are returned. */
     public void close() {
         pools.values().forEach(NativeConnectionPool::close);
     }
 
-    // ---- Probes
+    // Health checks
+
     @Override
-    public void checkHealth(String engine, HealthCheckListener back) {
+    public void checkHealth(String engine, HealthCheckListener listener) {
         try {
-            workers.execute(() -> probeNow(engine, back));
+            workers.execute(() -> healthChecker.check(engine, listener));
         } catch (RejectedExecutionException e) {
-            back.onHealthCheckCompleted(Outcome.NOT_SENT, LoadReport.NONE);
-        }
-    }
-
-    private void probeNow(String engine, HealthCheckListener back) {
-        Outcome outcome = Outcome.CONNECT_FAILED;
-        LoadReport report = LoadReport.NONE;
-        NativeEngineConnection connection = null;
-        boolean clean = false;
-        try {
-            connection = take(engine, "");
-            outcome = Outcome.RESET;
-            Map<String, Double> values = ask(connection);
-            clean = values != null;
-            outcome = clean ? Outcome.SERVED : Outcome.ERROR;
-            if (clean) {
-                report = gauges.report(values);
-                believeUptime(engine, gauges.uptimeS(values));
-            }
-        } catch (NativeConnectionPool.Full e) {
-            outcome = Outcome.NOT_SENT;
-        } catch (java.net.SocketTimeoutException e) {
-            outcome = connection == null ? Outcome.CONNECT_FAILED : Outcome.TIMED_OUT;
-        } catch (IOException e) {
-            LOG.debug("probe of engine {} failed: {}", engine, e.toString());
-        } finally {
-            if (connection != null) {
-                giveBack(connection, clean);
-            }
-            back.onHealthCheckCompleted(outcome, report);
-        }
-    }
-
-    /** Runs the probe's statement; null where the engine answers with an error. */
-    private Map<String, Double> ask(NativeEngineConnection connection) throws IOException {
-        ByteBuf out = new ByteBuf();
-        new QueryPacket("", ClientInfo.NONE, List.of(), QueryPacket.COMPLETE, false, probeStatement)
-                .write(connection.revision(), out);
-        out.putVarUInt(ClientPacket.DATA.ordinal()).putString("");
-        Block.END.write(null, out);
-        connection.timeout(2 * (int) Math.max(1, config.bounds().connectNs() / 1_000_000));
-        connection.write(out);
-        Map<String, Double> values = new HashMap<>();
-        while (true) {
-            ServerPacket serverPacket = ServerPacket.of(connection.in().readVarUInt());
-            if (serverPacket == ServerPacket.EXCEPTION) {
-                ServerError.read(connection.in(), limits);
-                return null;
-            } else if (serverPacket == ServerPacket.END_OF_STREAM) {
-                connection.timeout(0);
-                return values;
-            } else if (serverPacket.hasBlock()) {
-                connection.in().readString("table", limits.nameBytes());
-                Block block = connection.blocks().read(false, MOST_PROBE_ROWS);
-                if (serverPacket == ServerPacket.DATA) {
-                    values.putAll(LoadReportReader.values(block));
-                }
-            } else {
-                connection.skipPlain(serverPacket);
-            }
+            listener.onHealthCheckCompleted(Outcome.NOT_SENT, LoadReport.NONE);
         }
     }
 }
--- a/router/src/main/java/ashlink/router/upstream/LoadReportReader.java
+++ b/router/src/main/java/ashlink/router/upstream/LoadReportReader.java
@@ -9,19 +9,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** Takes an engine's load, and what a statement needed, out of blocks of names and values. */
+/** Extracts the load of an engine and the cost of a query from blocks of metrics. */
 public final class LoadReportReader {
 
-    private final Gauges names;
+    private final Gauges metrics;
 
-    /** Reads the gauges of those names. */
-    public LoadReportReader(Gauges names) {
-        this.names = names;
+    /** A reader of those metrics. */
+    public LoadReportReader(Gauges metrics) {
+        this.metrics = metrics;
     }
 
     /**
-     * Values by name out of a block that has a column of names and one of values; any other block
-     * has none.
+     * Returns the values of a block by name; empty unless the block has a column of names and one
+     * of values.
      */
     public static Map<String, Double> values(Block block) {
         Map<String, Double> values = new HashMap<>();
@@ -40,32 +40,34 @@
         return values;
     }
 
-    /** The load that the values tell. */
+    /** Returns the load report; a metric that is absent is NaN in it. */
     public LoadReport report(Map<String, Double> values) {
         return new LoadReport(
-                of(values, names.waiting()),
-                of(values, names.coresBusy()),
-                of(values, names.memoryGranted()),
-                of(values, names.disksBusy()),
-                of(values, names.inHand()));
+                value(values, metrics.waiting()),
+                value(values, metrics.coresBusy()),
+                value(values, metrics.memoryGranted()),
+                value(values, metrics.disksBusy()),
+                value(values, metrics.inHand()));
     }
 
-    /** All that an answer tells. */
-    public AttemptReport told(Map<String, Double> values) {
-        double work = of(values, names.workMs());
-        double memory = of(values, names.memoryMb());
+    /** Returns the load report and the cost; a cost that is absent is 0 in it. */
+    public AttemptReport attemptReport(Map<String, Double> values) {
+        double workMs = value(values, metrics.workMs());
+        double memoryMb = value(values, metrics.memoryMb());
         return new AttemptReport(
-                Double.isNaN(work) ? 0 : work, Double.isNaN(memory) ? 0 : memory, report(values));
+                Double.isNaN(workMs) ? 0 : workMs,
+                Double.isNaN(memoryMb) ? 0 : memoryMb,
+                report(values));
     }
 
-    /** Seconds since the engine started, or a negative number where it does not tell. */
+    /** Returns the seconds since the engine started; negative if unknown. */
     public double uptimeS(Map<String, Double> values) {
-        double up = of(values, names.uptimeS());
-        return Double.isNaN(up) ? -1 : up;
+        double uptimeS = value(values, metrics.uptimeS());
+        return Double.isNaN(uptimeS) ? -1 : uptimeS;
     }
 
-    private static double of(Map<String, Double> values, List<Gauge> gauges) {
-        for (Gauge gauge : gauges) {
+    private static double value(Map<String, Double> values, List<Gauge> candidates) {
+        for (Gauge gauge : candidates) {
             Double value = values.get(gauge.name());
             if (value != null) {
                 return value / gauge.divisor();
--- a/router/src/main/java/ashlink/router/upstream/NativeConnectionPool.java
+++ b/router/src/main/java/ashlink/router/upstream/NativeConnectionPool.java
@@ -10,16 +10,20 @@
 import java.util.List;
 
 /**
- * Connections to one engine: the last returned is taken first, so that what is not needed grows old
- * and is closed. At the limit of connections nobody waits here: waiting is what the decision module
- * does, by worth.
+ * A pool of connections to one engine. The connection that was returned last is taken first, so
+ * that surplus ones become idle and are closed. At the limit, taking a connection fails instead of
+ * waiting: queries wait in the queue of the decision module, by priority. Safe for use by several
+ * threads.
  */
 public final class NativeConnectionPool {
 
-    /** No connection is free and no further one is allowed. */
+    /** All connections of the limit are in use. */
     public static final class Full extends IOException {
-        Full(String engine, int most) {
-            super("all " + most + " connections to engine " + engine + " are in use");
+
+        private static final long serialVersionUID = 1L;
+
+        Full(String engine, int maxConnections) {
+            super("all " + maxConnections + " connections to engine " + engine + " are in use");
         }
     }
 
@@ -27,31 +31,33 @@
     private final InetSocketAddress address;
     private final String routerName;
     private final EngineLogin login;
-    private final int most;
-    private final int connectMs;
-    private final long idleNs;
+    private final int maxConnections;
+    private final int connectTimeoutMs;
+    private final long idleTimeoutNs;
     private final WireLimits limits;
+
+    // Guarded by this.
     private final ArrayDeque<NativeEngineConnection> idle = new ArrayDeque<>();
     private int open;
     private boolean closed;
 
-    /** A pool without connections. */
+    /** An empty pool. */
     NativeConnectionPool(
             String engine,
             InetSocketAddress address,
             String routerName,
             EngineLogin login,
-            int most,
-            int connectMs,
-            long idleNs,
+            int maxConnections,
+            int connectTimeoutMs,
+            long idleTimeoutNs,
             WireLimits limits) {
         this.engine = engine;
         this.address = address;
         this.routerName = routerName;
         this.login = login;
-        this.most = most;
-        this.connectMs = connectMs;
-        this.idleNs = idleNs;
+        this.maxConnections = maxConnections;
+        this.connectTimeoutMs = connectTimeoutMs;
+        this.idleTimeoutNs = idleTimeoutNs;
         this.limits = limits;
     }
 
@@ -59,30 +65,37 @@
         return address;
     }
 
-    /** A connection for that database that was idle and is still quiet, or a new one. */
+    /**
+     * Takes an idle connection with that default database, or opens one.
+     *
+     * @throws Full if all connections are in use
+     */
     NativeEngineConnection take(String database) throws IOException {
-        for (NativeEngineConnection c = poll(database); c != null; c = poll(database)) {
-            if (c.isQuiet()) {
-                return c;
+        NativeEngineConnection pooled = poll(database);
+        while (pooled != null) {
+            if (pooled.isQuiet()) {
+                return pooled;
             }
-            discard(c);
+            discard(pooled);
+            pooled = poll(database);
         }
         NativeEngineConnection evicted = null;
         synchronized (this) {
-            if (open >= most && !idle.isEmpty()) {
-                evicted = idle.pollLast(); // it is for another database
-            } else if (open >= most) {
-                throw new Full(engine, most);
+            if (open >= maxConnections && !idle.isEmpty()) {
+                // It has another default database; the new connection takes its place.
+                evicted = idle.pollLast();
+            } else if (open >= maxConnections) {
+                throw new Full(engine, maxConnections);
             } else {
                 open++;
             }
         }
         if (evicted != null) {
-            evicted.close(); // its place is the new one's
+            evicted.close();
         }
         try {
             return NativeEngineConnection.open(
-                    this, engine, address, database, routerName, login, connectMs, limits);
+                    this, engine, address, database, routerName, login, connectTimeoutMs, limits);
         } catch (IOException | RuntimeException e) {
             synchronized (this) {
                 open--;
@@ -92,19 +105,19 @@
     }
 
     private synchronized NativeEngineConnection poll(String database) {
-        for (Iterator<NativeEngineConnection> i = idle.iterator(); i.hasNext(); ) {
-            NativeEngineConnection connection = i.next();
+        for (Iterator<NativeEngineConnection> iterator = idle.iterator(); iterator.hasNext(); ) {
+            NativeEngineConnection connection = iterator.next();
             if (connection.database().equals(database)) {
-                i.remove();
+                iterator.remove();
                 return connection;
             }
         }
         return null;
     }
 
-    /** Takes back a connection whose last statement ended cleanly. */
-    void giveBack(NativeEngineConnection connection, long now) {
-        connection.idleSince(now);
+    /** Returns a reusable connection. */
+    void giveBack(NativeEngineConnection connection, long nowNs) {
+        connection.setIdleSinceNs(nowNs);
         synchronized (this) {
             if (!closed) {
                 idle.addFirst(connection);
@@ -114,7 +127,7 @@
         discard(connection);
     }
 
-    /** Closes a connection whose state is in doubt. */
+    /** Closes a connection that is not reusable. */
     void discard(NativeEngineConnection connection) {
         connection.close();
         synchronized (this) {
@@ -122,18 +135,19 @@
         }
     }
 
-    /** Closes what has been idle for too long. */
-    void closeIdle(long now) {
-        List<NativeEngineConnection> old = new ArrayList<>();
+    /** Closes connections that are idle beyond the timeout. */
+    void closeIdle(long nowNs) {
+        List<NativeEngineConnection> expired = new ArrayList<>();
         synchronized (this) {
-            while (!idle.isEmpty() && (closed || now - idle.peekLast().idleSince() > idleNs)) {
-                old.add(idle.pollLast());
+            while (!idle.isEmpty()
+                    && (closed || nowNs - idle.peekLast().idleSinceNs() > idleTimeoutNs)) {
+                expired.add(idle.pollLast());
             }
         }
-        old.forEach(this::discard);
+        expired.forEach(this::discard);
     }
 
-    /** Closes what is idle now, and the rest as it comes back. */
+    /** Closes the idle connections now, and the others when they are returned. */
     void close() {
         synchronized (this) {
             closed = true;
--- a/router/src/main/java/ashlink/router/upstream/NativeEngineConnection.java
+++ b/router/src/main/java/ashlink/router/upstream/NativeEngineConnection.java
@@ -19,11 +19,12 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * A connection to an engine that has said Hello. One attempt uses it at a time; closing it is safe
- * from any thread.
+ * A connection to an engine after its handshake. One attempt uses it at a time; {@link #close} is
+ * safe from any thread.
  */
 public final class NativeEngineConnection implements AutoCloseable {
 
+    private static final long NS_PER_MS = 1_000_000L;
     private static final int READ_BYTES = 128 << 10;
     private static final int VERSION_MAJOR = 22;
     private static final int VERSION_MINOR = 4;
@@ -56,7 +57,7 @@
         this.blocks = new Blocks(in, limits);
     }
 
-    /** Connects and says Hello; both within that time. */
+    /** Connects and performs the handshake, both within the timeout. */
     static NativeEngineConnection open(
             NativeConnectionPool pool,
             String engine,
@@ -70,13 +71,13 @@
         SocketChannel channel = SocketChannel.open();
         try {
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            long from = System.nanoTime();
+            long startNs = System.nanoTime();
             channel.socket().connect(address, timeoutMs);
             NativeEngineConnection connection =
                     new NativeEngineConnection(pool, engine, database, channel, limits);
-            int left = timeoutMs - (int) ((System.nanoTime() - from) / 1_000_000);
-            channel.socket().setSoTimeout(Math.max(1, left));
-            connection.hello(routerName, login);
+            int remainingMs = timeoutMs - (int) ((System.nanoTime() - startNs) / NS_PER_MS);
+            channel.socket().setSoTimeout(Math.max(1, remainingMs));
+            connection.handshake(routerName, login);
             channel.socket().setSoTimeout(0);
             return connection;
         } catch (IOException | RuntimeException e) {
@@ -85,7 +86,7 @@
         }
     }
 
-    private void hello(String routerName, EngineLogin login) throws IOException {
+    private void handshake(String routerName, EngineLogin login) throws IOException {
         ByteBuf hello = new ByteBuf();
         new Hello.Client(
                         "ashlink " + routerName,
@@ -126,7 +127,7 @@
         }
     }
 
-    /** Name of the engine. */
+    /** Returns the name of the engine. */
     public String engine() {
         return engine;
     }
@@ -135,74 +136,79 @@
         return pool;
     }
 
-    /** The default database of its statements. */
+    /** Returns the default database of its statements. */
     String database() {
         return database;
     }
 
-    /** The lesser of both revisions. */
+    /** Returns the protocol revision that both sides support. */
     public int revision() {
         return revision;
     }
 
-    /** What it sends. */
+    /** Returns the bytes that the engine sends. */
     public StreamSource in() {
         return in;
     }
 
-    /** Blocks of what it sends. */
+    /** Returns the reader of blocks that the engine sends. */
     public Blocks blocks() {
         return blocks;
     }
 
-    /** Writes all of it; an exception means that its last byte was not handed over. */
+    /**
+     * Writes all bytes.
+     *
+     * @throws IOException if the last byte was not handed to the operating system
+     */
     public void write(ByteBuf bytes) throws IOException {
         bytes.writeTo(out);
     }
 
-    /** Writes all of it; an exception means that its last byte was not handed over. */
+    /**
+     * Writes all bytes.
+     *
+     * @throws IOException if the last byte was not handed to the operating system
+     */
     public void write(byte[] bytes) throws IOException {
         out.write(bytes, 0, bytes.length);
     }
 
-    /** True where the engine has sent something that was not read. */
+    /** Tells whether the engine has sent bytes that are not read yet. */
     public boolean hasSomething() throws IOException {
         return in.hasBuffered() || channel.socket().getInputStream().available() > 0;
     }
 
-    /** Longest wait for a byte; 0 is for ever. */
+    /** Sets the timeout of reads; 0 disables it. */
     void timeout(int ms) throws IOException {
         channel.socket().setSoTimeout(ms);
     }
 
-    /** Passes over a packet that has neither a block nor an end in it. */
+    /** Skips a packet that has no block and does not end a response. */
     void skipPlain(ServerPacket kind) throws IOException {
         PlainPackets.skip(kind, in, revision, limits);
     }
 
-    /**
-     * False where the engine has closed it, or sent what nobody asked for: it is not used again
-     * then.
-     */
+    /** Returns false if the engine closed the connection or sent unexpected bytes. */
     boolean isQuiet() {
         if (in.hasBuffered()) {
             return false;
         }
         try {
             channel.configureBlocking(false);
-            int n = channel.read(ByteBuffer.allocate(1));
+            int readBytes = channel.read(ByteBuffer.allocate(1));
             channel.configureBlocking(true);
-            return n == 0;
+            return readBytes == 0;
         } catch (IOException e) {
             return false;
         }
     }
 
-    void idleSince(long now) {
-        idleSinceNs = now;
+    void setIdleSinceNs(long nowNs) {
+        idleSinceNs = nowNs;
     }
 
-    long idleSince() {
+    long idleSinceNs() {
         return idleSinceNs;
     }
 
@@ -211,7 +217,7 @@
         try {
             channel.close();
         } catch (IOException e) {
-            // it is gone either way
+            // The connection is unusable either way.
         }
     }
 }
--- a/router/src/main/java/ashlink/router/upstream/package-info.java
+++ b/router/src/main/java/ashlink/router/upstream/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Connections to engines: made, kept while idle, probed, and closed where their state is in doubt.
- */
+/** Connections to engines: pools, handshakes, health checks, load reports and error codes. */
 package ashlink.router.upstream;
