--- a/router/src/main/java/ashlink/router/Router.java
+++ b/router/src/main/java/ashlink/router/Router.java
@@ -11,7 +11,7 @@
 import ashlink.decisions.api.Settings;
 import ashlink.decisions.api.WorkloadManager;
 import ashlink.router.classify.Classifier;
-import ashlink.router.classify.Statements;
+import ashlink.router.classify.StatementAnalyzer;
 import ashlink.router.core.Core;
 import ashlink.router.core.CoreClock;
 import ashlink.router.core.PrometheusRequestMetrics;
@@ -144,7 +144,7 @@
                         new MemoryQuota(bounds.heldAnswers()),
                         new MemoryQuota(bounds.heldInserts()),
                         () -> classifier,
-                        new Statements(),
+                        new StatementAnalyzer(),
                         new UnsupportedStatementLog(),
                         boot);
         listener = new NativeListener(context);
--- a/router/src/main/java/ashlink/router/classify/Classifier.java
+++ b/router/src/main/java/ashlink/router/classify/Classifier.java
@@ -54,7 +54,7 @@
                         || dropped) {
                     return new Decision(queryClass, number, false);
                 }
-                return new Decision(strict(queryClass), number, true);
+                return new Decision(atMostOnce(queryClass), number, true);
             }
         }
         return new Decision(
@@ -64,7 +64,7 @@
                 false);
     }
 
-    private QueryClass strict(QueryClass queryClass) {
+    private QueryClass atMostOnce(QueryClass queryClass) {
         return classes.getOrDefault(
                 RouterConfig.strictName(queryClass.name()),
                 classes.get(config.defaultWriteClass()));
--- a/router/src/main/java/ashlink/router/classify/Statements.java
+++ b/router/src/main/java/ashlink/router/classify/StatementAnalyzer.java
@@ -9,7 +9,7 @@
  * Readings of statements, those of short ones remembered. The key is the text itself with its
  * database, not a hash of it: a hit is as safe as reading again.
  */
-public final class Statements {
+public final class StatementAnalyzer {
 
     /** Texts longer than this are read each time: they seldom come back as they were. */
     private static final int MOST_CHARS = 16 << 10;
@@ -29,7 +29,7 @@
                     .build();
 
     /** The reading of a statement. */
-    public StatementAnalysis read(String text, String database) {
+    public StatementAnalysis analyze(String text, String database) {
         if (text.length() > MOST_CHARS) {
             return reader.read(text, database);
         }
--- a/router/src/main/java/ashlink/router/frontend/ListenerContext.java
+++ b/router/src/main/java/ashlink/router/frontend/ListenerContext.java
@@ -2,7 +2,7 @@
 
 import ashlink.config.RouterConfig;
 import ashlink.router.classify.Classifier;
-import ashlink.router.classify.Statements;
+import ashlink.router.classify.StatementAnalyzer;
 import ashlink.router.core.Core;
 import ashlink.router.upstream.EngineConnections;
 import ashlink.wire.Quota;
@@ -23,7 +23,7 @@
  * @param answerQuota budget of buffered responses
  * @param insertQuota budget of buffered insert data
  * @param classifier classifier of the current settings
- * @param statements analyzes statements
+ * @param statementAnalyzer analyzes statements
  * @param unsupportedStatements log of statements that cannot be analyzed
  * @param boot text that is unique to this start of the router
  */
@@ -37,7 +37,7 @@
         Quota answerQuota,
         Quota insertQuota,
         Supplier<Classifier> classifier,
-        Statements statements,
+        StatementAnalyzer statementAnalyzer,
         UnsupportedStatementLog unsupportedStatements,
         String boot) {
 
--- a/router/src/main/java/ashlink/router/frontend/RequestAdmission.java
+++ b/router/src/main/java/ashlink/router/frontend/RequestAdmission.java
@@ -100,7 +100,8 @@
         for (Setting setting : query.settings()) {
             settings.put(setting.name(), setting.value());
         }
-        StatementAnalysis analysis = context.statements().read(query.statement(), database);
+        StatementAnalysis analysis =
+                context.statementAnalyzer().analyze(query.statement(), database);
         if (analysis.kind() == Kind.UNKNOWN) {
             context.unsupportedStatements().log(analysis, userName);
         }
--- a/router/src/main/java/ashlink/router/http/HeaderTimeoutGuard.java
+++ b/router/src/main/java/ashlink/router/http/HeaderTimeoutGuard.java
@@ -10,14 +10,14 @@
  */
 final class HeaderTimeoutGuard implements Connection.Listener {
 
-    private static final class Seen {
+    private static final class Observation {
         long messages;
         long bytes;
         long sinceNs = -1;
     }
 
     private final long limitNs;
-    private final Map<Connection, Seen> connections = new ConcurrentHashMap<>();
+    private final Map<Connection, Observation> connections = new ConcurrentHashMap<>();
 
     HeaderTimeoutGuard(long limitNs) {
         this.limitNs = limitNs;
@@ -25,7 +25,7 @@
 
     @Override
     public void onOpened(Connection connection) {
-        connections.put(connection, new Seen());
+        connections.put(connection, new Observation());
     }
 
     @Override
@@ -34,7 +34,7 @@
     }
 
     /** Looks at all connections; called from time to time. */
-    void look(long nowNs) {
+    void checkAll(long nowNs) {
         connections.forEach(
                 (connection, seen) -> {
                     long messages = connection.getMessagesIn();
--- a/router/src/main/java/ashlink/router/http/HttpListener.java
+++ b/router/src/main/java/ashlink/router/http/HttpListener.java
@@ -103,13 +103,13 @@
                 "ashlink_http_statements",
                 "Statements that are not dropped",
                 registry::openCount);
-        gauge(metrics, "ashlink_http_polls", "Askers that wait", handler::polling);
+        gauge(metrics, "ashlink_http_polls", "Askers that wait", handler::openPolls);
         gauge(metrics, "ashlink_http_keys", "Idempotency keys", registry::keyCount);
         gauge(
                 metrics,
                 "ashlink_spool_bytes",
                 "Bytes of the spool's budget that are taken",
-                store::taken);
+                store::usedBytes);
     }
 
     private static SpoolFiles files(ListenerContext context) throws IOException {
@@ -147,14 +147,14 @@
                         Priority.HIGH,
                         Math.max(50 * MS, spec.headerNs() / 4),
                         10 * S),
-                lease -> watch.look(System.nanoTime()));
+                lease -> watch.checkAll(System.nanoTime()));
         background.add(
                 TaskSpec.every("keys.tidy", Priority.NORMAL, 10 * S, 60 * S),
-                lease -> registry.tidyKeys());
+                lease -> registry.expireKeys());
         background.add(
                 TaskSpec.once("spool.clean", Priority.NORMAL, 30 * S, 600 * S),
                 lease -> {
-                    int gone = store.clean();
+                    int gone = store.deleteLeftovers();
                     if (gone > 0) {
                         LOG.info("the spool had {} files of earlier starts; they are gone", gone);
                     }
@@ -176,7 +176,7 @@
 
     /** Takes no more statements; those in hand go on. */
     public void refuseNew() {
-        registry.refuseNew();
+        registry.rejectNew();
     }
 
     /** Lets clients fetch what is answered for that time. */
@@ -189,7 +189,7 @@
 
     /** Statements known, also those that were dropped. */
     public int known() {
-        return registry.known();
+        return registry.knownCount();
     }
 
     /** Statements that are not dropped. */
@@ -199,7 +199,7 @@
 
     /** Bytes of the spool's budget that are taken. */
     public long spooled() {
-        return store.taken();
+        return store.usedBytes();
     }
 
     /** Tells all who wait that the router stops, and ends. */
--- a/router/src/main/java/ashlink/router/http/HttpStatement.java
+++ b/router/src/main/java/ashlink/router/http/HttpStatement.java
@@ -4,7 +4,7 @@
 import ashlink.router.frontend.RequestExchange;
 import ashlink.router.frontend.ResponseChannel;
 import ashlink.router.spool.PageStore;
-import ashlink.router.spool.PageStore.Stored;
+import ashlink.router.spool.PageStore.StoredPage;
 import ashlink.router.statement.PageWindow;
 import ashlink.router.statement.StatementLifecycle;
 import ashlink.wire.Blocks;
@@ -42,24 +42,24 @@
     private static final int READ_BYTES = 64 << 10;
 
     /** What an asker is told. {@code page} below 0: not there yet, or there is a problem. */
-    record Told(int page, byte[] blocks, byte[] header, boolean last, ProblemDetail problem) {
+    record PollResult(int page, byte[] blocks, byte[] header, boolean last, ProblemDetail problem) {
         boolean isPage() {
             return page >= 0;
         }
     }
 
     /** Does what is due when it is answered, before anybody is told; may wait for the disk. */
-    interface WhenAnswered {
-        void answered(HttpStatement httpStatement, StatementOutcome how) throws IOException;
+    interface CompletionListener {
+        void onComplete(HttpStatement httpStatement, StatementOutcome how) throws IOException;
     }
 
-    private static final class Waiter {
+    private static final class PendingPoll {
         final int page;
-        final Consumer<Told> to;
+        final Consumer<PollResult> to;
         final AtomicBoolean told = new AtomicBoolean();
         ScheduledFuture<?> timer;
 
-        Waiter(int page, Consumer<Told> to) {
+        PendingPoll(int page, Consumer<PollResult> to) {
             this.page = page;
             this.to = to;
         }
@@ -71,9 +71,9 @@
     private final PageStore store;
     private final WireLimits limits;
     private final long pageBytes;
-    private final WhenAnswered whenAnswered;
-    private final long fromNs = System.nanoTime();
-    private final ByteBuf open;
+    private final CompletionListener completionListener;
+    private final long startNs = System.nanoTime();
+    private final ByteBuf openPage;
 
     /**
      * Guards what askers and the writer share; held while a page is read, so that none is let go
@@ -81,21 +81,21 @@
      */
     private final Object state = new Object();
 
-    private final StatementLifecycle life;
+    private final StatementLifecycle lifecycle;
     private final PageWindow window = new PageWindow();
-    private final List<Stored> stored = new ArrayList<>();
-    private List<Waiter> waiters = new ArrayList<>();
-    private volatile CountDownLatch keyKept = new CountDownLatch(0);
+    private final List<StoredPage> pages = new ArrayList<>();
+    private List<PendingPoll> pendingPolls = new ArrayList<>();
+    private volatile CountDownLatch keyStored = new CountDownLatch(0);
     private volatile RequestExchange exchange;
     private volatile boolean closed;
-    private volatile Consumer<byte[]> headerTaker;
+    private volatile Consumer<byte[]> headerListener;
     private byte[] header = new byte[0];
-    private long inMemory;
-    private Stored last;
-    private boolean settled;
-    private StatementOutcome ending;
+    private long storedBytes;
+    private StoredPage lastPage;
+    private boolean completing;
+    private StatementOutcome outcome;
     private ServerError error;
-    private ProblemDetail lost;
+    private ProblemDetail resultError;
     private long retryAfterNs;
     private volatile long rows;
     private volatile long bytes;
@@ -110,17 +110,17 @@
             Quota memory,
             WireLimits limits,
             long pageBytes,
-            StatementLifecycle.Terms terms,
-            WhenAnswered whenAnswered) {
+            StatementLifecycle.Timeouts terms,
+            CompletionListener whenAnswered) {
         this.id = id;
         this.user = user;
         this.peer = peer;
         this.store = store;
         this.limits = limits;
         this.pageBytes = pageBytes;
-        this.whenAnswered = whenAnswered;
-        this.open = new ByteBuf(pageBytes + limits.packetBytes(), memory);
-        this.life = new StatementLifecycle(terms, System.nanoTime());
+        this.completionListener = whenAnswered;
+        this.openPage = new ByteBuf(pageBytes + limits.packetBytes(), memory);
+        this.lifecycle = new StatementLifecycle(terms, System.nanoTime());
     }
 
     void exchange(RequestExchange requestExchange) {
@@ -128,8 +128,8 @@
     }
 
     /** Who is given the columns that an insert's data is wanted for. */
-    void headerTaker(Consumer<byte[]> taker) {
-        headerTaker = taker;
+    void headerListener(Consumer<byte[]> taker) {
+        headerListener = taker;
     }
 
     String id() {
@@ -146,12 +146,12 @@
     }
 
     // ---- Its key
-    void awaitsKey() {
-        keyKept = new CountDownLatch(1);
+    void expectKey() {
+        keyStored = new CountDownLatch(1);
     }
 
-    void keyIsKept() {
-        keyKept.countDown();
+    void keyStoredOnDisk() {
+        keyStored.countDown();
     }
 
     /**
@@ -160,7 +160,7 @@
      */
     void awaitKey() {
         try {
-            keyKept.await();
+            keyStored.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -170,16 +170,16 @@
     @Override
     public void write(ByteBuf packets) throws IOException {
         try {
-            take(packets);
-            if (open.size() >= pageBytes || open.size() > 0 && hasWaiters()) {
+            decode(packets);
+            if (openPage.size() >= pageBytes || openPage.size() > 0 && hasPendingPolls()) {
                 closePage();
             }
         } catch (IOException e) {
-            lose(e);
+            failResult(e);
             exchange.clientDisconnected(); // nothing of it can be passed on: what runs is called
             // off where
             // that is allowed
-            settle(StatementOutcome.BROKEN, 0);
+            complete(StatementOutcome.BROKEN, 0);
             throw e;
         }
     }
@@ -187,54 +187,55 @@
     @Override
     public void end(ByteBuf packets, StatementOutcome how, long retryAfter) throws IOException {
         try {
-            take(packets);
+            decode(packets);
             if (how == StatementOutcome.SERVED && !closed) {
-                last = keepPage(); // maybe empty: whoever was told of a next page finds one
+                lastPage =
+                        storeOpenPage(); // maybe empty: whoever was told of a next page finds one
             }
         } catch (IOException e) {
-            lose(e);
+            failResult(e);
         }
-        settle(how, retryAfter);
+        complete(how, retryAfter);
     }
 
-    private void settle(StatementOutcome how, long retryAfter) {
+    private void complete(StatementOutcome how, long retryAfter) {
         synchronized (state) {
-            if (settled) {
+            if (completing) {
                 return;
             }
-            settled = true;
+            completing = true;
         }
         try {
-            whenAnswered.answered(this, how);
+            completionListener.onComplete(this, how);
         } catch (IOException e) {
-            lose(e);
+            failResult(e);
         }
-        List<Waiter> due;
+        List<PendingPoll> due;
         synchronized (state) {
-            life.answered(System.nanoTime());
-            ending = how;
-            if (last != null && closed) {
-                store.drop(last);
-            } else if (last != null) {
-                window.close();
-                stored.add(last);
+            lifecycle.complete(System.nanoTime());
+            outcome = how;
+            if (lastPage != null && closed) {
+                store.release(lastPage);
+            } else if (lastPage != null) {
+                window.closePage();
+                pages.add(lastPage);
             }
             retryAfterNs = retryAfter;
             window.end();
-            due = takeWaiters();
+            due = takePendingPolls();
         }
-        open.release();
-        due.forEach(this::tell);
+        openPage.release();
+        due.forEach(this::respond);
     }
 
     /**
      * The result cannot be kept: what runs is called off where that is allowed, and its client
      * told.
      */
-    private void lose(IOException failure) {
+    private void failResult(IOException failure) {
         synchronized (state) {
-            if (lost == null && !closed) {
-                lost =
+            if (resultError == null && !closed) {
+                resultError =
                         ProblemDetail.of(
                                 ProblemDetail.Kind.RESULT_LOST,
                                 String.valueOf(failure.getMessage()));
@@ -242,7 +243,7 @@
         }
     }
 
-    private void take(ByteBuf packets) throws IOException {
+    private void decode(ByteBuf packets) throws IOException {
         StreamSource in =
                 new StreamSource(
                         new ByteArrayInputStream(packets.array(), 0, packets.size()),
@@ -261,7 +262,7 @@
                 int from = (int) in.consumed();
                 Blocks.Size size = blocks.skip(false);
                 if (kind == ServerPacket.DATA && size.columns() > 0) {
-                    data(packets.array(), from, (int) in.consumed() - from, size.rows());
+                    handleBlock(packets.array(), from, (int) in.consumed() - from, size.rows());
                 }
             } else if (kind != ServerPacket.END_OF_STREAM) {
                 PlainPackets.skip(kind, in, Revision.HIGHEST, limits);
@@ -269,15 +270,15 @@
         }
     }
 
-    private void data(byte[] from, int offset, int length, long count) throws IOException {
+    private void handleBlock(byte[] from, int offset, int length, long count) throws IOException {
         if (count == 0) {
-            Consumer<byte[]> taker = headerTaker;
+            Consumer<byte[]> taker = headerListener;
             byte[] block = Arrays.copyOfRange(from, offset, offset + length);
             synchronized (state) {
                 header = block;
             }
             if (taker != null) {
-                headerTaker = null;
+                headerListener = null;
                 taker.accept(block);
             }
             return;
@@ -285,15 +286,15 @@
         if (closed) {
             return;
         }
-        if (open.size() > 0 && open.size() + (long) length > pageBytes) {
+        if (openPage.size() > 0 && openPage.size() + (long) length > pageBytes) {
             closePage();
         }
-        if (length >= pageBytes || !gather(from, offset, length)) {
-            if (open.size() > 0) {
+        if (length >= pageBytes || !appendToOpenPage(from, offset, length)) {
+            if (openPage.size() > 0) {
                 closePage();
             }
             publish(
-                    keep(
+                    store(
                             Arrays.copyOfRange(from, offset, offset + length),
                             length)); // a page of its own
         }
@@ -302,32 +303,39 @@
     }
 
     /** False where there is no memory left to gather a page in: it is closed as it is then. */
-    private boolean gather(byte[] from, int offset, int length) {
+    private boolean appendToOpenPage(byte[] from, int offset, int length) {
         try {
-            open.append(from, offset, length);
+            openPage.append(from, offset, length);
             return true;
         } catch (WireException e) {
             return false;
         }
     }
 
-    private boolean hasWaiters() {
+    private boolean hasPendingPolls() {
         synchronized (state) {
-            return !waiters.isEmpty();
+            return !pendingPolls.isEmpty();
         }
     }
 
-    private Stored keepPage() throws IOException {
-        Stored stored = keep(open.array(), open.size());
-        open.clear();
+    private StoredPage storeOpenPage() throws IOException {
+        StoredPage stored = store(openPage.array(), openPage.size());
+        openPage.clear();
         return stored;
     }
 
-    private Stored keep(byte[] blocks, int length) throws IOException {
+    private StoredPage store(byte[] blocks, int length) throws IOException {
         try {
-            Stored stored =
-                    store.store(id, user, window.closed(), blocks, length, inMemory, () -> closed);
-            inMemory += stored.length();
+            StoredPage stored =
+                    store.store(
+                            id,
+                            user,
+                            window.closedCount(),
+                            blocks,
+                            length,
+                            storedBytes,
+                            () -> closed);
+            storedBytes += stored.length();
             return stored;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -336,21 +344,21 @@
     }
 
     private void closePage() throws IOException {
-        publish(keepPage());
+        publish(storeOpenPage());
     }
 
-    private void publish(Stored s) {
-        List<Waiter> due;
+    private void publish(StoredPage s) {
+        List<PendingPoll> due;
         synchronized (state) {
             if (closed) {
-                store.drop(s);
+                store.release(s);
                 return;
             }
-            window.close();
-            stored.add(s);
-            due = takeWaiters();
+            window.closePage();
+            pages.add(s);
+            due = takePendingPolls();
         }
-        due.forEach(this::tell);
+        due.forEach(this::respond);
     }
 
     // ---- Askers
@@ -358,38 +366,40 @@
      * Asks for a page; the answer goes to {@code to}, now or within that time, by this thread or
      * one of the executor.
      */
-    void ask(
+    void poll(
             int page,
             long waitNs,
             Executor executor,
             ScheduledExecutorService timers,
-            Consumer<Told> to) {
-        Waiter waiter =
-                new Waiter(
+            Consumer<PollResult> to) {
+        PendingPoll waiter =
+                new PendingPoll(
                         page,
                         told -> {
                             synchronized (state) {
-                                life.waited(
+                                lifecycle.pollEnded(
                                         told.isPage() && told.last || told.problem != null,
                                         System.nanoTime());
                             }
                             to.accept(told);
                         });
-        Told now;
+        PollResult now;
         synchronized (state) {
-            life.asked(System.nanoTime());
-            now = look(page);
+            lifecycle.pollStarted(System.nanoTime());
+            now = peek(page);
             if (now == null && waitNs > 0) {
-                Waiter waiting = new Waiter(page, told -> later(executor, waiter, told));
-                waiting.timer = timers.schedule(() -> tell(waiting), waitNs, TimeUnit.NANOSECONDS);
-                waiters.add(waiting);
+                PendingPoll waiting =
+                        new PendingPoll(page, told -> respondLater(executor, waiter, told));
+                waiting.timer =
+                        timers.schedule(() -> respond(waiting), waitNs, TimeUnit.NANOSECONDS);
+                pendingPolls.add(waiting);
                 return;
             }
         }
-        waiter.to.accept(now == null ? notYet() : now);
+        waiter.to.accept(now == null ? pending() : now);
     }
 
-    private void later(Executor executor, Waiter waiter, Told told) {
+    private void respondLater(Executor executor, PendingPoll waiter, PollResult told) {
         try {
             executor.execute(() -> waiter.to.accept(told));
         } catch (RejectedExecutionException e) {
@@ -397,53 +407,53 @@
         }
     }
 
-    private List<Waiter> takeWaiters() {
-        List<Waiter> due = waiters;
-        waiters = new ArrayList<>();
+    private List<PendingPoll> takePendingPolls() {
+        List<PendingPoll> due = pendingPolls;
+        pendingPolls = new ArrayList<>();
         return due;
     }
 
-    private void tell(Waiter waiter) {
+    private void respond(PendingPoll waiter) {
         if (waiter.told.compareAndSet(false, true)) {
             if (waiter.timer != null) {
                 waiter.timer.cancel(false);
             }
-            Told told;
+            PollResult told;
             synchronized (state) {
-                waiters.remove(waiter);
-                told = look(waiter.page);
+                pendingPolls.remove(waiter);
+                told = peek(waiter.page);
             }
-            waiter.to.accept(told == null ? notYet() : told);
+            waiter.to.accept(told == null ? pending() : told);
         }
     }
 
-    private static Told notYet() {
-        return new Told(-1, null, null, false, null);
+    private static PollResult pending() {
+        return new PollResult(-1, null, null, false, null);
     }
 
     /**
      * What there is to tell of a page now; null while it is still to come. Called under the lock.
      */
-    private Told look(int page) {
-        if (life.state() == StatementLifecycle.State.GONE
-                || life.state() == StatementLifecycle.State.FORGOTTEN) {
+    private PollResult peek(int page) {
+        if (lifecycle.state() == StatementLifecycle.State.DISCARDED
+                || lifecycle.state() == StatementLifecycle.State.REMOVED) {
             return problem(
-                    lost != null
-                            ? lost
+                    resultError != null
+                            ? resultError
                             : ProblemDetail.of(
-                                    ending == null ? StatementOutcome.GONE : ending,
+                                    outcome == null ? StatementOutcome.GONE : outcome,
                                     error,
                                     retryAfterNs));
         }
-        int before = window.first();
-        PageWindow.Kind kind = window.ask(page);
-        for (int i = before; i < window.first(); i++) {
-            store.drop(stored.get(i));
-            stored.set(i, null);
+        int before = window.firstRetained();
+        PageWindow.PageState kind = window.request(page);
+        for (int i = before; i < window.firstRetained(); i++) {
+            store.release(pages.get(i));
+            pages.set(i, null);
         }
         return switch (kind) {
-            case THERE -> page(page);
-            case GONE ->
+            case AVAILABLE -> page(page);
+            case RELEASED ->
                     problem(
                             ProblemDetail.of(
                                     ProblemDetail.Kind.GONE,
@@ -452,14 +462,14 @@
                                             + " was let go when page "
                                             + (page + 2)
                                             + " or a later one was asked for"));
-            case NOT_YET -> null;
-            case NEVER ->
-                    page == window.closed() && lost != null
-                            ? problem(lost)
-                            : page == window.closed()
-                                            && ending != null
-                                            && ending != StatementOutcome.SERVED
-                                    ? problem(ProblemDetail.of(ending, error, retryAfterNs))
+            case PENDING -> null;
+            case INVALID ->
+                    page == window.closedCount() && resultError != null
+                            ? problem(resultError)
+                            : page == window.closedCount()
+                                            && outcome != null
+                                            && outcome != StatementOutcome.SERVED
+                                    ? problem(ProblemDetail.of(outcome, error, retryAfterNs))
                                     : problem(
                                             ProblemDetail.of(
                                                     ProblemDetail.Kind.NOT_FOUND,
@@ -469,29 +479,31 @@
         };
     }
 
-    private Told page(int page) {
+    private PollResult page(int page) {
         try {
-            return new Told(
+            return new PollResult(
                     page,
-                    store.read(stored.get(page)),
+                    store.read(pages.get(page)),
                     header,
-                    window.isLast(page) && lost == null,
+                    window.isLast(page) && resultError == null,
                     null);
         } catch (IOException e) {
-            lost = ProblemDetail.of(ProblemDetail.Kind.RESULT_LOST, String.valueOf(e.getMessage()));
-            return problem(lost);
+            resultError =
+                    ProblemDetail.of(
+                            ProblemDetail.Kind.RESULT_LOST, String.valueOf(e.getMessage()));
+            return problem(resultError);
         }
     }
 
-    private static Told problem(ProblemDetail problemDetail) {
-        return new Told(-1, null, null, false, problemDetail);
+    private static PollResult problem(ProblemDetail problemDetail) {
+        return new PollResult(-1, null, null, false, problemDetail);
     }
 
     // ---- Its end
     /** What is to be done about it now. */
-    StatementLifecycle.Wish wish(long nowNs) {
+    StatementLifecycle.PendingAction pendingAction(long nowNs) {
         synchronized (state) {
-            return life.wish(nowNs);
+            return lifecycle.pendingAction(nowNs);
         }
     }
 
@@ -499,7 +511,7 @@
     void cancel() {
         boolean running;
         synchronized (state) {
-            running = life.state() == StatementLifecycle.State.RUNNING;
+            running = lifecycle.state() == StatementLifecycle.State.RUNNING;
         }
         if (running && exchange != null) {
             close(); // a writer that waits for room ends, so that the cancel finds the way free
@@ -509,39 +521,39 @@
     }
 
     /** Nobody asks for it: its work is called off. */
-    void abandon() {
+    void cancelAbandoned() {
         discard();
         synchronized (this) {
             if (exchange != null) {
                 exchange.clientDisconnected();
             }
-            settle(StatementOutcome.GONE, 0);
+            complete(StatementOutcome.GONE, 0);
         }
     }
 
     /** Drops its result, and wakes who waits in it. */
     void discard() {
-        List<Waiter> due;
+        List<PendingPoll> due;
         synchronized (state) {
             closed = true;
-            window.dropAll();
-            stored.forEach(
+            window.releaseAll();
+            pages.forEach(
                     s -> {
                         if (s != null) {
-                            store.drop(s);
+                            store.release(s);
                         }
                     });
-            stored.clear();
-            life.discarded(System.nanoTime());
-            due = takeWaiters();
+            pages.clear();
+            lifecycle.discard(System.nanoTime());
+            due = takePendingPolls();
         }
         store.wake();
-        due.forEach(this::tell);
+        due.forEach(this::respond);
     }
 
-    void forget() {
+    void remove() {
         synchronized (state) {
-            life.forgotten();
+            lifecycle.remove();
         }
     }
 
@@ -555,8 +567,8 @@
     /** The router stops: who waits is told so. */
     void stop() {
         synchronized (state) {
-            if (lost == null) {
-                lost = ProblemDetail.of(ProblemDetail.Kind.STOPPING, "");
+            if (resultError == null) {
+                resultError = ProblemDetail.of(ProblemDetail.Kind.STOPPING, "");
             }
         }
         discard();
@@ -565,19 +577,20 @@
     // ---- Figures
     StatementLifecycle.State state() {
         synchronized (state) {
-            return life.state();
+            return lifecycle.state();
         }
     }
 
-    StatementOutcome ending() {
+    StatementOutcome outcome() {
         synchronized (state) {
-            return ending;
+            return outcome;
         }
     }
 
-    boolean isEndFetched() {
+    boolean isFetched() {
         synchronized (state) {
-            return ending != null && (ending != StatementOutcome.SERVED || window.isEndFetched());
+            return outcome != null
+                    && (outcome != StatementOutcome.SERVED || window.isLastPageRequested());
         }
     }
 
@@ -585,31 +598,35 @@
      * The number of the next page to ask for, for who starts over; -1 where there is nothing to
      * fetch any more.
      */
-    int firstPage() {
+    int firstRetainedPage() {
         synchronized (state) {
-            return life.state() == StatementLifecycle.State.GONE ? -1 : window.first();
+            return lifecycle.state() == StatementLifecycle.State.DISCARDED
+                    ? -1
+                    : window.firstRetained();
         }
     }
 
     /** The word of its state. */
-    String word() {
+    String stateName() {
         synchronized (state) {
-            return ending == null
-                    ? life.state() == StatementLifecycle.State.GONE ? "cancelled" : "running"
-                    : ending == StatementOutcome.SERVED
+            return outcome == null
+                    ? lifecycle.state() == StatementLifecycle.State.DISCARDED
+                            ? "cancelled"
+                            : "running"
+                    : outcome == StatementOutcome.SERVED
                             ? "finished"
-                            : ending == StatementOutcome.GONE ? "abandoned" : ending.word();
+                            : outcome == StatementOutcome.GONE ? "abandoned" : outcome.word();
         }
     }
 
-    long goneNs() {
+    long discardedNs() {
         synchronized (state) {
-            return life.goneNs();
+            return lifecycle.discardedNs();
         }
     }
 
     long elapsedMs() {
-        return (System.nanoTime() - fromNs) / 1_000_000;
+        return (System.nanoTime() - startNs) / 1_000_000;
     }
 
     long rows() {
--- a/router/src/main/java/ashlink/router/http/ResultFormat.java
+++ b/router/src/main/java/ashlink/router/http/ResultFormat.java
@@ -25,7 +25,7 @@
 enum ResultFormat {
     JSON("application/json"),
     CSV("text/csv"),
-    LINES("application/x-ndjson");
+    NDJSON("application/x-ndjson");
 
     private static final JsonFactory FACTORY = new JsonFactory();
     private static final int READ_BYTES = 64 << 10;
@@ -55,7 +55,7 @@
                     return CSV;
                 }
                 case "application/x-ndjson", "application/jsonl", "application/jsonlines" -> {
-                    return LINES;
+                    return NDJSON;
                 }
                 default -> {}
             }
@@ -64,10 +64,10 @@
     }
 
     /** What stands around the rows of a JSON page. */
-    record Around(String id, String state, String nextUri) {}
+    record PageInfo(String id, String state, String nextUri) {}
 
     /** A page's bytes: the rows of its blocks, the columns of the header where there are none. */
-    byte[] render(byte[] blocks, byte[] header, int page, Around around, WireLimits limits)
+    byte[] render(byte[] blocks, byte[] header, int page, PageInfo around, WireLimits limits)
             throws IOException {
         List<Table> tables = new ArrayList<>();
         read(blocks, limits, tables);
@@ -81,7 +81,7 @@
         switch (this) {
             case JSON -> json(tables, columns, page, around, out);
             case CSV -> csv(tables, columns, page, out);
-            case LINES -> lines(tables, out);
+            case NDJSON -> lines(tables, out);
         }
         return out.toByteArray();
     }
@@ -99,7 +99,7 @@
 
     // ---- JSON
     private static void json(
-            List<Table> tables, Table columns, int page, Around around, ByteArrayBuilder out)
+            List<Table> tables, Table columns, int page, PageInfo around, ByteArrayBuilder out)
             throws IOException {
         try (JsonGenerator generator = FACTORY.createGenerator(out)) {
             generator.writeStartObject();
--- a/router/src/main/java/ashlink/router/http/StatementHandler.java
+++ b/router/src/main/java/ashlink/router/http/StatementHandler.java
@@ -4,10 +4,10 @@
 import ashlink.router.core.StatementOutcome;
 import ashlink.router.frontend.ListenerContext;
 import ashlink.router.frontend.MemoryQuota;
-import ashlink.router.http.HttpStatement.Told;
-import ashlink.router.http.StatementRegistry.Taken;
+import ashlink.router.http.HttpStatement.PollResult;
+import ashlink.router.http.StatementRegistry.SubmitResult;
 import ashlink.router.statement.IdempotencyKeyTable.Entry;
-import ashlink.router.statement.IdempotencyKeyTable.Fate;
+import ashlink.router.statement.IdempotencyKeyTable.Status;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
@@ -57,9 +57,9 @@
     private final HttpSpec spec;
     private final StatementRegistry registry;
     private final Executor executor;
-    private final HttpAuthenticator login = new HttpAuthenticator();
+    private final HttpAuthenticator authenticator = new HttpAuthenticator();
     private final MemoryQuota rendering;
-    private final AtomicInteger polling = new AtomicInteger();
+    private final AtomicInteger openPolls = new AtomicInteger();
     private final byte[] description;
 
     StatementHandler(ListenerContext context, StatementRegistry registry, Executor executor)
@@ -76,17 +76,17 @@
     }
 
     /** Askers that wait. */
-    int polling() {
-        return polling.get();
+    int openPolls() {
+        return openPolls.get();
     }
 
     /** One request and the way of its answer. */
-    private final class Exchanged {
+    private final class HttpExchange {
         final Request request;
         final Response response;
         final Callback callback;
 
-        Exchanged(Request request, Response response, Callback callback) {
+        HttpExchange(Request request, Response response, Callback callback) {
             this.request = request;
             this.response = response;
             this.callback = callback;
@@ -129,7 +129,7 @@
     // ---- Requests
     @Override
     public boolean handle(Request request, Response response, Callback callback) throws Exception {
-        Exchanged exchanged = new Exchanged(request, response, callback);
+        HttpExchange exchanged = new HttpExchange(request, response, callback);
         String path = request.getHttpURI().getCanonicalPath();
         String allowed = "";
         for (Route route : Route.values()) {
@@ -152,14 +152,14 @@
         return true;
     }
 
-    private void handle(Route route, Matcher matcher, Exchanged exchanged)
+    private void handle(Route route, Matcher matcher, HttpExchange exchanged)
             throws InterruptedException {
         if (route == Route.GET_DESCRIPTION) {
             exchanged.send(200, "application/json", description);
             return;
         }
         HttpAuthenticator.AuthenticationResult who =
-                login.check(
+                authenticator.check(
                         context.config().users(),
                         exchanged.request.getHeaders().get(HttpHeader.AUTHORIZATION));
         if (who.user() == null) {
@@ -199,17 +199,17 @@
 
     /** Finds a statement of that user; one that is not here is told of as far as it is known. */
     private void withStatement(
-            Exchanged exchanged, String id, String user, Consumer<HttpStatement> then) {
+            HttpExchange exchanged, String id, String user, Consumer<HttpStatement> then) {
         HttpStatement httpStatement = registry.find(id, user);
         if (httpStatement != null) {
             then.accept(httpStatement);
             return;
         }
-        Entry entry = registry.remembered(id, user);
+        Entry entry = registry.findKeyEntry(id, user);
         int tilde = id.indexOf('~');
         String peer = tilde > 0 ? spec.peers().get(id.substring(0, tilde)) : null;
         if (entry != null) {
-            exchanged.problem(remembered(entry), id);
+            exchanged.problem(expiredProblem(entry), id);
         } else if (peer != null && !id.substring(0, tilde).equals(context.config().name())) {
             exchanged
                     .response
@@ -228,18 +228,18 @@
         }
     }
 
-    private static ProblemDetail remembered(Entry entry) {
-        return entry.fate() == Fate.ANSWERED
-                ? entry.ending() == StatementOutcome.SERVED
+    private static ProblemDetail expiredProblem(Entry entry) {
+        return entry.status() == Status.COMPLETED
+                ? entry.outcome() == StatementOutcome.SERVED
                         ? ProblemDetail.of(
                                 ProblemDetail.Kind.GONE,
                                 "it was served; its result is not kept any more")
-                        : ProblemDetail.of(entry.ending(), null, 0)
+                        : ProblemDetail.of(entry.outcome(), null, 0)
                 : ProblemDetail.of(ProblemDetail.Kind.FATE_UNKNOWN, "");
     }
 
     // ---- POST
-    private void post(Exchanged exchanged, String user) {
+    private void post(HttpExchange exchanged, String user) {
         String key = exchanged.request.getHeaders().get("Idempotency-Key");
         ResultFormat form =
                 ResultFormat.accepted(exchanged.request.getHeaders().get(HttpHeader.ACCEPT));
@@ -299,7 +299,7 @@
     }
 
     private void posted(
-            Exchanged exchanged, String user, String key, ResultFormat form, byte[] body) {
+            HttpExchange exchanged, String user, String key, ResultFormat form, byte[] body) {
         try {
             Map<String, String> parameters = parameters(exchanged.request);
             long waitNs =
@@ -311,8 +311,8 @@
                             body,
                             exchanged.request.getHeaders().get(HttpHeader.CONTENT_TYPE),
                             parameters);
-            Taken taken =
-                    registry.take(
+            SubmitResult taken =
+                    registry.submit(
                             statementSubmission,
                             user,
                             Request.getRemoteAddr(exchanged.request),
@@ -320,14 +320,14 @@
             if (taken.problem() != null) {
                 exchanged.problem(taken.problem(), null);
             } else if (taken.earlier() != null) {
-                exchanged.problem(remembered(taken.earlier()), taken.earlier().statement());
+                exchanged.problem(expiredProblem(taken.earlier()), taken.earlier().statement());
             } else {
                 HttpStatement httpStatement = taken.statement();
                 exchanged
                         .response
                         .getHeaders()
                         .put(HttpHeader.LOCATION, "/v1/statements/" + httpStatement.id());
-                ask(exchanged, httpStatement, 0, waitNs, form);
+                poll(exchanged, httpStatement, 0, waitNs, form);
             }
         } catch (StatementSubmission.InvalidSubmissionException e) {
             exchanged.problem(e.problem(), null);
@@ -352,7 +352,7 @@
     }
 
     // ---- Pages
-    private void page(Exchanged exchanged, String id, int page, String user) {
+    private void page(HttpExchange exchanged, String id, int page, String user) {
         ResultFormat form =
                 ResultFormat.accepted(exchanged.request.getHeaders().get(HttpHeader.ACCEPT));
         if (form == null) {
@@ -368,27 +368,27 @@
                         exchanged,
                         id,
                         user,
-                        httpStatement -> ask(exchanged, httpStatement, page, waitNs, form));
+                        httpStatement -> poll(exchanged, httpStatement, page, waitNs, form));
             } catch (StatementSubmission.InvalidSubmissionException e) {
                 exchanged.problem(e.problem(), id);
             }
         }
     }
 
-    private void ask(
-            Exchanged exchanged,
+    private void poll(
+            HttpExchange exchanged,
             HttpStatement httpStatement,
             int page,
             long waitNs,
             ResultFormat form) {
-        polling.incrementAndGet();
-        httpStatement.ask(
+        openPolls.incrementAndGet();
+        httpStatement.poll(
                 page,
                 waitNs,
                 executor,
                 context.timer(),
                 told -> {
-                    polling.decrementAndGet();
+                    openPolls.decrementAndGet();
                     if (told.problem() != null) {
                         exchanged.problem(told.problem(), httpStatement.id());
                     } else if (!told.isPage()) {
@@ -416,7 +416,10 @@
     }
 
     private void render(
-            Exchanged exchanged, HttpStatement httpStatement, Told told, ResultFormat form) {
+            HttpExchange exchanged,
+            HttpStatement httpStatement,
+            PollResult told,
+            ResultFormat form) {
         long room = Math.min((long) GROWTH * told.blocks().length + 1024, spec.renderBytes() / 2);
         if (!rendering.take(room)) {
             exchanged.problem(
@@ -444,13 +447,13 @@
                         });
         try {
             String next = told.last() ? null : Route.page(httpStatement.id(), told.page() + 1);
-            String state = told.last() ? "finished" : httpStatement.word();
+            String state = told.last() ? "finished" : httpStatement.stateName();
             byte[] body =
                     form.render(
                             told.blocks(),
                             told.header(),
                             told.page(),
-                            new ResultFormat.Around(httpStatement.id(), state, next),
+                            new ResultFormat.PageInfo(httpStatement.id(), state, next),
                             context.limits());
             exchanged.response.getHeaders().put("Ashlink-Statement", httpStatement.id());
             exchanged.response.getHeaders().put("Ashlink-State", state);
@@ -488,7 +491,7 @@
         ObjectNode objectNode = JSON.createObjectNode();
         objectNode
                 .put("id", httpStatement.id())
-                .put("state", httpStatement.word())
+                .put("state", httpStatement.stateName())
                 .put("elapsedMs", httpStatement.elapsedMs());
         objectNode.put("rows", httpStatement.rows()).put("bytes", httpStatement.bytes());
         objectNode
@@ -496,7 +499,7 @@
                 .put("rows", httpStatement.readRows())
                 .put("bytes", httpStatement.readBytes());
         objectNode.put("infoUri", "/v1/statements/" + httpStatement.id());
-        int first = httpStatement.firstPage();
+        int first = httpStatement.firstRetainedPage();
         if (first >= 0) {
             objectNode.put("nextUri", Route.page(httpStatement.id(), first));
         }
--- a/router/src/main/java/ashlink/router/http/StatementRegistry.java
+++ b/router/src/main/java/ashlink/router/http/StatementRegistry.java
@@ -49,7 +49,7 @@
      * What came of a posted statement: the statement, what a key tells of an earlier one, or a
      * problem.
      */
-    record Taken(HttpStatement statement, Entry earlier, ProblemDetail problem) {}
+    record SubmitResult(HttpStatement statement, Entry earlier, ProblemDetail problem) {}
 
     private final ListenerContext context;
     private final HttpSpec spec;
@@ -57,12 +57,12 @@
     private final IdempotencyKeyTable keys;
     private final IdempotencyKeyLog journal;
     private final MemoryQuota openPages;
-    private final StatementLifecycle.Terms terms;
+    private final StatementLifecycle.Timeouts timeouts;
     private final SecureRandom random = new SecureRandom();
     private final Map<String, HttpStatement> statements = new ConcurrentHashMap<>();
-    private final Map<String, AtomicInteger> openOfUser = new ConcurrentHashMap<>();
-    private final AtomicInteger open = new AtomicInteger();
-    private final Set<String> leftAlready = ConcurrentHashMap.newKeySet();
+    private final Map<String, AtomicInteger> openCountByUser = new ConcurrentHashMap<>();
+    private final AtomicInteger openCount = new AtomicInteger();
+    private final Set<String> releasedSlots = ConcurrentHashMap.newKeySet();
     private volatile boolean stopping;
 
     /** {@code journal} null: keys live as long as the router. */
@@ -77,16 +77,17 @@
         this.keys = keys;
         this.journal = journal;
         this.openPages = new MemoryQuota(spec.memoryAllBytes());
-        this.terms =
-                new StatementLifecycle.Terms(
+        this.timeouts =
+                new StatementLifecycle.Timeouts(
                         spec.unpolledNs(), spec.keptNs(), spec.lingerNs(), spec.tombstoneNs());
     }
 
     // ---- Taking
     /** Takes a statement; with a key, the same statement is taken once. */
-    Taken take(StatementSubmission statementSubmission, String user, String peer, String key) {
+    SubmitResult submit(
+            StatementSubmission statementSubmission, String user, String peer, String key) {
         if (stopping) {
-            return new Taken(
+            return new SubmitResult(
                     null,
                     null,
                     new ProblemDetail(
@@ -94,7 +95,7 @@
         }
         ProblemDetail full = admit(user);
         if (full != null) {
-            return new Taken(null, null, full);
+            return new SubmitResult(null, null, full);
         }
         HttpStatement httpStatement =
                 new HttpStatement(
@@ -105,8 +106,8 @@
                         openPages,
                         context.limits(),
                         spec.pageBytes(),
-                        terms,
-                        this::answered);
+                        timeouts,
+                        this::storeOutcome);
         Claim claim = null;
         if (key != null) {
             synchronized (keys) {
@@ -117,31 +118,31 @@
                                 statementSubmission.digest(),
                                 httpStatement.id(),
                                 System.currentTimeMillis());
-                if (claim.verdict() == IdempotencyKeyTable.Verdict.NEW) {
-                    httpStatement.awaitsKey();
+                if (claim.result() == IdempotencyKeyTable.ClaimResult.NEW) {
+                    httpStatement.expectKey();
                     statements.put(
                             httpStatement.id(),
                             httpStatement); // who comes with the key next finds the statement
                 }
             }
-            if (claim.verdict() != IdempotencyKeyTable.Verdict.NEW) {
-                left(httpStatement);
-                return held(claim);
+            if (claim.result() != IdempotencyKeyTable.ClaimResult.NEW) {
+                releaseSlot(httpStatement);
+                return duplicate(claim);
             }
         }
         statements.put(httpStatement.id(), httpStatement);
         RequestAdmission.Prepared prepared = prepare(statementSubmission, httpStatement, user);
-        if (claim != null && !keep(claim.entry())) {
+        if (claim != null && !storeClaim(claim.entry())) {
             prepared.reject("the key could not be kept", FULL_RETRY_NS);
         } else {
             prepared.submit();
         }
-        httpStatement.keyIsKept();
-        return new Taken(httpStatement, null, null);
+        httpStatement.keyStoredOnDisk();
+        return new SubmitResult(httpStatement, null, null);
     }
 
     /** Keeps a claim; on the disk before anything can run. */
-    private boolean keep(Entry entry) {
+    private boolean storeClaim(Entry entry) {
         try {
             if (journal != null) {
                 journal.put(entry);
@@ -153,12 +154,13 @@
         }
     }
 
-    private Taken held(Claim claim) {
-        return switch (claim.verdict()) {
-            case OTHER ->
-                    new Taken(null, null, ProblemDetail.of(ProblemDetail.Kind.KEY_REUSED, ""));
+    private SubmitResult duplicate(Claim claim) {
+        return switch (claim.result()) {
+            case CONFLICT ->
+                    new SubmitResult(
+                            null, null, ProblemDetail.of(ProblemDetail.Kind.KEY_REUSED, ""));
             case FULL ->
-                    new Taken(
+                    new SubmitResult(
                             null,
                             null,
                             new ProblemDetail(
@@ -172,14 +174,14 @@
                     httpStatement.awaitKey();
                 }
                 yield httpStatement != null
-                        ? new Taken(httpStatement, null, null)
-                        : new Taken(null, claim.entry(), null);
+                        ? new SubmitResult(httpStatement, null, null)
+                        : new SubmitResult(null, claim.entry(), null);
             }
         };
     }
 
     private ProblemDetail admit(String user) {
-        AtomicInteger mine = openOfUser.computeIfAbsent(user, text -> new AtomicInteger());
+        AtomicInteger mine = openCountByUser.computeIfAbsent(user, text -> new AtomicInteger());
         if (mine.incrementAndGet() > spec.openUser()) {
             mine.decrementAndGet();
             return new ProblemDetail(
@@ -188,8 +190,8 @@
                     FULL_RETRY_NS,
                     0);
         }
-        if (open.incrementAndGet() > spec.open()) {
-            open.decrementAndGet();
+        if (openCount.incrementAndGet() > spec.open()) {
+            openCount.decrementAndGet();
             mine.decrementAndGet();
             return new ProblemDetail(
                     ProblemDetail.Kind.REFUSED,
@@ -201,9 +203,9 @@
     }
 
     /** Its result was dropped: its place is free. */
-    private void left(HttpStatement httpStatement) {
-        open.decrementAndGet();
-        openOfUser.get(httpStatement.user()).decrementAndGet();
+    private void releaseSlot(HttpStatement httpStatement) {
+        openCount.decrementAndGet();
+        openCountByUser.get(httpStatement.user()).decrementAndGet();
     }
 
     /**
@@ -261,8 +263,8 @@
         RequestExchange exchange = prepared.exchange();
         httpStatement.exchange(exchange);
         if (exchange.feed() != null) {
-            httpStatement.headerTaker(
-                    header -> feedLater(exchange, header, statementSubmission, noTables));
+            httpStatement.headerListener(
+                    header -> feedOnWorker(exchange, header, statementSubmission, noTables));
         }
         return prepared;
     }
@@ -271,7 +273,7 @@
      * The data of a load goes from a thread of its own: the one that brought the columns is the one
      * that sends it on.
      */
-    private void feedLater(
+    private void feedOnWorker(
             RequestExchange exchange,
             byte[] header,
             StatementSubmission statementSubmission,
@@ -313,22 +315,23 @@
      * Keeps how a keyed statement ended before its client is told; the key of one that did not run
      * is free again.
      */
-    private void answered(HttpStatement httpStatement, StatementOutcome how) throws IOException {
+    private void storeOutcome(HttpStatement httpStatement, StatementOutcome how)
+            throws IOException {
         Entry entry;
         synchronized (keys) {
-            entry = keys.ofStatement(httpStatement.id());
+            entry = keys.findByStatement(httpStatement.id());
             if (entry == null) {
                 return;
             }
             if (how.isHarmless()) {
                 keys.release(entry.user(), entry.key());
             } else {
-                keys.put(entry.answered(how));
+                keys.put(entry.completed(how));
             }
         }
         if (journal != null) {
             if (!how.isHarmless()) {
-                journal.put(entry.answered(how));
+                journal.put(entry.completed(how));
                 return;
             }
             try {
@@ -350,9 +353,9 @@
     }
 
     /** What a key tells of a statement of that user that is not here any more, or null. */
-    Entry remembered(String id, String user) {
+    Entry findKeyEntry(String id, String user) {
         synchronized (keys) {
-            Entry entry = keys.ofStatement(id);
+            Entry entry = keys.findByStatement(id);
             return entry != null && entry.user().equals(user) ? entry : null;
         }
     }
@@ -364,14 +367,14 @@
                         || httpStatement.state() == StatementLifecycle.State.ANSWERED;
         httpStatement.cancel();
         if (held) {
-            leave(httpStatement);
+            releaseSlotOnce(httpStatement);
         }
     }
 
     /** Its place is free; said once of each statement. */
-    private void leave(HttpStatement httpStatement) {
-        if (leftAlready.add(httpStatement.id())) {
-            left(httpStatement);
+    private void releaseSlotOnce(HttpStatement httpStatement) {
+        if (releasedSlots.add(httpStatement.id())) {
+            releaseSlot(httpStatement);
         }
     }
 
@@ -380,41 +383,41 @@
     void expire(long nowNs) {
         List<HttpStatement> gone = new ArrayList<>();
         for (HttpStatement httpStatement : statements.values()) {
-            switch (httpStatement.wish(nowNs)) {
-                case ABANDON -> {
+            switch (httpStatement.pendingAction(nowNs)) {
+                case CANCEL -> {
                     LOG.info(
                             "statement {} of {} is called off: nobody asks for it",
                             httpStatement.id(),
                             httpStatement.user());
-                    httpStatement.abandon();
-                    leave(httpStatement);
+                    httpStatement.cancelAbandoned();
+                    releaseSlotOnce(httpStatement);
                 }
                 case DISCARD -> {
                     httpStatement.discard();
-                    leave(httpStatement);
+                    releaseSlotOnce(httpStatement);
                 }
-                case FORGET -> forget(httpStatement);
-                case NOTHING -> {}
+                case REMOVE -> remove(httpStatement);
+                case NONE -> {}
             }
-            if (httpStatement.state() == StatementLifecycle.State.GONE) {
+            if (httpStatement.state() == StatementLifecycle.State.DISCARDED) {
                 gone.add(httpStatement);
             }
         }
         if (gone.size() > spec.tombstones()) {
-            gone.sort(Comparator.comparingLong(HttpStatement::goneNs));
-            gone.subList(0, gone.size() - spec.tombstones()).forEach(this::forget);
+            gone.sort(Comparator.comparingLong(HttpStatement::discardedNs));
+            gone.subList(0, gone.size() - spec.tombstones()).forEach(this::remove);
         }
     }
 
-    private void forget(HttpStatement httpStatement) {
-        httpStatement.forget();
-        leave(httpStatement);
+    private void remove(HttpStatement httpStatement) {
+        httpStatement.remove();
+        releaseSlotOnce(httpStatement);
         statements.remove(httpStatement.id());
-        leftAlready.remove(httpStatement.id());
+        releasedSlots.remove(httpStatement.id());
     }
 
     /** Lets go of keys whose time is over, and keeps the journal short. */
-    void tidyKeys() throws IOException {
+    void expireKeys() throws IOException {
         List<Entry> gone;
         synchronized (keys) {
             gone = keys.expire(System.currentTimeMillis());
@@ -423,13 +426,13 @@
             for (Entry entry : gone) {
                 journal.release(entry);
             }
-            journal.tidy();
+            journal.compact();
         }
     }
 
     // ---- Stop
     /** Takes no more. */
-    void refuseNew() {
+    void rejectNew() {
         stopping = true;
     }
 
@@ -441,7 +444,7 @@
                                 httpStatement.state() != StatementLifecycle.State.RUNNING
                                                 && httpStatement.state()
                                                         != StatementLifecycle.State.ANSWERED
-                                        || httpStatement.isEndFetched());
+                                        || httpStatement.isFetched());
     }
 
     /** Whoever still waits is told that the router stops. */
@@ -459,10 +462,10 @@
 
     // ---- Figures
     int openCount() {
-        return open.get();
+        return openCount.get();
     }
 
-    int known() {
+    int knownCount() {
         return statements.size();
     }
 
--- a/router/src/main/java/ashlink/router/spool/IdempotencyKeyLog.java
+++ b/router/src/main/java/ashlink/router/spool/IdempotencyKeyLog.java
@@ -5,7 +5,7 @@
 import ashlink.router.core.StatementOutcome;
 import ashlink.router.statement.IdempotencyKeyTable;
 import ashlink.router.statement.IdempotencyKeyTable.Entry;
-import ashlink.router.statement.IdempotencyKeyTable.Fate;
+import ashlink.router.statement.IdempotencyKeyTable.Status;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -71,7 +71,7 @@
         }
         String digest = in.readUTF();
         String statement = in.readUTF();
-        Fate fate = Fate.values()[in.readByte()];
+        Status fate = Status.values()[in.readByte()];
         int ending = in.readByte();
         table.put(
                 new Entry(
@@ -94,8 +94,8 @@
         if (kind == PUT) {
             out.writeUTF(entry.digest());
             out.writeUTF(entry.statement());
-            out.writeByte(entry.fate().ordinal());
-            out.writeByte(entry.ending() == null ? -1 : entry.ending().ordinal());
+            out.writeByte(entry.status().ordinal());
+            out.writeByte(entry.outcome() == null ? -1 : entry.outcome().ordinal());
             out.writeLong(entry.claimedMs());
         }
         return bytes.toByteArray();
@@ -161,7 +161,7 @@
     }
 
     /** Writes the table anew where the log has grown far beyond it. */
-    public void tidy() throws IOException {
+    public void compact() throws IOException {
         synchronized (syncing) {
             synchronized (this) {
                 if (log.written() > SLACK + 4L * keys()) {
--- a/router/src/main/java/ashlink/router/spool/PageStore.java
+++ b/router/src/main/java/ashlink/router/spool/PageStore.java
@@ -1,7 +1,7 @@
 package ashlink.router.spool;
 
 import ashlink.router.statement.SpoolBudget;
-import ashlink.router.statement.SpoolBudget.Verdict;
+import ashlink.router.statement.SpoolBudget.Reservation;
 import ashlink.wire.Quota;
 import java.io.IOException;
 import java.util.Arrays;
@@ -22,16 +22,16 @@
      * A page that is kept: in {@code memory}, or in a file of {@code length} bytes with that
      * checksum.
      */
-    public static final class Stored {
+    public static final class StoredPage {
         private final String statement;
         private final String file;
         private final byte[] memory;
         private final int length;
         private final int checksum;
         private final boolean budgeted;
-        private boolean dropped;
+        private boolean released;
 
-        private Stored(
+        private StoredPage(
                 String statement,
                 String file,
                 byte[] memory,
@@ -77,7 +77,7 @@
      * @param before bytes of the statement that are in memory already
      * @param over true once nobody wants it any more: ends the wait with an exception
      */
-    public Stored store(
+    public StoredPage store(
             String statement,
             String user,
             int page,
@@ -87,11 +87,11 @@
             BooleanSupplier over)
             throws IOException, InterruptedException {
         if (before + length <= memoryBytes && memory.take(length)) {
-            return new Stored(statement, null, Arrays.copyOf(bytes, length), length, 0, false);
+            return new StoredPage(statement, null, Arrays.copyOf(bytes, length), length, 0, false);
         }
-        await(statement, user, length, over);
+        reserve(statement, user, length, over);
         if (files == null) {
-            return new Stored(statement, null, Arrays.copyOf(bytes, length), length, 0, true);
+            return new StoredPage(statement, null, Arrays.copyOf(bytes, length), length, 0, true);
         }
         String name = files.name(statement, page);
         try {
@@ -100,17 +100,19 @@
             release(statement, length);
             throw new IOException("the spool fails: " + e.getMessage(), e);
         }
-        return new Stored(statement, name, null, length, checksum(bytes, length), true);
+        return new StoredPage(statement, name, null, length, checksum(bytes, length), true);
     }
 
-    private synchronized void await(String statement, String user, int length, BooleanSupplier over)
+    private synchronized void reserve(
+            String statement, String user, int length, BooleanSupplier over)
             throws IOException, InterruptedException {
         while (true) {
-            Verdict verdict = over.getAsBoolean() ? null : budget.ask(statement, user, length);
-            if (verdict == Verdict.GRANTED) {
+            Reservation verdict =
+                    over.getAsBoolean() ? null : budget.reserve(statement, user, length);
+            if (verdict == Reservation.GRANTED) {
                 return;
             }
-            if (verdict != Verdict.WAIT) {
+            if (verdict != Reservation.WAIT) {
                 throw new IOException(
                         verdict == null
                                 ? "nobody wants the result any more"
@@ -130,7 +132,7 @@
      * The bytes of a page, exactly as they were stored; an exception where the disk does not give
      * them back.
      */
-    public byte[] read(Stored stored) throws IOException {
+    public byte[] read(StoredPage stored) throws IOException {
         if (stored.memory != null) {
             return stored.memory;
         }
@@ -142,12 +144,12 @@
     }
 
     /** Lets go of a page. */
-    public void drop(Stored stored) {
+    public void release(StoredPage stored) {
         synchronized (stored) {
-            if (stored.dropped) {
+            if (stored.released) {
                 return;
             }
-            stored.dropped = true;
+            stored.released = true;
         }
         if (stored.file != null) {
             try {
@@ -174,12 +176,12 @@
     }
 
     /** Bytes of the budget that are taken. */
-    public synchronized long taken() {
-        return budget.taken();
+    public synchronized long usedBytes() {
+        return budget.usedBytes();
     }
 
     /** Removes what earlier starts of this router left behind; returns how many files. */
-    public int clean() throws IOException {
+    public int deleteLeftovers() throws IOException {
         int gone = 0;
         if (files != null) {
             for (String name : files.list()) {
--- a/router/src/main/java/ashlink/router/statement/IdempotencyKeyTable.java
+++ b/router/src/main/java/ashlink/router/statement/IdempotencyKeyTable.java
@@ -17,11 +17,11 @@
 public final class IdempotencyKeyTable {
 
     /** What is known of a key's statement. */
-    public enum Fate {
+    public enum Status {
         /** Under way. */
-        OPEN,
+        RUNNING,
         /** Answered. */
-        ANSWERED,
+        COMPLETED,
         /** The router ended while it was under way. */
         UNKNOWN
     }
@@ -30,7 +30,7 @@
      * A key that is taken.
      *
      * @param digest of the statement's text and settings
-     * @param ending how it was answered, where it was
+     * @param outcome how it was answered, where it was
      * @param claimedMs when, in milliseconds since 1970
      */
     public record Entry(
@@ -38,66 +38,68 @@
             String key,
             String digest,
             String statement,
-            Fate fate,
-            StatementOutcome ending,
+            Status status,
+            StatementOutcome outcome,
             long claimedMs) {
 
         /** The same, answered. */
-        public Entry answered(StatementOutcome how) {
-            return new Entry(user, key, digest, statement, Fate.ANSWERED, how, claimedMs);
+        public Entry completed(StatementOutcome how) {
+            return new Entry(user, key, digest, statement, Status.COMPLETED, how, claimedMs);
         }
 
         /** The same after the router ended. */
         public Entry afterRestart() {
-            return fate == Fate.OPEN
-                    ? new Entry(user, key, digest, statement, Fate.UNKNOWN, ending, claimedMs)
+            return status == Status.RUNNING
+                    ? new Entry(user, key, digest, statement, Status.UNKNOWN, outcome, claimedMs)
                     : this;
         }
     }
 
     /** What becomes of a claim. */
-    public enum Verdict {
+    public enum ClaimResult {
         /** The key was free: it is taken now. */
         NEW,
         /** The same statement was put under it before. */
-        SAME,
+        DUPLICATE,
         /** Another statement was put under it before. */
-        OTHER,
+        CONFLICT,
         /** There are as many keys as there may be, and none is over its time. */
         FULL
     }
 
     /** A verdict, with the entry that holds the key; null where it is full. */
-    public record Claim(Verdict verdict, Entry entry) {}
+    public record Claim(ClaimResult result, Entry entry) {}
 
     private record Name(String user, String key) {}
 
-    private final int most;
-    private final long keptMs;
+    private final int maxKeys;
+    private final long retentionMs;
     private final Map<Name, Entry> entries = new LinkedHashMap<>();
-    private final Map<String, Name> byStatement = new HashMap<>();
+    private final Map<String, Name> nameByStatement = new HashMap<>();
 
     /** An empty table of so many keys, each for so long. */
     public IdempotencyKeyTable(int most, long keptMs) {
-        this.most = most;
-        this.keptMs = keptMs;
+        this.maxKeys = most;
+        this.retentionMs = keptMs;
     }
 
     /** Claims a key. */
     public Claim claim(String user, String key, String digest, String statement, long nowMs) {
         Entry held = entries.get(new Name(user, key));
         if (held != null) {
-            return new Claim(held.digest().equals(digest) ? Verdict.SAME : Verdict.OTHER, held);
+            return new Claim(
+                    held.digest().equals(digest) ? ClaimResult.DUPLICATE : ClaimResult.CONFLICT,
+                    held);
         }
-        if (entries.size() >= most) {
+        if (entries.size() >= maxKeys) {
             expire(nowMs);
         }
-        if (entries.size() >= most) {
-            return new Claim(Verdict.FULL, null);
+        if (entries.size() >= maxKeys) {
+            return new Claim(ClaimResult.FULL, null);
         }
-        Entry entry = new Entry(user, key, digest, statement, Fate.OPEN, null, nowMs);
+        Entry entry = new Entry(user, key, digest, statement, Status.RUNNING, null, nowMs);
         put(entry);
-        return new Claim(Verdict.NEW, entry);
+        return new Claim(ClaimResult.NEW, entry);
     }
 
     /** Takes an entry as it is: from a journal, or after it changed. */
@@ -105,22 +107,22 @@
         Name name = new Name(entry.user(), entry.key());
         Entry before = entries.put(name, entry);
         if (before != null) {
-            byStatement.remove(before.statement());
+            nameByStatement.remove(before.statement());
         }
-        byStatement.put(entry.statement(), name);
+        nameByStatement.put(entry.statement(), name);
     }
 
     /** A key is free again. */
     public void release(String user, String key) {
         Entry entry = entries.remove(new Name(user, key));
         if (entry != null) {
-            byStatement.remove(entry.statement());
+            nameByStatement.remove(entry.statement());
         }
     }
 
     /** The entry of a statement, or null. */
-    public Entry ofStatement(String statement) {
-        Name name = byStatement.get(statement);
+    public Entry findByStatement(String statement) {
+        Name name = nameByStatement.get(statement);
         return name == null ? null : entries.get(name);
     }
 
@@ -130,7 +132,7 @@
     public List<Entry> expire(long nowMs) {
         List<Entry> gone = new ArrayList<>();
         for (Entry entry : new ArrayList<>(entries.values())) {
-            if (nowMs - entry.claimedMs() >= keptMs && entry.fate() != Fate.OPEN) {
+            if (nowMs - entry.claimedMs() >= retentionMs && entry.status() != Status.RUNNING) {
                 release(entry.user(), entry.key());
                 gone.add(entry);
             }
--- a/router/src/main/java/ashlink/router/statement/PageWindow.java
+++ b/router/src/main/java/ashlink/router/statement/PageWindow.java
@@ -8,28 +8,28 @@
 public final class PageWindow {
 
     /** What becomes of an asking. */
-    public enum Kind {
+    public enum PageState {
         /** The page is there. */
-        THERE,
+        AVAILABLE,
         /** It is the next that comes. */
-        NOT_YET,
+        PENDING,
         /** It was let go. */
-        GONE,
+        RELEASED,
         /** There is and comes no such page, or not before others. */
-        NEVER
+        INVALID
     }
 
-    private int first;
-    private int closed;
-    private int highestAsked = -1;
+    private int firstRetained;
+    private int closedCount;
+    private int highestRequested = -1;
     private boolean ended;
 
     /** Closes the next page, and returns its number. */
-    public int close() {
+    public int closePage() {
         if (ended) {
             throw new IllegalStateException("a page after the end");
         }
-        return closed++;
+        return closedCount++;
     }
 
     /** No further page comes. */
@@ -37,45 +37,48 @@
         ended = true;
     }
 
-    /** What becomes of an asking for that page; {@link #first} says afterwards what was let go. */
-    public Kind ask(int page) {
-        if (page < 0 || page > closed || page == closed && ended) {
-            return Kind.NEVER;
+    /**
+     * What becomes of an asking for that page; {@link #firstRetained} says afterwards what was let
+     * go.
+     */
+    public PageState request(int page) {
+        if (page < 0 || page > closedCount || page == closedCount && ended) {
+            return PageState.INVALID;
         }
-        if (page < first) {
-            return Kind.GONE;
+        if (page < firstRetained) {
+            return PageState.RELEASED;
         }
-        if (page == closed) {
-            return Kind.NOT_YET;
+        if (page == closedCount) {
+            return PageState.PENDING;
         }
-        highestAsked = Math.max(highestAsked, page);
-        first = Math.max(first, Math.min(page - 1, closed));
-        return Kind.THERE;
+        highestRequested = Math.max(highestRequested, page);
+        firstRetained = Math.max(firstRetained, Math.min(page - 1, closedCount));
+        return PageState.AVAILABLE;
     }
 
     /** All pages are let go. */
-    public void dropAll() {
-        first = closed;
+    public void releaseAll() {
+        firstRetained = closedCount;
         ended = true;
     }
 
     /** The lowest page that is kept. */
-    public int first() {
-        return first;
+    public int firstRetained() {
+        return firstRetained;
     }
 
     /** Pages closed so far. */
-    public int closed() {
-        return closed;
+    public int closedCount() {
+        return closedCount;
     }
 
     /** True for the last page of all. */
     public boolean isLast(int page) {
-        return ended && page == closed - 1;
+        return ended && page == closedCount - 1;
     }
 
     /** True once the last page was asked for. */
-    public boolean isEndFetched() {
-        return ended && highestAsked == closed - 1;
+    public boolean isLastPageRequested() {
+        return ended && highestRequested == closedCount - 1;
     }
 }
--- a/router/src/main/java/ashlink/router/statement/SpoolBudget.java
+++ b/router/src/main/java/ashlink/router/statement/SpoolBudget.java
@@ -12,27 +12,27 @@
 public final class SpoolBudget {
 
     /** What becomes of an asking. */
-    public enum Verdict {
+    public enum Reservation {
         /** It is given. */
         GRANTED,
         /** Not now: to be asked again once something was let go. */
         WAIT,
         /** It is more than there will ever be. */
-        NEVER
+        TOO_LARGE
     }
 
     /**
-     * Limits in bytes; {@code reserveBytes} of {@code allBytes} is for statements that hold
+     * Limits in bytes; {@code reserveBytes} of {@code totalBytes} is for statements that hold
      * nothing.
      */
-    public record Limits(long statementBytes, long userBytes, long allBytes, long reserveBytes) {}
+    public record Limits(long statementBytes, long userBytes, long totalBytes, long reserveBytes) {}
 
-    private record Holder(String user, long bytes) {}
+    private record StatementUsage(String user, long bytes) {}
 
     private final Limits limits;
-    private final Map<String, Holder> statements = new HashMap<>();
-    private final Map<String, Long> users = new HashMap<>();
-    private long all;
+    private final Map<String, StatementUsage> usageByStatement = new HashMap<>();
+    private final Map<String, Long> bytesByUser = new HashMap<>();
+    private long totalBytes;
 
     /** A budget of which nothing is taken. */
     public SpoolBudget(Limits limits) {
@@ -40,49 +40,51 @@
     }
 
     /** A statement of that user asks for so many bytes more. */
-    public Verdict ask(String statement, String user, long bytes) {
-        if (bytes > Math.min(limits.statementBytes, Math.min(limits.userBytes, limits.allBytes))) {
-            return Verdict.NEVER;
+    public Reservation reserve(String statement, String user, long bytes) {
+        if (bytes
+                > Math.min(limits.statementBytes, Math.min(limits.userBytes, limits.totalBytes))) {
+            return Reservation.TOO_LARGE;
         }
-        long held = statements.containsKey(statement) ? statements.get(statement).bytes : 0;
+        long held =
+                usageByStatement.containsKey(statement) ? usageByStatement.get(statement).bytes : 0;
         long ofAll =
                 held == 0
-                        ? limits.allBytes
-                        : Math.max(limits.allBytes - limits.reserveBytes, bytes);
+                        ? limits.totalBytes
+                        : Math.max(limits.totalBytes - limits.reserveBytes, bytes);
         if (held + bytes > limits.statementBytes
-                || users.getOrDefault(user, 0L) + bytes > limits.userBytes
-                || all + bytes > ofAll) {
-            return Verdict.WAIT;
+                || bytesByUser.getOrDefault(user, 0L) + bytes > limits.userBytes
+                || totalBytes + bytes > ofAll) {
+            return Reservation.WAIT;
         }
-        statements.put(statement, new Holder(user, held + bytes));
-        users.merge(user, bytes, Long::sum);
-        all += bytes;
-        return Verdict.GRANTED;
+        usageByStatement.put(statement, new StatementUsage(user, held + bytes));
+        bytesByUser.merge(user, bytes, Long::sum);
+        totalBytes += bytes;
+        return Reservation.GRANTED;
     }
 
     /** A statement lets go of so many bytes, at most of what it holds. */
     public void release(String statement, long bytes) {
-        Holder holder = statements.get(statement);
+        StatementUsage holder = usageByStatement.get(statement);
         if (holder == null) {
             return;
         }
         long given = Math.min(bytes, holder.bytes);
         if (given == holder.bytes) {
-            statements.remove(statement);
+            usageByStatement.remove(statement);
         } else {
-            statements.put(statement, new Holder(holder.user, holder.bytes - given));
+            usageByStatement.put(statement, new StatementUsage(holder.user, holder.bytes - given));
         }
-        users.merge(holder.user, -given, (a, b) -> a + b == 0 ? null : a + b);
-        all -= given;
+        bytesByUser.merge(holder.user, -given, (a, b) -> a + b == 0 ? null : a + b);
+        totalBytes -= given;
     }
 
     /** Bytes taken of the router's budget. */
-    public long taken() {
-        return all;
+    public long usedBytes() {
+        return totalBytes;
     }
 
     /** Bytes that a user's statements hold. */
-    public long takenBy(String user) {
-        return users.getOrDefault(user, 0L);
+    public long usedBytesOf(String user) {
+        return bytesByUser.getOrDefault(user, 0L);
     }
 }
--- a/router/src/main/java/ashlink/router/statement/StatementLifecycle.java
+++ b/router/src/main/java/ashlink/router/statement/StatementLifecycle.java
@@ -13,109 +13,119 @@
         /** Answered; what there is of a result can be fetched. */
         ANSWERED,
         /** Its result is dropped; it is answered as gone. */
-        GONE,
+        DISCARDED,
         /** Nothing is known of it any more. */
-        FORGOTTEN
+        REMOVED
     }
 
     /** What is to be done about it. */
-    public enum Wish {
+    public enum PendingAction {
         /** Nothing yet. */
-        NOTHING,
+        NONE,
         /** Nobody asks for it: its work is to be called off. */
-        ABANDON,
+        CANCEL,
         /** Its result is to be dropped. */
         DISCARD,
         /** It is to be forgotten. */
-        FORGET
+        REMOVE
     }
 
     /**
      * How long things last, in nanoseconds.
      *
-     * @param unpolledNs a statement under way lasts that long without its client asking
-     * @param keptNs an answer lasts that long without its client asking
-     * @param lingerNs an answer whose end was fetched lasts that long, for a client that asks again
-     * @param tombstoneNs that long a dropped one is told from one that never was
+     * @param pollTimeoutNs a statement under way lasts that long without its client asking
+     * @param resultRetentionNs an answer lasts that long without its client asking
+     * @param completedRetentionNs an answer whose end was fetched lasts that long, for a client
+     *     that asks again
+     * @param tombstoneRetentionNs that long a dropped one is told from one that never was
      */
-    public record Terms(long unpolledNs, long keptNs, long lingerNs, long tombstoneNs) {}
+    public record Timeouts(
+            long pollTimeoutNs,
+            long resultRetentionNs,
+            long completedRetentionNs,
+            long tombstoneRetentionNs) {}
 
-    private final Terms terms;
+    private final Timeouts timeouts;
     private State state = State.RUNNING;
     private long nowNs;
-    private long askedNs;
-    private long goneNs;
-    private int waiting;
-    private boolean endFetched;
+    private long lastPollNs;
+    private long discardedNs;
+    private int openPolls;
+    private boolean lastPageFetched;
 
     /** A statement that begins. */
-    public StatementLifecycle(Terms terms, long nowNs) {
-        this.terms = terms;
+    public StatementLifecycle(Timeouts terms, long nowNs) {
+        this.timeouts = terms;
         this.nowNs = nowNs;
-        this.askedNs = nowNs;
+        this.lastPollNs = nowNs;
     }
 
-    private void pass(long now) {
+    private void advanceClock(long now) {
         nowNs = Math.max(nowNs, now);
     }
 
-    /** Its client asks, and waits until {@link #waited}. */
-    public void asked(long now) {
-        pass(now);
-        waiting++;
-        askedNs = nowNs;
+    /** Its client asks, and waits until {@link #pollEnded}. */
+    public void pollStarted(long now) {
+        advanceClock(now);
+        openPolls++;
+        lastPollNs = nowNs;
     }
 
     /** Its client no longer waits; {@code end} true if it was given the end of the answer. */
-    public void waited(boolean end, long now) {
-        pass(now);
-        waiting = Math.max(0, waiting - 1);
-        askedNs = nowNs;
-        endFetched |= end;
+    public void pollEnded(boolean end, long now) {
+        advanceClock(now);
+        openPolls = Math.max(0, openPolls - 1);
+        lastPollNs = nowNs;
+        lastPageFetched |= end;
     }
 
     /** It has its final answer; false if it was over already. */
-    public boolean answered(long now) {
-        pass(now);
+    public boolean complete(long now) {
+        advanceClock(now);
         if (state != State.RUNNING) {
             return false;
         }
         state = State.ANSWERED;
-        askedNs = Math.max(askedNs, nowNs); // the time to fetch it starts with the answer
+        lastPollNs = Math.max(lastPollNs, nowNs); // the time to fetch it starts with the answer
         return true;
     }
 
     /** Its result is dropped: by its client, or by a wish. */
-    public void discarded(long now) {
-        pass(now);
+    public void discard(long now) {
+        advanceClock(now);
         if (state == State.RUNNING || state == State.ANSWERED) {
-            state = State.GONE;
-            goneNs = nowNs;
+            state = State.DISCARDED;
+            discardedNs = nowNs;
         }
     }
 
     /** What is to be done now; whoever does it says so. */
-    public Wish wish(long now) {
-        pass(now);
+    public PendingAction pendingAction(long now) {
+        advanceClock(now);
         return switch (state) {
             case RUNNING ->
-                    waiting == 0 && nowNs - askedNs >= terms.unpolledNs()
-                            ? Wish.ABANDON
-                            : Wish.NOTHING;
+                    openPolls == 0 && nowNs - lastPollNs >= timeouts.pollTimeoutNs()
+                            ? PendingAction.CANCEL
+                            : PendingAction.NONE;
             case ANSWERED ->
-                    waiting == 0
-                                    && nowNs - askedNs
-                                            >= (endFetched ? terms.lingerNs() : terms.keptNs())
-                            ? Wish.DISCARD
-                            : Wish.NOTHING;
-            case GONE -> nowNs - goneNs >= terms.tombstoneNs() ? Wish.FORGET : Wish.NOTHING;
-            case FORGOTTEN -> Wish.NOTHING;
+                    openPolls == 0
+                                    && nowNs - lastPollNs
+                                            >= (lastPageFetched
+                                                    ? timeouts.completedRetentionNs()
+                                                    : timeouts.resultRetentionNs())
+                            ? PendingAction.DISCARD
+                            : PendingAction.NONE;
+            case DISCARDED ->
+                    nowNs - discardedNs >= timeouts.tombstoneRetentionNs()
+                            ? PendingAction.REMOVE
+                            : PendingAction.NONE;
+            case REMOVED -> PendingAction.NONE;
         };
     }
 
     /** Nothing is known of it from here on. */
-    public void forgotten() {
-        state = State.FORGOTTEN;
+    public void remove() {
+        state = State.REMOVED;
     }
 
     /** Where it stands. */
@@ -124,7 +134,7 @@
     }
 
     /** When its result was dropped; the oldest are forgotten first where there are too many. */
-    public long goneNs() {
-        return goneNs;
+    public long discardedNs() {
+        return discardedNs;
     }
 }
--- a/router/src/test/java/ashlink/router/StoredDataRecorder.java
+++ b/router/src/test/java/ashlink/router/StoredDataRecorder.java
@@ -98,8 +98,8 @@
             IdempotencyKeyTable.Entry entry,
             StatementOutcome ending)
             throws IOException {
-        table.put(entry.answered(ending));
-        journal.put(entry.answered(ending));
+        table.put(entry.completed(ending));
+        journal.put(entry.completed(ending));
     }
 
     // ---- The list of engines
--- a/router/src/test/java/ashlink/router/http/ResultFormatTest.java
+++ b/router/src/test/java/ashlink/router/http/ResultFormatTest.java
@@ -18,8 +18,8 @@
 class ResultFormatTest {
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final ResultFormat.Around AROUND =
-            new ResultFormat.Around("s", "finished", null);
+    private static final ResultFormat.PageInfo AROUND =
+            new ResultFormat.PageInfo("s", "finished", null);
 
     private interface Values {
         void put(ByteBuf to) throws IOException;
--- a/router/src/test/java/ashlink/router/spool/SpoolTest.java
+++ b/router/src/test/java/ashlink/router/spool/SpoolTest.java
@@ -11,7 +11,7 @@
 import ashlink.router.core.StatementOutcome;
 import ashlink.router.statement.IdempotencyKeyTable;
 import ashlink.router.statement.IdempotencyKeyTable.Entry;
-import ashlink.router.statement.IdempotencyKeyTable.Fate;
+import ashlink.router.statement.IdempotencyKeyTable.Status;
 import ashlink.router.statement.SpoolBudget;
 import ashlink.wire.Quota;
 import java.io.IOException;
@@ -49,8 +49,8 @@
             Entry entry = claim(t, "k" + i);
             log.put(entry);
             if (i % 4 == 0) {
-                t.put(entry.answered(StatementOutcome.SERVED));
-                log.put(entry.answered(StatementOutcome.SERVED));
+                t.put(entry.completed(StatementOutcome.SERVED));
+                log.put(entry.completed(StatementOutcome.SERVED));
             } else if (i % 4 == 1) {
                 t.release("u", entry.key());
                 log.release(entry);
@@ -60,10 +60,10 @@
         IdempotencyKeyTable after = table();
         IdempotencyKeyLog next = new IdempotencyKeyLog(FolderDisk.writing(dir), after, 1);
         assertEquals(15, after.entries().size());
-        assertEquals(Fate.ANSWERED, after.ofStatement("s-k4").fate());
-        assertEquals(StatementOutcome.SERVED, after.ofStatement("s-k4").ending());
-        assertEquals(Fate.UNKNOWN, after.ofStatement("s-k2").fate());
-        assertEquals(null, after.ofStatement("s-k5"));
+        assertEquals(Status.COMPLETED, after.findByStatement("s-k4").status());
+        assertEquals(StatementOutcome.SERVED, after.findByStatement("s-k4").outcome());
+        assertEquals(Status.UNKNOWN, after.findByStatement("s-k2").status());
+        assertEquals(null, after.findByStatement("s-k5"));
         try (Stream<Path> files = Files.list(dir)) {
             assertEquals(
                     1,
@@ -121,7 +121,7 @@
         log.put(claim(t, "c"));
         IdempotencyKeyTable after = table();
         new IdempotencyKeyLog(disk.afterPowerLoss(new SplittableRandom(1)), after, 1);
-        assertTrue(after.ofStatement("s-a") != null && after.ofStatement("s-c") != null);
+        assertTrue(after.findByStatement("s-a") != null && after.findByStatement("s-c") != null);
     }
 
     @Test
@@ -146,7 +146,7 @@
             IdempotencyKeyTable after = table();
             new IdempotencyKeyLog(disk.afterPowerLoss(random), after, 1);
             assertTrue(
-                    acknowledged.stream().allMatch(text -> after.ofStatement(text) != null),
+                    acknowledged.stream().allMatch(text -> after.findByStatement(text) != null),
                     "run " + i);
         }
         assertTrue(lost > 50, "faults at stake: " + lost);
@@ -165,9 +165,9 @@
     void pagesComeBackAsTheyWereAndAWrongByteIsFound() throws Exception {
         try (SpoolDirectory files = new SpoolDirectory(dir, "r1", "b2")) {
             PageStore pageStore = store(files, 1_000, 10);
-            PageStore.Stored small =
+            PageStore.StoredPage small =
                     pageStore.store("s", "u", 0, new byte[] {1, 2, 3}, 3, 0, () -> false);
-            PageStore.Stored large =
+            PageStore.StoredPage large =
                     pageStore.store(
                             "s",
                             "u",
@@ -178,13 +178,13 @@
                             () -> false);
             assertArrayEquals(new byte[] {1, 2, 3}, pageStore.read(small));
             assertArrayEquals(new byte[] {4, 5, 6, 7, 8, 9, 10, 11}, pageStore.read(large));
-            assertEquals(8, pageStore.taken());
+            assertEquals(8, pageStore.usedBytes());
             Path page = dir.resolve(files.list().get(0));
             Files.write(page, new byte[] {4, 5, 6, 7, 8, 9, 10, 12});
             assertThrows(IOException.class, () -> pageStore.read(large));
-            pageStore.drop(large);
-            pageStore.drop(large);
-            assertEquals(0, pageStore.taken());
+            pageStore.release(large);
+            pageStore.release(large);
+            assertEquals(0, pageStore.usedBytes());
             assertFalse(Files.exists(page));
         }
     }
@@ -192,7 +192,7 @@
     @Test
     void whoFindsNoRoomWaitsUntilThereIsSomeOrNobodyWantsIt() throws Exception {
         PageStore pageStore = store(null, 10, 0);
-        PageStore.Stored first = pageStore.store("s", "u", 0, new byte[8], 8, 0, () -> false);
+        PageStore.StoredPage first = pageStore.store("s", "u", 0, new byte[8], 8, 0, () -> false);
         CountDownLatch stored = new CountDownLatch(1);
         Thread thread =
                 new Thread(
@@ -206,7 +206,7 @@
                         });
         thread.start();
         assertFalse(stored.await(50, TimeUnit.MILLISECONDS));
-        pageStore.drop(first);
+        pageStore.release(first);
         assertTrue(stored.await(20, TimeUnit.SECONDS));
         AtomicBoolean over = new AtomicBoolean();
         CountDownLatch ended = new CountDownLatch(1);
@@ -244,7 +244,7 @@
             Files.write(dir.resolve(name), new byte[1]);
         }
         try (SpoolDirectory files = new SpoolDirectory(dir, "r1", "b2")) {
-            assertEquals(1, store(files, 10, 0).clean());
+            assertEquals(1, store(files, 10, 0).deleteLeftovers());
             assertThrows(
                     IOException.class,
                     () -> new SpoolDirectory(dir, "r1", "b3"),
--- a/router/src/test/java/ashlink/router/spool/StoredKeysTest.java
+++ b/router/src/test/java/ashlink/router/spool/StoredKeysTest.java
@@ -8,7 +8,7 @@
 import ashlink.router.core.StatementOutcome;
 import ashlink.router.statement.IdempotencyKeyTable;
 import ashlink.router.statement.IdempotencyKeyTable.Entry;
-import ashlink.router.statement.IdempotencyKeyTable.Fate;
+import ashlink.router.statement.IdempotencyKeyTable.Status;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -64,14 +64,14 @@
     }
 
     private static String line(Entry entry) {
-        int ending = entry.ending() == null ? -1 : entry.ending().ordinal();
+        int ending = entry.outcome() == null ? -1 : entry.outcome().ordinal();
         return String.join(
                 "|",
                 entry.user(),
                 entry.key(),
                 entry.digest(),
                 entry.statement(),
-                "" + entry.fate().ordinal(),
+                "" + entry.status().ordinal(),
                 "" + ending,
                 "" + entry.claimedMs());
     }
@@ -89,23 +89,28 @@
 
     @Test
     void aKeyWhoseTimeIsOverIsFree() throws Exception {
-        assertNull(open(NOW_MS).ofStatement("r1~ann-over-its-time"));
+        assertNull(open(NOW_MS).findByStatement("r1~ann-over-its-time"));
         StoredFiles.copyFolder("keys", Files.createDirectory(folder.resolve("early")));
         folder = folder.resolve("early");
-        assertEquals("over-its-time", open(NOW_MS - 1).ofStatement("r1~ann-over-its-time").key());
+        assertEquals(
+                "over-its-time", open(NOW_MS - 1).findByStatement("r1~ann-over-its-time").key());
     }
 
     @Test
     void whatWasUnderWayHasAnUnknownFate() throws Exception {
         IdempotencyKeyTable table = open(NOW_MS);
-        assertEquals(Fate.UNKNOWN, table.ofStatement("r1~-under-way").fate());
-        assertEquals(Fate.UNKNOWN, table.ofStatement("r1~ann-under-way-at-the-first-end").fate());
+        assertEquals(Status.UNKNOWN, table.findByStatement("r1~-under-way").status());
+        assertEquals(
+                Status.UNKNOWN,
+                table.findByStatement("r1~ann-under-way-at-the-first-end").status());
     }
 
     /** Constants are stored as their ordinal numbers: in another order they mean something else. */
     @Test
     void constantsKeepTheOrderInWhichTheirNumbersWereStored() {
-        assertEquals(List.of(Fate.OPEN, Fate.ANSWERED, Fate.UNKNOWN), List.of(Fate.values()));
+        assertEquals(
+                List.of(Status.RUNNING, Status.COMPLETED, Status.UNKNOWN),
+                List.of(Status.values()));
         assertEquals(
                 List.of(
                         StatementOutcome.SERVED,
--- a/router/src/test/java/ashlink/router/spool/StoredSpoolTest.java
+++ b/router/src/test/java/ashlink/router/spool/StoredSpoolTest.java
@@ -71,7 +71,7 @@
     void aStartRemovesItsOwnLeftoversWholeOrTornAndKeepsAllElse() throws Exception {
         assertEquals(5, Files.size(folder.resolve("r1.ln0b9j5c.sX4.1.page")), "the torn one");
         try (SpoolDirectory files = start("r1", NEW_BOOT)) {
-            assertEquals(OWN_LEFTOVERS.size(), store(files).clean());
+            assertEquals(OWN_LEFTOVERS.size(), store(files).deleteLeftovers());
             assertEquals(List.of(), files.list());
         }
         assertEquals(KEPT, StoredFiles.names(folder));
