--- /dev/null
+++ b/router/src/main/java/ashlink/router/http/PageBuilder.java
@@ -0,0 +1,88 @@
+package ashlink.router.http;
+
+import ashlink.router.spool.PageStore.StoredPage;
+import ashlink.wire.ByteBuf;
+import ashlink.wire.Quota;
+import ashlink.wire.WireException;
+import java.io.IOException;
+import java.util.Arrays;
+
+/** Collects blocks of a result into pages. Only the thread that writes the result uses it. */
+final class PageBuilder {
+
+    /** Takes the pages. */
+    interface Target {
+
+        /** Stores the first {@code length} bytes as the next page; may block. */
+        StoredPage store(byte[] blocks, int length) throws IOException;
+
+        /** Makes a stored page available. */
+        void publish(StoredPage page);
+    }
+
+    private final long pageBytes;
+    private final ByteBuf openPage;
+    private final Target target;
+
+    /**
+     * A builder without blocks.
+     *
+     * @param pageBytes size at which a page is complete
+     * @param maxBlockBytes size of the largest block
+     * @param memory budget of the open page
+     */
+    PageBuilder(long pageBytes, long maxBlockBytes, Quota memory, Target target) {
+        this.pageBytes = pageBytes;
+        this.openPage = new ByteBuf(pageBytes + maxBlockBytes, memory);
+        this.target = target;
+    }
+
+    /** Appends a block; completes the open page where the block does not fit into it. */
+    void append(byte[] bytes, int offset, int length) throws IOException {
+        if (!isEmpty() && openPage.size() + (long) length > pageBytes) {
+            completePage();
+        }
+        if (length >= pageBytes || !appendToOpenPage(bytes, offset, length)) {
+            if (!isEmpty()) {
+                completePage();
+            }
+            byte[] page = Arrays.copyOfRange(bytes, offset, offset + length);
+            target.publish(target.store(page, length));
+        }
+    }
+
+    /** Returns false if the budget is used up; the block becomes a page of its own then. */
+    private boolean appendToOpenPage(byte[] bytes, int offset, int length) {
+        try {
+            openPage.append(bytes, offset, length);
+            return true;
+        } catch (WireException e) {
+            return false;
+        }
+    }
+
+    boolean isEmpty() {
+        return openPage.size() == 0;
+    }
+
+    boolean isFull() {
+        return openPage.size() >= pageBytes;
+    }
+
+    /** Stores and publishes the open page. */
+    void completePage() throws IOException {
+        target.publish(storeOpenPage());
+    }
+
+    /** Stores the open page, which may be empty, without publishing it. */
+    StoredPage storeOpenPage() throws IOException {
+        StoredPage page = target.store(openPage.array(), openPage.size());
+        openPage.clear();
+        return page;
+    }
+
+    /** Frees the open page. */
+    void close() {
+        openPage.release();
+    }
+}
--- a/router/src/main/java/ashlink/router/http/ProblemDetail.java
+++ b/router/src/main/java/ashlink/router/http/ProblemDetail.java
@@ -5,21 +5,24 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.util.Locale;
 
 /**
- * What goes wrong, as RFC 9457 has it. Each kind has a type, a status and a title, and says whether
- * the statement may have run; these are the words of docs/statement-api.md.
+ * A problem of the HTTP API in the form of RFC 9457. Each kind has a type, a status and a title,
+ * and says whether the statement may have run; docs/statement-api.md documents them.
  *
- * @param retryAfterNs when to come back, 0 where that is not told
- * @param code of the engine's exception, 0 where there is none
+ * @param detail explanation for people; may be empty
+ * @param retryAfterNs time after which the client may retry; 0 for none
+ * @param code code of the engine's error; 0 for none
  */
 public record ProblemDetail(Kind kind, String detail, long retryAfterNs, int code) {
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long MS = 1_000_000L;
-    private static final long S = 1_000 * MS;
+    private static final long NS_PER_MS = 1_000_000L;
+    private static final long NS_PER_S = 1_000 * NS_PER_MS;
 
-    /** The kinds. */
+    /** The kinds of problems; their names are part of the API, see {@link #word}. */
     public enum Kind {
         BAD_REQUEST(400, "the request makes no sense", false),
         LOGIN(401, "user or password is wrong", false),
@@ -58,26 +61,51 @@
             this.mayHaveRun = mayHaveRun;
         }
 
-        /** Its status. */
+        /** Returns the HTTP status. */
         public int status() {
             return status;
         }
 
-        /** The last part of its type. */
+        /** Returns the last part of the type URI. */
         public String word() {
-            return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
+            return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
     }
 
-    /** A problem without further figures. */
+    /** A problem without a delay or an error code. */
     public static ProblemDetail of(Kind kind, String detail) {
         return new ProblemDetail(kind, detail, 0, 0);
     }
 
-    /** The problem of a statement that ended without a result. */
-    public static ProblemDetail of(StatementOutcome ending, ServerError error, long retryAfterNs) {
+    /** The problem that a result cannot be stored or read. */
+    static ProblemDetail resultLost(IOException failure) {
+        return of(Kind.RESULT_LOST, String.valueOf(failure.getMessage()));
+    }
+
+    /** The problem that a page was released, as a later one was requested. */
+    static ProblemDetail pageReleased(int page) {
+        return of(
+                Kind.GONE,
+                "page "
+                        + page
+                        + " was let go when page "
+                        + (page + 2)
+                        + " or a later one was asked for");
+    }
+
+    /** The problem that a page does not exist, or was requested out of order. */
+    static ProblemDetail pageUnknown(int page) {
+        return of(Kind.NOT_FOUND, "there is no page " + page + "; pages are asked for in order");
+    }
+
+    /**
+     * The problem of a statement that ended without a result.
+     *
+     * @param error error of the engine or the router, or null
+     */
+    public static ProblemDetail of(StatementOutcome outcome, ServerError error, long retryAfterNs) {
         String text = error == null ? "" : error.message();
-        return switch (ending) {
+        return switch (outcome) {
             case REFUSED, TURNED_AWAY -> new ProblemDetail(Kind.REFUSED, text, retryAfterNs, 0);
             case FAILED, BROKEN -> of(Kind.FAILED, text);
             case ERROR ->
@@ -94,34 +122,34 @@
         };
     }
 
-    /** Value of Retry-After in whole seconds, 0 for none. */
+    /** Returns the value of the Retry-After header in seconds, rounded up; 0 for none. */
     long retryAfterS() {
-        return (retryAfterNs + S - 1) / S;
+        return (retryAfterNs + NS_PER_S - 1) / NS_PER_S;
     }
 
+    /** Returns the body of the response; {@code statement} is its identifier or null. */
     byte[] json(String statement) {
-        ObjectNode objectNode = JSON.createObjectNode();
-        objectNode
-                .put("type", "/problems/" + kind.word())
+        ObjectNode body = JSON.createObjectNode();
+        body.put("type", "/problems/" + kind.word())
                 .put("title", kind.title)
                 .put("status", kind.status);
-        objectNode.put("mayHaveRun", kind.mayHaveRun);
+        body.put("mayHaveRun", kind.mayHaveRun);
         if (!detail.isEmpty()) {
-            objectNode.put("detail", detail);
+            body.put("detail", detail);
         }
         if (code != 0) {
-            objectNode.put("code", code);
+            body.put("code", code);
         }
         if (retryAfterNs > 0) {
-            objectNode.put("retryAfterMs", (retryAfterNs + MS - 1) / MS);
+            body.put("retryAfterMs", (retryAfterNs + NS_PER_MS - 1) / NS_PER_MS);
         }
         if (statement != null) {
-            objectNode.put("statement", statement);
+            body.put("statement", statement);
         }
         try {
-            return JSON.writeValueAsBytes(objectNode);
+            return JSON.writeValueAsBytes(body);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("a problem cannot be written as JSON", e);
         }
     }
 }
--- a/router/src/main/java/ashlink/router/http/StatementHandler.java
+++ b/router/src/main/java/ashlink/router/http/StatementHandler.java
@@ -4,7 +4,6 @@
 import ashlink.router.core.StatementOutcome;
 import ashlink.router.frontend.ListenerContext;
 import ashlink.router.frontend.MemoryQuota;
-import ashlink.router.http.HttpStatement.PollResult;
 import ashlink.router.http.StatementRegistry.SubmitResult;
 import ashlink.router.statement.IdempotencyKeyTable.Entry;
 import ashlink.router.statement.IdempotencyKeyTable.Status;
@@ -382,21 +381,23 @@
             long waitNs,
             ResultFormat form) {
         openPolls.incrementAndGet();
-        httpStatement.poll(
-                page,
-                waitNs,
-                executor,
-                context.timer(),
-                told -> {
-                    openPolls.decrementAndGet();
-                    if (told.problem() != null) {
-                        exchanged.problem(told.problem(), httpStatement.id());
-                    } else if (!told.isPage()) {
-                        exchanged.state(202, httpStatement);
-                    } else {
-                        render(exchanged, httpStatement, told, form);
-                    }
-                });
+        httpStatement
+                .result()
+                .poll(
+                        page,
+                        waitNs,
+                        executor,
+                        context.timer(),
+                        told -> {
+                            openPolls.decrementAndGet();
+                            if (told.problem() != null) {
+                                exchanged.problem(told.problem(), httpStatement.id());
+                            } else if (!told.isPage()) {
+                                exchanged.state(202, httpStatement);
+                            } else {
+                                render(exchanged, httpStatement, told, form);
+                            }
+                        });
     }
 
     private long waitNs(String text) throws StatementSubmission.InvalidSubmissionException {
@@ -447,7 +448,7 @@
                         });
         try {
             String next = told.last() ? null : Route.page(httpStatement.id(), told.page() + 1);
-            String state = told.last() ? "finished" : httpStatement.stateName();
+            String state = told.last() ? "finished" : httpStatement.result().stateName();
             byte[] body =
                     form.render(
                             told.blocks(),
@@ -491,7 +492,7 @@
         ObjectNode objectNode = JSON.createObjectNode();
         objectNode
                 .put("id", httpStatement.id())
-                .put("state", httpStatement.stateName())
+                .put("state", httpStatement.result().stateName())
                 .put("elapsedMs", httpStatement.elapsedMs());
         objectNode.put("rows", httpStatement.rows()).put("bytes", httpStatement.bytes());
         objectNode
@@ -499,7 +500,7 @@
                 .put("rows", httpStatement.readRows())
                 .put("bytes", httpStatement.readBytes());
         objectNode.put("infoUri", "/v1/statements/" + httpStatement.id());
-        int first = httpStatement.firstRetainedPage();
+        int first = httpStatement.result().firstRetainedPage();
         if (first >= 0) {
             objectNode.put("nextUri", Route.page(httpStatement.id(), first));
         }
--- a/router/src/main/java/ashlink/router/http/StatementRegistry.java
+++ b/router/src/main/java/ashlink/router/http/StatementRegistry.java
@@ -363,8 +363,8 @@
     /** Its client calls it off or drops its result. */
     void cancel(HttpStatement httpStatement) {
         boolean held =
-                httpStatement.state() == StatementLifecycle.State.RUNNING
-                        || httpStatement.state() == StatementLifecycle.State.ANSWERED;
+                httpStatement.result().state() == StatementLifecycle.State.RUNNING
+                        || httpStatement.result().state() == StatementLifecycle.State.ANSWERED;
         httpStatement.cancel();
         if (held) {
             releaseSlotOnce(httpStatement);
@@ -383,7 +383,7 @@
     void expire(long nowNs) {
         List<HttpStatement> gone = new ArrayList<>();
         for (HttpStatement httpStatement : statements.values()) {
-            switch (httpStatement.pendingAction(nowNs)) {
+            switch (httpStatement.result().pendingAction(nowNs)) {
                 case CANCEL -> {
                     LOG.info(
                             "statement {} of {} is called off: nobody asks for it",
@@ -393,24 +393,24 @@
                     releaseSlotOnce(httpStatement);
                 }
                 case DISCARD -> {
-                    httpStatement.discard();
+                    httpStatement.result().discard();
                     releaseSlotOnce(httpStatement);
                 }
                 case REMOVE -> remove(httpStatement);
                 case NONE -> {}
             }
-            if (httpStatement.state() == StatementLifecycle.State.DISCARDED) {
+            if (httpStatement.result().state() == StatementLifecycle.State.DISCARDED) {
                 gone.add(httpStatement);
             }
         }
         if (gone.size() > spec.tombstones()) {
-            gone.sort(Comparator.comparingLong(HttpStatement::discardedNs));
+            gone.sort(Comparator.comparingLong(statement -> statement.result().discardedNs()));
             gone.subList(0, gone.size() - spec.tombstones()).forEach(this::remove);
         }
     }
 
     private void remove(HttpStatement httpStatement) {
-        httpStatement.remove();
+        httpStatement.result().remove();
         releaseSlotOnce(httpStatement);
         statements.remove(httpStatement.id());
         releasedSlots.remove(httpStatement.id());
@@ -441,16 +441,16 @@
         return statements.values().stream()
                 .allMatch(
                         httpStatement ->
-                                httpStatement.state() != StatementLifecycle.State.RUNNING
-                                                && httpStatement.state()
+                                httpStatement.result().state() != StatementLifecycle.State.RUNNING
+                                                && httpStatement.result().state()
                                                         != StatementLifecycle.State.ANSWERED
-                                        || httpStatement.isFetched());
+                                        || httpStatement.result().isFetched());
     }
 
     /** Whoever still waits is told that the router stops. */
     void stop() {
         stopping = true;
-        statements.values().forEach(HttpStatement::stop);
+        statements.values().forEach(statement -> statement.result().stop());
     }
 
     void close() throws IOException {
