--- a/router/src/main/java/ashlink/router/http/HttpListener.java
+++ b/router/src/main/java/ashlink/router/http/HttpListener.java
@@ -82,7 +82,7 @@
                                 FolderDisk.writing(dir.resolve("keys")),
                                 keys,
                                 System.currentTimeMillis());
-        registry = new StatementRegistry(context, store, keys, journal);
+        registry = new StatementRegistry(context, store, new IdempotencyKeys(keys, journal));
         QueuedThreadPool threads = new QueuedThreadPool(THREADS, 4);
         threads.setName(config.name() + "-http");
         threads.setDaemon(true);
--- a/router/src/main/java/ashlink/router/http/ProblemDetail.java
+++ b/router/src/main/java/ashlink/router/http/ProblemDetail.java
@@ -1,6 +1,8 @@
 package ashlink.router.http;
 
 import ashlink.router.core.StatementOutcome;
+import ashlink.router.statement.IdempotencyKeyTable.Entry;
+import ashlink.router.statement.IdempotencyKeyTable.Status;
 import ashlink.wire.ServerError;
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -122,6 +124,16 @@
         };
     }
 
+    /** The problem of a statement of which only the idempotency key is known. */
+    static ProblemDetail expired(Entry entry) {
+        if (entry.status() != Status.COMPLETED) {
+            return of(Kind.FATE_UNKNOWN, "");
+        }
+        return entry.outcome() == StatementOutcome.SERVED
+                ? of(Kind.GONE, "it was served; its result is not kept any more")
+                : of(entry.outcome(), null, 0);
+    }
+
     /** Returns the value of the Retry-After header in seconds, rounded up; 0 for none. */
     long retryAfterS() {
         return (retryAfterNs + NS_PER_S - 1) / NS_PER_S;
--- a/router/src/main/java/ashlink/router/http/ResultFormat.java
+++ b/router/src/main/java/ashlink/router/http/ResultFormat.java
@@ -40,6 +40,11 @@
         return type;
     }
 
+    /** Returns the value of the Content-Type header. */
+    String contentType() {
+        return this == CSV ? type + "; charset=utf-8" : type;
+    }
+
     /** The first of a client's accepted forms that is offered, or null. */
     static ResultFormat accepted(String accept) {
         if (accept == null || accept.isBlank()) {
--- a/router/src/main/java/ashlink/router/http/Route.java
+++ b/router/src/main/java/ashlink/router/http/Route.java
@@ -3,7 +3,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The paths of the API, as the OpenAPI description has them too. */
+/** The routes of the API; the OpenAPI description has the same. */
 enum Route {
     POST_STATEMENT("POST", "/v1/statements"),
     GET_STATEMENT("GET", "/v1/statements/{id}"),
@@ -32,13 +32,19 @@
         return path;
     }
 
-    /** A match of that path, whatever the method; null for none. */
+    /** Returns the match of a path for any method, or null. */
     Matcher match(String requested) {
         Matcher matcher = pattern.matcher(requested);
         return matcher.matches() ? matcher : null;
     }
 
+    /** Returns the path of a statement. */
+    static String statement(String id) {
+        return "/v1/statements/" + id;
+    }
+
+    /** Returns the path of a page. */
     static String page(String id, int page) {
-        return "/v1/statements/" + id + "/pages/" + page;
+        return statement(id) + "/pages/" + page;
     }
 }
--- a/router/src/main/java/ashlink/router/http/StatementRegistry.java
+++ b/router/src/main/java/ashlink/router/http/StatementRegistry.java
@@ -1,453 +1,269 @@
 package ashlink.router.http;
 
 import ashlink.config.RouterConfig.HttpSpec;
-import ashlink.router.core.StatementOutcome;
-import ashlink.router.frontend.InsertFeed;
 import ashlink.router.frontend.ListenerContext;
 import ashlink.router.frontend.MemoryQuota;
 import ashlink.router.frontend.RequestAdmission;
-import ashlink.router.frontend.RequestExchange;
-import ashlink.router.spool.IdempotencyKeyLog;
 import ashlink.router.spool.PageStore;
-import ashlink.router.statement.IdempotencyKeyTable;
 import ashlink.router.statement.IdempotencyKeyTable.Claim;
+import ashlink.router.statement.IdempotencyKeyTable.ClaimResult;
 import ashlink.router.statement.IdempotencyKeyTable.Entry;
 import ashlink.router.statement.StatementLifecycle;
-import ashlink.wire.Block;
-import ashlink.wire.ByteBuf;
-import ashlink.wire.ClientInfo;
-import ashlink.wire.ClientPacket;
-import ashlink.wire.QueryPacket;
-import ashlink.wire.Revision;
-import ashlink.wire.WireException;
+import ashlink.router.statement.StatementLifecycle.State;
 import java.io.IOException;
 import java.security.SecureRandom;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.Base64;
 import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
-import java.util.concurrent.RejectedExecutionException;
-import java.util.concurrent.atomic.AtomicInteger;
+import java.util.regex.Pattern;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/**
- * The statements of the HTTP front: taken, found, called off, expired; and the keys under which
- * they run once.
- */
+/** The statements of the HTTP API by identifier. Safe for use by several threads. */
 final class StatementRegistry {
 
+    /** Retry-After of a statement that is rejected at a limit. */
+    static final long RETRY_AFTER_NS = 1_000_000_000L;
+
     private static final Logger LOG = LoggerFactory.getLogger(StatementRegistry.class);
     private static final int ID_BYTES = 16;
-    private static final long FULL_RETRY_NS = 1_000_000_000L;
+    private static final char ROUTER_SEPARATOR = '~';
+    private static final Pattern URI_SAFE_NAME = Pattern.compile("[A-Za-z0-9._-]+");
 
     /**
-     * What came of a posted statement: the statement, what a key tells of an earlier one, or a
-     * problem.
+     * The result of a submission: one of the components, the others are null.
+     *
+     * @param statement the statement, which may have been submitted earlier with the same key
+     * @param earlier what is known of a statement with the same key that has no result any more
+     * @param problem why the statement is rejected
      */
-    record SubmitResult(HttpStatement statement, Entry earlier, ProblemDetail problem) {}
+    record SubmitResult(HttpStatement statement, Entry earlier, ProblemDetail problem) {
+
+        static SubmitResult of(HttpStatement statement) {
+            return new SubmitResult(statement, null, null);
+        }
+
+        static SubmitResult of(ProblemDetail problem) {
+            return new SubmitResult(null, null, problem);
+        }
+
+        static SubmitResult rejected(String reason) {
+            return of(new ProblemDetail(ProblemDetail.Kind.REFUSED, reason, RETRY_AFTER_NS, 0));
+        }
+    }
 
     private final ListenerContext context;
     private final HttpSpec spec;
     private final PageStore store;
-    private final IdempotencyKeyTable keys;
-    private final IdempotencyKeyLog journal;
+    private final IdempotencyKeys keys;
+    private final StatementRequestFactory requests;
+    private final StatementSlots slots;
     private final MemoryQuota openPages;
     private final StatementLifecycle.Timeouts timeouts;
     private final SecureRandom random = new SecureRandom();
     private final Map<String, HttpStatement> statements = new ConcurrentHashMap<>();
-    private final Map<String, AtomicInteger> openCountByUser = new ConcurrentHashMap<>();
-    private final AtomicInteger openCount = new AtomicInteger();
-    private final Set<String> releasedSlots = ConcurrentHashMap.newKeySet();
     private volatile boolean stopping;
 
-    /** {@code journal} null: keys live as long as the router. */
-    StatementRegistry(
-            ListenerContext context,
-            PageStore store,
-            IdempotencyKeyTable keys,
-            IdempotencyKeyLog journal) {
+    StatementRegistry(ListenerContext context, PageStore store, IdempotencyKeys keys) {
         this.context = context;
         this.spec = context.config().http();
         this.store = store;
         this.keys = keys;
-        this.journal = journal;
+        this.requests = new StatementRequestFactory(context);
+        this.slots = new StatementSlots(spec);
         this.openPages = new MemoryQuota(spec.memoryAllBytes());
         this.timeouts =
                 new StatementLifecycle.Timeouts(
                         spec.unpolledNs(), spec.keptNs(), spec.lingerNs(), spec.tombstoneNs());
     }
 
-    // ---- Taking
-    /** Takes a statement; with a key, the same statement is taken once. */
-    SubmitResult submit(
-            StatementSubmission statementSubmission, String user, String peer, String key) {
+    // Submission
+
+    /**
+     * Submits a statement. With a key, a statement that was submitted before is not run again.
+     *
+     * @param key idempotency key, or null
+     */
+    SubmitResult submit(StatementSubmission submission, String user, String peer, String key) {
         if (stopping) {
-            return new SubmitResult(
-                    null,
-                    null,
-                    new ProblemDetail(
-                            ProblemDetail.Kind.REFUSED, "the router stops", FULL_RETRY_NS, 0));
+            return SubmitResult.rejected("the router stops");
         }
-        ProblemDetail full = admit(user);
+        ProblemDetail full = slots.acquire(user);
         if (full != null) {
-            return new SubmitResult(null, null, full);
+            return SubmitResult.of(full);
         }
-        HttpStatement httpStatement =
-                new HttpStatement(
-                        newId(),
-                        user,
-                        peer,
-                        store,
-                        openPages,
-                        context.limits(),
-                        spec.pageBytes(),
-                        timeouts,
-                        this::storeOutcome);
+        HttpStatement statement = newStatement(user, peer);
         Claim claim = null;
         if (key != null) {
-            synchronized (keys) {
-                claim =
-                        keys.claim(
-                                user,
-                                key,
-                                statementSubmission.digest(),
-                                httpStatement.id(),
-                                System.currentTimeMillis());
-                if (claim.result() == IdempotencyKeyTable.ClaimResult.NEW) {
-                    httpStatement.expectKey();
-                    statements.put(
-                            httpStatement.id(),
-                            httpStatement); // who comes with the key next finds the statement
-                }
-            }
-            if (claim.result() != IdempotencyKeyTable.ClaimResult.NEW) {
-                releaseSlot(httpStatement);
+            claim = claim(key, submission, statement);
+            if (claim.result() != ClaimResult.NEW) {
+                slots.release(user);
                 return duplicate(claim);
             }
         }
-        statements.put(httpStatement.id(), httpStatement);
-        RequestAdmission.Prepared prepared = prepare(statementSubmission, httpStatement, user);
-        if (claim != null && !storeClaim(claim.entry())) {
-            prepared.reject("the key could not be kept", FULL_RETRY_NS);
+        statements.put(statement.id(), statement);
+        RequestAdmission.Prepared prepared = requests.prepare(submission, statement);
+        if (claim != null && !keys.storeClaim(claim.entry())) {
+            prepared.reject("the key could not be kept", RETRY_AFTER_NS);
         } else {
             prepared.submit();
         }
-        httpStatement.keyStoredOnDisk();
-        return new SubmitResult(httpStatement, null, null);
+        statement.keyStoredOnDisk();
+        return SubmitResult.of(statement);
     }
 
-    /** Keeps a claim; on the disk before anything can run. */
-    private boolean storeClaim(Entry entry) {
-        try {
-            if (journal != null) {
-                journal.put(entry);
-            }
-            return true;
-        } catch (IOException x) {
-            LOG.error("a key could not be kept: {}", x.toString());
-            return false;
-        }
+    private HttpStatement newStatement(String user, String peer) {
+        return new HttpStatement(
+                newId(),
+                user,
+                peer,
+                store,
+                openPages,
+                context.limits(),
+                spec.pageBytes(),
+                timeouts,
+                (statement, outcome) -> keys.storeOutcome(statement.id(), outcome));
+    }
+
+    private Claim claim(String key, StatementSubmission submission, HttpStatement statement) {
+        return keys.claim(
+                statement.user(),
+                key,
+                submission.digest(),
+                statement.id(),
+                () -> {
+                    // The next submission with the key finds the statement, and waits for the key.
+                    statement.expectKey();
+                    statements.put(statement.id(), statement);
+                });
     }
 
     private SubmitResult duplicate(Claim claim) {
         return switch (claim.result()) {
-            case CONFLICT ->
-                    new SubmitResult(
-                            null, null, ProblemDetail.of(ProblemDetail.Kind.KEY_REUSED, ""));
+            case CONFLICT -> SubmitResult.of(ProblemDetail.of(ProblemDetail.Kind.KEY_REUSED, ""));
             case FULL ->
-                    new SubmitResult(
-                            null,
-                            null,
-                            new ProblemDetail(
-                                    ProblemDetail.Kind.REFUSED,
-                                    "there are " + spec.keys() + " keys, which is the limit",
-                                    FULL_RETRY_NS,
-                                    0));
+                    SubmitResult.rejected("there are " + spec.keys() + " keys, which is the limit");
             default -> {
-                HttpStatement httpStatement = statements.get(claim.entry().statement());
-                if (httpStatement != null) {
-                    httpStatement.awaitKey();
+                HttpStatement statement = statements.get(claim.entry().statement());
+                if (statement == null) {
+                    yield new SubmitResult(null, claim.entry(), null);
                 }
-                yield httpStatement != null
-                        ? new SubmitResult(httpStatement, null, null)
-                        : new SubmitResult(null, claim.entry(), null);
+                statement.awaitKey();
+                yield SubmitResult.of(statement);
             }
         };
     }
 
-    private ProblemDetail admit(String user) {
-        AtomicInteger mine = openCountByUser.computeIfAbsent(user, text -> new AtomicInteger());
-        if (mine.incrementAndGet() > spec.openUser()) {
-            mine.decrementAndGet();
-            return new ProblemDetail(
-                    ProblemDetail.Kind.TOO_MANY,
-                    "the limit is " + spec.openUser(),
-                    FULL_RETRY_NS,
-                    0);
-        }
-        if (openCount.incrementAndGet() > spec.open()) {
-            openCount.decrementAndGet();
-            mine.decrementAndGet();
-            return new ProblemDetail(
-                    ProblemDetail.Kind.REFUSED,
-                    "the router holds " + spec.open() + " statements, which is the limit",
-                    FULL_RETRY_NS,
-                    0);
-        }
-        return null;
-    }
-
-    /** Its result was dropped: its place is free. */
-    private void releaseSlot(HttpStatement httpStatement) {
-        openCount.decrementAndGet();
-        openCountByUser.get(httpStatement.user()).decrementAndGet();
-    }
-
     /**
-     * Not to be guessed; begins with the router's name where that can stand in a URI, so that
-     * others can point to it.
+     * Returns an identifier that cannot be guessed. It begins with the name of the router, where
+     * the name is safe in a URI, so that other routers can redirect to this one.
      */
     private String newId() {
-        byte[] b = new byte[ID_BYTES];
-        random.nextBytes(b);
-        String text = Base64.getUrlEncoder().withoutPadding().encodeToString(b);
-        String name = context.config().name();
-        return name.matches("[A-Za-z0-9._-]+") ? name + "~" + text : text;
+        byte[] randomBytes = new byte[ID_BYTES];
+        random.nextBytes(randomBytes);
+        String text = Base64.getUrlEncoder().withoutPadding().encodeToString(randomBytes);
+        String router = context.config().name();
+        boolean uriSafe = URI_SAFE_NAME.matcher(router).matches();
+        return uriSafe ? router + ROUTER_SEPARATOR + text : text;
     }
 
-    private RequestAdmission.Prepared prepare(
-            StatementSubmission statementSubmission, HttpStatement httpStatement, String user) {
-        ByteBuf end = new ByteBuf();
-        try {
-            end.putVarUInt(ClientPacket.DATA.ordinal()).putString("");
-            Block.END.write(null, end);
-        } catch (WireException e) {
-            throw new IllegalStateException(e);
-        }
-        byte[] noTables = Arrays.copyOf(end.array(), end.size());
-        ClientInfo info =
-                new ClientInfo(
-                        user,
-                        "",
-                        httpStatement.peer(),
-                        "",
-                        "",
-                        "ashlink http",
-                        1,
-                        0,
-                        Revision.HIGHEST,
-                        0,
-                        "");
-        QueryPacket query =
-                new QueryPacket(
-                        "",
-                        info,
-                        statementSubmission.settingList(),
-                        QueryPacket.COMPLETE,
-                        false,
-                        statementSubmission.statement());
-        RequestAdmission.Prepared prepared =
-                RequestAdmission.prepare(
-                        context,
-                        httpStatement,
-                        Revision.HIGHEST,
-                        user,
-                        statementSubmission.database(),
-                        query,
-                        noTables);
-        RequestExchange exchange = prepared.exchange();
-        httpStatement.exchange(exchange);
-        if (exchange.feed() != null) {
-            httpStatement.headerListener(
-                    header -> feedOnWorker(exchange, header, statementSubmission, noTables));
-        }
-        return prepared;
+    /** Returns the name of the router that a statement belongs to, or null if it has none. */
+    static String routerOf(String statementId) {
+        int separator = statementId.indexOf(ROUTER_SEPARATOR);
+        return separator > 0 ? statementId.substring(0, separator) : null;
     }
 
-    /**
-     * The data of a load goes from a thread of its own: the one that brought the columns is the one
-     * that sends it on.
-     */
-    private void feedOnWorker(
-            RequestExchange exchange,
-            byte[] header,
-            StatementSubmission statementSubmission,
-            byte[] end) {
-        try {
-            context.workers()
-                    .execute(
-                            () -> {
-                                InsertFeed feed = exchange.feed();
-                                try {
-                                    if (statementSubmission.rows() != null
-                                            && statementSubmission.rows().size() > 0) {
-                                        feed.put(
-                                                RowsEncoder.encode(
-                                                        header,
-                                                        statementSubmission.rows(),
-                                                        context.limits()),
-                                                false);
-                                    }
-                                    feed.put(end, true);
-                                } catch (WireException e) {
-                                    exchange.rejectInput(e);
-                                } catch (IOException e) {
-                                    exchange.rejectInput(
-                                            new WireException(
-                                                    WireException.Reason.MALFORMED,
-                                                    String.valueOf(e.getMessage())));
-                                } catch (InterruptedException e) {
-                                    Thread.currentThread().interrupt();
-                                }
-                            });
-        } catch (RejectedExecutionException e) {
-            LOG.debug("the router stops before a load had its data");
-        }
-    }
-
-    // ---- Answers
-    /**
-     * Keeps how a keyed statement ended before its client is told; the key of one that did not run
-     * is free again.
-     */
-    private void storeOutcome(HttpStatement httpStatement, StatementOutcome how)
-            throws IOException {
-        Entry entry;
-        synchronized (keys) {
-            entry = keys.findByStatement(httpStatement.id());
-            if (entry == null) {
-                return;
-            }
-            if (how.isHarmless()) {
-                keys.release(entry.user(), entry.key());
-            } else {
-                keys.put(entry.completed(how));
-            }
-        }
-        if (journal != null) {
-            if (!how.isHarmless()) {
-                journal.put(entry.completed(how));
-                return;
-            }
-            try {
-                journal.release(entry);
-            } catch (IOException x) {
-                LOG.warn(
-                        "that a key is free could not be kept; after a restart its fate is unknown:"
-                                + " {}",
-                        x.toString());
-            }
-        }
-    }
+    // Lookup
 
-    // ---- Finding
-    /** A statement of that user, or null. */
+    /** Returns a user's statement, or null. */
     HttpStatement find(String id, String user) {
-        HttpStatement httpStatement = statements.get(id);
-        return httpStatement != null && httpStatement.user().equals(user) ? httpStatement : null;
+        HttpStatement statement = statements.get(id);
+        return statement != null && statement.user().equals(user) ? statement : null;
     }
 
-    /** What a key tells of a statement of that user that is not here any more, or null. */
+    /** Returns what a key tells about a user's statement, or null. */
     Entry findKeyEntry(String id, String user) {
-        synchronized (keys) {
-            Entry entry = keys.findByStatement(id);
-            return entry != null && entry.user().equals(user) ? entry : null;
-        }
+        return keys.find(id, user);
     }
 
-    /** Its client calls it off or drops its result. */
-    void cancel(HttpStatement httpStatement) {
-        boolean held =
-                httpStatement.result().state() == StatementLifecycle.State.RUNNING
-                        || httpStatement.result().state() == StatementLifecycle.State.ANSWERED;
-        httpStatement.cancel();
-        if (held) {
-            releaseSlotOnce(httpStatement);
+    // Expiry
+
+    /** Cancels a statement or discards its result, on behalf of the client. */
+    void cancel(HttpStatement statement) {
+        State state = statement.result().state();
+        statement.cancel();
+        if (state == State.RUNNING || state == State.ANSWERED) {
+            slots.release(statement);
         }
     }
 
-    /** Its place is free; said once of each statement. */
-    private void releaseSlotOnce(HttpStatement httpStatement) {
-        if (releasedSlots.add(httpStatement.id())) {
-            releaseSlot(httpStatement);
+    /** Cancels, discards and removes statements whose time is over. */
+    void expire(long nowNs) {
+        List<HttpStatement> discarded = new ArrayList<>();
+        for (HttpStatement statement : statements.values()) {
+            expire(statement, nowNs);
+            if (statement.result().state() == State.DISCARDED) {
+                discarded.add(statement);
+            }
+        }
+        if (discarded.size() > spec.tombstones()) {
+            discarded.sort(Comparator.comparingLong(statement -> statement.result().discardedNs()));
+            discarded.subList(0, discarded.size() - spec.tombstones()).forEach(this::remove);
         }
     }
 
-    // ---- Upkeep
-    /** Does what is due: calls off, drops, forgets. */
-    void expire(long nowNs) {
-        List<HttpStatement> gone = new ArrayList<>();
-        for (HttpStatement httpStatement : statements.values()) {
-            switch (httpStatement.result().pendingAction(nowNs)) {
-                case CANCEL -> {
-                    LOG.info(
-                            "statement {} of {} is called off: nobody asks for it",
-                            httpStatement.id(),
-                            httpStatement.user());
-                    httpStatement.cancelAbandoned();
-                    releaseSlotOnce(httpStatement);
-                }
-                case DISCARD -> {
-                    httpStatement.result().discard();
-                    releaseSlotOnce(httpStatement);
-                }
-                case REMOVE -> remove(httpStatement);
-                case NONE -> {}
+    private void expire(HttpStatement statement, long nowNs) {
+        switch (statement.result().pendingAction(nowNs)) {
+            case CANCEL -> {
+                LOG.atInfo()
+                        .addKeyValue("statement", statement.id())
+                        .addKeyValue("user", statement.user())
+                        .log("statement cancelled, not polled");
+                statement.cancelAbandoned();
+                slots.release(statement);
             }
-            if (httpStatement.result().state() == StatementLifecycle.State.DISCARDED) {
-                gone.add(httpStatement);
+            case DISCARD -> {
+                statement.result().discard();
+                slots.release(statement);
             }
-        }
-        if (gone.size() > spec.tombstones()) {
-            gone.sort(Comparator.comparingLong(statement -> statement.result().discardedNs()));
-            gone.subList(0, gone.size() - spec.tombstones()).forEach(this::remove);
+            case REMOVE -> remove(statement);
+            case NONE -> {}
         }
     }
 
-    private void remove(HttpStatement httpStatement) {
-        httpStatement.result().remove();
-        releaseSlotOnce(httpStatement);
-        statements.remove(httpStatement.id());
-        releasedSlots.remove(httpStatement.id());
+    private void remove(HttpStatement statement) {
+        statement.result().remove();
+        slots.release(statement);
+        statements.remove(statement.id());
+        slots.remove(statement);
     }
 
-    /** Lets go of keys whose time is over, and keeps the journal short. */
+    /** Removes expired keys. */
     void expireKeys() throws IOException {
-        List<Entry> gone;
-        synchronized (keys) {
-            gone = keys.expire(System.currentTimeMillis());
-        }
-        if (journal != null) {
-            for (Entry entry : gone) {
-                journal.release(entry);
-            }
-            journal.compact();
-        }
+        keys.expire();
     }
 
-    // ---- Stop
-    /** Takes no more. */
+    // Shutdown
+
+    /** Rejects new statements. */
     void rejectNew() {
         stopping = true;
     }
 
-    /** True once all that was answered was fetched. */
+    /** Tells whether clients have fetched all results. */
     boolean allFetched() {
         return statements.values().stream()
+                .map(HttpStatement::result)
                 .allMatch(
-                        httpStatement ->
-                                httpStatement.result().state() != StatementLifecycle.State.RUNNING
-                                                && httpStatement.result().state()
-                                                        != StatementLifecycle.State.ANSWERED
-                                        || httpStatement.result().isFetched());
+                        result ->
+                                result.state() != State.RUNNING && result.state() != State.ANSWERED
+                                        || result.isFetched());
     }
 
-    /** Whoever still waits is told that the router stops. */
+    /** Discards all results; pending polls learn that the router is shutting down. */
     void stop() {
         stopping = true;
         statements.values().forEach(statement -> statement.result().stop());
@@ -455,14 +271,13 @@
 
     void close() throws IOException {
         store.close();
-        if (journal != null) {
-            journal.close();
-        }
+        keys.close();
     }
 
-    // ---- Figures
+    // Statistics
+
     int openCount() {
-        return openCount.get();
+        return slots.openCount();
     }
 
     int knownCount() {
@@ -470,8 +285,6 @@
     }
 
     int keyCount() {
-        synchronized (keys) {
-            return keys.size();
-        }
+        return keys.size();
     }
 }
--- a/router/src/main/java/ashlink/router/http/StatementResult.java
+++ b/router/src/main/java/ashlink/router/http/StatementResult.java
@@ -53,7 +53,7 @@
         return pages.nextNumber();
     }
 
-    /** Tells whether pages are released instead of published. */
+    /** Tells whether pages are no longer published. */
     boolean isClosed() {
         return closed;
     }
@@ -104,11 +104,7 @@
         }
     }
 
-    /**
-     * Completes the result and responds to all pending polls.
-     *
-     * @param lastPage last page, or null if there is none
-     */
+    /** Completes the result, and responds to all pending polls; {@code lastPage} may be null. */
     void complete(StatementCompletion finalCompletion, StoredPage lastPage) {
         List<PendingPoll> due;
         synchronized (lock) {
--- /dev/null
+++ b/router/src/main/java/ashlink/router/http/StatementSlots.java
@@ -0,0 +1,71 @@
+package ashlink.router.http;
+
+import ashlink.config.RouterConfig.HttpSpec;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.atomic.AtomicInteger;
+
+/**
+ * Limits the open statements of the router and of each user. A statement has a slot until its
+ * result is discarded. Safe for use by several threads.
+ */
+final class StatementSlots {
+
+    private final HttpSpec spec;
+    private final AtomicInteger openCount = new AtomicInteger();
+    private final Map<String, AtomicInteger> openCountByUser = new ConcurrentHashMap<>();
+
+    /** Identifiers of the known statements whose slots are released. */
+    private final Set<String> released = ConcurrentHashMap.newKeySet();
+
+    StatementSlots(HttpSpec spec) {
+        this.spec = spec;
+    }
+
+    /** Acquires a slot; returns the problem if there is none, else null. */
+    ProblemDetail acquire(String user) {
+        AtomicInteger userCount =
+                openCountByUser.computeIfAbsent(user, name -> new AtomicInteger());
+        if (userCount.incrementAndGet() > spec.openUser()) {
+            userCount.decrementAndGet();
+            return new ProblemDetail(
+                    ProblemDetail.Kind.TOO_MANY,
+                    "the limit is " + spec.openUser(),
+                    StatementRegistry.RETRY_AFTER_NS,
+                    0);
+        }
+        if (openCount.incrementAndGet() > spec.open()) {
+            openCount.decrementAndGet();
+            userCount.decrementAndGet();
+            return new ProblemDetail(
+                    ProblemDetail.Kind.REFUSED,
+                    "the router holds " + spec.open() + " statements, which is the limit",
+                    StatementRegistry.RETRY_AFTER_NS,
+                    0);
+        }
+        return null;
+    }
+
+    /** Releases the slot of a user for a statement that was never registered. */
+    void release(String user) {
+        openCount.decrementAndGet();
+        openCountByUser.get(user).decrementAndGet();
+    }
+
+    /** Releases the slot of a statement; idempotent until {@link #remove}. */
+    void release(HttpStatement statement) {
+        if (released.add(statement.id())) {
+            release(statement.user());
+        }
+    }
+
+    /** Forgets a statement that is no longer known; its slot must be released. */
+    void remove(HttpStatement statement) {
+        released.remove(statement.id());
+    }
+
+    int openCount() {
+        return openCount.get();
+    }
+}
