--- a/router/src/main/java/ashlink/router/classify/Classifier.java
+++ b/router/src/main/java/ashlink/router/classify/Classifier.java
@@ -12,44 +12,54 @@
 import java.util.regex.Pattern;
 
 /**
- * Gives a request its class: that of the first rule that matches, else the default. What the class
- * says of repeating holds only where the reading agrees: a statement that was not read whole as a
- * harmless read is never repeated, but by a rule that names its kind or keyword and a class whose
- * repeats engines drop. It then gets the class's strict twin where the class is bound to some
- * engines, so that placement holds as well, and the default class of writes elsewhere.
+ * Assigns a query class to a statement: that of the first rule that matches, else the default.
+ *
+ * <p>A class that allows retries applies only to statements that are plainly harmless reads, or to
+ * those that a rule names by kind or keyword if engines deduplicate them. Any other statement gets
+ * the at-most-once variant of the class, which keeps its placement, or the default class of writes
+ * where there is no variant. Safe for use by several threads.
  */
 public final class Classifier {
 
     /**
-     * What was decided; {@code rule} is the number of the rule that matched, from 1, or 0 for the
-     * default.
+     * The class of a statement.
+     *
+     * @param rule number of the rule that matched, from 1; 0 for the default
+     * @param stricter whether the class of the rule was replaced by one without retries
      */
     public record Decision(QueryClass queryClass, int rule, boolean stricter) {}
 
     private final RouterConfig config;
     private final Map<String, QueryClass> classes;
 
-    /** Classifies by the rules of those settings. */
+    /** A classifier with the rules of the settings. */
     public Classifier(RouterConfig config) {
         this.config = config;
         this.classes = config.allClasses();
     }
 
-    /** The class of a statement; {@code settings} are all that came with it. */
+    /**
+     * Classifies a statement.
+     *
+     * @param settings settings of the request by name
+     */
     public Decision decide(
-            String user, String database, StatementAnalysis reading, Map<String, String> settings) {
+            String user,
+            String database,
+            StatementAnalysis analysis,
+            Map<String, String> settings) {
         int number = 0;
-        for (ClassRule classRule : config.rules()) {
+        for (ClassRule rule : config.rules()) {
             number++;
-            if (matches(classRule, user, database, reading, settings)) {
-                QueryClass queryClass = classes.get(classRule.queryClass());
-                boolean named = !classRule.keywords().isEmpty() || !classRule.kinds().isEmpty();
+            if (matches(rule, user, database, analysis, settings)) {
+                QueryClass queryClass = classes.get(rule.queryClass());
+                boolean named = !rule.keywords().isEmpty() || !rule.kinds().isEmpty();
                 boolean dropped =
                         queryClass.retrySafety() == RetrySafety.DEDUPLICATED
                                 && named
-                                && reading.kind() != Kind.UNKNOWN
-                                && reading.kind() != Kind.SEVERAL;
-                if (reading.harmless()
+                                && analysis.kind() != Kind.UNKNOWN
+                                && analysis.kind() != Kind.SEVERAL;
+                if (analysis.harmless()
                         || queryClass.retrySafety() == RetrySafety.AT_MOST_ONCE
                         || dropped) {
                     return new Decision(queryClass, number, false);
@@ -59,7 +69,7 @@
         }
         return new Decision(
                 classes.get(
-                        reading.harmless() ? config.defaultClass() : config.defaultWriteClass()),
+                        analysis.harmless() ? config.defaultClass() : config.defaultWriteClass()),
                 0,
                 false);
     }
@@ -71,30 +81,25 @@
     }
 
     private static boolean matches(
-            ClassRule classRule,
+            ClassRule rule,
             String user,
             String database,
-            StatementAnalysis reading,
+            StatementAnalysis analysis,
             Map<String, String> settings) {
-        return (classRule.users().isEmpty() || classRule.users().contains(user))
-                && (classRule.databases().isEmpty() || classRule.databases().contains(database))
-                && (classRule.keywords().isEmpty()
-                        || classRule.keywords().contains(keyword(reading)))
-                && (classRule.kinds().isEmpty()
-                        || classRule
-                                .kinds()
-                                .contains(reading.kind().name().toLowerCase(Locale.ROOT)))
-                && (classRule.fingerprints().isEmpty()
-                        || classRule.fingerprints().contains(reading.fingerprint()))
-                && (classRule.tables().isEmpty()
-                        || touches(classRule.tables(), reading.reads())
-                        || touches(classRule.tables(), reading.writes()))
-                && (classRule.setting().isEmpty()
-                        || settings.containsKey(classRule.setting())
-                                && (classRule.value().isEmpty()
-                                        || classRule
-                                                .value()
-                                                .equals(settings.get(classRule.setting()))));
+        return (rule.users().isEmpty() || rule.users().contains(user))
+                && (rule.databases().isEmpty() || rule.databases().contains(database))
+                && (rule.keywords().isEmpty() || rule.keywords().contains(keyword(analysis)))
+                && (rule.kinds().isEmpty()
+                        || rule.kinds().contains(analysis.kind().name().toLowerCase(Locale.ROOT)))
+                && (rule.fingerprints().isEmpty()
+                        || rule.fingerprints().contains(analysis.fingerprint()))
+                && (rule.tables().isEmpty()
+                        || touches(rule.tables(), analysis.reads())
+                        || touches(rule.tables(), analysis.writes()))
+                && (rule.setting().isEmpty()
+                        || settings.containsKey(rule.setting())
+                                && (rule.value().isEmpty()
+                                        || rule.value().equals(settings.get(rule.setting()))));
     }
 
     private static boolean touches(Set<Pattern> patterns, Set<String> tables) {
@@ -105,24 +110,24 @@
                                         .anyMatch(pattern -> pattern.matcher(text).matches()));
     }
 
-    /** The leading keyword in capitals, also of a statement that was not understood otherwise. */
-    static String keyword(StatementAnalysis reading) {
+    /** Returns the first keyword in upper case, even of a statement that is not supported. */
+    static String keyword(StatementAnalysis analysis) {
         String normal =
-                reading.kind() == Kind.UNKNOWN
-                        ? reading.normal().substring("unknown ".length())
-                        : reading.normal();
+                analysis.kind() == Kind.UNKNOWN
+                        ? analysis.normal().substring("unknown ".length())
+                        : analysis.normal();
         int end = normal.indexOf(' ');
         return (end < 0 ? normal : normal.substring(0, end)).toUpperCase(Locale.ROOT);
     }
 
-    /** True if the client may be asked for the data of an insert. */
-    public static boolean mayTakeData(StatementAnalysis reading) {
-        return reading.takesData()
-                || reading.kind() == Kind.UNKNOWN && keyword(reading).equals("INSERT");
+    /** Tells whether the statement may take data from the client. */
+    public static boolean mayTakeData(StatementAnalysis analysis) {
+        return analysis.takesData()
+                || analysis.kind() == Kind.UNKNOWN && keyword(analysis).equals("INSERT");
     }
 
-    /** True if the statement plainly waits for data, and cannot run before its end. */
-    public static boolean waitsForData(StatementAnalysis reading) {
-        return reading.kind() == Kind.LOAD && reading.takesData();
+    /** Tells whether the statement cannot run before the end of its data. */
+    public static boolean waitsForData(StatementAnalysis analysis) {
+        return analysis.kind() == Kind.LOAD && analysis.takesData();
     }
 }
--- a/router/src/main/java/ashlink/router/classify/StatementAnalyzer.java
+++ b/router/src/main/java/ashlink/router/classify/StatementAnalyzer.java
@@ -6,33 +6,36 @@
 import com.github.benmanes.caffeine.cache.Caffeine;
 
 /**
- * Readings of statements, those of short ones remembered. The key is the text itself with its
- * database, not a hash of it: a hit is as safe as reading again.
+ * Analyzes statements, and caches the analysis of short ones by their text and database. Safe for
+ * use by several threads.
  */
 public final class StatementAnalyzer {
 
-    /** Texts longer than this are read each time: they seldom come back as they were. */
-    private static final int MOST_CHARS = 16 << 10;
+    /** Longer statements are rarely repeated unchanged, so they are not cached. */
+    private static final int MAX_CACHED_CHARS = 16 << 10;
 
-    /** Characters of all texts that are remembered. */
-    private static final long MOST_WEIGHT = 16 << 20;
+    /** Approximate size of the cache in bytes. */
+    private static final long MAX_CACHE_BYTES = 16 << 20;
 
-    private static final int ENTRY_WEIGHT = 500;
+    private static final int ENTRY_BYTES = 500;
+    private static final int BYTES_PER_CHAR = 4;
 
     private record Key(String text, String database) {}
 
     private final StatementReader reader = new StatementReader();
-    private final Cache<Key, StatementAnalysis> known =
+    private final Cache<Key, StatementAnalysis> cache =
             Caffeine.newBuilder()
-                    .maximumWeight(MOST_WEIGHT)
-                    .weigher((Key k, StatementAnalysis r) -> ENTRY_WEIGHT + 4 * k.text.length())
+                    .maximumWeight(MAX_CACHE_BYTES)
+                    .weigher(
+                            (Key key, StatementAnalysis analysis) ->
+                                    ENTRY_BYTES + BYTES_PER_CHAR * key.text.length())
                     .build();
 
-    /** The reading of a statement. */
+    /** Returns the analysis of a statement in a default database. */
     public StatementAnalysis analyze(String text, String database) {
-        if (text.length() > MOST_CHARS) {
+        if (text.length() > MAX_CACHED_CHARS) {
             return reader.read(text, database);
         }
-        return known.get(new Key(text, database), key -> reader.read(key.text, key.database));
+        return cache.get(new Key(text, database), key -> reader.read(key.text, key.database));
     }
 }
--- a/router/src/main/java/ashlink/router/classify/UnreachableRules.java
+++ b/router/src/main/java/ashlink/router/classify/UnreachableRules.java
@@ -8,58 +8,66 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 
-/**
- * Finds rules that never decide: all that they match is matched by an earlier one, or nothing is.
- */
+/** Finds classification rules that can never match. */
 public final class UnreachableRules {
 
     private UnreachableRules() {}
 
-    /** A warning for each such rule. */
+    /** Returns a warning for each unreachable rule, in the order of the rules. */
     public static List<String> of(RouterConfig config) {
         List<String> warnings = new ArrayList<>();
         List<ClassRule> rules = config.rules();
         for (int i = 0; i < rules.size(); i++) {
-            for (int j = 0; j < i; j++) {
-                if (covers(rules.get(j), rules.get(i))) {
-                    warnings.add(
-                            "rule "
-                                    + (i + 1)
-                                    + " can never match: rule "
-                                    + (j + 1)
-                                    + " matches all that it would");
-                    break;
-                }
+            int number = i + 1;
+            int coveringIndex = firstCovering(rules, i);
+            if (coveringIndex >= 0) {
+                warnings.add(
+                        "rule "
+                                + number
+                                + " can never match: rule "
+                                + (coveringIndex + 1)
+                                + " matches all that it would");
             }
-            ClassRule classRule = rules.get(i);
-            boolean contrary =
-                    classRule.kinds().equals(Set.of("load"))
-                            && !classRule.keywords().isEmpty()
-                            && !classRule.keywords().contains("INSERT");
-            if (contrary) {
-                warnings.add("rule " + (i + 1) + " can never match: a load starts with INSERT");
+            if (isContradictory(rules.get(i))) {
+                warnings.add("rule " + number + " can never match: a load starts with INSERT");
             }
         }
         return warnings;
     }
 
+    /** Returns the index of the first earlier rule that covers a rule, or -1. */
+    private static int firstCovering(List<ClassRule> rules, int index) {
+        for (int i = 0; i < index; i++) {
+            if (covers(rules.get(i), rules.get(index))) {
+                return i;
+            }
+        }
+        return -1;
+    }
+
+    private static boolean isContradictory(ClassRule rule) {
+        return rule.kinds().equals(Set.of("load"))
+                && !rule.keywords().isEmpty()
+                && !rule.keywords().contains("INSERT");
+    }
+
     private static boolean covers(ClassRule wide, ClassRule narrow) {
         return covers(wide.users(), narrow.users())
                 && covers(wide.databases(), narrow.databases())
                 && covers(wide.keywords(), narrow.keywords())
                 && covers(wide.kinds(), narrow.kinds())
                 && covers(wide.fingerprints(), narrow.fingerprints())
-                && covers(texts(wide.tables()), texts(narrow.tables()))
+                && covers(regexes(wide.tables()), regexes(narrow.tables()))
                 && (wide.setting().isEmpty()
                         || wide.setting().equals(narrow.setting())
                                 && (wide.value().isEmpty() || wide.value().equals(narrow.value())));
     }
 
-    private static Set<String> texts(Set<Pattern> patterns) {
+    private static Set<String> regexes(Set<Pattern> patterns) {
         return patterns.stream().map(Pattern::pattern).collect(Collectors.toSet());
     }
 
-    /** An empty part matches all. */
+    /** An empty condition matches everything. */
     private static boolean covers(Set<String> wide, Set<String> narrow) {
         return wide.isEmpty() || !narrow.isEmpty() && wide.containsAll(narrow);
     }
--- a/router/src/main/java/ashlink/router/classify/package-info.java
+++ b/router/src/main/java/ashlink/router/classify/package-info.java
@@ -1,5 +1,4 @@
 /**
- * Gives a statement its class: by the rules of the settings, and by what little is read of its
- * text. No I/O.
+ * Assigns query classes to statements, by the rules of the settings and the analysis of their text.
  */
 package ashlink.router.classify;
--- a/router/src/main/java/ashlink/router/statement/IdempotencyKeyTable.java
+++ b/router/src/main/java/ashlink/router/statement/IdempotencyKeyTable.java
@@ -9,29 +9,31 @@
 import java.util.Map;
 
 /**
- * Keys under which a statement runs once. A key is claimed before its statement is put to the
- * decisions, and holds for its time whatever becomes of the statement, with one exception: a
- * statement that was refused provably did not run, and its key is free again. What was under way
- * when a router ended has an unknown fate, and is never run again by itself.
+ * Idempotency keys: a statement with a key runs at most once while the key is retained. A key is
+ * claimed before its statement is submitted. It is released early only if the statement was
+ * rejected, which proves that it did not run. A statement that was running when the router stopped
+ * has an unknown outcome, and is never run again. Not safe for use by several threads.
  */
 public final class IdempotencyKeyTable {
 
-    /** What is known of a key's statement. */
+    /** What is known of the statement of a key. Stored by ordinal: never reorder. */
     public enum Status {
-        /** Under way. */
+        /** It has no final response. */
         RUNNING,
-        /** Answered. */
+        /** It has its final response. */
         COMPLETED,
-        /** The router ended while it was under way. */
+        /** The router stopped while it was running. */
         UNKNOWN
     }
 
     /**
-     * A key that is taken.
+     * A claimed key.
      *
-     * @param digest of the statement's text and settings
-     * @param outcome how it was answered, where it was
-     * @param claimedMs when, in milliseconds since 1970
+     * @param user user that the key belongs to
+     * @param digest digest of the statement with its settings
+     * @param statement identifier of the statement
+     * @param outcome how the statement ended; null unless it is completed
+     * @param claimedMs time of the claim in milliseconds since 1970
      */
     public record Entry(
             String user,
@@ -42,12 +44,13 @@
             StatementOutcome outcome,
             long claimedMs) {
 
-        /** The same, answered. */
-        public Entry completed(StatementOutcome how) {
-            return new Entry(user, key, digest, statement, Status.COMPLETED, how, claimedMs);
+        /** Returns the entry once the statement has ended. */
+        public Entry completed(StatementOutcome finalOutcome) {
+            return new Entry(
+                    user, key, digest, statement, Status.COMPLETED, finalOutcome, claimedMs);
         }
 
-        /** The same after the router ended. */
+        /** Returns the entry as it is after a restart of the router. */
         public Entry afterRestart() {
             return status == Status.RUNNING
                     ? new Entry(user, key, digest, statement, Status.UNKNOWN, outcome, claimedMs)
@@ -55,19 +58,19 @@
         }
     }
 
-    /** What becomes of a claim. */
+    /** The result of a claim. */
     public enum ClaimResult {
-        /** The key was free: it is taken now. */
+        /** The key was free and is claimed now. */
         NEW,
-        /** The same statement was put under it before. */
+        /** The same statement was submitted with the key before. */
         DUPLICATE,
-        /** Another statement was put under it before. */
+        /** Another statement was submitted with the key before. */
         CONFLICT,
-        /** There are as many keys as there may be, and none is over its time. */
+        /** The table is full of keys that are not expired. */
         FULL
     }
 
-    /** A verdict, with the entry that holds the key; null where it is full. */
+    /** A result, with the entry of the key; null if the table is full. */
     public record Claim(ClaimResult result, Entry entry) {}
 
     private record Name(String user, String key) {}
@@ -77,19 +80,23 @@
     private final Map<Name, Entry> entries = new LinkedHashMap<>();
     private final Map<String, Name> nameByStatement = new HashMap<>();
 
-    /** An empty table of so many keys, each for so long. */
+    /**
+     * An empty table.
+     *
+     * @param retentionMs time for which a key is retained
+     */
     public IdempotencyKeyTable(int most, long keptMs) {
         this.maxKeys = most;
         this.retentionMs = keptMs;
     }
 
-    /** Claims a key. */
+    /** Claims a key for a statement. */
     public Claim claim(String user, String key, String digest, String statement, long nowMs) {
-        Entry held = entries.get(new Name(user, key));
-        if (held != null) {
+        Entry existing = entries.get(new Name(user, key));
+        if (existing != null) {
             return new Claim(
-                    held.digest().equals(digest) ? ClaimResult.DUPLICATE : ClaimResult.CONFLICT,
-                    held);
+                    existing.digest().equals(digest) ? ClaimResult.DUPLICATE : ClaimResult.CONFLICT,
+                    existing);
         }
         if (entries.size() >= maxKeys) {
             expire(nowMs);
@@ -102,7 +109,7 @@
         return new Claim(ClaimResult.NEW, entry);
     }
 
-    /** Takes an entry as it is: from a journal, or after it changed. */
+    /** Adds or replaces an entry, such as one read from the log. */
     public void put(Entry entry) {
         Name name = new Name(entry.user(), entry.key());
         Entry before = entries.put(name, entry);
@@ -112,7 +119,7 @@
         nameByStatement.put(entry.statement(), name);
     }
 
-    /** A key is free again. */
+    /** Releases a key. */
     public void release(String user, String key) {
         Entry entry = entries.remove(new Name(user, key));
         if (entry != null) {
@@ -120,32 +127,30 @@
         }
     }
 
-    /** The entry of a statement, or null. */
+    /** Returns the entry of a statement, or null. */
     public Entry findByStatement(String statement) {
         Name name = nameByStatement.get(statement);
         return name == null ? null : entries.get(name);
     }
 
-    /**
-     * Lets go of keys whose time is over, but of none whose statement is under way; returns them.
-     */
+    /** Releases and returns the expired keys; those of running statements never expire. */
     public List<Entry> expire(long nowMs) {
-        List<Entry> gone = new ArrayList<>();
+        List<Entry> expired = new ArrayList<>();
         for (Entry entry : new ArrayList<>(entries.values())) {
             if (nowMs - entry.claimedMs() >= retentionMs && entry.status() != Status.RUNNING) {
                 release(entry.user(), entry.key());
-                gone.add(entry);
+                expired.add(entry);
             }
         }
-        return gone;
+        return expired;
     }
 
-    /** Keys that are taken. */
+    /** Returns the number of claimed keys. */
     public int size() {
         return entries.size();
     }
 
-    /** All entries, the oldest first. */
+    /** Returns all entries, the oldest first. */
     public Collection<Entry> entries() {
         return List.copyOf(entries.values());
     }
--- a/router/src/main/java/ashlink/router/statement/PageWindow.java
+++ b/router/src/main/java/ashlink/router/statement/PageWindow.java
@@ -1,21 +1,21 @@
 package ashlink.router.statement;
 
 /**
- * Which pages of a result there are. A page is closed once and never changes. Who asks for page n
- * has all before page n-1: those are let go, so that a page can be asked for again, late or beside
- * the next one, until the one after the next is asked for.
+ * The numbers of the pages of a result that exist and are retained. A page is closed once and never
+ * changes. The request of page n releases the pages before n-1, so a page can be requested again
+ * until the page after the next one is requested. Not safe for use by several threads.
  */
 public final class PageWindow {
 
-    /** What becomes of an asking. */
+    /** The state of a requested page. */
     public enum PageState {
-        /** The page is there. */
+        /** The page exists. */
         AVAILABLE,
-        /** It is the next that comes. */
+        /** The page is the next one to be closed. */
         PENDING,
-        /** It was let go. */
+        /** The page was released. */
         RELEASED,
-        /** There is and comes no such page, or not before others. */
+        /** The page will never exist, or not before others. */
         INVALID
     }
 
@@ -24,23 +24,24 @@
     private int highestRequested = -1;
     private boolean ended;
 
-    /** Closes the next page, and returns its number. */
+    /**
+     * Closes the next page and returns its number.
+     *
+     * @throws IllegalStateException after {@link #end}
+     */
     public int closePage() {
         if (ended) {
-            throw new IllegalStateException("a page after the end");
+            throw new IllegalStateException("page " + closedCount + " after the end");
         }
         return closedCount++;
     }
 
-    /** No further page comes. */
+    /** No further page will be closed. */
     public void end() {
         ended = true;
     }
 
-    /**
-     * What becomes of an asking for that page; {@link #firstRetained} says afterwards what was let
-     * go.
-     */
+    /** Handles the request of a page; {@link #firstRetained} tells afterwards what it released. */
     public PageState request(int page) {
         if (page < 0 || page > closedCount || page == closedCount && ended) {
             return PageState.INVALID;
@@ -56,28 +57,28 @@
         return PageState.AVAILABLE;
     }
 
-    /** All pages are let go. */
+    /** Releases all pages; no further one will be closed. */
     public void releaseAll() {
         firstRetained = closedCount;
         ended = true;
     }
 
-    /** The lowest page that is kept. */
+    /** Returns the lowest page that is retained. */
     public int firstRetained() {
         return firstRetained;
     }
 
-    /** Pages closed so far. */
+    /** Returns the number of closed pages. */
     public int closedCount() {
         return closedCount;
     }
 
-    /** True for the last page of all. */
+    /** Tells whether a page is the last one of the result. */
     public boolean isLast(int page) {
         return ended && page == closedCount - 1;
     }
 
-    /** True once the last page was asked for. */
+    /** Tells whether the last page was requested. */
     public boolean isLastPageRequested() {
         return ended && highestRequested == closedCount - 1;
     }
--- a/router/src/main/java/ashlink/router/statement/SpoolBudget.java
+++ b/router/src/main/java/ashlink/router/statement/SpoolBudget.java
@@ -4,28 +4,37 @@
 import java.util.Map;
 
 /**
- * Bytes of results that are kept: for a statement, a user and the router. What does not fit waits,
- * and so does the engine that sends it; the clients that fetch make room. A part of the router's
- * budget is kept for statements that hold nothing, so that results nobody fetches do not stop the
- * first page of others.
+ * The budget of stored result bytes: per statement, per user and for the router. A page that does
+ * not fit waits, and so does the engine that sends it, until clients have fetched others. A part of
+ * the router's budget is reserved for statements that store nothing yet, so that results that
+ * nobody fetches do not block the first pages of others. Not safe for use by several threads.
  */
 public final class SpoolBudget {
 
-    /** What becomes of an asking. */
+    /** The result of a reservation. */
     public enum Reservation {
-        /** It is given. */
+        /** The bytes are reserved. */
         GRANTED,
-        /** Not now: to be asked again once something was let go. */
+        /** The bytes do not fit now; try again after a release. */
         WAIT,
-        /** It is more than there will ever be. */
+        /** The bytes exceed a limit by themselves. */
         TOO_LARGE
     }
 
     /**
-     * Limits in bytes; {@code reserveBytes} of {@code totalBytes} is for statements that hold
-     * nothing.
+     * Limits in bytes.
+     *
+     * @param statementBytes limit of one statement
+     * @param userBytes limit of all statements of one user
+     * @param totalBytes limit of all statements
+     * @param reserveBytes part of {@code totalBytes} for statements that store nothing yet
      */
-    public record Limits(long statementBytes, long userBytes, long totalBytes, long reserveBytes) {}
+    public record Limits(long statementBytes, long userBytes, long totalBytes, long reserveBytes) {
+
+        private long maxReservationBytes() {
+            return Math.min(statementBytes, Math.min(userBytes, totalBytes));
+        }
+    }
 
     private record StatementUsage(String user, long bytes) {}
 
@@ -34,56 +43,61 @@
     private final Map<String, Long> bytesByUser = new HashMap<>();
     private long totalBytes;
 
-    /** A budget of which nothing is taken. */
+    /** An unused budget. */
     public SpoolBudget(Limits limits) {
         this.limits = limits;
     }
 
-    /** A statement of that user asks for so many bytes more. */
+    /** Reserves bytes for a statement of a user, in addition to those that it has. */
     public Reservation reserve(String statement, String user, long bytes) {
-        if (bytes
-                > Math.min(limits.statementBytes, Math.min(limits.userBytes, limits.totalBytes))) {
+        if (bytes > limits.maxReservationBytes()) {
             return Reservation.TOO_LARGE;
         }
-        long held =
-                usageByStatement.containsKey(statement) ? usageByStatement.get(statement).bytes : 0;
-        long ofAll =
-                held == 0
+        StatementUsage usage = usageByStatement.get(statement);
+        long usedBytes = usage == null ? 0 : usage.bytes;
+        long totalLimit =
+                usedBytes == 0
                         ? limits.totalBytes
                         : Math.max(limits.totalBytes - limits.reserveBytes, bytes);
-        if (held + bytes > limits.statementBytes
-                || bytesByUser.getOrDefault(user, 0L) + bytes > limits.userBytes
-                || totalBytes + bytes > ofAll) {
+        if (usedBytes + bytes > limits.statementBytes
+                || usedBytesOf(user) + bytes > limits.userBytes
+                || totalBytes + bytes > totalLimit) {
             return Reservation.WAIT;
         }
-        usageByStatement.put(statement, new StatementUsage(user, held + bytes));
+        usageByStatement.put(statement, new StatementUsage(user, usedBytes + bytes));
         bytesByUser.merge(user, bytes, Long::sum);
         totalBytes += bytes;
         return Reservation.GRANTED;
     }
 
-    /** A statement lets go of so many bytes, at most of what it holds. */
+    /** Releases bytes of a statement, at most those that it has. */
     public void release(String statement, long bytes) {
-        StatementUsage holder = usageByStatement.get(statement);
-        if (holder == null) {
+        StatementUsage usage = usageByStatement.get(statement);
+        if (usage == null) {
             return;
         }
-        long given = Math.min(bytes, holder.bytes);
-        if (given == holder.bytes) {
+        long released = Math.min(bytes, usage.bytes);
+        if (released == usage.bytes) {
             usageByStatement.remove(statement);
         } else {
-            usageByStatement.put(statement, new StatementUsage(holder.user, holder.bytes - given));
+            usageByStatement.put(statement, new StatementUsage(usage.user, usage.bytes - released));
         }
-        bytesByUser.merge(holder.user, -given, (a, b) -> a + b == 0 ? null : a + b);
-        totalBytes -= given;
+        bytesByUser.merge(usage.user, -released, SpoolBudget::sumOrNull);
+        totalBytes -= released;
+    }
+
+    /** Returns null for a sum of 0, which removes a user from the map. */
+    private static Long sumOrNull(Long first, Long second) {
+        long sum = first + second;
+        return sum == 0 ? null : sum;
     }
 
-    /** Bytes taken of the router's budget. */
+    /** Returns the bytes used by all statements. */
     public long usedBytes() {
         return totalBytes;
     }
 
-    /** Bytes that a user's statements hold. */
+    /** Returns the bytes used by the statements of a user. */
     public long usedBytesOf(String user) {
         return bytesByUser.getOrDefault(user, 0L);
     }
--- a/router/src/main/java/ashlink/router/statement/StatementLifecycle.java
+++ b/router/src/main/java/ashlink/router/statement/StatementLifecycle.java
@@ -1,43 +1,43 @@
 package ashlink.router.statement;
 
 /**
- * The life of a statement whose client asks for its answer: under way, answered, its result
- * dropped, forgotten. Time only goes on; a statement is never brought back.
+ * The lifecycle of a statement whose client polls for its result: running, answered, discarded,
+ * removed. A state is never left for an earlier one, and time never goes back. Not safe for use by
+ * several threads; times are those of the caller in nanoseconds.
  */
 public final class StatementLifecycle {
 
-    /** Where it stands. */
+    /** The state of a statement. */
     public enum State {
-        /** Without a final answer. */
+        /** It has no final response. */
         RUNNING,
-        /** Answered; what there is of a result can be fetched. */
+        /** It has its final response; the result can be fetched. */
         ANSWERED,
-        /** Its result is dropped; it is answered as gone. */
+        /** Its result is deleted; clients are told so. */
         DISCARDED,
-        /** Nothing is known of it any more. */
+        /** It is no longer known. */
         REMOVED
     }
 
-    /** What is to be done about it. */
+    /** What the caller has to do about a statement. */
     public enum PendingAction {
-        /** Nothing yet. */
+        /** Nothing. */
         NONE,
-        /** Nobody asks for it: its work is to be called off. */
+        /** Cancel it, as no client polls it. */
         CANCEL,
-        /** Its result is to be dropped. */
+        /** Discard its result. */
         DISCARD,
-        /** It is to be forgotten. */
+        /** Remove it. */
         REMOVE
     }
 
     /**
-     * How long things last, in nanoseconds.
+     * The time limits of statements, in nanoseconds.
      *
-     * @param pollTimeoutNs a statement under way lasts that long without its client asking
-     * @param resultRetentionNs an answer lasts that long without its client asking
-     * @param completedRetentionNs an answer whose end was fetched lasts that long, for a client
-     *     that asks again
-     * @param tombstoneRetentionNs that long a dropped one is told from one that never was
+     * @param pollTimeoutNs time without a poll after which a running statement is cancelled
+     * @param resultRetentionNs time without a poll after which a result is discarded
+     * @param completedRetentionNs the same for a result whose last page was fetched
+     * @param tombstoneRetentionNs time after which a discarded statement is removed
      */
     public record Timeouts(
             long pollTimeoutNs,
@@ -53,66 +53,66 @@
     private int openPolls;
     private boolean lastPageFetched;
 
-    /** A statement that begins. */
-    public StatementLifecycle(Timeouts terms, long nowNs) {
-        this.timeouts = terms;
+    /** A statement that starts now. */
+    public StatementLifecycle(Timeouts timeouts, long nowNs) {
+        this.timeouts = timeouts;
         this.nowNs = nowNs;
         this.lastPollNs = nowNs;
     }
 
-    private void advanceClock(long now) {
-        nowNs = Math.max(nowNs, now);
+    private void advanceClock(long timeNs) {
+        nowNs = Math.max(nowNs, timeNs);
     }
 
-    /** Its client asks, and waits until {@link #pollEnded}. */
-    public void pollStarted(long now) {
-        advanceClock(now);
+    /** A poll starts; it lasts until {@link #pollEnded}. */
+    public void pollStarted(long timeNs) {
+        advanceClock(timeNs);
         openPolls++;
         lastPollNs = nowNs;
     }
 
-    /** Its client no longer waits; {@code end} true if it was given the end of the answer. */
-    public void pollEnded(boolean end, long now) {
-        advanceClock(now);
+    /** A poll ends; {@code lastPage} tells whether it returned the end of the result. */
+    public void pollEnded(boolean lastPage, long timeNs) {
+        advanceClock(timeNs);
         openPolls = Math.max(0, openPolls - 1);
         lastPollNs = nowNs;
-        lastPageFetched |= end;
+        lastPageFetched |= lastPage;
     }
 
-    /** It has its final answer; false if it was over already. */
-    public boolean complete(long now) {
-        advanceClock(now);
+    /** The statement has its final response; returns false if it had ended before. */
+    public boolean complete(long timeNs) {
+        advanceClock(timeNs);
         if (state != State.RUNNING) {
             return false;
         }
         state = State.ANSWERED;
-        lastPollNs = Math.max(lastPollNs, nowNs); // the time to fetch it starts with the answer
+        // The retention of the result starts now, even if nobody polled for long.
+        lastPollNs = nowNs;
         return true;
     }
 
-    /** Its result is dropped: by its client, or by a wish. */
-    public void discard(long now) {
-        advanceClock(now);
+    /** The result is discarded. */
+    public void discard(long timeNs) {
+        advanceClock(timeNs);
         if (state == State.RUNNING || state == State.ANSWERED) {
             state = State.DISCARDED;
             discardedNs = nowNs;
         }
     }
 
-    /** What is to be done now; whoever does it says so. */
-    public PendingAction pendingAction(long now) {
-        advanceClock(now);
+    /** Returns what has to be done now; the caller reports it by the methods of this class. */
+    public PendingAction pendingAction(long timeNs) {
+        advanceClock(timeNs);
         return switch (state) {
             case RUNNING ->
-                    openPolls == 0 && nowNs - lastPollNs >= timeouts.pollTimeoutNs()
+                    isUnpolledFor(timeouts.pollTimeoutNs())
                             ? PendingAction.CANCEL
                             : PendingAction.NONE;
             case ANSWERED ->
-                    openPolls == 0
-                                    && nowNs - lastPollNs
-                                            >= (lastPageFetched
-                                                    ? timeouts.completedRetentionNs()
-                                                    : timeouts.resultRetentionNs())
+                    isUnpolledFor(
+                                    lastPageFetched
+                                            ? timeouts.completedRetentionNs()
+                                            : timeouts.resultRetentionNs())
                             ? PendingAction.DISCARD
                             : PendingAction.NONE;
             case DISCARDED ->
@@ -123,17 +123,21 @@
         };
     }
 
-    /** Nothing is known of it from here on. */
+    private boolean isUnpolledFor(long durationNs) {
+        return openPolls == 0 && nowNs - lastPollNs >= durationNs;
+    }
+
+    /** The statement is removed. */
     public void remove() {
         state = State.REMOVED;
     }
 
-    /** Where it stands. */
+    /** Returns the state. */
     public State state() {
         return state;
     }
 
-    /** When its result was dropped; the oldest are forgotten first where there are too many. */
+    /** Returns the time at which the result was discarded. */
     public long discardedNs() {
         return discardedNs;
     }
