--- a/router/src/main/java/ashlink/router/classify/Classifier.java
+++ b/router/src/main/java/ashlink/router/classify/Classifier.java
@@ -52,26 +52,27 @@
         for (ClassRule rule : config.rules()) {
             number++;
             if (matches(rule, user, database, analysis, settings)) {
-                QueryClass queryClass = classes.get(rule.queryClass());
-                boolean named = !rule.keywords().isEmpty() || !rule.kinds().isEmpty();
-                boolean dropped =
-                        queryClass.retrySafety() == RetrySafety.DEDUPLICATED
-                                && named
-                                && analysis.kind() != Kind.UNKNOWN
-                                && analysis.kind() != Kind.SEVERAL;
-                if (analysis.harmless()
-                        || queryClass.retrySafety() == RetrySafety.AT_MOST_ONCE
-                        || dropped) {
-                    return new Decision(queryClass, number, false);
-                }
-                return new Decision(atMostOnce(queryClass), number, true);
+                return decide(rule, number, analysis);
             }
         }
-        return new Decision(
-                classes.get(
-                        analysis.harmless() ? config.defaultClass() : config.defaultWriteClass()),
-                0,
-                false);
+        String name = analysis.harmless() ? config.defaultClass() : config.defaultWriteClass();
+        return new Decision(classes.get(name), 0, false);
+    }
+
+    private Decision decide(ClassRule rule, int number, StatementAnalysis analysis) {
+        QueryClass queryClass = classes.get(rule.queryClass());
+        boolean named = !rule.keywords().isEmpty() || !rule.kinds().isEmpty();
+        boolean deduplicated =
+                queryClass.retrySafety() == RetrySafety.DEDUPLICATED
+                        && named
+                        && analysis.kind() != Kind.UNKNOWN
+                        && analysis.kind() != Kind.SEVERAL;
+        if (analysis.harmless()
+                || queryClass.retrySafety() == RetrySafety.AT_MOST_ONCE
+                || deduplicated) {
+            return new Decision(queryClass, number, false);
+        }
+        return new Decision(atMostOnce(queryClass), number, true);
     }
 
     private QueryClass atMostOnce(QueryClass queryClass) {
--- a/router/src/main/java/ashlink/router/spool/IdempotencyKeyLog.java
+++ b/router/src/main/java/ashlink/router/spool/IdempotencyKeyLog.java
@@ -18,27 +18,45 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps a table of keys on disk: a record for each change, in the log of captures. A key counts as
- * claimed once its record is synced; many claims share a sync. From time to time, and at each
- * start, the table is written anew and the log before is removed. Whoever else uses the table holds
- * its lock meanwhile, and never while it calls the journal.
+ * Stores a table of idempotency keys on the disk, as a log with a record for each change. A change
+ * is durable once its record is synced; concurrent changes share a sync. The log is compacted at
+ * each start, and when it has grown. Safe for use by several threads.
+ *
+ * <p>Lock order: {@code syncLock}, then this, then the table. Callers must not hold the lock of the
+ * table.
  */
 public final class IdempotencyKeyLog implements AutoCloseable {
 
     private static final Logger LOG = LoggerFactory.getLogger(IdempotencyKeyLog.class);
     private static final long SEGMENT_BYTES = 16L << 20;
+
+    // Kinds of records.
     private static final int PUT = 1;
     private static final int RELEASE = 2;
-    private static final int SLACK = 10_000;
 
+    /** Stored in place of an outcome for a statement without one. */
+    private static final int NO_OUTCOME = -1;
+
+    /** The log is compacted beyond this many records, and this many for each key. */
+    private static final int MIN_RECORDS = 10_000;
+
+    private static final long RECORDS_PER_KEY = 4L;
+
+    /** Guarded by this. */
     private final KeyValueLog log;
+
+    /** Guarded by itself. */
     private final IdempotencyKeyTable table;
-    private final Object syncing = new Object();
+
+    /** Held during a sync, so that records appended meanwhile share the next one. */
+    private final Object syncLock = new Object();
+
+    /** Records that are appended and not synced. Guarded by this. */
     private final List<Pending> pending = new ArrayList<>();
 
     /**
-     * Reads the table that the disk has, and goes on from there; what was under way has an unknown
-     * fate now.
+     * Reads the stored keys into a table, and compacts the log. Statements that were running have
+     * an unknown outcome from now on.
      */
     public IdempotencyKeyLog(Disk disk, IdempotencyKeyTable table, long nowMs) throws IOException {
         this.log = new KeyValueLog(disk, SEGMENT_BYTES, nowMs);
@@ -48,12 +66,14 @@
         rewrite();
     }
 
-    // ---- Reading
+    // Reading
+
     private void load() throws IOException {
         for (String damage :
-                log.read(r -> apply(new DataInputStream(new ByteArrayInputStream(r))))) {
+                log.read(record -> apply(new DataInputStream(new ByteArrayInputStream(record))))) {
             LOG.error(
-                    "the journal of keys is damaged in {}; keys after that place in it are lost",
+                    "idempotency key log damaged, later keys of the segment are lost"
+                            + " segment=\"{}\"",
                     damage);
         }
         for (Entry entry : table.entries()) {
@@ -71,20 +91,21 @@
         }
         String digest = in.readUTF();
         String statement = in.readUTF();
-        Status fate = Status.values()[in.readByte()];
-        int ending = in.readByte();
+        Status status = Status.values()[in.readByte()];
+        int outcome = in.readByte();
         table.put(
                 new Entry(
                         user,
                         key,
                         digest,
                         statement,
-                        fate,
-                        ending < 0 ? null : StatementOutcome.values()[ending],
+                        status,
+                        outcome < 0 ? null : StatementOutcome.values()[outcome],
                         in.readLong()));
     }
 
-    // ---- Writing
+    // Writing
+
     private static byte[] record(int kind, Entry entry) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
@@ -95,76 +116,80 @@
             out.writeUTF(entry.digest());
             out.writeUTF(entry.statement());
             out.writeByte(entry.status().ordinal());
-            out.writeByte(entry.outcome() == null ? -1 : entry.outcome().ordinal());
+            out.writeByte(entry.outcome() == null ? NO_OUTCOME : entry.outcome().ordinal());
             out.writeLong(entry.claimedMs());
         }
         return bytes.toByteArray();
     }
 
-    /** Keeps an entry as it is now; returns once that is on the disk. */
+    /** Stores an entry; returns once it is on the disk. */
     public void put(Entry entry) throws IOException {
         append(PUT, entry);
     }
 
-    /** Keeps that a key is free; returns once that is on the disk. */
+    /** Stores the release of a key; returns once it is on the disk. */
     public void release(Entry entry) throws IOException {
         append(RELEASE, entry);
     }
 
-    /** A record on its way to the disk. */
+    /** A record that is appended and not synced. */
     private static final class Pending {
         private boolean done;
-        private IOException failed;
+
+        /** Null if the record is on the disk. */
+        private IOException failure;
     }
 
     private void append(int kind, Entry entry) throws IOException {
         byte[] record = record(kind, entry);
-        Pending mine = new Pending();
+        Pending appended = new Pending();
         synchronized (this) {
             try {
                 log.append(record);
-            } catch (IOException x) {
-                settle(x); // what was appended before and not synced is not believed either
-                throw x;
+            } catch (IOException e) {
+                // Records that were appended before and not synced may be lost too.
+                settle(e);
+                throw e;
             }
-            pending.add(mine);
+            pending.add(appended);
         }
-        synchronized (syncing) {
-            if (!mine.done) {
+        synchronized (syncLock) {
+            if (!appended.done) {
                 synchronized (this) {
                     sync();
                 }
             }
         }
-        if (mine.failed != null) {
+        if (appended.failure != null) {
             throw new IOException(
-                    "the journal of keys fails: " + mine.failed.getMessage(), mine.failed);
+                    "the journal of keys fails: " + appended.failure.getMessage(),
+                    appended.failure);
         }
     }
 
     private void sync() {
-        IOException failed = null;
+        IOException failure = null;
         try {
             log.sync();
-        } catch (IOException x) {
-            failed = x;
+        } catch (IOException e) {
+            failure = e;
         }
-        settle(failed);
+        settle(failure);
     }
 
-    private void settle(IOException failed) {
-        for (Pending p : pending) {
-            p.failed = failed;
-            p.done = true;
+    private void settle(IOException failure) {
+        for (Pending record : pending) {
+            record.failure = failure;
+            record.done = true;
         }
         pending.clear();
     }
 
-    /** Writes the table anew where the log has grown far beyond it. */
+    /** Compacts the log if it has grown far beyond the table. */
     public void compact() throws IOException {
-        synchronized (syncing) {
+        synchronized (syncLock) {
             synchronized (this) {
-                if (log.written() > SLACK + 4L * keys()) {
+                if (log.written() > MIN_RECORDS + RECORDS_PER_KEY * keyCount()) {
                     sync();
                     rewrite();
                 }
@@ -172,7 +197,7 @@
         }
     }
 
-    private int keys() {
+    private int keyCount() {
         synchronized (table) {
             return table.size();
         }
--- a/router/src/main/java/ashlink/router/spool/PageStore.java
+++ b/router/src/main/java/ashlink/router/spool/PageStore.java
@@ -11,17 +11,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps pages: the first of a statement in memory, while there is some, the others in files under
- * the budget. Who stores a page waits until the budget has room.
+ * Stores pages of results: the first ones of a statement in memory, within a budget of its own, the
+ * others in files within the budget of the spool. Storing a page blocks until the budget allows it.
+ * Safe for use by several threads.
  */
 public final class PageStore {
 
     private static final Logger LOG = LoggerFactory.getLogger(PageStore.class);
 
-    /**
-     * A page that is kept: in {@code memory}, or in a file of {@code length} bytes with that
-     * checksum.
-     */
+    /** A stored page, in memory or in a file. */
     public static final class StoredPage {
         private final String statement;
         private final String file;
@@ -46,7 +44,7 @@
             this.budgeted = budgeted;
         }
 
-        /** Its length in bytes. */
+        /** Returns the length in bytes. */
         public int length() {
             return length;
         }
@@ -60,9 +58,9 @@
     /**
      * A store.
      *
-     * @param files where pages go that do not stay in memory; null: all stay there, under the same
-     *     budget
-     * @param memoryBytes bytes of a statement that stay in memory beside the budget
+     * @param files files of the spool; null keeps all pages in memory, within the same budget
+     * @param memory budget of pages in memory beside the budget of the spool
+     * @param memoryBytes limit of those pages for each statement
      */
     public PageStore(SpoolFiles files, SpoolBudget budget, Quota memory, long memoryBytes) {
         this.files = files;
@@ -72,10 +70,11 @@
     }
 
     /**
-     * Keeps a page.
+     * Stores the first {@code length} bytes as a page; blocks until the budget allows it.
      *
-     * @param before bytes of the statement that are in memory already
-     * @param over true once nobody wants it any more: ends the wait with an exception
+     * @param storedBytes bytes of the statement that are stored already
+     * @param cancelled ends the wait with an exception once it is true and {@link #wake} is called
+     * @throws IOException if the wait is cancelled, the page is too large, or the disk fails
      */
     public StoredPage store(
             String statement,
@@ -83,13 +82,13 @@
             int page,
             byte[] bytes,
             int length,
-            long before,
-            BooleanSupplier over)
+            long storedBytes,
+            BooleanSupplier cancelled)
             throws IOException, InterruptedException {
-        if (before + length <= memoryBytes && memory.take(length)) {
+        if (storedBytes + length <= memoryBytes && memory.take(length)) {
             return new StoredPage(statement, null, Arrays.copyOf(bytes, length), length, 0, false);
         }
-        reserve(statement, user, length, over);
+        reserve(statement, user, length, cancelled);
         if (files == null) {
             return new StoredPage(statement, null, Arrays.copyOf(bytes, length), length, 0, true);
         }
@@ -104,11 +103,11 @@
     }
 
     private synchronized void reserve(
-            String statement, String user, int length, BooleanSupplier over)
+            String statement, String user, int length, BooleanSupplier cancelled)
             throws IOException, InterruptedException {
         while (true) {
             Reservation verdict =
-                    over.getAsBoolean() ? null : budget.reserve(statement, user, length);
+                    cancelled.getAsBoolean() ? null : budget.reserve(statement, user, length);
             if (verdict == Reservation.GRANTED) {
                 return;
             }
@@ -129,8 +128,9 @@
     }
 
     /**
-     * The bytes of a page, exactly as they were stored; an exception where the disk does not give
-     * them back.
+     * Returns the bytes of a page.
+     *
+     * @throws IOException if they cannot be read or differ from those that were stored
      */
     public byte[] read(StoredPage stored) throws IOException {
         if (stored.memory != null) {
@@ -143,7 +143,7 @@
         return bytes;
     }
 
-    /** Lets go of a page. */
+    /** Releases a page; idempotent. */
     public void release(StoredPage stored) {
         synchronized (stored) {
             if (stored.released) {
@@ -155,7 +155,7 @@
             try {
                 files.delete(stored.file);
             } catch (IOException e) {
-                LOG.warn("a file of the spool stays behind until the next start: {}", e.toString());
+                LOG.warn("spool file not deleted until the next start error=\"{}\"", e.toString());
             }
         }
         if (stored.budgeted) {
@@ -170,31 +170,31 @@
         notifyAll();
     }
 
-    /** Wakes who waits, to look whether somebody still wants it. */
+    /** Wakes blocked threads, so that they check whether they are cancelled. */
     public synchronized void wake() {
         notifyAll();
     }
 
-    /** Bytes of the budget that are taken. */
+    /** Returns the used bytes of the spool's budget. */
     public synchronized long usedBytes() {
         return budget.usedBytes();
     }
 
-    /** Removes what earlier starts of this router left behind; returns how many files. */
+    /** Deletes the files of earlier starts of this router; returns their number. */
     public int deleteLeftovers() throws IOException {
-        int gone = 0;
+        int deleted = 0;
         if (files != null) {
             for (String name : files.list()) {
                 if (!files.isOwn(name)) {
                     files.delete(name);
-                    gone++;
+                    deleted++;
                 }
             }
         }
-        return gone;
+        return deleted;
     }
 
-    /** Ends the use of its files. */
+    /** Closes the files of the spool. */
     public void close() throws IOException {
         if (files != null) {
             files.close();
--- a/router/src/main/java/ashlink/router/spool/SpoolDirectory.java
+++ b/router/src/main/java/ashlink/router/spool/SpoolDirectory.java
@@ -14,53 +14,59 @@
 import java.util.regex.Pattern;
 
 /**
- * A spool in a folder, which routers of other names may share; a second router of the same name is
- * told so.
+ * The files of a spool in a directory, which routers of different names may share. A lock file
+ * keeps a second router of the same name out.
  */
 public final class SpoolDirectory implements SpoolFiles {
 
-    private final Path dir;
+    private final Path directory;
     private final String router;
     private final String boot;
-    private final Pattern pattern;
+    private final Pattern fileName;
     private final FileChannel lockFile;
     private final FileLock lock;
 
-    /** Opens the folder, and makes it where it is not there. */
-    public SpoolDirectory(Path dir, String router, String boot) throws IOException {
-        this.dir = dir;
+    /**
+     * Opens the directory; creates it where it does not exist.
+     *
+     * @param boot text that is unique to this start of the router
+     * @throws IOException if another router of the same name uses it
+     */
+    public SpoolDirectory(Path directory, String router, String boot) throws IOException {
+        this.directory = directory;
         this.router = router;
         this.boot = boot;
-        this.pattern =
+        this.fileName =
                 Pattern.compile(
                         Pattern.quote(router) + "\\.[0-9a-z]+\\.[A-Za-z0-9_-]+\\.[0-9]+\\.page");
-        Files.createDirectories(dir);
+        Files.createDirectories(directory);
         lockFile =
                 FileChannel.open(
-                        dir.resolve(router + ".lock"),
+                        directory.resolve(router + ".lock"),
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE);
-        FileLock held = null;
+        FileLock acquired = null;
         try {
-            held = lockFile.tryLock();
+            acquired = lockFile.tryLock();
         } catch (OverlappingFileLockException e) {
-            // held within this process: said below
+            // Held within this process; reported like a lock of another process.
         }
-        if (held == null) {
+        if (acquired == null) {
             lockFile.close();
-            throw new IOException("another router named " + router + " uses the spool " + dir);
+            throw new IOException(
+                    "another router named " + router + " uses the spool " + directory);
         }
-        lock = held;
+        lock = acquired;
     }
 
     @Override
     public void write(String name, byte[] bytes, int length) throws IOException {
-        Path file = dir.resolve(name);
+        Path file = directory.resolve(name);
         try (FileChannel out =
                 FileChannel.open(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE)) {
-            ByteBuffer left = ByteBuffer.wrap(bytes, 0, length);
-            while (left.hasRemaining()) {
-                out.write(left);
+            ByteBuffer remaining = ByteBuffer.wrap(bytes, 0, length);
+            while (remaining.hasRemaining()) {
+                out.write(remaining);
             }
         } catch (IOException e) {
             Files.deleteIfExists(file);
@@ -70,20 +76,20 @@
 
     @Override
     public byte[] read(String name) throws IOException {
-        return Files.readAllBytes(dir.resolve(name));
+        return Files.readAllBytes(directory.resolve(name));
     }
 
     @Override
     public void delete(String name) throws IOException {
-        Files.deleteIfExists(dir.resolve(name));
+        Files.deleteIfExists(directory.resolve(name));
     }
 
     @Override
     public List<String> list() throws IOException {
         List<String> names = new ArrayList<>();
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(dir)) {
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(directory)) {
             for (Path path : files) {
-                if (pattern.matcher(path.getFileName().toString()).matches()) {
+                if (fileName.matcher(path.getFileName().toString()).matches()) {
                     names.add(path.getFileName().toString());
                 }
             }
@@ -93,10 +99,8 @@
 
     @Override
     public String name(String statement, int page) {
-        String own =
-                statement.substring(
-                        statement.lastIndexOf('~')
-                                + 1); // without the router's name, which may have any form
+        // The name of the router in an identifier may not be safe in a file name.
+        String own = statement.substring(statement.lastIndexOf('~') + 1);
         return router + "." + boot + "." + own + "." + page + ".page";
     }
 
--- a/router/src/main/java/ashlink/router/spool/SpoolFiles.java
+++ b/router/src/main/java/ashlink/router/spool/SpoolFiles.java
@@ -4,24 +4,24 @@
 import java.io.IOException;
 import java.util.List;
 
-/** The files of a spool, as far as it needs them; tests put faults behind it. */
+/** The files of a spool; tests inject faults through it. */
 public interface SpoolFiles extends Closeable {
 
-    /** Writes a new file; after an exception it is not there. */
+    /** Creates a file of the first {@code length} bytes; after an exception it does not exist. */
     void write(String name, byte[] bytes, int length) throws IOException;
 
-    /** All bytes of a file. */
+    /** Returns the content of a file. */
     byte[] read(String name) throws IOException;
 
-    /** Removes a file; one that is not there is no error. */
+    /** Deletes a file if it exists. */
     void delete(String name) throws IOException;
 
-    /** Names of all files that belong to this router, of this start and earlier ones. */
+    /** Returns the names of all files of this router, of this start and of earlier ones. */
     List<String> list() throws IOException;
 
-    /** The name of a page's file, of this start. */
+    /** Returns the name of the file of a page, for this start. */
     String name(String statement, int page);
 
-    /** True for a file of this start. */
+    /** Tells whether a file belongs to this start. */
     boolean isOwn(String name);
 }
--- a/router/src/main/java/ashlink/router/spool/package-info.java
+++ b/router/src/main/java/ashlink/router/spool/package-info.java
@@ -1,5 +1,2 @@
-/**
- * Where results wait for their clients, and where keys outlive a router: files, and what is sure of
- * them.
- */
+/** Durable state of the HTTP API: the spool of results, and the log of idempotency keys. */
 package ashlink.router.spool;
