--- a/router/src/main/java/ashlink/router/Router.java
+++ b/router/src/main/java/ashlink/router/Router.java
@@ -15,7 +15,6 @@
 import ashlink.router.core.Core;
 import ashlink.router.core.CoreClock;
 import ashlink.router.core.PrometheusRequestMetrics;
-import ashlink.router.discovery.EndpointListStore;
 import ashlink.router.frontend.ListenerContext;
 import ashlink.router.frontend.MemoryQuota;
 import ashlink.router.frontend.NativeListener;
@@ -30,29 +29,27 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.ScheduledThreadPoolExecutor;
-import java.util.concurrent.SynchronousQueue;
 import java.util.concurrent.ThreadPoolExecutor;
-import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Function;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * A router: its parts put together, started, reloaded and stopped. Several can live in one process
- * and share nothing.
+ * A router: assembles its parts, and starts, reloads and stops them. Several routers in one process
+ * share nothing.
  */
 public final class Router {
 
     private static final Logger LOG = LoggerFactory.getLogger(Router.class);
-    private static final String LIST_FILE = "engines.list";
-    private static final long KEEP_NS = 1_000_000_000L;
-    private static final long LAST_RUNS_NS = 5 * KEEP_NS;
+    private static final long NS_PER_S = 1_000_000_000L;
+    private static final long UPKEEP_INTERVAL_NS = NS_PER_S;
+    private static final long UPKEEP_DEADLINE_NS = 10 * NS_PER_S;
 
-    /** Events that wait for decisions from which on background work has the least share. */
-    private static final double PRESSED = 256;
+    /** Time for background tasks to run a last time at shutdown. */
+    private static final long BACKGROUND_STOP_TIMEOUT_NS = 5 * NS_PER_S;
 
-    private static final long WORKER_IDLE_S = 10;
+    /** Queued events from which on background tasks get their smallest part of the CPU. */
+    private static final double MAX_PRESSURE_EVENTS = 256;
 
     private final CoreClock clock = new CoreClock();
     private final ThreadPoolExecutor workers;
@@ -61,130 +58,116 @@
     private final EngineConnections engines;
     private final NativeListener listener;
     private final Scheduler background;
+
+    /** Null without the HTTP API. */
     private final HttpListener http;
-    private final EndpointListStore store;
+
+    private final EndpointCache endpointCache;
+
+    /** Null without a metrics endpoint. */
     private final HTTPServer metrics;
+
     private final PrometheusRegistry registry = new PrometheusRegistry();
-    private final WorkloadManager gateway;
+    private final WorkloadManager module;
     private volatile RouterConfig config;
     private volatile Classifier classifier;
+
+    /** Null before the start. */
     private RouterCapture capture;
-    private List<Endpoint> kept = List.of();
 
-    /** A router that decides by {@link DefaultWorkloadManager}. */
+    /** A router with the {@link DefaultWorkloadManager}. */
     public Router(RouterConfig config) throws IOException {
         this(config, DefaultWorkloadManager::new);
     }
 
-    /** A router that decides by another module: a baseline. */
-    public Router(RouterConfig config, Function<Settings, WorkloadManager> module)
+    /**
+     * A router with another decision module, such as a baseline.
+     *
+     * @param moduleFactory creates the decision module
+     * @throws IOException if an address cannot be bound or a directory is in use
+     */
+    public Router(RouterConfig config, Function<Settings, WorkloadManager> moduleFactory)
             throws IOException {
         this.config = config;
         this.classifier = new Classifier(config);
-        RouterConfig.Bounds bounds = config.bounds();
-        AtomicInteger number = new AtomicInteger();
-        // Each open request needs one thread at most, and one more to write an answer while another
-        // is blocked.
-        workers =
-                new ThreadPoolExecutor(
-                        0,
-                        2 * bounds.openRequests() + 64,
-                        WORKER_IDLE_S,
-                        TimeUnit.SECONDS,
-                        new SynchronousQueue<>(),
-                        task -> {
-                            Thread thread =
-                                    new Thread(
-                                            null,
-                                            task,
-                                            config.name() + "-worker-" + number.incrementAndGet(),
-                                            bounds.stackBytes());
-                            thread.setDaemon(true);
-                            return thread;
-                        });
-        timer =
-                new ScheduledThreadPoolExecutor(
-                        1,
-                        task -> {
-                            Thread thread = new Thread(task, config.name() + "-front-timer");
-                            thread.setDaemon(true);
-                            return thread;
-                        });
-        timer.setRemoveOnCancelPolicy(true);
-        WireLimits wireLimits = WireLimits.DEFAULT;
-        WireLimits limits =
-                new WireLimits(
-                        wireLimits.nameBytes(),
-                        wireLimits.textBytes(),
-                        wireLimits.settings(),
-                        wireLimits.columns(),
-                        bounds.packet(),
-                        wireLimits.frameBytes());
+        workers = RouterExecutors.workers(config);
+        timer = RouterExecutors.timer(config);
+        WireLimits limits = wireLimits(config);
         engines = new EngineConnections(config, clock, workers, limits);
-        gateway = module.apply(config.settings());
+        module = moduleFactory.apply(config.settings());
         core =
                 new Core(
                         config.name(),
-                        gateway,
+                        module,
                         config.allClasses(),
                         engines,
                         clock,
-                        bounds.queue(),
-                        bounds.openRequests(),
+                        config.bounds().queue(),
+                        config.bounds().openRequests(),
                         new PrometheusRequestMetrics(registry));
-        String boot = Long.toString(System.currentTimeMillis(), Character.MAX_RADIX);
-        ListenerContext context =
-                new ListenerContext(
-                        () -> this.config,
-                        core,
-                        engines,
-                        workers,
-                        timer,
-                        limits,
-                        new MemoryQuota(bounds.heldAnswers()),
-                        new MemoryQuota(bounds.heldInserts()),
-                        () -> classifier,
-                        new StatementAnalyzer(),
-                        new UnsupportedStatementLog(),
-                        boot);
+        ListenerContext context = listenerContext(limits);
         listener = new NativeListener(context);
         background = new Scheduler(config.name(), Limits.DEFAULT, config.seed(), this::pressure);
         http =
                 config.http().listen() == null
                         ? null
                         : new HttpListener(context, background, registry);
-        store =
-                config.stateDir() == null
-                        ? null
-                        : new EndpointListStore(config.stateDir().resolve(LIST_FILE));
-        InetSocketAddress at = config.metrics();
-        metrics =
-                at == null
-                        ? null
-                        : HTTPServer.builder()
-                                .inetAddress(at.getAddress())
-                                .port(at.getPort())
-                                .registry(registry)
-                                .buildAndStart();
+        endpointCache = new EndpointCache(config, clock);
+        metrics = config.metrics() == null ? null : startMetrics(config.metrics());
     }
 
-    /** Starts: the list first, then the clients. */
+    private static WireLimits wireLimits(RouterConfig config) {
+        WireLimits defaults = WireLimits.DEFAULT;
+        return new WireLimits(
+                defaults.nameBytes(),
+                defaults.textBytes(),
+                defaults.settings(),
+                defaults.columns(),
+                config.bounds().packet(),
+                defaults.frameBytes());
+    }
+
+    private ListenerContext listenerContext(WireLimits limits) {
+        String boot = Long.toString(System.currentTimeMillis(), Character.MAX_RADIX);
+        return new ListenerContext(
+                () -> config,
+                core,
+                engines,
+                workers,
+                timer,
+                limits,
+                new MemoryQuota(config.bounds().heldAnswers()),
+                new MemoryQuota(config.bounds().heldInserts()),
+                () -> classifier,
+                new StatementAnalyzer(),
+                new UnsupportedStatementLog(),
+                boot);
+    }
+
+    private HTTPServer startMetrics(InetSocketAddress address) throws IOException {
+        return HTTPServer.builder()
+                .inetAddress(address.getAddress())
+                .port(address.getPort())
+                .registry(registry)
+                .buildAndStart();
+    }
+
+    /** Starts the router: the endpoints first, then the listeners. */
     public void start() {
-        if (store != null) {
-            try {
-                kept = store.load(clock.nowNs(), System.currentTimeMillis());
-            } catch (IOException e) {
-                LOG.warn("the kept list of engines is not used: {}", e.getMessage());
-            }
-        }
-        capture = RouterCapture.start(config, gateway.getClass(), core, registry);
+        List<Endpoint> cachedEndpoints = endpointCache.load();
+        capture = RouterCapture.start(config, module.getClass(), core, registry);
         core.start();
-        engines.start(core::announce, kept);
+        engines.start(core::announce, cachedEndpoints);
         background.add(
-                TaskSpec.every("list.keep", Priority.HIGH, KEEP_NS, 10 * KEEP_NS).alsoAtStop(),
-                lease -> keep());
+                TaskSpec.every("list.keep", Priority.HIGH, UPKEEP_INTERVAL_NS, UPKEEP_DEADLINE_NS)
+                        .alsoAtStop(),
+                lease -> endpointCache.save(engines.endpoints()));
         background.add(
-                TaskSpec.every("engines.close-idle", Priority.NORMAL, KEEP_NS, 10 * KEEP_NS),
+                TaskSpec.every(
+                        "engines.close-idle",
+                        Priority.NORMAL,
+                        UPKEEP_INTERVAL_NS,
+                        UPKEEP_DEADLINE_NS),
                 lease -> engines.closeIdle());
         listener.start();
         if (http != null) {
@@ -197,137 +180,95 @@
                 .log("started");
     }
 
-    /** How hard service is pressed: by the part of its queue that is taken. */
+    /** Returns the load of the decision thread from 0 to 1, by its queue. */
     private double pressure() {
-        return core == null ? 0 : Math.min(1, core.queued() / PRESSED);
-    }
-
-    /** Keeps the list where it has changed. */
-    private void keep() throws IOException {
-        List<Endpoint> now = engines.endpoints();
-        if (store != null && !now.equals(kept)) {
-            store.save(now, clock.nowNs(), System.currentTimeMillis());
-            kept = now;
-        }
+        return core == null ? 0 : Math.min(1, core.queued() / MAX_PRESSURE_EVENTS);
     }
 
-    /** Where clients connect. */
+    /** Returns the address of the native protocol. */
     public InetSocketAddress address() {
         return listener.address();
     }
 
-    /** Where statements are taken over HTTP, or null. */
+    /** Returns the address of the HTTP API, or null. */
     public InetSocketAddress httpAddress() {
         return http == null ? null : http.address();
     }
 
-    /** The front over HTTP, or null. */
+    /** Returns the listener of the HTTP API, or null. */
     public HttpListener http() {
         return http;
     }
 
-    /** What runs beside the service. */
+    /** Returns the scheduler of background tasks. */
     public Scheduler background() {
         return background;
     }
 
-    /** The core, for who watches it. */
+    /** Returns the core. */
     public Core core() {
         return core;
     }
 
-    /** The list says that of an engine. */
+    /** Sets the state of an engine by the endpoint list. */
     public void phase(String engine, EndpointState phase) {
         engines.setState(engine, phase);
     }
 
-    /** These engines get no fresh work, whatever the list says; also before the start. */
+    /** Sets the engines that operators drain; also allowed before the start. */
     public void drained(Set<String> names) {
         engines.setDrained(names);
     }
 
-    /** Takes no fresh requests, or does again. */
+    /** Rejects new requests, or accepts them again. */
     public void refuse(boolean refuses) {
         core.rejectNew(refuses);
     }
 
-    /** Takes new settings: engines, users, and rules of classes; the rest needs a restart. */
+    /** Replaces the engines, users and classification rules; the rest needs a restart. */
     public void reload(RouterConfig next) {
-        RouterConfig old = config;
-        if (!next.settings().equals(old.settings())
-                || !next.bounds().equals(old.bounds())
-                || !next.listen().equals(old.listen())) {
+        if (ConfigReload.needsRestart(config, next)) {
             LOG.warn(
                     "reload: classes, kinds, limits, bounds and addresses change at a restart"
                             + " only");
         }
-        config =
-                new RouterConfig(
-                        old.name(),
-                        old.zone(),
-                        old.seed(),
-                        old.gateways(),
-                        old.position(),
-                        old.listen(),
-                        old.metrics(),
-                        old.stateDir(),
-                        old.bounds(),
-                        old.kinds(),
-                        next.engines(),
-                        old.classes(),
-                        next.rules().stream()
-                                .filter(
-                                        classRule ->
-                                                old.classes().containsKey(classRule.queryClass()))
-                                .toList(),
-                        old.defaultClass(),
-                        old.defaultWriteClass(),
-                        next.users(),
-                        old.tenants(),
-                        old.overShareWorth(),
-                        old.allowed(),
-                        old.limits(),
-                        old.gauges(),
-                        old.engineLogin(),
-                        old.capture(),
-                        old.http(),
-                        old.control());
+        config = ConfigReload.merge(config, next);
         classifier = new Classifier(config);
         engines.configure(next.engines().values());
         LOG.info("reloaded");
     }
 
     /**
-     * Takes no more, lets work finish up to the limit of the settings, answers the rest, and
-     * closes.
+     * Shuts down gracefully: rejects new requests, waits for open ones up to the limit of the
+     * settings, responds to the rest, and closes.
      */
     public void stop() throws InterruptedException {
         try {
             listener.stopAccepting();
         } catch (IOException e) {
-            LOG.warn("stop: {}", e.toString());
+            LOG.warn("listener close failed error=\"{}\"", e.toString());
         }
-        long from = System.nanoTime();
+        long stopStartNs = System.nanoTime();
         if (http != null) {
             http.refuseNew();
         }
         core.drain(config.bounds().stopNs());
         if (http != null) {
-            http.awaitFetched(config.bounds().stopNs() - (System.nanoTime() - from));
+            http.awaitFetched(config.bounds().stopNs() - (System.nanoTime() - stopStartNs));
             http.stop();
         }
-        background.stop(LAST_RUNS_NS);
-        end();
+        background.stop(BACKGROUND_STOP_TIMEOUT_NS);
+        release();
         capture.stop();
         LOG.info("stopped");
     }
 
-    /** Ends at once, as a crash would: nothing is answered and nothing kept. */
+    /** Stops at once, like a crash: nothing is responded to and nothing is stored. */
     public void kill() {
         try {
             listener.stopAccepting();
         } catch (IOException e) {
-            LOG.warn("kill: {}", e.toString());
+            LOG.warn("listener close failed error=\"{}\"", e.toString());
         }
         if (capture != null) {
             capture.kill();
@@ -336,10 +277,10 @@
             http.kill();
         }
         background.kill();
-        end();
+        release();
     }
 
-    private void end() {
+    private void release() {
         listener.closeAll();
         core.kill();
         timer.shutdownNow();
--- a/router/src/main/java/ashlink/router/RouterCapture.java
+++ b/router/src/main/java/ashlink/router/RouterCapture.java
@@ -16,28 +16,32 @@
 import java.security.SecureRandom;
 import java.util.HexFormat;
 import java.util.List;
+import java.util.function.UnaryOperator;
 import javax.crypto.Mac;
 import javax.crypto.spec.SecretKeySpec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Captures what a router's module is told and does. No capture is no reason not to serve. */
+/**
+ * The capture of a router's decisions. A capture that cannot be written never keeps the router from
+ * serving.
+ */
 final class RouterCapture {
 
     private static final Logger LOG = LoggerFactory.getLogger(RouterCapture.class);
-    private static final long RETRY_NS = 500_000_000L;
+    private static final long DISK_RETRY_NS = 500_000_000L;
     private static final String MAC = "HmacSHA256";
-    private static final int KEY_BYTES = 8;
+    private static final int HASHED_KEY_BYTES = 8;
+    private static final int SECRET_BYTES = 32;
 
+    /** Null if nothing is captured. */
     private final Recorder recorder;
 
     private RouterCapture(Recorder recorder) {
         this.recorder = recorder;
     }
 
-    /**
-     * Starts to capture, where the settings ask for it and the folder lets it; else does nothing.
-     */
+    /** Starts the capture if the settings have a directory for it and the directory is free. */
     static RouterCapture start(
             RouterConfig config,
             Class<? extends WorkloadManager> module,
@@ -56,35 +60,39 @@
                             spec.keptBytes(),
                             spec.queue(),
                             spec.syncNs(),
-                            RETRY_NS,
-                            hashing(spec.keySecret()));
+                            DISK_RETRY_NS,
+                            keyHash(spec.keySecret()));
             recorder.record(
                     new Entry.Start(ModuleHash.of(module), config.settings(), config.name()));
             core.observe(
                     (event, now, actions) ->
                             recorder.record(new Entry.Step(event, now, List.copyOf(actions))));
-            GaugeWithCallback.builder()
-                    .name("ashlink_capture_gaps")
-                    .help("Gaps in the capture since the start")
-                    .callback(callback -> callback.call(recorder.gaps()))
-                    .register(registry);
-            GaugeWithCallback.builder()
-                    .name("ashlink_capture_dropped")
-                    .help("Entries dropped and not told of yet")
-                    .callback(callback -> callback.call(recorder.dropped()))
-                    .register(registry);
+            registerMetrics(recorder, registry);
             return new RouterCapture(recorder);
         } catch (IOException e) {
-            LOG.error("nothing is captured: {}", e.toString());
+            LOG.error("capture disabled error=\"{}\"", e.toString());
             return new RouterCapture(null);
         }
     }
 
-    /** Keys tell of customers: they are kept as keyed hashes, equal where they are equal. */
-    private static java.util.function.UnaryOperator<String> hashing(String secret) {
+    private static void registerMetrics(Recorder recorder, PrometheusRegistry registry) {
+        GaugeWithCallback.builder()
+                .name("ashlink_capture_gaps")
+                .help("Gaps in the capture since the start")
+                .callback(callback -> callback.call(recorder.gaps()))
+                .register(registry);
+        GaugeWithCallback.builder()
+                .name("ashlink_capture_dropped")
+                .help("Entries dropped and not told of yet")
+                .callback(callback -> callback.call(recorder.dropped()))
+                .register(registry);
+    }
+
+    /** Returns the hash of ordering keys, which may identify customers. */
+    private static UnaryOperator<String> keyHash(String secret) {
         byte[] key = secret.getBytes(StandardCharsets.UTF_8);
         if (key.length == 0) {
-            key = new byte[32];
+            key = new byte[SECRET_BYTES];
             new SecureRandom().nextBytes(key);
         }
         SecretKeySpec spec = new SecretKeySpec(key, MAC);
@@ -94,9 +102,11 @@
                 mac.init(spec);
                 return HexFormat.of()
                         .formatHex(
-                                mac.doFinal(text.getBytes(StandardCharsets.UTF_8)), 0, KEY_BYTES);
+                                mac.doFinal(text.getBytes(StandardCharsets.UTF_8)),
+                                0,
+                                HASHED_KEY_BYTES);
             } catch (GeneralSecurityException e) {
-                throw new IllegalStateException(e);
+                throw new IllegalStateException("every Java platform has " + MAC, e);
             }
         };
     }
@@ -106,7 +116,7 @@
             try {
                 recorder.close();
             } catch (IOException e) {
-                LOG.warn("capture: {}", e.toString());
+                LOG.warn("capture close failed error=\"{}\"", e.toString());
             }
         }
     }
@@ -116,7 +126,7 @@
             try {
                 recorder.kill();
             } catch (IOException e) {
-                LOG.warn("capture: {}", e.toString());
+                LOG.warn("capture close failed error=\"{}\"", e.toString());
             }
         }
     }
--- /dev/null
+++ b/router/src/main/java/ashlink/router/RouterExecutors.java
@@ -0,0 +1,62 @@
+package ashlink.router;
+
+import ashlink.config.RouterConfig;
+import java.util.concurrent.ScheduledThreadPoolExecutor;
+import java.util.concurrent.SynchronousQueue;
+import java.util.concurrent.ThreadFactory;
+import java.util.concurrent.ThreadPoolExecutor;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
+
+/** Creates the executors of a router; all threads are daemons. */
+final class RouterExecutors {
+
+    private static final long WORKER_IDLE_S = 10;
+
+    /**
+     * Each open request needs one thread for its attempt, and one to write a final response while
+     * another is blocked.
+     */
+    private static final int WORKERS_PER_REQUEST = 2;
+
+    /** Workers for health checks and other short tasks. */
+    private static final int EXTRA_WORKERS = 64;
+
+    private RouterExecutors() {}
+
+    /** Creates the executor of attempts; it rejects tasks beyond its limit instead of queueing. */
+    static ThreadPoolExecutor workers(RouterConfig config) {
+        int maxWorkers = WORKERS_PER_REQUEST * config.bounds().openRequests() + EXTRA_WORKERS;
+        return new ThreadPoolExecutor(
+                0,
+                maxWorkers,
+                WORKER_IDLE_S,
+                TimeUnit.SECONDS,
+                new SynchronousQueue<>(),
+                workerFactory(config.name(), config.bounds().stackBytes()));
+    }
+
+    private static ThreadFactory workerFactory(String routerName, long stackBytes) {
+        AtomicInteger lastNumber = new AtomicInteger();
+        return task -> {
+            String name = routerName + "-worker-" + lastNumber.incrementAndGet();
+            Thread thread = new Thread(null, task, name, stackBytes);
+            thread.setDaemon(true);
+            return thread;
+        };
+    }
+
+    /** Creates the executor of timeouts, with a single thread. */
+    static ScheduledThreadPoolExecutor timer(RouterConfig config) {
+        ScheduledThreadPoolExecutor timer =
+                new ScheduledThreadPoolExecutor(
+                        1,
+                        task -> {
+                            Thread thread = new Thread(task, config.name() + "-front-timer");
+                            thread.setDaemon(true);
+                            return thread;
+                        });
+        timer.setRemoveOnCancelPolicy(true);
+        return timer;
+    }
+}
