--- a/router/src/main/java/ashlink/router/Router.java
+++ b/router/src/main/java/ashlink/router/Router.java
@@ -250,7 +250,7 @@
         }
         long stopStartNs = System.nanoTime();
         if (http != null) {
-            http.refuseNew();
+            http.rejectNew();
         }
         core.drain(config.bounds().stopNs());
         if (http != null) {
--- a/router/src/main/java/ashlink/router/http/HeaderTimeoutGuard.java
+++ b/router/src/main/java/ashlink/router/http/HeaderTimeoutGuard.java
@@ -5,22 +5,24 @@
 import org.eclipse.jetty.io.Connection;
 
 /**
- * Closes connections whose next request does not come whole in time: bytes that drip in keep a
- * connection from being idle, and so need a limit of their own.
+ * Closes connections whose next request does not arrive completely in time. Bytes that arrive
+ * slowly prevent the idle timeout, so they need a limit of their own.
  */
 final class HeaderTimeoutGuard implements Connection.Listener {
 
     private static final class Observation {
         long messages;
         long bytes;
-        long sinceNs = -1;
+
+        /** Time at which the first byte of a request was seen; negative without one. */
+        long startedNs = -1;
     }
 
-    private final long limitNs;
+    private final long timeoutNs;
     private final Map<Connection, Observation> connections = new ConcurrentHashMap<>();
 
-    HeaderTimeoutGuard(long limitNs) {
-        this.limitNs = limitNs;
+    HeaderTimeoutGuard(long timeoutNs) {
+        this.timeoutNs = timeoutNs;
     }
 
     @Override
@@ -33,7 +35,7 @@
         connections.remove(connection);
     }
 
-    /** Looks at all connections; called from time to time. */
+    /** Checks all connections; called by one thread, several times within the timeout. */
     void checkAll(long nowNs) {
         connections.forEach(
                 (connection, seen) -> {
@@ -43,10 +45,10 @@
                     if (messages != seen.messages || !idle) {
                         seen.messages = messages;
                         seen.bytes = bytes;
-                        seen.sinceNs = -1;
-                    } else if (bytes != seen.bytes && seen.sinceNs < 0) {
-                        seen.sinceNs = nowNs;
-                    } else if (seen.sinceNs >= 0 && nowNs - seen.sinceNs > limitNs) {
+                        seen.startedNs = -1;
+                    } else if (bytes != seen.bytes && seen.startedNs < 0) {
+                        seen.startedNs = nowNs;
+                    } else if (seen.startedNs >= 0 && nowNs - seen.startedNs > timeoutNs) {
                         connection.getEndPoint().close();
                     }
                 });
--- a/router/src/main/java/ashlink/router/http/HttpAuthenticator.java
+++ b/router/src/main/java/ashlink/router/http/HttpAuthenticator.java
@@ -8,27 +8,33 @@
 import java.util.concurrent.Semaphore;
 
 /**
- * Basic authentication of the users of the native front. Who names nobody is the user {@code
- * default}. A check of a new password is dear: only a few threads of the server may be in one, so
- * that a flood of them costs the others nothing.
+ * Basic authentication with the users of the native protocol; a request without credentials is of
+ * the user {@code default}. Verifying a password is slow, so only a few threads do it at once, and
+ * a flood of logins does not block other requests. Safe for use by several threads.
  */
 final class HttpAuthenticator {
 
-    private static final int AT_ONCE = 4;
-    private static final int MOST_BYTES = 4_096;
+    private static final String SCHEME = "Basic ";
+    private static final int MAX_CONCURRENT_CHECKS = 4;
+    private static final int MAX_HEADER_CHARS = 4_096;
 
-    /** Who asks; {@code user} null: not known, or {@code busy} with the checks of others. */
+    /**
+     * The result of an authentication.
+     *
+     * @param user the user; null if the credentials are wrong or were not checked
+     * @param busy whether the credentials were not checked, as too many checks are running
+     */
     record AuthenticationResult(String user, boolean busy) {}
 
-    private final CredentialCache logins = new CredentialCache();
-    private final Semaphore checks = new Semaphore(AT_ONCE);
+    private final CredentialCache credentials = new CredentialCache();
+    private final Semaphore checks = new Semaphore(MAX_CONCURRENT_CHECKS);
 
     AuthenticationResult check(Map<String, UserSpec> users, String authorization)
             throws InterruptedException {
         String user = "default";
         String password = "";
         if (authorization != null) {
-            String pair = pair(authorization);
+            String pair = decode(authorization);
             int colon = pair.indexOf(':');
             if (colon < 0) {
                 return new AuthenticationResult(null, false);
@@ -36,7 +42,7 @@
             user = pair.substring(0, colon);
             password = pair.substring(colon + 1);
         }
-        if (logins.isKnown(users, user, password)) {
+        if (credentials.isKnown(users, user, password)) {
             return new AuthenticationResult(user, false);
         }
         if (!checks.tryAcquire()) {
@@ -44,20 +50,20 @@
         }
         try {
             return new AuthenticationResult(
-                    logins.check(users, user, password) ? user : null, false);
+                    credentials.check(users, user, password) ? user : null, false);
         } finally {
             checks.release();
         }
     }
 
-    private static String pair(String authorization) {
-        if (authorization.length() > MOST_BYTES
-                || !authorization.regionMatches(true, 0, "Basic ", 0, 6)) {
+    private static String decode(String authorization) {
+        if (authorization.length() > MAX_HEADER_CHARS
+                || !authorization.regionMatches(true, 0, SCHEME, 0, SCHEME.length())) {
             return "";
         }
         try {
             return new String(
-                    Base64.getDecoder().decode(authorization.substring(6).trim()),
+                    Base64.getDecoder().decode(authorization.substring(SCHEME.length()).trim()),
                     StandardCharsets.UTF_8);
         } catch (IllegalArgumentException e) {
             return "";
--- a/router/src/main/java/ashlink/router/http/HttpListener.java
+++ b/router/src/main/java/ashlink/router/http/HttpListener.java
@@ -29,75 +29,109 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The HTTP server of a router: put together, started and stopped. */
+/** The HTTP server of a router: assembles its parts, and starts and stops them. */
 public final class HttpListener {
 
     private static final Logger LOG = LoggerFactory.getLogger(HttpListener.class);
-    private static final long MS = 1_000_000L;
-    private static final long S = 1_000 * MS;
-    private static final int THREADS = 64;
+    private static final long NS_PER_MS = 1_000_000L;
+    private static final long NS_PER_S = 1_000 * NS_PER_MS;
+    private static final int MAX_THREADS = 64;
+    private static final int MIN_THREADS = 4;
+    private static final int ACCEPTORS = 1;
+    private static final int SELECTORS = 2;
+    private static final int ACCEPT_BACKLOG = 1024;
+    private static final long FETCH_POLL_MS = 10;
+    private static final String KEY_DIRECTORY = "keys";
+
+    /** Part of the spool that is reserved for statements that store nothing yet. */
+    private static final int SPOOL_RESERVE_DIVISOR = 8;
 
     private final HttpSpec spec;
     private final Server server;
     private final ServerConnector connector;
     private final PageStore store;
     private final StatementRegistry registry;
-    private final HeaderTimeoutGuard watch;
+    private final HeaderTimeoutGuard headerTimeoutGuard;
     private final Scheduler background;
 
-    /** A front that is not started; {@code stateDir} null: keys live as long as the router. */
+    /**
+     * A listener that is not started.
+     *
+     * @throws IOException if a directory of the settings cannot be used
+     */
     public HttpListener(ListenerContext context, Scheduler background, PrometheusRegistry metrics)
             throws IOException {
-        this(context, background, metrics, files(context));
-    }
-
-    private HttpListener(
-            ListenerContext context,
-            Scheduler background,
-            PrometheusRegistry metrics,
-            SpoolFiles files)
-            throws IOException {
         RouterConfig config = context.config();
         this.spec = config.http();
         this.background = background;
-        long all =
-                files == null ? Math.min(spec.spoolAll(), spec.memoryAllBytes()) : spec.spoolAll();
-        store =
-                new PageStore(
-                        files,
-                        new SpoolBudget(
-                                new SpoolBudget.Limits(
-                                        Math.min(all, spec.spoolStatement()),
-                                        Math.min(all, spec.spoolUser()),
-                                        all,
-                                        all / 8)),
-                        new MemoryQuota(spec.memoryAllBytes()),
-                        spec.memoryBytes());
-        IdempotencyKeyTable keys = new IdempotencyKeyTable(spec.keys(), spec.keyNs() / MS);
-        Path dir = config.stateDir();
-        IdempotencyKeyLog journal =
-                dir == null
-                        ? null
-                        : new IdempotencyKeyLog(
-                                FolderDisk.writing(dir.resolve("keys")),
-                                keys,
-                                System.currentTimeMillis());
-        registry = new StatementRegistry(context, store, new IdempotencyKeys(keys, journal));
-        QueuedThreadPool threads = new QueuedThreadPool(THREADS, 4);
+        store = pageStore(spec, files(context));
+        registry = new StatementRegistry(context, store, idempotencyKeys(config));
+        QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
         threads.setName(config.name() + "-http");
         threads.setDaemon(true);
         server = new Server(threads);
-        connector = new ServerConnector(server, 1, 2, new HttpConnectionFactory(http()));
-        connector.setHost(spec.listen().getAddress().getHostAddress());
-        connector.setPort(spec.listen().getPort());
-        connector.setIdleTimeout(spec.idleNs() / MS);
-        connector.setAcceptQueueSize(1024);
-        watch = new HeaderTimeoutGuard(spec.headerNs());
-        connector.addBean(watch);
+        headerTimeoutGuard = new HeaderTimeoutGuard(spec.headerNs());
+        connector = connector(server, spec);
+        connector.addBean(headerTimeoutGuard);
         server.addConnector(connector);
         server.addBean(new NetworkConnectionLimit(spec.connections(), connector));
         StatementHandler handler = new StatementHandler(context, registry, threads);
         server.setHandler(handler);
+        registerMetrics(metrics, handler);
+    }
+
+    private static PageStore pageStore(HttpSpec spec, SpoolFiles files) {
+        long totalBytes =
+                files == null ? Math.min(spec.spoolAll(), spec.memoryAllBytes()) : spec.spoolAll();
+        SpoolBudget.Limits limits =
+                new SpoolBudget.Limits(
+                        Math.min(totalBytes, spec.spoolStatement()),
+                        Math.min(totalBytes, spec.spoolUser()),
+                        totalBytes,
+                        totalBytes / SPOOL_RESERVE_DIVISOR);
+        return new PageStore(
+                files,
+                new SpoolBudget(limits),
+                new MemoryQuota(spec.memoryAllBytes()),
+                spec.memoryBytes());
+    }
+
+    /** Opens the idempotency keys; without a state directory they do not survive a restart. */
+    private static IdempotencyKeys idempotencyKeys(RouterConfig config) throws IOException {
+        IdempotencyKeyTable table =
+                new IdempotencyKeyTable(config.http().keys(), config.http().keyNs() / NS_PER_MS);
+        Path stateDir = config.stateDir();
+        if (stateDir == null) {
+            return new IdempotencyKeys(table, null);
+        }
+        FolderDisk disk = FolderDisk.writing(stateDir.resolve(KEY_DIRECTORY));
+        return new IdempotencyKeys(
+                table, new IdempotencyKeyLog(disk, table, System.currentTimeMillis()));
+    }
+
+    private static ServerConnector connector(Server server, HttpSpec spec) {
+        ServerConnector connector =
+                new ServerConnector(
+                        server,
+                        ACCEPTORS,
+                        SELECTORS,
+                        new HttpConnectionFactory(httpConfiguration(spec)));
+        connector.setHost(spec.listen().getAddress().getHostAddress());
+        connector.setPort(spec.listen().getPort());
+        connector.setIdleTimeout(spec.idleNs() / NS_PER_MS);
+        connector.setAcceptQueueSize(ACCEPT_BACKLOG);
+        return connector;
+    }
+
+    private static HttpConfiguration httpConfiguration(HttpSpec spec) {
+        HttpConfiguration http = new HttpConfiguration();
+        http.setSendServerVersion(false);
+        http.setRequestHeaderSize(spec.headerBytes());
+        http.setIdleTimeout(spec.idleNs() / NS_PER_MS);
+        return http;
+    }
+
+    private void registerMetrics(PrometheusRegistry metrics, StatementHandler handler) {
         gauge(
                 metrics,
                 "ashlink_http_statements",
@@ -128,102 +162,99 @@
                 .register(metrics);
     }
 
-    private HttpConfiguration http() {
-        HttpConfiguration http = new HttpConfiguration();
-        http.setSendServerVersion(false);
-        http.setRequestHeaderSize(spec.headerBytes());
-        http.setIdleTimeout(spec.idleNs() / MS);
-        return http;
-    }
-
-    /** Starts taking requests, and its upkeep. */
+    /** Starts accepting requests, and the background tasks. */
     public void start() {
         background.add(
-                new TaskSpec("statements.expire", Priority.HIGH, 250 * MS, 0.1, S, 10 * S, false),
+                new TaskSpec(
+                        "statements.expire",
+                        Priority.HIGH,
+                        250 * NS_PER_MS,
+                        0.1,
+                        NS_PER_S,
+                        10 * NS_PER_S,
+                        false),
                 lease -> registry.expire(System.nanoTime()));
         background.add(
                 TaskSpec.every(
                         "http.header-time",
                         Priority.HIGH,
-                        Math.max(50 * MS, spec.headerNs() / 4),
-                        10 * S),
-                lease -> watch.checkAll(System.nanoTime()));
+                        Math.max(50 * NS_PER_MS, spec.headerNs() / 4),
+                        10 * NS_PER_S),
+                lease -> headerTimeoutGuard.checkAll(System.nanoTime()));
         background.add(
-                TaskSpec.every("keys.tidy", Priority.NORMAL, 10 * S, 60 * S),
+                TaskSpec.every("keys.tidy", Priority.NORMAL, 10 * NS_PER_S, 60 * NS_PER_S),
                 lease -> registry.expireKeys());
         background.add(
-                TaskSpec.once("spool.clean", Priority.NORMAL, 30 * S, 600 * S),
+                TaskSpec.once("spool.clean", Priority.NORMAL, 30 * NS_PER_S, 600 * NS_PER_S),
                 lease -> {
-                    int gone = store.deleteLeftovers();
-                    if (gone > 0) {
-                        LOG.info("the spool had {} files of earlier starts; they are gone", gone);
+                    int deleted = store.deleteLeftovers();
+                    if (deleted > 0) {
+                        LOG.info("spool files of earlier starts deleted files={}", deleted);
                     }
                 });
         try {
             server.start();
         } catch (Exception e) {
-            throw new IllegalStateException("the HTTP front does not start: " + e.getMessage(), e);
+            throw new IllegalStateException("the HTTP API does not start: " + e.getMessage(), e);
         }
-        LOG.atInfo()
-                .addKeyValue("address", address().toString())
-                .log("statements are taken over HTTP");
+        LOG.atInfo().addKeyValue("address", address().toString()).log("HTTP API started");
     }
 
-    /** Where it listens. */
+    /** Returns the address that it listens on. */
     public InetSocketAddress address() {
         return new InetSocketAddress(spec.listen().getAddress(), connector.getLocalPort());
     }
 
-    /** Takes no more statements; those in hand go on. */
-    public void refuseNew() {
+    /** Rejects new statements; open ones continue. */
+    public void rejectNew() {
         registry.rejectNew();
     }
 
-    /** Lets clients fetch what is answered for that time. */
+    /** Waits until clients have fetched all results, up to a limit. */
     public void awaitFetched(long limitNs) throws InterruptedException {
-        long until = System.nanoTime() + limitNs;
-        while (!registry.allFetched() && System.nanoTime() < until) {
-            Thread.sleep(10);
+        long deadlineNs = System.nanoTime() + limitNs;
+        while (!registry.allFetched() && System.nanoTime() < deadlineNs) {
+            Thread.sleep(FETCH_POLL_MS);
         }
     }
 
-    /** Statements known, also those that were dropped. */
+    /** Returns the number of known statements, including discarded ones. */
     public int known() {
         return registry.knownCount();
     }
 
-    /** Statements that are not dropped. */
+    /** Returns the number of statements that are not discarded. */
     public int open() {
         return registry.openCount();
     }
 
-    /** Bytes of the spool's budget that are taken. */
+    /** Returns the used bytes of the spool's budget. */
     public long spooled() {
         return store.usedBytes();
     }
 
-    /** Tells all who wait that the router stops, and ends. */
+    /** Discards all results and stops; pending polls learn that the router is shutting down. */
     public void stop() {
         registry.stop();
-        end();
+        release();
     }
 
-    /** Ends at once, as a crash would: nobody is told anything. */
+    /** Stops at once, like a crash: no client gets a response. */
     public void kill() {
         connector.getConnectedEndPoints().forEach(endPoint -> endPoint.close());
-        end();
+        release();
     }
 
-    private void end() {
+    private void release() {
         try {
             server.stop();
         } catch (Exception e) {
-            LOG.warn("the HTTP front: {}", e.toString());
+            LOG.warn("HTTP API stop failed error=\"{}\"", e.toString());
         }
         try {
             registry.close();
         } catch (IOException e) {
-            LOG.warn("the HTTP front: {}", e.toString());
+            LOG.warn("HTTP API stop failed error=\"{}\"", e.toString());
         }
     }
 }
