--- a/router/src/main/java/ashlink/router/http/ResultFormat.java
+++ b/router/src/main/java/ashlink/router/http/ResultFormat.java
@@ -19,8 +19,8 @@
 import java.util.Locale;
 
 /**
- * The forms in which a page is given. Values are exact in each: docs/statement-api.md has the table
- * of types.
+ * The formats in which a page is rendered. Values are exact in each; docs/statement-api.md has the
+ * table of types.
  */
 enum ResultFormat {
     JSON("application/json"),
@@ -45,7 +45,7 @@
         return this == CSV ? type + "; charset=utf-8" : type;
     }
 
-    /** The first of a client's accepted forms that is offered, or null. */
+    /** Returns the first supported format of an Accept header, or null. */
     static ResultFormat accepted(String accept) {
         if (accept == null || accept.isBlank()) {
             return JSON;
@@ -68,25 +68,31 @@
         return null;
     }
 
-    /** What stands around the rows of a JSON page. */
+    /** The fields of a JSON page beside its rows; {@code nextUri} is null on the last page. */
     record PageInfo(String id, String state, String nextUri) {}
 
-    /** A page's bytes: the rows of its blocks, the columns of the header where there are none. */
-    byte[] render(byte[] blocks, byte[] header, int page, PageInfo around, WireLimits limits)
+    /**
+     * Renders a page.
+     *
+     * @param blocks blocks of the page
+     * @param header block without rows, whose columns count if there are no blocks; may be empty
+     */
+    byte[] render(byte[] blocks, byte[] header, int page, PageInfo info, WireLimits limits)
             throws IOException {
         List<Table> tables = new ArrayList<>();
         read(blocks, limits, tables);
         Table columns = tables.isEmpty() ? null : tables.get(0);
         if (columns == null && header.length > 0) {
-            List<Table> none = new ArrayList<>();
-            read(header, limits, none);
-            columns = none.get(0);
+            List<Table> headerTables = new ArrayList<>();
+            read(header, limits, headerTables);
+            columns = headerTables.get(0);
         }
         ByteArrayBuilder out = new ByteArrayBuilder(blocks.length * 2 + 256);
         switch (this) {
-            case JSON -> json(tables, columns, page, around, out);
+            case JSON -> json(tables, columns, page, info, out);
             case CSV -> csv(tables, columns, page, out);
             case NDJSON -> lines(tables, out);
+            default -> throw new IllegalStateException("no renderer for " + this);
         }
         return out.toByteArray();
     }
@@ -102,14 +108,15 @@
         }
     }
 
-    // ---- JSON
+    // JSON
+
     private static void json(
-            List<Table> tables, Table columns, int page, PageInfo around, ByteArrayBuilder out)
+            List<Table> tables, Table columns, int page, PageInfo info, ByteArrayBuilder out)
             throws IOException {
         try (JsonGenerator generator = FACTORY.createGenerator(out)) {
             generator.writeStartObject();
-            generator.writeStringField("id", around.id);
-            generator.writeStringField("state", around.state);
+            generator.writeStringField("id", info.id);
+            generator.writeStringField("state", info.state);
             generator.writeNumberField("page", page);
             generator.writeArrayFieldStart("columns");
             for (int c = 0; columns != null && c < columns.names().size(); c++) {
@@ -130,8 +137,8 @@
                 }
             }
             generator.writeEndArray();
-            if (around.nextUri != null) {
-                generator.writeStringField("nextUri", around.nextUri);
+            if (info.nextUri != null) {
+                generator.writeStringField("nextUri", info.nextUri);
             }
             generator.writeEndObject();
         }
@@ -154,44 +161,41 @@
         }
     }
 
-    private static void value(Object v, JsonGenerator generator) throws IOException {
-        if (v == null) {
+    private static void value(Object value, JsonGenerator generator) throws IOException {
+        if (value == null) {
             generator.writeNull();
-        } else if (v instanceof Long n) {
-            generator.writeNumber(n);
-        } else if (v instanceof BigInteger || v instanceof String) {
-            generator.writeString(v.toString());
-        } else if (v instanceof BigDecimal bigDecimal) {
-            generator.writeString(bigDecimal.toPlainString());
-        } else if (v instanceof Boolean b) {
-            generator.writeBoolean(b);
-        } else if (v instanceof Double d) {
-            if (Double.isFinite(d)) {
-                generator.writeNumber(d);
-            } else {
-                generator.writeString(number(d));
-            }
-        } else if (v instanceof Float f) {
-            if (Float.isFinite(f)) {
-                generator.writeNumber(f);
-            } else {
-                generator.writeString(number(f.doubleValue()));
-            }
-        } else if (v instanceof byte[] bytes) {
+        } else if (value instanceof Long number) {
+            generator.writeNumber(number);
+        } else if (value instanceof BigInteger || value instanceof String) {
+            generator.writeString(value.toString());
+        } else if (value instanceof BigDecimal decimal) {
+            generator.writeString(decimal.toPlainString());
+        } else if (value instanceof Boolean flag) {
+            generator.writeBoolean(flag);
+        } else if (value instanceof Double || value instanceof Float) {
+            floating((Number) value, generator);
+        } else if (value instanceof byte[] bytes) {
             text(bytes, generator);
         } else {
             generator.writeStartArray();
-            for (Object e : (List<?>) v) {
-                value(e, generator);
+            for (Object element : (List<?>) value) {
+                value(element, generator);
             }
             generator.writeEndArray();
         }
     }
 
-    /**
-     * Bytes that are no UTF-8 have no text: they are told in base 64, within an object, so that no
-     * text looks like it.
-     */
+    private static void floating(Number value, JsonGenerator generator) throws IOException {
+        if (!Double.isFinite(value.doubleValue())) {
+            generator.writeString(notFinite(value.doubleValue()));
+        } else if (value instanceof Float number) {
+            generator.writeNumber(number);
+        } else {
+            generator.writeNumber(value.doubleValue());
+        }
+    }
+
+    /** Writes bytes as text, or in base 64 within an object if they are no UTF-8. */
     private static void text(byte[] bytes, JsonGenerator generator) throws IOException {
         try {
             generator.writeString(
@@ -204,11 +208,15 @@
         }
     }
 
-    private static String number(double d) {
-        return Double.isNaN(d) ? "nan" : d > 0 ? "inf" : "-inf";
+    private static String notFinite(double value) {
+        if (Double.isNaN(value)) {
+            return "nan";
+        }
+        return value > 0 ? "inf" : "-inf";
     }
 
-    // ---- CSV
+    // CSV
+
     private static void csv(List<Table> tables, Table columns, int page, ByteArrayBuilder out)
             throws IOException {
         if (page == 0 && columns != null) {
@@ -236,29 +244,25 @@
     }
 
     /** Texts are always quoted and null never is: an empty field is null, "" is an empty text. */
-    private static void field(Object v, ByteArrayBuilder out) throws IOException {
-        if (v instanceof byte[] bytes) {
+    private static void field(Object value, ByteArrayBuilder out) throws IOException {
+        if (value instanceof byte[] bytes) {
             quoted(bytes, out);
-        } else if (v instanceof List<?>) {
+        } else if (value instanceof List<?>) {
             ByteArrayBuilder json = new ByteArrayBuilder();
             try (JsonGenerator generator = FACTORY.createGenerator(json)) {
-                value(v, generator);
+                value(value, generator);
             }
             quoted(json.toByteArray(), out);
-        } else if (v instanceof BigDecimal bigDecimal) {
-            out.write(bigDecimal.toPlainString().getBytes(StandardCharsets.US_ASCII));
-        } else if (v instanceof Double || v instanceof Float) {
-            double d = ((Number) v).doubleValue();
-            out.write(
-                    (Double.isFinite(d) ? v.toString() : number(d))
-                            .getBytes(StandardCharsets.US_ASCII));
-        } else if (v != null) {
-            String text = v.toString();
-            if (v instanceof String) {
-                quoted(text.getBytes(StandardCharsets.UTF_8), out);
-            } else {
-                out.write(text.getBytes(StandardCharsets.UTF_8));
-            }
+        } else if (value instanceof BigDecimal decimal) {
+            out.write(decimal.toPlainString().getBytes(StandardCharsets.US_ASCII));
+        } else if (value instanceof Double || value instanceof Float) {
+            double number = ((Number) value).doubleValue();
+            String text = Double.isFinite(number) ? value.toString() : notFinite(number);
+            out.write(text.getBytes(StandardCharsets.US_ASCII));
+        } else if (value instanceof String text) {
+            quoted(text.getBytes(StandardCharsets.UTF_8), out);
+        } else if (value != null) {
+            out.write(value.toString().getBytes(StandardCharsets.UTF_8));
         }
     }
 
--- a/router/src/main/java/ashlink/router/http/StatementRegistry.java
+++ b/router/src/main/java/ashlink/router/http/StatementRegistry.java
@@ -230,7 +230,9 @@
                 slots.release(statement);
             }
             case REMOVE -> remove(statement);
-            case NONE -> {}
+            default -> {
+                // Nothing is due.
+            }
         }
     }
 
