--- a/router/src/main/java/ashlink/router/http/StatementSubmission.java
+++ b/router/src/main/java/ashlink/router/http/StatementSubmission.java
@@ -8,6 +8,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.json.JsonMapper;
+import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
@@ -16,14 +17,21 @@
 import java.util.ArrayList;
 import java.util.HexFormat;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
 
 /**
- * A posted statement: the body is its text, or JSON with {@code statement}, {@code database},
- * {@code settings} and, for a load, {@code rows}. Parameters of the URI are settings too, but those
- * that the API itself takes.
+ * A submitted statement. The body of the request is its text, or JSON with {@code statement},
+ * {@code database}, {@code settings} and, for an insert, {@code rows}. Query parameters are
+ * settings too, except those of the API itself.
+ *
+ * @param statement text of the statement
+ * @param database default database
+ * @param settings settings by name
+ * @param rows rows of an insert, or null
+ * @param digest digest of the other components, by which submissions with one key are compared
  */
 record StatementSubmission(
         String statement,
@@ -32,24 +40,33 @@
         JsonNode rows,
         String digest) {
 
+    private static final int MAX_JSON_DEPTH = 32;
     private static final ObjectMapper JSON =
             JsonMapper.builder(
                             JsonFactory.builder()
                                     .streamReadConstraints(
                                             StreamReadConstraints.builder()
-                                                    .maxNestingDepth(32)
+                                                    .maxNestingDepth(MAX_JSON_DEPTH)
                                                     .build())
                                     .build())
                     .enable(DeserializationFeature.USE_BIG_DECIMAL_FOR_FLOATS)
                     .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
                     .build();
     private static final Set<String> FIELDS = Set.of("statement", "database", "settings", "rows");
-    static final Set<String> OWN = Set.of("wait", "database");
-    private static final int MOST_SETTINGS = 1_000;
 
-    /** A body that makes no sense. */
+    /** Query parameters that are no settings. */
+    static final Set<String> API_PARAMETERS = Set.of("wait", "database");
+
+    private static final String DEFAULT_DATABASE = "default";
+    private static final String DIGEST = "SHA-256";
+    private static final int MAX_SETTINGS = 1_000;
+
+    /** A submission is not accepted. */
     static final class InvalidSubmissionException extends Exception {
-        private final ProblemDetail problem;
+
+        private static final long serialVersionUID = 1L;
+
+        private final transient ProblemDetail problem;
 
         InvalidSubmissionException(ProblemDetail.Kind kind, String detail) {
             super(detail);
@@ -61,66 +78,82 @@
         }
     }
 
+    /**
+     * Reads a submission.
+     *
+     * @param contentType value of the Content-Type header, or null
+     * @param parameters query parameters by name
+     */
     static StatementSubmission read(byte[] body, String contentType, Map<String, String> parameters)
             throws InvalidSubmissionException {
-        String type =
-                contentType == null
-                        ? "text/plain"
-                        : contentType.split(";")[0].trim().toLowerCase(java.util.Locale.ROOT);
-        Map<String, String> settings = new TreeMap<>();
-        parameters.forEach(
-                (k, v) -> {
-                    if (!OWN.contains(k)) {
-                        settings.put(k, v);
-                    }
-                });
-        String database = parameters.getOrDefault("database", "default");
-        String text;
-        JsonNode rows = null;
-        if (type.equals("application/json")) {
-            JsonNode node = tree(body);
-            for (var names = node.fieldNames(); names.hasNext(); ) {
-                String f = names.next();
-                if (!FIELDS.contains(f)) {
-                    throw new InvalidSubmissionException(
-                            ProblemDetail.Kind.BAD_REQUEST,
-                            "field "
-                                    + f
-                                    + " is unknown; there are statement, database, "
-                                    + "settings, rows");
-                }
-            }
-            text = node.path("statement").isTextual() ? node.get("statement").textValue() : "";
-            database =
-                    node.path("database").isTextual() ? node.get("database").textValue() : database;
-            settings(node.path("settings"), settings);
-            rows = node.path("rows").isMissingNode() ? null : node.get("rows");
-            if (rows != null && !rows.isArray()) {
+        String mediaType = mediaType(contentType);
+        Map<String, String> settings = new TreeMap<>(parameters);
+        settings.keySet().removeAll(API_PARAMETERS);
+        String database = parameters.getOrDefault("database", DEFAULT_DATABASE);
+        if (mediaType.equals("application/json")) {
+            return readJson(parseJson(body), database, settings);
+        }
+        if (mediaType.startsWith("text/")
+                || mediaType.equals("application/sql")
+                || mediaType.equals("application/x-www-form-urlencoded")) {
+            return create(decodeUtf8(body), database, settings, null);
+        }
+        throw new InvalidSubmissionException(
+                ProblemDetail.Kind.MEDIA_TYPE,
+                mediaType + "; a statement is text/plain, application/sql or application/json");
+    }
+
+    private static String mediaType(String contentType) {
+        return contentType == null
+                ? "text/plain"
+                : contentType.split(";")[0].trim().toLowerCase(Locale.ROOT);
+    }
+
+    private static StatementSubmission readJson(
+            JsonNode body, String defaultDatabase, Map<String, String> settings)
+            throws InvalidSubmissionException {
+        for (var names = body.fieldNames(); names.hasNext(); ) {
+            String name = names.next();
+            if (!FIELDS.contains(name)) {
                 throw new InvalidSubmissionException(
-                        ProblemDetail.Kind.BAD_REQUEST, "rows are an array of arrays");
+                        ProblemDetail.Kind.BAD_REQUEST,
+                        "field "
+                                + name
+                                + " is unknown; there are statement, database, "
+                                + "settings, rows");
             }
-        } else if (type.startsWith("text/")
-                || type.equals("application/sql")
-                || type.equals("application/x-www-form-urlencoded")) {
-            text = utf8(body);
-        } else {
+        }
+        String statement = textOr(body.path("statement"), "");
+        String database = textOr(body.path("database"), defaultDatabase);
+        addSettings(body.path("settings"), settings);
+        JsonNode rows = body.get("rows");
+        if (rows != null && !rows.isArray()) {
             throw new InvalidSubmissionException(
-                    ProblemDetail.Kind.MEDIA_TYPE,
-                    type + "; a statement is text/plain, application/sql or application/json");
+                    ProblemDetail.Kind.BAD_REQUEST, "rows are an array of arrays");
         }
-        if (text.isBlank()) {
+        return create(statement, database, settings, rows);
+    }
+
+    private static String textOr(JsonNode node, String defaultText) {
+        return node.isTextual() ? node.textValue() : defaultText;
+    }
+
+    private static StatementSubmission create(
+            String statement, String database, Map<String, String> settings, JsonNode rows)
+            throws InvalidSubmissionException {
+        if (statement.isBlank()) {
             throw new InvalidSubmissionException(
                     ProblemDetail.Kind.BAD_REQUEST, "there is no statement");
         }
-        if (settings.size() > MOST_SETTINGS) {
+        if (settings.size() > MAX_SETTINGS) {
             throw new InvalidSubmissionException(
-                    ProblemDetail.Kind.BAD_REQUEST, "over " + MOST_SETTINGS + " settings");
+                    ProblemDetail.Kind.BAD_REQUEST, "over " + MAX_SETTINGS + " settings");
         }
         return new StatementSubmission(
-                text, database, settings, rows, digest(text, database, settings, rows));
+                statement, database, settings, rows, digest(statement, database, settings, rows));
     }
 
-    private static JsonNode tree(byte[] body) throws InvalidSubmissionException {
+    private static JsonNode parseJson(byte[] body) throws InvalidSubmissionException {
         try {
             JsonNode node = JSON.readTree(body);
             if (node != null && node.isObject()) {
@@ -130,7 +163,7 @@
             throw new InvalidSubmissionException(
                     ProblemDetail.Kind.BAD_REQUEST,
                     "the body is no JSON: " + e.getOriginalMessage());
-        } catch (java.io.IOException e) {
+        } catch (IOException e) {
             throw new InvalidSubmissionException(
                     ProblemDetail.Kind.BAD_REQUEST, "the body is no JSON");
         }
@@ -138,16 +171,16 @@
                 ProblemDetail.Kind.BAD_REQUEST, "the body is no JSON object");
     }
 
-    private static void settings(JsonNode node, Map<String, String> to)
+    private static void addSettings(JsonNode node, Map<String, String> settings)
             throws InvalidSubmissionException {
         if (!node.isMissingNode() && !node.isObject()) {
             throw new InvalidSubmissionException(
                     ProblemDetail.Kind.BAD_REQUEST, "settings are an object");
         }
-        node.properties().forEach(entry -> to.put(entry.getKey(), entry.getValue().asText()));
+        node.properties().forEach(entry -> settings.put(entry.getKey(), entry.getValue().asText()));
     }
 
-    private static String utf8(byte[] body) throws InvalidSubmissionException {
+    private static String decodeUtf8(byte[] body) throws InvalidSubmissionException {
         try {
             return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(body)).toString();
         } catch (CharacterCodingException e) {
@@ -156,29 +189,29 @@
         }
     }
 
-    /** Of all that decides what is done; the text itself is not kept. */
+    /** Digests all that decides what the statement does, so that its text need not be stored. */
     private static String digest(
             String text, String database, Map<String, String> settings, JsonNode rows) {
         try {
-            MessageDigest messageDigest = MessageDigest.getInstance("SHA-256");
+            MessageDigest sha256 = MessageDigest.getInstance(DIGEST);
             for (String part :
                     new String[] {
                         text, database, settings.toString(), rows == null ? "" : rows.toString()
                     }) {
                 byte[] bytes = part.getBytes(StandardCharsets.UTF_8);
-                messageDigest.update(
-                        ByteBuffer.allocate(Integer.BYTES).putInt(bytes.length).array());
-                messageDigest.update(bytes);
+                sha256.update(ByteBuffer.allocate(Integer.BYTES).putInt(bytes.length).array());
+                sha256.update(bytes);
             }
-            return HexFormat.of().formatHex(messageDigest.digest());
+            return HexFormat.of().formatHex(sha256.digest());
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("every Java platform has " + DIGEST, e);
         }
     }
 
+    /** Returns the settings in the form of the native protocol. */
     List<Setting> settingList() {
         List<Setting> list = new ArrayList<>();
-        settings.forEach((k, v) -> list.add(new Setting(k, 0, v)));
+        settings.forEach((name, value) -> list.add(new Setting(name, 0, value)));
         return list;
     }
 }
