--- a/router/src/test/java/ashlink/router/http/DescriptionTest.java
+++ b/router/src/test/java/ashlink/router/http/DescriptionTest.java
@@ -4,61 +4,74 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
+import java.io.IOException;
 import java.io.InputStream;
 import java.util.Locale;
+import java.util.Map;
 import java.util.Set;
+import java.util.TreeMap;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
 /** The description has the paths and the problems that the code has, no more and no fewer. */
 class DescriptionTest {
 
-    @Test
-    void pathsAndProblemsAreDescribed() throws Exception {
-        JsonNode d;
+    private static JsonNode description() throws IOException {
         try (InputStream in = Route.class.getResourceAsStream("openapi.json")) {
-            d = new ObjectMapper().readTree(in);
+            return new ObjectMapper().readTree(in);
         }
-        Set<String> described = new TreeSet<>();
-        Set<String> statuses = new TreeSet<>();
-        d.get("paths")
-                .properties()
-                .forEach(
-                        p ->
-                                p.getValue()
-                                        .properties()
-                                        .forEach(
-                                                m -> {
-                                                    if (m.getValue().has("responses")) {
-                                                        described.add(
-                                                                m.getKey().toUpperCase(Locale.ROOT)
-                                                                        + " "
-                                                                        + p.getKey());
-                                                        m.getValue()
-                                                                .get("responses")
-                                                                .fieldNames()
-                                                                .forEachRemaining(statuses::add);
-                                                    }
-                                                }));
+    }
+
+    /** Returns each described operation as its method and path, with its responses by status. */
+    private static Map<String, JsonNode> operations(JsonNode description) {
+        Map<String, JsonNode> operations = new TreeMap<>();
+        for (Map.Entry<String, JsonNode> path : description.get("paths").properties()) {
+            for (Map.Entry<String, JsonNode> method : path.getValue().properties()) {
+                if (method.getValue().has("responses")) {
+                    operations.put(
+                            method.getKey().toUpperCase(Locale.ROOT) + " " + path.getKey(),
+                            method.getValue().get("responses"));
+                }
+            }
+        }
+        return operations;
+    }
+
+    @Test
+    void describesAllRoutes() throws Exception {
         Set<String> routes = new TreeSet<>();
         for (Route route : Route.values()) {
             routes.add(route.method() + " " + route.path());
         }
-        assertEquals(routes, described);
+        assertEquals(routes, operations(description()).keySet());
+    }
+
+    @Test
+    void describesAllStatuses() throws Exception {
+        Set<String> described = new TreeSet<>();
+        operations(description())
+                .values()
+                .forEach(responses -> responses.fieldNames().forEachRemaining(described::add));
+        Set<String> statuses = new TreeSet<>(Set.of("200", "202", "307"));
+        for (ProblemDetail.Kind kind : ProblemDetail.Kind.values()) {
+            // A wrong method has no operation that could describe it.
+            if (kind != ProblemDetail.Kind.METHOD) {
+                statuses.add(Integer.toString(kind.status()));
+            }
+        }
+        assertEquals(statuses, described);
+    }
+
+    @Test
+    void describesAllProblems() throws Exception {
         Set<String> problems = new TreeSet<>();
-        Set<String> mine = new TreeSet<>(Set.of("200", "202", "307"));
         for (ProblemDetail.Kind kind : ProblemDetail.Kind.values()) {
             problems.add("/problems/" + kind.word());
-            if (kind
-                    != ProblemDetail.Kind
-                            .METHOD) { // of paths with another method, which are not described
-                mine.add(Integer.toString(kind.status()));
-            }
         }
-        Set<String> types = new TreeSet<>();
-        d.at("/components/schemas/Problem/properties/type/enum")
-                .forEach(t -> types.add(t.asText()));
-        assertEquals(problems, types);
-        assertEquals(mine, statuses);
+        Set<String> described = new TreeSet<>();
+        description()
+                .at("/components/schemas/Problem/properties/type/enum")
+                .forEach(type -> described.add(type.asText()));
+        assertEquals(problems, described);
     }
 }
--- a/router/src/test/java/ashlink/router/http/ResultFormatTest.java
+++ b/router/src/test/java/ashlink/router/http/ResultFormatTest.java
@@ -15,10 +15,11 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
+/** Values of each type as they are rendered, and as they are loaded. */
 class ResultFormatTest {
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final ResultFormat.PageInfo AROUND =
+    private static final ResultFormat.PageInfo PAGE_INFO =
             new ResultFormat.PageInfo("s", "finished", null);
 
     private interface Values {
@@ -43,7 +44,7 @@
     private static String json(String type, int rows, Values values) throws IOException {
         byte[] page =
                 ResultFormat.JSON.render(
-                        block(type, rows, values), new byte[0], 0, AROUND, WireLimits.DEFAULT);
+                        block(type, rows, values), new byte[0], 0, PAGE_INFO, WireLimits.DEFAULT);
         JsonNode node = JSON.readTree(page);
         assertEquals(type, node.get("columns").get(0).get("type").asText());
         return node.get("rows").toString();
@@ -52,7 +53,7 @@
     private static String csv(String type, int rows, Values values) throws IOException {
         return new String(
                 ResultFormat.CSV.render(
-                        block(type, rows, values), new byte[0], 1, AROUND, WireLimits.DEFAULT),
+                        block(type, rows, values), new byte[0], 1, PAGE_INFO, WireLimits.DEFAULT),
                 StandardCharsets.UTF_8);
     }
 
@@ -64,7 +65,7 @@
     }
 
     @Test
-    void wholeNumbersOfAllWidthsAreExact() throws Exception {
+    void rendersIntegersExactly() throws Exception {
         assertEquals("[[255],[0]]", json("UInt8", 2, byteBuf -> byteBuf.putByte(255).putByte(0)));
         assertEquals("[[-1]]", json("Int8", 1, byteBuf -> byteBuf.putByte(255)));
         assertEquals("[[65535]]", json("UInt16", 1, byteBuf -> byteBuf.putShort(65535)));
@@ -82,7 +83,7 @@
     }
 
     @Test
-    void floatsDecimalsAndWhatIsNoNumber() throws Exception {
+    void rendersFloatsAndDecimals() throws Exception {
         assertEquals(
                 "[[0.1],[\"nan\"],[\"-inf\"]]",
                 json(
@@ -122,7 +123,7 @@
     }
 
     @Test
-    void datesTimesAndNames() throws Exception {
+    void rendersDatesTimesAndNames() throws Exception {
         assertEquals("[[\"2026-12-01\"]]", json("Date", 1, byteBuf -> byteBuf.putShort(20788)));
         assertEquals("[[\"1900-01-01\"]]", json("Date32", 1, byteBuf -> byteBuf.putInt(-25567)));
         assertEquals(
@@ -152,7 +153,7 @@
     }
 
     @Test
-    void textsThatAreNoTextAreTold() throws Exception {
+    void rendersBytesThatAreNoUtf8() throws Exception {
         assertEquals(
                 "[[\"a\\\"b\"],[{\"base64\":\"/w==\"}]]",
                 json(
@@ -167,7 +168,7 @@
                                 byteBuf -> byteBuf.putString("a\"b").putVarUInt(1).putByte(0xff)),
                         new byte[0],
                         0,
-                        AROUND,
+                        PAGE_INFO,
                         WireLimits.DEFAULT);
         assertEquals(
                 "\"c\"\r\n\"a\"\"b\"\r\n\"\u00ff\"\r\n",
@@ -179,7 +180,7 @@
     }
 
     @Test
-    void typesWithinTypes() throws Exception {
+    void rendersNullableValues() throws Exception {
         assertEquals(
                 "[[null],[5]]",
                 json(
@@ -192,6 +193,10 @@
                         "Nullable(UInt8)",
                         2,
                         byteBuf -> byteBuf.putByte(1).putByte(0).putByte(9).putByte(5)));
+    }
+
+    @Test
+    void rendersArraysTuplesAndMaps() throws Exception {
         assertEquals(
                 "[[[1,2]],[[]],[[3]]]",
                 json(
@@ -213,6 +218,10 @@
                         "Map(String, UInt8)",
                         1,
                         byteBuf -> byteBuf.putLong(1).putString("k").putByte(7)));
+    }
+
+    @Test
+    void rendersDictionariesAndNestedTypes() throws Exception {
         assertEquals(
                 "[[\"b\"],[null],[\"b\"]]",
                 json(
@@ -239,8 +248,8 @@
     }
 
     @Test
-    void whatIsLoadedIsReadBackTheSame() throws Exception {
-        for (String[] c :
+    void loadedValuesAreRenderedTheSame() throws Exception {
+        for (String[] typeAndValue :
                 new String[][] {
                     {"UInt64", "\"18446744073709551615\""},
                     {"Int8", "-128"},
@@ -256,21 +265,30 @@
                     {"Nullable(Int64)", "null"},
                     {"Int256", "\"-5\""}
                 }) {
-            byte[] header = block(c[0], 0, byteBuf -> {});
+            byte[] header = block(typeAndValue[0], 0, byteBuf -> {});
             byte[] packet =
                     RowsEncoder.encode(
-                            header, JSON.readTree("[[" + c[1] + "]]"), WireLimits.DEFAULT);
+                            header,
+                            JSON.readTree("[[" + typeAndValue[1] + "]]"),
+                            WireLimits.DEFAULT);
             assertEquals(ClientPacket.DATA.ordinal(), packet[0]);
             byte[] page =
                     ResultFormat.JSON.render(
                             Arrays.copyOfRange(packet, 2, packet.length),
                             header,
                             0,
-                            AROUND,
+                            PAGE_INFO,
                             WireLimits.DEFAULT);
-            assertEquals("[[" + c[1] + "]]", JSON.readTree(page).get("rows").toString(), c[0]);
+            assertEquals(
+                    "[[" + typeAndValue[1] + "]]",
+                    JSON.readTree(page).get("rows").toString(),
+                    typeAndValue[0]);
         }
-        for (String[] c :
+    }
+
+    @Test
+    void rejectsValuesThatATypeDoesNotTake() throws Exception {
+        for (String[] typeAndValue :
                 new String[][] {
                     {"UInt8", "256"},
                     {"UInt8", "-1"},
@@ -287,10 +305,10 @@
                             WireException.class,
                             () ->
                                     RowsEncoder.encode(
-                                            block(c[0], 0, byteBuf -> {}),
-                                            JSON.readTree("[[" + c[1] + "]]"),
+                                            block(typeAndValue[0], 0, byteBuf -> {}),
+                                            JSON.readTree("[[" + typeAndValue[1] + "]]"),
                                             WireLimits.DEFAULT),
-                            c[0] + " took " + c[1]);
+                            typeAndValue[0] + " took " + typeAndValue[1]);
             assertTrue(
                     failure.getMessage().contains("row 0")
                             || failure.getMessage().contains("cannot be loaded"),
--- a/router/src/test/java/ashlink/router/spool/SpoolTest.java
+++ b/router/src/test/java/ashlink/router/spool/SpoolTest.java
@@ -28,6 +28,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** The idempotency key log and the page store, with faults of the disk. */
 class SpoolTest {
 
     @TempDir Path dir;
@@ -40,23 +41,24 @@
         return table.claim("u", key, "d-" + key, "s-" + key, 1).entry();
     }
 
-    // ---- Keys
+    // Keys
     @Test
-    void whatIsKeptIsThereAfterACrashAndTheTableIsWrittenAnew() throws Exception {
-        IdempotencyKeyTable t = table();
-        IdempotencyKeyLog log = new IdempotencyKeyLog(FolderDisk.writing(dir), t, 1);
+    void storedKeysSurviveACrashAndTheLogIsCompacted() throws Exception {
+        IdempotencyKeyTable table = table();
+        IdempotencyKeyLog log = new IdempotencyKeyLog(FolderDisk.writing(dir), table, 1);
         for (int i = 0; i < 20; i++) {
-            Entry entry = claim(t, "k" + i);
+            Entry entry = claim(table, "k" + i);
             log.put(entry);
             if (i % 4 == 0) {
-                t.put(entry.completed(StatementOutcome.SERVED));
+                table.put(entry.completed(StatementOutcome.SERVED));
                 log.put(entry.completed(StatementOutcome.SERVED));
             } else if (i % 4 == 1) {
-                t.release("u", entry.key());
+                table.release("u", entry.key());
                 log.release(entry);
             }
         }
-        log.close(); // no more is written at a close than before it
+        // Closing writes nothing more.
+        log.close();
         IdempotencyKeyTable after = table();
         IdempotencyKeyLog next = new IdempotencyKeyLog(FolderDisk.writing(dir), after, 1);
         assertEquals(15, after.entries().size());
@@ -74,16 +76,16 @@
     }
 
     @Test
-    void aJournalCutAtAnyByteOpensWithAllThatWasBefore() throws Exception {
-        IdempotencyKeyTable t = table();
-        IdempotencyKeyLog log = new IdempotencyKeyLog(FolderDisk.writing(dir), t, 1);
+    void truncatedLogIsReadUpToItsLastRecord() throws Exception {
+        IdempotencyKeyTable table = table();
+        IdempotencyKeyLog log = new IdempotencyKeyLog(FolderDisk.writing(dir), table, 1);
         Path file;
         try (Stream<Path> files = Files.list(dir)) {
             file = files.filter(path -> path.toString().endsWith(".seg")).findFirst().orElse(null);
         }
         List<Long> sizes = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            log.put(claim(t, "k" + i));
+            log.put(claim(table, "k" + i));
             if (file == null) {
                 try (Stream<Path> files = Files.list(dir)) {
                     file =
@@ -110,34 +112,34 @@
     }
 
     @Test
-    void aKeyWhoseSyncFailsIsNotAcknowledgedAndTheNextIs() throws Exception {
-        IdempotencyKeyTable t = table();
+    void failedSyncIsReportedAndTheNextSucceeds() throws Exception {
+        IdempotencyKeyTable table = table();
         FaultyDisk disk = new FaultyDisk();
-        IdempotencyKeyLog log = new IdempotencyKeyLog(disk, t, 1);
-        log.put(claim(t, "a"));
+        IdempotencyKeyLog log = new IdempotencyKeyLog(disk, table, 1);
+        log.put(claim(table, "a"));
         disk.syncFails(true);
-        assertThrows(IOException.class, () -> log.put(claim(t, "b")));
+        assertThrows(IOException.class, () -> log.put(claim(table, "b")));
         disk.syncFails(false);
-        log.put(claim(t, "c"));
+        log.put(claim(table, "c"));
         IdempotencyKeyTable after = table();
         new IdempotencyKeyLog(disk.afterPowerLoss(new SplittableRandom(1)), after, 1);
         assertTrue(after.findByStatement("s-a") != null && after.findByStatement("s-c") != null);
     }
 
     @Test
-    void noAcknowledgedKeyIsLostWhenThePowerGoes() throws Exception {
+    void acknowledgedKeysSurviveAPowerLoss() throws Exception {
         SplittableRandom random = new SplittableRandom(3);
         int lost = 0;
         for (int i = 0; i < 200; i++) {
-            IdempotencyKeyTable t = table();
+            IdempotencyKeyTable table = table();
             FaultyDisk disk = new FaultyDisk();
-            IdempotencyKeyLog log = new IdempotencyKeyLog(disk, t, 1);
+            IdempotencyKeyLog log = new IdempotencyKeyLog(disk, table, 1);
             List<String> acknowledged = new ArrayList<>();
             int faulty = random.nextInt(20);
             for (int n = 0; n < 20; n++) {
                 disk.shortWriteIn(n == faulty ? random.nextInt(2) : -1);
                 try {
-                    log.put(claim(t, "k" + n));
+                    log.put(claim(table, "k" + n));
                     acknowledged.add("s-k" + n);
                 } catch (IOException e) {
                     lost++;
@@ -152,7 +154,7 @@
         assertTrue(lost > 50, "faults at stake: " + lost);
     }
 
-    // ---- Pages
+    // Pages
     private PageStore store(SpoolFiles files, long all, long memory) {
         return new PageStore(
                 files,
@@ -162,7 +164,7 @@
     }
 
     @Test
-    void pagesComeBackAsTheyWereAndAWrongByteIsFound() throws Exception {
+    void pagesAreReadAsStoredAndDamageIsDetected() throws Exception {
         try (SpoolDirectory files = new SpoolDirectory(dir, "r1", "b2")) {
             PageStore pageStore = store(files, 1_000, 10);
             PageStore.StoredPage small =
@@ -190,7 +192,7 @@
     }
 
     @Test
-    void whoFindsNoRoomWaitsUntilThereIsSomeOrNobodyWantsIt() throws Exception {
+    void storingBlocksUntilSpaceIsReleasedOrItIsCancelled() throws Exception {
         PageStore pageStore = store(null, 10, 0);
         PageStore.StoredPage first = pageStore.store("s", "u", 0, new byte[8], 8, 0, () -> false);
         CountDownLatch stored = new CountDownLatch(1);
@@ -231,7 +233,7 @@
     }
 
     @Test
-    void aStartRemovesWhatEarlierStartsLeftAndNothingElse() throws Exception {
+    void deletesOnlyTheFilesOfEarlierStarts() throws Exception {
         for (String name :
                 List.of(
                         "r1.b1.s~x.0.page",
--- a/router/src/test/java/ashlink/router/spool/StoredKeysTest.java
+++ b/router/src/test/java/ashlink/router/spool/StoredKeysTest.java
@@ -77,18 +77,18 @@
     }
 
     @Test
-    void theTableIsReadAsItWasWritten() throws Exception {
+    void tableIsReadAsItWasWritten() throws Exception {
         assertEquals(EXPECTED, lines(open(NOW_MS)));
     }
 
     @Test
-    void theTableThatIsWrittenAnewAtAStartIsReadTheSame() throws Exception {
+    void compactedTableIsReadTheSame() throws Exception {
         open(NOW_MS);
         assertEquals(EXPECTED, lines(open(NOW_MS)));
     }
 
     @Test
-    void aKeyWhoseTimeIsOverIsFree() throws Exception {
+    void expiredKeyIsFree() throws Exception {
         assertNull(open(NOW_MS).findByStatement("r1~ann-over-its-time"));
         StoredFiles.copyFolder("keys", Files.createDirectory(folder.resolve("early")));
         folder = folder.resolve("early");
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void whatWasUnderWayHasAnUnknownFate() throws Exception {
+    void runningStatementsAreUnknown() throws Exception {
         IdempotencyKeyTable table = open(NOW_MS);
         assertEquals(Status.UNKNOWN, table.findByStatement("r1~-under-way").status());
         assertEquals(
@@ -107,7 +107,7 @@
 
     /** Constants are stored as their ordinal numbers: in another order they mean something else. */
     @Test
-    void constantsKeepTheOrderInWhichTheirNumbersWereStored() {
+    void enumConstantsHaveTheirStoredOrdinals() {
         assertEquals(
                 List.of(Status.RUNNING, Status.COMPLETED, Status.UNKNOWN),
                 List.of(Status.values()));
--- a/router/src/test/java/ashlink/router/spool/StoredSpoolTest.java
+++ b/router/src/test/java/ashlink/router/spool/StoredSpoolTest.java
@@ -54,13 +54,13 @@
     }
 
     @Test
-    void theLockThatAKilledRouterLeftDoesNotKeepItOut() throws Exception {
+    void lockFileOfAKilledRouterIsFree() throws Exception {
         assertTrue(Files.exists(folder.resolve("r1.lock")));
         start("r1", NEW_BOOT).close();
     }
 
     @Test
-    void pagesOfEarlierStartsAreKnownAsItsOwnAndNotOfThisStart() throws Exception {
+    void pagesOfEarlierStartsAreNotOfThisStart() throws Exception {
         try (SpoolDirectory files = start("r1", NEW_BOOT)) {
             assertEquals(OWN_LEFTOVERS, files.list().stream().sorted().toList());
             assertTrue(files.list().stream().noneMatch(files::isOwn));
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void aStartRemovesItsOwnLeftoversWholeOrTornAndKeepsAllElse() throws Exception {
+    void deletesOnlyItsOwnLeftovers() throws Exception {
         assertEquals(5, Files.size(folder.resolve("r1.ln0b9j5c.sX4.1.page")), "the torn one");
         try (SpoolDirectory files = start("r1", NEW_BOOT)) {
             assertEquals(OWN_LEFTOVERS.size(), store(files).deleteLeftovers());
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void aPageIsStoredUnderTheNameAndWithTheBytesThatItHadBefore() throws Exception {
+    void pageHasItsFormerFileNameAndBytes() throws Exception {
         String name = "r1.ln0a0000.b7Zq_-9.1.page";
         byte[] before = Files.readAllBytes(folder.resolve(name));
         Files.delete(folder.resolve(name));
