--- a/config/src/main/java/ashlink/config/RouterConfig.java
+++ b/config/src/main/java/ashlink/config/RouterConfig.java
@@ -9,7 +9,6 @@
 import ashlink.decisions.api.Tenant;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -288,13 +287,6 @@
      * variant: it keeps the placement of its class and is no longer retried.
      */
     public Map<String, QueryClass> allClasses() {
-        Map<String, QueryClass> all = new LinkedHashMap<>(classes);
-        for (QueryClass queryClass : classes.values()) {
-            if (AtMostOnceVariants.isNeeded(queryClass)) {
-                String name = strictName(queryClass.name());
-                all.put(name, AtMostOnceVariants.create(name, queryClass));
-            }
-        }
-        return all;
+        return AtMostOnceVariants.addTo(classes);
     }
 }
--- a/router/src/main/java/ashlink/router/frontend/RequestExchange.java
+++ b/router/src/main/java/ashlink/router/frontend/RequestExchange.java
@@ -203,11 +203,7 @@
         finish(error, outcome, 0);
     }
 
-    /**
-     * Responds with an error, unless the response is claimed.
-     *
-     * @param retryAfterNs time after which the client may retry; 0 for none
-     */
+    /** Like {@link #finish(ServerError, StatementOutcome)}, with a Retry-After; 0 for none. */
     void finish(ServerError error, StatementOutcome outcome, long retryAfterNs) {
         ByteBuf packet = new ByteBuf();
         try {
--- a/router/src/test/java/ashlink/router/StoredDataRecorder.java
+++ b/router/src/test/java/ashlink/router/StoredDataRecorder.java
@@ -42,7 +42,7 @@
         spool(folder.resolve("spool"));
     }
 
-    // ---- Keys
+    // Keys
     private static void firstStartOfKeys(Path folder) throws IOException {
         IdempotencyKeyTable table = new IdempotencyKeyTable(100, DAY_MS);
         try (IdempotencyKeyLog journal =
@@ -102,7 +102,7 @@
         journal.put(entry.completed(ending));
     }
 
-    // ---- The list of engines
+    // The list of engines
     private static void list(Path file) throws IOException {
         long nowNs = 5_000 * SECOND_MS * MS;
         new EndpointListStore(file)
@@ -128,7 +128,7 @@
                         START_MS);
     }
 
-    // ---- The spool
+    // The spool
     private static void spool(Path folder) throws Exception {
         leave(folder, "r1", BOOT_FIRST, "r1~b7Zq_-9", 1);
         leave(folder, "r1", BOOT_BEFORE, "r1~sX4", 2);
