--- a/router/src/main/java/ashlink/router/statement/PageWindow.java
+++ b/router/src/main/java/ashlink/router/statement/PageWindow.java
@@ -1,81 +1,85 @@
 package ashlink.router.statement;
 
 /**
- * Which pages of a result there are. A page is closed once and never changes. Who asks for page n
- * has all before page n-1: those are let go, so that a page can be asked for again, late or beside
- * the next one, until the one after the next is asked for.
+ * The numbers of the pages of a result that exist and are retained. A page is closed once and never
+ * changes. The request of page n releases the pages before n-1, so a page can be requested again
+ * until the page after the next one is requested. Not safe for use by several threads.
  */
 public final class PageWindow {
 
-    /** What becomes of an asking. */
-    public enum Kind {
-        /** The page is there. */
-        THERE,
-        /** It is the next that comes. */
-        NOT_YET,
-        /** It was let go. */
-        GONE,
-        /** There is and comes no such page, or not before others. */
-        NEVER
+    /** The state of a requested page. */
+    public enum PageState {
+        /** The page exists. */
+        AVAILABLE,
+        /** The page is the next one to be closed. */
+        PENDING,
+        /** The page was released. */
+        RELEASED,
+        /** The page will never exist, or not before others. */
+        INVALID
     }
 
-    private int first;
-    private int closed;
-    private int highestAsked = -1;
+    private int firstRetained;
+    private int closedCount;
+    private int highestRequested = -1;
     private boolean ended;
 
-    /** Closes the next page, and returns its number. */
-    public int close() {
+    /**
+     * Closes the next page and returns its number.
+     *
+     * @throws IllegalStateException after {@link #end}
+     */
+    public int closePage() {
         if (ended) {
-            throw new IllegalStateException("a page after the end");
+            throw new IllegalStateException("page " + closedCount + " after the end");
         }
-        return closed++;
+        return closedCount++;
     }
 
-    /** No further page comes. */
+    /** No further page will be closed. */
     public void end() {
         ended = true;
     }
 
-    /** What becomes of an asking for that page; {@link #first} says afterwards what was let go. */
-    public Kind ask(int page) {
-        if (page < 0 || page > closed || page == closed && ended) {
-            return Kind.NEVER;
+    /** Handles the request of a page; {@link #firstRetained} tells afterwards what it released. */
+    public PageState request(int page) {
+        if (page < 0 || page > closedCount || page == closedCount && ended) {
+            return PageState.INVALID;
         }
-        if (page < first) {
-            return Kind.GONE;
+        if (page < firstRetained) {
+            return PageState.RELEASED;
         }
-        if (page == closed) {
-            return Kind.NOT_YET;
+        if (page == closedCount) {
+            return PageState.PENDING;
         }
-        highestAsked = Math.max(highestAsked, page);
-        first = Math.max(first, Math.min(page - 1, closed));
-        return Kind.THERE;
+        highestRequested = Math.max(highestRequested, page);
+        firstRetained = Math.max(firstRetained, Math.min(page - 1, closedCount));
+        return PageState.AVAILABLE;
     }
 
-    /** All pages are let go. */
-    public void dropAll() {
-        first = closed;
+    /** Releases all pages; no further one will be closed. */
+    public void releaseAll() {
+        firstRetained = closedCount;
         ended = true;
     }
 
-    /** The lowest page that is kept. */
-    public int first() {
-        return first;
+    /** Returns the lowest page that is retained. */
+    public int firstRetained() {
+        return firstRetained;
     }
 
-    /** Pages closed so far. */
-    public int closed() {
-        return closed;
+    /** Returns the number of closed pages. */
+    public int closedCount() {
+        return closedCount;
     }
 
-    /** True for the last page of all. */
+    /** Tells whether a page is the last one of the result. */
     public boolean isLast(int page) {
-        return ended && page == closed - 1;
+        return ended && page == closedCount - 1;
     }
 
-    /** True once the last page was asked for. */
-    public boolean isEndFetched() {
-        return ended && highestAsked == closed - 1;
+    /** Tells whether the last page was requested. */
+    public boolean isLastPageRequested() {
+        return ended && highestRequested == closedCount - 1;
     }
 }
--- a/router/src/main/java/ashlink/router/statement/SpoolBudget.java
+++ b/router/src/main/java/ashlink/router/statement/SpoolBudget.java
@@ -4,85 +4,101 @@
 import java.util.Map;
 
 /**
- * Bytes of results that are kept: for a statement, a user and the router. What does not fit waits,
- * and so does the engine that sends it; the clients that fetch make room. A part of the router's
- * budget is kept for statements that hold nothing, so that results nobody fetches do not stop the
- * first page of others.
+ * The budget of stored result bytes: per statement, per user and for the router. A page that does
+ * not fit waits, and so does the engine that sends it, until clients have fetched others. A part of
+ * the router's budget is reserved for statements that store nothing yet, so that results that
+ * nobody fetches do not block the first pages of others. Not safe for use by several threads.
  */
 public final class SpoolBudget {
 
-    /** What becomes of an asking. */
-    public enum Verdict {
-        /** It is given. */
+    /** The result of a reservation. */
+    public enum Reservation {
+        /** The bytes are reserved. */
         GRANTED,
-        /** Not now: to be asked again once something was let go. */
+        /** The bytes do not fit now; try again after a release. */
         WAIT,
-        /** It is more than there will ever be. */
-        NEVER
+        /** The bytes exceed a limit by themselves. */
+        TOO_LARGE
     }
 
     /**
-     * Limits in bytes; {@code reserveBytes} of {@code allBytes} is for statements that hold
-     * nothing.
+     * Limits in bytes.
+     *
+     * @param statementBytes limit of one statement
+     * @param userBytes limit of all statements of one user
+     * @param totalBytes limit of all statements
+     * @param reserveBytes part of {@code totalBytes} for statements that store nothing yet
      */
-    public record Limits(long statementBytes, long userBytes, long allBytes, long reserveBytes) {}
+    public record Limits(long statementBytes, long userBytes, long totalBytes, long reserveBytes) {
 
-    private record Holder(String user, long bytes) {}
+        private long maxReservationBytes() {
+            return Math.min(statementBytes, Math.min(userBytes, totalBytes));
+        }
+    }
+
+    private record StatementUsage(String user, long bytes) {}
 
     private final Limits limits;
-    private final Map<String, Holder> statements = new HashMap<>();
-    private final Map<String, Long> users = new HashMap<>();
-    private long all;
+    private final Map<String, StatementUsage> usageByStatement = new HashMap<>();
+    private final Map<String, Long> bytesByUser = new HashMap<>();
+    private long totalBytes;
 
-    /** A budget of which nothing is taken. */
+    /** An unused budget. */
     public SpoolBudget(Limits limits) {
         this.limits = limits;
     }
 
-    /** A statement of that user asks for so many bytes more. */
-    public Verdict ask(String statement, String user, long bytes) {
-        if (bytes > Math.min(limits.statementBytes, Math.min(limits.userBytes, limits.allBytes))) {
-            return Verdict.NEVER;
+    /** Reserves bytes for a statement of a user, in addition to those that it has. */
+    public Reservation reserve(String statement, String user, long bytes) {
+        if (bytes > limits.maxReservationBytes()) {
+            return Reservation.TOO_LARGE;
         }
-        long held = statements.containsKey(statement) ? statements.get(statement).bytes : 0;
-        long ofAll =
-                held == 0
-                        ? limits.allBytes
-                        : Math.max(limits.allBytes - limits.reserveBytes, bytes);
-        if (held + bytes > limits.statementBytes
-                || users.getOrDefault(user, 0L) + bytes > limits.userBytes
-                || all + bytes > ofAll) {
-            return Verdict.WAIT;
+        StatementUsage usage = usageByStatement.get(statement);
+        long usedBytes = usage == null ? 0 : usage.bytes;
+        long totalLimit =
+                usedBytes == 0
+                        ? limits.totalBytes
+                        : Math.max(limits.totalBytes - limits.reserveBytes, bytes);
+        if (usedBytes + bytes > limits.statementBytes
+                || usedBytesOf(user) + bytes > limits.userBytes
+                || totalBytes + bytes > totalLimit) {
+            return Reservation.WAIT;
         }
-        statements.put(statement, new Holder(user, held + bytes));
-        users.merge(user, bytes, Long::sum);
-        all += bytes;
-        return Verdict.GRANTED;
+        usageByStatement.put(statement, new StatementUsage(user, usedBytes + bytes));
+        bytesByUser.merge(user, bytes, Long::sum);
+        totalBytes += bytes;
+        return Reservation.GRANTED;
     }
 
-    /** A statement lets go of so many bytes, at most of what it holds. */
+    /** Releases bytes of a statement, at most those that it has. */
     public void release(String statement, long bytes) {
-        Holder holder = statements.get(statement);
-        if (holder == null) {
+        StatementUsage usage = usageByStatement.get(statement);
+        if (usage == null) {
             return;
         }
-        long given = Math.min(bytes, holder.bytes);
-        if (given == holder.bytes) {
-            statements.remove(statement);
+        long released = Math.min(bytes, usage.bytes);
+        if (released == usage.bytes) {
+            usageByStatement.remove(statement);
         } else {
-            statements.put(statement, new Holder(holder.user, holder.bytes - given));
+            usageByStatement.put(statement, new StatementUsage(usage.user, usage.bytes - released));
         }
-        users.merge(holder.user, -given, (a, b) -> a + b == 0 ? null : a + b);
-        all -= given;
+        bytesByUser.merge(usage.user, -released, SpoolBudget::sumOrNull);
+        totalBytes -= released;
+    }
+
+    /** Returns null for a sum of 0, which removes a user from the map. */
+    private static Long sumOrNull(Long first, Long second) {
+        long sum = first + second;
+        return sum == 0 ? null : sum;
     }
 
-    /** Bytes taken of the router's budget. */
-    public long taken() {
-        return all;
+    /** Returns the bytes used by all statements. */
+    public long usedBytes() {
+        return totalBytes;
     }
 
-    /** Bytes that a user's statements hold. */
-    public long takenBy(String user) {
-        return users.getOrDefault(user, 0L);
+    /** Returns the bytes used by the statements of a user. */
+    public long usedBytesOf(String user) {
+        return bytesByUser.getOrDefault(user, 0L);
     }
 }
--- a/router/src/main/java/ashlink/router/statement/StatementLifecycle.java
+++ b/router/src/main/java/ashlink/router/statement/StatementLifecycle.java
@@ -1,130 +1,144 @@
 package ashlink.router.statement;
 
 /**
- * The life of a statement whose client asks for its answer: under way, answered, its result
- * dropped, forgotten. Time only goes on; a statement is never brought back.
+ * The lifecycle of a statement whose client polls for its result: running, answered, discarded,
+ * removed. A state is never left for an earlier one, and time never goes back. Not safe for use by
+ * several threads; times are those of the caller in nanoseconds.
  */
 public final class StatementLifecycle {
 
-    /** Where it stands. */
+    /** The state of a statement. */
     public enum State {
-        /** Without a final answer. */
+        /** It has no final response. */
         RUNNING,
-        /** Answered; what there is of a result can be fetched. */
+        /** It has its final response; the result can be fetched. */
         ANSWERED,
-        /** Its result is dropped; it is answered as gone. */
-        GONE,
-        /** Nothing is known of it any more. */
-        FORGOTTEN
+        /** Its result is deleted; clients are told so. */
+        DISCARDED,
+        /** It is no longer known. */
+        REMOVED
     }
 
-    /** What is to be done about it. */
-    public enum Wish {
-        /** Nothing yet. */
-        NOTHING,
-        /** Nobody asks for it: its work is to be called off. */
-        ABANDON,
-        /** Its result is to be dropped. */
+    /** What the caller has to do about a statement. */
+    public enum PendingAction {
+        /** Nothing. */
+        NONE,
+        /** Cancel it, as no client polls it. */
+        CANCEL,
+        /** Discard its result. */
         DISCARD,
-        /** It is to be forgotten. */
-        FORGET
+        /** Remove it. */
+        REMOVE
     }
 
     /**
-     * How long things last, in nanoseconds.
+     * The time limits of statements, in nanoseconds.
      *
-     * @param unpolledNs a statement under way lasts that long without its client asking
-     * @param keptNs an answer lasts that long without its client asking
-     * @param lingerNs an answer whose end was fetched lasts that long, for a client that asks again
-     * @param tombstoneNs that long a dropped one is told from one that never was
+     * @param pollTimeoutNs time without a poll after which a running statement is cancelled
+     * @param resultRetentionNs time without a poll after which a result is discarded
+     * @param completedRetentionNs the same for a result whose last page was fetched
+     * @param tombstoneRetentionNs time after which a discarded statement is removed
      */
-    public record Terms(long unpolledNs, long keptNs, long lingerNs, long tombstoneNs) {}
+    public record Timeouts(
+            long pollTimeoutNs,
+            long resultRetentionNs,
+            long completedRetentionNs,
+            long tombstoneRetentionNs) {}
 
-    private final Terms terms;
+    private final Timeouts timeouts;
     private State state = State.RUNNING;
     private long nowNs;
-    private long askedNs;
-    private long goneNs;
-    private int waiting;
-    private boolean endFetched;
-
-    /** A statement that begins. */
-    public StatementLifecycle(Terms terms, long nowNs) {
-        this.terms = terms;
+    private long lastPollNs;
+    private long discardedNs;
+    private int openPolls;
+    private boolean lastPageFetched;
+
+    /** A statement that starts now. */
+    public StatementLifecycle(Timeouts timeouts, long nowNs) {
+        this.timeouts = timeouts;
         this.nowNs = nowNs;
-        this.askedNs = nowNs;
+        this.lastPollNs = nowNs;
     }
 
-    private void pass(long now) {
-        nowNs = Math.max(nowNs, now);
+    private void advanceClock(long timeNs) {
+        nowNs = Math.max(nowNs, timeNs);
     }
 
-    /** Its client asks, and waits until {@link #waited}. */
-    public void asked(long now) {
-        pass(now);
-        waiting++;
-        askedNs = nowNs;
+    /** A poll starts; it lasts until {@link #pollEnded}. */
+    public void pollStarted(long timeNs) {
+        advanceClock(timeNs);
+        openPolls++;
+        lastPollNs = nowNs;
     }
 
-    /** Its client no longer waits; {@code end} true if it was given the end of the answer. */
-    public void waited(boolean end, long now) {
-        pass(now);
-        waiting = Math.max(0, waiting - 1);
-        askedNs = nowNs;
-        endFetched |= end;
+    /** A poll ends; {@code lastPage} tells whether it returned the end of the result. */
+    public void pollEnded(boolean lastPage, long timeNs) {
+        advanceClock(timeNs);
+        openPolls = Math.max(0, openPolls - 1);
+        lastPollNs = nowNs;
+        lastPageFetched |= lastPage;
     }
 
-    /** It has its final answer; false if it was over already. */
-    public boolean answered(long now) {
-        pass(now);
+    /** The statement has its final response; returns false if it had ended before. */
+    public boolean complete(long timeNs) {
+        advanceClock(timeNs);
         if (state != State.RUNNING) {
             return false;
         }
         state = State.ANSWERED;
-        askedNs = Math.max(askedNs, nowNs); // the time to fetch it starts with the answer
+        // The retention of the result starts now, even if nobody polled for long.
+        lastPollNs = nowNs;
         return true;
     }
 
-    /** Its result is dropped: by its client, or by a wish. */
-    public void discarded(long now) {
-        pass(now);
+    /** The result is discarded. */
+    public void discard(long timeNs) {
+        advanceClock(timeNs);
         if (state == State.RUNNING || state == State.ANSWERED) {
-            state = State.GONE;
-            goneNs = nowNs;
+            state = State.DISCARDED;
+            discardedNs = nowNs;
         }
     }
 
-    /** What is to be done now; whoever does it says so. */
-    public Wish wish(long now) {
-        pass(now);
+    /** Returns what has to be done now; the caller reports it by the methods of this class. */
+    public PendingAction pendingAction(long timeNs) {
+        advanceClock(timeNs);
         return switch (state) {
             case RUNNING ->
-                    waiting == 0 && nowNs - askedNs >= terms.unpolledNs()
-                            ? Wish.ABANDON
-                            : Wish.NOTHING;
+                    isUnpolledFor(timeouts.pollTimeoutNs())
+                            ? PendingAction.CANCEL
+                            : PendingAction.NONE;
             case ANSWERED ->
-                    waiting == 0
-                                    && nowNs - askedNs
-                                            >= (endFetched ? terms.lingerNs() : terms.keptNs())
-                            ? Wish.DISCARD
-                            : Wish.NOTHING;
-            case GONE -> nowNs - goneNs >= terms.tombstoneNs() ? Wish.FORGET : Wish.NOTHING;
-            case FORGOTTEN -> Wish.NOTHING;
+                    isUnpolledFor(
+                                    lastPageFetched
+                                            ? timeouts.completedRetentionNs()
+                                            : timeouts.resultRetentionNs())
+                            ? PendingAction.DISCARD
+                            : PendingAction.NONE;
+            case DISCARDED ->
+                    nowNs - discardedNs >= timeouts.tombstoneRetentionNs()
+                            ? PendingAction.REMOVE
+                            : PendingAction.NONE;
+            case REMOVED -> PendingAction.NONE;
         };
     }
 
-    /** Nothing is known of it from here on. */
-    public void forgotten() {
-        state = State.FORGOTTEN;
+    private boolean isUnpolledFor(long durationNs) {
+        return openPolls == 0 && nowNs - lastPollNs >= durationNs;
+    }
+
+    /** The statement is removed. */
+    public void remove() {
+        state = State.REMOVED;
     }
 
-    /** Where it stands. */
+    /** Returns the state. */
     public State state() {
         return state;
     }
 
-    /** When its result was dropped; the oldest are forgotten first where there are too many. */
-    public long goneNs() {
-        return goneNs;
+    /** Returns the time at which the result was discarded. */
+    public long discardedNs() {
+        return discardedNs;
     }
 }
