--- a/capture/src/test/java/ashlink/capture/ModuleHashTest.java
+++ b/capture/src/test/java/ashlink/capture/ModuleHashTest.java
@@ -10,6 +10,8 @@
 import java.io.InputStream;
 import java.io.OutputStream;
 import java.net.URI;
+import java.nio.file.FileSystem;
+import java.nio.file.FileSystems;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.security.CodeSource;
@@ -42,8 +44,18 @@
                         .getLocation()
                         .toURI();
         Path classes = Path.of(location);
-        for (Path file : regularFiles(classes)) {
-            Path copy = directory.resolve(classes.relativize(file).toString());
+        if (Files.isDirectory(classes)) {
+            copyAll(classes);
+            return;
+        }
+        try (FileSystem jar = FileSystems.newFileSystem(classes)) {
+            copyAll(jar.getPath("/"));
+        }
+    }
+
+    private void copyAll(Path root) throws IOException {
+        for (Path file : regularFiles(root)) {
+            Path copy = directory.resolve(root.relativize(file).toString());
             Files.createDirectories(copy.getParent());
             Files.copy(file, copy);
         }
