--- a/decisions/src/main/java/ashlink/decisions/GiveUpPolicy.java
+++ b/decisions/src/main/java/ashlink/decisions/GiveUpPolicy.java
@@ -2,7 +2,8 @@
 
 /**
  * Gives up queued queries that will miss their latency objective, at once, where others need the
- * capacity or a late answer earns nothing. One that stays queues with its lower, late weight.
+ * capacity or a late answer earns nothing, and answers those whose deadline is near. One that stays
+ * queues with its lower, late weight.
  */
 final class GiveUpPolicy {
 
--- a/decisions/src/main/java/ashlink/decisions/OutlierDetector.java
+++ b/decisions/src/main/java/ashlink/decisions/OutlierDetector.java
@@ -33,7 +33,7 @@
      * A detector.
      *
      * @param progressIntervalNs interval of progress messages; 0 if there are none
-     * @param responseTimes tells how slow the engines are altogether
+     * @param responseTimes the mean slowness of all engines
      */
     OutlierDetector(long progressIntervalNs, ResponseTimeModel responseTimes) {
         this.progressIntervalNs = progressIntervalNs;
--- a/decisions/src/main/java/ashlink/decisions/QueryCompletion.java
+++ b/decisions/src/main/java/ashlink/decisions/QueryCompletion.java
@@ -4,8 +4,9 @@
 import ashlink.decisions.api.Action.Reject;
 
 /**
- * Rule "one final answer before the client gives up": the one place where a query that no engine
- * served gets its answer, and where a query is removed.
+ * Rule "one final answer before the client gives up": the one place where an accepted query that no
+ * engine served gets its answer, and where a query is removed. {@link SubmissionHandler} rejects
+ * what it does not accept; the router answers by itself only if the decisions fail.
  */
 final class QueryCompletion {
 
--- a/decisions/src/main/java/ashlink/decisions/RetryBudget.java
+++ b/decisions/src/main/java/ashlink/decisions/RetryBudget.java
@@ -7,8 +7,8 @@
  * Rule "attempts within budget": the retries in each window are at most a number of free ones plus
  * a fraction of the queries that were submitted in it.
  *
- * <p>What is exactly as old as the window still counts as a retry and no longer as a query, so that
- * the budget holds wherever the window begins.
+ * <p>At the edge of the window a retry still counts and a query no longer does: the stricter
+ * choice, so that the budget also holds for a window that includes both of its ends.
  */
 final class RetryBudget {
 
--- a/decisions/src/main/java/ashlink/decisions/api/PolicyLimits.java
+++ b/decisions/src/main/java/ashlink/decisions/api/PolicyLimits.java
@@ -10,7 +10,7 @@
  *     for no limit
  * @param slowStartWindowNs window over which the load on a warming engine is counted
  * @param keyQuietPeriodNs pause of an ordering key after an attempt that may still run
- * @param freeRetries retries in each window that need no credit
+ * @param freeRetries retries in each window that are allowed whatever the number of queries
  * @param retriesPerQuery retries that each query in the window allows
  * @param retryBudgetWindowNs window of the retry budget; 0 for no budget
  */
--- a/decisions/src/test/java/ashlink/decisions/RestartPolicyTest.java
+++ b/decisions/src/test/java/ashlink/decisions/QueryRestartPolicyTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Which running queries are restarted; they are expected to take 100 ms. */
-class RestartPolicyTest {
+class QueryRestartPolicyTest {
 
     private static final QueryClass LOOKUP = RouterHarness.shortClass("lookup");
 
--- a/router/src/main/java/ashlink/router/core/StatementOutcome.java
+++ b/router/src/main/java/ashlink/router/core/StatementOutcome.java
@@ -25,16 +25,16 @@
 
     private final String label;
 
-    StatementOutcome(String word) {
-        this.label = word;
+    StatementOutcome(String label) {
+        this.label = label;
     }
 
-    /** True where the statement provably did not run. */
+    /** True if a repeat by the client is harmless; an idempotent statement may have run. */
     public boolean isRejection() {
         return this == REJECTED || this == NOT_ADMITTED;
     }
 
-    /** The word for it in the HTTP interface and in logs. */
+    /** The label in the HTTP interface and in logs. */
     public String label() {
         return label;
     }
