--- a/router/src/main/java/ashlink/router/RouterExecutors.java
+++ b/router/src/main/java/ashlink/router/RouterExecutors.java
@@ -1,6 +1,7 @@
 package ashlink.router;
 
 import ashlink.config.RouterConfig;
+import ashlink.router.core.DaemonTimer;
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.SynchronousQueue;
 import java.util.concurrent.ThreadFactory;
@@ -49,15 +50,6 @@
 
     /** Creates the executor of timeouts, with a single thread. */
     static ScheduledThreadPoolExecutor timer(RouterConfig config) {
-        ScheduledThreadPoolExecutor timer =
-                new ScheduledThreadPoolExecutor(
-                        1,
-                        task -> {
-                            Thread thread = new Thread(task, config.name() + "-front-timer");
-                            thread.setDaemon(true);
-                            return thread;
-                        });
-        timer.setRemoveOnCancelPolicy(true);
-        return timer;
+        return DaemonTimer.create(config.name() + "-front-timer");
     }
 }
