--- a/decisions/src/main/java/ashlink/decisions/AbandonedAttempt.java
+++ b/decisions/src/main/java/ashlink/decisions/AbandonedAttempt.java
@@ -1,9 +1,10 @@
 package ashlink.decisions;
 
 /**
- * An attempt that ended for the router and still counts as load of its engine.
+ * An attempt that has ended for the router but may still run on its engine, so that it still counts
+ * towards the load of the engine.
  *
- * @param countedUntilNs time until which it counts
+ * @param countedUntilNs time until which the attempt counts as load
  * @param query the query of the attempt
  */
 record AbandonedAttempt(long countedUntilNs, QueryState query) {}
--- a/decisions/src/main/java/ashlink/decisions/ActionBuffer.java
+++ b/decisions/src/main/java/ashlink/decisions/ActionBuffer.java
@@ -4,12 +4,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Collects the actions that are decided during one event, in order. */
+/** Collects the actions decided during one event, in order. */
 final class ActionBuffer {
 
     private List<Action> actions = new ArrayList<>();
 
-    /** Starts a new event; the list returned for the previous one is not touched any more. */
+    /**
+     * Starts a new event with a new list; the list returned for the previous event is no longer
+     * modified.
+     */
     void startEvent() {
         actions = new ArrayList<>();
     }
--- a/decisions/src/main/java/ashlink/decisions/ActiveQueries.java
+++ b/decisions/src/main/java/ashlink/decisions/ActiveQueries.java
@@ -3,7 +3,9 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The queries of this router that are unfinished or have an attempt in flight. */
+/**
+ * The queries of this router that are unfinished or have an attempt in flight, by query identifier.
+ */
 final class ActiveQueries {
 
     private final Map<Long, QueryState> queries = new LinkedHashMap<>();
@@ -12,7 +14,7 @@
         return queries.containsKey(id);
     }
 
-    /** Returns the query of that number, or null. */
+    /** Returns the query with the given identifier, or null if there is none. */
     QueryState find(long id) {
         return queries.get(id);
     }
@@ -25,7 +27,7 @@
         queries.remove(query.id);
     }
 
-    /** Returns the threads of the short queries with an attempt in flight. */
+    /** Returns the number of threads used by the short queries that have an attempt in flight. */
     int shortThreadsInFlight(ShortQueryClassifier shortQueries) {
         int threads = 0;
         for (QueryState query : queries.values()) {
--- a/decisions/src/main/java/ashlink/decisions/AdmissionQueue.java
+++ b/decisions/src/main/java/ashlink/decisions/AdmissionQueue.java
@@ -4,11 +4,12 @@
 import java.util.TreeSet;
 
 /**
- * The queries that wait for an engine: highest priority weight first, then least estimated work,
- * which lets most of them meet their objective, then in the order of submission.
+ * The queries that wait for an engine, ordered by priority weight (highest first), then by
+ * estimated work (least first, so that as many queries as possible meet their latency objective),
+ * then by order of submission.
  *
- * <p>The order uses the estimate as it was given: its correction changes with each response, and
- * later queries would overtake like ones by it.
+ * <p>The order uses the uncorrected estimate. The corrected estimate changes with each response, so
+ * that later queries would overtake earlier queries of the same kind.
  */
 final class AdmissionQueue {
 
@@ -35,24 +36,24 @@
         return queries.contains(query);
     }
 
-    /** Returns the queries in order; the list does not follow later changes. */
+    /** Returns a copy of the queued queries in queue order, unaffected by later changes. */
     List<QueryState> snapshot() {
         return List.copyOf(queries);
     }
 
-    /** Returns the queries in order. */
+    /** Returns a live view of the queued queries in queue order. */
     Iterable<QueryState> inOrder() {
         return queries;
     }
 
-    /** Changes the weight of a queued query, and its place in the order with it. */
+    /** Changes the weight of a queued query and moves the query to its new position. */
     void changeWeight(QueryState query, double weight) {
         queries.remove(query);
         query.weight = weight;
         queries.add(query);
     }
 
-    /** Whether a queued query has missed its latency objective. */
+    /** Returns whether any queued query has missed its latency objective. */
     boolean isObjectiveMissed(long nowNs) {
         for (QueryState query : queries) {
             if (nowNs >= query.objectiveEndNs()) {
--- a/decisions/src/main/java/ashlink/decisions/AttemptCanceller.java
+++ b/decisions/src/main/java/ashlink/decisions/AttemptCanceller.java
@@ -3,7 +3,9 @@
 import ashlink.decisions.api.Action.CancelAttempt;
 import ashlink.decisions.api.RetrySafety;
 
-/** Cancels attempts in flight, where that has no effect twice and engines support it. */
+/**
+ * Cancels attempts in flight if engines support cancellation and the query can safely run again.
+ */
 final class AttemptCanceller {
 
     private final boolean cancellation;
@@ -16,7 +18,10 @@
         this.actions = actions;
     }
 
-    /** Rule "no effect twice": only an idempotent query with an attempt left may be cancelled. */
+    /**
+     * Returns whether the attempt in flight may be cancelled. Invariant "no duplicate effects": the
+     * query must be idempotent, and it must have an attempt left for the retry.
+     */
     boolean mayCancel(QueryState query) {
         return cancellation
                 && query.spec.retrySafety() == RetrySafety.IDEMPOTENT
@@ -25,7 +30,7 @@
                 && retryPolicy.hasAttemptsLeft(query);
     }
 
-    /** Cancels the attempt in flight of a query that may be cancelled. */
+    /** Cancels the attempt in flight. The caller checks {@link #mayCancel} first. */
     void cancel(QueryState query) {
         query.cancelRequested = true;
         actions.add(new CancelAttempt(query.id, query.attempts - 1));
--- a/decisions/src/main/java/ashlink/decisions/AttemptHandler.java
+++ b/decisions/src/main/java/ashlink/decisions/AttemptHandler.java
@@ -5,12 +5,16 @@
 import ashlink.decisions.api.LoadReport;
 import ashlink.decisions.api.Outcome;
 
-/** Follows attempts: passes on what they report and ends them. */
+/**
+ * Handles the events of attempts: forwards progress messages and updates all state when an attempt
+ * ends.
+ */
 final class AttemptHandler {
 
     /**
-     * Fraction of its elapsed time for which an attempt that ended without its result still counts
-     * as load, if it cannot be cancelled; else the engine would seem idle.
+     * Fraction of its elapsed time for which an abandoned attempt still counts as load of its
+     * engine if the attempt cannot be cancelled. Without it, an engine that still runs such
+     * attempts would look idle.
      */
     private static final double ABANDONED_FRACTION = 0.5;
 
@@ -48,7 +52,7 @@
         this.restartPolicy = restartPolicy;
     }
 
-    /** Handles a progress message; one of an earlier attempt is ignored. */
+    /** Handles a progress message; a message of any attempt but the one in flight is ignored. */
     void onProgress(AttemptProgress progress, long nowNs) {
         QueryState query = queries.find(progress.id());
         EngineState engine = engines.find(progress.engine());
@@ -72,10 +76,10 @@
     }
 
     /**
-     * Handles the end of an attempt. The engine's state is updated for any attempt, the query's
-     * only for the one in flight.
+     * Handles the end of an attempt. The state of the engine is updated for every attempt, the
+     * state of the query only for the attempt in flight.
      *
-     * @return the engine that ran the attempt in flight; null if it was another attempt
+     * @return the engine that ran the attempt in flight; null if the attempt was not in flight
      */
     EngineState onEnded(AttemptEnded ended, long nowNs) {
         recordEngine(ended, nowNs);
@@ -121,7 +125,10 @@
         engine.releaseExpired(nowNs);
     }
 
-    /** Queues the query again where the rules allow a retry and time is left, else finishes it. */
+    /**
+     * Queues the query again if a retry is allowed and there is time left; otherwise finishes the
+     * query.
+     */
     private void retryOrFinish(QueryState query, long nowNs) {
         if (query.finished) {
             completion.removeIfDone(query);
--- a/decisions/src/main/java/ashlink/decisions/ClientDisconnectHandler.java
+++ b/decisions/src/main/java/ashlink/decisions/ClientDisconnectHandler.java
@@ -1,6 +1,6 @@
 package ashlink.decisions;
 
-/** Drops the query of a client that disconnected; its attempt would serve nobody. */
+/** Drops the query of a disconnected client, because nobody waits for its result. */
 final class ClientDisconnectHandler {
 
     private final ActiveQueries queries;
@@ -15,9 +15,10 @@
     }
 
     /**
-     * Finishes the query of that number without an answer.
+     * Finishes the query with the given identifier without an answer, and cancels its attempt if
+     * possible.
      *
-     * @return whether there was one
+     * @return whether the query was known
      */
     boolean onDisconnected(long queryId) {
         QueryState query = queries.find(queryId);
--- a/decisions/src/main/java/ashlink/decisions/CompletionRecorder.java
+++ b/decisions/src/main/java/ashlink/decisions/CompletionRecorder.java
@@ -2,7 +2,7 @@
 
 import ashlink.decisions.api.Event.AttemptEnded;
 
-/** Passes the measurements of an attempt that was served to the models that learn from them. */
+/** Forwards the measurements of a served attempt to the models that learn from them. */
 final class CompletionRecorder {
 
     private final ResponseTimeModel responseTimes;
--- a/decisions/src/main/java/ashlink/decisions/ConcurrencyFeedback.java
+++ b/decisions/src/main/java/ashlink/decisions/ConcurrencyFeedback.java
@@ -1,24 +1,33 @@
 package ashlink.decisions;
 
 /**
- * Adjusts concurrency limits by the throughput and response time of measurement periods, in small
- * steps, as in "How to determine a good multi-programming level for external scheduling".
+ * Adjusts concurrency limits by feedback control: compares the throughput and the mean response
+ * time of consecutive measurement periods and moves the limit in small steps, as in "How to
+ * determine a good multi-programming level for external scheduling".
  */
 final class ConcurrencyFeedback {
 
-    /** Step as a fraction of the initial limit; one thread at least. */
+    /** Step size as a fraction of the initial limit; the step is at least one thread. */
     private static final double STEP_FRACTION = 0.25;
 
-    /** Relative change of throughput or response time that counts (the paper's 5%). */
+    /**
+     * Smallest relative change of throughput or response time that is significant; 5% as in the
+     * paper.
+     */
     private static final double CHANGE_FRACTION = 0.05;
 
-    /** Completions that close a period; the paper's number for stable means. */
+    /**
+     * Completions that end a measurement period; the number for which the paper finds stable means.
+     */
     private static final int PERIOD_COMPLETIONS = 100;
 
-    /** Time after which a period closes with fewer completions while the limit is saturated. */
+    /**
+     * Time after which a period ends with fewer than {@link #PERIOD_COMPLETIONS} completions if the
+     * limit is saturated.
+     */
     private static final long PERIOD_NS = 2_000 * Nanos.PER_MS;
 
-    /** Completions that such a period needs. */
+    /** Completions required to end a period by {@link #PERIOD_NS}. */
     private static final int MIN_COMPLETIONS = 10;
 
     private final ConcurrencyLimiter limiter;
@@ -32,7 +41,9 @@
         this.queue = queue;
     }
 
-    /** Adjusts the limit if its period is complete, and starts the next one. */
+    /**
+     * Adjusts the limit and starts the next measurement period if the current period is complete.
+     */
     void closePeriodIfComplete(ConcurrencyLimit limit, long nowNs) {
         long lengthNs = nowNs - limit.periodStartNs;
         if (!isComplete(limit, lengthNs)) {
@@ -60,8 +71,9 @@
     }
 
     /**
-     * A limit does not fall while queued queries miss their objectives or responses got slower, nor
-     * below its initial value unless an engine rejected an attempt.
+     * Returns whether the limit may decrease. It may not while queued queries miss their latency
+     * objectives or after responses became slower, and not below its initial value unless an engine
+     * rejected an attempt in the period.
      */
     private boolean mayDecrease(
             ConcurrencyLimit limit, double responseNs, double stepThreads, long nowNs) {
@@ -73,7 +85,11 @@
         return !slower && (isRaised || rejected) && !queue.isObjectiveMissed(nowNs);
     }
 
-    /** A step up is followed by another only if throughput gained; else the limit goes down. */
+    /**
+     * Returns the step of a saturated limit. A step up is followed by another step up only if the
+     * throughput increased; otherwise the limit decreases, if a decrease is allowed or the fleet
+     * exceeds its initial limits.
+     */
     private double saturatedStep(
             ConcurrencyLimit limit, double throughput, double stepThreads, boolean mayDecrease) {
         boolean overInitialLimit = fleetLoad.isOverInitialLimit();
@@ -85,7 +101,10 @@
         return mayDecrease || overInitialLimit ? -stepThreads : 0;
     }
 
-    /** A step down that cost throughput is undone; else the limit goes down. */
+    /**
+     * Returns the step of an unsaturated limit. A step down that reduced the throughput is undone;
+     * otherwise the limit decreases, if a decrease is allowed.
+     */
     private static double unsaturatedStep(
             ConcurrencyLimit limit, double throughput, double stepThreads, boolean mayDecrease) {
         boolean lost = throughput < limit.lastThroughput * (1 - CHANGE_FRACTION);
--- a/decisions/src/main/java/ashlink/decisions/ConcurrencyLimit.java
+++ b/decisions/src/main/java/ashlink/decisions/ConcurrencyLimit.java
@@ -1,15 +1,16 @@
 package ashlink.decisions;
 
 /**
- * A limit on the threads that this router's queries occupy, on one engine or on all of them, and
- * the measurement period whose result adjusts it. The paper calls it the multiprogramming level.
+ * A limit on the number of threads that queries of this router occupy, on one engine or on all
+ * engines, with the measurement period by which the limit is adjusted. The paper cited in {@link
+ * ConcurrencyFeedback} calls such a limit the multiprogramming level.
  */
 final class ConcurrencyLimit {
 
-    /** Threads per core of the initial limit: some of them wait for disks. */
+    /** Threads per core of the initial limit; more than 1 because some threads wait for disks. */
     static final double INITIAL_THREADS_PER_CORE = 1.5;
 
-    /** Largest limit, as a multiple of the initial one. */
+    /** Largest limit, as a multiple of the initial limit. */
     static final double MAX_INITIAL_MULTIPLE = 2;
 
     int cores;
@@ -17,7 +18,7 @@
     /** Threads in use. */
     int threads;
 
-    /** Threads that feedback added to the initial limit. */
+    /** Threads that feedback has added to the initial limit; negative if the limit was lowered. */
     double adjustmentThreads;
 
     double lastStepThreads;
@@ -25,24 +26,24 @@
     int completions;
     double responseSumNs;
 
-    /** Completions per nanosecond of the previous period. */
+    /** Throughput of the previous period, in completions per nanosecond. */
     double lastThroughput;
 
     /** Mean response time of the previous period. */
     double lastResponseNs;
 
-    /** Whether a query found no capacity in this period. */
+    /** Whether a query was refused capacity in the current period. */
     boolean saturated;
 
     long lastRejectionNs = Nanos.NEVER;
 
-    /** Records the end of an attempt that was served. */
+    /** Records the completion of a served attempt. */
     void recordCompletion(long durationNs) {
         completions++;
         responseSumNs += durationNs;
     }
 
-    /** Starts the next period, with the results of the last one. */
+    /** Starts the next period and stores the results of the previous period. */
     void startPeriod(double throughput, double responseNs, long nowNs) {
         lastThroughput = throughput;
         lastResponseNs = responseNs;
--- a/decisions/src/main/java/ashlink/decisions/ConcurrencyLimiter.java
+++ b/decisions/src/main/java/ashlink/decisions/ConcurrencyLimiter.java
@@ -6,22 +6,29 @@
 import java.util.SplittableRandom;
 
 /**
- * Limits the threads that this router's queries occupy on an engine. The limit starts from the
- * cores and this router's part of the traffic; {@link ConcurrencyFeedback} adjusts it. It binds
- * only while the engine is overloaded, and never where nothing of this router runs.
+ * Limits the number of threads that queries of this router occupy on an engine. The initial limit
+ * follows from the cores of the engine and this router's fraction of the traffic; {@link
+ * ConcurrencyFeedback} adjusts the limit. The adjusted limit applies only while the engine is
+ * overloaded, and an engine without load from this router always accepts one query.
  *
- * <p>Where the routers are so many that one thread per router and engine would exceed the initial
- * limits, one limit over all engines takes their place.
+ * <p>In a large fleet, one thread per router and engine would already exceed the initial limits.
+ * There, a single limit over all engines replaces the limits per engine.
  */
 final class ConcurrencyLimiter {
 
     /** Capacity for short queries beyond the limit, as a multiple of the initial limit. */
     private static final double SHORT_QUERY_MULTIPLE = 1.0;
 
-    /** Pause after a rejection; an attempt at once would be rejected again. */
+    /**
+     * Time after a rejection in which no attempt starts on the engine, because the engine would
+     * most likely reject it again.
+     */
     private static final long REJECTION_PAUSE_NS = 200 * Nanos.PER_MS;
 
-    /** Queries per core that queue for memory from which more would only lengthen the queue. */
+    /**
+     * Queries per core that wait for memory on an engine beyond which further queries would only
+     * lengthen the wait.
+     */
     private static final double MAX_QUEUED_PER_CORE = 0.25;
 
     private final int routerCount;
@@ -33,11 +40,12 @@
     private final FleetLoadEstimator fleetLoad;
     private final OverloadDetector overload;
 
-    /** The limit over all engines. */
+    /** The limit over all engines, used in a large fleet. */
     private final ConcurrencyLimit sharedLimit = new ConcurrencyLimit();
 
     /**
-     * Random number from 0 to 1; a query without capacity is admitted if its probability is more.
+     * Random number from 0 to 1, drawn once per maintenance interval. A query that can never fit
+     * the shared limit is admitted if its admission probability is higher.
      */
     private double admissionDraw;
 
@@ -59,16 +67,20 @@
         this.overload = overload;
     }
 
-    /** Draws the random number of the next maintenance interval. */
+    /** Draws the random number for admissions in the next maintenance interval. */
     void drawAdmission() {
         admissionDraw = random.nextDouble();
     }
 
-    /** Returns the threads from which feedback adjusts a limit; 1 at least. */
+    /**
+     * Returns the initial number of threads of a limit, at least 1. Feedback adjusts the limit from
+     * this value.
+     */
     double initialThreads(ConcurrencyLimit limit) {
         double equalFraction = 1.0 / routerCount;
         double trafficFraction = fleetLoad.trafficFraction();
-        // With a known fleet load all routers use their mean, so that the parts add up to 1.
+        // If the load of the fleet is known, all routers use the mean of both fractions, so that the
+        // fractions of all routers add up to 1.
         double fraction =
                 fleetLoad.threadsPerCore() > 0
                         ? (trafficFraction + equalFraction) / 2
@@ -76,14 +88,17 @@
         return Math.max(1, ConcurrencyLimit.INITIAL_THREADS_PER_CORE * limit.cores * fraction);
     }
 
-    /** Drops the adjustment of an engine that has restarted. */
+    /** Resets the adjustment of the limit of a restarted engine; the shared limit is kept. */
     void resetAdjustment(EngineState engine) {
         if (engine.limit != sharedLimit) {
             engine.limit.adjustmentThreads = 0;
         }
     }
 
-    /** Gives each engine its own limit or the shared one, after the endpoint list changed. */
+    /**
+     * Assigns each engine its own limit or the shared limit. Called after the endpoint list has
+     * changed.
+     */
     void assignLimits() {
         List<EngineState> ready = engines.ready();
         int cores = 0;
@@ -107,7 +122,10 @@
         }
     }
 
-    /** Whether an attempt of the query may start on the engine; records if it may not. */
+    /**
+     * Returns whether capacity allows an attempt of the query to start on the engine; if not, the
+     * limit is marked as saturated.
+     */
     boolean hasCapacity(QueryState query, EngineState engine, long nowNs) {
         ConcurrencyLimit limit = engine.limit;
         boolean isShort = shortQueries.isShort(query);
@@ -136,9 +154,10 @@
     }
 
     /**
-     * Returns the limit in force. An engine without overload is filled up to the largest limit and
-     * not beyond: routers that queue queries see the same gap and would all fill one engine at
-     * once. The shared limit shrinks by as much as the fleet is over its initial limits.
+     * Returns the number of threads that the limit allows now. An engine that is not overloaded is
+     * filled up to the largest limit but not beyond, because all routers with queued queries see
+     * the same free capacity and would fill the engine at the same time. The shared limit is
+     * divided by the factor by which the fleet exceeds its initial limits.
      */
     private double effectiveThreads(ConcurrencyLimit limit, boolean isShort, boolean overloaded) {
         double initial = initialThreads(limit);
@@ -164,9 +183,10 @@
     }
 
     /**
-     * Whether a query fits the shared limit with all its threads while the fleet is over its
-     * initial limits. One that never would is admitted with the probability at which it fits on
-     * average; short queries have a reserved capacity of their own.
+     * Returns whether the query fits the shared limit with all of its threads while the fleet
+     * exceeds its initial limits. A query with more threads than the limit could never start, so it
+     * is admitted with the probability that keeps the average load at the limit. Short queries have
+     * reserved capacity in addition.
      */
     private boolean fitsSharedLimit(QueryState query, boolean isShort, double limitThreads) {
         int threads = query.spec.threads();
--- a/decisions/src/main/java/ashlink/decisions/DecisionModules.java
+++ b/decisions/src/main/java/ashlink/decisions/DecisionModules.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** The classes that decide, wired together for the settings of one router. */
+/** Creates and wires the components of the workload manager for the settings of one router. */
 final class DecisionModules {
 
     final ActionBuffer actions = new ActionBuffer();
--- a/decisions/src/main/java/ashlink/decisions/DefaultWorkloadManager.java
+++ b/decisions/src/main/java/ashlink/decisions/DefaultWorkloadManager.java
@@ -16,8 +16,8 @@
 import java.util.List;
 
 /**
- * The workload manager of one router. It hands each event to the class that decides on it, and then
- * lets the {@link QueryDispatcher} start what can start; it holds no rule itself.
+ * The workload manager of one router. Forwards each event to the component responsible for it and
+ * then lets the {@link QueryDispatcher} start attempts; contains no policy of its own.
  */
 public final class DefaultWorkloadManager implements WorkloadManager {
 
@@ -25,7 +25,11 @@
     private final ActionBuffer actions;
     private boolean started;
 
-    /** A workload manager that knows nothing but its settings. */
+    /**
+     * Creates a workload manager that knows no engines yet.
+     *
+     * @param settings the configuration of the router
+     */
     public DefaultWorkloadManager(Settings settings) {
         modules = new DecisionModules(settings);
         actions = modules.actions;
--- a/decisions/src/main/java/ashlink/decisions/DispatchEligibility.java
+++ b/decisions/src/main/java/ashlink/decisions/DispatchEligibility.java
@@ -1,8 +1,8 @@
 package ashlink.decisions;
 
 /**
- * Decides whether an attempt of a query may start on an engine. Each attempt passes here, so that
- * the seven rules hold for all of them.
+ * Decides whether an attempt of a query may start on an engine. Every attempt is checked here, so
+ * that the seven invariants listed in the package documentation hold for all attempts.
  */
 final class DispatchEligibility {
 
@@ -22,7 +22,7 @@
         this.retryBudget = retryBudget;
     }
 
-    /** Whether all rules allow an attempt of the query on the engine now. */
+    /** Returns whether all invariants allow an attempt of the query on the engine now. */
     boolean mayStart(QueryState query, EngineState engine, long nowNs) {
         return engine.isReady()
                 && isUnanswered(query)
@@ -34,17 +34,23 @@
                 && retryBudget.allows(query, nowNs);
     }
 
-    /** Whether some engine may be eligible at all: the rules that concern the query alone. */
+    /** Returns false if no engine can be eligible, by the checks that depend on the query alone. */
     boolean mayStartAnywhere(QueryState query, long nowNs) {
         return keyOrdering.hasTurn(query, nowNs) && retryBudget.allows(query, nowNs);
     }
 
-    /** Rule "one final answer": never two attempts in flight, and none after the answer. */
+    /**
+     * Invariant "single final answer": a query has at most one attempt in flight, and none after
+     * its final answer.
+     */
     private static boolean isUnanswered(QueryState query) {
         return !query.finished && !query.isInFlight();
     }
 
-    /** Rule "placement": a class runs only on its kinds of engine and in its zones. */
+    /**
+     * Invariant "placement": a query runs only on the kinds of engine and in the zones that its
+     * class allows.
+     */
     private static boolean isPlacementAllowed(QueryState query, EngineState engine) {
         return (query.spec.engineKinds().isEmpty()
                         || query.spec.engineKinds().contains(engine.endpoint.kind()))
--- a/decisions/src/main/java/ashlink/decisions/EndpointSelector.java
+++ b/decisions/src/main/java/ashlink/decisions/EndpointSelector.java
@@ -6,8 +6,9 @@
 import java.util.function.Predicate;
 
 /**
- * Chooses the engine of the next attempt: the less loaded of two random ones ("power of two
- * choices") that the rules, outlier ejection, concurrency limits and placement leave.
+ * Selects the engine for the next attempt of a query: the less loaded of two random candidates
+ * ("power of two choices"). The candidates are the engines left by eligibility, outlier ejection,
+ * concurrency limits and table group placement.
  */
 final class EndpointSelector {
 
@@ -37,8 +38,8 @@
     }
 
     /**
-     * Returns the engine for the next attempt of the query; null if there is none, or if the choice
-     * waits for health checks.
+     * Returns the engine for the next attempt of the query; null if no engine is available or the
+     * selection waits for health checks.
      */
     EngineState select(QueryState query, long nowNs) {
         if (healthChecks.isWaiting(query, nowNs)) {
@@ -65,13 +66,13 @@
         return lessLoaded(first, second, query, nowNs);
     }
 
-    /** Returns the engines that all filters leave, in a new list. */
+    /** Returns a new list of the engines that pass all filters. */
     private List<EngineState> candidates(QueryState query, long nowNs) {
         List<EngineState> eligible = new ArrayList<>(engines.all());
         eligible.removeIf(engine -> !eligibility.mayStart(query, engine, nowNs));
         List<EngineState> healthy = new ArrayList<>(eligible);
         healthy.removeIf(engine -> engine.isEjected(nowNs));
-        // If most engines are ejected the cause is a common one, and ejection would not help.
+        // If most engines are ejected, they share a cause that avoiding single engines does not fix.
         List<EngineState> candidates = healthy.size() * 2 >= eligible.size() ? healthy : eligible;
         candidates.removeIf(engine -> !limiter.hasCapacity(query, engine, nowNs));
         removeLastEngine(query, candidates);
@@ -79,7 +80,10 @@
         return candidates;
     }
 
-    /** A retry goes to another engine than the last attempt if there is one. */
+    /**
+     * Removes the engine of the previous attempt, so that a retry uses another engine if there is
+     * one.
+     */
     private static void removeLastEngine(QueryState query, List<EngineState> candidates) {
         if (query.attempts == 0) {
             return;
--- a/decisions/src/main/java/ashlink/decisions/EngineDirectory.java
+++ b/decisions/src/main/java/ashlink/decisions/EngineDirectory.java
@@ -15,8 +15,8 @@
 import java.util.function.Consumer;
 
 /**
- * The engines that service discovery listed, in the order in which they became known. An engine
- * that is no longer listed stays until nothing of this router is on it.
+ * The engines listed by service discovery, in the order of their first listing. An engine that is
+ * no longer listed is kept until it has no load from this router.
  */
 final class EngineDirectory {
 
@@ -27,7 +27,7 @@
         this.kinds = kinds;
     }
 
-    /** Returns the engine of that name, or null. */
+    /** Returns the engine with the given name, or null if it is unknown. */
     EngineState find(String name) {
         return engines.get(name);
     }
@@ -36,7 +36,7 @@
         return engines.values();
     }
 
-    /** Returns the ready engines in a new list. */
+    /** Returns a new list of the engines that accept queries. */
     List<EngineState> ready() {
         List<EngineState> ready = new ArrayList<>();
         for (EngineState engine : engines.values()) {
@@ -50,7 +50,7 @@
     /**
      * Applies an endpoint list.
      *
-     * @param change a list that is available
+     * @param change an endpoint list of any kind but {@link EndpointListKind#UNAVAILABLE}
      * @param onRestart called for each engine that is new or has restarted
      */
     void apply(EndpointsChanged change, Consumer<EngineState> onRestart) {
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Removes the engines that are no longer listed and have no load of this router. */
+    /** Removes the engines that are no longer listed and have no load from this router. */
     void removeUnused() {
         engines.values()
                 .removeIf(
--- a/decisions/src/main/java/ashlink/decisions/EngineLoadScore.java
+++ b/decisions/src/main/java/ashlink/decisions/EngineLoadScore.java
@@ -7,17 +7,19 @@
 import java.util.Set;
 
 /**
- * Scores how loaded an engine would be with one more query: the expected work of this router's
- * queries per core, plus what a recent load report says, times the slowness of its responses.
+ * Scores the load that an engine would have with one more query: the expected work per core of this
+ * router's queries plus the load in a recent load report, multiplied by the slowness of the
+ * engine's responses.
  */
 final class EngineLoadScore {
 
-    /** Own work per core that counts as much as one busy core in a report. */
+    /** Expected work per core that counts as much as one fully busy core in a load report. */
     private static final double WORK_PER_BUSY_CORE_MS = 1_000;
 
     /**
-     * While many engines are overloaded: factor on the load of the kinds that some classes are
-     * limited to, for queries that may run on any kind.
+     * Factor on the load of engine kinds that some classes require, applied to queries that may run
+     * on any kind while many engines are overloaded. It keeps these engines free for the restricted
+     * classes.
      */
     private static final double REQUIRED_KIND_FACTOR = 1.5;
 
@@ -25,7 +27,7 @@
     private final OverloadDetector overload;
     private final ResponseTimeModel responseTimes;
 
-    /** Kinds of engine that some classes are limited to. */
+    /** Kinds of engine to which some classes are restricted. */
     private final Set<String> requiredKinds = new HashSet<>();
 
     EngineLoadScore(
@@ -41,9 +43,7 @@
         }
     }
 
-    /**
-     * Returns the score of the engine for the query; the engine with the lower one is preferred.
-     */
+    /** Returns the load score of the engine for the query; a lower score is better. */
     double score(EngineState engine, QueryState query, long nowNs) {
         double load = (engine.workMs + query.expectedWorkMs) / engine.cores / WORK_PER_BUSY_CORE_MS;
         if (engine.hasRecentReport(nowNs)) {
@@ -62,7 +62,7 @@
         return load * Math.exp(Math.max(0, responseTimes.slownessLog(engine, nowNs)));
     }
 
-    /** Returns a reported value, or 0 if it is not reported. */
+    /** Returns a reported value, or 0 for a value that the engine does not report (NaN). */
     private static double reported(double value) {
         return value > 0 ? value : 0;
     }
--- a/decisions/src/main/java/ashlink/decisions/EngineState.java
+++ b/decisions/src/main/java/ashlink/decisions/EngineState.java
@@ -7,30 +7,38 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** An engine that was listed, the load that this router put on it and what was observed of it. */
+/**
+ * An engine that service discovery listed, with the load from this router and the observations made
+ * of the engine.
+ */
 final class EngineState {
 
-    /** Age up to which a load report or a rejection says something about the present. */
+    /**
+     * Age below which a load report or a rejection is recent enough to describe the current state.
+     */
     static final long RECENT_NS = 2_000 * Nanos.PER_MS;
 
-    /** Age from which a load report is too old to choose an engine by. */
+    /** Age from which a load report is too old for selecting an engine. */
     static final long STALE_NS = 500 * Nanos.PER_MS;
 
     final String name;
 
-    /** The endpoint as it is listed; null if it is no longer listed. */
+    /** The endpoint as last listed; null if the engine is no longer listed. */
     Endpoint endpoint;
 
     int cores = 1;
     double memoryMb;
 
     /**
-     * While it is warming up: time at which this router's part of its capacity covers all that was
-     * sent; NaN until the first query.
+     * Slow start budget of this router. If the budget covers at least one query per window: the
+     * virtual time up to which the budget is spent. Otherwise: the randomly drawn time of the next
+     * admission. NaN until the first query.
      */
     double slowStartNextNs = Double.NaN;
 
-    /** Queries with an attempt in flight on it, in the order of their start. */
+    /**
+     * Queries with an attempt in flight on the engine, in the order in which the attempts started.
+     */
     final List<QueryState> running = new ArrayList<>();
 
     final ArrayDeque<AbandonedAttempt> abandonedAttempts = new ArrayDeque<>();
@@ -42,10 +50,16 @@
     /** Expected work of the running queries and of the abandoned attempts. */
     double workMs;
 
-    /** Mean logarithm of actual over expected response times; older ones weigh less. */
+    /**
+     * Weighted mean of the logarithm of actual over expected response time; recent responses weigh
+     * more.
+     */
     double slownessLog;
 
-    /** Number of responses in that mean, decayed until the last of them. */
+    /**
+     * Number of responses in {@link #slownessLog}, decayed exponentially up to {@link
+     * #lastSlownessNs}.
+     */
     double slownessWeight;
 
     long lastSlownessNs;
@@ -53,16 +67,16 @@
     LoadReport report = LoadReport.NONE;
     long reportNs = Nanos.NEVER;
 
-    /** Last time at which it showed that it works on queries. */
+    /** Time of the last response or progress message of an attempt on the engine. */
     long lastSignNs = Nanos.NEVER;
 
     long lastHealthCheckNs = Nanos.NEVER;
     boolean healthCheckPending;
 
-    /** Duration of the last ejection; 0 once it has recovered. */
+    /** Duration of the last ejection; 0 after the engine has recovered. */
     long ejectionNs;
 
-    /** Fraction of its recent results that were errors. */
+    /** Exponentially weighted fraction of errors among the results of the engine. */
     double errorFraction;
 
     long ejectedUntilNs = Nanos.NEVER;
@@ -71,7 +85,10 @@
         this.name = name;
     }
 
-    /** Rule "drains kept": only a ready engine accepts new queries. */
+    /**
+     * Returns whether the engine accepts new queries. Invariant "drain": an engine that is draining
+     * or no longer listed gets no new attempts.
+     */
     boolean isReady() {
         return endpoint != null && endpoint.state() == EndpointState.READY;
     }
@@ -93,14 +110,14 @@
         reportNs = nowNs;
     }
 
-    /** Adds an attempt of the query to the load. */
+    /** Adds an attempt of the query to the load of the engine. */
     void addLoad(QueryState query) {
         threads += query.spec.threads();
         limit.threads += query.spec.threads();
         workMs += query.expectedWorkMs;
     }
 
-    /** Removes the abandoned attempts that no longer count from the load. */
+    /** Removes abandoned attempts from the load of the engine after their time has expired. */
     void releaseExpired(long nowNs) {
         for (AbandonedAttempt attempt : abandonedAttempts) {
             if (nowNs >= attempt.countedUntilNs()) {
@@ -116,7 +133,7 @@
         workMs -= query.expectedWorkMs;
     }
 
-    /** Drops what was observed of an earlier process of the engine. */
+    /** Discards the observations of the previous process of the engine. */
     void resetAfterRestart() {
         slownessWeight = 0;
         slowStartNextNs = Double.NaN;
--- a/decisions/src/main/java/ashlink/decisions/FleetLoadEstimator.java
+++ b/decisions/src/main/java/ashlink/decisions/FleetLoadEstimator.java
@@ -3,39 +3,44 @@
 import java.util.Collection;
 
 /**
- * Estimates from the engines' load reports what all routers together run, and the fraction of it
- * that is this router's.
+ * Estimates the load that all routers together put on the engines, and this router's fraction of
+ * it, from the load reports of the engines.
  */
 final class FleetLoadEstimator {
 
-    /** Weight of a new sample in the traffic fraction. */
+    /** Weight of a new sample in the moving average of the traffic fraction. */
     private static final double TRAFFIC_WEIGHT = 0.02;
 
-    /** Samples of this router's running queries, and the same times their threads. */
+    /** Number of running queries of this router, summed over all samples. */
     private double runningSamples;
 
+    /** Number of threads of these queries, summed over all samples. */
     private double runningThreadSamples;
     private double trafficFraction;
     private double threadsPerCore;
 
-    /** Returns the fraction of the engines' load that this router causes, 0 to 1. */
+    /** Returns the estimated fraction of the engines' load that this router causes, 0 to 1. */
     double trafficFraction() {
         return trafficFraction;
     }
 
-    /** Returns the threads per core of all routers; 0 where engines do not report it. */
+    /**
+     * Returns the mean threads per core of all routers together; 0 if engines do not report queries
+     * in flight.
+     */
     double threadsPerCore() {
         return threadsPerCore;
     }
 
-    /** Whether all routers together run more threads than the initial limits add up to. */
+    /** Returns whether all routers together run more threads than the sum of the initial limits. */
     boolean isOverInitialLimit() {
         return threadsPerCore > ConcurrencyLimit.INITIAL_THREADS_PER_CORE;
     }
 
     /**
-     * Returns the threads per core of an engine: its queries in flight, taken to be like this
-     * router's running ones; NaN if it does not report them.
+     * Returns the threads per core that all routers run on the engine; NaN if the engine does not
+     * report queries in flight. Each query in flight is assumed to use the mean thread count of
+     * this router's running queries.
      */
     double threadsPerCore(EngineState engine) {
         return engine.report.inFlight()
@@ -43,7 +48,7 @@
                 / engine.cores;
     }
 
-    /** Takes a sample of the engines; called at a fixed interval. */
+    /** Samples the engines. Called once per maintenance interval. */
     void update(Collection<EngineState> engines, long nowNs) {
         updateTrafficFraction(engines, nowNs);
         threadsPerCore =
--- a/decisions/src/main/java/ashlink/decisions/GiveUpPolicy.java
+++ b/decisions/src/main/java/ashlink/decisions/GiveUpPolicy.java
@@ -1,9 +1,9 @@
 package ashlink.decisions;
 
 /**
- * Gives up queued queries that will miss their latency objective, at once, where others need the
- * capacity or a late answer earns nothing, and answers those whose deadline is near. One that stays
- * queues with its lower, late weight.
+ * Sheds queued queries that will miss their latency objective if other queries need the capacity or
+ * a late answer has no value. A late query that is kept has its weight lowered to the late weight.
+ * Also answers queued queries whose deadline is near.
  */
 final class GiveUpPolicy {
 
@@ -20,7 +20,7 @@
         this.completion = completion;
     }
 
-    /** Reviews the queue; called at a fixed interval. */
+    /** Reviews all queued queries. Called once per maintenance interval. */
     void review(long nowNs) {
         boolean contended = isContended(nowNs);
         for (QueryState query : queue.snapshot()) {
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Whether queries that can still meet their objective wait for capacity. */
+    /** Returns whether a query that can still meet its latency objective waits for capacity. */
     private boolean isContended(long nowNs) {
         for (QueryState query : queue.inOrder()) {
             if (nowNs - query.submittedNs > CONTENDED_AFTER_NS
--- a/decisions/src/main/java/ashlink/decisions/HealthCheckScheduler.java
+++ b/decisions/src/main/java/ashlink/decisions/HealthCheckScheduler.java
@@ -7,23 +7,23 @@
 import java.util.List;
 
 /**
- * Sends health checks for current load reports: before a choice between engines whose reports are
- * stale, and in the background. Checks spend credits that queries and time earn, so that they don't
- * outnumber the queries.
+ * Sends health checks to obtain recent load reports: before selecting between engines with stale
+ * reports, and periodically in the background. Each check costs a credit; credits accrue with
+ * submitted queries and with time, so that health checks do not outnumber queries.
  */
 final class HealthCheckScheduler {
 
-    /** Label of the timer that ends the wait for health checks. */
+    /** Label of the timer that ends the wait for health check results. */
     static final long TIMER_LABEL = 2;
 
     private static final double CREDITS_PER_QUERY = 1;
     private static final double CREDITS_PER_INTERVAL = 0.05;
     private static final double MAX_CREDITS = 20;
 
-    /** Credits that background checks and short queries leave for long queries. */
+    /** Credits that background checks and short queries leave unused, reserved for long queries. */
     private static final double RESERVED_CREDITS = MAX_CREDITS / 2;
 
-    /** Time for which a query waits for the results of its health checks. */
+    /** Longest time for which a query waits for the results of its health checks. */
     private static final long WAIT_NS = 20 * Nanos.PER_MS;
 
     private final boolean enabled;
@@ -37,17 +37,17 @@
         this.actions = actions;
     }
 
-    /** Adds the credits of a submitted query. */
+    /** Adds the credit earned by a submitted query. */
     void creditQuery() {
         credits = Math.min(MAX_CREDITS, credits + CREDITS_PER_QUERY);
     }
 
-    /** Adds the credits of a maintenance interval. */
+    /** Adds the credit earned in a maintenance interval. */
     void creditInterval() {
         credits = Math.min(MAX_CREDITS, credits + CREDITS_PER_INTERVAL);
     }
 
-    /** Whether the query waits for the results of its health checks. */
+    /** Returns whether the query still waits for the results of its health checks. */
     boolean isWaiting(QueryState query, long nowNs) {
         if (query.checkedCandidates.isEmpty() || nowNs >= query.checkDeadlineNs) {
             return false;
@@ -61,9 +61,10 @@
     }
 
     /**
-     * Checks the two candidates of a query if one of their reports is stale.
+     * Checks those of the two candidates whose load report is stale.
      *
-     * @return whether the query has to wait: for the results, or, if it is long, for credits
+     * @return whether the selection is postponed: until the results arrive or, for a long query,
+     *     until there are enough credits
      */
     boolean checkCandidates(QueryState query, EngineState first, EngineState second, long nowNs) {
         if (!enabled || !first.hasStaleReport(nowNs) && !second.hasStaleReport(nowNs)) {
@@ -85,7 +86,10 @@
         return true;
     }
 
-    /** Checks an engine that was not checked for a while, if there are credits to spare. */
+    /**
+     * Checks a ready engine that was not checked recently, if there are more than the reserved
+     * credits.
+     */
     void checkInBackground(EngineState engine, long nowNs) {
         if (enabled
                 && engine.isReady()
@@ -103,7 +107,7 @@
         actions.add(new CheckHealth(engine.name));
     }
 
-    /** Records the result of a health check. */
+    /** Records the result of a health check; only a served check delivers a load report. */
     void recordResult(EngineState engine, Outcome outcome, LoadReport report, long nowNs) {
         if (outcome == Outcome.SERVED) {
             engine.recordReport(report, nowNs);
--- a/decisions/src/main/java/ashlink/decisions/KeyOrdering.java
+++ b/decisions/src/main/java/ashlink/decisions/KeyOrdering.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /**
- * Rule "order by key": the queries of one ordering key run one at a time, in the order of their
+ * Invariant "key ordering": queries with the same ordering key run one at a time, in order of
  * submission. After an attempt that may still run on an engine, the next query of the key waits for
  * the quiet period.
  */
@@ -19,7 +19,10 @@
         this.quietPeriodNs = quietPeriodNs;
     }
 
-    /** Returns the queue of the key of a submitted query; null if its order is free. */
+    /**
+     * Returns the queue for the ordering key of a submitted query; null if the query is not
+     * ordered.
+     */
     KeyQueue queueFor(QuerySubmitted submitted, QueryClass queryClass) {
         return queryClass.ordered() && submitted.key() != null
                 ? queues.computeIfAbsent(submitted.key(), key -> new KeyQueue())
@@ -38,21 +41,27 @@
         }
     }
 
-    /** Whether the order of its key lets the query start; a retry does not wait for the pause. */
+    /**
+     * Returns whether the key ordering lets the query start. The pause after an attempt applies to
+     * the next query of the key, not to a retry of the same query.
+     */
     boolean hasTurn(QueryState query, long nowNs) {
         return query.keyQueue == null
                 || query.keyQueue.queries.peek() == query
                         && (query.attempts > 0 || nowNs >= query.keyQueue.pausedUntilNs);
     }
 
-    /** Pauses the key of a query whose attempt may still run on its engine. */
+    /**
+     * Starts the quiet period of the key, after an attempt of the query that may still run on its
+     * engine.
+     */
     void pause(QueryState query, long nowNs) {
         if (query.keyQueue != null) {
             query.keyQueue.pausedUntilNs = nowNs + quietPeriodNs;
         }
     }
 
-    /** Drops the keys without queries whose pause is over. */
+    /** Removes the queues that are empty and not paused. */
     void removeIdle(long nowNs) {
         queues.values().removeIf(queue -> queue.queries.isEmpty() && nowNs >= queue.pausedUntilNs);
     }
--- a/decisions/src/main/java/ashlink/decisions/KeyQueue.java
+++ b/decisions/src/main/java/ashlink/decisions/KeyQueue.java
@@ -2,11 +2,11 @@
 
 import java.util.ArrayDeque;
 
-/** The unfinished queries of one ordering key, in the order of their submission. */
+/** The unfinished queries with one ordering key, in order of submission. */
 final class KeyQueue {
 
     final ArrayDeque<QueryState> queries = new ArrayDeque<>();
 
-    /** Time before which no other query of the key may start. */
+    /** End of the quiet period; until then no other query of the key may start. */
     long pausedUntilNs = Nanos.NEVER;
 }
--- a/decisions/src/main/java/ashlink/decisions/MaintenanceTask.java
+++ b/decisions/src/main/java/ashlink/decisions/MaintenanceTask.java
@@ -3,15 +3,21 @@
 import ashlink.decisions.api.Action.Log;
 import ashlink.decisions.api.Action.SetTimer;
 
-/** What is done at a fixed interval, whatever events arrive. */
+/**
+ * Performs the periodic work of the workload manager, at a fixed interval independent of other
+ * events.
+ */
 final class MaintenanceTask {
 
-    /** Label of the timer that starts a run. */
+    /** Label of the timer that triggers a run. */
     static final long TIMER_LABEL = 1;
 
     static final long INTERVAL_NS = 50 * Nanos.PER_MS;
 
-    /** The text of the log line is part of the recorded transcripts. */
+    /**
+     * Second part of the log line; the text is part of the recorded transcripts and must not
+     * change.
+     */
     private static final String UNRESPONSIVE_TEXT = ": it takes queries and gives no sign of them";
 
     private final EngineDirectory engines;
@@ -57,12 +63,12 @@
         this.actions = actions;
     }
 
-    /** Sets the timer of the next run. */
+    /** Sets the timer for the next run. */
     void schedule(long nowNs) {
         actions.add(new SetTimer(TIMER_LABEL, nowNs + INTERVAL_NS));
     }
 
-    /** Runs once and schedules the next run. */
+    /** Performs the periodic work and schedules the next run. */
     void run(long nowNs) {
         schedule(nowNs);
         retryBudget.removeExpired(nowNs);
@@ -90,7 +96,10 @@
         }
     }
 
-    /** Queries that may be sent again are cancelled, so that another engine can run them. */
+    /**
+     * Logs the ejection and cancels the queries that may run again, so that other engines can run
+     * them.
+     */
     private void onUnresponsive(EngineState engine) {
         actions.add(new Log("avoiding " + engine.name + UNRESPONSIVE_TEXT));
         for (QueryState query : engine.running) {
--- a/decisions/src/main/java/ashlink/decisions/MemoryGrantEstimator.java
+++ b/decisions/src/main/java/ashlink/decisions/MemoryGrantEstimator.java
@@ -3,20 +3,20 @@
 import ashlink.decisions.api.Capabilities;
 
 /**
- * Sizes the memory grant of an attempt, in MB: the estimate, corrected by the needs that were
- * reported for the class, such that three queries in four fit.
+ * Determines the memory grant of an attempt, in MB: the estimate of the query, corrected by the
+ * memory needs reported for its class, such that the grant is sufficient for three queries in four.
  */
 final class MemoryGrantEstimator {
 
     private static final double MARGIN_FACTOR = 1.1;
     private static final double STEP_LOG = 0.1;
 
-    /** Quantile of the needs that the corrected estimate covers. */
+    /** Quantile of the memory needs that the corrected estimate covers. */
     private static final double NEED_QUANTILE = 0.75;
 
     private static final double SMALLEST = 1e-3;
 
-    /** Needed over granted memory from which a query that spills is restarted. */
+    /** Ratio of needed to granted memory above which a spilling query is restarted. */
     private static final double RESTART_FACTOR = 1.3;
 
     private final Capabilities capabilities;
@@ -25,14 +25,16 @@
         this.capabilities = capabilities;
     }
 
-    /** Returns the grant of an attempt that starts, in MB; 0 leaves it to the engine. */
+    /**
+     * Returns the memory grant for an attempt that starts, in MB; 0 leaves the grant to the engine.
+     */
     long grantForAttemptMb(QueryState query, EngineState engine) {
         return capabilities.memoryGrants() && query.estimatedMemoryMb > 0
                 ? grantMb(query, engine)
                 : 0;
     }
 
-    /** Whether a restart with the memory that the query needs would raise its grant by far. */
+    /** Returns whether a restart with the needed memory would raise the grant considerably. */
     boolean isGrantTooSmall(QueryState query) {
         return grantMb(query, query.engine) > RESTART_FACTOR * query.grantMb;
     }
@@ -49,7 +51,12 @@
         return Math.max(1, Math.round(Math.min(largestMb, neededMb * MARGIN_FACTOR)));
     }
 
-    /** Records that the running attempt spills and needs that memory in total. */
+    /**
+     * Records that the running attempt spills to disk.
+     *
+     * @param query the query of the attempt
+     * @param neededMb memory that the query needs in total, in MB
+     */
     void recordSpill(QueryState query, double neededMb) {
         if (query.neededMemoryMb == 0 && query.grantMb > 0) {
             learn(query, neededMb);
@@ -58,10 +65,10 @@
     }
 
     /**
-     * Records the end of an attempt that was served.
+     * Records the completion of a served attempt.
      *
-     * @param query its query
-     * @param reportedMb memory that it needed, in MB; 0 if unknown
+     * @param query the query of the attempt
+     * @param reportedMb memory that the query needed, in MB; 0 if unknown
      */
     void recordCompletion(QueryState query, double reportedMb) {
         if (query.grantMb > 0 && query.neededMemoryMb == 0) {
--- a/decisions/src/main/java/ashlink/decisions/Nanos.java
+++ b/decisions/src/main/java/ashlink/decisions/Nanos.java
@@ -6,8 +6,8 @@
     static final long PER_MS = 1_000_000L;
 
     /**
-     * The time of what has not happened yet. It is half the least value, so that a difference from
-     * it does not overflow.
+     * The time of an event that has not happened yet. Half of the smallest value, so that
+     * subtracting it from a time does not overflow.
      */
     static final long NEVER = Long.MIN_VALUE / 2;
 
--- a/decisions/src/main/java/ashlink/decisions/OutlierDetector.java
+++ b/decisions/src/main/java/ashlink/decisions/OutlierDetector.java
@@ -3,44 +3,47 @@
 import ashlink.decisions.api.Outcome;
 
 /**
- * Ejects engines that are down, cut off, unresponsive or answer with errors, for a time that
- * doubles with each ejection until the engine recovers.
+ * Ejects engines that are unreachable, unresponsive or return too many errors. The duration doubles
+ * with each ejection until the engine recovers.
  */
 final class OutlierDetector {
 
     private static final long MIN_EJECTION_NS = 500 * Nanos.PER_MS;
     private static final long MAX_EJECTION_NS = 4_000 * Nanos.PER_MS;
 
-    /** Weight of a result in an engine's fraction of errors. */
+    /** Weight of a new result in the moving average of the error fraction. */
     private static final double ERROR_WEIGHT = 0.25;
 
-    /** Fraction of errors from which an engine is ejected. */
+    /** Error fraction from which an engine is ejected. */
     private static final double MAX_ERROR_FRACTION = 0.5;
 
-    /** Progress intervals without a sign after which an engine is unresponsive. */
+    /** Progress intervals without activity after which an engine is unresponsive. */
     private static final double UNRESPONSIVE_INTERVALS = 1.6;
 
-    /** Logarithm of the same limit in expected durations, where there are no progress messages. */
+    /**
+     * Logarithm of the number of expected durations without activity after which an engine is
+     * unresponsive, if engines send no progress messages.
+     */
     private static final double UNRESPONSIVE_LOG = Math.log(8);
 
-    /** Least time without a sign after which an engine is unresponsive. */
+    /** Shortest time without activity after which an engine is unresponsive. */
     private static final long MIN_UNRESPONSIVE_NS = 700 * Nanos.PER_MS;
 
     private final long progressIntervalNs;
     private final ResponseTimeModel responseTimes;
 
     /**
-     * A detector.
+     * Creates a detector.
      *
      * @param progressIntervalNs interval of progress messages; 0 if there are none
-     * @param responseTimes the mean slowness of all engines
+     * @param responseTimes provides the mean slowness of all engines
      */
     OutlierDetector(long progressIntervalNs, ResponseTimeModel responseTimes) {
         this.progressIntervalNs = progressIntervalNs;
         this.responseTimes = responseTimes;
     }
 
-    /** Records how an attempt on the engine ended. */
+    /** Records the outcome of an attempt on the engine. */
     void recordOutcome(EngineState engine, Outcome outcome, long nowNs) {
         switch (outcome) {
             case SERVED, ERROR -> {
@@ -54,12 +57,15 @@
             }
             case CONNECT_FAILED, RESET -> eject(engine, nowNs);
             default -> {
-                // A timeout or a cancellation says nothing of its own about the engine.
+                // A timeout or a cancellation alone does not indicate an unhealthy engine.
             }
         }
     }
 
-    /** Errors come so fast that an engine that returns them would seem the least loaded. */
+    /**
+     * Records a result or an error. Errors return quickly, so that a failing engine would otherwise
+     * look the least loaded and attract more queries.
+     */
     private static void recordResult(EngineState engine, boolean isError, long nowNs) {
         engine.errorFraction += ERROR_WEIGHT * ((isError ? 1 : 0) - engine.errorFraction);
         if (engine.errorFraction < MAX_ERROR_FRACTION) {
@@ -76,10 +82,11 @@
     }
 
     /**
-     * Ejects the engine if it is not ejected and gives no sign of a query that it runs. Health
-     * checks don't count as a sign: an engine that hangs may still answer them.
+     * Ejects the engine if it is not ejected yet and has shown no activity on a running query for
+     * too long. Health check results do not count as activity, because an engine whose queries hang
+     * may still answer health checks.
      *
-     * @return whether it was ejected now
+     * @return whether this call ejected the engine
      */
     boolean ejectIfUnresponsive(EngineState engine, long nowNs) {
         if (engine.isEjected(nowNs) || !isUnresponsive(engine, nowNs)) {
--- a/decisions/src/main/java/ashlink/decisions/OverloadDetector.java
+++ b/decisions/src/main/java/ashlink/decisions/OverloadDetector.java
@@ -3,15 +3,15 @@
 import java.util.Collection;
 
 /**
- * Decides whether an engine is overloaded: its recent load report says so, it rejected an attempt a
- * short time ago, or its responses are far slower than expected.
+ * Decides whether an engine is overloaded: a recent load report says so, the engine rejected an
+ * attempt recently, or its responses are much slower than expected.
  */
 final class OverloadDetector {
 
     /** Utilization of cores, memory or disks from which an engine is overloaded. */
     private static final double BUSY_FRACTION = 0.95;
 
-    /** Fraction of the engines up to which the overloaded ones are few. */
+    /** Largest fraction of overloaded engines that counts as few. */
     private static final double FEW_FRACTION = 0.3;
 
     private final ResponseTimeModel responseTimes;
@@ -39,12 +39,15 @@
                                 >= ConcurrencyLimit.INITIAL_THREADS_PER_CORE);
     }
 
-    /** Whether few of the engines with a recent report were overloaded at the last update. */
+    /**
+     * Returns whether, at the last update, few of the engines with a recent load report were
+     * overloaded.
+     */
     boolean areFewOverloaded() {
         return fewOverloaded;
     }
 
-    /** Counts the overloaded engines; called at a fixed interval. */
+    /** Counts the overloaded engines. Called once per maintenance interval. */
     void update(Collection<EngineState> engines, long nowNs) {
         long reporting = 0;
         long overloaded = 0;
--- a/decisions/src/main/java/ashlink/decisions/PriorityPolicy.java
+++ b/decisions/src/main/java/ashlink/decisions/PriorityPolicy.java
@@ -1,8 +1,9 @@
 package ashlink.decisions;
 
 /**
- * Sets the scheduling priority of an attempt on its engine: short queries run first, because they
- * hardly delay long ones; those that have missed their objective run last.
+ * Determines the scheduling priority of an attempt on its engine. Short queries have the highest
+ * priority because they hardly delay long queries; queries that have missed their latency objective
+ * have the lowest priority.
  */
 final class PriorityPolicy {
 
--- a/decisions/src/main/java/ashlink/decisions/QueryClassStatistics.java
+++ b/decisions/src/main/java/ashlink/decisions/QueryClassStatistics.java
@@ -3,35 +3,38 @@
 import ashlink.decisions.api.QueryClass;
 
 /**
- * What was measured of the queries of one class: how their response times relate to the estimates,
- * and their mean work. Work is in milliseconds on one thread.
+ * Statistics of one query class: the ratio of response times to estimates, and the mean work. Work
+ * is measured in milliseconds on one thread.
  */
 final class QueryClassStatistics {
 
-    /** Least weight of a new value in the mean of a class. */
+    /** Smallest weight of a new value in the moving averages of the class. */
     private static final double MEAN_WEIGHT = 0.02;
 
-    /** Number of queries that the prior counts as. */
+    /** Number of queries that the prior value counts for. */
     private static final int PRIOR_QUERIES = 10;
 
-    /** Quantile of the response times that counts as expected. */
+    /** Quantile of the response times that is the expected response time. */
     private static final double EXPECTED_QUANTILE = 0.25;
 
-    /** Step of the quantile trackers, in logarithms. */
+    /** Step size of the quantile estimators, on a logarithmic scale. */
     private static final double QUANTILE_STEP_LOG = 0.05;
 
-    /** Logarithm of the upper over the lower quartile up to which response times are consistent. */
+    /**
+     * Logarithm of the ratio of upper to lower quartile up to which response times count as
+     * consistent.
+     */
     private static final double CONSISTENT_SPREAD_LOG = Math.log(2);
 
-    /** Least value that a logarithm or a quotient is taken of. */
+    /** Lower bound of arguments of a logarithm and of divisors. */
     private static final double SMALLEST = 1e-3;
 
     final QueryClass spec;
 
-    /** Logarithm of the lower quartile of response time x threads / estimate. */
+    /** Logarithm of the lower quartile of (response time x threads / estimate). */
     private double expectedLog;
 
-    /** Logarithm of the upper over the lower quartile. */
+    /** Logarithm of the ratio of upper to lower quartile. */
     private double spreadLog;
 
     private int unestimatedResponses;
@@ -40,7 +43,7 @@
     private double meanReportedWorkMs;
     private int reportedWorks;
 
-    /** Needed over estimated memory. */
+    /** Ratio of needed to estimated memory. */
     private double memoryBias = 1;
 
     private int memorySamples;
@@ -49,24 +52,24 @@
         this.spec = spec;
     }
 
-    /** Records the estimate of a submitted query. */
+    /** Records the work estimate of a submitted query. */
     void recordEstimate(double estimateMs) {
         double weight = Math.max(MEAN_WEIGHT, 1.0 / ++estimates);
         meanEstimateMs += weight * (estimateMs - meanEstimateMs);
     }
 
-    /** Records the work that an engine reported for a query. */
+    /** Records the work of a query as reported by an engine. */
     void recordWork(double workMs) {
         double weight = Math.max(MEAN_WEIGHT, 1.0 / ++reportedWorks);
         meanReportedWorkMs += weight * (workMs - meanReportedWorkMs);
     }
 
     /**
-     * Moves the quartiles towards a response.
+     * Updates the quartile estimates with a response.
      *
-     * @param responseLog logarithm of response time x threads / estimate
-     * @param hasEstimate whether the query came with an estimate; without one the first responses
-     *     move the quartiles faster
+     * @param responseLog logarithm of (response time x threads / estimate)
+     * @param hasEstimate whether the query was submitted with an estimate; without estimates the
+     *     first responses have a larger step size
      */
     void recordResponse(double responseLog, boolean hasEstimate) {
         double step =
@@ -81,10 +84,11 @@
     }
 
     /**
-     * Moves the memory bias towards the need of a query.
+     * Updates the memory bias with the memory need of a query.
      *
-     * @param excessLog logarithm of the need over the biased estimate
-     * @param stepLog step that the estimator takes for it; the first excess is taken at once
+     * @param excessLog logarithm of the ratio of the need to the corrected estimate
+     * @param stepLog step for the update; a first need above the estimate is applied in full
+     *     instead
      */
     void recordMemory(double excessLog, double stepLog) {
         boolean first = memorySamples++ == 0;
@@ -104,7 +108,7 @@
         return estimateMs * Math.exp(expectedLog);
     }
 
-    /** Returns the mean work of the class, rather too high than too low. */
+    /** Returns the mean work of the class; of the estimated and the reported mean, the higher. */
     double meanWorkMs() {
         double estimatedMs = meanEstimateMs * Math.max(1, Math.exp(expectedLog));
         return estimates + reportedWorks == 0
@@ -112,21 +116,27 @@
                 : Math.max(estimatedMs, meanReportedWorkMs);
     }
 
-    /** Returns the work with which a query of the class just meets its latency objective. */
+    /**
+     * Returns the prior value of the work: the work with which a query just meets its latency
+     * objective.
+     */
     double priorWorkMs() {
         return (double) spec.latencyObjectiveNs() / Nanos.PER_MS * spec.threads();
     }
 
-    /** Returns the mean work, weighed with the prior while few queries were seen. */
+    /**
+     * Returns the weighted average of mean work and prior value; the weight of the prior falls as
+     * more queries are recorded.
+     */
     double conservativeWorkMs() {
         int seen = estimates + reportedWorks;
         return (PRIOR_QUERIES * priorWorkMs() + seen * meanWorkMs()) / (PRIOR_QUERIES + seen);
     }
 
     /**
-     * Returns how much a slow response says about its engine, from 0 to 1: less for a class whose
-     * response times scatter. It is 1 as long as only estimates are known, because slow engines may
-     * be the cause of the scatter.
+     * Returns how strongly a slow response indicates a slow engine, from 0 to 1. The value is lower
+     * for a class whose response times vary widely. It is 1 while only estimates are known, because
+     * then slow engines may be the cause of the variation.
      */
     double consistency() {
         boolean onlyEstimates = estimates > 0 && reportedWorks == 0;
--- a/decisions/src/main/java/ashlink/decisions/QueryCompletion.java
+++ b/decisions/src/main/java/ashlink/decisions/QueryCompletion.java
@@ -4,13 +4,13 @@
 import ashlink.decisions.api.Action.Reject;
 
 /**
- * Rule "one final answer before the client gives up": the one place where an accepted query that no
- * engine served gets its answer, and where a query is removed. {@link SubmissionHandler} rejects
- * what it does not accept; the router answers by itself only if the decisions fail.
+ * Invariant "single final answer": the only place that answers an accepted query which no engine
+ * served, and that removes queries. {@link SubmissionHandler} rejects queries that it does not
+ * accept; the router sends an answer of its own only if the workload manager fails.
  */
 final class QueryCompletion {
 
-    /** Time before the deadline at which a query gets its answer. */
+    /** Time before the client's deadline at which a query is answered. */
     private static final long ANSWER_MARGIN_NS = 60 * Nanos.PER_MS;
 
     private final long retryAfterNs;
@@ -20,7 +20,7 @@
     private final ActionBuffer actions;
 
     /**
-     * The completion of queries.
+     * Creates the handler for the completion of queries.
      *
      * @param retryAfterNs the Retry-After of a rejection; 0 for none
      */
@@ -37,19 +37,19 @@
         this.actions = actions;
     }
 
-    /** Whether the client would give up before a later answer. */
+    /** Returns whether the query must be answered now to reach the client before its deadline. */
     static boolean isAnswerDue(QueryState query, long nowNs) {
         return nowNs + ANSWER_MARGIN_NS >= query.deadlineNs;
     }
 
-    /** Answers a queued query whose client is about to give up. */
+    /** Answers a queued query whose deadline is near. */
     void finishIfDue(QueryState query, long nowNs) {
         if (queue.contains(query) && isAnswerDue(query, nowNs)) {
             finish(query);
         }
     }
 
-    /** Rejects the query where a repeat by the client is harmless, else fails it. */
+    /** Rejects the query if the client may safely repeat it; otherwise fails it. */
     void finish(QueryState query) {
         query.finished = true;
         boolean mayHaveRun = query.mayHaveRunOn != null;
@@ -61,7 +61,8 @@
     }
 
     /**
-     * Removes a query that is finished and has no attempt in flight; its key's next has its turn.
+     * Removes a query that is finished and has no attempt in flight, so that the next query of its
+     * ordering key can run.
      */
     void removeIfDone(QueryState query) {
         if (!query.finished || query.isInFlight()) {
--- a/decisions/src/main/java/ashlink/decisions/QueryDispatcher.java
+++ b/decisions/src/main/java/ashlink/decisions/QueryDispatcher.java
@@ -6,7 +6,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Takes queries from the queue in order and starts an attempt of each that an engine can take. */
+/**
+ * Takes queries from the queue in order and starts an attempt for each query that finds an engine.
+ */
 final class QueryDispatcher {
 
     /** Time before the client's deadline at which an attempt times out. */
@@ -45,7 +47,10 @@
         this.actions = actions;
     }
 
-    /** Dispatches what can start; a class that finds no engine is not tried again in this pass. */
+    /**
+     * Starts attempts for the queued queries. Once a query finds no engine, the other queries of
+     * its class are skipped in this pass.
+     */
     void dispatch(long nowNs) {
         List<QueryClassStatistics> blocked = new ArrayList<>();
         for (QueryState query : queue.snapshot()) {
--- a/decisions/src/main/java/ashlink/decisions/QueryRestartPolicy.java
+++ b/decisions/src/main/java/ashlink/decisions/QueryRestartPolicy.java
@@ -1,21 +1,21 @@
 package ashlink.decisions;
 
 /**
- * Restarts running queries that a new attempt is expected to serve sooner: those with a bad
- * execution plan, and those that spill because their memory grant is too small.
+ * Restarts running queries that a new attempt is expected to complete sooner: queries with a bad
+ * execution plan, and queries that spill because their memory grant is too small.
  */
 final class QueryRestartPolicy {
 
-    /** Expected over normal duration from which the plan of a query is bad. */
+    /** Ratio of predicted to normal duration above which a query is taken to have a bad plan. */
     private static final double BAD_PLAN_FACTOR = 4;
 
-    /** Remaining time over that of a new attempt from which a restart pays. */
+    /** Ratio of remaining time to the duration of a new attempt above which a restart pays off. */
     private static final double REMAINING_FACTOR = 2;
 
-    /** Restarts of one query for a bad plan. */
+    /** Most restarts of one query because of a bad plan. */
     private static final int MAX_RESTARTS = 2;
 
-    /** Fraction of its expected duration up to which a query that spills is restarted. */
+    /** Fraction of its expected duration up to which a spilling query is restarted. */
     private static final double MAX_SPILL_PROGRESS_FRACTION = 0.2;
 
     private final long progressIntervalNs;
@@ -25,7 +25,7 @@
     private final ShortQueryClassifier shortQueries;
 
     /**
-     * A policy.
+     * Creates a policy.
      *
      * @param progressIntervalNs interval of progress messages; 0 if there are none
      */
@@ -43,9 +43,9 @@
     }
 
     /**
-     * Handles a report that the running attempt spills.
+     * Handles a report that the running attempt spills to disk.
      *
-     * @param neededMb memory that the query needs in total
+     * @param neededMb memory that the query needs in total, in MB
      */
     void onSpill(QueryState query, double neededMb, long nowNs) {
         memoryGrants.recordSpill(query, neededMb);
@@ -58,10 +58,10 @@
     }
 
     /**
-     * Handles a report of progress: restarts the query if what remains is far more than a new
-     * attempt would take, at the present slowness of the engine.
+     * Handles a progress report. Restarts the query if the remaining time is much longer than a new
+     * attempt would take at the current slowness of the engine.
      *
-     * @param fractionDone fraction of the work that is done, over 0
+     * @param fractionDone completed fraction of the work, greater than 0
      */
     void onProgress(QueryState query, double fractionDone, long nowNs) {
         long elapsedNs = nowNs - query.workingSinceNs;
@@ -79,8 +79,8 @@
     }
 
     /**
-     * Restarts a long query that runs far longer than expected and has missed its objective, where
-     * engines send no progress messages.
+     * Restarts a long query that runs much longer than expected and has missed its latency
+     * objective. Applies only if engines send no progress messages.
      */
     void restartIfOverdue(QueryState query, long nowNs) {
         if (progressIntervalNs != 0
--- a/decisions/src/main/java/ashlink/decisions/QueryState.java
+++ b/decisions/src/main/java/ashlink/decisions/QueryState.java
@@ -5,28 +5,28 @@
 import ashlink.decisions.api.QueryClass;
 import java.util.List;
 
-/** A query from its submission until it is finished and none of its attempts is in flight. */
+/** A query, from its submission until it is finished and has no attempt in flight. */
 final class QueryState {
 
     final long id;
     final QueryClass spec;
     final QueryClassStatistics statistics;
 
-    /** The queue of its ordering key; null without one. */
+    /** The queue for the ordering key; null for a query without order. */
     final KeyQueue keyQueue;
 
     final long tableGroup;
 
-    /** Position in the order of submission. */
+    /** Position of the query in the order of submission. */
     final long sequence;
 
     final long submittedNs;
     final long deadlineNs;
 
-    /** Work on one thread as it was estimated, or the prior of the class. */
+    /** Estimated work on one thread; the prior value of the class if the query has no estimate. */
     final double estimateMs;
 
-    /** The estimate, corrected by the statistics of the class. */
+    /** The estimated work, corrected by the statistics of the class. */
     final double expectedWorkMs;
 
     final double estimatedMemoryMb;
@@ -35,57 +35,62 @@
     /** Priority weight of an answer within the latency objective. */
     final double initialWeight;
 
-    /** Priority weight that an answer may still earn. */
+    /**
+     * Current priority weight; lowered once the query is expected to miss its latency objective.
+     */
     double weight;
 
-    /** Whether the client has its final answer or needs none any more. */
+    /** Whether the client has its final answer or no longer needs one. */
     boolean finished;
 
     /** The engine of the attempt in flight; null if there is none. */
     EngineState engine;
 
-    /** The endpoint of the last attempt, as it was when the attempt started. */
+    /** The endpoint of the last attempt, as listed when the attempt started. */
     Endpoint lastEndpoint;
 
     /** Start of the last attempt. */
     long attemptStartNs;
 
-    /** Start of the last attempt, or the last time at which it waited for a resource. */
+    /**
+     * Start of the last attempt, or the last time at which the attempt waited for a resource if
+     * later.
+     */
     long workingSinceNs;
 
     int attempts;
 
-    /** Memory grant of the last attempt; 0 for none. */
+    /** Memory grant of the last attempt, in MB; 0 for none. */
     long grantMb;
 
-    /** Memory that it needs, from a report of a spill; 0 if unknown. */
+    /** Total memory that the query needs according to spill reports, in MB; 0 if unknown. */
     double neededMemoryMb;
 
     boolean cancelRequested;
     int restarts;
 
-    /** Candidates that were sent a health check before the choice between them. */
+    /** Candidates that were sent a health check before the selection of one of them. */
     List<EngineState> checkedCandidates = List.of();
 
-    /** Time until which the choice waits for the results of those health checks. */
+    /** Time until which the selection waits for the results of these health checks. */
     long checkDeadlineNs;
 
     /** Endpoint of the first attempt that may have been executed; null if there is none. */
     Endpoint mayHaveRunOn;
 
-    /** Start of that attempt. */
+    /** Start of the first attempt that may have been executed. */
     long mayHaveRunSinceNs;
 
     /**
-     * A query at its submission.
+     * Creates the state of a submitted query.
      *
-     * @param submitted the event that submitted it
-     * @param statistics the statistics of its class
-     * @param keyQueue the queue of its ordering key; null without one
-     * @param sequence its position in the order of submission
-     * @param estimateMs estimate of its work on one thread
-     * @param weight its priority weight
-     * @param nowNs the time of its submission
+     * @param submitted the event that submitted the query
+     * @param statistics the statistics of the query class
+     * @param keyQueue the queue for the ordering key; null for a query without order
+     * @param sequence position of the query in the order of submission
+     * @param estimateMs estimated work on one thread
+     * @param weight priority weight of the query
+     * @param nowNs time of the submission
      */
     QueryState(
             QuerySubmitted submitted,
@@ -111,7 +116,7 @@
         this.weight = weight;
     }
 
-    /** Records that an attempt starts on the engine. */
+    /** Records the start of an attempt on the engine. */
     void startAttempt(EngineState target, long nowNs) {
         engine = target;
         lastEndpoint = target.endpoint;
@@ -125,12 +130,12 @@
         return engine != null;
     }
 
-    /** Whether the attempt of that number is the one in flight. */
+    /** Returns whether the attempt with the given number is in flight. */
     boolean isAttemptInFlight(int attempt) {
         return engine != null && attempt == attempts - 1;
     }
 
-    /** Returns the time that an attempt is expected to take. */
+    /** Returns the expected duration of an attempt. */
     long expectedDurationNs() {
         return (long) (expectedWorkMs / spec.threads() * Nanos.PER_MS);
     }
@@ -142,7 +147,7 @@
                 + (long) (spec.objectivePerWork() * expectedDurationNs());
     }
 
-    /** Whether an attempt that starts now is expected to miss the latency objective. */
+    /** Returns whether an attempt that starts now is expected to miss the latency objective. */
     boolean missesObjective(long nowNs) {
         return nowNs + expectedDurationNs() >= objectiveEndNs();
     }
--- a/decisions/src/main/java/ashlink/decisions/ResponseTimeModel.java
+++ b/decisions/src/main/java/ashlink/decisions/ResponseTimeModel.java
@@ -3,22 +3,22 @@
 import ashlink.decisions.api.Event.AttemptEnded;
 
 /**
- * How much slower than expected an engine responds, as a logarithm: the mean of its recent
- * responses and of the running queries that are far over their expected time. One odd query among
- * many changes it little.
+ * Models how much slower than expected an engine responds, as a logarithm: the mean over its recent
+ * responses and over the running queries that far exceed their expected duration. The logarithm
+ * limits the influence of single outliers.
  */
 final class ResponseTimeModel {
 
-    /** Logarithm of actual over expected time from which a response is slow. */
+    /** Logarithm of the ratio of actual to expected time above which a response is slow. */
     static final double SLOW_LOG = Math.log(2.5);
 
-    /** Time in which the weight of the responses decays. */
+    /** Time constant of the exponential decay of the weight of the responses. */
     private static final long DECAY_NS = 10_000 * Nanos.PER_MS;
 
-    /** Largest weight, in responses. */
+    /** Largest weight of the past responses, as a number of responses. */
     private static final double MAX_WEIGHT = 10;
 
-    /** Weight of a response in the mean over all engines. */
+    /** Weight of a new response in the moving average over all engines. */
     private static final double FLEET_WEIGHT = 0.1;
 
     private static final double SMALLEST = 1e-3;
@@ -30,7 +30,9 @@
         return fleetSlownessLog;
     }
 
-    /** Returns the slowness of an engine, as a logarithm; 0 if it is as fast as expected. */
+    /**
+     * Returns the slowness of an engine, as a logarithm; 0 if the engine is as fast as expected.
+     */
     double slownessLog(EngineState engine, long nowNs) {
         double weight = decayedWeight(engine, nowNs);
         double sum = weight * engine.slownessLog;
@@ -53,14 +55,14 @@
     }
 
     /**
-     * Records an attempt that was served.
+     * Records a served attempt.
      *
-     * @param query its query
-     * @param engine the engine that ran it
-     * @param ended its end
-     * @param overloaded whether the engine is overloaded; its response times then do not change
-     *     what is expected of the class
-     * @param nowNs the time
+     * @param query the query of the attempt
+     * @param engine the engine that ran the attempt
+     * @param ended the end of the attempt
+     * @param overloaded whether the engine is overloaded; if so, the response time does not update
+     *     the expected response time of the class
+     * @param nowNs the current time
      */
     void record(
             QueryState query,
--- a/decisions/src/main/java/ashlink/decisions/RetryBudget.java
+++ b/decisions/src/main/java/ashlink/decisions/RetryBudget.java
@@ -4,20 +4,20 @@
 import java.util.ArrayDeque;
 
 /**
- * Rule "attempts within budget": the retries in each window are at most a number of free ones plus
- * a fraction of the queries that were submitted in it.
+ * Invariant "retry budget": the number of retries in each window is at most a fixed number plus a
+ * fraction of the number of queries submitted in the window.
  *
- * <p>At the edge of the window a retry still counts and a query no longer does: the stricter
- * choice, so that the budget also holds for a window that includes both of its ends.
+ * <p>An event exactly as old as the window counts if it is a retry and does not count if it is a
+ * query. This stricter choice keeps the budget for windows with inclusive ends, too.
  */
 final class RetryBudget {
 
     private final PolicyLimits limits;
 
-    /** Times of the queries submitted in the window. */
+    /** Submission times of the queries in the window. */
     private final ArrayDeque<Long> queriesNs = new ArrayDeque<>();
 
-    /** Times of the retries in the window. */
+    /** Start times of the retries in the window. */
     private final ArrayDeque<Long> retriesNs = new ArrayDeque<>();
 
     RetryBudget(PolicyLimits limits) {
@@ -32,7 +32,10 @@
         retriesNs.add(nowNs);
     }
 
-    /** Whether the next attempt of the query is its first or within the budget. */
+    /**
+     * Returns whether the next attempt of the query is its first attempt or a retry within the
+     * budget.
+     */
     boolean allows(QueryState query, long nowNs) {
         removeExpired(nowNs);
         return limits.retryBudgetWindowNs() <= 0
@@ -41,7 +44,7 @@
                         <= limits.freeRetries() + limits.retriesPerQuery() * queriesNs.size();
     }
 
-    /** Drops what is older than the window. */
+    /** Removes the events that are older than the window. */
     void removeExpired(long nowNs) {
         long windowStartNs = nowNs - limits.retryBudgetWindowNs();
         while (!queriesNs.isEmpty() && queriesNs.peek() <= windowStartNs) {
--- a/decisions/src/main/java/ashlink/decisions/RetryPolicy.java
+++ b/decisions/src/main/java/ashlink/decisions/RetryPolicy.java
@@ -5,8 +5,8 @@
 import ashlink.decisions.api.RetrySafety;
 
 /**
- * Rule "no effect twice", and the number of attempts: decides whether and where a query may be sent
- * again after an attempt that may have been executed.
+ * Invariant "no duplicate effects", and the maximum number of attempts per query: decides whether
+ * and on which engines a query may run again after an attempt that may have been executed.
  */
 final class RetryPolicy {
 
@@ -16,12 +16,15 @@
         this.maxAttempts = maxAttempts;
     }
 
-    /** Rule "attempts within budget": whether another attempt is within the number per query. */
+    /**
+     * Returns whether the query has attempts left. Invariant "retry budget": the number of attempts
+     * per query is limited.
+     */
     boolean hasAttemptsLeft(QueryState query) {
         return query.attempts < maxAttempts;
     }
 
-    /** Whether the query may be sent again on some engine. */
+    /** Returns whether a retry of the query is allowed on some engine. */
     boolean mayRetry(QueryState query) {
         boolean isSafe =
                 query.mayHaveRunOn == null || query.spec.retrySafety() != RetrySafety.AT_MOST_ONCE;
@@ -29,9 +32,9 @@
     }
 
     /**
-     * Whether the query has no effect twice if it is sent to the engine: it never ran, is
-     * idempotent, or the engine drops the repeat. One maintenance interval of the deduplication
-     * window is left for the way to the engine.
+     * Returns whether the query has no duplicate effect if it is sent to the engine: it never ran,
+     * is idempotent, or is deduplicated by the engine. One maintenance interval is subtracted from
+     * the deduplication window as a margin for the transfer to the engine.
      */
     boolean allows(QueryState query, EngineState engine, long nowNs) {
         QueryClass spec = query.spec;
@@ -52,7 +55,10 @@
         };
     }
 
-    /** Records the end of an attempt that may have been executed. */
+    /**
+     * Records the outcome of an attempt; the first attempt that may have been executed is
+     * remembered.
+     */
     void recordOutcome(QueryState query, Outcome outcome) {
         if (outcome.mayHaveRun() && query.mayHaveRunOn == null) {
             query.mayHaveRunOn = query.lastEndpoint;
@@ -60,7 +66,7 @@
         }
     }
 
-    /** Whether the engine may still run an attempt that ended like this. */
+    /** Returns whether the engine may still run an attempt that ended with the outcome. */
     static boolean mayStillRun(Outcome outcome) {
         return outcome == Outcome.TIMED_OUT
                 || outcome == Outcome.RESET
--- a/decisions/src/main/java/ashlink/decisions/ShortQueryClassifier.java
+++ b/decisions/src/main/java/ashlink/decisions/ShortQueryClassifier.java
@@ -3,8 +3,8 @@
 import java.util.Collection;
 
 /**
- * Tells short queries from long ones. Short queries get capacity beyond the concurrency limit, so
- * that they do not wait behind long ones that they hardly delay.
+ * Distinguishes short queries from long queries. Short queries have capacity beyond the concurrency
+ * limit, so that they do not wait behind long queries, which they hardly delay.
  */
 final class ShortQueryClassifier {
 
--- a/decisions/src/main/java/ashlink/decisions/SlowStart.java
+++ b/decisions/src/main/java/ashlink/decisions/SlowStart.java
@@ -5,25 +5,31 @@
 import java.util.SplittableRandom;
 
 /**
- * Rule "warming engines not overloaded": the work that all routers send to an engine in a window
- * after its start stays below the overload limit. Each router uses an equal part of it.
+ * Invariant "slow start": the work that all routers together send to a warming engine in a window
+ * stays below the overload limit. Each router has an equal part of the limit as its budget.
  *
- * <p>Where that part is less than one query per window, a query of a class that the engine can take
- * many of is admitted at a random time, spaced by the part; a time not used within a window
- * expires.
+ * <p>If the budget of a router covers less than one query per window, queries are admitted at
+ * random times with the budget's mean spacing, provided that the whole fleet may start many queries
+ * of the class. An admission time that is not used within a window expires.
  */
 final class SlowStart {
 
-    /** Fraction of the limit in use; estimates are wrong, and every router rounds up. */
+    /**
+     * Fraction of the limit that is used. The margin covers errors of the estimates and the
+     * rounding up by each router.
+     */
     private static final double BUDGET_FRACTION = 0.6;
 
     /** Unused budget that may accumulate, as a fraction of the window. */
     private static final double BURST_FRACTION = 0.5;
 
-    /** Queries of a class that the limit must cover for one to be admitted at a random time. */
+    /**
+     * Number of queries of a class per window, over all routers, that the budget of the fleet must
+     * exceed for a query to be admitted at a random time.
+     */
     private static final double MIN_FLEET_QUERIES = 20;
 
-    /** Fraction of its cores that an engine's capacity is counted at. */
+    /** Usable fraction of the cores of an engine. */
     private static final double CAPACITY_FRACTION = 0.85;
 
     private final PolicyLimits limits;
@@ -42,7 +48,10 @@
                 && nowNs < engine.endpoint.startedNs() + limits.slowStartNs();
     }
 
-    /** Whether the engine is warm or has budget for the query; may draw a random time. */
+    /**
+     * Returns whether the engine is warm or the budget covers the query. May draw the random time
+     * of the next admission.
+     */
     boolean allows(QueryState query, EngineState engine, long nowNs) {
         if (!isWarmingUp(engine, nowNs)) {
             return true;
@@ -67,7 +76,7 @@
         return nowNs >= engine.slowStartNextNs;
     }
 
-    /** Charges an attempt that starts to the budget of an engine that is warming up. */
+    /** Charges an attempt that starts on a warming engine to the budget. */
     void recordStart(QueryState query, EngineState engine, long nowNs) {
         if (!isWarmingUp(engine, nowNs)) {
             return;
@@ -80,7 +89,10 @@
         engine.slowStartNextNs = Math.max(engine.slowStartNextNs, nowNs - burstNs) + gapNs;
     }
 
-    /** Returns the time in which this router's budget adds up to one query of the class. */
+    /**
+     * Returns the time in which the budget of this router accrues the work of one query of the
+     * class.
+     */
     private double gapNs(QueryState query, EngineState engine) {
         return query.statistics.conservativeWorkMs()
                 * Nanos.PER_MS
--- a/decisions/src/main/java/ashlink/decisions/SubmissionHandler.java
+++ b/decisions/src/main/java/ashlink/decisions/SubmissionHandler.java
@@ -4,7 +4,7 @@
 import ashlink.decisions.api.Event.QuerySubmitted;
 import java.util.Map;
 
-/** Queues submitted queries, each with its expected work and its weight. */
+/** Queues submitted queries with their expected work and priority weight. */
 final class SubmissionHandler {
 
     private final Map<String, QueryClassStatistics> classes;
@@ -40,9 +40,9 @@
     }
 
     /**
-     * Queues a query, or rejects it if its class is unknown or its number is in use.
+     * Queues a query, or rejects it if its class is unknown or its identifier is in use.
      *
-     * @return the query; null if it was rejected
+     * @return the queued query; null if the query was rejected
      */
     QueryState submit(QuerySubmitted submitted, long nowNs) {
         QueryClassStatistics statistics = classes.get(submitted.queryClass());
--- a/decisions/src/main/java/ashlink/decisions/TableGroupPlacement.java
+++ b/decisions/src/main/java/ashlink/decisions/TableGroupPlacement.java
@@ -9,23 +9,24 @@
 import java.util.function.Predicate;
 
 /**
- * Separates queries that lock a group of tables from those that wait for the locks: all routers
- * hash a group to the same half of the engines for the first and use the other half for the second.
- * A preference only: if no candidate is in the right half, any will do.
+ * Separates queries that lock a table group from queries that wait for the locks. All routers hash
+ * a table group to the same half of the engines for the locking queries; the waiting queries use
+ * the other half. This is only a preference: if no candidate is in the preferred half, all
+ * candidates are kept.
  */
 final class TableGroupPlacement {
 
-    /** Fraction of the engines on which a table group is locked. */
+    /** Fraction of the engines used by the queries that lock a table group. */
     private static final double LOCKING_FRACTION = 0.5;
 
     private static final long HASH_FACTOR = 31L;
 
     private final EngineDirectory engines;
 
-    /** Whether there are classes of both sorts. */
+    /** Whether there are both locking classes and classes that wait for table locks. */
     private final boolean enabled;
 
-    /** Engines on which a table group is locked, by group. */
+    /** Engines used by the queries that lock a table group, by table group. */
     private final Map<Long, List<EngineState>> lockingEngines = new HashMap<>();
 
     TableGroupPlacement(EngineDirectory engines, List<QueryClass> classes) {
@@ -35,7 +36,7 @@
                         && classes.stream().anyMatch(QueryClass::waitsForTableLocks);
     }
 
-    /** Removes the candidates in the wrong half, unless none would be left. */
+    /** Removes the candidates outside the preferred half, unless no candidate would be left. */
     void filter(QueryState query, List<EngineState> candidates) {
         boolean locks = query.spec.locksTables();
         if (!enabled || !locks && !query.spec.waitsForTableLocks()) {
@@ -61,7 +62,7 @@
         return new SplittableRandom(HASH_FACTOR * engine.name.hashCode() + tableGroup).nextLong();
     }
 
-    /** Drops the placement after the endpoint list changed. */
+    /** Discards the computed placement. Called after the endpoint list has changed. */
     void reset() {
         lockingEngines.clear();
     }
--- a/decisions/src/main/java/ashlink/decisions/TenantQuota.java
+++ b/decisions/src/main/java/ashlink/decisions/TenantQuota.java
@@ -6,12 +6,15 @@
 import java.util.Map;
 
 /**
- * Lowers the weight of a tenant's queries beyond its quota, so that they leave the queue after
- * those of tenants within theirs. A router counts its own queries against its part of the quota.
+ * Lowers the weight of queries beyond their tenant's quota, so that queries of tenants within their
+ * quotas start first. Each router enforces its part of the quota on its own queries.
  */
 final class TenantQuota {
 
-    /** Decay time of the count; in a shorter one a router sees too few queries of a tenant. */
+    /**
+     * Time constant of the decay of the query count. With a shorter one, a router counts too few
+     * queries of a tenant.
+     */
     private static final long DECAY_NS = 5_000 * Nanos.PER_MS;
 
     private static final long NS_PER_S = 1_000 * Nanos.PER_MS;
@@ -31,12 +34,12 @@
     }
 
     /**
-     * Counts a query and returns the fraction of its weight that it has.
+     * Counts a query and returns the fraction of the priority weight that the query keeps.
      *
-     * @param tenant name of its tenant; one without a quota always has the full weight
-     * @param trafficFraction fraction of the fleet's traffic that this router carries
-     * @param nowNs the time
-     * @return from the weight of a query beyond the quota to 1
+     * @param tenant name of the tenant; a tenant without a quota always keeps the full weight
+     * @param trafficFraction this router's fraction of the traffic of the fleet
+     * @param nowNs the current time
+     * @return a fraction from the configured weight beyond the quota up to 1
      */
     double weightFraction(String tenant, double trafficFraction, long nowNs) {
         TenantUsage usage = tenants.get(tenant);
--- a/decisions/src/main/java/ashlink/decisions/TenantUsage.java
+++ b/decisions/src/main/java/ashlink/decisions/TenantUsage.java
@@ -1,12 +1,12 @@
 package ashlink.decisions;
 
-/** The recent queries of one tenant with a quota. */
+/** The recent usage of one tenant with a quota. */
 final class TenantUsage {
 
-    /** Queries per second, over all routers. */
+    /** Quota in queries per second, over all routers. */
     final double quotaPerS;
 
-    /** Number of recent queries; it decays exponentially. */
+    /** Number of recent queries, decayed exponentially. */
     double recentQueries;
 
     long lastQueryNs = Nanos.NEVER;
--- a/decisions/src/main/java/ashlink/decisions/api/Action.java
+++ b/decisions/src/main/java/ashlink/decisions/api/Action.java
@@ -1,19 +1,20 @@
 package ashlink.decisions.api;
 
-/** Something that a workload manager decided and its router carries out. */
+/** A decision of a workload manager, carried out by its router. */
 public sealed interface Action {
 
     /**
-     * Send the query to an engine. The attempts of a query are numbered from 0.
+     * Sends the query to an engine. The attempts of a query are numbered from 0.
      *
      * @param id the query
-     * @param engine the engine to send it to
-     * @param timeoutNs time after which the attempt is given up
+     * @param engine the engine to send the query to
+     * @param timeoutNs duration after which the attempt times out
      */
     record StartAttempt(long id, String engine, long timeoutNs) implements Action {}
 
     /**
-     * Resources of the query's next attempts; the priority also applies to the attempt in flight.
+     * Sets the resources of the next attempts of a query; the priority also applies to the attempt
+     * in flight.
      *
      * @param id the query
      * @param priority scheduling priority on the engine; higher runs first
@@ -22,28 +23,32 @@
     record SetAttemptResources(long id, int priority, long memoryMb) implements Action {}
 
     /**
-     * Final answer: the query was not executed or may be repeated without harm.
+     * Sends the final answer that the query is rejected: it was not executed, or the client may
+     * safely repeat it.
      *
      * @param id the query
-     * @param retryAfterNs Retry-After for the client; 0 for none
+     * @param retryAfterNs the Retry-After for the client; 0 for none
      */
     record Reject(long id, long retryAfterNs) implements Action {}
 
-    /** Final answer: query {@code id} failed; nothing is promised about its effect. */
+    /**
+     * Sends the final answer that query {@code id} failed; the query may or may not have been
+     * executed.
+     */
     record Fail(long id) implements Action {}
 
-    /** Cancel the attempt of query {@code id} with that number. */
+    /** Cancels the given attempt of query {@code id}. */
     record CancelAttempt(long id, int attempt) implements Action {}
 
-    /** Send a health check to an engine; its result includes a load report. */
+    /** Sends a health check to an engine; the result includes a load report. */
     record CheckHealth(String engine) implements Action {}
 
-    /** Deliver {@link Event.TimerFired} with that label at that time. */
+    /** Requests a {@link Event.TimerFired} event with the label at the given time. */
     record SetTimer(long label, long timeNs) implements Action {}
 
-    /** Ask service discovery for the endpoint list and its changes. */
+    /** Requests the endpoint list and its changes from service discovery. */
     record WatchEndpoints() implements Action {}
 
-    /** A log line for the operators. */
+    /** Writes a line to the log. */
     record Log(String text) implements Action {}
 }
--- a/decisions/src/main/java/ashlink/decisions/api/DeduplicationScope.java
+++ b/decisions/src/main/java/ashlink/decisions/api/DeduplicationScope.java
@@ -1,6 +1,6 @@
 package ashlink.decisions.api;
 
-/** The engines that share the idempotency keys of a deduplicated query. */
+/** The set of engines that share the idempotency keys of a deduplicated query. */
 public enum DeduplicationScope {
     /** All engines. */
     ALL,
--- a/decisions/src/main/java/ashlink/decisions/api/EndpointListKind.java
+++ b/decisions/src/main/java/ashlink/decisions/api/EndpointListKind.java
@@ -1,13 +1,13 @@
 package ashlink.decisions.api;
 
-/** How complete and how recent a list of endpoints is. */
+/** The completeness and freshness of an endpoint list. */
 public enum EndpointListKind {
     /** The complete list; it replaces the known endpoints. */
     SNAPSHOT,
     /** Changed endpoints only. */
     DELTA,
-    /** A complete list that was stored before a restart. */
+    /** A complete list that was stored before a restart of the router. */
     CACHED,
-    /** Service discovery did not answer. */
+    /** No list, because service discovery did not answer. */
     UNAVAILABLE
 }
--- a/decisions/src/main/java/ashlink/decisions/api/EndpointState.java
+++ b/decisions/src/main/java/ashlink/decisions/api/EndpointState.java
@@ -1,11 +1,11 @@
 package ashlink.decisions.api;
 
-/** The state of an engine as service discovery reports it. */
+/** The state of an engine as reported by service discovery. */
 public enum EndpointState {
-    /** It accepts new queries. */
+    /** The engine accepts new queries. */
     READY,
-    /** It finishes what is in flight and accepts nothing new. */
+    /** The engine finishes the queries in flight and accepts no new ones. */
     DRAINING,
-    /** It has been deregistered. */
+    /** The engine was deregistered. */
     REMOVED
 }
--- a/decisions/src/main/java/ashlink/decisions/api/EngineKind.java
+++ b/decisions/src/main/java/ashlink/decisions/api/EngineKind.java
@@ -3,7 +3,7 @@
 /**
  * A kind of engine.
  *
- * @param name unique name in the settings
+ * @param name unique name of the kind
  * @param cores processor cores of an engine of this kind
  * @param memoryMb memory of an engine of this kind, in MB; 0 if unknown
  */
--- a/decisions/src/main/java/ashlink/decisions/api/LoadReport.java
+++ b/decisions/src/main/java/ashlink/decisions/api/LoadReport.java
@@ -1,13 +1,13 @@
 package ashlink.decisions.api;
 
 /**
- * An engine's load report; a value that the engine does not report is NaN.
+ * The load report of an engine; a value that the engine does not report is NaN.
  *
- * @param queued queries that wait on the engine
- * @param cpuUtilization fraction of its cores that are busy
- * @param memoryUtilization fraction of its memory that is granted
- * @param diskUtilization fraction of its disks that are busy
- * @param inFlight queries that it runs or queues, from all routers
+ * @param queued number of queries waiting on the engine
+ * @param cpuUtilization fraction of the cores that are busy
+ * @param memoryUtilization fraction of the memory that is granted
+ * @param diskUtilization fraction of the disks that are busy
+ * @param inFlight number of running and waiting queries from all routers
  */
 public record LoadReport(
         double queued,
@@ -16,11 +16,11 @@
         double diskUtilization,
         double inFlight) {
 
-    /** The report of an engine that reports nothing. */
+    /** The report of an engine that reports no values. */
     public static final LoadReport NONE =
             new LoadReport(Double.NaN, Double.NaN, Double.NaN, Double.NaN);
 
-    /** A report without the number of queries in flight. */
+    /** Creates a report without the number of queries in flight. */
     public LoadReport(
             double queued,
             double cpuUtilization,
--- a/decisions/src/main/java/ashlink/decisions/api/Outcome.java
+++ b/decisions/src/main/java/ashlink/decisions/api/Outcome.java
@@ -25,7 +25,7 @@
         this.mayHaveRun = mayHaveRun;
     }
 
-    /** Returns false if the outcome proves that the engine never ran the attempt. */
+    /** Returns false if the outcome proves that the engine did not execute the attempt. */
     public boolean mayHaveRun() {
         return mayHaveRun;
     }
--- a/decisions/src/main/java/ashlink/decisions/api/RetrySafety.java
+++ b/decisions/src/main/java/ashlink/decisions/api/RetrySafety.java
@@ -1,11 +1,11 @@
 package ashlink.decisions.api;
 
-/** What a second execution of a query does. */
+/** The effect of executing a query a second time. */
 public enum RetrySafety {
-    /** Running it again has no further effect. */
+    /** A second execution has no further effect. */
     IDEMPOTENT,
-    /** Engines drop a repeat that carries the same idempotency key, within a scope and a time. */
+    /** Engines drop a repeat with the same idempotency key, within a scope and a time window. */
     DEDUPLICATED,
-    /** It must not run twice. */
+    /** The query must not be executed twice. */
     AT_MOST_ONCE
 }
--- a/decisions/src/main/java/ashlink/decisions/api/Settings.java
+++ b/decisions/src/main/java/ashlink/decisions/api/Settings.java
@@ -5,16 +5,17 @@
 /**
  * The configuration of a workload manager.
  *
- * @param seed seed of all random choices
- * @param routerCount routers of the fleet, this one included
+ * @param seed seed for all random choices
+ * @param routerCount number of routers in the fleet, including this router
  * @param routerIndex position of this router in the fleet, from 0
  * @param zone zone of this router
  * @param classes the query classes; not empty
  * @param kinds the kinds of engine
- * @param capabilities what the router may do and the engines support
- * @param limits limits of the site's rules
- * @param tenants the tenants with a quota
- * @param overQuotaWeight fraction of its weight that a query beyond its tenant's quota keeps
+ * @param capabilities the features that the router may use and the engines support
+ * @param limits the limits set by the policy of the site
+ * @param tenants the tenants, with their quotas
+ * @param overQuotaWeight fraction of the priority weight that a query beyond its tenant's quota
+ *     keeps
  */
 public record Settings(
         long seed,
@@ -28,7 +29,7 @@
         List<Tenant> tenants,
         double overQuotaWeight) {
 
-    /** Settings of a site without tenants. */
+    /** Creates settings without tenants. */
     public Settings(
             long seed,
             int routerCount,
@@ -55,6 +56,7 @@
      * Validates the settings.
      *
      * @throws IllegalArgumentException if a value is out of range; the message names the setting
+     *     and the accepted values
      */
     public Settings {
         require(routerCount > 0, "gateways", routerCount);
--- a/decisions/src/main/java/ashlink/decisions/api/Tenant.java
+++ b/decisions/src/main/java/ashlink/decisions/api/Tenant.java
@@ -1,9 +1,9 @@
 package ashlink.decisions.api;
 
 /**
- * A tenant.
+ * A tenant of the fleet.
  *
- * @param name unique name in the settings
- * @param quotaPerS queries per second, over all routers, within its quota; 0 for no limit
+ * @param name unique name of the tenant
+ * @param quotaPerS quota in queries per second, over all routers; 0 for no quota
  */
 public record Tenant(String name, double quotaPerS) {}
