--- a/decisions/src/main/java/ashlink/decisions/AttemptHandler.java
+++ b/decisions/src/main/java/ashlink/decisions/AttemptHandler.java
@@ -71,7 +71,9 @@
                     restartPolicy.onProgress(query, progress.amount(), nowNs);
                 }
             }
-            default -> throw new IllegalArgumentException("progress kind " + progress.kind());
+            default ->
+                    throw new IllegalArgumentException(
+                            "unsupported progress kind: " + progress.kind());
         }
     }
 
--- a/decisions/src/main/java/ashlink/decisions/ConcurrencyLimiter.java
+++ b/decisions/src/main/java/ashlink/decisions/ConcurrencyLimiter.java
@@ -79,8 +79,8 @@
     double initialThreads(ConcurrencyLimit limit) {
         double equalFraction = 1.0 / routerCount;
         double trafficFraction = fleetLoad.trafficFraction();
-        // If the load of the fleet is known, all routers use the mean of both fractions, so that the
-        // fractions of all routers add up to 1.
+        // If the load of the fleet is known, all routers use the mean of both fractions, so that
+        // the fractions of all routers add up to 1.
         double fraction =
                 fleetLoad.threadsPerCore() > 0
                         ? (trafficFraction + equalFraction) / 2
--- a/decisions/src/main/java/ashlink/decisions/EndpointSelector.java
+++ b/decisions/src/main/java/ashlink/decisions/EndpointSelector.java
@@ -72,7 +72,7 @@
         eligible.removeIf(engine -> !eligibility.mayStart(query, engine, nowNs));
         List<EngineState> healthy = new ArrayList<>(eligible);
         healthy.removeIf(engine -> engine.isEjected(nowNs));
-        // If most engines are ejected, they share a cause that avoiding single engines does not fix.
+        // If most engines are ejected, they have a common cause, and ejection would not help.
         List<EngineState> candidates = healthy.size() * 2 >= eligible.size() ? healthy : eligible;
         candidates.removeIf(engine -> !limiter.hasCapacity(query, engine, nowNs));
         removeLastEngine(query, candidates);
--- a/decisions/src/main/java/ashlink/decisions/api/Settings.java
+++ b/decisions/src/main/java/ashlink/decisions/api/Settings.java
@@ -59,43 +59,42 @@
      *     and the accepted values
      */
     public Settings {
-        require(routerCount > 0, "gateways", routerCount);
-        require(!classes.isEmpty(), "classes", "none");
+        requirePositive("gateways", routerCount);
+        if (classes.isEmpty()) {
+            throw new IllegalArgumentException("invalid setting classes: none; at least 1 needed");
+        }
         for (QueryClass queryClass : classes) {
-            require(
-                    queryClass.latencyObjectiveNs() >= 0,
-                    queryClass.name() + ".aimNs",
-                    queryClass.latencyObjectiveNs());
-            require(queryClass.threads() > 0, queryClass.name() + ".threads", queryClass.threads());
-            require(
-                    queryClass.priorityWeight() >= 0,
-                    queryClass.name() + ".worth",
-                    queryClass.priorityWeight());
-            require(
-                    queryClass.deduplicationWindowNs() >= 0,
-                    queryClass.name() + ".repeatSpanNs",
-                    queryClass.deduplicationWindowNs());
+            requireNotNegative(queryClass.name() + ".aimNs", queryClass.latencyObjectiveNs());
+            requirePositive(queryClass.name() + ".threads", queryClass.threads());
+            requireNotNegative(queryClass.name() + ".worth", queryClass.priorityWeight());
+            requireNotNegative(
+                    queryClass.name() + ".repeatSpanNs", queryClass.deduplicationWindowNs());
         }
         for (EngineKind engineKind : kinds) {
-            require(engineKind.cores() > 0, engineKind.name() + ".cores", engineKind.cores());
+            requirePositive(engineKind.name() + ".cores", engineKind.cores());
         }
-        require(capabilities.maxAttempts() > 0, "allowed.attempts", capabilities.maxAttempts());
-        require(limits.slowStartFraction() >= 0, "limits.coldFrom", limits.slowStartFraction());
-        require(
-                limits.retriesPerQuery() >= 0,
-                "limits.resendsPerRequest",
-                limits.retriesPerQuery());
+        requirePositive("allowed.attempts", capabilities.maxAttempts());
+        requireNotNegative("limits.coldFrom", limits.slowStartFraction());
+        requireNotNegative("limits.resendsPerRequest", limits.retriesPerQuery());
         for (Tenant tenant : tenants) {
-            require(tenant.quotaPerS() >= 0, tenant.name() + ".quotaPerS", tenant.quotaPerS());
+            requireNotNegative(tenant.name() + ".quotaPerS", tenant.quotaPerS());
         }
         tenants = List.copyOf(tenants);
         classes = List.copyOf(classes);
         kinds = List.copyOf(kinds);
     }
 
-    private static void require(boolean holds, String setting, Object value) {
-        if (!holds) {
-            throw new IllegalArgumentException("setting " + setting + " is invalid: " + value);
+    private static void requirePositive(String setting, int value) {
+        if (value <= 0) {
+            throw new IllegalArgumentException(
+                    "invalid setting " + setting + ": " + value + "; must be at least 1");
+        }
+    }
+
+    private static void requireNotNegative(String setting, Number value) {
+        if (!(value.doubleValue() >= 0)) {
+            throw new IllegalArgumentException(
+                    "invalid setting " + setting + ": " + value + "; must be 0 or more");
         }
     }
 }
