--- a/decisions/src/main/java/ashlink/decisions/ActiveQueries.java
+++ b/decisions/src/main/java/ashlink/decisions/ActiveQueries.java
@@ -32,7 +32,7 @@
         int threads = 0;
         for (QueryState query : queries.values()) {
             if (query.isInFlight() && shortQueries.isShort(query)) {
-                threads += query.spec.threads();
+                threads += query.queryClass.threads();
             }
         }
         return threads;
--- a/decisions/src/main/java/ashlink/decisions/AttemptCanceller.java
+++ b/decisions/src/main/java/ashlink/decisions/AttemptCanceller.java
@@ -8,12 +8,12 @@
  */
 final class AttemptCanceller {
 
-    private final boolean cancellation;
+    private final boolean cancellationSupported;
     private final RetryPolicy retryPolicy;
     private final ActionBuffer actions;
 
-    AttemptCanceller(boolean cancellation, RetryPolicy retryPolicy, ActionBuffer actions) {
-        this.cancellation = cancellation;
+    AttemptCanceller(boolean cancellationSupported, RetryPolicy retryPolicy, ActionBuffer actions) {
+        this.cancellationSupported = cancellationSupported;
         this.retryPolicy = retryPolicy;
         this.actions = actions;
     }
@@ -23,8 +23,8 @@
      * query must be idempotent, and it must have an attempt left for the retry.
      */
     boolean mayCancel(QueryState query) {
-        return cancellation
-                && query.spec.retrySafety() == RetrySafety.IDEMPOTENT
+        return cancellationSupported
+                && query.queryClass.retrySafety() == RetrySafety.IDEMPOTENT
                 && !query.finished
                 && !query.cancelRequested
                 && retryPolicy.hasAttemptsLeft(query);
--- a/decisions/src/main/java/ashlink/decisions/AttemptHandler.java
+++ b/decisions/src/main/java/ashlink/decisions/AttemptHandler.java
@@ -18,7 +18,7 @@
      */
     private static final double ABANDONED_FRACTION = 0.5;
 
-    private final boolean cancellation;
+    private final boolean cancellationSupported;
     private final EngineDirectory engines;
     private final ActiveQueries queries;
     private final AdmissionQueue queue;
@@ -30,7 +30,7 @@
     private final QueryRestartPolicy restartPolicy;
 
     AttemptHandler(
-            boolean cancellation,
+            boolean cancellationSupported,
             EngineDirectory engines,
             ActiveQueries queries,
             AdmissionQueue queue,
@@ -40,7 +40,7 @@
             OutlierDetector outliers,
             CompletionRecorder recorder,
             QueryRestartPolicy restartPolicy) {
-        this.cancellation = cancellation;
+        this.cancellationSupported = cancellationSupported;
         this.engines = engines;
         this.queries = queries;
         this.queue = queue;
@@ -61,7 +61,7 @@
                 || !query.isAttemptInFlight(progress.attempt())) {
             return;
         }
-        engine.lastSignNs = nowNs;
+        engine.lastActivityNs = nowNs;
         switch (progress.kind()) {
             case WAITING -> query.workingSinceNs = nowNs;
             case SPILLED_MB ->
@@ -84,13 +84,13 @@
      * @return the engine that ran the attempt in flight; null if the attempt was not in flight
      */
     EngineState onEnded(AttemptEnded ended, long nowNs) {
-        recordEngine(ended, nowNs);
+        recordEngineOutcome(ended, nowNs);
         QueryState query = queries.find(ended.id());
         if (query == null || !query.isAttemptInFlight(ended.attempt())) {
             return null;
         }
         EngineState engine = query.engine;
-        engine.running.remove(query);
+        engine.runningQueries.remove(query);
         query.engine = null;
         if (ended.outcome() == Outcome.SERVED) {
             recorder.record(query, engine, ended, nowNs);
@@ -102,7 +102,7 @@
         return engine;
     }
 
-    private void recordEngine(AttemptEnded ended, long nowNs) {
+    private void recordEngineOutcome(AttemptEnded ended, long nowNs) {
         EngineState engine = engines.find(ended.engine());
         if (engine == null) {
             return;
@@ -120,7 +120,7 @@
         }
         long elapsedNs = nowNs - query.attemptStartNs;
         long countedUntilNs =
-                mayStillRun && !cancellation
+                mayStillRun && !cancellationSupported
                         ? nowNs + (long) (ABANDONED_FRACTION * elapsedNs)
                         : nowNs;
         engine.abandonedAttempts.add(new AbandonedAttempt(countedUntilNs, query));
--- a/decisions/src/main/java/ashlink/decisions/ConcurrencyFeedback.java
+++ b/decisions/src/main/java/ashlink/decisions/ConcurrencyFeedback.java
@@ -63,11 +63,11 @@
     private void adjust(ConcurrencyLimit limit, double throughput, double responseNs, long nowNs) {
         double stepThreads = Math.max(1, STEP_FRACTION * limiter.initialThreads(limit));
         boolean mayDecrease = mayDecrease(limit, responseNs, stepThreads, nowNs);
-        double change =
+        double step =
                 limit.saturated
                         ? saturatedStep(limit, throughput, stepThreads, mayDecrease)
                         : unsaturatedStep(limit, throughput, stepThreads, mayDecrease);
-        move(limit, change);
+        applyStep(limit, step);
     }
 
     /**
@@ -114,11 +114,11 @@
         return mayDecrease ? -stepThreads : 0;
     }
 
-    private void move(ConcurrencyLimit limit, double changeThreads) {
+    private void applyStep(ConcurrencyLimit limit, double step) {
         double initial = limiter.initialThreads(limit);
-        double largest = (ConcurrencyLimit.MAX_INITIAL_MULTIPLE - 1) * initial;
+        double maxAdjustment = (ConcurrencyLimit.MAX_INITIAL_MULTIPLE - 1) * initial;
         limit.adjustmentThreads =
-                Math.max(1 - initial, Math.min(largest, limit.adjustmentThreads + changeThreads));
-        limit.lastStepThreads = changeThreads;
+                Math.max(1 - initial, Math.min(maxAdjustment, limit.adjustmentThreads + step));
+        limit.lastStepThreads = step;
     }
 }
--- a/decisions/src/main/java/ashlink/decisions/ConcurrencyLimiter.java
+++ b/decisions/src/main/java/ashlink/decisions/ConcurrencyLimiter.java
@@ -47,7 +47,7 @@
      * Random number from 0 to 1, drawn once per maintenance interval. A query that can never fit
      * the shared limit is admitted if its admission probability is higher.
      */
-    private double admissionDraw;
+    private double admissionRandom;
 
     ConcurrencyLimiter(
             Settings settings,
@@ -68,8 +68,8 @@
     }
 
     /** Draws the random number for admissions in the next maintenance interval. */
-    void drawAdmission() {
-        admissionDraw = random.nextDouble();
+    void drawAdmissionRandom() {
+        admissionRandom = random.nextDouble();
     }
 
     /**
@@ -135,7 +135,8 @@
                         && (isShort || !isMemoryQueueLong(engine, nowNs))
                         && (fitsLimit(query, limit, isShort, overloaded)
                                 || limit == sharedLimit
-                                        && mayExceedShared(engine, isShort, overloaded, nowNs));
+                                        && mayExceedSharedLimit(
+                                                engine, isShort, overloaded, nowNs));
         limit.saturated |= !hasCapacity;
         return hasCapacity;
     }
@@ -161,8 +162,8 @@
      */
     private double effectiveThreads(ConcurrencyLimit limit, boolean isShort, boolean overloaded) {
         double initial = initialThreads(limit);
-        double floor = overloaded ? 1 : ConcurrencyLimit.MAX_INITIAL_MULTIPLE * initial;
-        double threads = Math.max(initial + limit.adjustmentThreads, floor);
+        double minThreads = overloaded ? 1 : ConcurrencyLimit.MAX_INITIAL_MULTIPLE * initial;
+        double threads = Math.max(initial + limit.adjustmentThreads, minThreads);
         if (isShort) {
             threads += SHORT_QUERY_MULTIPLE * initial;
         }
@@ -175,10 +176,11 @@
         return threads;
     }
 
-    private boolean mayExceedShared(
+    private boolean mayExceedSharedLimit(
             EngineState engine, boolean isShort, boolean overloaded, long nowNs) {
-        boolean runsFirst = isShort && capabilities.priorities() && !fleetLoad.isOverInitialLimit();
-        return runsFirst
+        boolean hasPriority =
+                isShort && capabilities.priorities() && !fleetLoad.isOverInitialLimit();
+        return hasPriority
                 || overload.areFewOverloaded() && engine.hasRecentReport(nowNs) && !overloaded;
     }
 
@@ -189,10 +191,10 @@
      * reserved capacity in addition.
      */
     private boolean fitsSharedLimit(QueryState query, boolean isShort, double limitThreads) {
-        int threads = query.spec.threads();
+        int threads = query.queryClass.threads();
         if (sharedLimit.threads + threads <= limitThreads
                 || sharedLimit.threads == 0
-                        && admissionDraw < admissionProbability(query, limitThreads)) {
+                        && admissionRandom < admissionProbability(query, limitThreads)) {
             return true;
         }
         return isShort
@@ -203,7 +205,7 @@
     private static double admissionProbability(QueryState query, double limitThreads) {
         long intervalNs = MaintenanceTask.INTERVAL_NS;
         return limitThreads
-                / query.spec.threads()
+                / query.queryClass.threads()
                 * intervalNs
                 / Math.max(intervalNs, query.expectedDurationNs());
     }
--- a/decisions/src/main/java/ashlink/decisions/DefaultWorkloadManager.java
+++ b/decisions/src/main/java/ashlink/decisions/DefaultWorkloadManager.java
@@ -21,7 +21,7 @@
  */
 public final class DefaultWorkloadManager implements WorkloadManager {
 
-    private final DecisionModules modules;
+    private final WorkloadManagerComponents components;
     private final ActionBuffer actions;
     private boolean started;
 
@@ -31,8 +31,8 @@
      * @param settings the configuration of the router
      */
     public DefaultWorkloadManager(Settings settings) {
-        modules = new DecisionModules(settings);
-        actions = modules.actions;
+        components = new WorkloadManagerComponents(settings);
+        actions = components.actions;
     }
 
     @Override
@@ -46,7 +46,7 @@
         } else if (event instanceof AttemptEnded ended) {
             onEnded(ended, nowNs);
         } else if (event instanceof AttemptProgress progress) {
-            modules.attempts.onProgress(progress, nowNs);
+            components.attempts.onProgress(progress, nowNs);
         } else if (event instanceof HealthCheckCompleted completed) {
             onHealthChecked(completed, nowNs);
         } else if (event instanceof ClientDisconnected disconnected) {
@@ -61,40 +61,40 @@
 
     private void start(long nowNs) {
         started = true;
-        if (modules.endpointsMustBeWatched) {
+        if (components.endpointsMustBeWatched) {
             actions.add(new WatchEndpoints());
         }
-        modules.maintenance.schedule(nowNs);
+        components.maintenance.schedule(nowNs);
     }
 
     private void onSubmitted(QuerySubmitted submitted, long nowNs) {
-        QueryState query = modules.submissions.submit(submitted, nowNs);
+        QueryState query = components.submissions.submit(submitted, nowNs);
         if (query != null) {
-            modules.dispatcher.dispatch(nowNs);
-            modules.completion.finishIfDue(query, nowNs);
+            components.dispatcher.dispatch(nowNs);
+            components.completion.finishIfDue(query, nowNs);
         }
     }
 
     private void onEnded(AttemptEnded ended, long nowNs) {
-        EngineState engine = modules.attempts.onEnded(ended, nowNs);
+        EngineState engine = components.attempts.onEnded(ended, nowNs);
         if (engine != null) {
-            modules.feedback.closePeriodIfComplete(engine.limit, nowNs);
-            modules.dispatcher.dispatch(nowNs);
+            components.feedback.closePeriodIfComplete(engine.limit, nowNs);
+            components.dispatcher.dispatch(nowNs);
         }
     }
 
     private void onHealthChecked(HealthCheckCompleted completed, long nowNs) {
-        EngineState engine = modules.engines.find(completed.engine());
+        EngineState engine = components.engines.find(completed.engine());
         if (engine != null) {
-            modules.healthChecks.recordResult(
+            components.healthChecks.recordResult(
                     engine, completed.outcome(), completed.loadReport(), nowNs);
-            modules.dispatcher.dispatch(nowNs);
+            components.dispatcher.dispatch(nowNs);
         }
     }
 
     private void onDisconnected(ClientDisconnected disconnected, long nowNs) {
-        if (modules.disconnects.onDisconnected(disconnected.id())) {
-            modules.dispatcher.dispatch(nowNs);
+        if (components.disconnects.onDisconnected(disconnected.id())) {
+            components.dispatcher.dispatch(nowNs);
         }
     }
 
@@ -103,16 +103,16 @@
             actions.add(new WatchEndpoints());
             return;
         }
-        modules.engines.apply(changed, modules.limiter::resetAdjustment);
-        modules.placement.reset();
-        modules.limiter.assignLimits();
-        modules.dispatcher.dispatch(nowNs);
+        components.engines.apply(changed, components.limiter::resetAdjustment);
+        components.placement.reset();
+        components.limiter.assignLimits();
+        components.dispatcher.dispatch(nowNs);
     }
 
     private void onTimer(TimerFired timer, long nowNs) {
         if (timer.label() == MaintenanceTask.TIMER_LABEL) {
-            modules.maintenance.run(nowNs);
+            components.maintenance.run(nowNs);
         }
-        modules.dispatcher.dispatch(nowNs);
+        components.dispatcher.dispatch(nowNs);
     }
 }
--- a/decisions/src/main/java/ashlink/decisions/DispatchEligibility.java
+++ b/decisions/src/main/java/ashlink/decisions/DispatchEligibility.java
@@ -28,7 +28,7 @@
                 && isUnanswered(query)
                 && retryPolicy.hasAttemptsLeft(query)
                 && isPlacementAllowed(query, engine)
-                && keyOrdering.hasTurn(query, nowNs)
+                && keyOrdering.allows(query, nowNs)
                 && retryPolicy.allows(query, engine, nowNs)
                 && slowStart.allows(query, engine, nowNs)
                 && retryBudget.allows(query, nowNs);
@@ -36,7 +36,7 @@
 
     /** Returns false if no engine can be eligible, by the checks that depend on the query alone. */
     boolean mayStartAnywhere(QueryState query, long nowNs) {
-        return keyOrdering.hasTurn(query, nowNs) && retryBudget.allows(query, nowNs);
+        return keyOrdering.allows(query, nowNs) && retryBudget.allows(query, nowNs);
     }
 
     /**
@@ -52,9 +52,9 @@
      * class allows.
      */
     private static boolean isPlacementAllowed(QueryState query, EngineState engine) {
-        return (query.spec.engineKinds().isEmpty()
-                        || query.spec.engineKinds().contains(engine.endpoint.kind()))
-                && (query.spec.zones().isEmpty()
-                        || query.spec.zones().contains(engine.endpoint.zone()));
+        return (query.queryClass.engineKinds().isEmpty()
+                        || query.queryClass.engineKinds().contains(engine.endpoint.kind()))
+                && (query.queryClass.zones().isEmpty()
+                        || query.queryClass.zones().contains(engine.endpoint.zone()));
     }
 }
--- a/decisions/src/main/java/ashlink/decisions/EngineDirectory.java
+++ b/decisions/src/main/java/ashlink/decisions/EngineDirectory.java
@@ -92,7 +92,7 @@
                 .removeIf(
                         engine ->
                                 engine.endpoint == null
-                                        && engine.running.isEmpty()
+                                        && engine.runningQueries.isEmpty()
                                         && engine.abandonedAttempts.isEmpty());
     }
 }
--- a/decisions/src/main/java/ashlink/decisions/EngineLoadScore.java
+++ b/decisions/src/main/java/ashlink/decisions/EngineLoadScore.java
@@ -48,14 +48,14 @@
         double load = (engine.workMs + query.expectedWorkMs) / engine.cores / WORK_PER_BUSY_CORE_MS;
         if (engine.hasRecentReport(nowNs)) {
             LoadReport report = engine.report;
-            load += reported(report.cpuUtilization());
-            load += reported(report.memoryUtilization());
-            load += reported(report.queued() / engine.cores);
-            load += reported(report.diskUtilization());
-            load += reported(fleetLoad.threadsPerCore(engine));
+            load += reportedOrZero(report.cpuUtilization());
+            load += reportedOrZero(report.memoryUtilization());
+            load += reportedOrZero(report.queued() / engine.cores);
+            load += reportedOrZero(report.diskUtilization());
+            load += reportedOrZero(fleetLoad.threadsPerCore(engine));
         }
         if (!overload.areFewOverloaded()
-                && query.spec.engineKinds().isEmpty()
+                && query.queryClass.engineKinds().isEmpty()
                 && requiredKinds.contains(engine.endpoint.kind())) {
             load *= REQUIRED_KIND_FACTOR;
         }
@@ -63,7 +63,7 @@
     }
 
     /** Returns a reported value, or 0 for a value that the engine does not report (NaN). */
-    private static double reported(double value) {
+    private static double reportedOrZero(double value) {
         return value > 0 ? value : 0;
     }
 }
--- a/decisions/src/main/java/ashlink/decisions/EngineState.java
+++ b/decisions/src/main/java/ashlink/decisions/EngineState.java
@@ -34,12 +34,12 @@
      * virtual time up to which the budget is spent. Otherwise: the randomly drawn time of the next
      * admission. NaN until the first query.
      */
-    double slowStartNextNs = Double.NaN;
+    double slowStartBudgetTimeNs = Double.NaN;
 
     /**
      * Queries with an attempt in flight on the engine, in the order in which the attempts started.
      */
-    final List<QueryState> running = new ArrayList<>();
+    final List<QueryState> runningQueries = new ArrayList<>();
 
     final ArrayDeque<AbandonedAttempt> abandonedAttempts = new ArrayDeque<>();
     ConcurrencyLimit limit = new ConcurrencyLimit();
@@ -68,7 +68,7 @@
     long reportNs = Nanos.NEVER;
 
     /** Time of the last response or progress message of an attempt on the engine. */
-    long lastSignNs = Nanos.NEVER;
+    long lastActivityNs = Nanos.NEVER;
 
     long lastHealthCheckNs = Nanos.NEVER;
     boolean healthCheckPending;
@@ -112,8 +112,8 @@
 
     /** Adds an attempt of the query to the load of the engine. */
     void addLoad(QueryState query) {
-        threads += query.spec.threads();
-        limit.threads += query.spec.threads();
+        threads += query.queryClass.threads();
+        limit.threads += query.queryClass.threads();
         workMs += query.expectedWorkMs;
     }
 
@@ -128,15 +128,15 @@
     }
 
     private void removeLoad(QueryState query) {
-        threads -= query.spec.threads();
-        limit.threads -= query.spec.threads();
+        threads -= query.queryClass.threads();
+        limit.threads -= query.queryClass.threads();
         workMs -= query.expectedWorkMs;
     }
 
     /** Discards the observations of the previous process of the engine. */
     void resetAfterRestart() {
         slownessWeight = 0;
-        slowStartNextNs = Double.NaN;
+        slowStartBudgetTimeNs = Double.NaN;
         ejectedUntilNs = Nanos.NEVER;
         ejectionNs = 0;
         errorFraction = 0;
--- a/decisions/src/main/java/ashlink/decisions/FleetLoadEstimator.java
+++ b/decisions/src/main/java/ashlink/decisions/FleetLoadEstimator.java
@@ -76,9 +76,9 @@
     }
 
     private void sampleRunning(EngineState engine) {
-        runningSamples += engine.running.size();
-        for (QueryState query : engine.running) {
-            runningThreadSamples += query.spec.threads();
+        runningSamples += engine.runningQueries.size();
+        for (QueryState query : engine.runningQueries) {
+            runningThreadSamples += query.queryClass.threads();
         }
     }
 
--- a/decisions/src/main/java/ashlink/decisions/KeyOrdering.java
+++ b/decisions/src/main/java/ashlink/decisions/KeyOrdering.java
@@ -45,7 +45,7 @@
      * Returns whether the key ordering lets the query start. The pause after an attempt applies to
      * the next query of the key, not to a retry of the same query.
      */
-    boolean hasTurn(QueryState query, long nowNs) {
+    boolean allows(QueryState query, long nowNs) {
         return query.keyQueue == null
                 || query.keyQueue.queries.peek() == query
                         && (query.attempts > 0 || nowNs >= query.keyQueue.pausedUntilNs);
--- a/decisions/src/main/java/ashlink/decisions/GiveUpPolicy.java
+++ b/decisions/src/main/java/ashlink/decisions/LoadSheddingPolicy.java
@@ -5,7 +5,7 @@
  * a late answer has no value. A late query that is kept has its weight lowered to the late weight.
  * Also answers queued queries whose deadline is near.
  */
-final class GiveUpPolicy {
+final class LoadSheddingPolicy {
 
     /** Time in the queue after which a query counts as waiting for capacity. */
     private static final long CONTENDED_AFTER_NS = MaintenanceTask.INTERVAL_NS;
@@ -14,7 +14,7 @@
     private final KeyOrdering keyOrdering;
     private final QueryCompletion completion;
 
-    GiveUpPolicy(AdmissionQueue queue, KeyOrdering keyOrdering, QueryCompletion completion) {
+    LoadSheddingPolicy(AdmissionQueue queue, KeyOrdering keyOrdering, QueryCompletion completion) {
         this.queue = queue;
         this.keyOrdering = keyOrdering;
         this.completion = completion;
@@ -26,13 +26,13 @@
         for (QueryState query : queue.snapshot()) {
             completion.finishIfDue(query, nowNs);
             if (query.missesObjective(nowNs) && queue.contains(query)) {
-                reviewLate(query, contended);
+                handleLateQuery(query, contended);
             }
         }
     }
 
-    private void reviewLate(QueryState query, boolean contended) {
-        double lateFraction = query.spec.lateWeightFraction();
+    private void handleLateQuery(QueryState query, boolean contended) {
+        double lateFraction = query.queryClass.lateWeightFraction();
         if (contended || lateFraction == 0) {
             completion.finish(query);
         } else if (query.weight == query.initialWeight) {
@@ -45,7 +45,7 @@
         for (QueryState query : queue.inOrder()) {
             if (nowNs - query.submittedNs > CONTENDED_AFTER_NS
                     && !query.missesObjective(nowNs)
-                    && keyOrdering.hasTurn(query, nowNs)) {
+                    && keyOrdering.allows(query, nowNs)) {
                 return true;
             }
         }
--- a/decisions/src/main/java/ashlink/decisions/MaintenanceTask.java
+++ b/decisions/src/main/java/ashlink/decisions/MaintenanceTask.java
@@ -18,7 +18,8 @@
      * Second part of the log line; the text is part of the recorded transcripts and must not
      * change.
      */
-    private static final String UNRESPONSIVE_TEXT = ": it takes queries and gives no sign of them";
+    private static final String UNRESPONSIVE_LOG_SUFFIX =
+            ": it takes queries and gives no sign of them";
 
     private final EngineDirectory engines;
     private final RetryBudget retryBudget;
@@ -27,7 +28,7 @@
     private final ConcurrencyLimiter limiter;
     private final ConcurrencyFeedback feedback;
     private final HealthCheckScheduler healthChecks;
-    private final GiveUpPolicy giveUpPolicy;
+    private final LoadSheddingPolicy loadShedding;
     private final KeyOrdering keyOrdering;
     private final QueryRestartPolicy restartPolicy;
     private final OutlierDetector outliers;
@@ -42,7 +43,7 @@
             ConcurrencyLimiter limiter,
             ConcurrencyFeedback feedback,
             HealthCheckScheduler healthChecks,
-            GiveUpPolicy giveUpPolicy,
+            LoadSheddingPolicy loadShedding,
             KeyOrdering keyOrdering,
             QueryRestartPolicy restartPolicy,
             OutlierDetector outliers,
@@ -55,7 +56,7 @@
         this.limiter = limiter;
         this.feedback = feedback;
         this.healthChecks = healthChecks;
-        this.giveUpPolicy = giveUpPolicy;
+        this.loadShedding = loadShedding;
         this.keyOrdering = keyOrdering;
         this.restartPolicy = restartPolicy;
         this.outliers = outliers;
@@ -74,9 +75,9 @@
         retryBudget.removeExpired(nowNs);
         fleetLoad.update(engines.all(), nowNs);
         overload.update(engines.all(), nowNs);
-        limiter.drawAdmission();
+        limiter.drawAdmissionRandom();
         healthChecks.creditInterval();
-        giveUpPolicy.review(nowNs);
+        loadShedding.review(nowNs);
         keyOrdering.removeIdle(nowNs);
         engines.removeUnused();
         for (EngineState engine : engines.all()) {
@@ -88,7 +89,7 @@
         healthChecks.checkInBackground(engine, nowNs);
         engine.releaseExpired(nowNs);
         feedback.closePeriodIfComplete(engine.limit, nowNs);
-        for (QueryState query : engine.running) {
+        for (QueryState query : engine.runningQueries) {
             restartPolicy.restartIfOverdue(query, nowNs);
         }
         if (outliers.ejectIfUnresponsive(engine, nowNs)) {
@@ -101,8 +102,8 @@
      * them.
      */
     private void onUnresponsive(EngineState engine) {
-        actions.add(new Log("avoiding " + engine.name + UNRESPONSIVE_TEXT));
-        for (QueryState query : engine.running) {
+        actions.add(new Log("avoiding " + engine.name + UNRESPONSIVE_LOG_SUFFIX));
+        for (QueryState query : engine.runningQueries) {
             if (canceller.mayCancel(query)) {
                 canceller.cancel(query);
             }
--- a/decisions/src/main/java/ashlink/decisions/MemoryGrantEstimator.java
+++ b/decisions/src/main/java/ashlink/decisions/MemoryGrantEstimator.java
@@ -14,7 +14,7 @@
     /** Quantile of the memory needs that the corrected estimate covers. */
     private static final double NEED_QUANTILE = 0.75;
 
-    private static final double SMALLEST = 1e-3;
+    private static final double EPSILON = 1e-3;
 
     /** Ratio of needed to granted memory above which a spilling query is restarted. */
     private static final double RESTART_FACTOR = 1.3;
@@ -59,7 +59,7 @@
      */
     void recordSpill(QueryState query, double neededMb) {
         if (query.neededMemoryMb == 0 && query.grantMb > 0) {
-            learn(query, neededMb);
+            updateStatistics(query, neededMb);
         }
         query.neededMemoryMb = Math.max(query.neededMemoryMb, neededMb);
     }
@@ -72,13 +72,13 @@
      */
     void recordCompletion(QueryState query, double reportedMb) {
         if (query.grantMb > 0 && query.neededMemoryMb == 0) {
-            learn(query, reportedMb > 0 ? reportedMb : 0);
+            updateStatistics(query, reportedMb > 0 ? reportedMb : 0);
         }
     }
 
-    private static void learn(QueryState query, double neededMb) {
+    private static void updateStatistics(QueryState query, double neededMb) {
         double ratio = neededMb / query.estimatedMemoryMb / query.statistics.memoryBias();
-        double excessLog = Math.log(Math.max(SMALLEST, ratio));
+        double excessLog = Math.log(Math.max(EPSILON, ratio));
         double stepLog = STEP_LOG * (excessLog > 0 ? NEED_QUANTILE : NEED_QUANTILE - 1);
         query.statistics.recordMemory(excessLog, stepLog);
     }
--- a/decisions/src/main/java/ashlink/decisions/OutlierDetector.java
+++ b/decisions/src/main/java/ashlink/decisions/OutlierDetector.java
@@ -47,11 +47,11 @@
     void recordOutcome(EngineState engine, Outcome outcome, long nowNs) {
         switch (outcome) {
             case SERVED, ERROR -> {
-                engine.lastSignNs = nowNs;
+                engine.lastActivityNs = nowNs;
                 recordResult(engine, outcome == Outcome.ERROR, nowNs);
             }
             case REJECTED -> {
-                engine.lastSignNs = nowNs;
+                engine.lastActivityNs = nowNs;
                 engine.lastRejectionNs = nowNs;
                 engine.limit.lastRejectionNs = nowNs;
             }
@@ -97,16 +97,16 @@
     }
 
     private boolean isUnresponsive(EngineState engine, long nowNs) {
-        for (QueryState query : engine.running) {
-            long withoutSignNs = nowNs - Math.max(query.attemptStartNs, engine.lastSignNs);
-            if (withoutSignNs > Math.max(MIN_UNRESPONSIVE_NS, patienceNs(query))) {
+        for (QueryState query : engine.runningQueries) {
+            long inactiveNs = nowNs - Math.max(query.attemptStartNs, engine.lastActivityNs);
+            if (inactiveNs > Math.max(MIN_UNRESPONSIVE_NS, inactivityLimitNs(query))) {
                 return true;
             }
         }
         return false;
     }
 
-    private double patienceNs(QueryState query) {
+    private double inactivityLimitNs(QueryState query) {
         if (progressIntervalNs > 0) {
             return UNRESPONSIVE_INTERVALS * progressIntervalNs;
         }
--- a/decisions/src/main/java/ashlink/decisions/OverloadDetector.java
+++ b/decisions/src/main/java/ashlink/decisions/OverloadDetector.java
@@ -9,10 +9,10 @@
 final class OverloadDetector {
 
     /** Utilization of cores, memory or disks from which an engine is overloaded. */
-    private static final double BUSY_FRACTION = 0.95;
+    private static final double OVERLOAD_UTILIZATION = 0.95;
 
     /** Largest fraction of overloaded engines that counts as few. */
-    private static final double FEW_FRACTION = 0.3;
+    private static final double MAX_FEW_FRACTION = 0.3;
 
     private final ResponseTimeModel responseTimes;
     private final FleetLoadEstimator fleetLoad;
@@ -32,9 +32,9 @@
     private boolean reportsOverload(EngineState engine, long nowNs) {
         return engine.hasRecentReport(nowNs)
                 && (engine.report.queued() >= 1
-                        || engine.report.cpuUtilization() >= BUSY_FRACTION
-                        || engine.report.memoryUtilization() >= BUSY_FRACTION
-                        || engine.report.diskUtilization() >= BUSY_FRACTION
+                        || engine.report.cpuUtilization() >= OVERLOAD_UTILIZATION
+                        || engine.report.memoryUtilization() >= OVERLOAD_UTILIZATION
+                        || engine.report.diskUtilization() >= OVERLOAD_UTILIZATION
                         || fleetLoad.threadsPerCore(engine)
                                 >= ConcurrencyLimit.INITIAL_THREADS_PER_CORE);
     }
@@ -57,6 +57,6 @@
                 overloaded += isOverloaded(engine, nowNs) ? 1 : 0;
             }
         }
-        fewOverloaded = overloaded <= FEW_FRACTION * reporting;
+        fewOverloaded = overloaded <= MAX_FEW_FRACTION * reporting;
     }
 }
--- a/decisions/src/main/java/ashlink/decisions/PriorityPolicy.java
+++ b/decisions/src/main/java/ashlink/decisions/PriorityPolicy.java
@@ -7,25 +7,25 @@
  */
 final class PriorityPolicy {
 
-    private static final int MISSED_OBJECTIVE = 0;
-    private static final int NORMAL = 1;
-    private static final int SHORT = 3;
+    private static final int MISSED_OBJECTIVE_PRIORITY = 0;
+    private static final int NORMAL_PRIORITY = 1;
+    private static final int SHORT_PRIORITY = 3;
 
-    private final boolean priorities;
+    private final boolean prioritiesSupported;
     private final ShortQueryClassifier shortQueries;
 
-    PriorityPolicy(boolean priorities, ShortQueryClassifier shortQueries) {
-        this.priorities = priorities;
+    PriorityPolicy(boolean prioritiesSupported, ShortQueryClassifier shortQueries) {
+        this.prioritiesSupported = prioritiesSupported;
         this.shortQueries = shortQueries;
     }
 
     int priorityOf(QueryState query, long nowNs) {
-        if (!priorities) {
-            return NORMAL;
+        if (!prioritiesSupported) {
+            return NORMAL_PRIORITY;
         }
         if (nowNs >= query.objectiveEndNs()) {
-            return MISSED_OBJECTIVE;
+            return MISSED_OBJECTIVE_PRIORITY;
         }
-        return shortQueries.isShort(query) ? SHORT : NORMAL;
+        return shortQueries.isShort(query) ? SHORT_PRIORITY : NORMAL_PRIORITY;
     }
 }
--- a/decisions/src/main/java/ashlink/decisions/QueryClassStatistics.java
+++ b/decisions/src/main/java/ashlink/decisions/QueryClassStatistics.java
@@ -27,9 +27,9 @@
     private static final double CONSISTENT_SPREAD_LOG = Math.log(2);
 
     /** Lower bound of arguments of a logarithm and of divisors. */
-    private static final double SMALLEST = 1e-3;
+    private static final double EPSILON = 1e-3;
 
-    final QueryClass spec;
+    final QueryClass queryClass;
 
     /** Logarithm of the lower quartile of (response time x threads / estimate). */
     private double expectedLog;
@@ -48,8 +48,8 @@
 
     private int memorySamples;
 
-    QueryClassStatistics(QueryClass spec) {
-        this.spec = spec;
+    QueryClassStatistics(QueryClass queryClass) {
+        this.queryClass = queryClass;
     }
 
     /** Records the work estimate of a submitted query. */
@@ -121,7 +121,7 @@
      * objective.
      */
     double priorWorkMs() {
-        return (double) spec.latencyObjectiveNs() / Nanos.PER_MS * spec.threads();
+        return (double) queryClass.latencyObjectiveNs() / Nanos.PER_MS * queryClass.threads();
     }
 
     /**
@@ -142,6 +142,6 @@
         boolean onlyEstimates = estimates > 0 && reportedWorks == 0;
         return onlyEstimates
                 ? 1
-                : Math.min(1, CONSISTENT_SPREAD_LOG / Math.max(SMALLEST, spreadLog));
+                : Math.min(1, CONSISTENT_SPREAD_LOG / Math.max(EPSILON, spreadLog));
     }
 }
--- a/decisions/src/main/java/ashlink/decisions/QueryCompletion.java
+++ b/decisions/src/main/java/ashlink/decisions/QueryCompletion.java
@@ -54,7 +54,7 @@
         query.finished = true;
         boolean mayHaveRun = query.mayHaveRunOn != null;
         actions.add(
-                query.spec.mayBeRejected(mayHaveRun)
+                query.queryClass.mayBeRejected(mayHaveRun)
                         ? new Reject(query.id, retryAfterNs)
                         : new Fail(query.id));
         removeIfDone(query);
--- a/decisions/src/main/java/ashlink/decisions/QueryDispatcher.java
+++ b/decisions/src/main/java/ashlink/decisions/QueryDispatcher.java
@@ -52,9 +52,10 @@
      * its class are skipped in this pass.
      */
     void dispatch(long nowNs) {
-        List<QueryClassStatistics> blocked = new ArrayList<>();
+        List<QueryClassStatistics> blockedClasses = new ArrayList<>();
         for (QueryState query : queue.snapshot()) {
-            if (blocked.contains(query.statistics) || !eligibility.mayStartAnywhere(query, nowNs)) {
+            if (blockedClasses.contains(query.statistics)
+                    || !eligibility.mayStartAnywhere(query, nowNs)) {
                 continue;
             }
             EngineState engine = selector.select(query, nowNs);
@@ -63,7 +64,7 @@
                 queue.remove(query);
                 start(query, engine, nowNs);
             } else if (query.checkedCandidates.isEmpty()) {
-                blocked.add(query.statistics);
+                blockedClasses.add(query.statistics);
             }
         }
     }
@@ -82,7 +83,7 @@
             actions.add(new SetAttemptResources(query.id, priority, query.grantMb));
         }
         query.startAttempt(engine, nowNs);
-        engine.running.add(query);
+        engine.runningQueries.add(query);
         engine.addLoad(query);
         long timeoutNs = query.deadlineNs - nowNs - TIMEOUT_MARGIN_NS;
         actions.add(new StartAttempt(query.id, engine.name, Math.max(MIN_TIMEOUT_NS, timeoutNs)));
--- a/decisions/src/main/java/ashlink/decisions/QueryState.java
+++ b/decisions/src/main/java/ashlink/decisions/QueryState.java
@@ -9,7 +9,7 @@
 final class QueryState {
 
     final long id;
-    final QueryClass spec;
+    final QueryClass queryClass;
     final QueryClassStatistics statistics;
 
     /** The queue for the ordering key; null for a query without order. */
@@ -101,7 +101,7 @@
             double weight,
             long nowNs) {
         this.id = submitted.id();
-        this.spec = statistics.spec;
+        this.queryClass = statistics.queryClass;
         this.statistics = statistics;
         this.keyQueue = keyQueue;
         this.tableGroup = submitted.tableGroup();
@@ -137,14 +137,14 @@
 
     /** Returns the expected duration of an attempt. */
     long expectedDurationNs() {
-        return (long) (expectedWorkMs / spec.threads() * Nanos.PER_MS);
+        return (long) (expectedWorkMs / queryClass.threads() * Nanos.PER_MS);
     }
 
     /** Returns the time until which an answer meets the latency objective. */
     long objectiveEndNs() {
         return submittedNs
-                + spec.latencyObjectiveNs()
-                + (long) (spec.objectivePerWork() * expectedDurationNs());
+                + queryClass.latencyObjectiveNs()
+                + (long) (queryClass.objectivePerWork() * expectedDurationNs());
     }
 
     /** Returns whether an attempt that starts now is expected to miss the latency objective. */
--- a/decisions/src/main/java/ashlink/decisions/ResponseTimeModel.java
+++ b/decisions/src/main/java/ashlink/decisions/ResponseTimeModel.java
@@ -21,7 +21,7 @@
     /** Weight of a new response in the moving average over all engines. */
     private static final double FLEET_WEIGHT = 0.1;
 
-    private static final double SMALLEST = 1e-3;
+    private static final double EPSILON = 1e-3;
 
     private double fleetSlownessLog;
 
@@ -36,7 +36,7 @@
     double slownessLog(EngineState engine, long nowNs) {
         double weight = decayedWeight(engine, nowNs);
         double sum = weight * engine.slownessLog;
-        for (QueryState query : engine.running) {
+        for (QueryState query : engine.runningQueries) {
             double elapsedNs = nowNs - query.attemptStartNs + 1.0;
             double excessLog =
                     Math.log(elapsedNs / query.expectedDurationNs())
@@ -70,7 +70,7 @@
             AttemptEnded ended,
             boolean overloaded,
             long nowNs) {
-        double responseLog = Math.log(Math.max(SMALLEST, responseRatio(query, ended)));
+        double responseLog = Math.log(Math.max(EPSILON, responseRatio(query, ended)));
         if (!overloaded) {
             query.statistics.recordResponse(responseLog, query.hasEstimate);
         }
@@ -88,7 +88,7 @@
     private static double responseRatio(QueryState query, AttemptEnded ended) {
         return ended.durationNs()
                 / (double) Nanos.PER_MS
-                * query.spec.threads()
-                / Math.max(SMALLEST, query.estimateMs);
+                * query.queryClass.threads()
+                / Math.max(EPSILON, query.estimateMs);
     }
 }
--- a/decisions/src/main/java/ashlink/decisions/RetryPolicy.java
+++ b/decisions/src/main/java/ashlink/decisions/RetryPolicy.java
@@ -27,7 +27,8 @@
     /** Returns whether a retry of the query is allowed on some engine. */
     boolean mayRetry(QueryState query) {
         boolean isSafe =
-                query.mayHaveRunOn == null || query.spec.retrySafety() != RetrySafety.AT_MOST_ONCE;
+                query.mayHaveRunOn == null
+                        || query.queryClass.retrySafety() != RetrySafety.AT_MOST_ONCE;
         return isSafe && hasAttemptsLeft(query);
     }
 
@@ -37,18 +38,18 @@
      * the deduplication window as a margin for the transfer to the engine.
      */
     boolean allows(QueryState query, EngineState engine, long nowNs) {
-        QueryClass spec = query.spec;
-        if (query.mayHaveRunOn == null || spec.retrySafety() == RetrySafety.IDEMPOTENT) {
+        QueryClass queryClass = query.queryClass;
+        if (query.mayHaveRunOn == null || queryClass.retrySafety() == RetrySafety.IDEMPOTENT) {
             return true;
         }
-        return spec.retrySafety() == RetrySafety.DEDUPLICATED
+        return queryClass.retrySafety() == RetrySafety.DEDUPLICATED
                 && sharesIdempotencyKeys(query, engine)
                 && nowNs - query.mayHaveRunSinceNs
-                        < spec.deduplicationWindowNs() - MaintenanceTask.INTERVAL_NS;
+                        < queryClass.deduplicationWindowNs() - MaintenanceTask.INTERVAL_NS;
     }
 
     private static boolean sharesIdempotencyKeys(QueryState query, EngineState engine) {
-        return switch (query.spec.deduplicationScope()) {
+        return switch (query.queryClass.deduplicationScope()) {
             case ALL -> true;
             case ZONE -> engine.endpoint.zone().equals(query.mayHaveRunOn.zone());
             case CELL -> engine.endpoint.cell() == query.mayHaveRunOn.cell();
--- a/decisions/src/main/java/ashlink/decisions/SlowStart.java
+++ b/decisions/src/main/java/ashlink/decisions/SlowStart.java
@@ -57,23 +57,23 @@
             return true;
         }
         double windowNs = limits.slowStartWindowNs();
-        double gapNs = gapNs(query, engine);
-        if (gapNs <= windowNs) {
-            if (Double.isNaN(engine.slowStartNextNs)) {
-                engine.slowStartNextNs = nowNs - BURST_FRACTION * windowNs;
+        double spacingNs = spacingNs(query, engine);
+        if (spacingNs <= windowNs) {
+            if (Double.isNaN(engine.slowStartBudgetTimeNs)) {
+                engine.slowStartBudgetTimeNs = nowNs - BURST_FRACTION * windowNs;
             }
-            return nowNs >= engine.slowStartNextNs + gapNs;
+            return nowNs >= engine.slowStartBudgetTimeNs + spacingNs;
         }
-        if (gapNs * MIN_FLEET_QUERIES >= windowNs * routerCount) {
+        if (spacingNs * MIN_FLEET_QUERIES >= windowNs * routerCount) {
             return false;
         }
-        boolean isDrawn =
-                nowNs <= engine.slowStartNextNs + windowNs
-                        && engine.slowStartNextNs <= nowNs + gapNs;
-        if (!isDrawn) {
-            engine.slowStartNextNs = nowNs + random.nextDouble() * gapNs;
+        boolean hasAdmissionTime =
+                nowNs <= engine.slowStartBudgetTimeNs + windowNs
+                        && engine.slowStartBudgetTimeNs <= nowNs + spacingNs;
+        if (!hasAdmissionTime) {
+            engine.slowStartBudgetTimeNs = nowNs + random.nextDouble() * spacingNs;
         }
-        return nowNs >= engine.slowStartNextNs;
+        return nowNs >= engine.slowStartBudgetTimeNs;
     }
 
     /** Charges an attempt that starts on a warming engine to the budget. */
@@ -81,19 +81,20 @@
         if (!isWarmingUp(engine, nowNs)) {
             return;
         }
-        double gapNs = gapNs(query, engine);
+        double spacingNs = spacingNs(query, engine);
         double burstNs =
-                gapNs <= limits.slowStartWindowNs()
+                spacingNs <= limits.slowStartWindowNs()
                         ? BURST_FRACTION * limits.slowStartWindowNs()
                         : 0;
-        engine.slowStartNextNs = Math.max(engine.slowStartNextNs, nowNs - burstNs) + gapNs;
+        engine.slowStartBudgetTimeNs =
+                Math.max(engine.slowStartBudgetTimeNs, nowNs - burstNs) + spacingNs;
     }
 
     /**
      * Returns the time in which the budget of this router accrues the work of one query of the
      * class.
      */
-    private double gapNs(QueryState query, EngineState engine) {
+    private double spacingNs(QueryState query, EngineState engine) {
         return query.statistics.conservativeWorkMs()
                 * Nanos.PER_MS
                 * routerCount
--- a/decisions/src/main/java/ashlink/decisions/SubmissionHandler.java
+++ b/decisions/src/main/java/ashlink/decisions/SubmissionHandler.java
@@ -53,10 +53,10 @@
         retryBudget.recordQuery(nowNs);
         double estimateMs = estimateMs(submitted, statistics);
         healthChecks.creditQuery();
-        KeyQueue keyQueue = keyOrdering.queueFor(submitted, statistics.spec);
+        KeyQueue keyQueue = keyOrdering.queueFor(submitted, statistics.queryClass);
         double weightFraction =
                 tenantQuota.weightFraction(submitted.tenant(), fleetLoad.trafficFraction(), nowNs);
-        double weight = statistics.spec.priorityWeight() * weightFraction;
+        double weight = statistics.queryClass.priorityWeight() * weightFraction;
         QueryState query =
                 new QueryState(
                         submitted, statistics, keyQueue, nextSequence++, estimateMs, weight, nowNs);
--- a/decisions/src/main/java/ashlink/decisions/TableGroupPlacement.java
+++ b/decisions/src/main/java/ashlink/decisions/TableGroupPlacement.java
@@ -38,8 +38,8 @@
 
     /** Removes the candidates outside the preferred half, unless no candidate would be left. */
     void filter(QueryState query, List<EngineState> candidates) {
-        boolean locks = query.spec.locksTables();
-        if (!enabled || !locks && !query.spec.waitsForTableLocks()) {
+        boolean locks = query.queryClass.locksTables();
+        if (!enabled || !locks && !query.queryClass.waitsForTableLocks()) {
             return;
         }
         List<EngineState> locking =
--- a/decisions/src/main/java/ashlink/decisions/DecisionModules.java
+++ b/decisions/src/main/java/ashlink/decisions/WorkloadManagerComponents.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 
 /** Creates and wires the components of the workload manager for the settings of one router. */
-final class DecisionModules {
+final class WorkloadManagerComponents {
 
     final ActionBuffer actions = new ActionBuffer();
     final boolean endpointsMustBeWatched;
@@ -39,7 +39,7 @@
     private final AttemptCanceller canceller;
     private final QueryRestartPolicy restartPolicy;
 
-    DecisionModules(Settings settings) {
+    WorkloadManagerComponents(Settings settings) {
         capabilities = settings.capabilities();
         endpointsMustBeWatched = capabilities.endpointsMustBeWatched();
         SplittableRandom random = new SplittableRandom(settings.seed());
@@ -144,7 +144,7 @@
                 limiter,
                 feedback,
                 healthChecks,
-                new GiveUpPolicy(queue, keyOrdering, completion),
+                new LoadSheddingPolicy(queue, keyOrdering, completion),
                 keyOrdering,
                 restartPolicy,
                 outliers,
--- a/decisions/src/main/java/ashlink/decisions/package-info.java
+++ b/decisions/src/main/java/ashlink/decisions/package-info.java
@@ -4,7 +4,8 @@
  * randomness; {@link ashlink.decisions.api} is its interface.
  *
  * <p>{@link ashlink.decisions.DefaultWorkloadManager} dispatches the events to the components that
- * {@link ashlink.decisions.DecisionModules} wires. A query passes through them in this order:
+ * {@link ashlink.decisions.WorkloadManagerComponents} wires. A query passes through them in this
+ * order:
  *
  * <ol>
  *   <li>{@link ashlink.decisions.SubmissionHandler} determines its expected work and its priority
@@ -19,7 +20,7 @@
  *       ashlink.decisions.ConcurrencyFeedback}) and leads to a retry ({@link
  *       ashlink.decisions.RetryPolicy}) or completes the query;
  *   <li>{@link ashlink.decisions.QueryCompletion} sends the final answer to a query that no engine
- *       served, {@link ashlink.decisions.GiveUpPolicy} sheds queries that would be late.
+ *       served, {@link ashlink.decisions.LoadSheddingPolicy} sheds queries that would be late.
  * </ol>
  *
  * <p>The workload manager keeps seven invariants. The comments of the classes refer to them by
--- a/decisions/src/test/java/ashlink/decisions/ConcurrencyLimiterTest.java
+++ b/decisions/src/test/java/ashlink/decisions/ConcurrencyLimiterTest.java
@@ -35,8 +35,8 @@
                         routers,
                         RouterHarness.CAPABILITIES,
                         RouterHarness.LIMITS,
-                        reports.spec,
-                        lookups.spec);
+                        reports.queryClass,
+                        lookups.queryClass);
         ConcurrencyLimiter limiter =
                 new ConcurrencyLimiter(
                         settings,
--- a/decisions/src/test/java/ashlink/decisions/DispatchEligibilityTest.java
+++ b/decisions/src/test/java/ashlink/decisions/DispatchEligibilityTest.java
@@ -120,7 +120,7 @@
     void warmingEngineWithoutBudgetTakesNone() {
         list("z1", "big", EndpointState.READY, NOW_NS);
         assertTrue(mayStart(query));
-        engine.slowStartNextNs = NOW_NS;
+        engine.slowStartBudgetTimeNs = NOW_NS;
         assertFalse(mayStart(query));
     }
 
--- a/decisions/src/test/java/ashlink/decisions/EngineDirectoryTest.java
+++ b/decisions/src/test/java/ashlink/decisions/EngineDirectoryTest.java
@@ -80,7 +80,7 @@
         apply(EndpointListKind.SNAPSHOT);
         engines.removeUnused();
         assertNotNull(engines.find("a"));
-        engine.running.remove(query);
+        engine.runningQueries.remove(query);
         engine.abandonedAttempts.add(new AbandonedAttempt(NOW_NS + 10, query));
         engines.removeUnused();
         assertNotNull(engines.find("a"));
--- a/decisions/src/test/java/ashlink/decisions/KeyOrderingTest.java
+++ b/decisions/src/test/java/ashlink/decisions/KeyOrderingTest.java
@@ -33,19 +33,19 @@
 
     @Test
     void onlyTheFirstQueryOfAKeyHasItsTurn() {
-        assertTrue(ordering.hasTurn(first, NOW_NS));
-        assertFalse(ordering.hasTurn(second, NOW_NS));
+        assertTrue(ordering.allows(first, NOW_NS));
+        assertFalse(ordering.allows(second, NOW_NS));
     }
 
     @Test
     void nextQueryHasItsTurnWhenTheFirstIsRemoved() {
         ordering.remove(first);
-        assertTrue(ordering.hasTurn(second, NOW_NS));
+        assertTrue(ordering.allows(second, NOW_NS));
     }
 
     @Test
     void keysAreIndependent() {
-        assertTrue(ordering.hasTurn(submit(3, "other"), NOW_NS));
+        assertTrue(ordering.allows(submit(3, "other"), NOW_NS));
     }
 
     @Test
@@ -54,22 +54,22 @@
                 RouterHarness.loadClass(RetrySafety.AT_MOST_ONCE, DeduplicationScope.ALL, false);
         assertNull(ordering.queueFor(TestStates.submitted(4, "load", null), ORDERED));
         assertNull(ordering.queueFor(TestStates.submitted(4, "load", "k"), unordered));
-        assertTrue(ordering.hasTurn(TestStates.query(4, unordered), NOW_NS));
+        assertTrue(ordering.allows(TestStates.query(4, unordered), NOW_NS));
     }
 
     @Test
     void pauseDelaysTheNextQueryUntilItsEnd() {
         ordering.pause(first, NOW_NS);
         ordering.remove(first);
-        assertFalse(ordering.hasTurn(second, NOW_NS + QUIET_PERIOD_NS - 1));
-        assertTrue(ordering.hasTurn(second, NOW_NS + QUIET_PERIOD_NS));
+        assertFalse(ordering.allows(second, NOW_NS + QUIET_PERIOD_NS - 1));
+        assertTrue(ordering.allows(second, NOW_NS + QUIET_PERIOD_NS));
     }
 
     @Test
     void retryIsNotPaused() {
         first.attempts = 1;
         ordering.pause(first, NOW_NS);
-        assertTrue(ordering.hasTurn(first, NOW_NS));
+        assertTrue(ordering.allows(first, NOW_NS));
     }
 
     @Test
--- a/decisions/src/test/java/ashlink/decisions/GiveUpPolicyTest.java
+++ b/decisions/src/test/java/ashlink/decisions/LoadSheddingPolicyTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.api.Test;
 
 /** Which queued queries are given up before their deadline. */
-class GiveUpPolicyTest {
+class LoadSheddingPolicyTest {
 
     private final AdmissionQueue queue = new AdmissionQueue();
     private final ActiveQueries queries = new ActiveQueries();
     private final ActionBuffer actions = new ActionBuffer();
     private final KeyOrdering keyOrdering = new KeyOrdering(0);
-    private final GiveUpPolicy policy =
-            new GiveUpPolicy(
+    private final LoadSheddingPolicy policy =
+            new LoadSheddingPolicy(
                     queue,
                     keyOrdering,
                     new QueryCompletion(0, queue, queries, keyOrdering, actions));
@@ -26,7 +26,7 @@
     /** A lookup of 100 ms: from 500 ms on it misses its objective of 500 ms plus its work. */
     private final QueryState lookup = TestStates.query(1, RouterHarness.shortClass("lookup"));
 
-    GiveUpPolicyTest() {
+    LoadSheddingPolicyTest() {
         add(lookup);
     }
 
--- a/decisions/src/test/java/ashlink/decisions/OutlierDetectorTest.java
+++ b/decisions/src/test/java/ashlink/decisions/OutlierDetectorTest.java
@@ -106,7 +106,7 @@
     @Test
     void signOfAnyQueryPostponesTheEjection() {
         start();
-        engine.lastSignNs = NOW_NS + 1_000 * MS;
+        engine.lastActivityNs = NOW_NS + 1_000 * MS;
         assertFalse(detector.ejectIfUnresponsive(engine, NOW_NS + 2_000 * MS));
     }
 
--- a/decisions/src/test/java/ashlink/decisions/SlowStartTest.java
+++ b/decisions/src/test/java/ashlink/decisions/SlowStartTest.java
@@ -37,7 +37,7 @@
     }
 
     /** Time in which the budget of one router covers a lookup with the prior of 500 ms. */
-    private static double gapNs(int routers) {
+    private static double spacingNs(int routers) {
         return 500 * MS * routers / (0.6 * 3 * 0.3 * 4 * 0.85);
     }
 
@@ -72,8 +72,8 @@
             burst++;
         }
         // Half a window of 2 s accumulates.
-        assertEquals((int) (1_000 * MS / gapNs(1)), burst);
-        long nextNs = (long) (engine.slowStartNextNs + gapNs(1));
+        assertEquals((int) (1_000 * MS / spacingNs(1)), burst);
+        long nextNs = (long) (engine.slowStartBudgetTimeNs + spacingNs(1));
         assertFalse(slowStart.allows(query, engine, nextNs - 1));
         assertTrue(slowStart.allows(query, engine, nextNs + 1));
     }
@@ -84,11 +84,11 @@
         startedAt(NOW_NS);
         SlowStart slowStart = slowStart(ROUTERS, LIMITS);
         slowStart.allows(light, engine, NOW_NS);
-        double gapNs = light.statistics.conservativeWorkMs() / 500 * gapNs(ROUTERS);
-        assertTrue(gapNs > LIMITS.slowStartWindowNs());
-        assertTrue(engine.slowStartNextNs > NOW_NS);
-        assertTrue(engine.slowStartNextNs < NOW_NS + gapNs);
-        long drawnNs = (long) engine.slowStartNextNs;
+        double spacingNs = light.statistics.conservativeWorkMs() / 500 * spacingNs(ROUTERS);
+        assertTrue(spacingNs > LIMITS.slowStartWindowNs());
+        assertTrue(engine.slowStartBudgetTimeNs > NOW_NS);
+        assertTrue(engine.slowStartBudgetTimeNs < NOW_NS + spacingNs);
+        long drawnNs = (long) engine.slowStartBudgetTimeNs;
         assertFalse(slowStart.allows(light, engine, drawnNs - 1));
         assertTrue(slowStart.allows(light, engine, drawnNs + 1));
     }
@@ -99,9 +99,9 @@
         startedAt(NOW_NS);
         SlowStart slowStart = slowStart(ROUTERS, LIMITS);
         slowStart.allows(light, engine, NOW_NS);
-        long laterNs = (long) engine.slowStartNextNs + LIMITS.slowStartWindowNs() + 1_000;
+        long laterNs = (long) engine.slowStartBudgetTimeNs + LIMITS.slowStartWindowNs() + 1_000;
         slowStart.allows(light, engine, laterNs);
-        assertTrue(engine.slowStartNextNs >= laterNs);
+        assertTrue(engine.slowStartBudgetTimeNs >= laterNs);
     }
 
     /** A query of a class with a mean work of 20 ms. */
@@ -127,6 +127,6 @@
     void startOnAWarmEngineIsNotCharged() {
         startedAt(0);
         slowStart(1, LIMITS).recordStart(query, engine, NOW_NS);
-        assertTrue(Double.isNaN(engine.slowStartNextNs));
+        assertTrue(Double.isNaN(engine.slowStartBudgetTimeNs));
     }
 }
--- a/decisions/src/test/java/ashlink/decisions/TestStates.java
+++ b/decisions/src/test/java/ashlink/decisions/TestStates.java
@@ -26,7 +26,7 @@
     }
 
     static QueryState query(long id, QueryClassStatistics statistics, KeyQueue keyQueue) {
-        return query(id, statistics, keyQueue, ESTIMATE_MS, statistics.spec.priorityWeight());
+        return query(id, statistics, keyQueue, ESTIMATE_MS, statistics.queryClass.priorityWeight());
     }
 
     static QueryState query(
@@ -36,7 +36,7 @@
             double estimateMs,
             double weight) {
         return new QueryState(
-                submitted(id, statistics.spec.name(), null),
+                submitted(id, statistics.queryClass.name(), null),
                 statistics,
                 keyQueue,
                 id,
@@ -62,7 +62,7 @@
     /** Starts an attempt of the query on the engine. */
     static void start(QueryState query, EngineState engine, long nowNs) {
         query.startAttempt(engine, nowNs);
-        engine.running.add(query);
+        engine.runningQueries.add(query);
         engine.addLoad(query);
     }
 
