--- a/decisions/src/test/java/ashlink/decisions/AdmissionQueueTest.java
+++ b/decisions/src/test/java/ashlink/decisions/AdmissionQueueTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The order of the queue. */
+/** Tests the order of the admission queue. */
 class AdmissionQueueTest {
 
     private final AdmissionQueue queue = new AdmissionQueue();
@@ -40,14 +40,14 @@
     }
 
     @Test
-    void likeQueriesAreInOrderOfSubmission() {
+    void equalQueriesAreInOrderOfSubmission() {
         add(2, 10, 1);
         add(1, 10, 1);
         assertEquals(List.of(1L, 2L), order());
     }
 
     @Test
-    void changedWeightChangesThePlace() {
+    void changedWeightMovesTheQuery() {
         QueryState first = add(1, 10, 2);
         add(2, 10, 1);
         queue.changeWeight(first, 0.5);
--- a/decisions/src/test/java/ashlink/decisions/ConcurrencyFeedbackTest.java
+++ b/decisions/src/test/java/ashlink/decisions/ConcurrencyFeedbackTest.java
@@ -10,12 +10,12 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The start of a concurrency limit and its adjustment by measurement periods. */
+/** Tests the initial value of a concurrency limit and its adjustment by measurement periods. */
 class ConcurrencyFeedbackTest {
 
     private static final long PERIOD_MS = 2_000;
 
-    /** A quarter of the initial limit of 12 threads. */
+    /** Step of the limit: a quarter of the initial limit of 12 threads. */
     private static final double STEP_THREADS = 3;
 
     private final AdmissionQueue queue = new AdmissionQueue();
@@ -48,7 +48,7 @@
                 new OverloadDetector(new ResponseTimeModel(), fleetLoad));
     }
 
-    /** Plays a period of two seconds and returns the adjustment after it. */
+    /** Completes a measurement period of two seconds and returns the resulting adjustment. */
     private double afterPeriod(boolean saturated, int completions, long responseMs) {
         for (int i = 0; i < completions; i++) {
             limit.recordCompletion(responseMs * MS);
@@ -60,37 +60,37 @@
     }
 
     @Test
-    void limitStartsFromTheCoresAndTheRoutersPart() {
+    void initialLimitIsDividedAmongTheRouters() {
         assertEquals(12, limiter(1).initialThreads(limit));
         assertEquals(3, limiter(4).initialThreads(limit));
         assertEquals(1, limiter(100).initialThreads(limit));
     }
 
     @Test
-    void firstSaturatedPeriodStepsUp() {
+    void firstSaturatedPeriodRaisesTheLimit() {
         assertEquals(STEP_THREADS, afterPeriod(true, 20, 100));
     }
 
     @Test
-    void gainInThroughputStepsUpAgain() {
+    void higherThroughputRaisesTheLimitAgain() {
         afterPeriod(true, 20, 100);
         assertEquals(2 * STEP_THREADS, afterPeriod(true, 22, 100));
     }
 
     @Test
-    void stepUpWithoutGainIsUndone() {
+    void stepUpWithoutHigherThroughputIsUndone() {
         afterPeriod(true, 20, 100);
         assertEquals(0, afterPeriod(true, 20, 100));
     }
 
     @Test
-    void slowerResponsesKeepAStepUp() {
+    void stepUpIsKeptAfterSlowerResponses() {
         afterPeriod(true, 20, 100);
         assertEquals(STEP_THREADS, afterPeriod(true, 20, 110));
     }
 
     @Test
-    void missedObjectivesKeepAStepUp() {
+    void stepUpIsKeptWhileObjectivesAreMissed() {
         QueryState query = TestStates.query(1, RouterHarness.shortClass("lookup"));
         queue.add(query);
         afterPeriod(true, 20, 100);
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void unsaturatedLimitFallsBackToItsInitialValue() {
+    void unsaturatedLimitReturnsToItsInitialValue() {
         afterPeriod(true, 20, 100);
         assertEquals(0, afterPeriod(false, 100, 100));
         assertEquals(0, afterPeriod(false, 100, 100));
@@ -120,14 +120,14 @@
     }
 
     @Test
-    void stepDownThatCostThroughputIsUndone() {
+    void stepDownThatReducedThroughputIsUndone() {
         limit.lastRejectionNs = nowNs;
         afterPeriod(false, 120, 100);
         assertEquals(0, afterPeriod(false, 100, 100));
     }
 
     @Test
-    void unsaturatedPeriodNeedsItsCompletions() {
+    void unsaturatedPeriodNeedsOneHundredCompletions() {
         limit.lastRejectionNs = nowNs;
         assertEquals(0, afterPeriod(false, 99, 100));
     }
--- a/decisions/src/test/java/ashlink/decisions/ConcurrencyLimitTest.java
+++ b/decisions/src/test/java/ashlink/decisions/ConcurrencyLimitTest.java
@@ -18,22 +18,25 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The concurrency limit of an engine: its start, its adjustment and what may exceed it. */
+/**
+ * Tests, through the workload manager, the concurrency limit of an engine: its initial value, its
+ * adjustment and which queries may exceed it.
+ */
 class ConcurrencyLimitTest {
 
     @Test
-    void overloadedEngineRunsTheInitialLimitAndTheRestQueues() {
+    void overloadedEngineRunsUpToTheInitialLimit() {
         RouterHarness router = RouterHarness.withReportsAndLookups("a");
         router.reportOverload("a");
         for (int i = 0; i < 10; i++) {
             router.submit(i, "report", null, 1_000);
         }
-        // 1.5 threads x 4 cores, two threads per query.
+        // The initial limit is 1.5 threads x 4 cores; each query uses two threads.
         assertEquals(3, router.startedAttempts().size());
     }
 
     @Test
-    void overloadedEngineWithoutOwnQueriesTakesOne() {
+    void overloadedEngineWithoutQueriesOfThisRouterAcceptsOne() {
         RouterHarness router =
                 new RouterHarness(
                                 RouterHarness.settings(
@@ -48,7 +51,7 @@
     }
 
     @Test
-    void engineWithoutOverloadTakesTwiceItsInitialLimit() {
+    void engineWithoutOverloadRunsUpToTwiceTheInitialLimit() {
         RouterHarness router = RouterHarness.withReportsAndLookups("a");
         for (int i = 0; i < 40; i++) {
             router.submit(i, "report", null, 1_000);
@@ -56,7 +59,7 @@
         assertEquals(6, router.startedAttempts().size());
     }
 
-    /** Serves the oldest query in each of the rounds of that length. */
+    /** Serves the oldest query at the end of each of several intervals. */
     private static void serveRounds(RouterHarness router, int rounds, long ms) {
         for (int i = 0; i < rounds; i++) {
             router.advanceMs(ms);
@@ -74,7 +77,7 @@
     }
 
     @Test
-    void limitStepsUpAfterASaturatedPeriod() {
+    void limitIsRaisedAfterASaturatedPeriod() {
         RouterHarness router = overloadedRouter(100);
         assertEquals(3, router.inFlight.size());
         serveRounds(router, 22, 100);
@@ -82,11 +85,11 @@
     }
 
     @Test
-    void stepUpWithoutGainInThroughputIsUndone() {
+    void stepUpWithoutHigherThroughputIsUndone() {
         RouterHarness router = overloadedRouter(100);
         serveRounds(router, 21, 100);
         assertEquals(4, router.inFlight.size());
-        // The throughput of the next period is not higher.
+        // The throughput of the next period does not increase.
         serveRounds(router, 16, 130);
         assertEquals(3, router.inFlight.size());
     }
@@ -95,14 +98,14 @@
     void limitGrowsToTwiceItsInitialValue() {
         RouterHarness router = overloadedRouter(20);
         long id = 1_000;
-        // The throughput of each period is higher than before.
+        // The throughput increases from period to period.
         for (long ms = 150; ms > 40; ms -= 10) {
             for (int i = 0; i < 2_100 / ms; i++) {
                 router.submit(id++, "report", null, 9_000);
                 serveRounds(router, 1, ms);
             }
         }
-        // Twice the initial six threads, two threads per query.
+        // The limit is twice the initial six threads; each query uses two threads.
         assertEquals(6, router.inFlight.size());
     }
 
@@ -122,9 +125,9 @@
         for (int i = 0; i < 10; i++) {
             router.submit(i, "report", null, 2_000);
         }
-        int full = router.startedAttempts().size();
+        int before = router.startedAttempts().size();
         router.submit(20, "lookup", null, 50);
-        assertEquals(full + 1, router.startedAttempts().size());
+        assertEquals(before + 1, router.startedAttempts().size());
     }
 
     @Test
@@ -140,12 +143,15 @@
 
     @Test
     void abandonedAttemptStillCountsAsLoad() {
-        Capabilities noCancel =
+        Capabilities withoutCancellation =
                 new Capabilities(true, false, 4, 0, false, false, 1, false, 0, false, true, false);
         RouterHarness router =
                 new RouterHarness(
                                 RouterHarness.settings(
-                                        6, noCancel, LIMITS, reportClass(Set.of(), Set.of())))
+                                        6,
+                                        withoutCancellation,
+                                        LIMITS,
+                                        reportClass(Set.of(), Set.of())))
                         .withEngines("a");
         router.reportOverload("a");
         router.submit(1, "report", null, 1_000);
@@ -158,7 +164,7 @@
     }
 
     @Test
-    void overdueRunningQueriesAreASignOfOverload() {
+    void overdueRunningQueriesIndicateOverload() {
         RouterHarness router = RouterHarness.withReportsAndLookups("a");
         router.submit(1, "report", null, 400);
         router.submit(2, "report", null, 400);
@@ -169,23 +175,23 @@
     }
 
     @Test
-    void routerWithMostTrafficGetsMoreThanAnEqualLimit() {
+    void routerWithMostTrafficGetsMoreThanAnEqualPart() {
         RouterHarness router =
                 new RouterHarness(
                                 RouterHarness.settings(
                                         6, CAPABILITIES, LIMITS, reportClass(Set.of(), Set.of())))
                         .withEngines("a");
-        LoadReport half = new LoadReport(0, 0.5, 0.5, Double.NaN);
-        router.deliver(new HealthCheckCompleted("a", Outcome.SERVED, MS, half));
+        LoadReport halfBusy = new LoadReport(0, 0.5, 0.5, Double.NaN);
+        router.deliver(new HealthCheckCompleted("a", Outcome.SERVED, MS, halfBusy));
         router.submit(1, "report", null, 20_000);
         for (int i = 0; i < 50; i++) {
             router.advanceMs(100);
-            router.deliver(new HealthCheckCompleted("a", Outcome.SERVED, MS, half));
+            router.deliver(new HealthCheckCompleted("a", Outcome.SERVED, MS, halfBusy));
         }
         for (int i = 2; i < 20; i++) {
             router.submit(i, "report", null, 20_000);
         }
-        // With an equal part the largest limit would be two threads.
+        // With an equal part of the traffic, the largest limit would be two threads.
         assertTrue(
                 router.startedAttempts().size() > 3, router.startedAttempts().size() + " started");
     }
--- a/decisions/src/test/java/ashlink/decisions/ConcurrencyLimiterTest.java
+++ b/decisions/src/test/java/ashlink/decisions/ConcurrencyLimiterTest.java
@@ -18,7 +18,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The capacity that a concurrency limit leaves; the limit of an engine of four cores is 6. */
+/**
+ * Tests the capacity within the concurrency limit; the initial limit of an engine with four cores
+ * is 6 threads.
+ */
 class ConcurrencyLimiterTest {
 
     private final EngineDirectory engines =
@@ -113,7 +116,7 @@
     }
 
     @Test
-    void longMemoryQueueClosesTheEngineToLongQueries() {
+    void longMemoryQueueExcludesLongQueries() {
         ConcurrencyLimiter limiter = limiter(1, "a");
         EngineState engine = engines.find("a");
         engine.recordReport(new LoadReport(2, 0, 0, 0), NOW_NS);
@@ -123,7 +126,7 @@
     }
 
     @Test
-    void staleMemoryQueueDoesNotCloseTheEngine() {
+    void staleReportOfAMemoryQueueIsIgnored() {
         ConcurrencyLimiter limiter = limiter(1, "a");
         EngineState engine = engines.find("a");
         engine.recordReport(new LoadReport(2, 0, 0, 0), NOW_NS);
@@ -145,7 +148,7 @@
     }
 
     @Test
-    void restartDropsTheAdjustmentOfAnEngine() {
+    void restartResetsTheAdjustmentOfAnEngine() {
         ConcurrencyLimiter limiter = limiter(1, "a");
         EngineState engine = engines.find("a");
         engine.limit.adjustmentThreads = 3;
--- a/decisions/src/test/java/ashlink/decisions/DispatchEligibilityTest.java
+++ b/decisions/src/test/java/ashlink/decisions/DispatchEligibilityTest.java
@@ -15,7 +15,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Each of the rules keeps an attempt from its start by itself. */
+/** Tests that each invariant alone prevents the start of an attempt. */
 class DispatchEligibilityTest {
 
     private static final QueryClass LOOKUP = RouterHarness.shortClass("lookup");
@@ -45,18 +45,18 @@
     }
 
     @Test
-    void readyEngineTakesAQuery() {
+    void readyEngineAcceptsAQuery() {
         assertTrue(mayStart(query));
     }
 
     @Test
-    void drainingEngineTakesNone() {
+    void drainingEngineAcceptsNoQuery() {
         list("z1", "big", EndpointState.DRAINING, 0);
         assertFalse(mayStart(query));
     }
 
     @Test
-    void unlistedEngineTakesNone() {
+    void unlistedEngineAcceptsNoQuery() {
         engine.endpoint = null;
         assertFalse(mayStart(query));
     }
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void queryWaitsForItsTurn() {
+    void queryWaitsForThePreviousQueryOfItsKey() {
         QueryClass ordered =
                 RouterHarness.loadClass(RetrySafety.AT_MOST_ONCE, DeduplicationScope.ALL, true);
         QueryClassStatistics statistics = new QueryClassStatistics(ordered);
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void unsafeQueryThatMayHaveRunDoesNotStart() {
+    void atMostOnceQueryThatMayHaveRunDoesNotStart() {
         QueryState load =
                 TestStates.query(
                         1,
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void warmingEngineWithoutBudgetTakesNone() {
+    void warmingEngineWithoutBudgetAcceptsNoQuery() {
         list("z1", "big", EndpointState.READY, NOW_NS);
         assertTrue(mayStart(query));
         engine.slowStartBudgetTimeNs = NOW_NS;
--- a/decisions/src/test/java/ashlink/decisions/EngineDirectoryTest.java
+++ b/decisions/src/test/java/ashlink/decisions/EngineDirectoryTest.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The known engines after endpoint lists. */
+/** Tests the known engines after changes of the endpoint list. */
 class EngineDirectoryTest {
 
     private final EngineDirectory engines =
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void snapshotUnlistsOtherEnginesAndADeltaDoesNot() {
+    void snapshotReplacesTheListAndADeltaDoesNot() {
         apply(
                 EndpointListKind.SNAPSHOT,
                 RouterHarness.readyEndpoint("a"),
@@ -54,14 +54,14 @@
     }
 
     @Test
-    void drainingEngineIsListedAndNotReady() {
+    void drainingEngineIsListedButNotReady() {
         apply(EndpointListKind.SNAPSHOT, endpoint("a", EndpointState.DRAINING, 0));
         assertNotNull(engines.find("a").endpoint);
         assertTrue(engines.ready().isEmpty());
     }
 
     @Test
-    void laterStartIsARestart() {
+    void laterStartTimeIsARestart() {
         apply(EndpointListKind.SNAPSHOT, endpoint("a", EndpointState.READY, 5));
         engines.find("a").errorFraction = 0.9;
         apply(EndpointListKind.DELTA, endpoint("a", EndpointState.READY, 5));
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void unlistedEngineStaysWhileItHasLoad() {
+    void unlistedEngineIsKeptWhileItHasLoad() {
         apply(EndpointListKind.SNAPSHOT, RouterHarness.readyEndpoint("a"));
         EngineState engine = engines.find("a");
         QueryState query = TestStates.query(1, RouterHarness.shortClass("lookup"));
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void abandonedAttemptCountsAsLoadUntilItsTime() {
+    void abandonedAttemptCountsAsLoadUntilItExpires() {
         EngineState engine = TestStates.engine("a");
         QueryState query = TestStates.query(1, RouterHarness.shortClass("lookup"));
         TestStates.start(query, engine, NOW_NS);
--- a/decisions/src/test/java/ashlink/decisions/EngineEjectionTest.java
+++ b/decisions/src/test/java/ashlink/decisions/EngineEjectionTest.java
@@ -16,14 +16,17 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The ejection of engines that fail, return errors or give no sign of their queries. */
+/**
+ * Tests, through the workload manager, the ejection of engines that fail, return errors or show no
+ * activity.
+ */
 class EngineEjectionTest {
 
     /**
-     * Submits lookups one after the other and returns the attempts on {@code a}.
+     * Submits lookups one after the other and returns the number of attempts on engine {@code a}.
      *
      * @param lookups number of lookups
-     * @param failing engines that return an error at once
+     * @param failing engines that return an error after 3 ms
      */
     private static long attemptsOnA(int lookups, Set<String> failing) {
         RouterHarness router =
@@ -51,14 +54,14 @@
     }
 
     @Test
-    void noneIsEjectedIfAllEnginesReturnErrors() {
+    void ejectionIsIgnoredIfAllEnginesReturnErrors() {
         long all = attemptsOnA(200, Set.of("a", "b", "c"));
-        // A third of four attempts per lookup.
+        // Each lookup has four attempts, about a third of them on each engine.
         assertTrue(all > 200, all + " attempts");
     }
 
     @Test
-    void unresponsiveEngineIsEjectedThoughItAnswersHealthChecks() {
+    void unresponsiveEngineThatAnswersHealthChecksIsEjected() {
         RouterHarness router = RouterHarness.withReportsAndLookups("a", "b", "c");
         String unresponsive = enginesOf(router.submit(1, "report", null, 5_000)).get(0);
         router.advanceMs(1_000);
@@ -85,7 +88,7 @@
     }
 
     @Test
-    void noneIsEjectedIfMostEnginesFail() {
+    void ejectionIsIgnoredIfMostEnginesFail() {
         RouterHarness router = RouterHarness.withReportsAndLookups("a", "b");
         for (int i = 0; i < 2; i++) {
             router.endAttempt(
--- a/decisions/src/test/java/ashlink/decisions/EngineLoadScoreTest.java
+++ b/decisions/src/test/java/ashlink/decisions/EngineLoadScoreTest.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The score of an engine of four cores for a query of 100 ms. */
+/** Tests the load score of an engine with four cores for a query of 100 ms. */
 class EngineLoadScoreTest {
 
     private static final QueryClass LOOKUP = RouterHarness.shortClass("lookup");
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void idleEngineHasTheScoreOfTheQuery() {
+    void idleEngineScoresTheWorkOfTheQuery() {
         assertEquals(OWN_SCORE, score(LOOKUP), 1e-12);
     }
 
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void oldReportAddsNothing() {
+    void oldReportIsIgnored() {
         engine.recordReport(new LoadReport(2, 0.5, 0.25, 0), NOW_NS - EngineState.RECENT_NS);
         assertEquals(OWN_SCORE, score(LOOKUP), 1e-12);
     }
--- a/decisions/src/test/java/ashlink/decisions/EngineSelectionTest.java
+++ b/decisions/src/test/java/ashlink/decisions/EngineSelectionTest.java
@@ -21,11 +21,11 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The choice among the engines that may run a query. */
+/** Tests, through the workload manager, the selection among the eligible engines. */
 class EngineSelectionTest {
 
     @Test
-    void retryGoesToAnotherEngineIfThereIsOne() {
+    void retryUsesAnotherEngineIfThereIsOne() {
         for (Outcome outcome :
                 List.of(Outcome.ERROR, Outcome.REJECTED, Outcome.TIMED_OUT, Outcome.NOT_SENT)) {
             RouterHarness router =
@@ -39,15 +39,16 @@
                 router.endAttempt(i, 1, router.inFlight.get((long) i).engine(), Outcome.SERVED, 20);
             }
         }
-        RouterHarness alone = RouterHarness.withClasses(shortClass("lookup")).withEngines("a");
-        alone.submit(1, "lookup", null, 20);
-        alone.endAttempt(1, 0, "a", Outcome.ERROR, 3);
-        alone.advanceMs(300);
-        assertEquals(List.of("a", "a"), enginesOf(alone.actions));
+        RouterHarness singleEngine =
+                RouterHarness.withClasses(shortClass("lookup")).withEngines("a");
+        singleEngine.submit(1, "lookup", null, 20);
+        singleEngine.endAttempt(1, 0, "a", Outcome.ERROR, 3);
+        singleEngine.advanceMs(300);
+        assertEquals(List.of("a", "a"), enginesOf(singleEngine.actions));
     }
 
     @Test
-    void lessLoadedOfTwoEnginesIsChosen() {
+    void lessLoadedEngineIsSelected() {
         RouterHarness router = RouterHarness.withReportsAndLookups("a", "b");
         String first = enginesOf(router.submit(1, "report", null, 5_000)).get(0);
         for (int i = 2; i < 6; i++) {
@@ -56,24 +57,24 @@
     }
 
     @Test
-    void loadsAndReadersOfATableGroupUseDifferentEngines() {
+    void lockingAndWaitingQueriesOfATableGroupUseDifferentEngines() {
         RouterHarness router =
                 RouterHarness.withClasses(
                                 reportClass(Set.of(), Set.of()),
                                 loadClass(RetrySafety.AT_MOST_ONCE, DeduplicationScope.ALL, false))
                         .withEngines("a", "b", "c", "d");
-        Set<String> loads = new HashSet<>();
-        Set<String> readers = new HashSet<>();
+        Set<String> lockingEngines = new HashSet<>();
+        Set<String> waitingEngines = new HashSet<>();
         for (int i = 0; i < 40; i += 2) {
-            loads.addAll(enginesOf(router.submit(i, "load", null, 10)));
+            lockingEngines.addAll(enginesOf(router.submit(i, "load", null, 10)));
             router.endAttempt(i, 0, router.startedAttempts().get(i).engine(), Outcome.SERVED, 5);
-            readers.addAll(enginesOf(router.submit(i + 1, "report", null, 10)));
+            waitingEngines.addAll(enginesOf(router.submit(i + 1, "report", null, 10)));
             router.endAttempt(
                     i + 1, 0, router.startedAttempts().get(i + 1).engine(), Outcome.SERVED, 5);
         }
-        assertEquals(2, loads.size());
-        loads.retainAll(readers);
-        assertTrue(loads.isEmpty());
+        assertEquals(2, lockingEngines.size());
+        lockingEngines.retainAll(waitingEngines);
+        assertTrue(lockingEngines.isEmpty());
     }
 
     @Test
--- a/decisions/src/test/java/ashlink/decisions/FleetLoadEstimatorTest.java
+++ b/decisions/src/test/java/ashlink/decisions/FleetLoadEstimatorTest.java
@@ -11,7 +11,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The load of the fleet and this router's part of it, from reports of engines of four cores. */
+/**
+ * Tests the estimates of the fleet load and of this router's fraction of it, from load reports of
+ * engines with four cores.
+ */
 class FleetLoadEstimatorTest {
 
     private final FleetLoadEstimator estimator = new FleetLoadEstimator();
@@ -29,14 +32,14 @@
     }
 
     @Test
-    void withoutReportsNothingIsKnown() {
+    void estimatesAreZeroWithoutReports() {
         update(10, NOW_NS);
         assertEquals(0, estimator.threadsPerCore());
         assertEquals(0, estimator.trafficFraction());
     }
 
     @Test
-    void queriesInFlightCountAsOneThreadWithoutOwnQueries() {
+    void queryInFlightCountsAsOneThreadWithoutOwnQueries() {
         reportInFlight(6);
         update(1, NOW_NS);
         assertEquals(1.5, estimator.threadsPerCore());
@@ -44,7 +47,7 @@
     }
 
     @Test
-    void queriesInFlightCountWithTheThreadsOfOwnQueries() {
+    void queryInFlightCountsAsTheMeanThreadsOfOwnQueries() {
         TestStates.start(
                 TestStates.query(1, RouterHarness.reportClass(Set.of(), Set.of())), engine, NOW_NS);
         reportInFlight(6);
@@ -54,14 +57,14 @@
     }
 
     @Test
-    void oldReportDoesNotCount() {
+    void oldReportIsIgnored() {
         reportInFlight(6);
         update(1, NOW_NS + 2_000 * MS);
         assertEquals(0, estimator.threadsPerCore());
     }
 
     @Test
-    void trafficFractionApproachesTheOwnPartOfTheThreads() {
+    void trafficFractionConvergesToTheOwnFractionOfTheThreads() {
         TestStates.start(TestStates.query(1, RouterHarness.shortClass("lookup")), engine, NOW_NS);
         reportInFlight(4);
         update(1, NOW_NS);
@@ -71,7 +74,7 @@
     }
 
     @Test
-    void busyCoresStandInForQueriesInFlight() {
+    void busyCoresReplaceMissingQueriesInFlight() {
         TestStates.start(TestStates.query(1, RouterHarness.shortClass("lookup")), engine, NOW_NS);
         engine.recordReport(new LoadReport(0, 0.5, 0, 0), NOW_NS);
         update(1_000, NOW_NS);
--- a/decisions/src/test/java/ashlink/decisions/FleetOverloadTest.java
+++ b/decisions/src/test/java/ashlink/decisions/FleetOverloadTest.java
@@ -29,12 +29,12 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** A large fleet whose engines report their queries in flight and little else. */
+/** Tests a large fleet whose engines report their queries in flight and few other values. */
 class FleetOverloadTest {
 
     private static final int ROUTERS = 200;
 
-    /** Cancellation and reported cost, but no progress messages. */
+    /** Capabilities with cancellation and reported cost, but without progress messages. */
     private static final Capabilities WITHOUT_PROGRESS =
             new Capabilities(true, true, 4, 500 * MS, true, true, 0.4, false, 0, true, true, false);
 
@@ -69,7 +69,7 @@
                     new HealthCheckCompleted(
                             engine, Outcome.SERVED, MS, inFlightReport(queriesInFlight)));
         }
-        // One maintenance interval, after which the reports count.
+        // The estimates use the reports after the next maintenance interval of 50 ms.
         router.advanceMs(60);
     }
 
@@ -85,15 +85,16 @@
     }
 
     @Test
-    void inAnOverloadedFleetNotEveryRouterStartsAQuery() {
+    void notEveryRouterStartsAQueryInAnOverloadedFleet() {
         assertEquals(ROUTERS, reportsStartedInASecond(1));
         int overloaded = reportsStartedInASecond(40);
         assertTrue(overloaded > 0 && overloaded < ROUTERS / 2, overloaded + " started");
-        assertTrue(reportsStartedInASecond(160) < overloaded, "limits shrink in proportion");
+        assertTrue(
+                reportsStartedInASecond(160) < overloaded, "a higher load lowers the limits");
     }
 
     @Test
-    void shortQueriesHaveReservedCapacityBesideALongOne() {
+    void shortQueriesHaveReservedCapacityNextToALongQuery() {
         RouterHarness router = router(0, LIMITS, 1);
         router.submit(1, "report", null, 20_000);
         assertEquals(1, router.startedAttempts().size());
@@ -105,7 +106,7 @@
         assertEquals(
                 2,
                 router.startedAttempts().size(),
-                "the reserved capacity is this router's part, not enough for all its lookups");
+                "reserved capacity is this router's part only, less than all of its lookups");
     }
 
     @Test
@@ -117,11 +118,11 @@
                     i, 0, router.startedAttempts().get(i - 10).engine(), Outcome.SERVED, 500);
         }
         String engine = enginesOf(router.submit(1, "report", null, 1_000)).get(0);
-        for (int s = 0; s < 5; s++) {
+        for (int second = 0; second < 5; second++) {
             assertTrue(
                     ofType(CancelAttempt.class, router.advanceMs(1_000)).isEmpty(),
-                    "not while it can meet its objective");
-            // The engine is responsive.
+                    "no restart while the query can meet its objective");
+            // A response shows that the engine is responsive.
             router.endAttempt(77, 0, engine, Outcome.SERVED, 5);
         }
         assertEquals(
@@ -130,7 +131,7 @@
     }
 
     @Test
-    void busyDisksAndManyQueriesInFlightAreOverload() {
+    void busyDisksAndManyQueriesInFlightIndicateOverload() {
         for (LoadReport busy :
                 List.of(
                         new LoadReport(Double.NaN, Double.NaN, Double.NaN, 0.99, 1),
@@ -153,11 +154,11 @@
     }
 
     @Test
-    void queryBeyondTheRetryBudgetDoesNotBlockOthers() {
+    void retryBeyondTheBudgetDoesNotBlockOtherQueries() {
         RouterHarness router = router(0, RETRY_BUDGET, 1);
         router.submit(1, "report", null, 1_000);
         router.endAttempt(1, 0, router.startedAttempts().get(0).engine(), Outcome.ERROR, 10);
-        assertEquals(1, router.startedAttempts().size(), "one query allows a tenth of a retry");
+        assertEquals(1, router.startedAttempts().size(), "the budget is a tenth of a retry");
         router.submit(2, "report", null, 1_500);
         assertEquals(
                 List.of(1L, 2L), router.startedAttempts().stream().map(StartAttempt::id).toList());
@@ -211,14 +212,14 @@
         submitReport(router, 100, "unlisted");
         router.withEngines("a");
         List<Long> started = router.startedAttempts().stream().map(StartAttempt::id).toList();
-        // The first queries were within the quota.
+        // The first queries are within the quota.
         assertEquals(List.of(0L, 1L), started.subList(0, 2));
         assertTrue(started.contains(99L) && started.contains(100L), "started: " + started);
-        assertTrue(started.size() < 62, "some find no capacity");
+        assertTrue(started.size() < 62, "not all queries find capacity");
     }
 
     @Test
-    void withoutEstimatesWorkIsLearnedFromResults() {
+    void workIsLearnedFromResultsWithoutEstimates() {
         RouterHarness router =
                 new RouterHarness(
                                 new Settings(
@@ -241,8 +242,8 @@
                     new AttemptEnded(
                             id, 0, "a", Outcome.SERVED, 20 * MS, true, 10, 40, inFlightReport(1)));
         }
-        // The engine restarts: with the prior of 500 ms few queries fit, with the mean of 10 ms
-        // many.
+        // After a restart of the engine, its budget would cover few queries with the prior value of
+        // 500 ms, but covers many with the mean of 10 ms.
         router.changeEndpoints(
                 EndpointListKind.DELTA,
                 endpoint("a", "z1", "big", EndpointState.READY, router.nowNs));
@@ -255,7 +256,7 @@
     }
 
     @Test
-    void scatteredResponseTimesAreNoOverload() {
+    void variableResponseTimesDoNotIndicateOverload() {
         RouterHarness router = router(0, LIMITS, 1);
         for (int i = 0; i < 300; i++) {
             router.submit(i, "lookup", null, 100);
@@ -278,7 +279,7 @@
         assertEquals(
                 2,
                 router.startedAttempts().size() - 300,
-                "the limit does not bind while no engine is overloaded");
+                "no limit applies while no engine is overloaded");
         assertFalse(enginesOf(router.actions).isEmpty());
     }
 }
--- a/decisions/src/test/java/ashlink/decisions/HealthCheckSchedulerTest.java
+++ b/decisions/src/test/java/ashlink/decisions/HealthCheckSchedulerTest.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** When health checks are sent, and what they cost. */
+/** Tests when health checks are sent, and their use of credits. */
 class HealthCheckSchedulerTest {
 
     private final ActionBuffer actions = new ActionBuffer();
@@ -41,7 +41,7 @@
     }
 
     /** Spends credits on background checks of new engines. */
-    private void spend(int checks) {
+    private void spendCredits(int checks) {
         for (int i = 0; i < checks; i++) {
             scheduler.checkInBackground(TestStates.engine("e" + i), NOW_NS);
         }
@@ -80,12 +80,12 @@
     }
 
     @Test
-    void withoutHealthChecksTheChoiceDoesNotWait() {
+    void selectionDoesNotWaitIfHealthChecksAreDisabled() {
         assertFalse(scheduler(false).checkCandidates(longQuery(), first, second, NOW_NS));
     }
 
     @Test
-    void queryWaitsForResultsUntilItsTime() {
+    void queryWaitsForResultsUntilItsCheckDeadline() {
         QueryState query = longQuery();
         scheduler.checkCandidates(query, first, second, NOW_NS);
         assertTrue(scheduler.isWaiting(query, NOW_NS + 20 * MS - 1));
@@ -112,21 +112,21 @@
 
     @Test
     void backgroundChecksLeaveHalfOfTheCredits() {
-        spend(100);
+        spendCredits(100);
         assertEquals(11, sent());
     }
 
     @Test
-    void shortQueryIsNotCheckedFromTheReserve() {
-        spend(100);
+    void shortQueryDoesNotUseReservedCredits() {
+        spendCredits(100);
         assertFalse(scheduler.checkCandidates(shortQuery(), first, second, NOW_NS));
         assertTrue(scheduler.checkCandidates(longQuery(), first, second, NOW_NS));
         assertEquals(13, sent());
     }
 
     @Test
-    void longQueryWithoutCreditsWaitsUnchecked() {
-        spend(100);
+    void longQueryWithoutCreditsWaitsWithoutChecks() {
+        spendCredits(100);
         for (int i = 0; i < 4; i++) {
             first.healthCheckPending = false;
             second.healthCheckPending = false;
@@ -141,11 +141,11 @@
 
     @Test
     void submittedQueriesEarnCredits() {
-        spend(100);
+        spendCredits(100);
         int before = sent();
         scheduler.creditQuery();
         scheduler.creditQuery();
-        spend(100);
+        spendCredits(100);
         assertEquals(before + 2, sent());
     }
 
--- a/decisions/src/test/java/ashlink/decisions/HealthCheckTest.java
+++ b/decisions/src/test/java/ashlink/decisions/HealthCheckTest.java
@@ -1,7 +1,7 @@
 package ashlink.decisions;
 
-import static ashlink.decisions.ManyRouters.ROUTERS;
-import static ashlink.decisions.ManyRouters.router;
+import static ashlink.decisions.LargeFleet.ROUTERS;
+import static ashlink.decisions.LargeFleet.router;
 import static ashlink.decisions.RouterHarness.enginesOf;
 import static ashlink.decisions.RouterHarness.ofType;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -13,17 +13,17 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The health checks before a choice between engines. */
+/** Tests, through the workload manager, the health checks before the selection of an engine. */
 class HealthCheckTest {
 
     @Test
-    void staleReportsAreRefreshedBeforeTheLessLoadedIsChosen() {
+    void staleReportsAreRefreshedBeforeTheLessLoadedEngineIsSelected() {
         RouterHarness router = router(ROUTERS, 0, 2);
         router.loadReports.put("e0", new LoadReport(0, 0.9, Double.NaN, Double.NaN));
         router.loadReports.put("e1", new LoadReport(0, 0.2, Double.NaN, Double.NaN));
-        List<Action> decided = router.submit(1, "report", null, 1_000);
-        assertEquals(2, ofType(CheckHealth.class, decided).size());
-        assertEquals(List.of("e1"), enginesOf(decided));
+        List<Action> actions = router.submit(1, "report", null, 1_000);
+        assertEquals(2, ofType(CheckHealth.class, actions).size());
+        assertEquals(List.of("e1"), enginesOf(actions));
     }
 
     @Test
@@ -34,9 +34,9 @@
     }
 
     @Test
-    void candidateWithoutHealthCheckResultIsNotChosen() {
+    void candidateWithoutHealthCheckResultIsNotSelected() {
         RouterHarness router = router(ROUTERS, 0, 2);
-        router.unansweredEngines.add("e0");
+        router.enginesWithoutHealthCheckResults.add("e0");
         assertTrue(enginesOf(router.submit(1, "report", null, 1_000)).isEmpty());
         assertEquals(List.of("e1"), enginesOf(router.advanceMs(25)));
     }
@@ -50,7 +50,7 @@
             router.serveOldest(1, 50);
         }
         int checks = ofType(CheckHealth.class, router.actions).size();
-        // The credits at the start, one per query and one per second.
+        // At most the 20 initial credits, one per query and one per second.
         assertTrue(checks > 20 && checks <= 20 + 200 + 60, checks + " health checks");
         assertEquals(200, router.startedAttempts().size());
     }
--- a/decisions/src/test/java/ashlink/decisions/KeyOrderingTest.java
+++ b/decisions/src/test/java/ashlink/decisions/KeyOrderingTest.java
@@ -13,7 +13,7 @@
 import ashlink.decisions.api.RetrySafety;
 import org.junit.jupiter.api.Test;
 
-/** The order of the queries of one ordering key. */
+/** Tests the order of the queries with the same ordering key. */
 class KeyOrderingTest {
 
     private static final long QUIET_PERIOD_NS = 300 * MS;
@@ -32,13 +32,13 @@
     }
 
     @Test
-    void onlyTheFirstQueryOfAKeyHasItsTurn() {
+    void onlyTheFirstQueryOfAKeyMayStart() {
         assertTrue(ordering.allows(first, NOW_NS));
         assertFalse(ordering.allows(second, NOW_NS));
     }
 
     @Test
-    void nextQueryHasItsTurnWhenTheFirstIsRemoved() {
+    void nextQueryMayStartAfterTheFirstIsRemoved() {
         ordering.remove(first);
         assertTrue(ordering.allows(second, NOW_NS));
     }
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void pauseDelaysTheNextQueryUntilItsEnd() {
+    void nextQueryWaitsForTheQuietPeriod() {
         ordering.pause(first, NOW_NS);
         ordering.remove(first);
         assertFalse(ordering.allows(second, NOW_NS + QUIET_PERIOD_NS - 1));
@@ -66,14 +66,14 @@
     }
 
     @Test
-    void retryIsNotPaused() {
+    void retryDoesNotWaitForTheQuietPeriod() {
         first.attempts = 1;
         ordering.pause(first, NOW_NS);
         assertTrue(ordering.allows(first, NOW_NS));
     }
 
     @Test
-    void idleKeyIsDroppedOnlyAfterItsPause() {
+    void idleKeyIsRemovedOnlyAfterItsQuietPeriod() {
         KeyQueue queue = first.keyQueue;
         ordering.pause(first, NOW_NS);
         ordering.remove(first);
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void keyWithQueriesIsNotDropped() {
+    void keyWithQueriesIsNotRemoved() {
         KeyQueue queue = first.keyQueue;
         ordering.removeIdle(NOW_NS);
         assertSame(queue, ordering.queueFor(TestStates.submitted(5, "load", "k"), ORDERED));
--- a/decisions/src/test/java/ashlink/decisions/ManyRouters.java
+++ b/decisions/src/test/java/ashlink/decisions/LargeFleet.java
@@ -13,9 +13,10 @@
 import java.util.Set;
 
 /**
- * Routers of a large fleet: each sees a few queries a second and has less than a thread per engine.
+ * Creates routers of a large fleet: each router receives a few queries per second and has less than
+ * one thread per engine.
  */
-final class ManyRouters {
+final class LargeFleet {
 
     static final int ROUTERS = 200;
     static final Capabilities WITHOUT_PRIORITIES =
--- a/decisions/src/test/java/ashlink/decisions/ManyRoutersTest.java
+++ b/decisions/src/test/java/ashlink/decisions/LargeFleetTest.java
@@ -1,8 +1,8 @@
 package ashlink.decisions;
 
-import static ashlink.decisions.ManyRouters.ROUTERS;
-import static ashlink.decisions.ManyRouters.engineNames;
-import static ashlink.decisions.ManyRouters.router;
+import static ashlink.decisions.LargeFleet.ROUTERS;
+import static ashlink.decisions.LargeFleet.engineNames;
+import static ashlink.decisions.LargeFleet.router;
 import static ashlink.decisions.RouterHarness.MS;
 import static ashlink.decisions.RouterHarness.OVERLOADED;
 import static ashlink.decisions.RouterHarness.enginesOf;
@@ -19,41 +19,43 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Capacity and load where a router sees little of the fleet. */
-class ManyRoutersTest {
+/**
+ * Tests capacity and load estimates if each router has a small part of the traffic of the fleet.
+ */
+class LargeFleetTest {
 
     @Test
-    void duringOverloadEachRouterRunsOneQueryInTheFleet() {
+    void eachRouterRunsOneQueryDuringOverload() {
         int threads = 0;
         for (int position = 0; position < ROUTERS; position++) {
             RouterHarness router = router(ROUTERS, position, 4);
-            for (String text : engineNames(4)) {
-                router.loadReports.put(text, OVERLOADED);
+            for (String engine : engineNames(4)) {
+                router.loadReports.put(engine, OVERLOADED);
             }
             for (int i = 0; i < 10; i++) {
                 router.submit(i, "report", null, 1_000);
             }
             router.advanceMs(400);
             threads += 2 * router.inFlight.size();
-            assertFalse(router.inFlight.isEmpty(), "a router that runs nothing starts one query");
+            assertFalse(router.inFlight.isEmpty(), "an idle router starts one query");
         }
-        // The initial limits are 48 threads (4 engines x 8 cores x 1.5). The floor is one query per
-        // router, not one per engine.
+        // The sum of the initial limits is 48 threads (4 engines x 8 cores x 1.5). Each router may
+        // always run one query, but not one per engine.
         assertEquals(2 * ROUTERS, threads);
     }
 
     @Test
-    void routerWithLargePartHasOneLimitPerEngine() {
+    void smallFleetHasOneLimitPerEngine() {
         RouterHarness router = router(1, 0, 2);
-        for (String text : engineNames(2)) {
-            router.loadReports.put(text, OVERLOADED);
+        for (String engine : engineNames(2)) {
+            router.loadReports.put(engine, OVERLOADED);
         }
         for (int i = 0; i < 40; i++) {
             router.submit(i, "report", null, 1_000);
         }
-        // The credits for health checks accumulate.
+        // Long queries wait until enough credits for health checks have accumulated.
         router.advanceMs(2_000);
-        // 1.5 threads x 8 cores on each of two engines, two threads per query.
+        // The limit is 1.5 threads x 8 cores on each of two engines; each query uses two threads.
         assertEquals(12, router.inFlight.size());
     }
 
@@ -69,7 +71,7 @@
     }
 
     @Test
-    void memoryQueueClosesAnEngineToLongQueriesOnly() {
+    void memoryQueueExcludesLongQueriesOnly() {
         RouterHarness router = router(1, 0, 1);
         router.deliver(
                 new HealthCheckCompleted(
@@ -84,29 +86,29 @@
     @Test
     void overdueQueriesAddToTheLoadOfAnEngine() {
         RouterHarness router = router(ROUTERS, 0, 2);
-        String slow = enginesOf(router.submit(1, "lookup", null, 50)).get(0);
+        String slowEngine = enginesOf(router.submit(1, "lookup", null, 50)).get(0);
         router.advanceMs(1_000);
-        Set<String> next = new HashSet<>();
+        Set<String> selected = new HashSet<>();
         for (int i = 2; i < 12; i++) {
-            next.addAll(enginesOf(router.submit(i, "lookup", null, 50)));
+            selected.addAll(enginesOf(router.submit(i, "lookup", null, 50)));
             router.endAttempt(
                     i, 0, router.startedAttempts().get(i - 1).engine(), Outcome.SERVED, 50);
         }
-        assertFalse(next.contains(slow));
+        assertFalse(selected.contains(slowEngine));
     }
 
     @Test
     void slownessOfAnEngineDecays() {
         RouterHarness router = router(ROUTERS, 0, 2);
-        String slow = enginesOf(router.submit(1, "lookup", null, 50)).get(0);
-        router.endAttempt(1, 0, slow, Outcome.SERVED, 2_000);
+        String slowEngine = enginesOf(router.submit(1, "lookup", null, 50)).get(0);
+        router.endAttempt(1, 0, slowEngine, Outcome.SERVED, 2_000);
         router.advanceMs(60_000);
-        Set<String> next = new HashSet<>();
+        Set<String> selected = new HashSet<>();
         for (int i = 2; i < 30; i++) {
-            next.addAll(enginesOf(router.submit(i, "lookup", null, 50)));
+            selected.addAll(enginesOf(router.submit(i, "lookup", null, 50)));
             router.endAttempt(
                     i, 0, router.startedAttempts().get(i - 1).engine(), Outcome.SERVED, 50);
         }
-        assertTrue(next.contains(slow));
+        assertTrue(selected.contains(slowEngine));
     }
 }
--- a/decisions/src/test/java/ashlink/decisions/LoadSheddingPolicyTest.java
+++ b/decisions/src/test/java/ashlink/decisions/LoadSheddingPolicyTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which queued queries are given up before their deadline. */
+/** Tests which queued queries are answered before their deadline. */
 class LoadSheddingPolicyTest {
 
     private final AdmissionQueue queue = new AdmissionQueue();
@@ -23,7 +23,10 @@
                     keyOrdering,
                     new QueryCompletion(0, queue, queries, keyOrdering, actions));
 
-    /** A lookup of 100 ms: from 500 ms on it misses its objective of 500 ms plus its work. */
+    /**
+     * A lookup of 100 ms. From 500 ms after its submission, it is expected to miss its objective of
+     * 500 ms plus its work.
+     */
     private final QueryState lookup = TestStates.query(1, RouterHarness.shortClass("lookup"));
 
     LoadSheddingPolicyTest() {
@@ -36,14 +39,14 @@
     }
 
     @Test
-    void queryThatCanMeetItsObjectiveStays() {
+    void queryThatCanMeetItsObjectiveStaysQueued() {
         policy.review(NOW_NS + 499 * MS);
         assertTrue(queue.contains(lookup));
         assertEquals(lookup.initialWeight, lookup.weight);
     }
 
     @Test
-    void lateQueryStaysWithItsLateWeight() {
+    void lateQueryStaysQueuedWithItsLateWeight() {
         policy.review(NOW_NS + 500 * MS);
         policy.review(NOW_NS + 550 * MS);
         assertTrue(queue.contains(lookup));
@@ -51,7 +54,7 @@
     }
 
     @Test
-    void lateQueryIsGivenUpForOneThatCanMeetItsObjective() {
+    void lateQueryIsRejectedForAQueryThatCanMeetItsObjective() {
         add(TestStates.query(2, RouterHarness.reportClass(Set.of(), Set.of())));
         policy.review(NOW_NS + 500 * MS);
         assertEquals(List.of(new Reject(1, 0)), actions.actions());
--- a/decisions/src/test/java/ashlink/decisions/MemoryGrantEstimatorTest.java
+++ b/decisions/src/test/java/ashlink/decisions/MemoryGrantEstimatorTest.java
@@ -8,7 +8,7 @@
 import ashlink.decisions.api.Capabilities;
 import org.junit.jupiter.api.Test;
 
-/** The size of memory grants; the estimate of the queries is 100 MB. */
+/** Tests the size of memory grants; the memory estimate of the queries is 100 MB. */
 class MemoryGrantEstimatorTest {
 
     private final MemoryGrantEstimator estimator =
@@ -21,7 +21,7 @@
         return estimator.grantForAttemptMb(TestStates.query(1, statistics), engine);
     }
 
-    private QueryState running() {
+    private QueryState runningQuery() {
         QueryState query = TestStates.query(1, statistics);
         query.grantMb = estimator.grantForAttemptMb(query, engine);
         query.startAttempt(engine, NOW_NS);
@@ -34,13 +34,13 @@
     }
 
     @Test
-    void grantIsAtMostTheLargestFractionOfTheEngine() {
+    void grantIsLimitedToAFractionOfTheEngineMemory() {
         engine.memoryMb = 200;
         assertEquals(80, grantMb());
     }
 
     @Test
-    void engineWithoutGrantsGetsNone() {
+    void grantIsZeroIfEnginesDoNotSupportGrants() {
         Capabilities none =
                 new Capabilities(true, true, 4, 0, false, true, 0.4, true, 0, false, false, false);
         QueryState query = TestStates.query(1, statistics);
@@ -48,8 +48,8 @@
     }
 
     @Test
-    void spillSetsTheNeedOfTheQuery() {
-        QueryState query = running();
+    void spillSetsTheNeededMemoryOfTheQuery() {
+        QueryState query = runningQuery();
         estimator.recordSpill(query, 500);
         assertEquals(550, estimator.grantForAttemptMb(query, engine));
         estimator.recordSpill(query, 300);
@@ -57,25 +57,25 @@
     }
 
     @Test
-    void firstSpillIsTakenForTheClassAtOnce() {
-        estimator.recordSpill(running(), 500);
+    void firstSpillCorrectsTheClassInFull() {
+        estimator.recordSpill(runningQuery(), 500);
         assertEquals(550, grantMb());
     }
 
     @Test
-    void laterNeedsMoveTheClassInSmallSteps() {
-        estimator.recordCompletion(running(), 100);
+    void laterNeedsCorrectTheClassInSmallSteps() {
+        estimator.recordCompletion(runningQuery(), 100);
         double before = statistics.memoryBias();
-        estimator.recordCompletion(running(), 1_000);
+        estimator.recordCompletion(runningQuery(), 1_000);
         assertEquals(Math.exp(0.1 * 0.75), statistics.memoryBias() / before, 1e-12);
         before = statistics.memoryBias();
-        estimator.recordCompletion(running(), 10);
+        estimator.recordCompletion(runningQuery(), 10);
         assertEquals(Math.exp(-0.1 * 0.25), statistics.memoryBias() / before, 1e-12);
     }
 
     @Test
     void completionAfterASpillIsNotCountedAgain() {
-        QueryState query = running();
+        QueryState query = runningQuery();
         estimator.recordSpill(query, 500);
         double before = statistics.memoryBias();
         estimator.recordCompletion(query, 1_000);
@@ -83,8 +83,8 @@
     }
 
     @Test
-    void grantIsTooSmallIfTheNeedIsFarHigher() {
-        QueryState query = running();
+    void grantIsTooSmallIfMuchMoreMemoryIsNeeded() {
+        QueryState query = runningQuery();
         query.neededMemoryMb = 129;
         assertFalse(estimator.isGrantTooSmall(query));
         query.neededMemoryMb = 131;
--- a/decisions/src/test/java/ashlink/decisions/ModuleSourcesTest.java
+++ b/decisions/src/test/java/ashlink/decisions/ModuleSourcesTest.java
@@ -15,15 +15,17 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The source files of the module. */
+/**
+ * Tests the source files of the module: their line length and their listing in the deployment file.
+ */
 class ModuleSourcesTest {
 
     @Test
-    void noSourceLineIsTooWide() throws IOException {
+    void noSourceLineIsLongerThan110Characters() throws IOException {
         for (Path source : sources()) {
-            List<String> wide = new ArrayList<>(Files.readAllLines(source));
-            wide.removeIf(line -> line.length() <= 110);
-            assertEquals(List.of(), wide, source.toString());
+            List<String> longLines = new ArrayList<>(Files.readAllLines(source));
+            longLines.removeIf(line -> line.length() <= 110);
+            assertEquals(List.of(), longLines, source.toString());
         }
     }
 
@@ -37,11 +39,11 @@
         while (matcher.find()) {
             listed.add(matcher.group(1));
         }
-        Set<String> present = new TreeSet<>();
+        Set<String> existing = new TreeSet<>();
         for (Path source : sources()) {
-            present.add(source.toString());
+            existing.add(source.toString());
         }
-        assertEquals(present, listed);
+        assertEquals(existing, listed);
     }
 
     private static List<Path> sources() throws IOException {
--- a/decisions/src/test/java/ashlink/decisions/OutlierDetectorTest.java
+++ b/decisions/src/test/java/ashlink/decisions/OutlierDetectorTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The ejection of engines and its backoff. */
+/** Tests the ejection of engines and its exponential backoff. */
 class OutlierDetectorTest {
 
     private static final long PROGRESS_INTERVAL_NS = 1_000 * MS;
@@ -31,19 +31,19 @@
     }
 
     @Test
-    void ejectionDoublesUpToItsLargest() {
+    void ejectionDoublesUpToTheMaximum() {
         for (long expectedMs : List.of(500L, 1_000L, 2_000L, 4_000L, 4_000L)) {
             assertEquals(expectedMs, ejectionMsAfter(Outcome.CONNECT_FAILED));
         }
     }
 
     @Test
-    void resetEjects() {
+    void connectionResetEjectsTheEngine() {
         assertEquals(500, ejectionMsAfter(Outcome.RESET));
     }
 
     @Test
-    void ejectionEndsAtItsTime() {
+    void ejectionEndsAfterItsDuration() {
         record(Outcome.CONNECT_FAILED, 1);
         assertTrue(engine.isEjected(NOW_NS + 500 * MS - 1));
         assertFalse(engine.isEjected(NOW_NS + 500 * MS));
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void halfErrorsEject() {
+    void errorFractionOfOneHalfEjectsTheEngine() {
         record(Outcome.ERROR, 2);
         assertFalse(engine.isEjected(NOW_NS));
         record(Outcome.ERROR, 1);
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void errorsDuringAnEjectionDoNotProlongIt() {
+    void errorsDuringAnEjectionDoNotExtendIt() {
         record(Outcome.ERROR, 10);
         assertEquals(500 * MS, engine.ejectionNs);
     }
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void signOfAnyQueryPostponesTheEjection() {
+    void activityOfAnyQueryPostponesTheEjection() {
         start();
         engine.lastActivityNs = NOW_NS + 1_000 * MS;
         assertFalse(detector.ejectIfUnresponsive(engine, NOW_NS + 2_000 * MS));
@@ -118,11 +118,11 @@
     }
 
     @Test
-    void withoutProgressMessagesPatienceIsEightExpectedDurations() {
-        OutlierDetector patient = new OutlierDetector(0, new ResponseTimeModel());
+    void withoutProgressMessagesTheLimitIsEightExpectedDurations() {
+        OutlierDetector withoutProgress = new OutlierDetector(0, new ResponseTimeModel());
         start();
-        assertFalse(patient.ejectIfUnresponsive(engine, NOW_NS + 799 * MS));
-        assertTrue(patient.ejectIfUnresponsive(engine, NOW_NS + 801 * MS));
+        assertFalse(withoutProgress.ejectIfUnresponsive(engine, NOW_NS + 799 * MS));
+        assertTrue(withoutProgress.ejectIfUnresponsive(engine, NOW_NS + 801 * MS));
     }
 
     private void start() {
--- a/decisions/src/test/java/ashlink/decisions/OverloadDetectorTest.java
+++ b/decisions/src/test/java/ashlink/decisions/OverloadDetectorTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When an engine is overloaded. */
+/** Tests the conditions under which an engine is overloaded. */
 class OverloadDetectorTest {
 
     private static final LoadReport BUSY = new LoadReport(0, 0.95, 0, 0);
@@ -26,13 +26,13 @@
     }
 
     @Test
-    void engineWithoutSignsIsNotOverloaded() {
+    void engineWithoutIndicationsIsNotOverloaded() {
         assertFalse(detector.isOverloaded(engine, NOW_NS));
         assertFalse(isOverloaded(IDLE));
     }
 
     @Test
-    void busyCoresMemoryOrDisksAreOverload() {
+    void busyCoresMemoryOrDisksIndicateOverload() {
         assertTrue(isOverloaded(BUSY));
         assertTrue(isOverloaded(new LoadReport(0, 0, 0.95, 0)));
         assertTrue(isOverloaded(new LoadReport(0, 0, 0, 0.95)));
@@ -40,33 +40,33 @@
     }
 
     @Test
-    void queuedQueryIsOverload() {
+    void queuedQueryIndicatesOverload() {
         assertTrue(isOverloaded(new LoadReport(1, 0, 0, 0)));
     }
 
     @Test
-    void queriesInFlightForAllThreadsAreOverload() {
+    void queriesInFlightUpToTheInitialLimitIndicateOverload() {
         double unknown = Double.NaN;
         assertFalse(isOverloaded(new LoadReport(unknown, unknown, unknown, unknown, 5)));
         assertTrue(isOverloaded(new LoadReport(unknown, unknown, unknown, unknown, 6)));
     }
 
     @Test
-    void oldReportDoesNotCount() {
+    void oldReportIsIgnored() {
         engine.recordReport(BUSY, NOW_NS);
         assertTrue(detector.isOverloaded(engine, NOW_NS + 2_000 * MS - 1));
         assertFalse(detector.isOverloaded(engine, NOW_NS + 2_000 * MS));
     }
 
     @Test
-    void rejectionIsOverloadForAWhile() {
+    void rejectionIndicatesOverloadForTwoSeconds() {
         engine.lastRejectionNs = NOW_NS;
         assertTrue(detector.isOverloaded(engine, NOW_NS + 2_000 * MS - 1));
         assertFalse(detector.isOverloaded(engine, NOW_NS + 2_000 * MS));
     }
 
     @Test
-    void slowResponsesAreOverload() {
+    void slowResponsesIndicateOverload() {
         engine.slownessWeight = 10;
         engine.lastSlownessNs = NOW_NS;
         engine.slownessLog = Math.log(2.5) * 11 / 10 - 0.001;
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void upToThirtyPercentOfTheReportingEnginesAreFew() {
+    void upToThirtyPercentOverloadedEnginesAreFew() {
         List<EngineState> engines = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             engines.add(TestStates.engine("e" + i));
--- a/decisions/src/test/java/ashlink/decisions/PriorityPolicyTest.java
+++ b/decisions/src/test/java/ashlink/decisions/PriorityPolicyTest.java
@@ -9,10 +9,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The scheduling priority of an attempt, and what a short query is. */
+/** Tests the scheduling priority of an attempt, and the classification of short queries. */
 class PriorityPolicyTest {
 
-    /** The class with the most work: 10 s by its prior. */
+    /** The class with the most work; its prior value is 10 s. */
     private final QueryClassStatistics reports =
             new QueryClassStatistics(RouterHarness.reportClass(Set.of(), Set.of()));
 
@@ -37,9 +37,9 @@
     }
 
     @Test
-    void withoutPrioritiesAllAreEqual() {
-        PriorityPolicy equal = new PriorityPolicy(false, shortQueries);
-        assertEquals(1, equal.priorityOf(lookup, lookup.objectiveEndNs()));
+    void allPrioritiesAreEqualWithoutEngineSupport() {
+        PriorityPolicy withoutPriorities = new PriorityPolicy(false, shortQueries);
+        assertEquals(1, withoutPriorities.priorityOf(lookup, lookup.objectiveEndNs()));
     }
 
     @Test
--- a/decisions/src/test/java/ashlink/decisions/QueryClassStatisticsTest.java
+++ b/decisions/src/test/java/ashlink/decisions/QueryClassStatisticsTest.java
@@ -5,21 +5,21 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The statistics of a class with an objective of 500 ms on one thread. */
+/** Tests the statistics of a class with one thread per query and a latency objective of 500 ms. */
 class QueryClassStatisticsTest {
 
     private final QueryClassStatistics statistics =
             new QueryClassStatistics(RouterHarness.shortClass("lookup"));
 
-    /** Response times that alternate between one and {@code ratio} times the estimate. */
-    private void scatter(double ratio) {
+    /** Records response times that alternate between one and {@code ratio} times the estimate. */
+    private void recordAlternatingResponses(double ratio) {
         for (int i = 0; i < 1_000; i++) {
             statistics.recordResponse(i % 2 == 0 ? 0 : Math.log(ratio), true);
         }
     }
 
     @Test
-    void priorMeetsTheObjective() {
+    void priorWorkMeetsTheObjective() {
         assertEquals(500, statistics.priorWorkMs());
         assertEquals(500, statistics.meanWorkMs());
         assertEquals(500, statistics.conservativeWorkMs());
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void priorWeighsLessTheMoreQueriesWereSeen() {
+    void priorWeighsLessAsQueriesAreRecorded() {
         for (int i = 0; i < 10; i++) {
             statistics.recordEstimate(100);
         }
@@ -49,25 +49,25 @@
 
     @Test
     void estimatesAreCorrectedByTheLowerQuartile() {
-        scatter(4);
+        recordAlternatingResponses(4);
         assertEquals(10, statistics.correctedMs(10), 2);
     }
 
     @Test
-    void scatteredResponsesAreLessConsistent() {
-        scatter(16);
+    void variableResponseTimesAreLessConsistent() {
+        recordAlternatingResponses(16);
         assertTrue(statistics.consistency() < 0.5);
     }
 
     @Test
-    void narrowResponsesAreConsistent() {
-        scatter(1.1);
+    void similarResponseTimesAreConsistent() {
+        recordAlternatingResponses(1.1);
         assertEquals(1, statistics.consistency());
     }
 
     @Test
-    void scatterDoesNotCountWhileOnlyEstimatesAreKnown() {
-        scatter(16);
+    void variationIsIgnoredWhileOnlyEstimatesAreKnown() {
+        recordAlternatingResponses(16);
         statistics.recordEstimate(10);
         assertEquals(1, statistics.consistency());
         statistics.recordWork(10);
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void firstResponsesWithoutEstimateMoveTheExpectationFast() {
+    void firstResponseWithoutEstimateHasALargeStep() {
         statistics.recordResponse(-1, false);
         assertEquals(-0.75, statistics.expectedLog());
         statistics.recordResponse(-1, true);
--- a/decisions/src/test/java/ashlink/decisions/QueryCompletionTest.java
+++ b/decisions/src/test/java/ashlink/decisions/QueryCompletionTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The final answer of a query and its removal. */
+/** Tests the final answer to a query and its removal. */
 class QueryCompletionTest {
 
     private static final long RETRY_AFTER_NS = 500 * MS;
@@ -49,14 +49,14 @@
     }
 
     @Test
-    void unsafeQueryThatMayHaveRunFails() {
+    void atMostOnceQueryThatMayHaveRunFails() {
         assertEquals(
                 new Fail(1),
                 answerIfItMayHaveRun(RetrySafety.AT_MOST_ONCE, DeduplicationScope.ALL));
     }
 
     @Test
-    void queryWhoseScopeTheClientMayLeaveFails() {
+    void zoneDeduplicatedQueryThatMayHaveRunFails() {
         assertEquals(
                 new Fail(1),
                 answerIfItMayHaveRun(RetrySafety.DEDUPLICATED, DeduplicationScope.ZONE));
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void queryStaysUntilItsAttemptHasEnded() {
+    void queryIsKeptUntilItsAttemptHasEnded() {
         QueryState query = add(RetrySafety.AT_MOST_ONCE, DeduplicationScope.ALL);
         query.startAttempt(TestStates.engine("a"), NOW_NS);
         query.finished = true;
--- a/decisions/src/test/java/ashlink/decisions/QueryRestartPolicyTest.java
+++ b/decisions/src/test/java/ashlink/decisions/QueryRestartPolicyTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which running queries are restarted; they are expected to take 100 ms. */
+/** Tests which running queries are restarted; their expected duration is 100 ms. */
 class QueryRestartPolicyTest {
 
     private static final QueryClass LOOKUP = RouterHarness.shortClass("lookup");
@@ -20,10 +20,10 @@
     private final ActionBuffer actions = new ActionBuffer();
     private final EngineState engine = TestStates.engine("a");
     private final QueryClassStatistics statistics = new QueryClassStatistics(LOOKUP);
-    private final QueryState query = running(statistics);
+    private final QueryState query = runningQuery(statistics);
 
-    private QueryState running(QueryClassStatistics ofClass) {
-        QueryState started = TestStates.query(1, ofClass);
+    private QueryState runningQuery(QueryClassStatistics classStatistics) {
+        QueryState started = TestStates.query(1, classStatistics);
         started.grantMb = 110;
         TestStates.start(started, engine, NOW_NS);
         return started;
@@ -44,13 +44,13 @@
     }
 
     @Test
-    void queryThatHardlyProgressesIsRestarted() {
+    void queryWithLittleProgressIsRestarted() {
         policy(1_000 * MS, true).onProgress(query, 0.1, NOW_NS + 100 * MS);
         assertCancelled(true);
     }
 
     @Test
-    void queryThatProgressesIsNotRestarted() {
+    void queryWithEnoughProgressIsNotRestarted() {
         policy(1_000 * MS, true).onProgress(query, 0.5, NOW_NS + 100 * MS);
         assertCancelled(false);
     }
@@ -68,23 +68,23 @@
     }
 
     @Test
-    void queryIsRestartedTwiceAtMost() {
+    void queryIsRestartedAtMostTwice() {
         query.restarts = 2;
         policy(1_000 * MS, true).onProgress(query, 0.1, NOW_NS + 100 * MS);
         assertCancelled(false);
     }
 
     @Test
-    void unsafeQueryIsNotRestarted() {
+    void atMostOnceQueryIsNotRestarted() {
         QueryClass unsafe =
                 RouterHarness.loadClass(RetrySafety.AT_MOST_ONCE, DeduplicationScope.ALL, false);
-        QueryState load = running(new QueryClassStatistics(unsafe));
+        QueryState load = runningQuery(new QueryClassStatistics(unsafe));
         policy(1_000 * MS, true).onProgress(load, 0.01, NOW_NS + 1_000 * MS);
         assertCancelled(false);
     }
 
     @Test
-    void waitingTimeDoesNotCount() {
+    void timeWaitingForResourcesIsExcluded() {
         query.workingSinceNs = NOW_NS + 90 * MS;
         policy(1_000 * MS, true).onProgress(query, 0.1, NOW_NS + 100 * MS);
         assertCancelled(false);
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void queryThatCanMeetItsObjectiveIsNotOverdue() {
+    void queryWithinItsObjectiveIsNotOverdue() {
         policy(0, true).restartIfOverdue(query, query.objectiveEndNs());
         assertCancelled(false);
     }
--- a/decisions/src/test/java/ashlink/decisions/QueryRestartTest.java
+++ b/decisions/src/test/java/ashlink/decisions/QueryRestartTest.java
@@ -1,6 +1,6 @@
 package ashlink.decisions;
 
-import static ashlink.decisions.ManyRouters.router;
+import static ashlink.decisions.LargeFleet.router;
 import static ashlink.decisions.RouterHarness.enginesOf;
 import static ashlink.decisions.RouterHarness.ofType;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -15,7 +15,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The restart of running queries, and the memory grants that spills lead to. */
+/**
+ * Tests, through the workload manager, the restart of running queries and the memory grants after
+ * spills.
+ */
 class QueryRestartTest {
 
     @Test
@@ -23,9 +26,9 @@
         RouterHarness router = RouterHarness.withReportsAndLookups("a", "b");
         String engine = enginesOf(router.submit(1, "report", null, 1_000)).get(0);
         router.advanceMs(1_000);
-        List<Action> decided =
+        List<Action> actions =
                 router.deliver(new AttemptProgress(1, 0, engine, ProgressKind.FRACTION_DONE, 0.05));
-        assertEquals(List.of(new CancelAttempt(1, 0)), ofType(CancelAttempt.class, decided));
+        assertEquals(List.of(new CancelAttempt(1, 0)), ofType(CancelAttempt.class, actions));
         router.endAttempt(1, 0, engine, Outcome.CANCELLED, 1_000);
         assertEquals(2, router.startedAttempts().size());
     }
@@ -45,7 +48,7 @@
     }
 
     @Test
-    void spillsRaiseTheGrantUpToTheLargest() {
+    void spillsRaiseTheGrantUpToTheMaximum() {
         RouterHarness router = RouterHarness.withReportsAndLookups("a");
         long first =
                 ofType(SetAttemptResources.class, router.submit(0, "report", null, 100))
@@ -56,18 +59,18 @@
             router.endAttempt(i, 0, "a", Outcome.SERVED, 50);
             router.submit(i + 1, "report", null, 100);
         }
-        List<SetAttemptResources> terms = ofType(SetAttemptResources.class, router.actions);
-        assertTrue(terms.get(100).memoryMb() > first);
-        assertTrue(terms.get(100).memoryMb() <= 0.4 * 8_000);
+        List<SetAttemptResources> resources = ofType(SetAttemptResources.class, router.actions);
+        assertTrue(resources.get(100).memoryMb() > first);
+        assertTrue(resources.get(100).memoryMb() <= 0.4 * 8_000);
     }
 
     @Test
     void earlySpillRestartsTheQueryWithTheMemoryItNeeds() {
         RouterHarness router = router(1, 0, 2);
         String engine = enginesOf(router.submit(1, "report", null, 1_000)).get(0);
-        List<Action> decided =
+        List<Action> actions =
                 router.deliver(new AttemptProgress(1, 0, engine, ProgressKind.SPILLED_MB, 900));
-        assertEquals(List.of(new CancelAttempt(1, 0)), ofType(CancelAttempt.class, decided));
+        assertEquals(List.of(new CancelAttempt(1, 0)), ofType(CancelAttempt.class, actions));
         long first = ofType(SetAttemptResources.class, router.actions).get(0).memoryMb();
         long second =
                 ofType(
@@ -105,7 +108,7 @@
     }
 
     @Test
-    void waitingForMemoryIsNoSignOfABadPlan() {
+    void waitingForMemoryDoesNotIndicateABadPlan() {
         RouterHarness router = router(1, 0, 2);
         String engine = enginesOf(router.submit(1, "report", null, 1_000)).get(0);
         for (int i = 0; i < 5; i++) {
--- a/decisions/src/test/java/ashlink/decisions/QueueOrderTest.java
+++ b/decisions/src/test/java/ashlink/decisions/QueueOrderTest.java
@@ -16,7 +16,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The order of the queue and the queries that are given up in it. */
+/**
+ * Tests, through the workload manager, the order of queued queries and the rejection of late
+ * queries.
+ */
 class QueueOrderTest {
 
     private static final long NO_ESTIMATE = 0;
@@ -51,17 +54,17 @@
     }
 
     @Test
-    void likeQueriesStartInOrderOfSubmissionWhileEstimatesAreCorrected() {
+    void equalQueriesStartInOrderOfSubmissionWhileEstimatesAreCorrected() {
         RouterHarness router = RouterHarness.withClasses(shortClass("lookup")).withEngines("a");
         for (int i = 0; i < 80; i++) {
             router.submit(i, "lookup", null, NO_ESTIMATE);
             if (i > 30 && i % 2 == 0) {
                 router.nowNs += MS;
-                // Far below the expected duration, which falls with each response.
+                // Far below the expected duration, so that each response lowers it.
                 router.serveOldest(1, 2);
             }
         }
-        assertTrue(router.startedAttempts().size() < 80, "none was queued");
+        assertTrue(router.startedAttempts().size() < 80, "no query was queued");
         for (int i = 0; i < 100; i++) {
             router.nowNs += MS;
             router.serveOldest(1, 2);
--- a/decisions/src/test/java/ashlink/decisions/RandomEventReplay.java
+++ b/decisions/src/test/java/ashlink/decisions/RandomEventReplay.java
@@ -25,7 +25,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** Delivers a seeded stream of random events and checks every action against the rules. */
+/** Delivers a seeded stream of random events and checks every action against the invariants. */
 final class RandomEventReplay {
 
     private static final Outcome[] OUTCOMES = Outcome.values();
@@ -38,11 +38,11 @@
     private final Map<Long, StartAttempt> inFlight = new HashMap<>();
     private final Map<Long, Integer> attempts = new HashMap<>();
     private final Map<Long, Long> deadlinesNs = new HashMap<>();
-    private final Set<Long> loads = new HashSet<>();
-    private final Set<Long> reports = new HashSet<>();
+    private final Set<Long> atMostOnceQueries = new HashSet<>();
+    private final Set<Long> restrictedQueries = new HashSet<>();
     private final Set<Long> mayHaveRun = new HashSet<>();
     private final Set<Long> answered = new HashSet<>();
-    private final Set<String> closedEngines = new HashSet<>();
+    private final Set<String> unavailableEngines = new HashSet<>();
     private int checkedActions;
 
     RandomEventReplay(long seed) {
@@ -68,19 +68,19 @@
                 RouterHarness.endpoint("c", "z1", "small", EndpointState.READY, 0));
         for (long id = 0; id < EVENTS; id++) {
             deliverRandomEvent(id);
-            checkRules();
+            checkInvariants();
             expireAttempts();
-            checkRules();
+            checkInvariants();
             router.advanceMs(random.nextInt(40));
-            checkRules();
+            checkInvariants();
         }
         for (int i = 0; i < 100; i++) {
             router.advanceMs(50);
-            checkRules();
+            checkInvariants();
             expireAttempts();
         }
-        checkRules();
-        assertEquals(deadlinesNs.keySet(), answered, "every query has its answer");
+        checkInvariants();
+        assertEquals(deadlinesNs.keySet(), answered, "queries with a final answer");
         return router.actions.toString();
     }
 
@@ -101,9 +101,9 @@
         String queryClass = List.of("lookup", "report", "load").get(random.nextInt(3));
         deadlinesNs.put(id, router.nowNs + DEADLINE_MS * MS);
         if (queryClass.equals("load")) {
-            loads.add(id);
+            atMostOnceQueries.add(id);
         } else if (queryClass.equals("report")) {
-            reports.add(id);
+            restrictedQueries.add(id);
         }
         router.submit(
                 id,
@@ -127,7 +127,7 @@
             mayHaveRun.add(id);
         }
         if (outcome == Outcome.SERVED) {
-            assertTrue(answered.add(id), "answered twice");
+            assertTrue(answered.add(id), "query answered twice");
         }
         router.endAttempt(
                 id, attempts.get(id) - 1, attempt.engine(), outcome, 1 + random.nextInt(2_000));
@@ -137,9 +137,9 @@
         String engine = ENGINES[random.nextInt(ENGINES.length)];
         EndpointState state = EndpointState.values()[random.nextInt(3)];
         if (state == EndpointState.READY) {
-            closedEngines.remove(engine);
+            unavailableEngines.remove(engine);
         } else {
-            closedEngines.add(engine);
+            unavailableEngines.add(engine);
         }
         router.changeEndpoints(
                 EndpointListKind.DELTA,
@@ -167,18 +167,19 @@
         }
     }
 
-    private void checkRules() {
+    private void checkInvariants() {
         List<Action> actions = router.actions;
         for (Action action : actions.subList(checkedActions, actions.size())) {
             if (action instanceof StartAttempt attempt) {
                 checkStart(attempt);
             } else if (action instanceof Reject reject) {
                 assertTrue(
-                        !loads.contains(reject.id()) || !mayHaveRun.contains(reject.id()),
-                        "rejected though it may have run");
-                assertTrue(answered.add(reject.id()), "answered twice");
+                        !atMostOnceQueries.contains(reject.id())
+                                || !mayHaveRun.contains(reject.id()),
+                        "rejected a query that may have been executed");
+                assertTrue(answered.add(reject.id()), "query answered twice");
             } else if (action instanceof Fail fail) {
-                assertTrue(answered.add(fail.id()), "answered twice");
+                assertTrue(answered.add(fail.id()), "query answered twice");
             }
         }
         checkedActions = actions.size();
@@ -186,13 +187,17 @@
 
     private void checkStart(StartAttempt attempt) {
         long id = attempt.id();
-        assertTrue(!answered.contains(id), "started after its answer");
+        assertTrue(!answered.contains(id), "started after the final answer");
         assertTrue(inFlight.put(id, attempt) == null, "two attempts in flight");
-        assertTrue(!closedEngines.contains(attempt.engine()), "started on a draining engine");
         assertTrue(
-                !loads.contains(id) || !mayHaveRun.contains(id), "an unsafe query started again");
+                !unavailableEngines.contains(attempt.engine()),
+                "started on an engine that is not ready");
         assertTrue(
-                !reports.contains(id) || !attempt.engine().equals("c"), "started on a wrong kind");
+                !atMostOnceQueries.contains(id) || !mayHaveRun.contains(id),
+                "retried a query that must not run twice");
+        assertTrue(
+                !restrictedQueries.contains(id) || !attempt.engine().equals("c"),
+                "started on a kind of engine that is not allowed");
         assertTrue(
                 attempts.merge(id, 1, Integer::sum) <= CAPABILITIES.maxAttempts(),
                 "too many attempts");
--- a/decisions/src/test/java/ashlink/decisions/RandomEventsTest.java
+++ b/decisions/src/test/java/ashlink/decisions/RandomEventsTest.java
@@ -4,22 +4,22 @@
 
 import org.junit.jupiter.api.Test;
 
-/** A seeded stream of random events. */
+/** Tests the workload manager with seeded streams of random events. */
 class RandomEventsTest {
 
     @Test
-    void randomEventsViolateNoRule() {
+    void randomEventsViolateNoInvariant() {
         for (long seed = 1; seed <= 5; seed++) {
             new RandomEventReplay(seed).run();
         }
     }
 
     @Test
-    void sameEventsGiveTheSameActions() {
-        String alone = new RandomEventReplay(11).run();
+    void equalEventsGiveEqualActions() {
+        String expected = new RandomEventReplay(11).run();
         RouterHarness other = new RouterHarness(RandomEventReplay.settings());
         other.withEngines("x", "y");
         other.submit(1, "lookup", null, 10);
-        assertEquals(alone, new RandomEventReplay(11).run());
+        assertEquals(expected, new RandomEventReplay(11).run());
     }
 }
--- a/decisions/src/test/java/ashlink/decisions/ResponseTimeModelTest.java
+++ b/decisions/src/test/java/ashlink/decisions/ResponseTimeModelTest.java
@@ -7,7 +7,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How slow an engine is by its responses; a query is expected to take 100 ms. */
+/**
+ * Tests the slowness of engines as derived from response times; the expected duration of a query is
+ * 100 ms.
+ */
 class ResponseTimeModelTest {
 
     private final ResponseTimeModel model = new ResponseTimeModel();
@@ -18,7 +21,7 @@
     private void respond(long durationMs, int times) {
         for (int i = 0; i < times; i++) {
             QueryState query = TestStates.query(i, statistics);
-            // Recorded as overloaded, so that the expectation does not change.
+            // Recorded as overloaded, so that the expected response time does not change.
             model.record(query, engine, TestStates.served(query, durationMs), true, NOW_NS);
         }
     }
@@ -42,7 +45,7 @@
     }
 
     @Test
-    void overdueRunningQueryCounts() {
+    void overdueRunningQueryAddsToTheSlowness() {
         TestStates.start(TestStates.query(1, statistics), engine, NOW_NS);
         assertEquals(0, model.slownessLog(engine, NOW_NS + 249 * MS));
         double overdueLog = model.slownessLog(engine, NOW_NS + 1_000 * MS);
@@ -56,13 +59,13 @@
     }
 
     @Test
-    void overloadedEngineDoesNotChangeTheExpectation() {
+    void responsesDuringOverloadDoNotChangeTheExpectedTime() {
         respond(400, 100);
         assertEquals(0, statistics.expectedLog());
     }
 
     @Test
-    void responsesWithoutOverloadChangeTheExpectation() {
+    void responsesWithoutOverloadChangeTheExpectedTime() {
         for (int i = 0; i < 500; i++) {
             QueryState query = TestStates.query(i, statistics);
             model.record(query, engine, TestStates.served(query, 400), false, NOW_NS);
--- a/decisions/src/test/java/ashlink/decisions/RetryBudgetTest.java
+++ b/decisions/src/test/java/ashlink/decisions/RetryBudgetTest.java
@@ -8,7 +8,7 @@
 import ashlink.decisions.api.PolicyLimits;
 import org.junit.jupiter.api.Test;
 
-/** The retries that a window allows. */
+/** Tests the number of retries allowed in a window. */
 class RetryBudgetTest {
 
     private static final long WINDOW_NS = 10_000 * MS;
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void withoutAWindowAllRetriesAreAllowed() {
+    void allRetriesAreAllowedWithoutAWindow() {
         assertTrue(budget(0, 0, 0).allows(retried, NOW_NS));
     }
 
--- a/decisions/src/test/java/ashlink/decisions/RetryPolicyTest.java
+++ b/decisions/src/test/java/ashlink/decisions/RetryPolicyTest.java
@@ -17,10 +17,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Whether and where a query may be sent again. */
+/** Tests whether and on which engines a query may be retried. */
 class RetryPolicyTest {
 
-    /** Deduplication window of the class, less one maintenance interval. */
+    /** Deduplication window of the class minus one maintenance interval. */
     private static final long SAFE_WINDOW_NS = 2_000 * MS - 50 * MS;
 
     private final RetryPolicy policy = new RetryPolicy(4);
@@ -32,8 +32,8 @@
         otherZone.endpoint = RouterHarness.endpoint("c", "z2", "big", EndpointState.READY, 0);
     }
 
-    /** A query with an attempt on the engine that ended like this. */
-    private QueryState ended(RetrySafety safety, DeduplicationScope scope, Outcome outcome) {
+    /** Returns a query whose attempt on the engine ended with the outcome. */
+    private QueryState endedQuery(RetrySafety safety, DeduplicationScope scope, Outcome outcome) {
         QueryState query = TestStates.query(1, RouterHarness.loadClass(safety, scope, false));
         query.startAttempt(engine, NOW_NS);
         query.engine = null;
@@ -42,50 +42,56 @@
     }
 
     @Test
-    void unsafeQueryThatMayHaveRunIsNotRetried() {
-        QueryState query = ended(RetrySafety.AT_MOST_ONCE, DeduplicationScope.ALL, Outcome.RESET);
+    void atMostOnceQueryThatMayHaveRunIsNotRetried() {
+        QueryState query =
+                endedQuery(RetrySafety.AT_MOST_ONCE, DeduplicationScope.ALL, Outcome.RESET);
         assertFalse(policy.mayRetry(query));
         assertFalse(policy.allows(query, engine, NOW_NS));
     }
 
     @Test
-    void unsafeQueryThatNeverRanIsRetriedAnywhere() {
+    void atMostOnceQueryThatNeverRanIsRetriedAnywhere() {
         QueryState query =
-                ended(RetrySafety.AT_MOST_ONCE, DeduplicationScope.ALL, Outcome.REJECTED);
+                endedQuery(RetrySafety.AT_MOST_ONCE, DeduplicationScope.ALL, Outcome.REJECTED);
         assertTrue(policy.mayRetry(query));
         assertTrue(policy.allows(query, otherZone, NOW_NS));
     }
 
     @Test
     void idempotentQueryIsRetriedAnywhereAtAnyTime() {
-        QueryState query = ended(RetrySafety.IDEMPOTENT, DeduplicationScope.ALL, Outcome.ERROR);
+        QueryState query =
+                endedQuery(RetrySafety.IDEMPOTENT, DeduplicationScope.ALL, Outcome.ERROR);
         assertTrue(policy.allows(query, otherZone, NOW_NS + 10_000 * MS));
     }
 
     @Test
     void deduplicatedQueryIsRetriedWithinItsScopeOnly() {
-        QueryState query = ended(RetrySafety.DEDUPLICATED, DeduplicationScope.ZONE, Outcome.ERROR);
+        QueryState query =
+                endedQuery(RetrySafety.DEDUPLICATED, DeduplicationScope.ZONE, Outcome.ERROR);
         assertTrue(policy.allows(query, sameZone, NOW_NS));
         assertFalse(policy.allows(query, otherZone, NOW_NS));
     }
 
     @Test
-    void deduplicationScopeOfACellFollowsTheCell() {
-        QueryState query = ended(RetrySafety.DEDUPLICATED, DeduplicationScope.CELL, Outcome.ERROR);
+    void cellDeduplicatedQueryIsRetriedWithinItsCellOnly() {
+        QueryState query =
+                endedQuery(RetrySafety.DEDUPLICATED, DeduplicationScope.CELL, Outcome.ERROR);
         assertTrue(policy.allows(query, sameZone, NOW_NS));
         assertFalse(policy.allows(query, otherZone, NOW_NS));
     }
 
     @Test
     void deduplicatedQueryIsRetriedWithinItsWindowOnly() {
-        QueryState query = ended(RetrySafety.DEDUPLICATED, DeduplicationScope.ALL, Outcome.ERROR);
+        QueryState query =
+                endedQuery(RetrySafety.DEDUPLICATED, DeduplicationScope.ALL, Outcome.ERROR);
         assertTrue(policy.allows(query, otherZone, NOW_NS + SAFE_WINDOW_NS - 1));
         assertFalse(policy.allows(query, otherZone, NOW_NS + SAFE_WINDOW_NS));
     }
 
     @Test
     void windowStartsWithTheFirstAttemptThatMayHaveRun() {
-        QueryState query = ended(RetrySafety.DEDUPLICATED, DeduplicationScope.ALL, Outcome.ERROR);
+        QueryState query =
+                endedQuery(RetrySafety.DEDUPLICATED, DeduplicationScope.ALL, Outcome.ERROR);
         query.startAttempt(otherZone, NOW_NS + 1_000 * MS);
         policy.recordOutcome(query, Outcome.ERROR);
         assertSame(engine.endpoint, query.mayHaveRunOn);
@@ -93,18 +99,20 @@
     }
 
     @Test
-    void attemptThatNeverRanLeavesNoTrace() {
+    void attemptThatNeverRanIsNotRecorded() {
         for (Outcome outcome :
                 List.of(Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)) {
             assertNull(
-                    ended(RetrySafety.AT_MOST_ONCE, DeduplicationScope.ALL, outcome).mayHaveRunOn,
+                    endedQuery(RetrySafety.AT_MOST_ONCE, DeduplicationScope.ALL, outcome)
+                            .mayHaveRunOn,
                     outcome.name());
         }
     }
 
     @Test
     void attemptsAreLimited() {
-        QueryState query = ended(RetrySafety.IDEMPOTENT, DeduplicationScope.ALL, Outcome.ERROR);
+        QueryState query =
+                endedQuery(RetrySafety.IDEMPOTENT, DeduplicationScope.ALL, Outcome.ERROR);
         query.attempts = 3;
         assertTrue(policy.mayRetry(query));
         query.attempts = 4;
@@ -113,12 +121,12 @@
 
     @Test
     void onlyAnAttemptWithoutResultMayStillRun() {
-        Set<Outcome> running = EnumSet.noneOf(Outcome.class);
+        Set<Outcome> mayStillRun = EnumSet.noneOf(Outcome.class);
         for (Outcome outcome : Outcome.values()) {
             if (RetryPolicy.mayStillRun(outcome)) {
-                running.add(outcome);
+                mayStillRun.add(outcome);
             }
         }
-        assertEquals(EnumSet.of(Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED), running);
+        assertEquals(EnumSet.of(Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED), mayStillRun);
     }
 }
--- a/decisions/src/test/java/ashlink/decisions/RouterHarness.java
+++ b/decisions/src/test/java/ashlink/decisions/RouterHarness.java
@@ -35,8 +35,8 @@
 import java.util.Set;
 
 /**
- * A router for tests: delivers events to a workload manager at a time set by the test, answers its
- * health checks with the load report set for the engine, and records the actions.
+ * A router for tests. Delivers events to a workload manager at a time set by the test, answers its
+ * health checks with the load report set for the engine, and records its actions.
  */
 final class RouterHarness {
 
@@ -63,11 +63,11 @@
     final WorkloadManager workloadManager;
     final List<Action> actions = new ArrayList<>();
 
-    /** Load reports by engine; an engine without one reports {@link #HALF_BUSY}. */
+    /** Load reports by engine; an engine without an entry reports {@link #HALF_BUSY}. */
     final Map<String, LoadReport> loadReports = new HashMap<>();
 
     /** Engines that do not answer health checks. */
-    final Set<String> unansweredEngines = new HashSet<>();
+    final Set<String> enginesWithoutHealthCheckResults = new HashSet<>();
 
     /** Attempts in flight, by query. */
     final Map<Long, StartAttempt> inFlight = new LinkedHashMap<>();
@@ -119,18 +119,19 @@
                 true);
     }
 
-    static QueryClass loadClass(RetrySafety effect, DeduplicationScope group, boolean inOrder) {
+    static QueryClass loadClass(
+            RetrySafety retrySafety, DeduplicationScope deduplicationScope, boolean ordered) {
         return new QueryClass(
                 "load",
                 5_000 * MS,
                 1,
                 20_000 * MS,
-                effect,
-                group,
+                retrySafety,
+                deduplicationScope,
                 2_000 * MS,
                 7,
                 0.5,
-                inOrder,
+                ordered,
                 Set.of(),
                 Set.of(),
                 2,
@@ -155,7 +156,7 @@
         return new RouterHarness(settings(1, CAPABILITIES, LIMITS, classes));
     }
 
-    /** A router alone, with a class of reports and one of lookups. */
+    /** Creates the only router of a fleet, with a class of reports and a class of lookups. */
     static RouterHarness withReportsAndLookups(String... engines) {
         return withClasses(reportClass(Set.of(), Set.of()), shortClass("lookup"))
                 .withEngines(engines);
@@ -170,8 +171,8 @@
         return endpoint(engine, "z1", "big", EndpointState.READY, 0);
     }
 
-    RouterHarness changeEndpoints(EndpointListKind form, Endpoint... entries) {
-        deliver(new EndpointsChanged(form, Arrays.asList(entries)));
+    RouterHarness changeEndpoints(EndpointListKind kind, Endpoint... endpoints) {
+        deliver(new EndpointsChanged(kind, Arrays.asList(endpoints)));
         return this;
     }
 
@@ -181,7 +182,7 @@
                 Arrays.stream(names).map(RouterHarness::readyEndpoint).toArray(Endpoint[]::new));
     }
 
-    /** Has the engines report that they are overloaded. */
+    /** Delivers load reports of overload from the engines. */
     void reportOverload(String... engines) {
         for (String engine : engines) {
             loadReports.put(engine, OVERLOADED);
@@ -193,17 +194,17 @@
         if (event instanceof AttemptEnded attemptEnded) {
             inFlight.remove(attemptEnded.id());
         }
-        List<Action> decided = workloadManager.onEvent(event, nowNs);
-        actions.addAll(decided);
-        List<Action> all = new ArrayList<>(decided);
-        for (Action action : decided) {
+        List<Action> newActions = workloadManager.onEvent(event, nowNs);
+        actions.addAll(newActions);
+        List<Action> all = new ArrayList<>(newActions);
+        for (Action action : newActions) {
             if (action instanceof SetTimer timer) {
                 timers.add(timer);
             } else if (action instanceof StartAttempt startAttempt) {
                 inFlight.put(startAttempt.id(), startAttempt);
                 attemptCounts.merge(startAttempt.id(), 1, Integer::sum);
             } else if (action instanceof CheckHealth checkHealth
-                    && !unansweredEngines.contains(checkHealth.engine())) {
+                    && !enginesWithoutHealthCheckResults.contains(checkHealth.engine())) {
                 all.addAll(
                         deliver(
                                 new HealthCheckCompleted(
@@ -222,25 +223,30 @@
     }
 
     List<Action> submit(
-            long id, String queryClass, String key, long tables, long workMs, long withinMs) {
+            long id, String queryClass, String key, long tableGroup, long workMs, long timeoutMs) {
         return deliver(
                 new QuerySubmitted(
-                        id, queryClass, key, tables, nowNs + withinMs * MS, workMs * MS, 100));
+                        id, queryClass, key, tableGroup, nowNs + timeoutMs * MS, workMs * MS, 100));
     }
 
-    List<Action> endAttempt(long id, int attempt, String engine, Outcome outcome, long tookMs) {
-        return endAttempt(id, attempt, engine, outcome, tookMs, LoadReport.NONE);
+    List<Action> endAttempt(long id, int attempt, String engine, Outcome outcome, long durationMs) {
+        return endAttempt(id, attempt, engine, outcome, durationMs, LoadReport.NONE);
     }
 
     List<Action> endAttempt(
-            long id, int attempt, String engine, Outcome outcome, long tookMs, LoadReport report) {
+            long id,
+            int attempt,
+            String engine,
+            Outcome outcome,
+            long durationMs,
+            LoadReport report) {
         return deliver(
                 new AttemptEnded(
                         id,
                         attempt,
                         engine,
                         outcome,
-                        tookMs * MS,
+                        durationMs * MS,
                         outcome == Outcome.SERVED,
                         0,
                         0,
@@ -250,32 +256,32 @@
     /**
      * Ends the oldest attempts in flight as served.
      *
-     * @param most number of attempts to end
-     * @param tookMs duration of each of them
+     * @param maxCount maximum number of attempts to end
+     * @param durationMs duration of each attempt
      */
-    void serveOldest(int most, long tookMs) {
+    void serveOldest(int maxCount, long durationMs) {
         for (StartAttempt startAttempt :
-                List.copyOf(inFlight.values()).subList(0, Math.min(most, inFlight.size()))) {
+                List.copyOf(inFlight.values()).subList(0, Math.min(maxCount, inFlight.size()))) {
             endAttempt(
                     startAttempt.id(),
                     attemptCounts.get(startAttempt.id()) - 1,
                     startAttempt.engine(),
                     Outcome.SERVED,
-                    tookMs);
+                    durationMs);
         }
     }
 
-    /** Advances the time, fires the timers that are due, and returns the actions. */
+    /** Advances the time, fires the timers that are due, and returns the resulting actions. */
     List<Action> advanceMs(long ms) {
-        int from = actions.size();
-        long until = nowNs + ms * MS;
-        while (!timers.isEmpty() && timers.peek().timeNs() <= until) {
-            SetTimer due = timers.poll();
-            nowNs = due.timeNs();
-            deliver(new TimerFired(due.label()));
+        int firstNewAction = actions.size();
+        long untilNs = nowNs + ms * MS;
+        while (!timers.isEmpty() && timers.peek().timeNs() <= untilNs) {
+            SetTimer dueTimer = timers.poll();
+            nowNs = dueTimer.timeNs();
+            deliver(new TimerFired(dueTimer.label()));
         }
-        nowNs = until;
-        return List.copyOf(actions.subList(from, actions.size()));
+        nowNs = untilNs;
+        return List.copyOf(actions.subList(firstNewAction, actions.size()));
     }
 
     static <T extends Action> List<T> ofType(Class<T> type, List<Action> actions) {
--- a/decisions/src/test/java/ashlink/decisions/SlowStartTest.java
+++ b/decisions/src/test/java/ashlink/decisions/SlowStartTest.java
@@ -15,12 +15,15 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The budget of an engine that is warming up. */
+/** Tests the slow start budget of a warming engine. */
 class SlowStartTest {
 
     private static final QueryClass LOOKUP = RouterHarness.shortClass("lookup");
 
-    /** So many that a router has less than one light query per window. */
+    /**
+     * Number of routers with which the budget of a router covers less than one light query per
+     * window.
+     */
     private static final int ROUTERS = 200;
 
     private final EngineState engine = TestStates.engine("a");
@@ -36,7 +39,10 @@
         engine.endpoint = RouterHarness.endpoint("a", "z1", "big", EndpointState.READY, startedNs);
     }
 
-    /** Time in which the budget of one router covers a lookup with the prior of 500 ms. */
+    /**
+     * Returns the time in which the budget of one router accrues a lookup with the prior value of
+     * 500 ms.
+     */
     private static double spacingNs(int routers) {
         return 500 * MS * routers / (0.6 * 3 * 0.3 * 4 * 0.85);
     }
@@ -56,7 +62,7 @@
     }
 
     @Test
-    void withoutAnOverloadLimitNoEngineIsWarmingUp() {
+    void noEngineIsWarmingUpWithoutAnOverloadLimit() {
         PolicyLimits unlimited = new PolicyLimits(0, 0.3, 10_000 * MS, 0, 2_000 * MS, 0, 0, 0, 0);
         startedAt(NOW_NS);
         assertFalse(slowStart(1, unlimited).isWarmingUp(engine, NOW_NS));
@@ -71,7 +77,7 @@
             slowStart.recordStart(query, engine, NOW_NS);
             burst++;
         }
-        // Half a window of 2 s accumulates.
+        // Unused budget accumulates for half of the window of 2 s.
         assertEquals((int) (1_000 * MS / spacingNs(1)), burst);
         long nextNs = (long) (engine.slowStartBudgetTimeNs + spacingNs(1));
         assertFalse(slowStart.allows(query, engine, nextNs - 1));
@@ -79,7 +85,7 @@
     }
 
     @Test
-    void withLessThanOneQueryPerWindowTheStartIsRandomWithinTheGap() {
+    void startTimeIsRandomWithLessThanOneQueryPerWindow() {
         QueryState light = lightQuery();
         startedAt(NOW_NS);
         SlowStart slowStart = slowStart(ROUTERS, LIMITS);
@@ -94,7 +100,7 @@
     }
 
     @Test
-    void unusedRandomTimeExpiresAfterAWindow() {
+    void unusedAdmissionTimeExpiresAfterAWindow() {
         QueryState light = lightQuery();
         startedAt(NOW_NS);
         SlowStart slowStart = slowStart(ROUTERS, LIMITS);
@@ -104,7 +110,7 @@
         assertTrue(engine.slowStartBudgetTimeNs >= laterNs);
     }
 
-    /** A query of a class with a mean work of 20 ms. */
+    /** Returns a query of a class with a mean work of 20 ms. */
     private static QueryState lightQuery() {
         QueryClassStatistics statistics = new QueryClassStatistics(LOOKUP);
         for (int i = 0; i < 1_000; i++) {
@@ -114,7 +120,7 @@
     }
 
     @Test
-    void queryOfWhichTheFleetMayStartFewIsNotAdmitted() {
+    void queryIsNotAdmittedIfTheFleetMayStartFewOfItsClass() {
         startedAt(NOW_NS);
         QueryState report = TestStates.query(2, RouterHarness.reportClass(Set.of(), Set.of()));
         SlowStart slowStart = slowStart(10, LIMITS);
--- a/decisions/src/test/java/ashlink/decisions/TableGroupPlacementTest.java
+++ b/decisions/src/test/java/ashlink/decisions/TableGroupPlacementTest.java
@@ -14,7 +14,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The engines on which a table group is loaded and read. */
+/** Tests on which engines queries lock a table group and on which they wait for the locks. */
 class TableGroupPlacementTest {
 
     private static final QueryClass LOAD =
@@ -40,14 +40,14 @@
     }
 
     @Test
-    void loadsAndReadersHaveSeparateHalves() {
+    void lockingAndWaitingQueriesUseSeparateHalves() {
         List<QueryClass> classes = List.of(LOAD, REPORT);
-        List<EngineState> loading = filtered(classes, LOAD);
-        List<EngineState> reading = filtered(classes, REPORT);
-        assertEquals(2, loading.size());
-        assertEquals(2, reading.size());
-        loading.retainAll(reading);
-        assertTrue(loading.isEmpty());
+        List<EngineState> lockingEngines = filtered(classes, LOAD);
+        List<EngineState> waitingEngines = filtered(classes, REPORT);
+        assertEquals(2, lockingEngines.size());
+        assertEquals(2, waitingEngines.size());
+        lockingEngines.retainAll(waitingEngines);
+        assertTrue(lockingEngines.isEmpty());
     }
 
     @Test
@@ -56,15 +56,15 @@
     }
 
     @Test
-    void withoutReadersLoadsRunAnywhere() {
+    void lockingQueriesRunAnywhereWithoutWaitingClasses() {
         assertEquals(4, filtered(List.of(LOAD, LOOKUP), LOAD).size());
     }
 
     @Test
     void candidatesOfTheOtherHalfAreUsedIfThereAreNoOthers() {
         List<QueryClass> classes = List.of(LOAD, REPORT);
-        List<EngineState> reading = filtered(classes, REPORT);
-        new TableGroupPlacement(engines, classes).filter(TestStates.query(1, LOAD), reading);
-        assertEquals(2, reading.size());
+        List<EngineState> waitingEngines = filtered(classes, REPORT);
+        new TableGroupPlacement(engines, classes).filter(TestStates.query(1, LOAD), waitingEngines);
+        assertEquals(2, waitingEngines.size());
     }
 }
--- a/decisions/src/test/java/ashlink/decisions/TenantQuotaTest.java
+++ b/decisions/src/test/java/ashlink/decisions/TenantQuotaTest.java
@@ -11,12 +11,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The weight of queries within and beyond a tenant's quota. */
+/** Tests the weight of queries within and beyond the quota of a tenant. */
 class TenantQuotaTest {
 
     private static final double OVER_QUOTA_WEIGHT = 0.2;
 
-    /** A quota of two queries a second: ten in the decay time of five seconds. */
+    /**
+     * Returns a quota of two queries per second, which is ten queries per decay time of five
+     * seconds.
+     */
     private static TenantQuota quota(int routers) {
         return new TenantQuota(
                 new Settings(
@@ -53,7 +56,7 @@
     }
 
     @Test
-    void weightStaysAboveThatBeyondTheQuota() {
+    void weightStaysAboveTheOverQuotaWeight() {
         double weight = weightAfter(quota(1), 100_000, 1);
         assertTrue(weight > OVER_QUOTA_WEIGHT && weight < OVER_QUOTA_WEIGHT + 0.001);
     }
@@ -68,14 +71,14 @@
     }
 
     @Test
-    void countDecays() {
+    void queryCountDecays() {
         TenantQuota quota = quota(1);
         assertTrue(weightAfter(quota, 100, 1) < 1);
         assertEquals(1, quota.weightFraction("limited", 1, NOW_NS + 60_000 * MS));
     }
 
     @Test
-    void routerUsesItsPartOfTheQuota() {
+    void routerEnforcesItsPartOfTheQuota() {
         assertTrue(weightAfter(quota(10), 6, 0.1) < 1);
         assertEquals(1, weightAfter(quota(10), 5, 0.9));
     }
--- a/decisions/src/test/java/ashlink/decisions/TestStates.java
+++ b/decisions/src/test/java/ashlink/decisions/TestStates.java
@@ -8,7 +8,7 @@
 import ashlink.decisions.api.Outcome;
 import ashlink.decisions.api.QueryClass;
 
-/** Queries and engines for the tests of single rules. */
+/** Creates the states of queries and engines for the tests of single classes. */
 final class TestStates {
 
     static final long NOW_NS = 100_000 * MS;
@@ -16,9 +16,9 @@
 
     private TestStates() {}
 
-    /** A query of 100 ms and 100 MB with a deadline in 20 s, submitted now. */
-    static QueryState query(long id, QueryClass spec) {
-        return query(id, new QueryClassStatistics(spec), null);
+    /** Returns a query of 100 ms and 100 MB that is submitted now, with a deadline in 20 s. */
+    static QueryState query(long id, QueryClass queryClass) {
+        return query(id, new QueryClassStatistics(queryClass), null);
     }
 
     static QueryState query(long id, QueryClassStatistics statistics) {
@@ -50,7 +50,7 @@
                 id, queryClass, key, 1, NOW_NS + 20_000 * MS, (long) (ESTIMATE_MS * MS), 100);
     }
 
-    /** A ready engine of four cores and 8,000 MB without load. */
+    /** Returns a ready engine with four cores and 8,000 MB, without load. */
     static EngineState engine(String name) {
         EngineState engine = new EngineState(name);
         engine.endpoint = RouterHarness.readyEndpoint(name);
@@ -66,7 +66,7 @@
         engine.addLoad(query);
     }
 
-    /** The end of an attempt that was served. */
+    /** Returns the end of a served attempt. */
     static AttemptEnded served(QueryState query, long durationMs) {
         return new AttemptEnded(
                 query.id,
--- a/decisions/src/test/java/ashlink/decisions/WarmingEngineTraffic.java
+++ b/decisions/src/test/java/ashlink/decisions/WarmingEngineTraffic.java
@@ -1,8 +1,8 @@
 package ashlink.decisions;
 
-import static ashlink.decisions.ManyRouters.ROUTERS;
-import static ashlink.decisions.ManyRouters.WITHOUT_PRIORITIES;
-import static ashlink.decisions.ManyRouters.settings;
+import static ashlink.decisions.LargeFleet.ROUTERS;
+import static ashlink.decisions.LargeFleet.WITHOUT_PRIORITIES;
+import static ashlink.decisions.LargeFleet.settings;
 import static ashlink.decisions.RouterHarness.LIMITS;
 import static ashlink.decisions.RouterHarness.MS;
 import static ashlink.decisions.RouterHarness.endpoint;
@@ -15,7 +15,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Plays the traffic of routers, one after the other, and records what a warming engine gets. */
+/**
+ * Runs the traffic of several routers, one after the other, and records the attempts on a warming
+ * engine.
+ */
 final class WarmingEngineTraffic {
 
     private static final String WARMING_ENGINE = "e0";
@@ -29,9 +32,9 @@
     private double submittedMs;
     private int submitted;
 
-    /** Three queries a second, one in five of them long. */
-    void playSteadyRouter(int position) {
-        RouterHarness router = ManyRouters.router(ROUTERS, position, 3);
+    /** Runs a router with three queries per second, one in five of them long. */
+    void runSteadyRouter(int position) {
+        RouterHarness router = LargeFleet.router(ROUTERS, position, 3);
         router.changeEndpoints(EndpointListKind.DELTA, warmingEndpoint(router.nowNs));
         for (int i = 0; i < 30; i++) {
             submit(router, i);
@@ -44,12 +47,12 @@
     }
 
     /**
-     * Ten seconds of unsteady traffic: one router in ten has several times the traffic of the
-     * others, one in three restarts and loses its state, every second one learns of the new engine
-     * with a delay, and one attempt in twenty times out and is retried.
+     * Runs a router for ten seconds with unsteady traffic: one router in ten has several times the
+     * traffic of the others, one in three restarts and loses its state, every second router learns
+     * of the new engine with a delay, and one attempt in twenty times out and is retried.
      */
-    void playUnsteadyRouter(int routers, int position) {
-        RouterHarness router = ManyRouters.router(routers, position, 3);
+    void runUnsteadyRouter(int routers, int position) {
+        RouterHarness router = LargeFleet.router(routers, position, 3);
         long startNs = router.nowNs;
         int queries = position % 10 == 0 ? 120 : 20;
         router.advanceMs(position % 2 == 0 ? 0 : 1_500);
@@ -124,7 +127,9 @@
         return submittedMs / submitted;
     }
 
-    /** Returns the largest work that started on the engine in a window of that length. */
+    /**
+     * Returns the largest sum of work that started on the engine in any window of the given length.
+     */
     double largestWindowMs(long windowNs) {
         double largestMs = 0;
         for (Start first : starts) {
--- a/decisions/src/test/java/ashlink/decisions/SevenRulesTest.java
+++ b/decisions/src/test/java/ashlink/decisions/WorkloadManagerInvariantsTest.java
@@ -33,8 +33,8 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The seven rules, one by one. */
-class SevenRulesTest {
+/** Tests each of the seven invariants of the workload manager. */
+class WorkloadManagerInvariantsTest {
 
     @Test
     void queuedQueryIsRejectedOnceBeforeItsDeadline() {
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void queryWithoutTimeLeftIsRejectedAtOnce() {
+    void queryWithTooLittleTimeIsRejectedImmediately() {
         RouterHarness router = RouterHarness.withClasses(shortClass("lookup")).withEngines();
         assertEquals(1, ofType(Reject.class, router.submit(1, "lookup", null, 1, 100, 20)).size());
     }
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void unsafeQueryThatMayHaveRunFailsWithoutRetry() {
+    void atMostOnceQueryThatMayHaveRunFailsWithoutRetry() {
         for (Outcome outcome :
                 List.of(Outcome.TIMED_OUT, Outcome.RESET, Outcome.ERROR, Outcome.CANCELLED)) {
             RouterHarness router =
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void unsafeQueryThatNeverRanIsRetried() {
+    void atMostOnceQueryThatNeverRanIsRetried() {
         RouterHarness router =
                 RouterHarness.withClasses(
                                 loadClass(RetrySafety.AT_MOST_ONCE, DeduplicationScope.ALL, false))
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void warmingEngineGetsLessThanThisRoutersPartOfItsLimit() {
+    void warmingEngineGetsAtMostThisRoutersPartOfItsLimit() {
         RouterHarness router =
                 new RouterHarness(
                         RouterHarness.settings(2, CAPABILITIES, LIMITS, shortClass("lookup")));
@@ -273,10 +273,12 @@
 
     @Test
     void attemptsStayWithinTheMaximumPerQuery() {
-        Capabilities two =
+        Capabilities twoAttempts =
                 new Capabilities(true, true, 2, 0, false, false, 1, true, 0, false, false, false);
         RouterHarness router =
-                new RouterHarness(RouterHarness.settings(1, two, LIMITS, shortClass("lookup")))
+                new RouterHarness(
+                                RouterHarness.settings(
+                                        1, twoAttempts, LIMITS, shortClass("lookup")))
                         .withEngines("a", "b");
         router.submit(1, "lookup", null, 10);
         router.endAttempt(1, 0, router.startedAttempts().get(0).engine(), Outcome.ERROR, 1);
@@ -296,7 +298,7 @@
     }
 
     @Test
-    void unavailableListLeavesTheKnownEndpointsAndIsWatchedAgain() {
+    void unavailableListKeepsTheKnownEndpointsAndIsRequestedAgain() {
         RouterHarness router = RouterHarness.withClasses(shortClass("lookup")).withEngines("a");
         assertEquals(
                 1,
@@ -320,7 +322,7 @@
     }
 
     @Test
-    void retryOfTheFirstQueryOfAKeyIsNotPaused() {
+    void retryOfAnOrderedQueryDoesNotWaitForTheQuietPeriod() {
         RouterHarness router =
                 RouterHarness.withClasses(
                                 loadClass(RetrySafety.DEDUPLICATED, DeduplicationScope.ALL, true))
@@ -328,7 +330,7 @@
         router.submit(1, "load", "k", 100);
         router.submit(2, "load", "k", 100);
         router.endAttempt(1, 0, router.startedAttempts().get(0).engine(), Outcome.RESET, 10);
-        // The pause is for later queries of the key.
+        // The quiet period applies to later queries of the key only.
         assertEquals(
                 List.of(1L, 1L), router.startedAttempts().stream().map(StartAttempt::id).toList());
         router.endAttempt(1, 1, router.startedAttempts().get(1).engine(), Outcome.SERVED, 10);
@@ -340,7 +342,7 @@
     }
 
     @Test
-    void slowStartEndsAtItsTime() {
+    void slowStartEndsAfterItsDuration() {
         for (int warm = 0; warm < 2; warm++) {
             RouterHarness router =
                     new RouterHarness(
