--- a/decisions/src/main/java/ashlink/decisions/MemoryGrantEstimator.java
+++ b/decisions/src/main/java/ashlink/decisions/MemoryGrantEstimator.java
@@ -8,12 +8,16 @@
  */
 final class MemoryGrantEstimator {
 
+    /** Ratio of granted to needed memory. */
     private static final double MARGIN_FACTOR = 1.1;
+
+    /** Step size of the quantile estimator, on a logarithmic scale. */
     private static final double STEP_LOG = 0.1;
 
     /** Quantile of the memory needs that the corrected estimate covers. */
     private static final double NEED_QUANTILE = 0.75;
 
+    /** Lower bound of the argument of a logarithm. */
     private static final double EPSILON = 1e-3;
 
     /** Ratio of needed to granted memory above which a spilling query is restarted. */
--- a/decisions/src/main/java/ashlink/decisions/QueryClassStatistics.java
+++ b/decisions/src/main/java/ashlink/decisions/QueryClassStatistics.java
@@ -37,11 +37,11 @@
     /** Logarithm of the ratio of upper to lower quartile. */
     private double spreadLog;
 
-    private int unestimatedResponses;
+    private int responsesWithoutEstimate;
     private double meanEstimateMs;
-    private int estimates;
+    private int estimateSamples;
     private double meanReportedWorkMs;
-    private int reportedWorks;
+    private int reportedWorkSamples;
 
     /** Ratio of needed to estimated memory. */
     private double memoryBias = 1;
@@ -54,13 +54,13 @@
 
     /** Records the work estimate of a submitted query. */
     void recordEstimate(double estimateMs) {
-        double weight = Math.max(MEAN_WEIGHT, 1.0 / ++estimates);
+        double weight = Math.max(MEAN_WEIGHT, 1.0 / ++estimateSamples);
         meanEstimateMs += weight * (estimateMs - meanEstimateMs);
     }
 
     /** Records the work of a query as reported by an engine. */
     void recordWork(double workMs) {
-        double weight = Math.max(MEAN_WEIGHT, 1.0 / ++reportedWorks);
+        double weight = Math.max(MEAN_WEIGHT, 1.0 / ++reportedWorkSamples);
         meanReportedWorkMs += weight * (workMs - meanReportedWorkMs);
     }
 
@@ -75,7 +75,7 @@
         double step =
                 hasEstimate
                         ? QUANTILE_STEP_LOG
-                        : Math.max(QUANTILE_STEP_LOG, 1.0 / ++unestimatedResponses);
+                        : Math.max(QUANTILE_STEP_LOG, 1.0 / ++responsesWithoutEstimate);
         double upperLog = expectedLog + spreadLog;
         expectedLog +=
                 step * (responseLog < expectedLog ? EXPECTED_QUANTILE - 1 : EXPECTED_QUANTILE);
@@ -91,8 +91,8 @@
      *     instead
      */
     void recordMemory(double excessLog, double stepLog) {
-        boolean first = memorySamples++ == 0;
-        memoryBias *= Math.exp(first && excessLog > 0 ? excessLog : stepLog);
+        boolean isFirst = memorySamples++ == 0;
+        memoryBias *= Math.exp(isFirst && excessLog > 0 ? excessLog : stepLog);
     }
 
     double memoryBias() {
@@ -111,7 +111,7 @@
     /** Returns the mean work of the class; of the estimated and the reported mean, the higher. */
     double meanWorkMs() {
         double estimatedMs = meanEstimateMs * Math.max(1, Math.exp(expectedLog));
-        return estimates + reportedWorks == 0
+        return estimateSamples + reportedWorkSamples == 0
                 ? priorWorkMs()
                 : Math.max(estimatedMs, meanReportedWorkMs);
     }
@@ -129,8 +129,8 @@
      * more queries are recorded.
      */
     double conservativeWorkMs() {
-        int seen = estimates + reportedWorks;
-        return (PRIOR_QUERIES * priorWorkMs() + seen * meanWorkMs()) / (PRIOR_QUERIES + seen);
+        int samples = estimateSamples + reportedWorkSamples;
+        return (PRIOR_QUERIES * priorWorkMs() + samples * meanWorkMs()) / (PRIOR_QUERIES + samples);
     }
 
     /**
@@ -139,7 +139,7 @@
      * then slow engines may be the cause of the variation.
      */
     double consistency() {
-        boolean onlyEstimates = estimates > 0 && reportedWorks == 0;
+        boolean onlyEstimates = estimateSamples > 0 && reportedWorkSamples == 0;
         return onlyEstimates
                 ? 1
                 : Math.min(1, CONSISTENT_SPREAD_LOG / Math.max(EPSILON, spreadLog));
--- a/decisions/src/main/java/ashlink/decisions/ResponseTimeModel.java
+++ b/decisions/src/main/java/ashlink/decisions/ResponseTimeModel.java
@@ -4,8 +4,8 @@
 
 /**
  * Models how much slower than expected an engine responds, as a logarithm: the mean over its recent
- * responses and over the running queries that far exceed their expected duration. The logarithm
- * limits the influence of single outliers.
+ * responses and over the running queries that far exceed their expected duration. A single outlier
+ * among many queries changes the mean only slightly.
  */
 final class ResponseTimeModel {
 
@@ -21,6 +21,7 @@
     /** Weight of a new response in the moving average over all engines. */
     private static final double FLEET_WEIGHT = 0.1;
 
+    /** Lower bound of arguments of a logarithm and of divisors. */
     private static final double EPSILON = 1e-3;
 
     private double fleetSlownessLog;
