--- a/decisions/src/main/java/ashlink/decisions/FleetLoadEstimator.java
+++ b/decisions/src/main/java/ashlink/decisions/FleetLoadEstimator.java
@@ -16,6 +16,7 @@
 
     /** Number of threads of these queries, summed over all samples. */
     private double runningThreadSamples;
+
     private double trafficFraction;
     private double threadsPerCore;
 
--- a/decisions/src/main/java/ashlink/decisions/HealthCheckScheduler.java
+++ b/decisions/src/main/java/ashlink/decisions/HealthCheckScheduler.java
@@ -20,7 +20,10 @@
     private static final double CREDITS_PER_INTERVAL = 0.05;
     private static final double MAX_CREDITS = 20;
 
-    /** Credits that background checks and short queries leave unused, reserved for long queries. */
+    /**
+     * Credits reserved for long queries: with fewer credits, no checks are sent in the background
+     * or for short queries.
+     */
     private static final double RESERVED_CREDITS = MAX_CREDITS / 2;
 
     /** Longest time for which a query waits for the results of its health checks. */
@@ -87,8 +90,8 @@
     }
 
     /**
-     * Checks a ready engine that was not checked recently, if there are more than the reserved
-     * credits.
+     * Checks a ready engine that was not checked recently, if at least the reserved credits are
+     * available.
      */
     void checkInBackground(EngineState engine, long nowNs) {
         if (enabled
--- a/decisions/src/main/java/ashlink/decisions/QueryRestartPolicy.java
+++ b/decisions/src/main/java/ashlink/decisions/QueryRestartPolicy.java
@@ -12,7 +12,7 @@
     /** Ratio of remaining time to the duration of a new attempt above which a restart pays off. */
     private static final double REMAINING_FACTOR = 2;
 
-    /** Most restarts of one query because of a bad plan. */
+    /** Maximum number of restarts of one query because of a bad plan. */
     private static final int MAX_RESTARTS = 2;
 
     /** Fraction of its expected duration up to which a spilling query is restarted. */
--- a/decisions/src/test/java/ashlink/decisions/FleetOverloadTest.java
+++ b/decisions/src/test/java/ashlink/decisions/FleetOverloadTest.java
@@ -89,8 +89,7 @@
         assertEquals(ROUTERS, reportsStartedInASecond(1));
         int overloaded = reportsStartedInASecond(40);
         assertTrue(overloaded > 0 && overloaded < ROUTERS / 2, overloaded + " started");
-        assertTrue(
-                reportsStartedInASecond(160) < overloaded, "a higher load lowers the limits");
+        assertTrue(reportsStartedInASecond(160) < overloaded, "a higher load lowers the limits");
     }
 
     @Test
