--- a/decisions/src/main/java/ashlink/decisions/AttemptHandler.java
+++ b/decisions/src/main/java/ashlink/decisions/AttemptHandler.java
@@ -5,16 +5,20 @@
 import ashlink.decisions.api.LoadReport;
 import ashlink.decisions.api.Outcome;
 
-/** Follows attempts: passes on what they report and ends them. */
+/**
+ * Handles the events of attempts: forwards progress messages and updates all state when an attempt
+ * ends.
+ */
 final class AttemptHandler {
 
     /**
-     * Fraction of its elapsed time for which an attempt that ended without its result still counts
-     * as load, if it cannot be cancelled; else the engine would seem idle.
+     * Fraction of its elapsed time for which an abandoned attempt still counts as load of its
+     * engine if the attempt cannot be cancelled. Without it, an engine that still runs such
+     * attempts would look idle.
      */
     private static final double ABANDONED_FRACTION = 0.5;
 
-    private final boolean cancellation;
+    private final boolean cancellationSupported;
     private final EngineDirectory engines;
     private final ActiveQueries queries;
     private final AdmissionQueue queue;
@@ -26,7 +30,7 @@
     private final QueryRestartPolicy restartPolicy;
 
     AttemptHandler(
-            boolean cancellation,
+            boolean cancellationSupported,
             EngineDirectory engines,
             ActiveQueries queries,
             AdmissionQueue queue,
@@ -36,7 +40,7 @@
             OutlierDetector outliers,
             CompletionRecorder recorder,
             QueryRestartPolicy restartPolicy) {
-        this.cancellation = cancellation;
+        this.cancellationSupported = cancellationSupported;
         this.engines = engines;
         this.queries = queries;
         this.queue = queue;
@@ -48,7 +52,7 @@
         this.restartPolicy = restartPolicy;
     }
 
-    /** Handles a progress message; one of an earlier attempt is ignored. */
+    /** Handles a progress message; a message of any attempt but the one in flight is ignored. */
     void onProgress(AttemptProgress progress, long nowNs) {
         QueryState query = queries.find(progress.id());
         EngineState engine = engines.find(progress.engine());
@@ -57,7 +61,7 @@
                 || !query.isAttemptInFlight(progress.attempt())) {
             return;
         }
-        engine.lastSignNs = nowNs;
+        engine.lastActivityNs = nowNs;
         switch (progress.kind()) {
             case WAITING -> query.workingSinceNs = nowNs;
             case SPILLED_MB ->
@@ -67,24 +71,26 @@
                     restartPolicy.onProgress(query, progress.amount(), nowNs);
                 }
             }
-            default -> throw new IllegalArgumentException("progress kind " + progress.kind());
+            default ->
+                    throw new IllegalArgumentException(
+                            "unsupported progress kind: " + progress.kind());
         }
     }
 
     /**
-     * Handles the end of an attempt. The engine's state is updated for any attempt, the query's
-     * only for the one in flight.
+     * Handles the end of an attempt. The state of the engine is updated for every attempt, the
+     * state of the query only for the attempt in flight.
      *
-     * @return the engine that ran the attempt in flight; null if it was another attempt
+     * @return the engine that ran the attempt in flight; null if the attempt was not in flight
      */
     EngineState onEnded(AttemptEnded ended, long nowNs) {
-        recordEngine(ended, nowNs);
+        recordEngineOutcome(ended, nowNs);
         QueryState query = queries.find(ended.id());
         if (query == null || !query.isAttemptInFlight(ended.attempt())) {
             return null;
         }
         EngineState engine = query.engine;
-        engine.running.remove(query);
+        engine.runningQueries.remove(query);
         query.engine = null;
         if (ended.outcome() == Outcome.SERVED) {
             recorder.record(query, engine, ended, nowNs);
@@ -96,7 +102,7 @@
         return engine;
     }
 
-    private void recordEngine(AttemptEnded ended, long nowNs) {
+    private void recordEngineOutcome(AttemptEnded ended, long nowNs) {
         EngineState engine = engines.find(ended.engine());
         if (engine == null) {
             return;
@@ -114,14 +120,17 @@
         }
         long elapsedNs = nowNs - query.attemptStartNs;
         long countedUntilNs =
-                mayStillRun && !cancellation
+                mayStillRun && !cancellationSupported
                         ? nowNs + (long) (ABANDONED_FRACTION * elapsedNs)
                         : nowNs;
         engine.abandonedAttempts.add(new AbandonedAttempt(countedUntilNs, query));
         engine.releaseExpired(nowNs);
     }
 
-    /** Queues the query again where the rules allow a retry and time is left, else finishes it. */
+    /**
+     * Queues the query again if a retry is allowed and there is time left; otherwise finishes the
+     * query.
+     */
     private void retryOrFinish(QueryState query, long nowNs) {
         if (query.finished) {
             completion.removeIfDone(query);
--- a/decisions/src/main/java/ashlink/decisions/GiveUpPolicy.java
+++ b/decisions/src/main/java/ashlink/decisions/LoadSheddingPolicy.java
@@ -1,11 +1,11 @@
 package ashlink.decisions;
 
 /**
- * Gives up queued queries that will miss their latency objective, at once, where others need the
- * capacity or a late answer earns nothing, and answers those whose deadline is near. One that stays
- * queues with its lower, late weight.
+ * Sheds queued queries that will miss their latency objective if other queries need the capacity or
+ * a late answer has no value. A late query that is kept has its weight lowered to the late weight.
+ * Also answers queued queries whose deadline is near.
  */
-final class GiveUpPolicy {
+final class LoadSheddingPolicy {
 
     /** Time in the queue after which a query counts as waiting for capacity. */
     private static final long CONTENDED_AFTER_NS = MaintenanceTask.INTERVAL_NS;
@@ -14,25 +14,25 @@
     private final KeyOrdering keyOrdering;
     private final QueryCompletion completion;
 
-    GiveUpPolicy(AdmissionQueue queue, KeyOrdering keyOrdering, QueryCompletion completion) {
+    LoadSheddingPolicy(AdmissionQueue queue, KeyOrdering keyOrdering, QueryCompletion completion) {
         this.queue = queue;
         this.keyOrdering = keyOrdering;
         this.completion = completion;
     }
 
-    /** Reviews the queue; called at a fixed interval. */
+    /** Reviews all queued queries. Called once per maintenance interval. */
     void review(long nowNs) {
         boolean contended = isContended(nowNs);
         for (QueryState query : queue.snapshot()) {
             completion.finishIfDue(query, nowNs);
             if (query.missesObjective(nowNs) && queue.contains(query)) {
-                reviewLate(query, contended);
+                handleLateQuery(query, contended);
             }
         }
     }
 
-    private void reviewLate(QueryState query, boolean contended) {
-        double lateFraction = query.spec.lateWeightFraction();
+    private void handleLateQuery(QueryState query, boolean contended) {
+        double lateFraction = query.queryClass.lateWeightFraction();
         if (contended || lateFraction == 0) {
             completion.finish(query);
         } else if (query.weight == query.initialWeight) {
@@ -40,12 +40,12 @@
         }
     }
 
-    /** Whether queries that can still meet their objective wait for capacity. */
+    /** Returns whether a query that can still meet its latency objective waits for capacity. */
     private boolean isContended(long nowNs) {
         for (QueryState query : queue.inOrder()) {
             if (nowNs - query.submittedNs > CONTENDED_AFTER_NS
                     && !query.missesObjective(nowNs)
-                    && keyOrdering.hasTurn(query, nowNs)) {
+                    && keyOrdering.allows(query, nowNs)) {
                 return true;
             }
         }
--- a/decisions/src/main/java/ashlink/decisions/MaintenanceTask.java
+++ b/decisions/src/main/java/ashlink/decisions/MaintenanceTask.java
@@ -3,16 +3,23 @@
 import ashlink.decisions.api.Action.Log;
 import ashlink.decisions.api.Action.SetTimer;
 
-/** What is done at a fixed interval, whatever events arrive. */
+/**
+ * Performs the periodic work of the workload manager, at a fixed interval independent of other
+ * events.
+ */
 final class MaintenanceTask {
 
-    /** Label of the timer that starts a run. */
+    /** Label of the timer that triggers a run. */
     static final long TIMER_LABEL = 1;
 
     static final long INTERVAL_NS = 50 * Nanos.PER_MS;
 
-    /** The text of the log line is part of the recorded transcripts. */
-    private static final String UNRESPONSIVE_TEXT = ": it takes queries and gives no sign of them";
+    /**
+     * Second part of the log line; the text is part of the recorded transcripts and must not
+     * change.
+     */
+    private static final String UNRESPONSIVE_LOG_SUFFIX =
+            ": it takes queries and gives no sign of them";
 
     private final EngineDirectory engines;
     private final RetryBudget retryBudget;
@@ -21,7 +28,7 @@
     private final ConcurrencyLimiter limiter;
     private final ConcurrencyFeedback feedback;
     private final HealthCheckScheduler healthChecks;
-    private final GiveUpPolicy giveUpPolicy;
+    private final LoadSheddingPolicy loadShedding;
     private final KeyOrdering keyOrdering;
     private final QueryRestartPolicy restartPolicy;
     private final OutlierDetector outliers;
@@ -36,7 +43,7 @@
             ConcurrencyLimiter limiter,
             ConcurrencyFeedback feedback,
             HealthCheckScheduler healthChecks,
-            GiveUpPolicy giveUpPolicy,
+            LoadSheddingPolicy loadShedding,
             KeyOrdering keyOrdering,
             QueryRestartPolicy restartPolicy,
             OutlierDetector outliers,
@@ -49,7 +56,7 @@
         this.limiter = limiter;
         this.feedback = feedback;
         this.healthChecks = healthChecks;
-        this.giveUpPolicy = giveUpPolicy;
+        this.loadShedding = loadShedding;
         this.keyOrdering = keyOrdering;
         this.restartPolicy = restartPolicy;
         this.outliers = outliers;
@@ -57,20 +64,20 @@
         this.actions = actions;
     }
 
-    /** Sets the timer of the next run. */
+    /** Sets the timer for the next run. */
     void schedule(long nowNs) {
         actions.add(new SetTimer(TIMER_LABEL, nowNs + INTERVAL_NS));
     }
 
-    /** Runs once and schedules the next run. */
+    /** Performs the periodic work and schedules the next run. */
     void run(long nowNs) {
         schedule(nowNs);
         retryBudget.removeExpired(nowNs);
         fleetLoad.update(engines.all(), nowNs);
         overload.update(engines.all(), nowNs);
-        limiter.drawAdmission();
+        limiter.drawAdmissionRandom();
         healthChecks.creditInterval();
-        giveUpPolicy.review(nowNs);
+        loadShedding.review(nowNs);
         keyOrdering.removeIdle(nowNs);
         engines.removeUnused();
         for (EngineState engine : engines.all()) {
@@ -82,7 +89,7 @@
         healthChecks.checkInBackground(engine, nowNs);
         engine.releaseExpired(nowNs);
         feedback.closePeriodIfComplete(engine.limit, nowNs);
-        for (QueryState query : engine.running) {
+        for (QueryState query : engine.runningQueries) {
             restartPolicy.restartIfOverdue(query, nowNs);
         }
         if (outliers.ejectIfUnresponsive(engine, nowNs)) {
@@ -90,10 +97,13 @@
         }
     }
 
-    /** Queries that may be sent again are cancelled, so that another engine can run them. */
+    /**
+     * Logs the ejection and cancels the queries that may run again, so that other engines can run
+     * them.
+     */
     private void onUnresponsive(EngineState engine) {
-        actions.add(new Log("avoiding " + engine.name + UNRESPONSIVE_TEXT));
-        for (QueryState query : engine.running) {
+        actions.add(new Log("avoiding " + engine.name + UNRESPONSIVE_LOG_SUFFIX));
+        for (QueryState query : engine.runningQueries) {
             if (canceller.mayCancel(query)) {
                 canceller.cancel(query);
             }
--- a/decisions/src/main/java/ashlink/decisions/QueryDispatcher.java
+++ b/decisions/src/main/java/ashlink/decisions/QueryDispatcher.java
@@ -6,7 +6,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Takes queries from the queue in order and starts an attempt of each that an engine can take. */
+/**
+ * Takes queries from the queue in order and starts an attempt for each query that finds an engine.
+ */
 final class QueryDispatcher {
 
     /** Time before the client's deadline at which an attempt times out. */
@@ -45,11 +47,15 @@
         this.actions = actions;
     }
 
-    /** Dispatches what can start; a class that finds no engine is not tried again in this pass. */
+    /**
+     * Starts attempts for the queued queries. Once a query finds no engine, the other queries of
+     * its class are skipped in this pass.
+     */
     void dispatch(long nowNs) {
-        List<QueryClassStatistics> blocked = new ArrayList<>();
+        List<QueryClassStatistics> blockedClasses = new ArrayList<>();
         for (QueryState query : queue.snapshot()) {
-            if (blocked.contains(query.statistics) || !eligibility.mayStartAnywhere(query, nowNs)) {
+            if (blockedClasses.contains(query.statistics)
+                    || !eligibility.mayStartAnywhere(query, nowNs)) {
                 continue;
             }
             EngineState engine = selector.select(query, nowNs);
@@ -58,7 +64,7 @@
                 queue.remove(query);
                 start(query, engine, nowNs);
             } else if (query.checkedCandidates.isEmpty()) {
-                blocked.add(query.statistics);
+                blockedClasses.add(query.statistics);
             }
         }
     }
@@ -77,7 +83,7 @@
             actions.add(new SetAttemptResources(query.id, priority, query.grantMb));
         }
         query.startAttempt(engine, nowNs);
-        engine.running.add(query);
+        engine.runningQueries.add(query);
         engine.addLoad(query);
         long timeoutNs = query.deadlineNs - nowNs - TIMEOUT_MARGIN_NS;
         actions.add(new StartAttempt(query.id, engine.name, Math.max(MIN_TIMEOUT_NS, timeoutNs)));
--- a/decisions/src/main/java/ashlink/decisions/RetryPolicy.java
+++ b/decisions/src/main/java/ashlink/decisions/RetryPolicy.java
@@ -5,8 +5,8 @@
 import ashlink.decisions.api.RetrySafety;
 
 /**
- * Rule "no effect twice", and the number of attempts: decides whether and where a query may be sent
- * again after an attempt that may have been executed.
+ * Invariant "no duplicate effects", and the maximum number of attempts per query: decides whether
+ * and on which engines a query may run again after an attempt that may have been executed.
  */
 final class RetryPolicy {
 
@@ -16,43 +16,50 @@
         this.maxAttempts = maxAttempts;
     }
 
-    /** Rule "attempts within budget": whether another attempt is within the number per query. */
+    /**
+     * Returns whether the query has attempts left. Invariant "retry budget": the number of attempts
+     * per query is limited.
+     */
     boolean hasAttemptsLeft(QueryState query) {
         return query.attempts < maxAttempts;
     }
 
-    /** Whether the query may be sent again on some engine. */
+    /** Returns whether a retry of the query is allowed on some engine. */
     boolean mayRetry(QueryState query) {
         boolean isSafe =
-                query.mayHaveRunOn == null || query.spec.retrySafety() != RetrySafety.AT_MOST_ONCE;
+                query.mayHaveRunOn == null
+                        || query.queryClass.retrySafety() != RetrySafety.AT_MOST_ONCE;
         return isSafe && hasAttemptsLeft(query);
     }
 
     /**
-     * Whether the query has no effect twice if it is sent to the engine: it never ran, is
-     * idempotent, or the engine drops the repeat. One maintenance interval of the deduplication
-     * window is left for the way to the engine.
+     * Returns whether the query has no duplicate effect if it is sent to the engine: it never ran,
+     * is idempotent, or is deduplicated by the engine. One maintenance interval is subtracted from
+     * the deduplication window as a margin for the transfer to the engine.
      */
     boolean allows(QueryState query, EngineState engine, long nowNs) {
-        QueryClass spec = query.spec;
-        if (query.mayHaveRunOn == null || spec.retrySafety() == RetrySafety.IDEMPOTENT) {
+        QueryClass queryClass = query.queryClass;
+        if (query.mayHaveRunOn == null || queryClass.retrySafety() == RetrySafety.IDEMPOTENT) {
             return true;
         }
-        return spec.retrySafety() == RetrySafety.DEDUPLICATED
+        return queryClass.retrySafety() == RetrySafety.DEDUPLICATED
                 && sharesIdempotencyKeys(query, engine)
                 && nowNs - query.mayHaveRunSinceNs
-                        < spec.deduplicationWindowNs() - MaintenanceTask.INTERVAL_NS;
+                        < queryClass.deduplicationWindowNs() - MaintenanceTask.INTERVAL_NS;
     }
 
     private static boolean sharesIdempotencyKeys(QueryState query, EngineState engine) {
-        return switch (query.spec.deduplicationScope()) {
+        return switch (query.queryClass.deduplicationScope()) {
             case ALL -> true;
             case ZONE -> engine.endpoint.zone().equals(query.mayHaveRunOn.zone());
             case CELL -> engine.endpoint.cell() == query.mayHaveRunOn.cell();
         };
     }
 
-    /** Records the end of an attempt that may have been executed. */
+    /**
+     * Records the outcome of an attempt; the first attempt that may have been executed is
+     * remembered.
+     */
     void recordOutcome(QueryState query, Outcome outcome) {
         if (outcome.mayHaveRun() && query.mayHaveRunOn == null) {
             query.mayHaveRunOn = query.lastEndpoint;
@@ -60,7 +67,7 @@
         }
     }
 
-    /** Whether the engine may still run an attempt that ended like this. */
+    /** Returns whether the engine may still run an attempt that ended with the outcome. */
     static boolean mayStillRun(Outcome outcome) {
         return outcome == Outcome.TIMED_OUT
                 || outcome == Outcome.RESET
--- a/decisions/src/test/java/ashlink/decisions/KeyOrderingTest.java
+++ b/decisions/src/test/java/ashlink/decisions/KeyOrderingTest.java
@@ -13,7 +13,7 @@
 import ashlink.decisions.api.RetrySafety;
 import org.junit.jupiter.api.Test;
 
-/** The order of the queries of one ordering key. */
+/** Tests the order of the queries with the same ordering key. */
 class KeyOrderingTest {
 
     private static final long QUIET_PERIOD_NS = 300 * MS;
@@ -32,20 +32,20 @@
     }
 
     @Test
-    void onlyTheFirstQueryOfAKeyHasItsTurn() {
-        assertTrue(ordering.hasTurn(first, NOW_NS));
-        assertFalse(ordering.hasTurn(second, NOW_NS));
+    void onlyTheFirstQueryOfAKeyMayStart() {
+        assertTrue(ordering.allows(first, NOW_NS));
+        assertFalse(ordering.allows(second, NOW_NS));
     }
 
     @Test
-    void nextQueryHasItsTurnWhenTheFirstIsRemoved() {
+    void nextQueryMayStartAfterTheFirstIsRemoved() {
         ordering.remove(first);
-        assertTrue(ordering.hasTurn(second, NOW_NS));
+        assertTrue(ordering.allows(second, NOW_NS));
     }
 
     @Test
     void keysAreIndependent() {
-        assertTrue(ordering.hasTurn(submit(3, "other"), NOW_NS));
+        assertTrue(ordering.allows(submit(3, "other"), NOW_NS));
     }
 
     @Test
@@ -54,26 +54,26 @@
                 RouterHarness.loadClass(RetrySafety.AT_MOST_ONCE, DeduplicationScope.ALL, false);
         assertNull(ordering.queueFor(TestStates.submitted(4, "load", null), ORDERED));
         assertNull(ordering.queueFor(TestStates.submitted(4, "load", "k"), unordered));
-        assertTrue(ordering.hasTurn(TestStates.query(4, unordered), NOW_NS));
+        assertTrue(ordering.allows(TestStates.query(4, unordered), NOW_NS));
     }
 
     @Test
-    void pauseDelaysTheNextQueryUntilItsEnd() {
+    void nextQueryWaitsForTheQuietPeriod() {
         ordering.pause(first, NOW_NS);
         ordering.remove(first);
-        assertFalse(ordering.hasTurn(second, NOW_NS + QUIET_PERIOD_NS - 1));
-        assertTrue(ordering.hasTurn(second, NOW_NS + QUIET_PERIOD_NS));
+        assertFalse(ordering.allows(second, NOW_NS + QUIET_PERIOD_NS - 1));
+        assertTrue(ordering.allows(second, NOW_NS + QUIET_PERIOD_NS));
     }
 
     @Test
-    void retryIsNotPaused() {
+    void retryDoesNotWaitForTheQuietPeriod() {
         first.attempts = 1;
         ordering.pause(first, NOW_NS);
-        assertTrue(ordering.hasTurn(first, NOW_NS));
+        assertTrue(ordering.allows(first, NOW_NS));
     }
 
     @Test
-    void idleKeyIsDroppedOnlyAfterItsPause() {
+    void idleKeyIsRemovedOnlyAfterItsQuietPeriod() {
         KeyQueue queue = first.keyQueue;
         ordering.pause(first, NOW_NS);
         ordering.remove(first);
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void keyWithQueriesIsNotDropped() {
+    void keyWithQueriesIsNotRemoved() {
         KeyQueue queue = first.keyQueue;
         ordering.removeIdle(NOW_NS);
         assertSame(queue, ordering.queueFor(TestStates.submitted(5, "load", "k"), ORDERED));
--- a/decisions/src/test/java/ashlink/decisions/SlowStartTest.java
+++ b/decisions/src/test/java/ashlink/decisions/SlowStartTest.java
@@ -15,12 +15,15 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The budget of an engine that is warming up. */
+/** Tests the slow start budget of a warming engine. */
 class SlowStartTest {
 
     private static final QueryClass LOOKUP = RouterHarness.shortClass("lookup");
 
-    /** So many that a router has less than one light query per window. */
+    /**
+     * Number of routers with which the budget of a router covers less than one light query per
+     * window.
+     */
     private static final int ROUTERS = 200;
 
     private final EngineState engine = TestStates.engine("a");
@@ -36,8 +39,11 @@
         engine.endpoint = RouterHarness.endpoint("a", "z1", "big", EndpointState.READY, startedNs);
     }
 
-    /** Time in which the budget of one router covers a lookup with the prior of 500 ms. */
-    private static double gapNs(int routers) {
+    /**
+     * Returns the time in which the budget of one router accrues a lookup with the prior value of
+     * 500 ms.
+     */
+    private static double spacingNs(int routers) {
         return 500 * MS * routers / (0.6 * 3 * 0.3 * 4 * 0.85);
     }
 
@@ -56,7 +62,7 @@
     }
 
     @Test
-    void withoutAnOverloadLimitNoEngineIsWarmingUp() {
+    void noEngineIsWarmingUpWithoutAnOverloadLimit() {
         PolicyLimits unlimited = new PolicyLimits(0, 0.3, 10_000 * MS, 0, 2_000 * MS, 0, 0, 0, 0);
         startedAt(NOW_NS);
         assertFalse(slowStart(1, unlimited).isWarmingUp(engine, NOW_NS));
@@ -71,40 +77,40 @@
             slowStart.recordStart(query, engine, NOW_NS);
             burst++;
         }
-        // Half a window of 2 s accumulates.
-        assertEquals((int) (1_000 * MS / gapNs(1)), burst);
-        long nextNs = (long) (engine.slowStartNextNs + gapNs(1));
+        // Unused budget accumulates for half of the window of 2 s.
+        assertEquals((int) (1_000 * MS / spacingNs(1)), burst);
+        long nextNs = (long) (engine.slowStartBudgetTimeNs + spacingNs(1));
         assertFalse(slowStart.allows(query, engine, nextNs - 1));
         assertTrue(slowStart.allows(query, engine, nextNs + 1));
     }
 
     @Test
-    void withLessThanOneQueryPerWindowTheStartIsRandomWithinTheGap() {
+    void startTimeIsRandomWithLessThanOneQueryPerWindow() {
         QueryState light = lightQuery();
         startedAt(NOW_NS);
         SlowStart slowStart = slowStart(ROUTERS, LIMITS);
         slowStart.allows(light, engine, NOW_NS);
-        double gapNs = light.statistics.conservativeWorkMs() / 500 * gapNs(ROUTERS);
-        assertTrue(gapNs > LIMITS.slowStartWindowNs());
-        assertTrue(engine.slowStartNextNs > NOW_NS);
-        assertTrue(engine.slowStartNextNs < NOW_NS + gapNs);
-        long drawnNs = (long) engine.slowStartNextNs;
+        double spacingNs = light.statistics.conservativeWorkMs() / 500 * spacingNs(ROUTERS);
+        assertTrue(spacingNs > LIMITS.slowStartWindowNs());
+        assertTrue(engine.slowStartBudgetTimeNs > NOW_NS);
+        assertTrue(engine.slowStartBudgetTimeNs < NOW_NS + spacingNs);
+        long drawnNs = (long) engine.slowStartBudgetTimeNs;
         assertFalse(slowStart.allows(light, engine, drawnNs - 1));
         assertTrue(slowStart.allows(light, engine, drawnNs + 1));
     }
 
     @Test
-    void unusedRandomTimeExpiresAfterAWindow() {
+    void unusedAdmissionTimeExpiresAfterAWindow() {
         QueryState light = lightQuery();
         startedAt(NOW_NS);
         SlowStart slowStart = slowStart(ROUTERS, LIMITS);
         slowStart.allows(light, engine, NOW_NS);
-        long laterNs = (long) engine.slowStartNextNs + LIMITS.slowStartWindowNs() + 1_000;
+        long laterNs = (long) engine.slowStartBudgetTimeNs + LIMITS.slowStartWindowNs() + 1_000;
         slowStart.allows(light, engine, laterNs);
-        assertTrue(engine.slowStartNextNs >= laterNs);
+        assertTrue(engine.slowStartBudgetTimeNs >= laterNs);
     }
 
-    /** A query of a class with a mean work of 20 ms. */
+    /** Returns a query of a class with a mean work of 20 ms. */
     private static QueryState lightQuery() {
         QueryClassStatistics statistics = new QueryClassStatistics(LOOKUP);
         for (int i = 0; i < 1_000; i++) {
@@ -114,7 +120,7 @@
     }
 
     @Test
-    void queryOfWhichTheFleetMayStartFewIsNotAdmitted() {
+    void queryIsNotAdmittedIfTheFleetMayStartFewOfItsClass() {
         startedAt(NOW_NS);
         QueryState report = TestStates.query(2, RouterHarness.reportClass(Set.of(), Set.of()));
         SlowStart slowStart = slowStart(10, LIMITS);
@@ -127,6 +133,6 @@
     void startOnAWarmEngineIsNotCharged() {
         startedAt(0);
         slowStart(1, LIMITS).recordStart(query, engine, NOW_NS);
-        assertTrue(Double.isNaN(engine.slowStartNextNs));
+        assertTrue(Double.isNaN(engine.slowStartBudgetTimeNs));
     }
 }
--- a/decisions/src/test/java/ashlink/decisions/TestStates.java
+++ b/decisions/src/test/java/ashlink/decisions/TestStates.java
@@ -8,7 +8,7 @@
 import ashlink.decisions.api.Outcome;
 import ashlink.decisions.api.QueryClass;
 
-/** Queries and engines for the tests of single rules. */
+/** Creates the states of queries and engines for the tests of single classes. */
 final class TestStates {
 
     static final long NOW_NS = 100_000 * MS;
@@ -16,9 +16,9 @@
 
     private TestStates() {}
 
-    /** A query of 100 ms and 100 MB with a deadline in 20 s, submitted now. */
-    static QueryState query(long id, QueryClass spec) {
-        return query(id, new QueryClassStatistics(spec), null);
+    /** Returns a query of 100 ms and 100 MB that is submitted now, with a deadline in 20 s. */
+    static QueryState query(long id, QueryClass queryClass) {
+        return query(id, new QueryClassStatistics(queryClass), null);
     }
 
     static QueryState query(long id, QueryClassStatistics statistics) {
@@ -26,7 +26,7 @@
     }
 
     static QueryState query(long id, QueryClassStatistics statistics, KeyQueue keyQueue) {
-        return query(id, statistics, keyQueue, ESTIMATE_MS, statistics.spec.priorityWeight());
+        return query(id, statistics, keyQueue, ESTIMATE_MS, statistics.queryClass.priorityWeight());
     }
 
     static QueryState query(
@@ -36,7 +36,7 @@
             double estimateMs,
             double weight) {
         return new QueryState(
-                submitted(id, statistics.spec.name(), null),
+                submitted(id, statistics.queryClass.name(), null),
                 statistics,
                 keyQueue,
                 id,
@@ -50,7 +50,7 @@
                 id, queryClass, key, 1, NOW_NS + 20_000 * MS, (long) (ESTIMATE_MS * MS), 100);
     }
 
-    /** A ready engine of four cores and 8,000 MB without load. */
+    /** Returns a ready engine with four cores and 8,000 MB, without load. */
     static EngineState engine(String name) {
         EngineState engine = new EngineState(name);
         engine.endpoint = RouterHarness.readyEndpoint(name);
@@ -62,11 +62,11 @@
     /** Starts an attempt of the query on the engine. */
     static void start(QueryState query, EngineState engine, long nowNs) {
         query.startAttempt(engine, nowNs);
-        engine.running.add(query);
+        engine.runningQueries.add(query);
         engine.addLoad(query);
     }
 
-    /** The end of an attempt that was served. */
+    /** Returns the end of a served attempt. */
     static AttemptEnded served(QueryState query, long durationMs) {
         return new AttemptEnded(
                 query.id,
