--- a/control/src/main/java/ashlink/control/channel/ControlClient.java
+++ b/control/src/main/java/ashlink/control/channel/ControlClient.java
@@ -11,7 +11,7 @@
 import java.security.cert.X509Certificate;
 import javax.net.ssl.SSLSocket;
 
-/** A connection to a router's control channel. */
+/** Client side of a connection to a router's control channel, over mutual TLS. */
 public final class ControlClient implements AutoCloseable {
 
     private final SSLSocket socket;
@@ -20,8 +20,12 @@
     private final String peer;
 
     /**
-     * Connects within that time; {@code expected} is the name that the router's certificate must
-     * give, or null for any.
+     * Connects to a router and performs the TLS handshake.
+     *
+     * @param expected the name that the router's certificate must contain, or null to accept any
+     *     name
+     * @param timeoutMs timeout of the connection attempt and of each read
+     * @throws IOException if the connection or handshake fails, or the name is not the expected one
      */
     public ControlClient(Identity identity, InetSocketAddress to, String expected, int timeoutMs)
             throws IOException {
@@ -48,17 +52,21 @@
         }
     }
 
-    /** Who is at the other end, by its certificate. */
+    /** Returns the name in the router's certificate. */
     public String peer() {
         return peer;
     }
 
-    /** Sends a frame that has no answer. */
+    /** Sends a frame that the router does not respond to. */
     public void send(JsonNode frame) throws IOException {
         Frames.write(out, frame);
     }
 
-    /** Sends a frame and waits for its answer; one that tells of an error is an exception. */
+    /**
+     * Sends a frame and waits for the response.
+     *
+     * @throws IOException if the connection fails or the response reports an error
+     */
     public JsonNode request(JsonNode frame) throws IOException {
         send(frame);
         JsonNode answer = Frames.read(in);
@@ -76,7 +84,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // it is gone either way
+            // The connection is no longer used, whether or not closing it succeeded.
         }
     }
 }
--- a/control/src/main/java/ashlink/control/channel/ControlServer.java
+++ b/control/src/main/java/ashlink/control/channel/ControlServer.java
@@ -20,8 +20,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Accepts connections of routers and operators, authenticated by certificates of the fleet. Frames
- * past the rate limit of a connection are read later; connections past the limit are closed.
+ * Accepts control connections of routers and operators, which authenticate with certificates of the
+ * fleet. Each connection has a rate limit: processing of frames above the limit is delayed. Connections
+ * above the maximum number are closed.
  */
 public final class ControlServer implements AutoCloseable {
 
@@ -33,12 +34,16 @@
     private static final double FRAMES_PER_S = 500;
     private static final long STACK_BYTES = 256 << 10;
 
-    /** Who sent a frame, by its certificate. */
+    /** The sender of a frame, with the name and roles in its certificate. */
     public record Peer(String name, Set<Role> roles, String address) {}
 
-    /** Does what a frame asks; the answer goes back, none where it is null. */
+    /** Processes the frames received on control connections. */
     public interface Handler {
-        /** May wait; an exception with its message is the answer. */
+        /**
+         * Processes a frame and returns the response, or null if there is none. May block.
+         *
+         * @throws IOException if the request fails; the sender receives the exception's message
+         */
         JsonNode handle(Peer from, JsonNode frame) throws IOException;
     }
 
@@ -49,8 +54,8 @@
     private volatile boolean closed;
 
     /**
-     * A server at that address, which shows that identity; it takes connections from {@link #start}
-     * on.
+     * Creates a server that is bound to an address and authenticates itself with an identity. The
+     * server accepts connections after {@link #start}.
      */
     public ControlServer(Identity identity, InetSocketAddress at, Handler handler)
             throws IOException {
@@ -62,12 +67,12 @@
         server.setNeedClientAuth(true);
     }
 
-    /** Starts to take connections. */
+    /** Starts to accept connections. */
     public void start() {
         thread(this::accept, name + "-control").start();
     }
 
-    /** Where it listens. */
+    /** Returns the address on which the server listens. */
     public InetSocketAddress address() {
         return (InetSocketAddress) server.getLocalSocketAddress();
     }
--- a/control/src/main/java/ashlink/control/channel/Frames.java
+++ b/control/src/main/java/ashlink/control/channel/Frames.java
@@ -13,8 +13,8 @@
 import java.io.IOException;
 
 /**
- * Frames: four bytes of length, then JSON. One that is too long or makes no sense ends the
- * connection.
+ * Encodes and decodes the frames of the control channel: a length of four bytes in big-endian order,
+ * then a JSON object. A frame that is too long or malformed closes the connection.
  */
 final class Frames {
 
@@ -32,7 +32,11 @@
 
     private Frames() {}
 
-    /** The next frame, or null where the peer closed between frames. */
+    /**
+     * Reads the next frame; returns null if the peer closed the connection between two frames.
+     *
+     * @throws IOException if the frame is too long, malformed or incomplete
+     */
     static JsonNode read(DataInputStream in) throws IOException {
         int first = in.read();
         if (first < 0) {
--- a/control/src/main/java/ashlink/control/member/CommandExecutor.java
+++ b/control/src/main/java/ashlink/control/member/CommandExecutor.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * Applies the commands in force to this router. A stop is executed once: a router that is started
- * again under the same stop keeps running. Not thread-safe.
+ * Applies the commands in force to this router. A stop command is executed only once: a router that
+ * is started again while the command is still in force keeps running. Not thread-safe.
  */
 final class CommandExecutor {
 
@@ -20,7 +20,7 @@
     private final ReplicatedCommandSet commands;
     private final Set<OperatorCommand> executedStops = new HashSet<>();
 
-    /** Takes the stops that the set already has as executed. */
+    /** Creates an executor; stop commands already in the set count as executed. */
     CommandExecutor(String name, RouterControl router, ReplicatedCommandSet commands, long nowMs) {
         this.subject = OperatorCommand.router(name);
         this.router = router;
@@ -30,7 +30,7 @@
                 .forEach(command -> executedStops.add(command.command()));
     }
 
-    /** Applies what is in force now. */
+    /** Applies the commands that are in force at the given time. */
     void apply(long nowMs) {
         Set<String> drainedEngines = new HashSet<>();
         Intent own = Intent.NONE;
--- a/control/src/main/java/ashlink/control/member/CommandLog.java
+++ b/control/src/main/java/ashlink/control/member/CommandLog.java
@@ -16,9 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The command log of a router on disk, in the format of the capture log. {@link #put} returns once
- * the record is synced, so a command that was applied is known after a crash. Expiry is stored in
- * milliseconds since 1970. Not thread-safe.
+ * A router's log of commands on disk, in the format of the capture log. {@link #put} returns after
+ * the record has been synced, so that a command that was applied survives a crash. Expiry times are
+ * stored in milliseconds since 1970. Not thread-safe.
  */
 final class CommandLog implements AutoCloseable {
 
@@ -29,7 +29,7 @@
     private final KeyValueLog log;
     private final ReplicatedCommandSet set;
 
-    /** Merges what the disk has into the set, and rewrites the log. */
+    /** Merges the commands stored on a disk into the set and rewrites the log. */
     CommandLog(Disk disk, ReplicatedCommandSet set, long nowMs) throws IOException {
         this.set = set;
         this.log = new KeyValueLog(disk, SEGMENT_BYTES, nowMs);
@@ -67,7 +67,7 @@
         return bytes.toByteArray();
     }
 
-    /** Appends a command; returns once it is synced to disk. */
+    /** Appends a command; returns after the record has been synced to disk. */
     void put(OperatorCommand operatorCommand, long leftMs, long nowMs) throws IOException {
         if (log.written() > REWRITE_SLACK_RECORDS + 4L * set.size()) {
             rewrite(nowMs);
@@ -76,7 +76,7 @@
         log.sync();
     }
 
-    /** Replaces the log by the commands of the set; the old one is deleted once that is synced. */
+    /** Replaces the log by the commands of the set; deletes the old log after the new one is synced. */
     void rewrite(long nowMs) throws IOException {
         List<byte[]> records = new ArrayList<>();
         for (ReplicatedCommandSet.CommandWithTtl ttl : set.commands(nowMs)) {
--- a/control/src/main/java/ashlink/control/member/CommandStore.java
+++ b/control/src/main/java/ashlink/control/member/CommandStore.java
@@ -13,9 +13,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A router's commands, in memory and in the log on disk. A failed write does not hold a command
- * back: it is in force and not durable until the log is written again. Times are in milliseconds of
- * this machine's wall clock. Not thread-safe.
+ * The commands of a router, in memory and in the log on disk. A command whose write fails is still
+ * in force, but is not durable until the log has been rewritten. Times are in milliseconds of the
+ * local wall clock. Not thread-safe.
  */
 final class CommandStore implements AutoCloseable {
 
@@ -32,27 +32,27 @@
     private final Map<OperatorCommand, Long> receivedMs = new HashMap<>();
     private boolean logFailed;
 
-    /** Reads the commands that a disk has. */
+    /** Creates a store with the commands in the log on a disk. */
     CommandStore(Disk disk, long nowMs) throws IOException {
         this.log = new CommandLog(disk, commands, nowMs);
     }
 
-    /** The commands in memory. */
+    /** Returns the commands in memory. */
     ReplicatedCommandSet commands() {
         return commands;
     }
 
-    /** When this process first received each command. */
+    /** Returns the time at which this process first received each command. */
     Map<OperatorCommand, Long> receivedMs() {
         return receivedMs;
     }
 
-    /** Whether all commands are on the disk. */
+    /** Returns whether all commands are on disk. */
     boolean isDurable() {
         return !logFailed;
     }
 
-    /** Merges commands, each synced to disk first; returns those that changed the set. */
+    /** Merges commands and syncs each new one to disk; returns the commands that changed the set. */
     List<CommandWithTtl> merge(List<CommandWithTtl> received, long nowMs) {
         List<CommandWithTtl> changed = new ArrayList<>();
         for (CommandWithTtl command : received) {
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Writes the log anew if an earlier write failed. */
+    /** Rewrites the log if an earlier write failed. */
     void retryPersist(long nowMs) {
         if (!logFailed) {
             return;
--- a/control/src/main/java/ashlink/control/member/ControlCodec.java
+++ b/control/src/main/java/ashlink/control/member/ControlCodec.java
@@ -18,7 +18,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Frames of the control channel, to and from what they key. */
+/** Converts the JSON frames of the control channel to and from the objects that they represent. */
 public final class ControlCodec {
 
     private static final JsonNodeFactory JSON = JsonNodeFactory.instance;
@@ -26,12 +26,12 @@
 
     private ControlCodec() {}
 
-    /** A frame with an operation and no arguments. */
+    /** Creates a frame with an operation and no arguments. */
     public static ObjectNode op(String name) {
         return JSON.objectNode().put(ControlWords.OP, name);
     }
 
-    /** A frame with an operation and commands. */
+    /** Creates a frame with an operation and commands. */
     public static ObjectNode commands(String op, List<CommandWithTtl> commands) {
         ObjectNode objectNode = op(op);
         ArrayNode all = objectNode.putArray(ControlWords.COMMANDS);
@@ -50,9 +50,9 @@
     }
 
     /**
-     * The commands of a frame.
+     * Returns the commands in a frame.
      *
-     * @throws IOException if one is malformed
+     * @throws IOException if a command is malformed or there are too many commands
      */
     public static List<CommandWithTtl> commands(JsonNode json) throws IOException {
         List<CommandWithTtl> commands = new ArrayList<>();
--- a/control/src/main/java/ashlink/control/member/ControlWords.java
+++ b/control/src/main/java/ashlink/control/member/ControlWords.java
@@ -4,8 +4,8 @@
 import ashlink.fleet.membership.MembershipUpdate.State;
 
 /**
- * The words of the control channel's JSON. Routers of different builds exchange them, so they stay
- * as they are whatever the Java constants are called. Stateless.
+ * Field names and values in the JSON frames of the control channel. Routers of different builds
+ * exchange these frames, so the strings must not change, whatever the Java constants are called.
  */
 final class ControlWords {
 
@@ -53,7 +53,7 @@
 
     private ControlWords() {}
 
-    /** The word of an intent. */
+    /** Returns the string that represents an intent. */
     static String word(Intent intent) {
         return switch (intent) {
             case NONE -> "NONE";
@@ -63,9 +63,9 @@
     }
 
     /**
-     * The intent of a word.
+     * Returns the intent that a string represents.
      *
-     * @throws IllegalArgumentException if no intent has that word
+     * @throws IllegalArgumentException if the string represents no intent
      */
     static Intent intent(String word) {
         return switch (word) {
@@ -76,7 +76,7 @@
         };
     }
 
-    /** The word of a member's state. */
+    /** Returns the string that represents a member state. */
     static String word(State state) {
         return switch (state) {
             case ALIVE -> "ALIVE";
@@ -86,9 +86,9 @@
     }
 
     /**
-     * The member state of a word.
+     * Returns the member state that a string represents.
      *
-     * @throws IllegalArgumentException if no state has that word
+     * @throws IllegalArgumentException if the string represents no member state
      */
     static State state(String word) {
         return switch (word) {
--- a/control/src/main/java/ashlink/control/member/FleetMember.java
+++ b/control/src/main/java/ashlink/control/member/FleetMember.java
@@ -26,11 +26,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A router as a member of its fleet. Received commands are synced to disk, then applied, then sent
- * on to the other routers; lost ones arrive by a comparison of digests with one peer a second
- * (anti-entropy). Membership does not restrict to whom commands go.
+ * A router as a member of its fleet. A received command is synced to disk, then applied, then
+ * forwarded to the other routers. Commands lost in transit are recovered by comparing digests with
+ * one peer per second (anti-entropy). Commands are sent to all peers, whatever their membership
+ * state.
  *
- * <p>Thread-safe; the state of membership and commands is guarded by this.
+ * <p>Thread-safe; the state of the membership and the commands is guarded by {@code this}.
  */
 public final class FleetMember implements AutoCloseable {
 
@@ -42,11 +43,12 @@
     private static final long STACK_BYTES = 256 << 10;
 
     /**
-     * A member's settings.
+     * Configuration of a member.
      *
-     * @param stateDir folder of the command log
-     * @param peers the other routers by name
-     * @param seed of the random choices
+     * @param listen address on which the control channel listens
+     * @param stateDir directory of the command log
+     * @param peers addresses of the other routers by name
+     * @param seed the seed of the random choices
      */
     public record Spec(
             String name,
@@ -68,12 +70,12 @@
     private Swim swim;
     private volatile boolean closed;
 
-    /** A member whose logged commands are in force when this returns. */
+    /** Creates a member and applies the commands in its command log to the router. */
     public FleetMember(Spec spec, Identity identity, RouterControl controlled) throws IOException {
         this(spec, identity, controlled, FolderDisk.writing(spec.stateDir()));
     }
 
-    /** The same, with its command log on a given disk. */
+    /** Creates a member whose command log is on the given disk. */
     public FleetMember(Spec spec, Identity identity, RouterControl controlled, Disk disk)
             throws IOException {
         this.spec = spec;
@@ -107,7 +109,7 @@
         thread.start();
     }
 
-    /** The address that it listens on. */
+    /** Returns the address on which the control channel listens. */
     public InetSocketAddress address() {
         return server.address();
     }
@@ -158,7 +160,7 @@
         }
     }
 
-    /** Merges commands: first on the disk, then in force, then sent on. */
+    /** Merges commands: syncs the new ones to disk, applies them and forwards them to the peers. */
     private synchronized List<CommandWithTtl> merge(List<CommandWithTtl> received, String from) {
         List<CommandWithTtl> changed = store.merge(received, nowMs());
         if (!changed.isEmpty()) {
@@ -224,7 +226,7 @@
                         nowMs()));
     }
 
-    /** Accepts commands from the operator who issued them, and no other. */
+    /** Accepts commands only from the operator who issued them. */
     private JsonNode put(Peer from, List<CommandWithTtl> received) throws IOException {
         for (CommandWithTtl command : received) {
             requireRole(from, command.command().intent() == Intent.STOP ? Role.STOP : Role.DRAIN);
--- a/control/src/main/java/ashlink/control/member/PeerConnection.java
+++ b/control/src/main/java/ashlink/control/member/PeerConnection.java
@@ -11,8 +11,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A connection to another router, opened when there is a frame to send, with a bounded queue that
- * drops its oldest frame when full. Thread-safe.
+ * An outgoing connection to another router, opened when there is a frame to send. Frames wait in a
+ * bounded queue, which drops its oldest frame when it is full. Thread-safe.
  */
 final class PeerConnection {
 
--- a/control/src/main/java/ashlink/control/member/PeerConnections.java
+++ b/control/src/main/java/ashlink/control/member/PeerConnections.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The connections to other routers by name. Not thread-safe. */
+/** Outgoing connections to other routers by name. Not thread-safe. */
 final class PeerConnections implements AutoCloseable {
 
     private final Identity identity;
@@ -17,17 +17,17 @@
         this.identity = identity;
     }
 
-    /** Adds a peer at an address. */
+    /** Adds a peer with its address. */
     void add(String peer, InetSocketAddress address) {
         connections.put(peer, new PeerConnection(identity, peer, address));
     }
 
-    /** The names of all peers; a live view. */
+    /** Returns a live view of the names of all peers. */
     Set<String> peers() {
         return connections.keySet();
     }
 
-    /** Queues a frame for a peer; without effect if the peer is unknown. */
+    /** Queues a frame for a peer; does nothing if the peer is unknown. */
     void send(String peer, JsonNode frame) {
         PeerConnection connection = connections.get(peer);
         if (connection != null) {
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Queues a frame for a peer, which is added at {@code HOST:PORT} if it is unknown. */
+    /** Queues a frame for a peer; adds the peer with its address {@code HOST:PORT} if it is unknown. */
     void send(String peer, String address, JsonNode frame) {
         if (!connections.containsKey(peer)) {
             int colon = address.lastIndexOf(':');
--- a/control/src/main/java/ashlink/control/member/StatusPage.java
+++ b/control/src/main/java/ashlink/control/member/StatusPage.java
@@ -6,12 +6,12 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Map;
 
-/** The answer to a status request: a router's commands and its view of the membership. */
+/** Builds the response to a status request: a router's commands and its view of the membership. */
 final class StatusPage {
 
     private StatusPage() {}
 
-    /** The page as of a time, in milliseconds since 1970. */
+    /** Builds the response for a time in milliseconds since 1970. */
     static ObjectNode of(
             String router,
             CommandStore store,
--- a/control/src/main/java/ashlink/control/member/package-info.java
+++ b/control/src/main/java/ashlink/control/member/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A router as a member of its fleet: gossips membership, replicates and logs operators' commands,
- * and applies them to its router.
+ * The part of a router that makes it a member of a fleet: exchanges membership updates with other
+ * routers, replicates and logs operators' commands, and applies the commands to the router.
  */
 package ashlink.control.member;
--- a/control/src/main/java/ashlink/control/tls/CertificateAuthority.java
+++ b/control/src/main/java/ashlink/control/tls/CertificateAuthority.java
@@ -33,19 +33,22 @@
 import org.bouncycastle.operator.jcajce.JcaContentSignerBuilder;
 
 /**
- * The authority of a fleet, in a folder: {@code ca.crt} has the certificates that are trusted, the
- * newest first, and {@code ca.key} the key of the newest. While it changes over there are two.
+ * The private certificate authority of a fleet, stored in a directory: {@code ca.crt} contains the
+ * trusted authority certificates, the newest first, and {@code ca.key} the private key of the newest.
+ * During a renewal two authority certificates are trusted.
  */
 public final class CertificateAuthority {
 
     private static final String SIGNATURE = "SHA256withECDSA";
-    private static final Duration BACKDATED = Duration.ofMinutes(30); // clocks may be apart
+    /** Certificates are valid from this long ago, because clocks may differ. */
+    private static final Duration BACKDATED = Duration.ofMinutes(30);
+
     private static final String CERTIFICATES = "ca.crt";
     private static final String KEY = "ca.key";
 
     private final Path dir;
 
-    /** The authority of that folder, which may be still to be made. */
+    /** Creates an object for the authority in a directory, which need not exist yet. */
     public CertificateAuthority(Path dir) {
         this.dir = dir;
     }
@@ -56,7 +59,10 @@
         return generator.generateKeyPair();
     }
 
-    /** Makes a new key and certificate; those before stay trusted until {@link #retire}. */
+    /**
+     * Generates a new authority key and certificate. Earlier certificates stay trusted until {@link
+     * #retire}.
+     */
     public void renew(Duration lasts) throws IOException, GeneralSecurityException {
         Files.createDirectories(dir);
         KeyPair pair = pair();
@@ -74,14 +80,14 @@
         write(dir.resolve(CERTIFICATES), false, all.toArray());
     }
 
-    /** Trusts only the newest from here on. */
+    /** Removes all authority certificates but the newest from the trusted ones. */
     public void retire() throws IOException, GeneralSecurityException {
         write(dir.resolve(CERTIFICATES), false, Pem.certificates(dir.resolve(CERTIFICATES)).get(0));
     }
 
     /**
-     * Makes a key and certificate for a router or an operator: {@code NAME.key} and {@code
-     * NAME.crt}.
+     * Issues a key and certificate to a router or an operator, in the files {@code NAME.key} and
+     * {@code NAME.crt}.
      */
     public void issue(String name, Set<Role> roles, Duration lasts)
             throws IOException, GeneralSecurityException {
@@ -144,7 +150,8 @@
     }
 
     /**
-     * Writes beside and moves into place: nobody reads half a file. Keys are their owner's only.
+     * Writes PEM objects to a temporary file and atomically renames it, so that no reader sees a
+     * partial file. Only the owner of the file may read it if it is secret.
      */
     private static void write(Path file, boolean secret, Object... things) throws IOException {
         StringWriter text = new StringWriter();
--- a/control/src/main/java/ashlink/control/tls/Identity.java
+++ b/control/src/main/java/ashlink/control/tls/Identity.java
@@ -16,8 +16,8 @@
 import javax.net.ssl.TrustManagerFactory;
 
 /**
- * Who a process is in its fleet, and whom it trusts: {@code NAME.key}, {@code NAME.crt} and {@code
- * ca.crt} of a folder.
+ * The TLS identity of a router or operator: its private key ({@code NAME.key}), its certificate
+ * ({@code NAME.crt}) and the authorities that it trusts ({@code ca.crt}).
  */
 public final class Identity {
 
@@ -25,7 +25,12 @@
     private final X509Certificate certificate;
     private final SSLContext context;
 
-    /** Reads the files; an exception says which is wrong. */
+    /**
+     * Reads the identity of a name from the files in a directory.
+     *
+     * @throws IOException if a file cannot be read
+     * @throws GeneralSecurityException if a file is invalid or the certificate has another name
+     */
     public Identity(Path dir, String name) throws IOException, GeneralSecurityException {
         this.name = name;
         List<X509Certificate> chain = Pem.certificates(dir.resolve(name + ".crt"));
@@ -57,27 +62,27 @@
         context.init(keys.getKeyManagers(), trust.getTrustManagers(), null);
     }
 
-    /** The name that the certificate gives. */
+    /** Returns the name in the certificate. */
     public String name() {
         return name;
     }
 
-    /** Sockets that show this identity, and take those whom the fleet's authorities know. */
+    /** Returns a TLS context that presents this identity and trusts the authorities of the fleet. */
     public SSLContext context() {
         return context;
     }
 
-    /** When the certificate ends, in milliseconds since 1970. */
+    /** Returns the expiry time of the certificate, in milliseconds since 1970. */
     public long expiresMs() {
         return certificate.getNotAfter().getTime();
     }
 
-    /** The name in a certificate. */
+    /** Returns the name in a certificate; empty if there is none. */
     public static String name(X509Certificate x509Certificate) {
         return parts(x509Certificate, "CN").stream().findFirst().orElse("");
     }
 
-    /** The roles in a certificate; words that are unknown are none. */
+    /** Returns the roles in a certificate; unknown role names are ignored. */
     public static Set<Role> roles(X509Certificate x509Certificate) {
         Set<Role> roles = EnumSet.noneOf(Role.class);
         for (String word : parts(x509Certificate, "OU")) {
--- a/control/src/main/java/ashlink/control/tls/Pem.java
+++ b/control/src/main/java/ashlink/control/tls/Pem.java
@@ -13,12 +13,12 @@
 import java.util.Base64;
 import java.util.List;
 
-/** Reads keys and certificates as text. */
+/** Reads private keys and certificates from PEM files. */
 public final class Pem {
 
     private Pem() {}
 
-    /** All certificates of a file. */
+    /** Reads all certificates in a file. */
     public static List<X509Certificate> certificates(Path file)
             throws IOException, GeneralSecurityException {
         try (InputStream in = Files.newInputStream(file)) {
@@ -28,7 +28,7 @@
         }
     }
 
-    /** The private key of a file. */
+    /** Reads the elliptic-curve private key in a file. */
     public static PrivateKey key(Path file) throws IOException, GeneralSecurityException {
         String text =
                 Files.readString(file).replaceAll("-----[A-Z ]+-----", "").replaceAll("\\s", "");
--- a/control/src/main/java/ashlink/control/tls/Role.java
+++ b/control/src/main/java/ashlink/control/tls/Role.java
@@ -1,14 +1,14 @@
 package ashlink.control.tls;
 
-/** What the holder of a certificate may do. */
+/** A permission that a certificate grants to its holder. */
 public enum Role {
-    /** Takes part in membership and command dissemination. */
+    /** Permits taking part in membership and in the dissemination of commands. */
     ROUTER("router"),
-    /** Reads the state of routers. */
+    /** Permits reading the status of routers. */
     OBSERVE("observe"),
-    /** Issues and withdraws drains. */
+    /** Permits issuing and withdrawing drains. */
     DRAIN("drain"),
-    /** Stops routers. */
+    /** Permits stopping routers. */
     STOP("stop");
 
     private final String word;
@@ -17,7 +17,7 @@
         this.word = word;
     }
 
-    /** The word in certificates and on the command line; the same in every build. */
+    /** Returns the name of this role in certificates and on the command line, in every build. */
     public String word() {
         return word;
     }
--- a/control/src/main/java/ashlink/control/tls/package-info.java
+++ b/control/src/main/java/ashlink/control/tls/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Keys and certificates of a fleet: a private authority, one certificate a router and an operator,
- * mutual TLS.
+ * Keys and certificates for the mutual TLS of a fleet: a private certificate authority, and one
+ * certificate per router and operator.
  */
 package ashlink.control.tls;
--- a/control/src/main/java/ashlink/control/tool/FleetClient.java
+++ b/control/src/main/java/ashlink/control/tool/FleetClient.java
@@ -20,19 +20,21 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 
-/** Sends requests to many routers in parallel; each has its own result. */
+/** Sends control requests to many routers in parallel and collects a result per router. */
 public final class FleetClient implements AutoCloseable {
 
     private static final long POLL_MS = 50;
 
     /**
-     * The result of one router: its answer, or null and an error if it was not reached.
+     * The result of a request to one router.
      *
+     * @param answer the response, or null if the request failed
+     * @param error why the request failed; empty if it succeeded
      * @param atMs time of the result, in milliseconds since 1970
      */
     public record Result(String router, JsonNode answer, String error, long atMs) {
 
-        /** True if it answered. */
+        /** Returns whether the router responded. */
         public boolean isReached() {
             return answer != null;
         }
@@ -43,7 +45,13 @@
     private final int timeoutMs;
     private final ExecutorService pool;
 
-    /** A client of routers by name; each request times out after {@code timeoutMs}. */
+    /**
+     * Creates a client of the given routers.
+     *
+     * @param routers addresses of the routers by name
+     * @param atOnce maximum number of parallel requests
+     * @param timeoutMs timeout of a connection attempt and of each read
+     */
     public FleetClient(
             Identity identity, Map<String, InetSocketAddress> routers, int atOnce, int timeoutMs) {
         this.identity = identity;
@@ -59,7 +67,7 @@
                         });
     }
 
-    /** Sends a frame to all routers. */
+    /** Sends a frame to all routers and returns the results by router. */
     public Map<String, Result> request(JsonNode frame) throws InterruptedException {
         Map<String, Future<Result>> pending = new LinkedHashMap<>();
         routers.forEach(
@@ -90,12 +98,17 @@
         }
     }
 
-    /** The status of all routers. */
+    /** Requests the status of all routers. */
     public Map<String, Result> status() throws InterruptedException {
         return request(ControlCodec.op("status"));
     }
 
-    /** The command that supersedes all that the reached routers know of a subject and owner. */
+    /**
+     * Returns a new command whose revision is higher than that of every command for the same subject
+     * and owner known to the routers that responded.
+     *
+     * @param known the statuses of routers
+     */
     public OperatorCommand nextCommand(
             String subject, String owner, Intent intent, String why, Map<String, Result> known)
             throws IOException {
@@ -113,7 +126,7 @@
         return new OperatorCommand(subject, owner, revision + 1, intent, identity.name(), why);
     }
 
-    /** Owners with an intent in force for a subject, by the reached routers. */
+    /** Returns the owners that have an intent in force for a subject on a router that responded. */
     public static List<String> activeOwners(String subject, Map<String, Result> known)
             throws IOException {
         List<String> owners = new ArrayList<>();
@@ -139,7 +152,7 @@
                 ControlCodec.commands("put", List.of(new CommandWithTtl(operatorCommand, leftMs))));
     }
 
-    /** Whether a router has a command, or a newer one of the same subject and owner. */
+    /** Returns whether a router has a command, or a newer one for the same subject and owner. */
     public static boolean hasCommand(Result result, OperatorCommand operatorCommand) {
         try {
             return result.isReached()
@@ -160,8 +173,8 @@
     }
 
     /**
-     * Polls the status until a fraction of all routers satisfies a condition or the timeout is
-     * over; returns the last status.
+     * Polls the status until the given fraction of all routers satisfies a condition or the timeout
+     * expires; returns the last status.
      */
     public Map<String, Result> awaitStatus(
             double fraction, long timeoutNs, Predicate<Result> condition)
--- a/control/src/main/java/ashlink/control/tool/package-info.java
+++ b/control/src/main/java/ashlink/control/tool/package-info.java
@@ -1,2 +1,2 @@
-/** Client of operators: queries all routers of a fleet and submits commands to them. */
+/** Client for operators that queries all routers of a fleet and submits commands to them. */
 package ashlink.control.tool;
--- a/fleet/src/main/java/ashlink/fleet/command/CommandDisseminator.java
+++ b/fleet/src/main/java/ashlink/fleet/command/CommandDisseminator.java
@@ -9,28 +9,36 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides to which peers a router sends commands: new ones at once to all peers, or to a random
- * sample in a large fleet (gossip), and periodically a digest to one random peer (anti-entropy), by
- * which lost ones arrive. Peers count whatever their membership state. Pure state; not thread-safe.
+ * Selects the peers to which a router sends operators' commands. A new command is sent immediately
+ * to all peers, or to a random sample of peers in a large fleet (gossip). A digest of the command
+ * set is sent periodically to one random peer (anti-entropy), so that commands lost in transit are
+ * delivered later. The membership state of a peer is ignored. Performs no I/O; not thread-safe.
  */
 public final class CommandDisseminator {
 
-    /** Most peers that all get a new command at once. */
+    /** Maximum number of receivers to all of which a new command is sent immediately. */
     private static final int BROADCAST_LIMIT = 32;
 
+    /** Number of random receivers of a new command in a larger fleet. */
     private static final int FANOUT = 6;
+
     private static final int MAX_COMMANDS_PER_MESSAGE = 200;
 
-    /** A message to send to a peer. */
+    /** An outgoing message and its receiver. */
     public sealed interface Transmission {
 
-        /** The receiver. */
+        /** Returns the name of the receiver. */
         String peer();
 
-        /** Commands to merge. */
+        /** Sends commands that the receiver merges into its set. */
         record SendCommands(String peer, List<CommandWithTtl> commands) implements Transmission {}
 
-        /** A digest of the sender's set; {@code reply} if it answers one, and is not answered. */
+        /**
+         * Sends a digest of the sender's command set.
+         *
+         * @param reply whether the digest responds to the receiver's digest; the receiver does not
+         *     respond to a reply with another digest
+         */
         record SendDigest(String peer, Map<CommandKey, Integer> digest, boolean reply)
                 implements Transmission {}
     }
@@ -38,13 +46,17 @@
     private final ReplicatedCommandSet set;
     private final SplittableRandom random;
 
-    /** A disseminator of a set; the seed determines the random choices. */
+    /** Creates a disseminator of a command set; the seed determines the random choices. */
     public CommandDisseminator(ReplicatedCommandSet set, long seed) {
         this.set = set;
         this.random = new SplittableRandom(seed);
     }
 
-    /** Sends new commands on, to all peers but the one that they came from; empty if none. */
+    /**
+     * Forwards new commands to the peers other than the one that sent them.
+     *
+     * @param from the peer that sent the commands; empty if an operator submitted them
+     */
     public List<Transmission> disseminate(
             List<CommandWithTtl> commands, Collection<String> peers, String from) {
         List<String> receivers = new ArrayList<>(peers);
@@ -60,7 +72,7 @@
                         .toList();
     }
 
-    /** Sends the digest to a random peer. */
+    /** Sends the digest to a random peer; returns an empty list if there are no peers. */
     public List<Transmission> startAntiEntropy(Collection<String> peers) {
         if (peers.isEmpty()) {
             return List.of();
@@ -72,7 +84,8 @@
     }
 
     /**
-     * Answers a peer's digest with the commands that it lacks and, if the sets differ, a digest.
+     * Responds to a peer's digest with the commands that the peer lacks and, if the digests differ
+     * and the peer's digest is not a reply, with the digest of this set.
      */
     public List<Transmission> onDigest(
             String peer, Map<CommandKey, Integer> peerDigest, boolean reply, long nowMs) {
--- a/fleet/src/main/java/ashlink/fleet/command/Intent.java
+++ b/fleet/src/main/java/ashlink/fleet/command/Intent.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What an operator wants of a subject, in ascending order of strength: of two concurrent commands
- * the one with the stronger intent wins.
+ * The action that an operator requests for an engine or router, in ascending order of strength: of
+ * two concurrent commands the one with the stronger intent takes effect.
  */
 public enum Intent {
-    /** Withdraws the owner's earlier command. */
+    /** Withdraws the earlier command of the same owner. */
     NONE(0),
-    /** The subject gets no new work. */
+    /** The subject receives no new work. */
     DRAIN(1),
-    /** The subject stops once its work is done. */
+    /** The subject stops after its current work has completed. */
     STOP(2);
 
     private static final List<Intent> BY_CODE = List.of(NONE, DRAIN, STOP);
@@ -22,15 +22,15 @@
         this.code = code;
     }
 
-    /** The number of this intent in command logs and digests; the same in every build. */
+    /** Returns the number that represents this intent in command logs and digests, in every build. */
     public int code() {
         return code;
     }
 
     /**
-     * The intent with that number.
+     * Returns the intent that a number represents.
      *
-     * @throws IndexOutOfBoundsException if no intent has it
+     * @throws IndexOutOfBoundsException if the number represents no intent
      */
     public static Intent ofCode(int code) {
         return BY_CODE.get(code);
--- a/fleet/src/main/java/ashlink/fleet/command/OperatorCommand.java
+++ b/fleet/src/main/java/ashlink/fleet/command/OperatorCommand.java
@@ -4,21 +4,21 @@
 import java.util.Objects;
 
 /**
- * What one operator wants of one subject. Each owner has its own command per subject; the one of
- * the highest revision is in force. A revision is a logical clock: one more than the highest that
- * its issuer knew. Two of the same revision were issued concurrently, then the stronger intent wins
- * on every router.
+ * An operator's command for an engine or router. Each owner has at most one command in force per
+ * subject: the one with the highest revision. The revision is a logical clock: one more than the
+ * highest revision known to the issuer. Two commands with the same revision were issued
+ * concurrently; every router then applies the one with the stronger intent.
  *
- * @param subject {@code engine:NAME} or {@code router:NAME}
+ * @param subject the engine or router, as {@code engine:NAME} or {@code router:NAME}
  * @param owner the operator to whom the command belongs
- * @param by the issuer: the owner, or who overrides it
- * @param why reason, for people
+ * @param by the operator who issued the command: the owner, or another who overrides the owner
+ * @param why free-text reason given by the issuer
  */
 public record OperatorCommand(
         String subject, String owner, long revision, Intent intent, String by, String why)
         implements Comparable<OperatorCommand> {
 
-    /** Most characters of each text. */
+    /** Maximum length of each text field, in characters. */
     public static final int MAX_FIELD_CHARS = 256;
 
     private static final Comparator<OperatorCommand> ORDER =
@@ -28,9 +28,9 @@
                     .thenComparing(OperatorCommand::why);
 
     /**
-     * Checks the parts.
+     * Validates the fields.
      *
-     * @throws IllegalArgumentException if one is malformed or too long
+     * @throws IllegalArgumentException if a field is malformed or too long
      */
     public OperatorCommand {
         if (!subject.matches("(engine|router):.+") || owner.isEmpty() || revision < 1) {
@@ -45,22 +45,24 @@
         }
     }
 
-    /** The subject of an engine. */
+    /** Returns the subject that denotes an engine. */
     public static String engine(String name) {
         return "engine:" + name;
     }
 
-    /** The subject of a router. */
+    /** Returns the subject that denotes a router. */
     public static String router(String name) {
         return "router:" + name;
     }
 
-    /** A hash that is the same in every process and build. */
+    /** Returns a hash of all fields that is the same in every process and build. */
     int digest() {
         return Objects.hash(subject, owner, revision, intent.code(), by, why);
     }
 
-    /** Total order of the commands of one owner on one subject: the greatest is in force. */
+    /**
+     * Compares commands of one owner and subject in a total order; the greatest command is in force.
+     */
     @Override
     public int compareTo(OperatorCommand other) {
         return ORDER.compare(this, other);
--- a/fleet/src/main/java/ashlink/fleet/command/ReplicatedCommandSet.java
+++ b/fleet/src/main/java/ashlink/fleet/command/ReplicatedCommandSet.java
@@ -6,28 +6,30 @@
 import java.util.TreeMap;
 
 /**
- * A state-based CRDT: a map of last-writer-wins registers with expiry, one register per pair of
- * subject and owner.
+ * A state-based CRDT of operators' commands: a map of last-writer-wins registers with expiry, one
+ * register for each pair of subject and owner.
  *
- * <p>Merge rule: the register keeps the greater command by the total order of {@link
- * OperatorCommand#compareTo} (revision, then intent, issuer, reason); for an equal command it keeps
- * the later expiry. The merge of registers is a maximum, hence commutative, associative and
- * idempotent, as long as {@code maxEntries} rejects none.
+ * <p>Merge rule: the register keeps the greater command in the total order of {@link
+ * OperatorCommand#compareTo} (revision, then intent, issuer, reason); of two equal commands the
+ * register keeps the later expiry. Merging takes a maximum and is therefore commutative,
+ * associative and idempotent, as long as no command is rejected because of {@code maxEntries}.
  *
- * <p>Clock: the revision is a logical clock per register, one more than the highest that the issuer
- * knew. Expiry is in milliseconds of the local wall clock; only the remaining time to live is
- * exchanged, so clocks need not agree.
+ * <p>Clocks: the revision is a logical clock per register, one more than the highest revision known
+ * to the issuer. Expiry times are in milliseconds of the local wall clock; routers exchange only the
+ * remaining time to live, so their clocks need not be synchronized.
  *
- * <p>Invariants: a register's command never decreases while the register is kept; an expired
- * command has no effect and stays as a tombstone for {@code tombstoneMs}, so that an older one with
- * a time to live of at most {@code maxTtlMs} cannot take effect again. Pure state; not thread-safe.
+ * <p>Invariants: the command of a register never decreases while the register is kept. An expired
+ * command has no effect and is kept as a tombstone for {@code tombstoneMs}, so that an older command
+ * with a time to live of at most {@code maxTtlMs} cannot take effect again.
+ *
+ * <p>Performs no I/O and reads no clock; not thread-safe.
  */
 public final class ReplicatedCommandSet {
 
-    /** A command and its remaining time to live in milliseconds; 0 or less is expired. */
+    /** A command and its remaining time to live in milliseconds; 0 or less means expired. */
     public record CommandWithTtl(OperatorCommand command, long ttlMs) {}
 
-    /** The key of a register: a subject and the owner of the command. */
+    /** The key of a register: the subject and the owner of its command. */
     public record CommandKey(String subject, String owner) implements Comparable<CommandKey> {
         @Override
         public int compareTo(CommandKey commandKey) {
@@ -44,10 +46,10 @@
     private final Map<CommandKey, Entry> entries = new TreeMap<>();
 
     /**
-     * An empty set.
+     * Creates an empty set.
      *
-     * @param maxEntries most registers; a command for a further one is rejected
-     * @param maxTtlMs longest time to live of a command; a longer one is cut to it
+     * @param maxEntries maximum number of registers; a command that needs another one is rejected
+     * @param maxTtlMs maximum time to live of a command; a longer one is reduced to it
      * @param tombstoneMs time for which an expired command is kept; at least {@code maxTtlMs}
      */
     public ReplicatedCommandSet(int most, long longestMs, long rememberedMs) {
@@ -68,8 +70,9 @@
     }
 
     /**
-     * Merges a command with its remaining time to live; returns whether the register's command
-     * changed. A longer time to live alone is taken over and returns false.
+     * Merges a command with its remaining time to live.
+     *
+     * @return whether the command of the register changed; false if only its expiry was extended
      */
     public boolean add(OperatorCommand operatorCommand, long leftMs, long nowMs) {
         long expiresMs = nowMs + Math.min(leftMs, maxTtlMs);
@@ -88,7 +91,7 @@
         return order > 0;
     }
 
-    /** The strongest intent in force for a subject, over its owners. */
+    /** Returns the strongest intent in force for a subject among the commands of all owners. */
     public Intent intent(String subject, long nowMs) {
         Intent strongest = Intent.NONE;
         for (Entry entry : entries.values()) {
@@ -101,7 +104,7 @@
         return strongest;
     }
 
-    /** The strongest intent in force by subject; subjects without one are left out. */
+    /** Returns the strongest intent in force by subject; a subject without one is omitted. */
     public Map<String, Intent> intents(long nowMs) {
         Map<String, Intent> all = new TreeMap<>();
         for (Entry entry : entries.values()) {
@@ -115,13 +118,13 @@
         return all;
     }
 
-    /** The next revision of a register: one more than the known one. */
+    /** Returns the next revision of a register: one more than the known revision, or 1. */
     public long nextRevision(String subject, String owner) {
         Entry entry = entries.get(new CommandKey(subject, owner));
         return entry == null ? 1 : entry.command.revision() + 1;
     }
 
-    /** Owners with an intent in force for a subject. */
+    /** Returns the owners that have an intent in force for a subject. */
     public List<String> owners(String subject, long nowMs) {
         return entries.values().stream()
                 .filter(
@@ -133,14 +136,14 @@
                 .toList();
     }
 
-    /** All commands, expired ones too. */
+    /** Returns all commands, including expired ones. */
     public List<CommandWithTtl> commands(long nowMs) {
         return entries.values().stream()
                 .map(entry -> new CommandWithTtl(entry.command, entry.expiresMs - nowMs))
                 .toList();
     }
 
-    /** The commands that a peer with that digest lacks or has otherwise. */
+    /** Returns the commands that are missing or different in the set of a peer with a digest. */
     public List<CommandWithTtl> missingFrom(Map<CommandKey, Integer> digest, long nowMs) {
         List<CommandWithTtl> missing = new ArrayList<>();
         entries.forEach(
@@ -153,19 +156,19 @@
         return missing;
     }
 
-    /** A hash of each register, for the comparison with a peer. */
+    /** Returns a hash of the command in each register, for comparison with a peer. */
     public Map<CommandKey, Integer> digest() {
         Map<CommandKey, Integer> digest = new TreeMap<>();
         entries.forEach((key, entry) -> digest.put(key, entry.command.digest()));
         return digest;
     }
 
-    /** Removes the tombstones whose time is over. */
+    /** Removes the commands that expired more than the tombstone time ago. */
     public void removeExpired(long nowMs) {
         entries.values().removeIf(entry -> nowMs - entry.expiresMs > tombstoneMs);
     }
 
-    /** Number of registers. */
+    /** Returns the number of registers. */
     public int size() {
         return entries.size();
     }
--- a/fleet/src/main/java/ashlink/fleet/command/package-info.java
+++ b/fleet/src/main/java/ashlink/fleet/command/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Operators' commands for engines and routers, replicated without coordination as a CRDT. Without
- * I/O or clock; random choices follow from a seed.
+ * Operators' commands for engines and routers, replicated among routers without coordination as a
+ * CRDT. The code performs no I/O and reads no clock; random choices are determined by a seed.
  */
 package ashlink.fleet.command;
--- a/fleet/src/main/java/ashlink/fleet/membership/DisseminationBuffer.java
+++ b/fleet/src/main/java/ashlink/fleet/membership/DisseminationBuffer.java
@@ -7,8 +7,9 @@
 import java.util.TreeMap;
 
 /**
- * Membership updates that are still to be piggybacked on messages, at most one a member. Each is
- * sent a bounded number of times, those sent least often first. Not thread-safe.
+ * Buffer of membership updates that are waiting to be piggybacked on messages, at most one per
+ * member. Each update is sent a bounded number of times; the updates sent least often are sent
+ * first. Not thread-safe.
  */
 final class DisseminationBuffer {
 
@@ -23,16 +24,16 @@
 
     private final Map<String, PendingUpdate> pendingByMember = new TreeMap<>();
 
-    /** Adds an update; it replaces an earlier one of the same member. */
+    /** Adds an update and discards an earlier update of the same member. */
     void add(MembershipUpdate update) {
         pendingByMember.put(update.member(), new PendingUpdate(update));
     }
 
     /**
-     * The updates for the next message.
+     * Returns the updates to piggyback on the next message and counts them as sent.
      *
-     * @param maxUpdates most updates in the message
-     * @param maxTransmissions number of messages after which an update is dropped
+     * @param maxUpdates maximum number of updates in the message
+     * @param maxTransmissions number of messages after which an update is removed
      */
     List<MembershipUpdate> next(int maxUpdates, int maxTransmissions) {
         List<PendingUpdate> chosen =
--- a/fleet/src/main/java/ashlink/fleet/membership/MembershipList.java
+++ b/fleet/src/main/java/ashlink/fleet/membership/MembershipList.java
@@ -7,10 +7,10 @@
 import java.util.TreeMap;
 
 /**
- * What a member knows of itself and the others, and the updates that it disseminates. Per member
- * the update that overrides all others seen is kept; a suspicion that is not refuted before its
- * timeout becomes a death; a suspicion or death of this member is refuted with a higher
- * incarnation. Not thread-safe.
+ * A member's view of the membership, and the updates that it disseminates. For each member, the list
+ * keeps the update that overrides all other received ones. A suspected member is declared dead if
+ * the suspicion is not refuted before its timeout. An update that reports this member as suspected
+ * or dead is refuted by an update with a higher incarnation. Not thread-safe.
  */
 final class MembershipList {
 
@@ -29,7 +29,7 @@
     private MembershipUpdate self;
     private long refutedSuspicions;
 
-    /** A list of this member and of seeds, addresses by name, that are assumed alive. */
+    /** Creates a list of this member and of seed members (addresses by name), assumed alive. */
     MembershipList(String name, String address, Map<String, String> seeds, SwimConfig config) {
         this.config = config;
         this.self = new MembershipUpdate(name, address, 0, State.ALIVE);
@@ -46,25 +46,25 @@
         return new MembershipUpdate(member, address, 0, State.ALIVE);
     }
 
-    /** The name of this member. */
+    /** Returns the name of this member. */
     String self() {
         return self.member();
     }
 
-    /** The latest update of a member; null if it is unknown or this member itself. */
+    /** Returns the latest update of another member; null if there is none. */
     MembershipUpdate latest(String member) {
         MemberRecord known = members.get(member);
         return known == null ? null : known.latest;
     }
 
-    /** The latest update of each member but this one, by name. */
+    /** Returns the latest update of every other member by name. */
     Map<String, MembershipUpdate> all() {
         Map<String, MembershipUpdate> all = new TreeMap<>();
         members.forEach((member, known) -> all.put(member, known.latest));
         return all;
     }
 
-    /** The names of all members in that state, in order. */
+    /** Returns the names of all other members in a state, in alphabetical order. */
     List<String> inState(State state) {
         return members.entrySet().stream()
                 .filter(entry -> entry.getValue().latest.state() == state)
@@ -72,25 +72,25 @@
                 .toList();
     }
 
-    /** The names of all members that are alive or suspected, in order. */
+    /** Returns the names of all other members that are alive or suspected, in alphabetical order. */
     Collection<String> notDead() {
         return members.keySet().stream().filter(this::isNotDead).toList();
     }
 
-    /** Whether a member is known and alive or suspected. */
+    /** Returns whether a member is known and is alive or suspected. */
     boolean isNotDead(String member) {
         MembershipUpdate latest = latest(member);
         return latest != null && latest.state() != State.DEAD;
     }
 
-    /** Adds a member that sent a message, if it is unknown. */
+    /** Adds the sender of a message as alive if it is unknown. */
     void addSender(String member, String address, long nowNs) {
         if (!members.containsKey(member)) {
             apply(alive(member, address), nowNs);
         }
     }
 
-    /** Applies a received update. */
+    /** Applies an update if it overrides the latest one of its member. */
     void apply(MembershipUpdate update, long nowNs) {
         if (update.member().equals(self.member())) {
             applyToSelf(update);
@@ -114,7 +114,10 @@
         disseminationBuffer.add(update);
     }
 
-    /** Refutes a suspicion or death; takes an incarnation above that of an earlier process. */
+    /**
+     * Refutes an update that reports this member as suspected or dead. Also raises the incarnation of
+     * this member above the one that an earlier process of the same name used.
+     */
     private void applyToSelf(MembershipUpdate update) {
         boolean refutes =
                 update.incarnation() >= self.incarnation() && update.state() != State.ALIVE;
@@ -129,7 +132,7 @@
         }
     }
 
-    /** Suspects a member if it is alive. */
+    /** Marks a member as suspected if it is alive. */
     void suspect(String member, long nowNs) {
         MembershipUpdate latest = members.get(member).latest;
         if (latest.state() == State.ALIVE) {
@@ -137,7 +140,7 @@
         }
     }
 
-    /** Declares the members dead whose suspicion timed out. */
+    /** Declares every member dead whose suspicion timeout has expired. */
     void expireSuspicions(long nowNs) {
         for (MemberRecord known : members.values()) {
             if (known.latest.state() == State.SUSPECT && nowNs >= known.suspectUntilNs) {
@@ -147,18 +150,18 @@
         }
     }
 
-    /** Extends all suspicion timeouts by a time. */
+    /** Extends all suspicion timeouts by a duration. */
     void extendSuspicions(long byNs) {
         members.values().forEach(known -> known.suspectUntilNs += byNs);
     }
 
-    /** The updates to piggyback on the next message. */
+    /** Returns the updates to piggyback on the next message. */
     List<MembershipUpdate> piggybackedUpdates() {
         int maxTransmissions = (int) Math.ceil(config.disseminationFactor() * log2OfMembers());
         return disseminationBuffer.next(config.maxUpdatesPerMessage(), maxTransmissions);
     }
 
-    /** Number of suspicions and deaths of this member that it refuted. */
+    /** Returns the number of suspicions and death reports that this member refuted. */
     long refutedSuspicions() {
         return refutedSuspicions;
     }
--- a/fleet/src/main/java/ashlink/fleet/membership/PingSchedule.java
+++ b/fleet/src/main/java/ashlink/fleet/membership/PingSchedule.java
@@ -8,8 +8,9 @@
 import java.util.function.Supplier;
 
 /**
- * The order in which members are pinged: each once a round, in a random order that is drawn anew
- * each round, so that the time until a failed member is pinged is bounded. Not thread-safe.
+ * Chooses the order in which members are pinged: each member once per round, in a random order that
+ * is drawn anew for each round. This bounds the time until a failed member is pinged. Not
+ * thread-safe.
  */
 final class PingSchedule {
 
@@ -21,10 +22,10 @@
     }
 
     /**
-     * The next member to ping, or null if there is none.
+     * Returns the next member to ping, or null if there is none.
      *
-     * @param candidates the members of a new round
-     * @param eligible whether a member drawn earlier may still be pinged
+     * @param candidates supplies the members of a new round
+     * @param eligible tests whether a member of the current round may still be pinged
      */
     String next(Supplier<Collection<String>> candidates, Predicate<String> eligible) {
         while (true) {
--- a/fleet/src/main/java/ashlink/fleet/membership/Swim.java
+++ b/fleet/src/main/java/ashlink/fleet/membership/Swim.java
@@ -11,20 +11,21 @@
 import java.util.SplittableRandom;
 
 /**
- * One member's part of SWIM. In each protocol period it pings one member; without an ack within the
- * ping timeout it sends ping-reqs to some others, and without an ack by the end of the period it
- * suspects the member. Membership updates are piggybacked on all messages.
+ * The SWIM protocol as run by one member. In each protocol period, the member pings one other
+ * member. If no ack arrives within the ping timeout, the member sends ping-reqs to some others; if
+ * no ack arrives by the end of the period, it marks the pinged member as suspected. Membership
+ * updates are piggybacked on all messages.
  *
- * <p>Pure state: the caller passes the time and the messages received, and sends what is returned;
- * the same seed and calls give the same results. Times are in nanoseconds of one monotonic clock.
- * Not thread-safe.
+ * <p>This class performs no I/O and reads no clock: the caller passes the time and the received
+ * messages, and sends the returned messages. The same seed and the same calls give the same results.
+ * Times are in nanoseconds of one monotonic clock. Not thread-safe.
  */
 public final class Swim {
 
-    /** A message to a member at an address. */
+    /** An outgoing message with the name and address of its receiver. */
     public record Send(String member, String address, Message message) {}
 
-    /** A ping sent on behalf of a ping-req, and where its ack is forwarded. */
+    /** A ping sent in response to a ping-req, and the member to which its ack is forwarded. */
     private record RelayedPing(
             String requester, String requesterAddress, long requesterSequence, String target) {}
 
@@ -39,7 +40,7 @@
     private long lastTickNs;
     private boolean started;
 
-    /** The member whose ack is awaited in this period; null if none is. */
+    /** The member whose ack is pending in this protocol period; null if there is none. */
     private String pingTarget;
 
     private long pingSequence;
@@ -47,11 +48,11 @@
     private boolean pingReqSent;
 
     /**
-     * A member that starts with others assumed alive.
+     * Creates a member that initially assumes the seed members to be alive.
      *
-     * @param address where this member is reached, {@code HOST:PORT}
+     * @param address the address of this member as {@code HOST:PORT}
      * @param seeds addresses of other members by name
-     * @param seed of the random choices
+     * @param seed the seed of the random choices
      */
     public Swim(
             String name, String address, Map<String, String> seeds, SwimConfig config, long seed) {
@@ -62,8 +63,8 @@
     }
 
     /**
-     * Advances the protocol to a time; returns the messages to send. A call that comes more than
-     * three protocol periods after the last one means that the process was paused.
+     * Advances the protocol to the given time and returns the messages to send. If more than three
+     * protocol periods have passed since the last call, the process is assumed to have been paused.
      */
     public List<Send> tick(long nowNs) {
         List<Send> out = new ArrayList<>();
@@ -92,8 +93,8 @@
     }
 
     /**
-     * The process itself was paused, so acks may have been missed: the pending ping is dropped, and
-     * suspicion timeouts are extended by the pause.
+     * Resumes the protocol after a pause of this process. Acks may have been missed during the pause,
+     * so the pending ping is discarded and the suspicion timeouts are extended by the pause.
      */
     private void resumeAfterPause(long pausedNs, long nowNs) {
         pingTarget = null;
@@ -127,7 +128,7 @@
         }
     }
 
-    /** Tells a random dead member its state, so that it can refute it if it is alive. */
+    /** Pings a random dead member with its own state, which the member refutes if it is alive. */
     private void pingDeadMember(List<Send> out) {
         List<String> dead = membership.inState(State.DEAD);
         if (dead.isEmpty()) {
@@ -153,7 +154,7 @@
         return new Send(member, membership.latest(member).address(), message);
     }
 
-    /** Handles a message received from a member at an address; returns the messages to send. */
+    /** Processes a message received from a member at an address; returns the messages to send. */
     public List<Send> receive(String from, String address, Message message, long nowNs) {
         List<Send> out = new ArrayList<>();
         boolean known = membership.latest(from) != null;
@@ -172,7 +173,12 @@
         return out;
     }
 
-    /** An ack; it tells a sender that is suspected or dead its state, so that it can refute it. */
+    /**
+     * Creates the ack of a ping. A suspected or dead sender also receives its own state, so that it
+     * can refute that state.
+     *
+     * @param sender the latest update of the sender; null if the sender was unknown
+     */
     private Ack ack(Ping ping, MembershipUpdate sender) {
         List<MembershipUpdate> updates = new ArrayList<>(membership.piggybackedUpdates());
         if (sender != null && sender.state() != State.ALIVE) {
@@ -202,23 +208,23 @@
         }
     }
 
-    /** The latest update of each member but this one, by name. */
+    /** Returns the latest update of every other member by name. */
     public Map<String, MembershipUpdate> members() {
         return membership.all();
     }
 
-    /** The state of a member; null if it is unknown. */
+    /** Returns the state of another member; null if the member is unknown. */
     public State stateOf(String member) {
         MembershipUpdate latest = membership.latest(member);
         return latest == null ? null : latest.state();
     }
 
-    /** Number of suspicions and deaths of this member that it refuted. */
+    /** Returns the number of suspicions and death reports that this member refuted. */
     public long refutedSuspicions() {
         return membership.refutedSuspicions();
     }
 
-    /** Latest time of the next {@link #tick}. */
+    /** Returns the latest time at which {@link #tick} must be called next. */
     public long nextTickNs() {
         return pingTarget != null && !pingReqSent
                 ? Math.min(nextPeriodNs, pingReqAtNs)
--- a/fleet/src/main/java/ashlink/fleet/supervise/RestartPolicy.java
+++ b/fleet/src/main/java/ashlink/fleet/supervise/RestartPolicy.java
@@ -3,34 +3,35 @@
 import java.util.ArrayDeque;
 
 /**
- * Decides when a process that exited is restarted: at once after a stable run, with exponential
- * backoff after short runs, at the longest backoff in a crash loop. Pure state; not thread-safe.
- * Times are in nanoseconds of one monotonic clock.
+ * Decides when an exited process is restarted: immediately after a stable run, with exponential
+ * backoff after short runs, and with the maximum backoff in a crash loop. Times are in nanoseconds of
+ * one monotonic clock. Performs no I/O and reads no clock; not thread-safe.
  */
 public final class RestartPolicy {
 
-    /** What to do after an exit. */
+    /** The action after an exit. */
     public enum RestartAction {
-        /** Nothing: the exit was requested or successful. */
+        /** No restart, because the exit was requested or successful. */
         NONE,
-        /** Nothing: the settings are invalid. */
+        /** No restart, because the settings are invalid. */
         GIVE_UP,
         /** Restart after the backoff. */
         RESTART,
-        /** Restart after the longest backoff: the process is in a crash loop. */
+        /** Restart after the maximum backoff, because the process is in a crash loop. */
         CRASH_LOOP
     }
 
-    /** The action and the backoff before the restart, in nanoseconds. */
+    /** An action and the backoff before the restart in nanoseconds. */
     public record Decision(RestartAction action, long backoffNs) {}
 
     /**
-     * Limits of restarts, in nanoseconds.
+     * Limits of restarts; durations are in nanoseconds.
      *
-     * @param initialBackoffNs backoff after the first short run; doubles with each further one
-     * @param maxBackoffNs longest backoff
-     * @param stableRunNs shortest run that resets the backoff
-     * @param crashLoopRuns short runs within {@code crashLoopWindowNs} that make a crash loop
+     * @param initialBackoffNs backoff after the first short run, doubled after each further one
+     * @param maxBackoffNs maximum backoff
+     * @param stableRunNs minimum duration of a run that resets the backoff
+     * @param crashLoopRuns number of short runs within {@code crashLoopWindowNs} that constitute a
+     *     crash loop
      */
     public record RestartLimits(
             long initialBackoffNs,
@@ -39,28 +40,32 @@
             int crashLoopRuns,
             long crashLoopWindowNs) {
 
-        /** Backoff of 0.5 s to 30 s, reset by a run of 60 s; a crash loop is 5 runs in 300 s. */
+        /**
+         * Default limits: a backoff of 0.5 s to 30 s that a run of 60 s resets; a crash loop is 5
+         * short runs within 300 s.
+         */
         public static final RestartLimits DEFAULT =
                 new RestartLimits(
                         500_000_000L, 30_000_000_000L, 60_000_000_000L, 5, 300_000_000_000L);
     }
 
+    /** Exit status of a process whose settings are invalid. */
     private static final int INVALID_SETTINGS_STATUS = 2;
 
     private final RestartLimits limits;
     private final ArrayDeque<Long> shortRunEndsNs = new ArrayDeque<>();
     private int consecutiveShortRuns;
 
-    /** A policy with those limits. */
+    /** Creates a policy with the given limits. */
     public RestartPolicy(RestartLimits limits) {
         this.limits = limits;
     }
 
     /**
-     * Decides after an exit.
+     * Decides whether and when the process is restarted after an exit.
      *
      * @param status exit status of the process
-     * @param requested whether the exit was requested
+     * @param requested whether the exit was requested by the supervisor or its operator
      */
     public Decision onExit(long startedNs, long endedNs, int status, boolean requested) {
         if (requested || status == 0) {
--- a/fleet/src/main/java/ashlink/fleet/supervise/package-info.java
+++ b/fleet/src/main/java/ashlink/fleet/supervise/package-info.java
@@ -1,2 +1,2 @@
-/** Restarts of a process that exited. Without I/O or clock. */
+/** Restart policy of a supervised process. The code performs no I/O and reads no clock. */
 package ashlink.fleet.supervise;
