--- a/control/src/main/java/ashlink/control/channel/ControlClient.java
+++ b/control/src/main/java/ashlink/control/channel/ControlClient.java
@@ -42,7 +42,13 @@
             socket.startHandshake();
             peer = Identity.name((X509Certificate) socket.getSession().getPeerCertificates()[0]);
             if (expected != null && !peer.equals(expected)) {
-                throw new IOException("at " + to + " is " + peer + ", not " + expected);
+                throw new IOException(
+                        "unexpected certificate name "
+                                + peer
+                                + " of the router at "
+                                + to
+                                + ": expected "
+                                + expected);
             }
             in = new DataInputStream(new BufferedInputStream(socket.getInputStream(), 16 << 10));
             out = new DataOutputStream(socket.getOutputStream());
--- a/control/src/main/java/ashlink/control/channel/ControlServer.java
+++ b/control/src/main/java/ashlink/control/channel/ControlServer.java
@@ -89,7 +89,7 @@
                 SSLSocket socket = (SSLSocket) server.accept();
                 if (sockets.size() >= MAX_CONNECTIONS) {
                     LOG.warn(
-                            "control connection rejected peer={} openConnections={}",
+                            "control connection rejected address={} openConnections={}",
                             socket.getRemoteSocketAddress(),
                             sockets.size());
                     socket.close();
@@ -99,7 +99,7 @@
                 thread(() -> serve(socket), name + "-control-" + socket.getPort()).start();
             } catch (IOException e) {
                 if (!closed) {
-                    LOG.warn("control accept failed error={}", e.toString());
+                    LOG.warn("control accept failed error=\"{}\"", e.toString());
                     pause(50_000_000L);
                 }
             }
@@ -144,7 +144,7 @@
             }
         } catch (IOException e) {
             LOG.info(
-                    "control connection ended peer={} error={}",
+                    "control connection failed address={} error=\"{}\"",
                     socket.getRemoteSocketAddress(),
                     e.toString());
         } finally {
@@ -156,7 +156,7 @@
         try {
             return handler.handle(peer, frame);
         } catch (IOException | RuntimeException e) {
-            LOG.info("control request failed peer={} error={}", peer.name(), e.toString());
+            LOG.info("control request failed peer={} error=\"{}\"", peer.name(), e.toString());
             return Frames.JSON.createObjectNode().put("error", String.valueOf(e.getMessage()));
         }
     }
@@ -167,13 +167,13 @@
         try {
             server.close();
         } catch (IOException e) {
-            LOG.debug("control close failed error={}", e.toString());
+            LOG.debug("control server close failed error=\"{}\"", e.toString());
         }
         for (Socket socket : sockets) {
             try {
                 socket.close();
             } catch (IOException e) {
-                LOG.debug("control close failed error={}", e.toString());
+                LOG.debug("control connection close failed error=\"{}\"", e.toString());
             }
         }
     }
--- a/control/src/main/java/ashlink/control/channel/Frames.java
+++ b/control/src/main/java/ashlink/control/channel/Frames.java
@@ -49,10 +49,7 @@
                         | in.readUnsignedByte();
         if (length <= 0 || length > MAX_FRAME_BYTES) {
             throw new IOException(
-                    "a frame says that it has "
-                            + length
-                            + " bytes; the limit is "
-                            + MAX_FRAME_BYTES);
+                    "invalid frame length " + length + ": expected 1 to " + MAX_FRAME_BYTES);
         }
         byte[] bytes = new byte[length];
         in.readFully(bytes);
@@ -62,19 +59,16 @@
                 return node;
             }
         } catch (JsonProcessingException e) {
-            throw new IOException("a frame is no JSON: " + e.getOriginalMessage());
+            throw new IOException("invalid JSON in frame: " + e.getOriginalMessage());
         }
-        throw new IOException("a frame is no JSON object");
+        throw new IOException("invalid frame content: expected a JSON object");
     }
 
     static void write(DataOutputStream out, JsonNode node) throws IOException {
         byte[] bytes = JSON.writeValueAsBytes(node);
         if (bytes.length > MAX_FRAME_BYTES) {
             throw new IOException(
-                    "a frame of "
-                            + bytes.length
-                            + " bytes is over the limit of "
-                            + MAX_FRAME_BYTES);
+                    "invalid frame length " + bytes.length + ": at most " + MAX_FRAME_BYTES);
         }
         byte[] frame = new byte[4 + bytes.length];
         frame[0] = (byte) (bytes.length >>> 24);
@@ -87,6 +81,6 @@
     }
 
     static EOFException connectionClosed() {
-        return new EOFException("the peer closed the connection");
+        return new EOFException("connection closed by the peer before its response");
     }
 }
--- a/control/src/main/java/ashlink/control/member/CommandLog.java
+++ b/control/src/main/java/ashlink/control/member/CommandLog.java
@@ -36,7 +36,8 @@
         for (String damage :
                 log.read(r -> read(new DataInputStream(new ByteArrayInputStream(r)), nowMs))) {
             LOG.error(
-                    "the notices are damaged in {}; what followed comes from other routers",
+                    "command log damaged, later records are recovered from other routers"
+                            + " error=\"{}\"",
                     damage);
         }
         rewrite(nowMs);
--- a/control/src/main/java/ashlink/control/member/CommandStore.java
+++ b/control/src/main/java/ashlink/control/member/CommandStore.java
@@ -73,7 +73,7 @@
             log.put(command.command(), command.ttlMs(), nowMs);
         } catch (IOException e) {
             if (!logFailed) {
-                LOG.error("command log write failed durable=false error={}", e.toString());
+                LOG.error("command log write failed durable=false error=\"{}\"", e.toString());
             }
             logFailed = true;
         }
@@ -87,9 +87,9 @@
         try {
             log.rewrite(nowMs);
             logFailed = false;
-            LOG.info("command log written durable=true");
+            LOG.info("command log rewritten durable=true");
         } catch (IOException e) {
-            LOG.debug("command log write failed again error={}", e.toString());
+            LOG.debug("command log rewrite failed durable=false error=\"{}\"", e.toString());
         }
     }
 
--- a/control/src/main/java/ashlink/control/member/ControlCodec.java
+++ b/control/src/main/java/ashlink/control/member/ControlCodec.java
@@ -69,7 +69,8 @@
                                         text(entry, ControlWords.REASON)),
                                 entry.path(ControlWords.TTL_MS).asLong()));
             } catch (IllegalArgumentException e) {
-                throw new IOException("a notice makes no sense: " + e.getMessage());
+                throw new IOException(
+                        "invalid entry in field " + ControlWords.COMMANDS + ": " + e.getMessage());
             }
         }
         return commands;
@@ -138,7 +139,8 @@
                                 ControlWords.state(text(entry, ControlWords.STATE))));
             }
         } catch (IllegalArgumentException e) {
-            throw new IOException("a rumor makes no sense: " + e.getMessage());
+            throw new IOException(
+                    "invalid entry in field " + ControlWords.UPDATES + ": " + e.getMessage());
         }
         long number = json.path(ControlWords.SEQUENCE).asLong();
         return switch (text(json, ControlWords.KIND)) {
@@ -149,7 +151,9 @@
                     new Ack(number, text(json, ControlWords.ACKNOWLEDGED_MEMBER), updates);
             default ->
                     throw new IOException(
-                            "a message of kind " + text(json, ControlWords.KIND) + " is unknown");
+                            "unknown message kind "
+                                    + text(json, ControlWords.KIND)
+                                    + ": expected ping, ping-for or ack");
         };
     }
 
@@ -157,9 +161,9 @@
         JsonNode value = json.path(field);
         if (!value.isTextual() || value.textValue().length() > OperatorCommand.MAX_FIELD_CHARS) {
             throw new IOException(
-                    "field "
+                    "invalid field "
                             + field
-                            + " is no text of at most "
+                            + ": expected a string of at most "
                             + OperatorCommand.MAX_FIELD_CHARS
                             + " characters");
         }
@@ -169,7 +173,12 @@
     private static JsonNode list(JsonNode json, String field) throws IOException {
         JsonNode value = json.path(field);
         if (!value.isArray() || value.size() > MAX_LIST_ENTRIES) {
-            throw new IOException("field " + field + " is no list of at most " + MAX_LIST_ENTRIES);
+            throw new IOException(
+                    "invalid field "
+                            + field
+                            + ": expected an array of at most "
+                            + MAX_LIST_ENTRIES
+                            + " entries");
         }
         return value;
     }
--- a/control/src/main/java/ashlink/control/member/ControlWords.java
+++ b/control/src/main/java/ashlink/control/member/ControlWords.java
@@ -72,7 +72,7 @@
             case "NONE" -> Intent.NONE;
             case "DRAIN" -> Intent.DRAIN;
             case "STOP" -> Intent.STOP;
-            default -> throw new IllegalArgumentException("unknown intent " + word);
+            default -> throw new IllegalArgumentException("unknown intent " + word + ": expected NONE, DRAIN or STOP");
         };
     }
 
@@ -95,7 +95,7 @@
             case "ALIVE" -> State.ALIVE;
             case "SUSPECT" -> State.SUSPECT;
             case "GONE" -> State.DEAD;
-            default -> throw new IllegalArgumentException("unknown member state " + word);
+            default -> throw new IllegalArgumentException("unknown member state " + word + ": expected ALIVE, SUSPECT or GONE");
         };
     }
 }
--- a/control/src/main/java/ashlink/control/member/FleetMember.java
+++ b/control/src/main/java/ashlink/control/member/FleetMember.java
@@ -204,16 +204,21 @@
             }
             default ->
                     throw new IOException(
-                            "op "
+                            "unknown operation "
                                     + op
-                                    + " is unknown; there are status, put, and those of routers");
+                                    + ": expected status, put, or swim, notices, digest of routers");
         }
     }
 
     private static void requireRole(Peer from, Role role) throws IOException {
         if (!from.roles().contains(role)) {
             throw new IOException(
-                    from.name() + " has no role " + role.word() + ", only " + from.roles());
+                    "permission denied: "
+                            + from.name()
+                            + " requires role "
+                            + role.word()
+                            + ", has "
+                            + from.roles());
         }
     }
 
@@ -232,7 +237,10 @@
             requireRole(from, command.command().intent() == Intent.STOP ? Role.STOP : Role.DRAIN);
             if (!command.command().by().equals(from.name())) {
                 throw new IOException(
-                        "a notice by " + command.command().by() + " comes from " + from.name());
+                        "invalid command issuer "
+                                + command.command().by()
+                                + ": expected the sender "
+                                + from.name());
             }
         }
         List<CommandWithTtl> changed = merge(received, "");
@@ -275,7 +283,7 @@
             try {
                 store.close();
             } catch (IOException e) {
-                LOG.warn("command log close failed error={}", e.toString());
+                LOG.warn("command log close failed error=\"{}\"", e.toString());
             }
         }
     }
--- a/control/src/main/java/ashlink/control/member/PeerConnection.java
+++ b/control/src/main/java/ashlink/control/member/PeerConnection.java
@@ -55,7 +55,11 @@
                     }
                     client.send(frame);
                 } catch (IOException e) {
-                    LOG.debug("peer unreachable peer={} error={}", peer, e.toString());
+                    LOG.debug(
+                            "peer unreachable peer={} address={} error=\"{}\"",
+                            peer,
+                            address,
+                            e.toString());
                     disconnect();
                     TimeUnit.MILLISECONDS.sleep(RETRY_PAUSE_MS);
                 }
--- a/control/src/main/java/ashlink/control/tls/CertificateAuthority.java
+++ b/control/src/main/java/ashlink/control/tls/CertificateAuthority.java
@@ -93,9 +93,10 @@
             throws IOException, GeneralSecurityException {
         if (!name.matches("[A-Za-z0-9._-]{1,64}") || name.equals("ca")) {
             throw new IOException(
-                    "the name "
+                    "invalid name "
                             + name
-                            + " is none of 1 to 64 letters, digits, dots, dashes; ca is taken");
+                            + ": expected 1 to 64 letters, digits, dots, underscores or dashes,"
+                            + " and not ca, which is reserved");
         }
         X509Certificate issuer = Pem.certificates(dir.resolve(CERTIFICATES)).get(0);
         PrivateKey key = Pem.key(dir.resolve(KEY));
--- a/control/src/main/java/ashlink/control/tls/Identity.java
+++ b/control/src/main/java/ashlink/control/tls/Identity.java
@@ -38,7 +38,12 @@
         certificate = chain.get(0);
         if (!name(certificate).equals(name)) {
             throw new GeneralSecurityException(
-                    dir.resolve(name + ".crt") + " is the certificate of " + name(certificate));
+                    "unexpected certificate name "
+                            + name(certificate)
+                            + " in "
+                            + dir.resolve(name + ".crt")
+                            + ": expected "
+                            + name);
         }
         KeyStore own = KeyStore.getInstance("PKCS12");
         own.load(null, null);
--- a/control/src/main/java/ashlink/control/tls/Pem.java
+++ b/control/src/main/java/ashlink/control/tls/Pem.java
@@ -36,7 +36,8 @@
             return KeyFactory.getInstance("EC")
                     .generatePrivate(new PKCS8EncodedKeySpec(Base64.getDecoder().decode(text)));
         } catch (IllegalArgumentException e) {
-            throw new GeneralSecurityException(file + " is no private key", e);
+            throw new GeneralSecurityException(
+                    "invalid private key in " + file + ": expected Base64 in PEM", e);
         }
     }
 }
--- a/control/src/test/java/ashlink/control/ControlTest.java
+++ b/control/src/test/java/ashlink/control/ControlTest.java
@@ -324,7 +324,7 @@
         try (FleetClient fleetClient = tool("eve")) {
             assertTrue(fleetClient.status().get("r1").isReached());
             String error = errorOf(fleetClient, "engine:q1", "eve", Intent.DRAIN);
-            assertTrue(error.contains("no role drain"), error);
+            assertTrue(error.contains("permission denied: eve requires role drain"), error);
         }
         assertTrue(routers.get("r1").drained.isEmpty());
     }
@@ -334,9 +334,9 @@
         fleet(1);
         try (FleetClient fleetClient = tool("ben")) {
             String error = errorOf(fleetClient, "router:r1", "ben", Intent.STOP);
-            assertTrue(error.contains("no role stop"), error);
+            assertTrue(error.contains("permission denied: ben requires role stop"), error);
             error = errorOf(fleetClient, "engine:q1", "ann", Intent.DRAIN);
-            assertTrue(error.contains("by ann comes from ben"), error);
+            assertTrue(error.contains("invalid command issuer ann: expected the sender ben"), error);
         }
         assertTrue(routers.get("r1").drained.isEmpty());
     }
--- a/fleet/src/main/java/ashlink/fleet/command/OperatorCommand.java
+++ b/fleet/src/main/java/ashlink/fleet/command/OperatorCommand.java
@@ -35,12 +35,22 @@
     public OperatorCommand {
         if (!subject.matches("(engine|router):.+") || owner.isEmpty() || revision < 1) {
             throw new IllegalArgumentException(
-                    "a notice on " + subject + " of " + owner + ", revision " + revision);
+                    "invalid command with subject \""
+                            + subject
+                            + "\", owner \""
+                            + owner
+                            + "\", revision "
+                            + revision
+                            + ": expected subject engine:NAME or router:NAME, a non-empty owner,"
+                            + " revision at least 1");
         }
         for (String text : new String[] {subject, owner, by, why}) {
             if (text.length() > MAX_FIELD_CHARS) {
                 throw new IllegalArgumentException(
-                        "a notice with " + text.length() + " characters in one part");
+                        "invalid command with a field of "
+                                + text.length()
+                                + " characters: at most "
+                                + MAX_FIELD_CHARS);
             }
         }
     }
--- a/fleet/src/main/java/ashlink/fleet/command/ReplicatedCommandSet.java
+++ b/fleet/src/main/java/ashlink/fleet/command/ReplicatedCommandSet.java
@@ -55,10 +55,11 @@
     public ReplicatedCommandSet(int most, long longestMs, long rememberedMs) {
         if (rememberedMs < longestMs) {
             throw new IllegalArgumentException(
-                    "tombstones for "
+                    "invalid tombstone time of "
                             + rememberedMs
-                            + " ms, less than the longest time to live of "
-                            + longestMs);
+                            + " ms: at least the maximum time to live of "
+                            + longestMs
+                            + " ms");
         }
         this.maxEntries = most;
         this.maxTtlMs = longestMs;
