--- a/control/src/main/java/ashlink/control/channel/ControlClient.java
+++ b/control/src/main/java/ashlink/control/channel/ControlClient.java
@@ -22,38 +22,38 @@
     /**
      * Connects to a router and performs the TLS handshake.
      *
-     * @param expected the name that the router's certificate must contain, or null to accept any
+     * @param expectedName the name that the router's certificate must contain, or null to accept any
      *     name
      * @param timeoutMs timeout of the connection attempt and of each read
      * @throws IOException if the connection or handshake fails, or the name is not the expected one
      */
-    public ControlClient(Identity identity, InetSocketAddress to, String expected, int timeoutMs)
+    public ControlClient(Identity identity, InetSocketAddress address, String expectedName, int timeoutMs)
             throws IOException {
-        Socket plain = new Socket();
+        Socket tcpSocket = new Socket();
         try {
-            plain.setTcpNoDelay(true);
-            plain.connect(to, timeoutMs);
-            plain.setSoTimeout(timeoutMs);
+            tcpSocket.setTcpNoDelay(true);
+            tcpSocket.connect(address, timeoutMs);
+            tcpSocket.setSoTimeout(timeoutMs);
             socket =
                     (SSLSocket)
                             identity.context()
                                     .getSocketFactory()
-                                    .createSocket(plain, to.getHostString(), to.getPort(), true);
+                                    .createSocket(tcpSocket, address.getHostString(), address.getPort(), true);
             socket.startHandshake();
             peer = Identity.name((X509Certificate) socket.getSession().getPeerCertificates()[0]);
-            if (expected != null && !peer.equals(expected)) {
+            if (expectedName != null && !peer.equals(expectedName)) {
                 throw new IOException(
                         "unexpected certificate name "
                                 + peer
                                 + " of the router at "
-                                + to
+                                + address
                                 + ": expected "
-                                + expected);
+                                + expectedName);
             }
             in = new DataInputStream(new BufferedInputStream(socket.getInputStream(), 16 << 10));
             out = new DataOutputStream(socket.getOutputStream());
         } catch (IOException | RuntimeException e) {
-            plain.close();
+            tcpSocket.close();
             throw e;
         }
     }
@@ -75,14 +75,14 @@
      */
     public JsonNode request(JsonNode frame) throws IOException {
         send(frame);
-        JsonNode answer = Frames.read(in);
-        if (answer == null) {
+        JsonNode response = Frames.read(in);
+        if (response == null) {
             throw Frames.connectionClosed();
         }
-        if (answer.has("error")) {
-            throw new IOException(peer + ": " + answer.get("error").asText());
+        if (response.has("error")) {
+            throw new IOException(peer + ": " + response.get("error").asText());
         }
-        return answer;
+        return response;
     }
 
     @Override
--- a/control/src/main/java/ashlink/control/channel/ControlServer.java
+++ b/control/src/main/java/ashlink/control/channel/ControlServer.java
@@ -28,11 +28,11 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(ControlServer.class);
     private static final int MAX_CONNECTIONS = 512;
-    private static final int HANDSHAKE_MS = 5_000;
-    private static final int IDLE_MS = 120_000;
-    private static final double FRAMES_BURST = 500;
-    private static final double FRAMES_PER_S = 500;
-    private static final long STACK_BYTES = 256 << 10;
+    private static final int HANDSHAKE_TIMEOUT_MS = 5_000;
+    private static final int IDLE_TIMEOUT_MS = 120_000;
+    private static final double MAX_FRAME_BURST = 500;
+    private static final double MAX_FRAMES_PER_S = 500;
+    private static final long THREAD_STACK_BYTES = 256 << 10;
 
     /** The sender of a frame, with the name and roles in its certificate. */
     public record Peer(String name, Set<Role> roles, String address) {}
@@ -44,10 +44,10 @@
          *
          * @throws IOException if the request fails; the sender receives the exception's message
          */
-        JsonNode handle(Peer from, JsonNode frame) throws IOException;
+        JsonNode handle(Peer peer, JsonNode frame) throws IOException;
     }
 
-    private final SSLServerSocket server;
+    private final SSLServerSocket serverSocket;
     private final Handler handler;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final String name;
@@ -57,36 +57,36 @@
      * Creates a server that is bound to an address and authenticates itself with an identity. The
      * server accepts connections after {@link #start}.
      */
-    public ControlServer(Identity identity, InetSocketAddress at, Handler handler)
+    public ControlServer(Identity identity, InetSocketAddress address, Handler handler)
             throws IOException {
         this.handler = handler;
         this.name = identity.name();
-        server = (SSLServerSocket) identity.context().getServerSocketFactory().createServerSocket();
-        server.setReuseAddress(true);
-        server.bind(at, 256);
-        server.setNeedClientAuth(true);
+        serverSocket = (SSLServerSocket) identity.context().getServerSocketFactory().createServerSocket();
+        serverSocket.setReuseAddress(true);
+        serverSocket.bind(address, 256);
+        serverSocket.setNeedClientAuth(true);
     }
 
     /** Starts to accept connections. */
     public void start() {
-        thread(this::accept, name + "-control").start();
+        newThread(this::acceptConnections, name + "-control").start();
     }
 
     /** Returns the address on which the server listens. */
     public InetSocketAddress address() {
-        return (InetSocketAddress) server.getLocalSocketAddress();
+        return (InetSocketAddress) serverSocket.getLocalSocketAddress();
     }
 
-    private static Thread thread(Runnable task, String name) {
-        Thread thread = new Thread(null, task, name, STACK_BYTES);
+    private static Thread newThread(Runnable task, String name) {
+        Thread thread = new Thread(null, task, name, THREAD_STACK_BYTES);
         thread.setDaemon(true);
         return thread;
     }
 
-    private void accept() {
+    private void acceptConnections() {
         while (!closed) {
             try {
-                SSLSocket socket = (SSLSocket) server.accept();
+                SSLSocket socket = (SSLSocket) serverSocket.accept();
                 if (sockets.size() >= MAX_CONNECTIONS) {
                     LOG.warn(
                             "control connection rejected address={} openConnections={}",
@@ -96,19 +96,19 @@
                     continue;
                 }
                 sockets.add(socket);
-                thread(() -> serve(socket), name + "-control-" + socket.getPort()).start();
+                newThread(() -> serve(socket), name + "-control-" + socket.getPort()).start();
             } catch (IOException e) {
                 if (!closed) {
                     LOG.warn("control accept failed error=\"{}\"", e.toString());
-                    pause(50_000_000L);
+                    sleep(50_000_000L);
                 }
             }
         }
     }
 
-    private static void pause(long ns) {
+    private static void sleep(long durationNs) {
         try {
-            TimeUnit.NANOSECONDS.sleep(ns);
+            TimeUnit.NANOSECONDS.sleep(durationNs);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -117,7 +117,7 @@
     private void serve(SSLSocket socket) {
         try (socket) {
             socket.setTcpNoDelay(true);
-            socket.setSoTimeout(HANDSHAKE_MS);
+            socket.setSoTimeout(HANDSHAKE_TIMEOUT_MS);
             socket.startHandshake();
             X509Certificate certificate =
                     (X509Certificate) socket.getSession().getPeerCertificates()[0];
@@ -126,8 +126,8 @@
                             Identity.name(certificate),
                             Identity.roles(certificate),
                             String.valueOf(socket.getRemoteSocketAddress()));
-            socket.setSoTimeout(IDLE_MS);
-            TokenBucket rate = new TokenBucket(FRAMES_BURST, FRAMES_PER_S);
+            socket.setSoTimeout(IDLE_TIMEOUT_MS);
+            TokenBucket rate = new TokenBucket(MAX_FRAME_BURST, MAX_FRAMES_PER_S);
             DataInputStream in =
                     new DataInputStream(new BufferedInputStream(socket.getInputStream(), 16 << 10));
             DataOutputStream out = new DataOutputStream(socket.getOutputStream());
@@ -135,11 +135,11 @@
                     frame != null && !closed;
                     frame = Frames.read(in)) {
                 while (!rate.tryAcquire(1, System.nanoTime())) {
-                    pause(rate.waitNs(1, System.nanoTime()));
+                    sleep(rate.waitNs(1, System.nanoTime()));
                 }
-                JsonNode answer = answer(peer, frame);
-                if (answer != null) {
-                    Frames.write(out, answer);
+                JsonNode response = respond(peer, frame);
+                if (response != null) {
+                    Frames.write(out, response);
                 }
             }
         } catch (IOException e) {
@@ -152,7 +152,7 @@
         }
     }
 
-    private JsonNode answer(Peer peer, JsonNode frame) {
+    private JsonNode respond(Peer peer, JsonNode frame) {
         try {
             return handler.handle(peer, frame);
         } catch (IOException | RuntimeException e) {
@@ -165,7 +165,7 @@
     public void close() {
         closed = true;
         try {
-            server.close();
+            serverSocket.close();
         } catch (IOException e) {
             LOG.debug("control server close failed error=\"{}\"", e.toString());
         }
--- a/control/src/main/java/ashlink/control/member/CommandExecutor.java
+++ b/control/src/main/java/ashlink/control/member/CommandExecutor.java
@@ -26,26 +26,26 @@
         this.router = router;
         this.commands = commands;
         commands.commands(nowMs).stream()
-                .filter(command -> command.command().intent() == Intent.STOP)
-                .forEach(command -> executedStops.add(command.command()));
+                .filter(entry -> entry.command().intent() == Intent.STOP)
+                .forEach(entry -> executedStops.add(entry.command()));
     }
 
     /** Applies the commands that are in force at the given time. */
     void apply(long nowMs) {
         Set<String> drainedEngines = new HashSet<>();
-        Intent own = Intent.NONE;
+        Intent ownIntent = Intent.NONE;
         for (Map.Entry<String, Intent> entry : commands.intents(nowMs).entrySet()) {
             if (entry.getKey().startsWith(ENGINE_PREFIX)) {
                 drainedEngines.add(entry.getKey().substring(ENGINE_PREFIX.length()));
             } else if (entry.getKey().equals(subject)) {
-                own = entry.getValue();
+                ownIntent = entry.getValue();
             }
         }
         router.setDrainedEngines(drainedEngines);
-        boolean stops = own == Intent.STOP && isStopPending(nowMs);
-        router.setRejecting(own == Intent.DRAIN || stops);
-        if (stops) {
-            commands.commands(nowMs).forEach(command -> executedStops.add(command.command()));
+        boolean stopping = ownIntent == Intent.STOP && isStopPending(nowMs);
+        router.setRejecting(ownIntent == Intent.DRAIN || stopping);
+        if (stopping) {
+            commands.commands(nowMs).forEach(entry -> executedStops.add(entry.command()));
             router.stop();
         }
     }
@@ -53,10 +53,10 @@
     private boolean isStopPending(long nowMs) {
         return commands.commands(nowMs).stream()
                 .anyMatch(
-                        command ->
-                                command.command().subject().equals(subject)
-                                        && command.command().intent() == Intent.STOP
-                                        && command.ttlMs() > 0
-                                        && !executedStops.contains(command.command()));
+                        entry ->
+                                entry.command().subject().equals(subject)
+                                        && entry.command().intent() == Intent.STOP
+                                        && entry.ttlMs() > 0
+                                        && !executedStops.contains(entry.command()));
     }
 }
--- a/control/src/main/java/ashlink/control/member/CommandLog.java
+++ b/control/src/main/java/ashlink/control/member/CommandLog.java
@@ -34,7 +34,7 @@
         this.set = set;
         this.log = new KeyValueLog(disk, SEGMENT_BYTES, nowMs);
         for (String damage :
-                log.read(r -> read(new DataInputStream(new ByteArrayInputStream(r)), nowMs))) {
+                log.read(bytes -> read(new DataInputStream(new ByteArrayInputStream(bytes)), nowMs))) {
             LOG.error(
                     "command log damaged, later records are recovered from other routers"
                             + " error=\"{}\"",
@@ -44,7 +44,7 @@
     }
 
     private void read(DataInputStream in, long nowMs) throws IOException {
-        OperatorCommand operatorCommand =
+        OperatorCommand command =
                 new OperatorCommand(
                         in.readUTF(),
                         in.readUTF(),
@@ -52,36 +52,36 @@
                         Intent.ofCode(in.readByte()),
                         in.readUTF(),
                         in.readUTF());
-        set.add(operatorCommand, in.readLong() - nowMs, nowMs);
+        set.add(command, in.readLong() - nowMs, nowMs);
     }
 
-    private static byte[] record(OperatorCommand operatorCommand, long untilMs) throws IOException {
+    private static byte[] record(OperatorCommand command, long expiresMs) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
-        out.writeUTF(operatorCommand.subject());
-        out.writeUTF(operatorCommand.owner());
-        out.writeLong(operatorCommand.revision());
-        out.writeByte(operatorCommand.intent().code());
-        out.writeUTF(operatorCommand.by());
-        out.writeUTF(operatorCommand.why());
-        out.writeLong(untilMs);
+        out.writeUTF(command.subject());
+        out.writeUTF(command.owner());
+        out.writeLong(command.revision());
+        out.writeByte(command.intent().code());
+        out.writeUTF(command.issuer());
+        out.writeUTF(command.reason());
+        out.writeLong(expiresMs);
         return bytes.toByteArray();
     }
 
     /** Appends a command; returns after the record has been synced to disk. */
-    void put(OperatorCommand operatorCommand, long leftMs, long nowMs) throws IOException {
+    void put(OperatorCommand command, long ttlMs, long nowMs) throws IOException {
         if (log.written() > REWRITE_SLACK_RECORDS + 4L * set.size()) {
             rewrite(nowMs);
         }
-        log.append(record(operatorCommand, nowMs + leftMs));
+        log.append(record(command, nowMs + ttlMs));
         log.sync();
     }
 
     /** Replaces the log by the commands of the set; deletes the old log after the new one is synced. */
     void rewrite(long nowMs) throws IOException {
         List<byte[]> records = new ArrayList<>();
-        for (ReplicatedCommandSet.CommandWithTtl ttl : set.commands(nowMs)) {
-            records.add(record(ttl.command(), nowMs + ttl.ttlMs()));
+        for (ReplicatedCommandSet.CommandWithTtl entry : set.commands(nowMs)) {
+            records.add(record(entry.command(), nowMs + entry.ttlMs()));
         }
         log.rewrite(records);
     }
--- a/control/src/main/java/ashlink/control/member/CommandStore.java
+++ b/control/src/main/java/ashlink/control/member/CommandStore.java
@@ -55,11 +55,11 @@
     /** Merges commands and syncs each new one to disk; returns the commands that changed the set. */
     List<CommandWithTtl> merge(List<CommandWithTtl> received, long nowMs) {
         List<CommandWithTtl> changed = new ArrayList<>();
-        for (CommandWithTtl command : received) {
-            if (commands.add(command.command(), command.ttlMs(), nowMs)) {
-                persist(command, nowMs);
-                receivedMs.put(command.command(), nowMs);
-                changed.add(command);
+        for (CommandWithTtl entry : received) {
+            if (commands.add(entry.command(), entry.ttlMs(), nowMs)) {
+                persist(entry, nowMs);
+                receivedMs.put(entry.command(), nowMs);
+                changed.add(entry);
             }
         }
         if (receivedMs.size() > MAX_RECEIVED_TIMES) {
@@ -68,9 +68,9 @@
         return changed;
     }
 
-    private void persist(CommandWithTtl command, long nowMs) {
+    private void persist(CommandWithTtl entry, long nowMs) {
         try {
-            log.put(command.command(), command.ttlMs(), nowMs);
+            log.put(entry.command(), entry.ttlMs(), nowMs);
         } catch (IOException e) {
             if (!logFailed) {
                 LOG.error("command log write failed durable=false error=\"{}\"", e.toString());
--- a/control/src/main/java/ashlink/control/member/ControlCodec.java
+++ b/control/src/main/java/ashlink/control/member/ControlCodec.java
@@ -28,25 +28,25 @@
 
     /** Creates a frame with an operation and no arguments. */
     public static ObjectNode op(String name) {
-        return JSON.objectNode().put(ControlWords.OP, name);
+        return JSON.objectNode().put(ControlProtocol.OP, name);
     }
 
     /** Creates a frame with an operation and commands. */
     public static ObjectNode commands(String op, List<CommandWithTtl> commands) {
-        ObjectNode objectNode = op(op);
-        ArrayNode all = objectNode.putArray(ControlWords.COMMANDS);
-        for (CommandWithTtl ttl : commands) {
-            OperatorCommand operatorCommand = ttl.command();
-            all.addObject()
-                    .put(ControlWords.SUBJECT, operatorCommand.subject())
-                    .put(ControlWords.OWNER, operatorCommand.owner())
-                    .put(ControlWords.REVISION, operatorCommand.revision())
-                    .put(ControlWords.INTENT, ControlWords.word(operatorCommand.intent()))
-                    .put(ControlWords.ISSUER, operatorCommand.by())
-                    .put(ControlWords.REASON, operatorCommand.why())
-                    .put(ControlWords.TTL_MS, ttl.ttlMs());
+        ObjectNode frame = op(op);
+        ArrayNode entries = frame.putArray(ControlProtocol.COMMANDS);
+        for (CommandWithTtl entry : commands) {
+            OperatorCommand command = entry.command();
+            entries.addObject()
+                    .put(ControlProtocol.SUBJECT, command.subject())
+                    .put(ControlProtocol.OWNER, command.owner())
+                    .put(ControlProtocol.REVISION, command.revision())
+                    .put(ControlProtocol.INTENT, ControlProtocol.intentName(command.intent()))
+                    .put(ControlProtocol.ISSUER, command.issuer())
+                    .put(ControlProtocol.REASON, command.reason())
+                    .put(ControlProtocol.TTL_MS, entry.ttlMs());
         }
-        return objectNode;
+        return frame;
     }
 
     /**
@@ -54,105 +54,105 @@
      *
      * @throws IOException if a command is malformed or there are too many commands
      */
-    public static List<CommandWithTtl> commands(JsonNode json) throws IOException {
+    public static List<CommandWithTtl> commands(JsonNode frame) throws IOException {
         List<CommandWithTtl> commands = new ArrayList<>();
-        for (JsonNode entry : list(json, ControlWords.COMMANDS)) {
+        for (JsonNode entry : list(frame, ControlProtocol.COMMANDS)) {
             try {
                 commands.add(
                         new CommandWithTtl(
                                 new OperatorCommand(
-                                        text(entry, ControlWords.SUBJECT),
-                                        text(entry, ControlWords.OWNER),
-                                        entry.path(ControlWords.REVISION).asLong(),
-                                        ControlWords.intent(text(entry, ControlWords.INTENT)),
-                                        text(entry, ControlWords.ISSUER),
-                                        text(entry, ControlWords.REASON)),
-                                entry.path(ControlWords.TTL_MS).asLong()));
+                                        text(entry, ControlProtocol.SUBJECT),
+                                        text(entry, ControlProtocol.OWNER),
+                                        entry.path(ControlProtocol.REVISION).asLong(),
+                                        ControlProtocol.parseIntent(text(entry, ControlProtocol.INTENT)),
+                                        text(entry, ControlProtocol.ISSUER),
+                                        text(entry, ControlProtocol.REASON)),
+                                entry.path(ControlProtocol.TTL_MS).asLong()));
             } catch (IllegalArgumentException e) {
                 throw new IOException(
-                        "invalid entry in field " + ControlWords.COMMANDS + ": " + e.getMessage());
+                        "invalid entry in field " + ControlProtocol.COMMANDS + ": " + e.getMessage());
             }
         }
         return commands;
     }
 
     static ObjectNode digest(Map<CommandKey, Integer> digest, boolean reply) {
-        ObjectNode objectNode = op(ControlWords.OP_DIGEST).put(ControlWords.REPLY, reply);
-        ArrayNode all = objectNode.putArray(ControlWords.DIGEST);
+        ObjectNode frame = op(ControlProtocol.OP_DIGEST).put(ControlProtocol.REPLY, reply);
+        ArrayNode entries = frame.putArray(ControlProtocol.DIGEST);
         digest.forEach(
                 (key, hash) ->
-                        all.addObject()
-                                .put(ControlWords.SUBJECT, key.subject())
-                                .put(ControlWords.OWNER, key.owner())
-                                .put(ControlWords.HASH, hash));
-        return objectNode;
+                        entries.addObject()
+                                .put(ControlProtocol.SUBJECT, key.subject())
+                                .put(ControlProtocol.OWNER, key.owner())
+                                .put(ControlProtocol.HASH, hash));
+        return frame;
     }
 
-    static Map<CommandKey, Integer> digest(JsonNode json) throws IOException {
+    static Map<CommandKey, Integer> digest(JsonNode frame) throws IOException {
         Map<CommandKey, Integer> digest = new TreeMap<>();
-        for (JsonNode entry : list(json, ControlWords.DIGEST)) {
+        for (JsonNode entry : list(frame, ControlProtocol.DIGEST)) {
             digest.put(
                     new CommandKey(
-                            text(entry, ControlWords.SUBJECT), text(entry, ControlWords.OWNER)),
-                    entry.path(ControlWords.HASH).asInt());
+                            text(entry, ControlProtocol.SUBJECT), text(entry, ControlProtocol.OWNER)),
+                    entry.path(ControlProtocol.HASH).asInt());
         }
         return digest;
     }
 
     static ObjectNode swim(Message message, String address) {
-        ObjectNode objectNode = op(ControlWords.OP_SWIM).put(ControlWords.ADDRESS, address);
+        ObjectNode frame = op(ControlProtocol.OP_SWIM).put(ControlProtocol.ADDRESS, address);
         if (message instanceof Ping ping) {
-            objectNode
-                    .put(ControlWords.KIND, ControlWords.KIND_PING)
-                    .put(ControlWords.SEQUENCE, ping.sequence());
-        } else if (message instanceof PingReq pingFor) {
-            objectNode
-                    .put(ControlWords.KIND, ControlWords.KIND_PING_REQ)
-                    .put(ControlWords.SEQUENCE, pingFor.sequence())
-                    .put(ControlWords.TARGET, pingFor.target());
+            frame
+                    .put(ControlProtocol.KIND, ControlProtocol.KIND_PING)
+                    .put(ControlProtocol.SEQUENCE, ping.sequence());
+        } else if (message instanceof PingReq pingReq) {
+            frame
+                    .put(ControlProtocol.KIND, ControlProtocol.KIND_PING_REQ)
+                    .put(ControlProtocol.SEQUENCE, pingReq.sequence())
+                    .put(ControlProtocol.TARGET, pingReq.target());
         } else if (message instanceof Ack ack) {
-            objectNode
-                    .put(ControlWords.KIND, ControlWords.KIND_ACK)
-                    .put(ControlWords.SEQUENCE, ack.sequence())
-                    .put(ControlWords.ACKNOWLEDGED_MEMBER, ack.member());
+            frame
+                    .put(ControlProtocol.KIND, ControlProtocol.KIND_ACK)
+                    .put(ControlProtocol.SEQUENCE, ack.sequence())
+                    .put(ControlProtocol.ACKNOWLEDGED_MEMBER, ack.member());
         }
-        ArrayNode updates = objectNode.putArray(ControlWords.UPDATES);
-        for (MembershipUpdate membershipUpdate : message.updates()) {
+        ArrayNode updates = frame.putArray(ControlProtocol.UPDATES);
+        for (MembershipUpdate update : message.updates()) {
             updates.addObject()
-                    .put(ControlWords.MEMBER, membershipUpdate.member())
-                    .put(ControlWords.ADDRESS, membershipUpdate.address())
-                    .put(ControlWords.INCARNATION, membershipUpdate.incarnation())
-                    .put(ControlWords.STATE, ControlWords.word(membershipUpdate.state()));
+                    .put(ControlProtocol.MEMBER, update.member())
+                    .put(ControlProtocol.ADDRESS, update.address())
+                    .put(ControlProtocol.INCARNATION, update.incarnation())
+                    .put(ControlProtocol.STATE, ControlProtocol.stateName(update.state()));
         }
-        return objectNode;
+        return frame;
     }
 
-    static Message swim(JsonNode json) throws IOException {
+    static Message swim(JsonNode frame) throws IOException {
         List<MembershipUpdate> updates = new ArrayList<>();
         try {
-            for (JsonNode entry : list(json, ControlWords.UPDATES)) {
+            for (JsonNode entry : list(frame, ControlProtocol.UPDATES)) {
                 updates.add(
                         new MembershipUpdate(
-                                text(entry, ControlWords.MEMBER),
-                                text(entry, ControlWords.ADDRESS),
-                                entry.path(ControlWords.INCARNATION).asLong(),
-                                ControlWords.state(text(entry, ControlWords.STATE))));
+                                text(entry, ControlProtocol.MEMBER),
+                                text(entry, ControlProtocol.ADDRESS),
+                                entry.path(ControlProtocol.INCARNATION).asLong(),
+                                ControlProtocol.parseState(text(entry, ControlProtocol.STATE))));
             }
         } catch (IllegalArgumentException e) {
             throw new IOException(
-                    "invalid entry in field " + ControlWords.UPDATES + ": " + e.getMessage());
+                    "invalid entry in field " + ControlProtocol.UPDATES + ": " + e.getMessage());
         }
-        long number = json.path(ControlWords.SEQUENCE).asLong();
-        return switch (text(json, ControlWords.KIND)) {
-            case ControlWords.KIND_PING -> new Ping(number, updates);
-            case ControlWords.KIND_PING_REQ ->
-                    new PingReq(number, text(json, ControlWords.TARGET), updates);
-            case ControlWords.KIND_ACK ->
-                    new Ack(number, text(json, ControlWords.ACKNOWLEDGED_MEMBER), updates);
+        long sequence = frame.path(ControlProtocol.SEQUENCE).asLong();
+        return switch (text(frame, ControlProtocol.KIND)) {
+            case ControlProtocol.KIND_PING -> new Ping(sequence, updates);
+            case ControlProtocol.KIND_PING_REQ ->
+                    new PingReq(sequence, text(frame, ControlProtocol.TARGET), updates);
+            case ControlProtocol.KIND_ACK ->
+                    new Ack(sequence, text(frame, ControlProtocol.ACKNOWLEDGED_MEMBER), updates);
             default ->
                     throw new IOException(
                             "unknown message kind "
-                                    + text(json, ControlWords.KIND)
+                                    + text(frame, ControlProtocol.KIND)
                                     + ": expected ping, ping-for or ack");
         };
     }
--- a/control/src/main/java/ashlink/control/member/ControlWords.java
+++ b/control/src/main/java/ashlink/control/member/ControlProtocol.java
@@ -7,7 +7,7 @@
  * Field names and values in the JSON frames of the control channel. Routers of different builds
  * exchange these frames, so the strings must not change, whatever the Java constants are called.
  */
-final class ControlWords {
+final class ControlProtocol {
 
     static final String OP = "op";
     static final String OP_SWIM = "swim";
@@ -51,10 +51,10 @@
     static final String CERTIFICATE_EXPIRES_MS = "certificateEndsMs";
     static final String MEMBERS = "members";
 
-    private ControlWords() {}
+    private ControlProtocol() {}
 
     /** Returns the string that represents an intent. */
-    static String word(Intent intent) {
+    static String intentName(Intent intent) {
         return switch (intent) {
             case NONE -> "NONE";
             case DRAIN -> "DRAIN";
@@ -67,17 +67,17 @@
      *
      * @throws IllegalArgumentException if the string represents no intent
      */
-    static Intent intent(String word) {
-        return switch (word) {
+    static Intent parseIntent(String name) {
+        return switch (name) {
             case "NONE" -> Intent.NONE;
             case "DRAIN" -> Intent.DRAIN;
             case "STOP" -> Intent.STOP;
-            default -> throw new IllegalArgumentException("unknown intent " + word + ": expected NONE, DRAIN or STOP");
+            default -> throw new IllegalArgumentException("unknown intent " + name + ": expected NONE, DRAIN or STOP");
         };
     }
 
     /** Returns the string that represents a member state. */
-    static String word(State state) {
+    static String stateName(State state) {
         return switch (state) {
             case ALIVE -> "ALIVE";
             case SUSPECT -> "SUSPECT";
@@ -90,12 +90,12 @@
      *
      * @throws IllegalArgumentException if the string represents no member state
      */
-    static State state(String word) {
-        return switch (word) {
+    static State parseState(String name) {
+        return switch (name) {
             case "ALIVE" -> State.ALIVE;
             case "SUSPECT" -> State.SUSPECT;
             case "GONE" -> State.DEAD;
-            default -> throw new IllegalArgumentException("unknown member state " + word + ": expected ALIVE, SUSPECT or GONE");
+            default -> throw new IllegalArgumentException("unknown member state " + name + ": expected ALIVE, SUSPECT or GONE");
         };
     }
 }
--- a/control/src/main/java/ashlink/control/member/FleetMember.java
+++ b/control/src/main/java/ashlink/control/member/FleetMember.java
@@ -37,10 +37,10 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(FleetMember.class);
     private static final Logger AUDIT = LoggerFactory.getLogger("ashlink.control.audit");
-    private static final long MS = 1_000_000L;
-    private static final long TICK_NS = 10 * MS;
-    private static final long ANTI_ENTROPY_NS = 1_000 * MS;
-    private static final long STACK_BYTES = 256 << 10;
+    private static final long NS_PER_MS = 1_000_000L;
+    private static final long TICK_INTERVAL_NS = 10 * NS_PER_MS;
+    private static final long ANTI_ENTROPY_INTERVAL_NS = 1_000 * NS_PER_MS;
+    private static final long THREAD_STACK_BYTES = 256 << 10;
 
     /**
      * Configuration of a member.
@@ -71,22 +71,22 @@
     private volatile boolean closed;
 
     /** Creates a member and applies the commands in its command log to the router. */
-    public FleetMember(Spec spec, Identity identity, RouterControl controlled) throws IOException {
-        this(spec, identity, controlled, FolderDisk.writing(spec.stateDir()));
+    public FleetMember(Spec spec, Identity identity, RouterControl router) throws IOException {
+        this(spec, identity, router, FolderDisk.writing(spec.stateDir()));
     }
 
     /** Creates a member whose command log is on the given disk. */
-    public FleetMember(Spec spec, Identity identity, RouterControl controlled, Disk disk)
+    public FleetMember(Spec spec, Identity identity, RouterControl router, Disk disk)
             throws IOException {
         this.spec = spec;
         this.identity = identity;
-        this.router = controlled;
+        this.router = router;
         this.peers = new PeerConnections(identity);
         this.store = new CommandStore(disk, nowMs());
         this.disseminator = new CommandDisseminator(store.commands(), spec.seed());
         this.executor = new CommandExecutor(spec.name(), router, store.commands(), nowMs());
         this.server = new ControlServer(identity, spec.listen(), this::handle);
-        this.thread = new Thread(null, this::run, spec.name() + "-gossip", STACK_BYTES);
+        this.thread = new Thread(null, this::run, spec.name() + "-gossip", THREAD_STACK_BYTES);
         thread.setDaemon(true);
         executor.apply(nowMs());
     }
@@ -100,9 +100,9 @@
         Map<String, String> seeds = new HashMap<>();
         spec.peers()
                 .forEach(
-                        (peer, at) -> {
-                            seeds.put(peer, at.getHostString() + ":" + at.getPort());
-                            peers.add(peer, at);
+                        (peer, address) -> {
+                            seeds.put(peer, address.getHostString() + ":" + address.getPort());
+                            peers.add(peer, address);
                         });
         swim = new Swim(spec.name(), ownAddress(), seeds, spec.swimConfig(), spec.seed());
         server.start();
@@ -119,18 +119,18 @@
     }
 
     private void run() {
-        long compareNs = System.nanoTime();
+        long nextAntiEntropyNs = System.nanoTime();
         try {
             while (!closed) {
-                long now = System.nanoTime();
+                long nowNs = System.nanoTime();
                 synchronized (this) {
-                    swim.tick(now).forEach(this::send);
-                    if (now >= compareNs) {
-                        compareNs = now + ANTI_ENTROPY_NS;
+                    swim.tick(nowNs).forEach(this::send);
+                    if (nowNs >= nextAntiEntropyNs) {
+                        nextAntiEntropyNs = nowNs + ANTI_ENTROPY_INTERVAL_NS;
                         runAntiEntropy();
                     }
                 }
-                Thread.sleep(TICK_NS / MS);
+                Thread.sleep(TICK_INTERVAL_NS / NS_PER_MS);
             }
         } catch (InterruptedException e) {
             LOG.debug("gossip stopped router={}", spec.name());
@@ -144,8 +144,11 @@
         executor.apply(nowMs());
     }
 
-    private void send(Swim.Send send) {
-        peers.send(send.member(), send.address(), ControlCodec.swim(send.message(), ownAddress()));
+    private void send(Swim.Send message) {
+        peers.send(
+                message.member(),
+                message.address(),
+                ControlCodec.swim(message.message(), ownAddress()));
     }
 
     private void transmit(List<Transmission> transmissions) {
@@ -153,7 +156,7 @@
             if (transmission instanceof SendCommands commands) {
                 peers.send(
                         commands.peer(),
-                        ControlCodec.commands(ControlWords.OP_COMMANDS, commands.commands()));
+                        ControlCodec.commands(ControlProtocol.OP_COMMANDS, commands.commands()));
             } else if (transmission instanceof SendDigest digest) {
                 peers.send(digest.peer(), ControlCodec.digest(digest.digest(), digest.reply()));
             }
@@ -161,64 +164,65 @@
     }
 
     /** Merges commands: syncs the new ones to disk, applies them and forwards them to the peers. */
-    private synchronized List<CommandWithTtl> merge(List<CommandWithTtl> received, String from) {
+    private synchronized List<CommandWithTtl> merge(List<CommandWithTtl> received, String sender) {
         List<CommandWithTtl> changed = store.merge(received, nowMs());
         if (!changed.isEmpty()) {
             executor.apply(nowMs());
-            transmit(disseminator.disseminate(changed, peers.peers(), from));
+            transmit(disseminator.disseminate(changed, peers.peers(), sender));
         }
         return changed;
     }
 
-    private JsonNode handle(Peer from, JsonNode frame) throws IOException {
-        String op = ControlCodec.text(frame, ControlWords.OP);
+    private JsonNode handle(Peer sender, JsonNode frame) throws IOException {
+        String op = ControlCodec.text(frame, ControlProtocol.OP);
         switch (op) {
-            case ControlWords.OP_SWIM -> {
-                requireRole(from, Role.ROUTER);
+            case ControlProtocol.OP_SWIM -> {
+                requireRole(sender, Role.ROUTER);
                 synchronized (this) {
                     swim.receive(
-                                    from.name(),
-                                    ControlCodec.text(frame, ControlWords.ADDRESS),
+                                    sender.name(),
+                                    ControlCodec.text(frame, ControlProtocol.ADDRESS),
                                     ControlCodec.swim(frame),
                                     System.nanoTime())
                             .forEach(this::send);
                 }
                 return null;
             }
-            case ControlWords.OP_COMMANDS -> {
-                requireRole(from, Role.ROUTER);
-                merge(ControlCodec.commands(frame), from.name());
+            case ControlProtocol.OP_COMMANDS -> {
+                requireRole(sender, Role.ROUTER);
+                merge(ControlCodec.commands(frame), sender.name());
                 return null;
             }
-            case ControlWords.OP_DIGEST -> {
-                requireRole(from, Role.ROUTER);
-                onDigest(from.name(), frame);
+            case ControlProtocol.OP_DIGEST -> {
+                requireRole(sender, Role.ROUTER);
+                onDigest(sender.name(), frame);
                 return null;
             }
-            case ControlWords.OP_PUT -> {
-                return put(from, ControlCodec.commands(frame));
+            case ControlProtocol.OP_PUT -> {
+                return put(sender, ControlCodec.commands(frame));
             }
-            case ControlWords.OP_STATUS -> {
-                requireRole(from, Role.OBSERVE);
+            case ControlProtocol.OP_STATUS -> {
+                requireRole(sender, Role.OBSERVE);
                 return status();
             }
             default ->
                     throw new IOException(
                             "unknown operation "
                                     + op
-                                    + ": expected status, put, or swim, notices, digest of routers");
+                                    + ": expected status or put, from routers also swim, notices"
+                                    + " or digest");
         }
     }
 
-    private static void requireRole(Peer from, Role role) throws IOException {
-        if (!from.roles().contains(role)) {
+    private static void requireRole(Peer sender, Role role) throws IOException {
+        if (!sender.roles().contains(role)) {
             throw new IOException(
                     "permission denied: "
-                            + from.name()
+                            + sender.name()
                             + " requires role "
                             + role.word()
                             + ", has "
-                            + from.roles());
+                            + sender.roles());
         }
     }
 
@@ -227,39 +231,39 @@
                 disseminator.onDigest(
                         peer,
                         ControlCodec.digest(frame),
-                        frame.path(ControlWords.REPLY).asBoolean(),
+                        frame.path(ControlProtocol.REPLY).asBoolean(),
                         nowMs()));
     }
 
     /** Accepts commands only from the operator who issued them. */
-    private JsonNode put(Peer from, List<CommandWithTtl> received) throws IOException {
-        for (CommandWithTtl command : received) {
-            requireRole(from, command.command().intent() == Intent.STOP ? Role.STOP : Role.DRAIN);
-            if (!command.command().by().equals(from.name())) {
+    private JsonNode put(Peer sender, List<CommandWithTtl> received) throws IOException {
+        for (CommandWithTtl entry : received) {
+            requireRole(sender, entry.command().intent() == Intent.STOP ? Role.STOP : Role.DRAIN);
+            if (!entry.command().issuer().equals(sender.name())) {
                 throw new IOException(
                         "invalid command issuer "
-                                + command.command().by()
+                                + entry.command().issuer()
                                 + ": expected the sender "
-                                + from.name());
+                                + sender.name());
             }
         }
         List<CommandWithTtl> changed = merge(received, "");
-        for (CommandWithTtl command : received) {
+        for (CommandWithTtl entry : received) {
             AUDIT.atInfo()
-                    .addKeyValue("by", from.name())
-                    .addKeyValue("address", from.address())
-                    .addKeyValue("subject", command.command().subject())
-                    .addKeyValue("intent", command.command().intent())
-                    .addKeyValue("owner", command.command().owner())
-                    .addKeyValue("revision", command.command().revision())
-                    .addKeyValue("why", command.command().why())
-                    .addKeyValue("fresh", changed.contains(command))
+                    .addKeyValue("by", sender.name())
+                    .addKeyValue("address", sender.address())
+                    .addKeyValue("subject", entry.command().subject())
+                    .addKeyValue("intent", entry.command().intent())
+                    .addKeyValue("owner", entry.command().owner())
+                    .addKeyValue("revision", entry.command().revision())
+                    .addKeyValue("why", entry.command().reason())
+                    .addKeyValue("fresh", changed.contains(entry))
                     .log("command");
         }
-        return ControlCodec.op(ControlWords.OP_PUT_RESULT)
-                .put(ControlWords.ROUTER, spec.name())
-                .put(ControlWords.NEW_COMMANDS, changed.size())
-                .put(ControlWords.DURABLE, isDurable());
+        return ControlCodec.op(ControlProtocol.OP_PUT_RESULT)
+                .put(ControlProtocol.ROUTER, spec.name())
+                .put(ControlProtocol.NEW_COMMANDS, changed.size())
+                .put(ControlProtocol.DURABLE, isDurable());
     }
 
     private synchronized boolean isDurable() {
@@ -268,7 +272,7 @@
 
     private synchronized ObjectNode status() {
         ObjectNode status =
-                StatusPage.of(spec.name(), store, swim.members(), identity.expiresMs(), nowMs());
+                StatusResponse.of(spec.name(), store, swim.members(), identity.expiresMs(), nowMs());
         router.addStatus(status);
         return status;
     }
--- a/control/src/main/java/ashlink/control/member/PeerConnection.java
+++ b/control/src/main/java/ashlink/control/member/PeerConnection.java
@@ -17,15 +17,15 @@
 final class PeerConnection {
 
     private static final Logger LOG = LoggerFactory.getLogger(PeerConnection.class);
-    private static final int QUEUE_FRAMES = 64;
-    private static final int CONNECT_MS = 1_000;
-    private static final long RETRY_PAUSE_MS = 200;
-    private static final long STACK_BYTES = 256 << 10;
+    private static final int MAX_QUEUED_FRAMES = 64;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
+    private static final long RETRY_DELAY_MS = 200;
+    private static final long THREAD_STACK_BYTES = 256 << 10;
 
     private final Identity identity;
     private final InetSocketAddress address;
     private final String peer;
-    private final ArrayBlockingQueue<JsonNode> queue = new ArrayBlockingQueue<>(QUEUE_FRAMES);
+    private final ArrayBlockingQueue<JsonNode> queue = new ArrayBlockingQueue<>(MAX_QUEUED_FRAMES);
     private final Thread thread;
     private volatile boolean closed;
     private volatile ControlClient client;
@@ -34,7 +34,7 @@
         this.identity = identity;
         this.peer = peer;
         this.address = address;
-        this.thread = new Thread(null, this::run, identity.name() + "-to-" + peer, STACK_BYTES);
+        this.thread = new Thread(null, this::run, identity.name() + "-to-" + peer, THREAD_STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
     }
@@ -51,7 +51,7 @@
                 JsonNode frame = queue.take();
                 try {
                     if (client == null) {
-                        client = new ControlClient(identity, address, peer, CONNECT_MS);
+                        client = new ControlClient(identity, address, peer, CONNECT_TIMEOUT_MS);
                     }
                     client.send(frame);
                 } catch (IOException e) {
@@ -61,7 +61,7 @@
                             address,
                             e.toString());
                     disconnect();
-                    TimeUnit.MILLISECONDS.sleep(RETRY_PAUSE_MS);
+                    TimeUnit.MILLISECONDS.sleep(RETRY_DELAY_MS);
                 }
             }
         } catch (InterruptedException e) {
@@ -70,19 +70,19 @@
     }
 
     private void disconnect() {
-        ControlClient controlClient = client;
+        ControlClient openClient = client;
         client = null;
-        if (controlClient != null) {
-            controlClient.close();
+        if (openClient != null) {
+            openClient.close();
         }
     }
 
     void close() {
         closed = true;
         thread.interrupt();
-        ControlClient controlClient = client;
-        if (controlClient != null) {
-            controlClient.close();
+        ControlClient openClient = client;
+        if (openClient != null) {
+            openClient.close();
         }
     }
 }
--- a/control/src/main/java/ashlink/control/member/RouterControl.java
+++ b/control/src/main/java/ashlink/control/member/RouterControl.java
@@ -10,11 +10,11 @@
     void setDrainedEngines(Set<String> engines);
 
     /** Sets whether the router rejects new requests. */
-    void setRejecting(boolean refuses);
+    void setRejecting(boolean rejecting);
 
     /** Starts a graceful shutdown and returns without waiting for its completion. */
     void stop();
 
     /** Adds the fields of the router itself to a status response. */
-    void addStatus(ObjectNode to);
+    void addStatus(ObjectNode status);
 }
--- a/control/src/main/java/ashlink/control/tls/CertificateAuthority.java
+++ b/control/src/main/java/ashlink/control/tls/CertificateAuthority.java
@@ -39,12 +39,13 @@
  */
 public final class CertificateAuthority {
 
-    private static final String SIGNATURE = "SHA256withECDSA";
+    private static final String SIGNATURE_ALGORITHM = "SHA256withECDSA";
+
     /** Certificates are valid from this long ago, because clocks may differ. */
-    private static final Duration BACKDATED = Duration.ofMinutes(30);
+    private static final Duration CLOCK_SKEW_ALLOWANCE = Duration.ofMinutes(30);
 
-    private static final String CERTIFICATES = "ca.crt";
-    private static final String KEY = "ca.key";
+    private static final String CERTIFICATES_FILE = "ca.crt";
+    private static final String KEY_FILE = "ca.key";
 
     private final Path dir;
 
@@ -53,7 +54,7 @@
         this.dir = dir;
     }
 
-    private static KeyPair pair() throws GeneralSecurityException {
+    private static KeyPair generateKeyPair() throws GeneralSecurityException {
         KeyPairGenerator generator = KeyPairGenerator.getInstance("EC");
         generator.initialize(new ECGenParameterSpec("secp256r1"));
         return generator.generateKeyPair();
@@ -63,33 +64,33 @@
      * Generates a new authority key and certificate. Earlier certificates stay trusted until {@link
      * #retire}.
      */
-    public void renew(Duration lasts) throws IOException, GeneralSecurityException {
+    public void renew(Duration validity) throws IOException, GeneralSecurityException {
         Files.createDirectories(dir);
-        KeyPair pair = pair();
+        KeyPair pair = generateKeyPair();
         X500NameBuilder name =
                 new X500NameBuilder(BCStyle.INSTANCE)
                         .addRDN(BCStyle.O, "ashlink fleet")
                         .addRDN(BCStyle.CN, "authority " + Instant.now());
-        X509Certificate x509Certificate =
-                certificate(name, name, pair, pair.getPrivate(), lasts, true);
-        List<X509Certificate> all = new ArrayList<>(List.of(x509Certificate));
-        if (Files.exists(dir.resolve(CERTIFICATES))) {
-            all.addAll(Pem.certificates(dir.resolve(CERTIFICATES)));
+        X509Certificate newest =
+                certificate(name, name, pair, pair.getPrivate(), validity, true);
+        List<X509Certificate> trusted = new ArrayList<>(List.of(newest));
+        if (Files.exists(dir.resolve(CERTIFICATES_FILE))) {
+            trusted.addAll(Pem.certificates(dir.resolve(CERTIFICATES_FILE)));
         }
-        write(dir.resolve(KEY), true, pair.getPrivate());
-        write(dir.resolve(CERTIFICATES), false, all.toArray());
+        write(dir.resolve(KEY_FILE), true, pair.getPrivate());
+        write(dir.resolve(CERTIFICATES_FILE), false, trusted.toArray());
     }
 
     /** Removes all authority certificates but the newest from the trusted ones. */
     public void retire() throws IOException, GeneralSecurityException {
-        write(dir.resolve(CERTIFICATES), false, Pem.certificates(dir.resolve(CERTIFICATES)).get(0));
+        write(dir.resolve(CERTIFICATES_FILE), false, Pem.certificates(dir.resolve(CERTIFICATES_FILE)).get(0));
     }
 
     /**
      * Issues a key and certificate to a router or an operator, in the files {@code NAME.key} and
      * {@code NAME.crt}.
      */
-    public void issue(String name, Set<Role> roles, Duration lasts)
+    public void issue(String name, Set<Role> roles, Duration validity)
             throws IOException, GeneralSecurityException {
         if (!name.matches("[A-Za-z0-9._-]{1,64}") || name.equals("ca")) {
             throw new IOException(
@@ -98,14 +99,14 @@
                             + ": expected 1 to 64 letters, digits, dots, underscores or dashes,"
                             + " and not ca, which is reserved");
         }
-        X509Certificate issuer = Pem.certificates(dir.resolve(CERTIFICATES)).get(0);
-        PrivateKey key = Pem.key(dir.resolve(KEY));
-        KeyPair pair = pair();
+        X509Certificate issuer = Pem.certificates(dir.resolve(CERTIFICATES_FILE)).get(0);
+        PrivateKey key = Pem.key(dir.resolve(KEY_FILE));
+        KeyPair pair = generateKeyPair();
         X500NameBuilder subject =
                 new X500NameBuilder(BCStyle.INSTANCE).addRDN(BCStyle.O, "ashlink fleet");
         roles.forEach(role -> subject.addRDN(BCStyle.OU, role.word()));
         subject.addRDN(BCStyle.CN, name);
-        X500NameBuilder by =
+        X500NameBuilder issuerName =
                 new X500NameBuilder(BCStyle.INSTANCE)
                         .addRDN(BCStyle.O, "ashlink fleet")
                         .addRDN(BCStyle.CN, Identity.name(issuer));
@@ -113,7 +114,7 @@
         write(
                 dir.resolve(name + ".crt"),
                 false,
-                certificate(by, subject, pair, key, lasts, false),
+                certificate(issuerName, subject, pair, key, validity, false),
                 issuer);
     }
 
@@ -122,29 +123,29 @@
             X500NameBuilder subject,
             KeyPair pair,
             PrivateKey signer,
-            Duration lasts,
-            boolean authority)
+            Duration validity,
+            boolean isAuthority)
             throws IOException, GeneralSecurityException {
         try {
-            Instant from = Instant.now().minus(BACKDATED);
-            X509v3CertificateBuilder x509v3CertificateBuilder =
+            Instant validFrom = Instant.now().minus(CLOCK_SKEW_ALLOWANCE);
+            X509v3CertificateBuilder builder =
                     new JcaX509v3CertificateBuilder(
                             issuer.build(),
                             new BigInteger(128, new SecureRandom()),
-                            Date.from(from),
-                            Date.from(Instant.now().plus(lasts)),
+                            Date.from(validFrom),
+                            Date.from(Instant.now().plus(validity)),
                             subject.build(),
                             pair.getPublic());
-            x509v3CertificateBuilder.addExtension(
-                    Extension.basicConstraints, true, new BasicConstraints(authority));
-            x509v3CertificateBuilder.addExtension(
+            builder.addExtension(
+                    Extension.basicConstraints, true, new BasicConstraints(isAuthority));
+            builder.addExtension(
                     Extension.keyUsage,
                     true,
-                    new KeyUsage(authority ? KeyUsage.keyCertSign : KeyUsage.digitalSignature));
+                    new KeyUsage(isAuthority ? KeyUsage.keyCertSign : KeyUsage.digitalSignature));
             return new JcaX509CertificateConverter()
                     .getCertificate(
-                            x509v3CertificateBuilder.build(
-                                    new JcaContentSignerBuilder(SIGNATURE).build(signer)));
+                            builder.build(
+                                    new JcaContentSignerBuilder(SIGNATURE_ALGORITHM).build(signer)));
         } catch (OperatorCreationException e) {
             throw new GeneralSecurityException(e);
         }
@@ -152,28 +153,28 @@
 
     /**
      * Writes PEM objects to a temporary file and atomically renames it, so that no reader sees a
-     * partial file. Only the owner of the file may read it if it is secret.
+     * partial file. Only the owner of the file may read it if {@code ownerOnly} is set.
      */
-    private static void write(Path file, boolean secret, Object... things) throws IOException {
+    private static void write(Path file, boolean ownerOnly, Object... pemObjects) throws IOException {
         StringWriter text = new StringWriter();
         try (JcaPEMWriter pem = new JcaPEMWriter(text)) {
-            for (Object t : things) {
+            for (Object pemObject : pemObjects) {
                 pem.writeObject(
-                        t instanceof PrivateKey privateKey
+                        pemObject instanceof PrivateKey privateKey
                                 ? new org.bouncycastle.util.io.pem.PemObject(
                                         "PRIVATE KEY", privateKey.getEncoded())
-                                : t);
+                                : pemObject);
             }
         }
-        Path next = file.resolveSibling(file.getFileName() + ".next");
-        Files.deleteIfExists(next);
+        Path temporaryFile = file.resolveSibling(file.getFileName() + ".next");
+        Files.deleteIfExists(temporaryFile);
         Files.createFile(
-                next,
+                temporaryFile,
                 PosixFilePermissions.asFileAttribute(
-                        PosixFilePermissions.fromString(secret ? "rw-------" : "rw-r--r--")));
-        Files.writeString(next, text.toString(), StandardOpenOption.WRITE);
+                        PosixFilePermissions.fromString(ownerOnly ? "rw-------" : "rw-r--r--")));
+        Files.writeString(temporaryFile, text.toString(), StandardOpenOption.WRITE);
         Files.move(
-                next,
+                temporaryFile,
                 file,
                 java.nio.file.StandardCopyOption.ATOMIC_MOVE,
                 java.nio.file.StandardCopyOption.REPLACE_EXISTING);
--- a/control/src/main/java/ashlink/control/tls/Identity.java
+++ b/control/src/main/java/ashlink/control/tls/Identity.java
@@ -45,26 +45,26 @@
                             + ": expected "
                             + name);
         }
-        KeyStore own = KeyStore.getInstance("PKCS12");
-        own.load(null, null);
-        own.setKeyEntry(
+        KeyStore ownKeys = KeyStore.getInstance("PKCS12");
+        ownKeys.load(null, null);
+        ownKeys.setKeyEntry(
                 name,
                 Pem.key(dir.resolve(name + ".key")),
                 new char[0],
                 chain.toArray(new X509Certificate[0]));
-        KeyManagerFactory keys =
+        KeyManagerFactory keyManagers =
                 KeyManagerFactory.getInstance(KeyManagerFactory.getDefaultAlgorithm());
-        keys.init(own, new char[0]);
+        keyManagers.init(ownKeys, new char[0]);
         KeyStore authorities = KeyStore.getInstance("PKCS12");
         authorities.load(null, null);
         for (int i = 0; i < trusted.size(); i++) {
             authorities.setCertificateEntry("ca" + i, trusted.get(i));
         }
-        TrustManagerFactory trust =
+        TrustManagerFactory trustManagers =
                 TrustManagerFactory.getInstance(TrustManagerFactory.getDefaultAlgorithm());
-        trust.init(authorities);
+        trustManagers.init(authorities);
         context = SSLContext.getInstance("TLSv1.3");
-        context.init(keys.getKeyManagers(), trust.getTrustManagers(), null);
+        context.init(keyManagers.getKeyManagers(), trustManagers.getTrustManagers(), null);
     }
 
     /** Returns the name in the certificate. */
@@ -83,16 +83,16 @@
     }
 
     /** Returns the name in a certificate; empty if there is none. */
-    public static String name(X509Certificate x509Certificate) {
-        return parts(x509Certificate, "CN").stream().findFirst().orElse("");
+    public static String name(X509Certificate certificate) {
+        return subjectAttributes(certificate, "CN").stream().findFirst().orElse("");
     }
 
     /** Returns the roles in a certificate; unknown role names are ignored. */
-    public static Set<Role> roles(X509Certificate x509Certificate) {
+    public static Set<Role> roles(X509Certificate certificate) {
         Set<Role> roles = EnumSet.noneOf(Role.class);
-        for (String word : parts(x509Certificate, "OU")) {
+        for (String roleName : subjectAttributes(certificate, "OU")) {
             for (Role role : Role.values()) {
-                if (role.word().equals(word)) {
+                if (role.word().equals(roleName)) {
                     roles.add(role);
                 }
             }
@@ -100,9 +100,9 @@
         return roles;
     }
 
-    private static List<String> parts(X509Certificate x509Certificate, String type) {
+    private static List<String> subjectAttributes(X509Certificate certificate, String type) {
         try {
-            return new LdapName(x509Certificate.getSubjectX500Principal().getName())
+            return new LdapName(certificate.getSubjectX500Principal().getName())
                     .getRdns().stream()
                             .filter(rdn -> rdn.getType().equalsIgnoreCase(type))
                             .map(Rdn::getValue)
--- a/control/src/main/java/ashlink/control/tls/Pem.java
+++ b/control/src/main/java/ashlink/control/tls/Pem.java
@@ -23,18 +23,18 @@
             throws IOException, GeneralSecurityException {
         try (InputStream in = Files.newInputStream(file)) {
             return CertificateFactory.getInstance("X.509").generateCertificates(in).stream()
-                    .map(c -> (X509Certificate) c)
+                    .map(certificate -> (X509Certificate) certificate)
                     .toList();
         }
     }
 
     /** Reads the elliptic-curve private key in a file. */
     public static PrivateKey key(Path file) throws IOException, GeneralSecurityException {
-        String text =
+        String base64 =
                 Files.readString(file).replaceAll("-----[A-Z ]+-----", "").replaceAll("\\s", "");
         try {
             return KeyFactory.getInstance("EC")
-                    .generatePrivate(new PKCS8EncodedKeySpec(Base64.getDecoder().decode(text)));
+                    .generatePrivate(new PKCS8EncodedKeySpec(Base64.getDecoder().decode(base64)));
         } catch (IllegalArgumentException e) {
             throw new GeneralSecurityException(
                     "invalid private key in " + file + ": expected Base64 in PEM", e);
--- a/control/src/main/java/ashlink/control/tool/FleetClient.java
+++ b/control/src/main/java/ashlink/control/tool/FleetClient.java
@@ -23,7 +23,7 @@
 /** Sends control requests to many routers in parallel and collects a result per router. */
 public final class FleetClient implements AutoCloseable {
 
-    private static final long POLL_MS = 50;
+    private static final long POLL_INTERVAL_MS = 50;
 
     /**
      * The result of a request to one router.
@@ -49,17 +49,17 @@
      * Creates a client of the given routers.
      *
      * @param routers addresses of the routers by name
-     * @param atOnce maximum number of parallel requests
+     * @param maxParallelRequests maximum number of parallel requests
      * @param timeoutMs timeout of a connection attempt and of each read
      */
     public FleetClient(
-            Identity identity, Map<String, InetSocketAddress> routers, int atOnce, int timeoutMs) {
+            Identity identity, Map<String, InetSocketAddress> routers, int maxParallelRequests, int timeoutMs) {
         this.identity = identity;
         this.routers = new LinkedHashMap<>(routers);
         this.timeoutMs = timeoutMs;
         this.pool =
                 Executors.newFixedThreadPool(
-                        Math.max(1, Math.min(atOnce, routers.size())),
+                        Math.max(1, Math.min(maxParallelRequests, routers.size())),
                         task -> {
                             Thread thread = new Thread(task, "fleet-tool");
                             thread.setDaemon(true);
@@ -71,27 +71,28 @@
     public Map<String, Result> request(JsonNode frame) throws InterruptedException {
         Map<String, Future<Result>> pending = new LinkedHashMap<>();
         routers.forEach(
-                (name, at) -> pending.put(name, pool.submit(() -> request(name, at, frame))));
+                (name, address) ->
+                        pending.put(name, pool.submit(() -> request(name, address, frame))));
         Map<String, Result> results = new LinkedHashMap<>();
         for (Map.Entry<String, Future<Result>> entry : pending.entrySet()) {
             try {
                 results.put(entry.getKey(), entry.getValue().get());
-            } catch (ExecutionException failure) {
+            } catch (ExecutionException e) {
                 results.put(
                         entry.getKey(),
                         new Result(
                                 entry.getKey(),
                                 null,
-                                String.valueOf(failure.getCause()),
+                                String.valueOf(e.getCause()),
                                 System.currentTimeMillis()));
             }
         }
         return results;
     }
 
-    private Result request(String name, InetSocketAddress at, JsonNode frame) {
-        try (ControlClient controlClient = new ControlClient(identity, at, name, timeoutMs)) {
-            return new Result(name, controlClient.request(frame), "", System.currentTimeMillis());
+    private Result request(String name, InetSocketAddress address, JsonNode frame) {
+        try (ControlClient client = new ControlClient(identity, address, name, timeoutMs)) {
+            return new Result(name, client.request(frame), "", System.currentTimeMillis());
         } catch (IOException e) {
             return new Result(
                     name, null, String.valueOf(e.getMessage()), System.currentTimeMillis());
@@ -107,37 +108,37 @@
      * Returns a new command whose revision is higher than that of every command for the same subject
      * and owner known to the routers that responded.
      *
-     * @param known the statuses of routers
+     * @param statuses results of {@link #status} by router
      */
     public OperatorCommand nextCommand(
-            String subject, String owner, Intent intent, String why, Map<String, Result> known)
+            String subject, String owner, Intent intent, String reason, Map<String, Result> statuses)
             throws IOException {
         long revision = 0;
-        for (Result result : known.values()) {
+        for (Result result : statuses.values()) {
             if (result.isReached()) {
-                for (CommandWithTtl ttl : ControlCodec.commands(result.answer())) {
-                    if (ttl.command().subject().equals(subject)
-                            && ttl.command().owner().equals(owner)) {
-                        revision = Math.max(revision, ttl.command().revision());
+                for (CommandWithTtl entry : ControlCodec.commands(result.answer())) {
+                    if (entry.command().subject().equals(subject)
+                            && entry.command().owner().equals(owner)) {
+                        revision = Math.max(revision, entry.command().revision());
                     }
                 }
             }
         }
-        return new OperatorCommand(subject, owner, revision + 1, intent, identity.name(), why);
+        return new OperatorCommand(subject, owner, revision + 1, intent, identity.name(), reason);
     }
 
     /** Returns the owners that have an intent in force for a subject on a router that responded. */
-    public static List<String> activeOwners(String subject, Map<String, Result> known)
+    public static List<String> activeOwners(String subject, Map<String, Result> statuses)
             throws IOException {
         List<String> owners = new ArrayList<>();
-        for (Result result : known.values()) {
+        for (Result result : statuses.values()) {
             if (result.isReached()) {
-                for (CommandWithTtl ttl : ControlCodec.commands(result.answer())) {
-                    if (ttl.command().subject().equals(subject)
-                            && ttl.ttlMs() > 0
-                            && ttl.command().intent() != Intent.NONE
-                            && !owners.contains(ttl.command().owner())) {
-                        owners.add(ttl.command().owner());
+                for (CommandWithTtl entry : ControlCodec.commands(result.answer())) {
+                    if (entry.command().subject().equals(subject)
+                            && entry.ttlMs() > 0
+                            && entry.command().intent() != Intent.NONE
+                            && !owners.contains(entry.command().owner())) {
+                        owners.add(entry.command().owner());
                     }
                 }
             }
@@ -146,26 +147,26 @@
     }
 
     /** Submits a command to all routers. */
-    public Map<String, Result> submit(OperatorCommand operatorCommand, long leftMs)
+    public Map<String, Result> submit(OperatorCommand command, long ttlMs)
             throws InterruptedException {
         return request(
-                ControlCodec.commands("put", List.of(new CommandWithTtl(operatorCommand, leftMs))));
+                ControlCodec.commands("put", List.of(new CommandWithTtl(command, ttlMs))));
     }
 
     /** Returns whether a router has a command, or a newer one for the same subject and owner. */
-    public static boolean hasCommand(Result result, OperatorCommand operatorCommand) {
+    public static boolean hasCommand(Result result, OperatorCommand command) {
         try {
             return result.isReached()
                     && ControlCodec.commands(result.answer()).stream()
                             .anyMatch(
-                                    ttl ->
-                                            ttl.command()
+                                    entry ->
+                                            entry.command()
                                                             .subject()
-                                                            .equals(operatorCommand.subject())
-                                                    && ttl.command()
+                                                            .equals(command.subject())
+                                                    && entry.command()
                                                             .owner()
-                                                            .equals(operatorCommand.owner())
-                                                    && ttl.command().compareTo(operatorCommand)
+                                                            .equals(command.owner())
+                                                    && entry.command().compareTo(command)
                                                             >= 0);
         } catch (IOException e) {
             return false;
@@ -181,12 +182,12 @@
             throws InterruptedException {
         long deadlineNs = System.nanoTime() + timeoutNs;
         while (true) {
-            Map<String, Result> now = status();
-            long good = now.values().stream().filter(condition).count();
-            if (good >= Math.ceil(fraction * routers.size()) || System.nanoTime() > deadlineNs) {
-                return now;
+            Map<String, Result> statuses = status();
+            long satisfied = statuses.values().stream().filter(condition).count();
+            if (satisfied >= Math.ceil(fraction * routers.size()) || System.nanoTime() > deadlineNs) {
+                return statuses;
             }
-            TimeUnit.MILLISECONDS.sleep(POLL_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
     }
 
--- a/control/src/test/java/ashlink/control/member/ControlWordsTest.java
+++ b/control/src/test/java/ashlink/control/member/ControlProtocolTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Frames as routers of other builds write and read them, to the byte. */
-class ControlWordsTest {
+class ControlProtocolTest {
 
     private static final List<MembershipUpdate> UPDATES =
             Stream.of(State.ALIVE, State.SUSPECT, State.DEAD)
@@ -91,7 +91,7 @@
 
     @Test
     void unknownWordsAreRejected() {
-        assertThrows(IllegalArgumentException.class, () -> ControlWords.state("DEAD"));
-        assertThrows(IllegalArgumentException.class, () -> ControlWords.intent("PAUSE"));
+        assertThrows(IllegalArgumentException.class, () -> ControlProtocol.parseState("DEAD"));
+        assertThrows(IllegalArgumentException.class, () -> ControlProtocol.parseIntent("PAUSE"));
     }
 }
--- a/control/src/test/java/ashlink/control/member/StoredNoticesTest.java
+++ b/control/src/test/java/ashlink/control/member/StoredNoticesTest.java
@@ -77,8 +77,8 @@
                 operatorCommand.owner(),
                 "" + operatorCommand.revision(),
                 "" + operatorCommand.intent().ordinal(),
-                operatorCommand.by(),
-                operatorCommand.why(),
+                operatorCommand.issuer(),
+                operatorCommand.reason(),
                 "" + leftMs);
     }
 
--- a/fleet/src/main/java/ashlink/fleet/command/CommandDisseminator.java
+++ b/fleet/src/main/java/ashlink/fleet/command/CommandDisseminator.java
@@ -17,7 +17,7 @@
 public final class CommandDisseminator {
 
     /** Maximum number of receivers to all of which a new command is sent immediately. */
-    private static final int BROADCAST_LIMIT = 32;
+    private static final int MAX_BROADCAST_PEERS = 32;
 
     /** Number of random receivers of a new command in a larger fleet. */
     private static final int FANOUT = 6;
@@ -55,14 +55,14 @@
     /**
      * Forwards new commands to the peers other than the one that sent them.
      *
-     * @param from the peer that sent the commands; empty if an operator submitted them
+     * @param sender the peer that sent the commands; empty if an operator submitted them
      */
     public List<Transmission> disseminate(
-            List<CommandWithTtl> commands, Collection<String> peers, String from) {
+            List<CommandWithTtl> commands, Collection<String> peers, String sender) {
         List<String> receivers = new ArrayList<>(peers);
-        receivers.remove(from);
-        boolean many = receivers.size() > BROADCAST_LIMIT;
-        while (many && receivers.size() > FANOUT) {
+        receivers.remove(sender);
+        boolean gossips = receivers.size() > MAX_BROADCAST_PEERS;
+        while (gossips && receivers.size() > FANOUT) {
             receivers.remove(random.nextInt(receivers.size()));
         }
         return commands.isEmpty()
@@ -77,10 +77,10 @@
         if (peers.isEmpty()) {
             return List.of();
         }
-        List<String> all = new ArrayList<>(peers);
+        List<String> candidates = new ArrayList<>(peers);
         return List.of(
                 new Transmission.SendDigest(
-                        all.get(random.nextInt(all.size())), set.digest(), false));
+                        candidates.get(random.nextInt(candidates.size())), set.digest(), false));
     }
 
     /**
@@ -89,10 +89,10 @@
      */
     public List<Transmission> onDigest(
             String peer, Map<CommandKey, Integer> peerDigest, boolean reply, long nowMs) {
-        List<Transmission> out = new ArrayList<>();
+        List<Transmission> transmissions = new ArrayList<>();
         List<CommandWithTtl> missing = set.missingFrom(peerDigest, nowMs);
         for (int i = 0; i < missing.size(); i += MAX_COMMANDS_PER_MESSAGE) {
-            out.add(
+            transmissions.add(
                     new Transmission.SendCommands(
                             peer,
                             List.copyOf(
@@ -103,8 +103,8 @@
                                                     i + MAX_COMMANDS_PER_MESSAGE)))));
         }
         if (!reply && !peerDigest.equals(set.digest())) {
-            out.add(new Transmission.SendDigest(peer, set.digest(), true));
+            transmissions.add(new Transmission.SendDigest(peer, set.digest(), true));
         }
-        return out;
+        return transmissions;
     }
 }
--- a/fleet/src/main/java/ashlink/fleet/command/OperatorCommand.java
+++ b/fleet/src/main/java/ashlink/fleet/command/OperatorCommand.java
@@ -11,11 +11,11 @@
  *
  * @param subject the engine or router, as {@code engine:NAME} or {@code router:NAME}
  * @param owner the operator to whom the command belongs
- * @param by the operator who issued the command: the owner, or another who overrides the owner
- * @param why free-text reason given by the issuer
+ * @param issuer the operator who issued the command: the owner, or another who overrides the owner
+ * @param reason free-text reason given by the issuer
  */
 public record OperatorCommand(
-        String subject, String owner, long revision, Intent intent, String by, String why)
+        String subject, String owner, long revision, Intent intent, String issuer, String reason)
         implements Comparable<OperatorCommand> {
 
     /** Maximum length of each text field, in characters. */
@@ -24,8 +24,8 @@
     private static final Comparator<OperatorCommand> ORDER =
             Comparator.comparingLong(OperatorCommand::revision)
                     .thenComparing(OperatorCommand::intent)
-                    .thenComparing(OperatorCommand::by)
-                    .thenComparing(OperatorCommand::why);
+                    .thenComparing(OperatorCommand::issuer)
+                    .thenComparing(OperatorCommand::reason);
 
     /**
      * Validates the fields.
@@ -44,11 +44,11 @@
                             + ": expected subject engine:NAME or router:NAME, a non-empty owner,"
                             + " revision at least 1");
         }
-        for (String text : new String[] {subject, owner, by, why}) {
-            if (text.length() > MAX_FIELD_CHARS) {
+        for (String field : new String[] {subject, owner, issuer, reason}) {
+            if (field.length() > MAX_FIELD_CHARS) {
                 throw new IllegalArgumentException(
                         "invalid command with a field of "
-                                + text.length()
+                                + field.length()
                                 + " characters: at most "
                                 + MAX_FIELD_CHARS);
             }
@@ -67,7 +67,7 @@
 
     /** Returns a hash of all fields that is the same in every process and build. */
     int digest() {
-        return Objects.hash(subject, owner, revision, intent.code(), by, why);
+        return Objects.hash(subject, owner, revision, intent.code(), issuer, reason);
     }
 
     /**
--- a/fleet/src/main/java/ashlink/fleet/command/ReplicatedCommandSet.java
+++ b/fleet/src/main/java/ashlink/fleet/command/ReplicatedCommandSet.java
@@ -32,9 +32,9 @@
     /** The key of a register: the subject and the owner of its command. */
     public record CommandKey(String subject, String owner) implements Comparable<CommandKey> {
         @Override
-        public int compareTo(CommandKey commandKey) {
-            int bySubject = subject.compareTo(commandKey.subject);
-            return bySubject != 0 ? bySubject : owner.compareTo(commandKey.owner);
+        public int compareTo(CommandKey other) {
+            int bySubject = subject.compareTo(other.subject);
+            return bySubject != 0 ? bySubject : owner.compareTo(other.owner);
         }
     }
 
@@ -52,22 +52,22 @@
      * @param maxTtlMs maximum time to live of a command; a longer one is reduced to it
      * @param tombstoneMs time for which an expired command is kept; at least {@code maxTtlMs}
      */
-    public ReplicatedCommandSet(int most, long longestMs, long rememberedMs) {
-        if (rememberedMs < longestMs) {
+    public ReplicatedCommandSet(int maxEntries, long maxTtlMs, long tombstoneMs) {
+        if (tombstoneMs < maxTtlMs) {
             throw new IllegalArgumentException(
                     "invalid tombstone time of "
-                            + rememberedMs
+                            + tombstoneMs
                             + " ms: at least the maximum time to live of "
-                            + longestMs
+                            + maxTtlMs
                             + " ms");
         }
-        this.maxEntries = most;
-        this.maxTtlMs = longestMs;
-        this.tombstoneMs = rememberedMs;
+        this.maxEntries = maxEntries;
+        this.maxTtlMs = maxTtlMs;
+        this.tombstoneMs = tombstoneMs;
     }
 
-    private static CommandKey keyOf(OperatorCommand operatorCommand) {
-        return new CommandKey(operatorCommand.subject(), operatorCommand.owner());
+    private static CommandKey keyOf(OperatorCommand command) {
+        return new CommandKey(command.subject(), command.owner());
     }
 
     /**
@@ -75,20 +75,20 @@
      *
      * @return whether the command of the register changed; false if only its expiry was extended
      */
-    public boolean add(OperatorCommand operatorCommand, long leftMs, long nowMs) {
-        long expiresMs = nowMs + Math.min(leftMs, maxTtlMs);
-        Entry known = entries.get(keyOf(operatorCommand));
+    public boolean add(OperatorCommand command, long ttlMs, long nowMs) {
+        long expiresMs = nowMs + Math.min(ttlMs, maxTtlMs);
+        Entry known = entries.get(keyOf(command));
         if (known == null && entries.size() >= maxEntries) {
             removeExpired(nowMs);
             if (entries.size() >= maxEntries) {
                 return false;
             }
         }
-        int order = known == null ? 1 : operatorCommand.compareTo(known.command);
+        int order = known == null ? 1 : command.compareTo(known.command);
         if (order < 0 || order == 0 && expiresMs <= known.expiresMs) {
             return false;
         }
-        entries.put(keyOf(operatorCommand), new Entry(operatorCommand, expiresMs));
+        entries.put(keyOf(command), new Entry(command, expiresMs));
         return order > 0;
     }
 
@@ -107,16 +107,16 @@
 
     /** Returns the strongest intent in force by subject; a subject without one is omitted. */
     public Map<String, Intent> intents(long nowMs) {
-        Map<String, Intent> all = new TreeMap<>();
+        Map<String, Intent> intents = new TreeMap<>();
         for (Entry entry : entries.values()) {
             if (entry.expiresMs > nowMs && entry.command.intent() != Intent.NONE) {
-                all.merge(
+                intents.merge(
                         entry.command.subject(),
                         entry.command.intent(),
                         (left, right) -> left.compareTo(right) > 0 ? left : right);
             }
         }
-        return all;
+        return intents;
     }
 
     /** Returns the next revision of a register: one more than the known revision, or 1. */
@@ -149,8 +149,8 @@
         List<CommandWithTtl> missing = new ArrayList<>();
         entries.forEach(
                 (key, entry) -> {
-                    Integer theirs = digest.get(key);
-                    if (theirs == null || theirs != entry.command.digest()) {
+                    Integer peerHash = digest.get(key);
+                    if (peerHash == null || peerHash != entry.command.digest()) {
                         missing.add(new CommandWithTtl(entry.command, entry.expiresMs - nowMs));
                     }
                 });
--- a/fleet/src/main/java/ashlink/fleet/membership/MembershipList.java
+++ b/fleet/src/main/java/ashlink/fleet/membership/MembershipList.java
@@ -53,14 +53,14 @@
 
     /** Returns the latest update of another member; null if there is none. */
     MembershipUpdate latest(String member) {
-        MemberRecord known = members.get(member);
-        return known == null ? null : known.latest;
+        MemberRecord memberRecord = members.get(member);
+        return memberRecord == null ? null : memberRecord.latest;
     }
 
     /** Returns the latest update of every other member by name. */
     Map<String, MembershipUpdate> all() {
         Map<String, MembershipUpdate> all = new TreeMap<>();
-        members.forEach((member, known) -> all.put(member, known.latest));
+        members.forEach((member, memberRecord) -> all.put(member, memberRecord.latest));
         return all;
     }
 
@@ -96,20 +96,20 @@
             applyToSelf(update);
             return;
         }
-        MemberRecord known = members.get(update.member());
-        if (known == null) {
+        MemberRecord memberRecord = members.get(update.member());
+        if (memberRecord == null) {
             if (update.state() == State.DEAD) {
                 return;
             }
-            known = new MemberRecord(update);
-            members.put(update.member(), known);
-        } else if (update.overrides(known.latest)) {
-            known.latest = update;
+            memberRecord = new MemberRecord(update);
+            members.put(update.member(), memberRecord);
+        } else if (update.overrides(memberRecord.latest)) {
+            memberRecord.latest = update;
         } else {
             return;
         }
         if (update.state() == State.SUSPECT) {
-            known.suspectUntilNs = nowNs + suspicionTimeoutNs();
+            memberRecord.suspectUntilNs = nowNs + suspicionTimeoutNs();
         }
         disseminationBuffer.add(update);
     }
@@ -142,17 +142,17 @@
 
     /** Declares every member dead whose suspicion timeout has expired. */
     void expireSuspicions(long nowNs) {
-        for (MemberRecord known : members.values()) {
-            if (known.latest.state() == State.SUSPECT && nowNs >= known.suspectUntilNs) {
-                known.latest = known.latest.withState(State.DEAD);
-                disseminationBuffer.add(known.latest);
+        for (MemberRecord memberRecord : members.values()) {
+            if (memberRecord.latest.state() == State.SUSPECT && nowNs >= memberRecord.suspectUntilNs) {
+                memberRecord.latest = memberRecord.latest.withState(State.DEAD);
+                disseminationBuffer.add(memberRecord.latest);
             }
         }
     }
 
     /** Extends all suspicion timeouts by a duration. */
-    void extendSuspicions(long byNs) {
-        members.values().forEach(known -> known.suspectUntilNs += byNs);
+    void extendSuspicions(long durationNs) {
+        members.values().forEach(memberRecord -> memberRecord.suspectUntilNs += durationNs);
     }
 
     /** Returns the updates to piggyback on the next message. */
--- a/fleet/src/main/java/ashlink/fleet/membership/Swim.java
+++ b/fleet/src/main/java/ashlink/fleet/membership/Swim.java
@@ -105,9 +105,9 @@
 
     private void sendPingReqs(List<Send> out) {
         pingReqSent = true;
-        for (String helper : randomAliveMembers(config.pingReqMembers(), pingTarget)) {
+        for (String relay : randomAliveMembers(config.pingReqMembers(), pingTarget)) {
             List<MembershipUpdate> updates = membership.piggybackedUpdates();
-            out.add(sendTo(helper, new PingReq(pingSequence, pingTarget, updates)));
+            out.add(sendTo(relay, new PingReq(pingSequence, pingTarget, updates)));
         }
     }
 
--- a/fleet/src/main/java/ashlink/fleet/supervise/RestartPolicy.java
+++ b/fleet/src/main/java/ashlink/fleet/supervise/RestartPolicy.java
@@ -83,12 +83,12 @@
         while (endedNs - shortRunEndsNs.peek() > limits.crashLoopWindowNs()) {
             shortRunEndsNs.remove();
         }
-        long pause =
+        long backoffNs =
                 Math.min(
                         limits.maxBackoffNs(),
                         limits.initialBackoffNs() << Math.min(consecutiveShortRuns++, 30));
         return shortRunEndsNs.size() >= limits.crashLoopRuns()
                 ? new Decision(RestartAction.CRASH_LOOP, limits.maxBackoffNs())
-                : new Decision(RestartAction.RESTART, pause < 0 ? limits.maxBackoffNs() : pause);
+                : new Decision(RestartAction.RESTART, backoffNs < 0 ? limits.maxBackoffNs() : backoffNs);
     }
 }
