--- a/control/src/test/java/ashlink/control/ControlTest.java
+++ b/control/src/test/java/ashlink/control/ControlTest.java
@@ -45,7 +45,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Fleet members on real sockets. */
+/** Tests fleet members that communicate over real TLS sockets. */
 class ControlTest {
 
     private static final Duration DAY = Duration.ofDays(1);
@@ -53,14 +53,14 @@
 
     @TempDir Path dir;
     private final Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
-    private final Map<String, FleetMember> nodes = new HashMap<>();
-    private final Map<String, Fake> routers = new HashMap<>();
+    private final Map<String, FleetMember> members = new HashMap<>();
+    private final Map<String, RecordingRouter> routers = new HashMap<>();
     private CertificateAuthority authority;
 
-    /** A router that records the calls. */
-    private static final class Fake implements RouterControl {
+    /** Records the calls of a fleet member to its router. */
+    private static final class RecordingRouter implements RouterControl {
         volatile Set<String> drained = Set.of();
-        volatile boolean refuses;
+        volatile boolean rejecting;
         volatile boolean stopped;
 
         @Override
@@ -69,8 +69,8 @@
         }
 
         @Override
-        public void setRejecting(boolean refuse) {
-            refuses = refuse;
+        public void setRejecting(boolean rejecting) {
+            this.rejecting = rejecting;
         }
 
         @Override
@@ -79,13 +79,13 @@
         }
 
         @Override
-        public void addStatus(ObjectNode to) {
-            to.put("open", 0);
+        public void addStatus(ObjectNode status) {
+            status.put("open", 0);
         }
     }
 
     @BeforeEach
-    void keys() throws Exception {
+    void createKeys() throws Exception {
         authority = new CertificateAuthority(dir.resolve("keys"));
         authority.renew(DAY);
         authority.issue("ann", Set.of(Role.OBSERVE, Role.DRAIN, Role.STOP), DAY);
@@ -94,126 +94,127 @@
     }
 
     @AfterEach
-    void end() {
-        nodes.values().forEach(FleetMember::close);
+    void closeMembers() {
+        members.values().forEach(FleetMember::close);
     }
 
-    private void fleet(int count) throws Exception {
-        List<ServerSocket> free = new ArrayList<>();
+    private void startFleet(int count) throws Exception {
+        List<ServerSocket> sockets = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
-            ServerSocket serverSocket = new ServerSocket(0);
-            free.add(serverSocket);
-            addresses.put("r" + i, new InetSocketAddress("127.0.0.1", serverSocket.getLocalPort()));
+            ServerSocket socket = new ServerSocket(0);
+            sockets.add(socket);
+            addresses.put("r" + i, new InetSocketAddress("127.0.0.1", socket.getLocalPort()));
             authority.issue("r" + i, Set.of(Role.ROUTER), DAY);
         }
-        for (ServerSocket serverSocket : free) {
-            serverSocket.close();
+        for (ServerSocket socket : sockets) {
+            socket.close();
         }
-        for (String text : addresses.keySet()) {
-            start(text);
+        for (String router : addresses.keySet()) {
+            start(router);
         }
     }
 
-    private void start(String text) throws Exception {
-        start(text, FolderDisk.writing(dir.resolve(text)));
+    private void start(String router) throws Exception {
+        start(router, FolderDisk.writing(dir.resolve(router)));
     }
 
-    private void start(String text, Disk disk) throws Exception {
+    private void start(String router, Disk disk) throws Exception {
         Map<String, InetSocketAddress> peers = new HashMap<>(addresses);
-        peers.remove(text);
-        Fake router = new Fake();
-        FleetMember fleetMember =
+        peers.remove(router);
+        RecordingRouter routerControl = new RecordingRouter();
+        FleetMember member =
                 new FleetMember(
                         new FleetMember.Spec(
-                                text,
-                                addresses.get(text),
-                                dir.resolve(text),
+                                router,
+                                addresses.get(router),
+                                dir.resolve(router),
                                 peers,
                                 SwimConfig.DEFAULT,
-                                text.hashCode()),
-                        new Identity(dir.resolve("keys"), text),
-                        router,
+                                router.hashCode()),
+                        new Identity(dir.resolve("keys"), router),
+                        routerControl,
                         disk);
-        routers.put(text, router);
-        nodes.put(text, fleetMember);
-        fleetMember.start();
+        routers.put(router, routerControl);
+        members.put(router, member);
+        member.start();
     }
 
-    private void kill(String text) {
-        nodes.remove(text).close();
+    private void stopMember(String router) {
+        members.remove(router).close();
     }
 
-    private FleetClient tool(String operator, String... reached) throws Exception {
-        Map<String, InetSocketAddress> of = new LinkedHashMap<>();
-        for (String text :
-                reached.length == 0 ? addresses.keySet().toArray(new String[0]) : reached) {
-            of.put(text, addresses.get(text));
+    private FleetClient client(String operator, String... receivers) throws Exception {
+        Map<String, InetSocketAddress> receiverAddresses = new LinkedHashMap<>();
+        for (String router :
+                receivers.length == 0 ? addresses.keySet().toArray(new String[0]) : receivers) {
+            receiverAddresses.put(router, addresses.get(router));
         }
-        return new FleetClient(new Identity(dir.resolve("keys"), operator), of, 8, 2_000);
+        return new FleetClient(new Identity(dir.resolve("keys"), operator), receiverAddresses, 8, 2_000);
     }
 
-    private OperatorCommand submit(String operator, Intent intent, String... reached)
+    private OperatorCommand submit(String operator, Intent intent, String... receivers)
             throws Exception {
-        try (FleetClient fleetClient = tool(operator, reached)) {
-            OperatorCommand operatorCommand =
-                    fleetClient.nextCommand(
-                            "engine:q1", operator, intent, "test", fleetClient.status());
-            fleetClient.submit(operatorCommand, HOUR_MS);
-            return operatorCommand;
+        try (FleetClient client = client(operator, receivers)) {
+            OperatorCommand command =
+                    client.nextCommand(
+                            "engine:q1", operator, intent, "test", client.status());
+            client.submit(command, HOUR_MS);
+            return command;
         }
     }
 
-    private static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long until = System.nanoTime() + 20_000_000_000L;
-        while (!condition.getAsBoolean()) {
-            if (System.nanoTime() > until) {
-                throw new AssertionError("waited in vain for: " + what);
+    private static void await(String condition, BooleanSupplier isMet) throws InterruptedException {
+        long deadlineNs = System.nanoTime() + 20_000_000_000L;
+        while (!isMet.getAsBoolean()) {
+            if (System.nanoTime() > deadlineNs) {
+                throw new AssertionError("condition not met within 20 s: " + condition);
             }
             Thread.sleep(5);
         }
     }
 
-    private boolean all(boolean drained) {
-        return nodes.keySet().stream()
-                .allMatch(text -> routers.get(text).drained.contains("q1") == drained);
+    private boolean allRoutersDrain(boolean drained) {
+        return members.keySet().stream()
+                .allMatch(router -> routers.get(router).drained.contains("q1") == drained);
     }
 
-    // ---- Drains
+    // ---- Drains and stops
+
     @Test
-    void drainSubmittedToHalfReachesAllThoughAReceiverDies() throws Exception {
-        fleet(6);
+    void drainSubmittedToHalfOfRoutersReachesAllDespiteDeathOfAReceiver() throws Exception {
+        startFleet(6);
         submit("ann", Intent.DRAIN, "r1", "r2", "r3");
-        kill("r1");
-        await("all know it", () -> all(true));
+        stopMember("r1");
+        await("all routers have received the drain", () -> allRoutersDrain(true));
         start("r1");
         assertTrue(
                 routers.get("r1").drained.contains("q1"),
-                "before its first query, from its own disk");
+                "the restarted router reads the drain from its own disk before its first query");
         submit("ann", Intent.NONE, "r6");
-        await("all know that it is over", () -> all(false));
+        await("all routers have applied the withdrawal", () -> allRoutersDrain(false));
     }
 
     @Test
     void restartedRouterReceivesCommandsItMissed() throws Exception {
-        fleet(3);
-        kill("r3");
+        startFleet(3);
+        stopMember("r3");
         submit("ann", Intent.DRAIN, "r1", "r2");
         start("r3");
-        await("it is told", () -> all(true));
+        await("the restarted router has received the drain", () -> allRoutersDrain(true));
     }
 
     @Test
     void operatorsDoNotOverrideEachOther() throws Exception {
-        fleet(3);
-        OperatorCommand first = submit("ann", Intent.DRAIN);
-        OperatorCommand again = submit("ann", Intent.DRAIN);
-        assertEquals(first.revision() + 1, again.revision());
+        startFleet(3);
+        OperatorCommand firstDrain = submit("ann", Intent.DRAIN);
+        OperatorCommand secondDrain = submit("ann", Intent.DRAIN);
+        assertEquals(firstDrain.revision() + 1, secondDrain.revision());
         submit("ben", Intent.DRAIN, "r2");
         await(
-                "all know both",
+                "all routers have the drains of both operators",
                 () -> {
-                    try (FleetClient fleetClient = tool("ann")) {
-                        return fleetClient.status().values().stream()
+                    try (FleetClient client = client("ann")) {
+                        return client.status().values().stream()
                                 .allMatch(
                                         result -> {
                                             try {
@@ -230,35 +231,35 @@
                 });
         submit("ann", Intent.NONE);
         Thread.sleep(300);
-        assertTrue(all(true), "ben still wants it");
-        try (FleetClient fleetClient = tool("ann")) {
-            fleetClient.submit(
-                    fleetClient.nextCommand(
-                            "engine:q1", "ben", Intent.NONE, "overruled", fleetClient.status()),
+        assertTrue(allRoutersDrain(true), "the drain of ben stays in force");
+        try (FleetClient client = client("ann")) {
+            client.submit(
+                    client.nextCommand(
+                            "engine:q1", "ben", Intent.NONE, "overruled", client.status()),
                     HOUR_MS);
         }
-        await("nobody wants it", () -> all(false));
+        await("all drains are withdrawn", () -> allRoutersDrain(false));
     }
 
     @Test
-    void replayedCommandAndRestoredBackupChangeNothing() throws Exception {
-        fleet(3);
+    void replayedCommandAndRestoredBackupDoNotReviveWithdrawnDrain() throws Exception {
+        startFleet(3);
         OperatorCommand drain = submit("ann", Intent.DRAIN);
-        await("all know it", () -> all(true));
-        kill("r3");
+        await("all routers have received the drain", () -> allRoutersDrain(true));
+        stopMember("r3");
         copy(dir.resolve("r3"), dir.resolve("backup"));
         submit("ann", Intent.NONE, "r1", "r2");
-        await("the others know that it is over", () -> all(false));
-        try (FleetClient fleetClient = tool("ann", "r1")) {
-            fleetClient.submit(drain, HOUR_MS);
+        await("the running routers have applied the withdrawal", () -> allRoutersDrain(false));
+        try (FleetClient client = client("ann", "r1")) {
+            client.submit(drain, HOUR_MS);
         }
         delete(dir.resolve("r3"));
         copy(dir.resolve("backup"), dir.resolve("r3"));
         start("r3");
-        assertTrue(routers.get("r3").drained.contains("q1"), "it cannot know better yet");
-        await("it learns that it is over", () -> all(false));
+        assertTrue(routers.get("r3").drained.contains("q1"), "the restored router still has the drain");
+        await("the restored router has received the withdrawal", () -> allRoutersDrain(false));
         Thread.sleep(1_500);
-        assertTrue(all(false), "and nobody believes the old again");
+        assertTrue(allRoutersDrain(false), "no router applies the withdrawn drain again");
     }
 
     private static void copy(Path from, Path to) throws IOException {
@@ -271,44 +272,44 @@
         }
     }
 
-    private static void delete(Path folder) throws IOException {
-        try (Stream<Path> files = Files.list(folder)) {
+    private static void delete(Path directory) throws IOException {
+        try (Stream<Path> files = Files.list(directory)) {
             for (Path path : files.toList()) {
                 Files.delete(path);
             }
         }
-        Files.delete(folder);
+        Files.delete(directory);
     }
 
     @Test
     void routerIsDrainedAndExecutesStopOnce() throws Exception {
-        fleet(2);
-        try (FleetClient fleetClient = tool("ann")) {
-            fleetClient.submit(
-                    fleetClient.nextCommand(
-                            "router:r2", "ann", Intent.DRAIN, "", fleetClient.status()),
+        startFleet(2);
+        try (FleetClient client = client("ann")) {
+            client.submit(
+                    client.nextCommand(
+                            "router:r2", "ann", Intent.DRAIN, "", client.status()),
                     HOUR_MS);
-            await("it refuses", () -> routers.get("r2").refuses && !routers.get("r1").refuses);
-            fleetClient.submit(
-                    fleetClient.nextCommand(
-                            "router:r2", "ann", Intent.STOP, "", fleetClient.status()),
+            await("router r2 rejects requests", () -> routers.get("r2").rejecting && !routers.get("r1").rejecting);
+            client.submit(
+                    client.nextCommand(
+                            "router:r2", "ann", Intent.STOP, "", client.status()),
                     HOUR_MS);
-            await("it stops", () -> routers.get("r2").stopped);
-            kill("r2");
+            await("router r2 stops", () -> routers.get("r2").stopped);
+            stopMember("r2");
             start("r2");
             Thread.sleep(1_500);
             assertFalse(
-                    routers.get("r2").stopped || routers.get("r2").refuses,
-                    "who is started again stays");
+                    routers.get("r2").stopped || routers.get("r2").rejecting,
+                    "a restarted router keeps running");
         }
     }
 
     // ---- Authorization
 
     private JsonNode status(Identity identity) throws IOException {
-        try (ControlClient controlClient =
+        try (ControlClient client =
                 new ControlClient(identity, addresses.get("r1"), "r1", 2_000)) {
-            return controlClient.request(ControlCodec.op("status"));
+            return client.request(ControlCodec.op("status"));
         }
     }
 
@@ -319,23 +320,23 @@
     }
 
     @Test
-    void observerMayReadStatusAndNotDrain() throws Exception {
-        fleet(1);
-        try (FleetClient fleetClient = tool("eve")) {
-            assertTrue(fleetClient.status().get("r1").isReached());
-            String error = errorOf(fleetClient, "engine:q1", "eve", Intent.DRAIN);
+    void observerMayReadStatusButNotDrain() throws Exception {
+        startFleet(1);
+        try (FleetClient client = client("eve")) {
+            assertTrue(client.status().get("r1").isReached());
+            String error = errorOf(client, "engine:q1", "eve", Intent.DRAIN);
             assertTrue(error.contains("permission denied: eve requires role drain"), error);
         }
         assertTrue(routers.get("r1").drained.isEmpty());
     }
 
     @Test
-    void drainerMayNotStopNorIssueCommandsOfOthers() throws Exception {
-        fleet(1);
-        try (FleetClient fleetClient = tool("ben")) {
-            String error = errorOf(fleetClient, "router:r1", "ben", Intent.STOP);
+    void drainRolePermitsNeitherStopsNorCommandsOfOtherIssuers() throws Exception {
+        startFleet(1);
+        try (FleetClient client = client("ben")) {
+            String error = errorOf(client, "router:r1", "ben", Intent.STOP);
             assertTrue(error.contains("permission denied: ben requires role stop"), error);
-            error = errorOf(fleetClient, "engine:q1", "ann", Intent.DRAIN);
+            error = errorOf(client, "engine:q1", "ann", Intent.DRAIN);
             assertTrue(error.contains("invalid command issuer ann: expected the sender ben"), error);
         }
         assertTrue(routers.get("r1").drained.isEmpty());
@@ -343,55 +344,55 @@
 
     @Test
     void foreignAndExpiredCertificatesAreRejected() throws Exception {
-        fleet(1);
-        CertificateAuthority foreign = new CertificateAuthority(dir.resolve("foreign"));
-        foreign.renew(DAY);
-        foreign.issue("ann", Set.of(Role.OBSERVE, Role.DRAIN), DAY);
+        startFleet(1);
+        CertificateAuthority foreignAuthority = new CertificateAuthority(dir.resolve("foreign"));
+        foreignAuthority.renew(DAY);
+        foreignAuthority.issue("ann", Set.of(Role.OBSERVE, Role.DRAIN), DAY);
         Files.copy(
                 dir.resolve("keys/ca.crt"),
                 dir.resolve("foreign/ca.crt"),
                 StandardCopyOption.REPLACE_EXISTING);
-        Identity stranger = new Identity(dir.resolve("foreign"), "ann");
-        assertThrows(IOException.class, () -> status(stranger));
+        Identity foreignIdentity = new Identity(dir.resolve("foreign"), "ann");
+        assertThrows(IOException.class, () -> status(foreignIdentity));
         authority.issue("old", Set.of(Role.OBSERVE), Duration.ofMinutes(-10));
-        Identity expired = new Identity(dir.resolve("keys"), "old");
-        assertThrows(IOException.class, () -> status(expired));
+        Identity expiredIdentity = new Identity(dir.resolve("keys"), "old");
+        assertThrows(IOException.class, () -> status(expiredIdentity));
         assertTrue(routers.get("r1").drained.isEmpty());
     }
 
     @Test
     void bothAuthoritiesAreTrustedDuringRenewal() throws Exception {
-        fleet(1);
+        startFleet(1);
         Files.createDirectories(dir.resolve("before"));
         copy(dir.resolve("keys"), dir.resolve("before"));
         authority.renew(DAY);
         authority.issue("r2", Set.of(Role.ROUTER), DAY);
         authority.issue("ann", Set.of(Role.OBSERVE), DAY);
-        kill("r1");
-        start("r1"); // shows its old certificate, and trusts both authorities
-        Identity renewed = new Identity(dir.resolve("keys"), "ann");
-        assertEquals("r1", status(renewed).get("router").asText(), "a new operator");
-        Identity old = new Identity(dir.resolve("before"), "eve");
-        assertEquals("r1", status(old).get("router").asText(), "an old one");
+        stopMember("r1");
+        start("r1"); // presents its old certificate and trusts both authorities
+        Identity newIdentity = new Identity(dir.resolve("keys"), "ann");
+        assertEquals("r1", status(newIdentity).get("router").asText(), "certificate of the new authority");
+        Identity oldIdentity = new Identity(dir.resolve("before"), "eve");
+        assertEquals("r1", status(oldIdentity).get("router").asText(), "certificate of the old authority");
         authority.retire();
         authority.issue("r1", Set.of(Role.ROUTER), DAY);
-        kill("r1");
+        stopMember("r1");
         start("r1");
-        Identity retired = new Identity(dir.resolve("before"), "eve");
+        Identity retiredIdentity = new Identity(dir.resolve("before"), "eve");
         assertThrows(
                 IOException.class,
-                () -> status(retired),
-                "the old authority is not trusted any more");
+                () -> status(retiredIdentity),
+                "the old authority is no longer trusted");
     }
 
     @Test
-    void malformedFramesEndOnlyTheirConnection() throws Exception {
-        fleet(2);
-        try (Socket plain = new Socket("127.0.0.1", addresses.get("r1").getPort())) {
-            plain.getOutputStream().write("GET / HTTP/1.1\r\n\r\n".getBytes());
-            plain.setSoTimeout(10_000);
-            while (plain.getInputStream().read() >= 0) {
-                // an alert, then the end
+    void malformedFrameClosesOnlyItsConnection() throws Exception {
+        startFleet(2);
+        try (Socket socket = new Socket("127.0.0.1", addresses.get("r1").getPort())) {
+            socket.getOutputStream().write("GET / HTTP/1.1\r\n\r\n".getBytes());
+            socket.setSoTimeout(10_000);
+            while (socket.getInputStream().read() >= 0) {
+                // Skips the TLS alert that precedes the end of the stream.
             }
         }
         Identity ann = new Identity(dir.resolve("keys"), "ann");
@@ -402,77 +403,77 @@
                     {0, 0, 0, 3, '{', '{', '{'},
                     {-1, -1, -1, -1}
                 }) {
-            try (SSLSocket sSLSocket =
+            try (SSLSocket socket =
                     (SSLSocket)
                             ann.context()
                                     .getSocketFactory()
                                     .createSocket("127.0.0.1", addresses.get("r1").getPort())) {
-                sSLSocket.setSoTimeout(10_000);
-                OutputStream out = sSLSocket.getOutputStream();
+                socket.setSoTimeout(10_000);
+                OutputStream out = socket.getOutputStream();
                 out.write(bytes);
                 out.flush();
-                assertEquals(-1, sSLSocket.getInputStream().read(), "closed");
+                assertEquals(-1, socket.getInputStream().read(), "the connection is closed");
             }
         }
         submit("ben", Intent.DRAIN, "r1");
-        await("a command comes through", () -> all(true));
+        await("a command of another connection is applied", () -> allRoutersDrain(true));
     }
 
     @Test
-    void floodDoesNotKeepOutOtherConnections() throws Exception {
-        fleet(2);
+    void floodOfFramesDoesNotBlockOtherConnections() throws Exception {
+        startFleet(2);
         Identity ann = new Identity(dir.resolve("keys"), "ann");
-        List<Thread> flood = new ArrayList<>();
+        List<Thread> senders = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             Thread thread =
                     new Thread(
                             () -> {
-                                try (ControlClient controlClient =
+                                try (ControlClient client =
                                         new ControlClient(ann, addresses.get("r1"), "r1", 5_000)) {
-                                    for (int n = 0; n < 2_000; n++) {
-                                        controlClient.send(ControlCodec.op("nonsense"));
+                                    for (int frame = 0; frame < 2_000; frame++) {
+                                        client.send(ControlCodec.op("nonsense"));
                                     }
                                 } catch (IOException e) {
-                                    // cut off
+                                    // The server may close the connection before all frames are sent.
                                 }
                             });
             thread.start();
-            flood.add(thread);
+            senders.add(thread);
         }
         submit("ben", Intent.DRAIN, "r1");
-        await("a command comes through", () -> all(true));
-        for (Thread thread : flood) {
+        await("a command of another connection is applied", () -> allRoutersDrain(true));
+        for (Thread thread : senders) {
             thread.interrupt();
         }
     }
 
     @Test
-    void drainIsInForceOnFullDiskAndDurableOnceWritable() throws Exception {
-        fleet(2);
-        kill("r1");
+    void drainTakesEffectWithFullDiskAndBecomesDurableOnceDiskIsWritable() throws Exception {
+        startFleet(2);
+        stopMember("r1");
         FaultyDisk disk = new FaultyDisk();
         start("r1", disk);
         disk.full(true);
-        OperatorCommand operatorCommand =
+        OperatorCommand command =
                 new OperatorCommand("engine:q1", "ann", 1, Intent.DRAIN, "ann", "");
-        try (FleetClient fleetClient = tool("ann", "r1")) {
-            JsonNode known = fleetClient.submit(operatorCommand, HOUR_MS).get("r1").answer();
+        try (FleetClient client = client("ann", "r1")) {
+            JsonNode response = client.submit(command, HOUR_MS).get("r1").answer();
             assertFalse(
-                    known.get("durable").asBoolean(),
-                    "and the operator is told that it is not safe");
-            await("both drain", () -> all(true));
+                    response.get("durable").asBoolean(),
+                    "the response reports that the command is not durable");
+            await("both routers drain the engine", () -> allRoutersDrain(true));
             disk.full(false);
-            Map<String, Result> later =
-                    fleetClient.awaitStatus(
+            Map<String, Result> statuses =
+                    client.awaitStatus(
                             1,
                             20_000_000_000L,
                             result ->
                                     result.isReached()
                                             && result.answer().get("durable").asBoolean());
-            assertTrue(later.get("r1").answer().get("durable").asBoolean());
+            assertTrue(statuses.get("r1").answer().get("durable").asBoolean());
         }
-        kill("r2"); // so that nobody else tells it
-        kill("r1");
+        stopMember("r2"); // so that r1 can only read the command from its own disk
+        stopMember("r1");
         start("r1", disk);
         assertTrue(routers.get("r1").drained.contains("q1"));
     }
--- a/control/src/test/java/ashlink/control/member/ControlProtocolTest.java
+++ b/control/src/test/java/ashlink/control/member/ControlProtocolTest.java
@@ -15,14 +15,14 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Frames as routers of other builds write and read them, to the byte. */
+/** Tests that frames have exactly the bytes that routers of other builds write and read. */
 class ControlProtocolTest {
 
     private static final List<MembershipUpdate> UPDATES =
             Stream.of(State.ALIVE, State.SUSPECT, State.DEAD)
                     .map(state -> new MembershipUpdate("r3", "a:3", 4, state))
                     .toList();
-    private static final String RUMORS =
+    private static final String UPDATES_JSON =
             Stream.of("ALIVE", "SUSPECT", "GONE")
                     .map(
                             state ->
@@ -33,19 +33,19 @@
                     .collect(java.util.stream.Collectors.joining(",", "\"rumors\":[", "]}"));
 
     private static void assertSwimFrame(String expected, Message message) throws Exception {
-        assertEquals(expected + RUMORS, ControlCodec.swim(message, "a:1").toString());
+        assertEquals(expected + UPDATES_JSON, ControlCodec.swim(message, "a:1").toString());
         assertEquals(message, ControlCodec.swim(ControlCodec.swim(message, "a:1")));
     }
 
     @Test
-    void pingFrameKeepsItsWords() throws Exception {
+    void pingFrameKeepsItsFieldNamesAndValues() throws Exception {
         assertSwimFrame(
                 "{\"op\":\"swim\",\"address\":\"a:1\",\"kind\":\"ping\",\"number\":7,",
                 new Message.Ping(7, UPDATES));
     }
 
     @Test
-    void pingReqFrameKeepsItsWords() throws Exception {
+    void pingReqFrameKeepsItsFieldNamesAndValues() throws Exception {
         assertSwimFrame(
                 "{\"op\":\"swim\",\"address\":\"a:1\",\"kind\":\"ping-for\",\"number\":7,"
                         + "\"target\":\"r2\",",
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void ackFrameKeepsItsWords() throws Exception {
+    void ackFrameKeepsItsFieldNamesAndValues() throws Exception {
         assertSwimFrame(
                 "{\"op\":\"swim\",\"address\":\"a:1\",\"kind\":\"ack\",\"number\":7,"
                         + "\"of\":\"r2\",",
@@ -61,18 +61,18 @@
     }
 
     @Test
-    void commandFrameKeepsItsWords() throws Exception {
+    void commandFrameKeepsItsFieldNamesAndValues() throws Exception {
         for (Intent intent : Intent.values()) {
             List<CommandWithTtl> commands =
                     List.of(
                             new CommandWithTtl(
                                     new OperatorCommand("engine:q1", "ann", 3, intent, "ben", "x"),
                                     5_000));
-            String word = Map.of(0, "NONE", 1, "DRAIN", 2, "STOP").get(intent.code());
+            String intentName = Map.of(0, "NONE", 1, "DRAIN", 2, "STOP").get(intent.code());
             String expected =
                     "{\"op\":\"put\",\"notices\":[{\"subject\":\"engine:q1\",\"owner\":\"ann\","
                             + "\"revision\":3,\"intent\":\""
-                            + word
+                            + intentName
                             + "\",\"by\":\"ben\",\"why\":\"x\",\"leftMs\":5000}]}";
             assertEquals(expected, ControlCodec.commands("put", commands).toString());
             assertEquals(commands, ControlCodec.commands(ControlCodec.commands("put", commands)));
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void digestFrameKeepsItsWords() throws Exception {
+    void digestFrameKeepsItsFieldNamesAndValues() throws Exception {
         Map<CommandKey, Integer> digest = Map.of(new CommandKey("engine:q1", "ann"), -5);
         assertEquals(
                 "{\"op\":\"digest\",\"back\":true,\"digest\":[{\"subject\":\"engine:q1\","
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void unknownWordsAreRejected() {
+    void unknownStateAndIntentNamesAreRejected() {
         assertThrows(IllegalArgumentException.class, () -> ControlProtocol.parseState("DEAD"));
         assertThrows(IllegalArgumentException.class, () -> ControlProtocol.parseIntent("PAUSE"));
     }
--- a/control/src/test/java/ashlink/control/member/StoredNoticesTest.java
+++ b/control/src/test/java/ashlink/control/member/StoredCommandLogTest.java
@@ -18,16 +18,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The journal of notices that a router of an earlier build left, after two starts, gives the
- * notices that it knew. It is {@code src/test/resources/stored/notices}; the README beside tells
- * how it was written.
+ * Tests that the command log that a router of an earlier build wrote in two starts is read with the
+ * same commands. The log is {@code src/test/resources/stored/notices}; the README next to it
+ * describes how it was written.
  */
-class StoredNoticesTest {
+class StoredCommandLogTest {
 
     private static final long NOW_MS = StoredDataRecorder.START_MS + 3 * StoredDataRecorder.HOUR_MS;
 
-    /** Subject, owner, revision, number of the intent, by, why, milliseconds left. */
-    private static final List<String> EXPECTED =
+    /** Subject, owner, revision, intent code, issuer, reason, remaining time to live in ms. */
+    private static final List<String> EXPECTED_COMMANDS =
             List.of(
                     "engine:q1|ann|2|0|root|done|75600003",
                     "engine:q1|böb|1|2|böb|Größe|2581200002",
@@ -37,7 +37,7 @@
                     "router:r2|ann|9223372036854775807|2|ann||853200004");
 
     /** Subject, owner, digest. */
-    private static final List<String> DIGESTS =
+    private static final List<String> EXPECTED_DIGESTS =
             List.of(
                     "engine:q1|ann|2020926760",
                     "engine:q1|böb|-1838468933",
@@ -46,51 +46,51 @@
                     "engine:q5|ann|948898757",
                     "router:r2|ann|1372111154");
 
-    @TempDir Path folder;
+    @TempDir Path directory;
 
     @BeforeEach
-    void copy() throws Exception {
-        Path stored = Path.of(StoredNoticesTest.class.getResource("/stored/notices").toURI());
+    void copyStoredLog() throws Exception {
+        Path stored = Path.of(StoredCommandLogTest.class.getResource("/stored/notices").toURI());
         try (Stream<Path> files = Files.list(stored)) {
             for (Path file : files.toList()) {
-                Files.copy(file, folder.resolve(file.getFileName().toString()));
+                Files.copy(file, directory.resolve(file.getFileName().toString()));
             }
         }
     }
 
-    private ReplicatedCommandSet open() throws IOException {
+    private ReplicatedCommandSet readLog() throws IOException {
         ReplicatedCommandSet set = StoredDataRecorder.emptySet();
-        new CommandLog(FolderDisk.writing(folder), set, NOW_MS).close();
+        new CommandLog(FolderDisk.writing(directory), set, NOW_MS).close();
         return set;
     }
 
     private static List<String> lines(ReplicatedCommandSet set) {
         return set.commands(NOW_MS).stream()
-                .map(held -> line(held.command(), held.ttlMs()))
+                .map(entry -> line(entry.command(), entry.ttlMs()))
                 .toList();
     }
 
-    private static String line(OperatorCommand operatorCommand, long leftMs) {
+    private static String line(OperatorCommand command, long ttlMs) {
         return String.join(
                 "|",
-                operatorCommand.subject(),
-                operatorCommand.owner(),
-                "" + operatorCommand.revision(),
-                "" + operatorCommand.intent().ordinal(),
-                operatorCommand.issuer(),
-                operatorCommand.reason(),
-                "" + leftMs);
+                command.subject(),
+                command.owner(),
+                "" + command.revision(),
+                "" + command.intent().ordinal(),
+                command.issuer(),
+                command.reason(),
+                "" + ttlMs);
     }
 
     @Test
     void commandsAreReadAsWritten() throws Exception {
-        assertEquals(EXPECTED, lines(open()));
+        assertEquals(EXPECTED_COMMANDS, lines(readLog()));
     }
 
     @Test
     void rewrittenLogIsReadTheSame() throws Exception {
-        open();
-        assertEquals(EXPECTED, lines(open()));
+        readLog();
+        assertEquals(EXPECTED_COMMANDS, lines(readLog()));
     }
 
     @Test
@@ -105,23 +105,23 @@
                         Intent.DRAIN,
                         "router:r2",
                         Intent.STOP),
-                open().intents(NOW_MS));
+                readLog().intents(NOW_MS));
     }
 
-    /** Routers of different builds compare these numbers. */
+    /** Routers of different builds compare these digests. */
     @Test
-    void digestsOfNoticesAreThoseOfTheEarlierBuild() throws Exception {
+    void digestsAreThoseOfTheEarlierBuild() throws Exception {
         List<String> digests = new ArrayList<>();
-        open().digest()
+        readLog().digest()
                 .forEach(
-                        (say, digest) ->
-                                digests.add(say.subject() + "|" + say.owner() + "|" + digest));
-        assertEquals(DIGESTS, digests);
+                        (key, digest) ->
+                                digests.add(key.subject() + "|" + key.owner() + "|" + digest));
+        assertEquals(EXPECTED_DIGESTS, digests);
     }
 
-    /** Intents are stored as their ordinal numbers: in another order they mean something else. */
+    /** Intents are stored as numbers in this order; another order would change their meaning. */
     @Test
-    void intentsKeepTheOrderInWhichTheirNumbersWereStored() {
+    void intentsKeepTheirOrder() {
         assertEquals(List.of(Intent.NONE, Intent.DRAIN, Intent.STOP), List.of(Intent.values()));
     }
 }
--- a/control/src/test/java/ashlink/control/member/StoredDataRecorder.java
+++ b/control/src/test/java/ashlink/control/member/StoredDataRecorder.java
@@ -7,7 +7,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** Writes the journal of notices that {@link StoredNoticesTest} reads: two starts of a router. */
+/** Writes the command log that {@link StoredCommandLogTest} reads, in two starts of a router. */
 final class StoredDataRecorder {
 
     static final long HOUR_MS = 3_600_000L;
@@ -15,28 +15,28 @@
     static final long START_MS = 1_700_000_000_000L;
 
     private final ReplicatedCommandSet set = emptySet();
-    private final CommandLog journal;
+    private final CommandLog log;
     private long nowMs;
 
-    private StoredDataRecorder(Path folder, long nowMs) throws IOException {
+    private StoredDataRecorder(Path directory, long nowMs) throws IOException {
         this.nowMs = nowMs;
-        this.journal = new CommandLog(FolderDisk.writing(folder), set, nowMs);
+        this.log = new CommandLog(FolderDisk.writing(directory), set, nowMs);
     }
 
-    /** A set as a router has it. */
+    /** Creates an empty set with the limits of a router. */
     static ReplicatedCommandSet emptySet() {
         return new ReplicatedCommandSet(1_000, 30 * DAY_MS, 60 * DAY_MS);
     }
 
-    /** Writes the folder {@code notices} into the folder that is named. */
-    public static void main(String[] arguments) throws IOException {
-        Path folder = Path.of(arguments[0]).resolve("notices");
-        firstStart(folder);
-        secondStart(folder);
+    /** Writes the directory {@code notices} into the directory given as the first argument. */
+    public static void main(String[] args) throws IOException {
+        Path directory = Path.of(args[0]).resolve("notices");
+        firstStart(directory);
+        secondStart(directory);
     }
 
-    private static void firstStart(Path folder) throws IOException {
-        StoredDataRecorder router = new StoredDataRecorder(folder, START_MS);
+    private static void firstStart(Path directory) throws IOException {
+        StoredDataRecorder router = new StoredDataRecorder(directory, START_MS);
         router.put(OperatorCommand.engine("q1"), "ann", 1, Intent.DRAIN, "ann", "disk", DAY_MS);
         router.put(
                 OperatorCommand.engine("q1"), "böb", 1, Intent.STOP, "böb", "Größe", 30 * DAY_MS);
@@ -50,18 +50,18 @@
                 "",
                 10 * DAY_MS);
         router.put(OperatorCommand.engine("q3"), "ann", 1, Intent.DRAIN, "ann", "short", HOUR_MS);
-        router.journal.close();
+        router.log.close();
     }
 
-    private static void secondStart(Path folder) throws IOException {
-        StoredDataRecorder router = new StoredDataRecorder(folder, START_MS + 2 * HOUR_MS);
+    private static void secondStart(Path directory) throws IOException {
+        StoredDataRecorder router = new StoredDataRecorder(directory, START_MS + 2 * HOUR_MS);
         router.put(
                 OperatorCommand.engine("q4"), "ann", 3, Intent.DRAIN, "ann", "weaker", 2 * DAY_MS);
         router.put(
                 OperatorCommand.engine("q4"), "ann", 3, Intent.STOP, "ann", "stronger", 2 * DAY_MS);
         router.put(
                 OperatorCommand.engine("q5"), "ann", 2, Intent.DRAIN, "ann", "memory", 2 * DAY_MS);
-        router.journal.close();
+        router.log.close();
     }
 
     private void put(
@@ -69,12 +69,12 @@
             String owner,
             long revision,
             Intent intent,
-            String by,
-            String why,
-            long leftMs)
+            String issuer,
+            String reason,
+            long ttlMs)
             throws IOException {
-        OperatorCommand notice = new OperatorCommand(subject, owner, revision, intent, by, why);
-        set.add(notice, leftMs, ++nowMs);
-        journal.put(notice, leftMs, nowMs);
+        OperatorCommand command = new OperatorCommand(subject, owner, revision, intent, issuer, reason);
+        set.add(command, ttlMs, ++nowMs);
+        log.put(command, ttlMs, nowMs);
     }
 }
--- a/control/src/test/java/ashlink/control/tls/StoredDataRecorder.java
+++ b/control/src/test/java/ashlink/control/tls/StoredDataRecorder.java
@@ -9,24 +9,28 @@
 import java.util.Set;
 
 /**
- * Writes the keys and certificates that {@link StoredKeysAndCertificatesTest} reads: of an
- * authority that was renewed once, of two routers, one of them from before, and of an operator.
+ * Writes the keys and certificates that {@link StoredKeysAndCertificatesTest} reads: those of an
+ * authority that was renewed once, of one router from before and one from after the renewal, and of
+ * an operator.
  */
 final class StoredDataRecorder {
 
-    private static final Duration CENTURY = Duration.ofDays(36_525);
+    private static final Duration HUNDRED_YEARS = Duration.ofDays(36_525);
 
     private StoredDataRecorder() {}
 
-    /** Writes the folder {@code keys} and the text of it into the folder that is named. */
-    public static void main(String[] arguments) throws IOException, GeneralSecurityException {
-        Path folder = Path.of(arguments[0]).resolve("keys");
-        CertificateAuthority authority = new CertificateAuthority(folder);
-        authority.renew(CENTURY);
-        authority.issue("old", Set.of(Role.ROUTER), CENTURY);
-        authority.renew(CENTURY);
-        authority.issue("r1", Set.of(Role.ROUTER), CENTURY);
-        authority.issue("ann", EnumSet.of(Role.OBSERVE, Role.DRAIN, Role.STOP), CENTURY);
-        Files.writeString(folder.resolveSibling("keys.txt"), CertificateText.of(folder));
+    /**
+     * Writes the directory {@code keys} and its description {@code keys.txt} into the directory given
+     * as the first argument.
+     */
+    public static void main(String[] args) throws IOException, GeneralSecurityException {
+        Path directory = Path.of(args[0]).resolve("keys");
+        CertificateAuthority authority = new CertificateAuthority(directory);
+        authority.renew(HUNDRED_YEARS);
+        authority.issue("old", Set.of(Role.ROUTER), HUNDRED_YEARS);
+        authority.renew(HUNDRED_YEARS);
+        authority.issue("r1", Set.of(Role.ROUTER), HUNDRED_YEARS);
+        authority.issue("ann", EnumSet.of(Role.OBSERVE, Role.DRAIN, Role.STOP), HUNDRED_YEARS);
+        Files.writeString(directory.resolveSibling("keys.txt"), CertificateText.of(directory));
     }
 }
--- a/control/src/test/java/ashlink/control/tls/StoredKeysAndCertificatesTest.java
+++ b/control/src/test/java/ashlink/control/tls/StoredKeysAndCertificatesTest.java
@@ -32,76 +32,76 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Keys and certificates that an earlier build made are read as they were made. They are in {@code
- * src/test/resources/stored/keys}; the README beside tells how they were made.
+ * Tests that keys and certificates that an earlier build issued are still read. The files are in
+ * {@code src/test/resources/stored/keys}; the README next to them describes how they were made.
  *
- * <p>No test looks at this machine's clock: chains are checked as of a fixed time, and of what is
- * issued anew only the signature.
+ * <p>No test depends on the clock of the machine: certificate chains are validated at a fixed time,
+ * and of newly issued certificates only the signature is verified.
  */
 class StoredKeysAndCertificatesTest {
 
-    private static final Date CHECKED = Date.from(Instant.parse("2040-01-01T00:00:00Z"));
+    private static final Date VALIDATION_TIME = Date.from(Instant.parse("2040-01-01T00:00:00Z"));
 
-    private static Path stored(String name) throws URISyntaxException {
+    private static Path storedPath(String name) throws URISyntaxException {
         return Path.of(StoredKeysAndCertificatesTest.class.getResource("/stored").toURI())
                 .resolve(name);
     }
 
-    private static Path copy(Path to) throws IOException, URISyntaxException {
-        try (Stream<Path> files = Files.list(stored("keys"))) {
+    private static Path copyKeys(Path directory) throws IOException, URISyntaxException {
+        try (Stream<Path> files = Files.list(storedPath("keys"))) {
             for (Path file : files.toList()) {
-                Files.copy(file, to.resolve(file.getFileName().toString()));
+                Files.copy(file, directory.resolve(file.getFileName().toString()));
             }
         }
-        return to;
+        return directory;
     }
 
-    private static X509Certificate certificate(Path folder, String name)
+    private static X509Certificate certificate(Path directory, String name)
             throws IOException, GeneralSecurityException {
-        return Pem.certificates(folder.resolve(name + ".crt")).get(0);
+        return Pem.certificates(directory.resolve(name + ".crt")).get(0);
     }
 
-    /** Checks as of the fixed time that a certificate is of an authority that a folder trusts. */
-    private static void checkTrusted(Path folder, String name)
+    /** Validates at a fixed time that an authority trusted in a directory issued a certificate. */
+    private static void validateTrust(Path directory, String name)
             throws IOException, GeneralSecurityException {
         Set<TrustAnchor> anchors = new HashSet<>();
-        for (X509Certificate authority : Pem.certificates(folder.resolve("ca.crt"))) {
+        for (X509Certificate authority : Pem.certificates(directory.resolve("ca.crt"))) {
             anchors.add(new TrustAnchor(authority, null));
         }
         PKIXParameters parameters = new PKIXParameters(anchors);
         parameters.setRevocationEnabled(false);
-        parameters.setDate(CHECKED);
+        parameters.setDate(VALIDATION_TIME);
         CertPath path =
                 CertificateFactory.getInstance("X.509")
-                        .generateCertPath(List.of(certificate(folder, name)));
+                        .generateCertPath(List.of(certificate(directory, name)));
         CertPathValidator.getInstance("PKIX").validate(path, parameters);
     }
 
     @Test
-    void certificatesAreReadAsTheyWereMade() throws Exception {
-        assertEquals(Files.readString(stored("keys.txt")), CertificateText.of(stored("keys")));
+    void certificatesAreReadAsTheyWereIssued() throws Exception {
+        assertEquals(Files.readString(storedPath("keys.txt")), CertificateText.of(storedPath("keys")));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"old", "r1", "ann"})
-    void anIdentityIsReadWithItsNameAndItsEnd(String name) throws Exception {
-        Identity identity = new Identity(stored("keys"), name);
+    void identityHasNameAndExpiryOfItsCertificate(String name) throws Exception {
+        Identity identity = new Identity(storedPath("keys"), name);
         assertEquals(name, identity.name());
-        assertEquals(name, Identity.name(certificate(stored("keys"), name)));
+        assertEquals(name, Identity.name(certificate(storedPath("keys"), name)));
         assertTrue(
-                Files.readString(stored("keys.txt")).contains("to " + identity.expiresMs() + "\n"));
+                Files.readString(storedPath("keys.txt")).contains("to " + identity.expiresMs() + "\n"));
     }
 
     @Test
-    void rolesAreReadFromTheWordsInCertificates() throws Exception {
-        assertEquals(Set.of(Role.ROUTER), Identity.roles(certificate(stored("keys"), "r1")));
+    void rolesAreReadFromCertificates() throws Exception {
+        assertEquals(Set.of(Role.ROUTER), Identity.roles(certificate(storedPath("keys"), "r1")));
         assertEquals(
                 EnumSet.of(Role.OBSERVE, Role.DRAIN, Role.STOP),
-                Identity.roles(certificate(stored("keys"), "ann")));
+                Identity.roles(certificate(storedPath("keys"), "ann")));
     }
 
     @Test
-    void theWordsOfRolesAreThoseOfTheEarlierBuild() {
+    void roleNamesAreThoseOfTheEarlierBuild() {
         assertEquals(
                 List.of("router", "observe", "drain", "stop"),
                 Stream.of(Role.ROUTER, Role.OBSERVE, Role.DRAIN, Role.STOP)
@@ -111,42 +111,42 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"ca", "old", "r1", "ann"})
-    void aPrivateKeyIsThatOfItsCertificate(String name) throws Exception {
-        byte[] text = "signed".getBytes(StandardCharsets.UTF_8);
+    void privateKeyMatchesItsCertificate(String name) throws Exception {
+        byte[] data = "signed".getBytes(StandardCharsets.UTF_8);
         Signature signature = Signature.getInstance("SHA256withECDSA");
-        signature.initSign(Pem.key(stored("keys").resolve(name + ".key")));
-        signature.update(text);
-        byte[] signed = signature.sign();
-        signature.initVerify(certificate(stored("keys"), name).getPublicKey());
-        signature.update(text);
-        assertTrue(signature.verify(signed));
+        signature.initSign(Pem.key(storedPath("keys").resolve(name + ".key")));
+        signature.update(data);
+        byte[] signatureBytes = signature.sign();
+        signature.initVerify(certificate(storedPath("keys"), name).getPublicKey());
+        signature.update(data);
+        assertTrue(signature.verify(signatureBytes));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"old", "r1", "ann"})
-    void aCertificateOfEitherAuthorityIsTrusted(String name) throws Exception {
-        checkTrusted(stored("keys"), name);
+    void certificatesOfBothAuthoritiesAreTrusted(String name) throws Exception {
+        validateTrust(storedPath("keys"), name);
     }
 
     @Test
-    void onceTheOldAuthorityRetiresOnlyTheNewOneIsTrusted(@TempDir Path folder) throws Exception {
-        new CertificateAuthority(copy(folder)).retire();
-        checkTrusted(folder, "r1");
-        assertThrows(CertPathValidatorException.class, () -> checkTrusted(folder, "old"));
+    void onlyTheNewAuthorityIsTrustedAfterRetirement(@TempDir Path directory) throws Exception {
+        new CertificateAuthority(copyKeys(directory)).retire();
+        validateTrust(directory, "r1");
+        assertThrows(CertPathValidatorException.class, () -> validateTrust(directory, "old"));
     }
 
     @Test
-    void theStoredAuthorityIssuesFurtherCertificates(@TempDir Path folder) throws Exception {
-        new CertificateAuthority(copy(folder)).issue("r9", Set.of(Role.ROUTER), Duration.ofDays(1));
-        assertEquals("r9", new Identity(folder, "r9").name());
-        certificate(folder, "r9").verify(certificate(stored("keys"), "ca").getPublicKey());
+    void storedAuthorityIssuesFurtherCertificates(@TempDir Path directory) throws Exception {
+        new CertificateAuthority(copyKeys(directory)).issue("r9", Set.of(Role.ROUTER), Duration.ofDays(1));
+        assertEquals("r9", new Identity(directory, "r9").name());
+        certificate(directory, "r9").verify(certificate(storedPath("keys"), "ca").getPublicKey());
     }
 
     @Test
-    void aCertificateUnderAnotherNameIsRefused(@TempDir Path folder) throws Exception {
-        copy(folder);
-        Files.copy(folder.resolve("r1.crt"), folder.resolve("r2.crt"));
-        Files.copy(folder.resolve("r1.key"), folder.resolve("r2.key"));
-        assertThrows(GeneralSecurityException.class, () -> new Identity(folder, "r2"));
+    void certificateOfAnotherNameIsRejected(@TempDir Path directory) throws Exception {
+        copyKeys(directory);
+        Files.copy(directory.resolve("r1.crt"), directory.resolve("r2.crt"));
+        Files.copy(directory.resolve("r1.key"), directory.resolve("r2.key"));
+        assertThrows(GeneralSecurityException.class, () -> new Identity(directory, "r2"));
     }
 }
