--- a/fleet/src/test/java/ashlink/fleet/command/DisseminationSimulation.java
+++ b/fleet/src/test/java/ashlink/fleet/command/DisseminationSimulation.java
@@ -12,22 +12,25 @@
 import java.util.SplittableRandom;
 import java.util.function.BiPredicate;
 
-/** Commands between many routers in simulated time, with clocks that are apart. From a seed. */
+/**
+ * Simulates the dissemination of commands among many routers whose clocks differ, over links that
+ * delay and lose messages. Time is simulated; all random choices are determined by a seed.
+ */
 final class DisseminationSimulation {
 
-    private static final long DAY = 86_400_000L;
+    private static final long DAY_MS = 86_400_000L;
 
-    private record Event(long atMs, long number, Runnable what) {}
+    private record Event(long timeMs, long sequence, Runnable action) {}
 
     private static final class Router {
-        final ReplicatedCommandSet set = new ReplicatedCommandSet(1_000, 30 * DAY, 60 * DAY);
+        final ReplicatedCommandSet set = new ReplicatedCommandSet(1_000, 30 * DAY_MS, 60 * DAY_MS);
         final CommandDisseminator disseminator;
-        final long clockMs;
+        final long clockOffsetMs;
         long receivedMs = -1;
 
-        Router(long seed, long clockMs) {
+        Router(long seed, long clockOffsetMs) {
             this.disseminator = new CommandDisseminator(set, seed);
-            this.clockMs = clockMs;
+            this.clockOffsetMs = clockOffsetMs;
         }
     }
 
@@ -35,14 +38,14 @@
     final Set<String> dead = new HashSet<>();
     final SplittableRandom random;
     final double loss;
-    BiPredicate<String, String> passes = (a, b) -> true;
+    BiPredicate<String, String> linkWorks = (from, to) -> true;
     long nowMs = 1L << 40;
     long messages;
-    private long numbers;
+    private long nextSequence;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(
-                    java.util.Comparator.comparingLong(Event::atMs)
-                            .thenComparingLong(Event::number));
+                    java.util.Comparator.comparingLong(Event::timeMs)
+                            .thenComparingLong(Event::sequence));
 
     DisseminationSimulation(int count, double loss, long seed) {
         this.random = new SplittableRandom(seed);
@@ -50,32 +53,32 @@
         for (int i = 0; i < count; i++) {
             String name = "r" + i;
             routers.put(name, new Router(seed + i, random.nextLong(20 * 60_000) - 10 * 60_000));
-            at(random.nextInt(1_000), () -> compare(name));
+            schedule(random.nextInt(1_000), () -> runAntiEntropy(name));
         }
     }
 
-    private void at(long in, Runnable what) {
-        events.add(new Event(nowMs + in, numbers++, what));
+    private void schedule(long delayMs, Runnable action) {
+        events.add(new Event(nowMs + delayMs, nextSequence++, action));
     }
 
-    private List<String> peers(String of) {
+    private List<String> peers(String router) {
         List<String> peers = new ArrayList<>(routers.keySet());
-        peers.remove(of);
+        peers.remove(router);
         return peers;
     }
 
-    private void compare(String text) {
-        if (!dead.contains(text)) {
-            send(text, routers.get(text).disseminator.startAntiEntropy(peers(text)));
+    private void runAntiEntropy(String router) {
+        if (!dead.contains(router)) {
+            send(router, routers.get(router).disseminator.startAntiEntropy(peers(router)));
         }
-        at(1_000, () -> compare(text));
+        schedule(1_000, () -> runAntiEntropy(router));
     }
 
-    private void send(String from, List<CommandDisseminator.Transmission> all) {
-        for (CommandDisseminator.Transmission transmission : all) {
+    private void send(String from, List<CommandDisseminator.Transmission> transmissions) {
+        for (CommandDisseminator.Transmission transmission : transmissions) {
             messages++;
-            if (random.nextDouble() >= loss && passes.test(from, transmission.peer())) {
-                at(1 + random.nextInt(10), () -> deliver(from, transmission));
+            if (random.nextDouble() >= loss && linkWorks.test(from, transmission.peer())) {
+                schedule(1 + random.nextInt(10), () -> deliver(from, transmission));
             }
         }
     }
@@ -91,43 +94,49 @@
             send(
                     transmission.peer(),
                     router.disseminator.onDigest(
-                            from, sendDigest.digest(), sendDigest.reply(), nowMs + router.clockMs));
+                            from, sendDigest.digest(), sendDigest.reply(), nowMs + router.clockOffsetMs));
         }
     }
 
-    /** A router receives commands from a peer or from the client. */
+    /**
+     * Delivers commands to a router.
+     *
+     * @param from the sending peer; empty if an operator submitted the commands
+     */
     void receive(String name, List<CommandWithTtl> received, String from) {
         Router router = routers.get(name);
         List<CommandWithTtl> changed = new ArrayList<>();
-        for (CommandWithTtl ttl : received) {
-            if (router.set.add(ttl.command(), ttl.ttlMs(), nowMs + router.clockMs)) {
-                changed.add(ttl);
+        for (CommandWithTtl entry : received) {
+            if (router.set.add(entry.command(), entry.ttlMs(), nowMs + router.clockOffsetMs)) {
+                changed.add(entry);
                 router.receivedMs = nowMs;
             }
         }
         send(name, router.disseminator.disseminate(changed, peers(name), from));
     }
 
-    void submit(String router, OperatorCommand operatorCommand) {
-        receive(router, List.of(new CommandWithTtl(operatorCommand, DAY)), "");
+    /** Submits a command with a time to live of one day to a router, as an operator does. */
+    void submit(String router, OperatorCommand command) {
+        receive(router, List.of(new CommandWithTtl(command, DAY_MS)), "");
     }
 
-    void run(long ms) {
-        long end = nowMs + ms;
-        while (!events.isEmpty() && events.peek().atMs <= end) {
+    void run(long durationMs) {
+        long endMs = nowMs + durationMs;
+        while (!events.isEmpty() && events.peek().timeMs <= endMs) {
             Event event = events.poll();
-            nowMs = event.atMs;
-            event.what.run();
+            nowMs = event.timeMs;
+            event.action.run();
         }
-        nowMs = end;
+        nowMs = endMs;
     }
 
+    /** Returns the intent that is in force for a subject on a router. */
     Intent intent(String router, String subject) {
         Router target = routers.get(router);
-        return target.set.intent(subject, nowMs + target.clockMs);
+        return target.set.intent(subject, nowMs + target.clockOffsetMs);
     }
 
-    /** Time at which the last router alive learnt anything new. */
+    /** Returns the latest time at which a surviving router received a new command. */
     long lastReceivedMs() {
         return routers.entrySet().stream()
                 .filter(entry -> !dead.contains(entry.getKey()))
@@ -136,11 +145,12 @@
                 .orElse(0);
     }
 
+    /** Returns the number of surviving routers by the name of their intent for a subject. */
     Map<String, Long> countByIntent(String subject) {
-        Map<String, Long> by = new HashMap<>();
+        Map<String, Long> counts = new HashMap<>();
         routers.keySet().stream()
-                .filter(text -> !dead.contains(text))
-                .forEach(text -> by.merge(intent(text, subject).name(), 1L, Long::sum));
-        return by;
+                .filter(router -> !dead.contains(router))
+                .forEach(router -> counts.merge(intent(router, subject).name(), 1L, Long::sum));
+        return counts;
     }
 }
--- a/fleet/src/test/java/ashlink/fleet/command/ModelCheckTest.java
+++ b/fleet/src/test/java/ashlink/fleet/command/ModelCheckTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All states that three routers reach with two commands of one owner (a drain, then its
- * withdrawal), messages between them that are lost, late and out of order, and a crash: no router
- * that has seen the newer acts on the older.
+ * Model check of the dissemination of a drain and its withdrawal by the same owner among three
+ * routers: in every reachable state, a router that has received the newer command never applies the
+ * older one. Messages may be lost, delayed and reordered, and one router may crash once.
  */
 class ModelCheckTest {
 
@@ -25,19 +25,24 @@
     private static final OperatorCommand UNDRAIN =
             new OperatorCommand("engine:q1", "ann", 2, Intent.NONE, "ann", "");
 
-    /** Bits 1 and 2 stand for the commands. */
+    /** A message in flight; bit 1 of {@code commands} is the drain, bit 2 its withdrawal. */
     private record Message(int to, int commands) implements Comparable<Message> {
         @Override
-        public int compareTo(Message message) {
-            return to != message.to
-                    ? Integer.compare(to, message.to)
-                    : Integer.compare(commands, message.commands);
+        public int compareTo(Message other) {
+            return to != other.to
+                    ? Integer.compare(to, other.to)
+                    : Integer.compare(commands, other.commands);
         }
     }
 
     /**
-     * What each router has in memory, on its disk, and has ever seen; what is under way; crashes so
-     * far.
+     * A state of the model.
+     *
+     * @param memory commands in memory by router
+     * @param disk commands on disk by router
+     * @param seen commands ever received by router
+     * @param messages messages in flight
+     * @param crashes number of crashes so far
      */
     private record State(
             List<Integer> memory,
@@ -46,12 +51,12 @@
             TreeSet<Message> messages,
             int crashes) {}
 
-    private record Found(int states, int wrong) {}
+    private record Result(int states, int violations) {}
 
-    private static ReplicatedCommandSet set(int commands) {
+    private static ReplicatedCommandSet setOf(int commands) {
         ReplicatedCommandSet set = new ReplicatedCommandSet(10, 1_000, 1_000);
         if ((commands & 2) != 0) {
-            set.add(UNDRAIN, 1_000, 0); // in an order that is not theirs
+            set.add(UNDRAIN, 1_000, 0); // added in reverse order
         }
         if ((commands & 1) != 0) {
             set.add(DRAIN, 1_000, 0);
@@ -59,88 +64,88 @@
         return set;
     }
 
-    private static List<Integer> with(List<Integer> of, int at, int value) {
-        List<Integer> copy = new ArrayList<>(of);
-        copy.set(at, value);
+    private static List<Integer> withValue(List<Integer> values, int index, int value) {
+        List<Integer> copy = new ArrayList<>(values);
+        copy.set(index, value);
         return copy;
     }
 
-    private static Found explore(boolean diskFirst) {
-        State first =
+    private static Result explore(boolean diskBeforeMemory) {
+        State initial =
                 new State(List.of(0, 0, 0), List.of(0, 0, 0), List.of(0, 0, 0), new TreeSet<>(), 0);
-        Set<State> known = new HashSet<>(Set.of(first));
-        ArrayDeque<State> todo = new ArrayDeque<>(known);
-        int wrong = 0;
-        while (!todo.isEmpty() && (wrong == 0 || diskFirst)) {
-            State state = todo.poll();
-            for (int r = 0; r < ROUTERS; r++) {
-                boolean sawNewer = (state.seen.get(r) & 2) != 0;
-                if (sawNewer && set(state.memory.get(r)).intent("engine:q1", 1) == Intent.DRAIN) {
-                    wrong++;
+        Set<State> known = new HashSet<>(Set.of(initial));
+        ArrayDeque<State> unexplored = new ArrayDeque<>(known);
+        int violations = 0;
+        while (!unexplored.isEmpty() && (violations == 0 || diskBeforeMemory)) {
+            State state = unexplored.poll();
+            for (int router = 0; router < ROUTERS; router++) {
+                boolean hasSeenNewer = (state.seen.get(router) & 2) != 0;
+                if (hasSeenNewer && setOf(state.memory.get(router)).intent("engine:q1", 1) == Intent.DRAIN) {
+                    violations++;
                 }
             }
-            for (State next : next(state, diskFirst)) {
-                if (known.add(next)) {
-                    todo.add(next);
+            for (State successor : successors(state, diskBeforeMemory)) {
+                if (known.add(successor)) {
+                    unexplored.add(successor);
                 }
             }
         }
-        return new Found(known.size(), wrong);
+        return new Result(known.size(), violations);
     }
 
     private static State receive(
-            State state, int router, int commands, boolean diskFirst, TreeSet<Message> messages) {
-        int all = state.memory.get(router) | commands;
+            State state, int router, int commands, boolean diskBeforeMemory, TreeSet<Message> messages) {
+        int commandsInMemory = state.memory.get(router) | commands;
         return new State(
-                with(state.memory, router, all),
-                diskFirst
-                        ? with(state.disk, router, state.disk.get(router) | commands)
+                withValue(state.memory, router, commandsInMemory),
+                diskBeforeMemory
+                        ? withValue(state.disk, router, state.disk.get(router) | commands)
                         : state.disk,
-                with(state.seen, router, state.seen.get(router) | commands),
+                withValue(state.seen, router, state.seen.get(router) | commands),
                 messages,
                 state.crashes);
     }
 
-    private static List<State> next(State state, boolean diskFirst) {
-        List<State> out = new ArrayList<>();
-        for (int r = 0; r < ROUTERS; r++) {
+    private static List<State> successors(State state, boolean diskBeforeMemory) {
+        List<State> successors = new ArrayList<>();
+        for (int router = 0; router < ROUTERS; router++) {
             for (int command = 1; command <= 2; command++) {
-                out.add(
+                successors.add(
                         receive(
                                 state,
-                                r,
+                                router,
                                 command,
-                                diskFirst,
-                                state.messages)); // the tool reaches it
+                                diskBeforeMemory,
+                                state.messages)); // an operator submits a command
             }
-            if (!diskFirst) {
-                out.add(
+            if (!diskBeforeMemory) {
+                successors.add(
                         new State(
                                 state.memory,
-                                with(state.disk, r, state.disk.get(r) | state.memory.get(r)),
+                                withValue(state.disk, router, state.disk.get(router) | state.memory.get(router)),
                                 state.seen,
                                 state.messages,
                                 state.crashes));
             }
-            addCrash(state, r, out);
+            addCrash(state, router, successors);
             for (int to = 0; to < ROUTERS; to++) {
-                if (to != r && state.memory.get(r) != 0 && state.messages.size() < MAX_IN_FLIGHT) {
-                    TreeSet<Message> more = new TreeSet<>(state.messages);
-                    more.add(new Message(to, state.memory.get(r)));
-                    out.add(new State(state.memory, state.disk, state.seen, more, state.crashes));
+                if (to != router && state.memory.get(router) != 0 && state.messages.size() < MAX_IN_FLIGHT) {
+                    TreeSet<Message> messages = new TreeSet<>(state.messages);
+                    messages.add(new Message(to, state.memory.get(router)));
+                    successors.add(new State(state.memory, state.disk, state.seen, messages, state.crashes));
                 }
             }
         }
-        addDeliveries(state, diskFirst, out);
-        return out;
+        addDeliveries(state, diskBeforeMemory, successors);
+        return successors;
     }
 
-    /** A router crashes and restarts with what its disk has. */
-    private static void addCrash(State state, int router, List<State> out) {
+    /** Adds the state in which a router has crashed and restarted with the commands on its disk. */
+    private static void addCrash(State state, int router, List<State> successors) {
         if (state.crashes < 1) {
-            out.add(
+            successors.add(
                     new State(
-                            with(state.memory, router, state.disk.get(router)),
+                            withValue(state.memory, router, state.disk.get(router)),
                             state.disk,
                             state.seen,
                             state.messages,
@@ -148,28 +153,28 @@
         }
     }
 
-    /** Each message in flight is lost or arrives. */
-    private static void addDeliveries(State state, boolean diskFirst, List<State> out) {
+    /** Adds the states in which a message in flight has been lost or delivered. */
+    private static void addDeliveries(State state, boolean diskBeforeMemory, List<State> successors) {
         for (Message message : state.messages) {
-            TreeSet<Message> fewer = new TreeSet<>(state.messages);
-            fewer.remove(message);
-            out.add(new State(state.memory, state.disk, state.seen, fewer, state.crashes)); // lost
-            out.add(receive(state, message.to, message.commands, diskFirst, fewer));
+            TreeSet<Message> remaining = new TreeSet<>(state.messages);
+            remaining.remove(message);
+            successors.add(new State(state.memory, state.disk, state.seen, remaining, state.crashes)); // the message is lost
+            successors.add(receive(state, message.to, message.commands, diskBeforeMemory, remaining));
         }
     }
 
     @Test
-    void routerThatSawNewerCommandNeverActsOnOlder() {
-        Found found = explore(true);
-        System.out.println("commands: " + found.states + " states, none wrong");
-        assertEquals(0, found.wrong);
-        assertTrue(found.states > 5_000, found.states + " states");
+    void routerThatReceivedNewerCommandNeverAppliesOlder() {
+        Result result = explore(true);
+        System.out.println("commands: " + result.states + " states, no violation");
+        assertEquals(0, result.violations);
+        assertTrue(result.states > 5_000, result.states + " states");
     }
 
     @Test
-    void modelCheckFindsViolationIfDiskIsWrittenAfterApplying() {
+    void modelCheckFindsViolationIfCommandIsAppliedBeforeWrittenToDisk() {
         assertTrue(
-                explore(false).wrong > 0,
-                "a crash forgets the newer, and a late message brings the older");
+                explore(false).violations > 0,
+                "after a crash that loses the newer command, a late message delivers the older one");
     }
 }
--- a/fleet/src/test/java/ashlink/fleet/membership/MembershipSimulation.java
+++ b/fleet/src/test/java/ashlink/fleet/membership/MembershipSimulation.java
@@ -10,20 +10,20 @@
 import java.util.function.BiPredicate;
 
 /**
- * Many members in simulated time: messages that take their time, get lost, or do not pass. From a
- * seed.
+ * Simulates many SWIM members in simulated time, over links that delay, lose or block messages. All
+ * random choices are determined by a seed.
  */
 final class MembershipSimulation {
 
-    static final long MS = 1_000_000L;
-    static final long S = 1_000 * MS;
+    static final long NS_PER_MS = 1_000_000L;
+    static final long NS_PER_S = 1_000 * NS_PER_MS;
 
-    private record Event(long atNs, long number, Runnable what) implements Comparable<Event> {
+    private record Event(long timeNs, long sequence, Runnable action) implements Comparable<Event> {
         @Override
-        public int compareTo(Event event) {
-            return atNs != event.atNs
-                    ? Long.compare(atNs, event.atNs)
-                    : Long.compare(number, event.number);
+        public int compareTo(Event other) {
+            return timeNs != other.timeNs
+                    ? Long.compare(timeNs, other.timeNs)
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
@@ -34,9 +34,9 @@
     final PriorityQueue<Event> events = new PriorityQueue<>();
     final SplittableRandom random;
     final double loss;
-    BiPredicate<String, String> passes = (from, to) -> true;
-    long now = 1_000 * S;
-    long numbers;
+    BiPredicate<String, String> linkWorks = (from, to) -> true;
+    long nowNs = 1_000 * NS_PER_S;
+    long nextSequence;
     long messages;
     int maxUpdates;
 
@@ -48,11 +48,11 @@
             seeds.put(name(i), "at-" + name(i));
         }
         for (int i = 0; i < count; i++) {
-            String text = name(i);
+            String member = name(i);
             members.put(
-                    text,
-                    new Swim(text, "at-" + text, seeds, SwimConfig.DEFAULT, seed * 10_007 + i));
-            at(random.nextLong(250 * MS), () -> tick(text));
+                    member,
+                    new Swim(member, "at-" + member, seeds, SwimConfig.DEFAULT, seed * 10_007 + i));
+            schedule(random.nextLong(250 * NS_PER_MS), () -> tick(member));
         }
     }
 
@@ -60,27 +60,27 @@
         return String.format("r%04d", index);
     }
 
-    void at(long in, Runnable what) {
-        events.add(new Event(now + in, numbers++, what));
+    void schedule(long delayNs, Runnable action) {
+        events.add(new Event(nowNs + delayNs, nextSequence++, action));
     }
 
-    private void tick(String text) {
-        if (dead.contains(text)) {
+    private void tick(String member) {
+        if (dead.contains(member)) {
             return;
         }
-        if (!paused.contains(text)) {
-            members.get(text).tick(now).forEach(s -> send(text, s));
+        if (!paused.contains(member)) {
+            members.get(member).tick(nowNs).forEach(send -> send(member, send));
         }
-        at(Math.max(MS, Math.min(50 * MS, members.get(text).nextTickNs() - now)), () -> tick(text));
+        schedule(Math.max(NS_PER_MS, Math.min(50 * NS_PER_MS, members.get(member).nextTickNs() - nowNs)), () -> tick(member));
     }
 
     private void send(String from, Swim.Send send) {
         messages++;
         maxUpdates = Math.max(maxUpdates, send.message().updates().size());
-        if (random.nextDouble() < loss || !passes.test(from, send.member())) {
+        if (random.nextDouble() < loss || !linkWorks.test(from, send.member())) {
             return;
         }
-        at(MS + random.nextLong(9 * MS), () -> deliver(from, send));
+        schedule(NS_PER_MS + random.nextLong(9 * NS_PER_MS), () -> deliver(from, send));
     }
 
     private void deliver(String from, Swim.Send send) {
@@ -88,53 +88,53 @@
             return;
         }
         if (paused.contains(send.member())) {
-            at(50 * MS, () -> deliver(from, send)); // in its socket until it goes on
+            schedule(50 * NS_PER_MS, () -> deliver(from, send)); // the message stays in the socket until the member resumes
             return;
         }
         members.get(send.member())
-                .receive(from, "at-" + from, send.message(), now)
+                .receive(from, "at-" + from, send.message(), nowNs)
                 .forEach(reply -> send(send.member(), reply));
     }
 
-    void until(long end) {
-        while (!events.isEmpty() && events.peek().atNs <= end) {
+    void runUntil(long endNs) {
+        while (!events.isEmpty() && events.peek().timeNs <= endNs) {
             Event event = events.poll();
-            now = event.atNs;
-            event.what.run();
+            nowNs = event.timeNs;
+            event.action.run();
         }
-        now = end;
+        nowNs = endNs;
     }
 
-    void run(long forNs) {
-        until(now + forNs);
+    void run(long durationNs) {
+        runUntil(nowNs + durationNs);
     }
 
-    /** Members alive that have a member in that state. */
-    long countInState(String of, State state) {
+    /** Returns the number of live members that see a member in a state. */
+    long countInState(String member, State state) {
         return members.entrySet().stream()
                 .filter(
                         entry ->
-                                !entry.getKey().equals(of)
+                                !entry.getKey().equals(member)
                                         && !dead.contains(entry.getKey())
-                                        && entry.getValue().stateOf(of) == state)
+                                        && entry.getValue().stateOf(member) == state)
                 .count();
     }
 
-    /** Pairs of members alive of which the first takes the second for dead. */
-    long wronglyDead() {
-        long wrong = 0;
+    /** Returns the number of pairs of live members of which the first sees the second as dead. */
+    long countWronglyDead() {
+        long count = 0;
         for (Map.Entry<String, Swim> entry : members.entrySet()) {
             if (!dead.contains(entry.getKey())) {
-                wrong +=
+                count +=
                         entry.getValue().members().values().stream()
                                 .filter(
-                                        membershipUpdate ->
-                                                membershipUpdate.state() == State.DEAD
+                                        update ->
+                                                update.state() == State.DEAD
                                                         && !dead.contains(
-                                                                membershipUpdate.member()))
+                                                                update.member()))
                                 .count();
             }
         }
-        return wrong;
+        return count;
     }
 }
--- a/fleet/src/test/java/ashlink/fleet/supervise/RestartPolicyTest.java
+++ b/fleet/src/test/java/ashlink/fleet/supervise/RestartPolicyTest.java
@@ -6,47 +6,47 @@
 import ashlink.fleet.supervise.RestartPolicy.RestartAction;
 import org.junit.jupiter.api.Test;
 
-/** Restarts after exits at given times. */
+/** Tests the decisions after exits at given times. */
 class RestartPolicyTest {
 
-    private static final long S = 1_000_000_000L;
+    private static final long NS_PER_S = 1_000_000_000L;
 
     @Test
     void backoffGrowsToCrashLoopAndStableRunResetsIt() {
-        RestartPolicy restartPolicy = new RestartPolicy(RestartPolicy.RestartLimits.DEFAULT);
+        RestartPolicy policy = new RestartPolicy(RestartPolicy.RestartLimits.DEFAULT);
         assertEquals(
-                new Decision(RestartAction.RESTART, S / 2), restartPolicy.onExit(0, S, 137, false));
+                new Decision(RestartAction.RESTART, NS_PER_S / 2), policy.onExit(0, NS_PER_S, 137, false));
         assertEquals(
-                new Decision(RestartAction.RESTART, S),
-                restartPolicy.onExit(2 * S, 3 * S, 137, false));
+                new Decision(RestartAction.RESTART, NS_PER_S),
+                policy.onExit(2 * NS_PER_S, 3 * NS_PER_S, 137, false));
         assertEquals(
-                new Decision(RestartAction.RESTART, 2 * S),
-                restartPolicy.onExit(4 * S, 5 * S, 1, false));
+                new Decision(RestartAction.RESTART, 2 * NS_PER_S),
+                policy.onExit(4 * NS_PER_S, 5 * NS_PER_S, 1, false));
         assertEquals(
                 new Decision(RestartAction.RESTART, 0),
-                restartPolicy.onExit(10 * S, 80 * S, 137, false));
+                policy.onExit(10 * NS_PER_S, 80 * NS_PER_S, 137, false));
         assertEquals(
-                new Decision(RestartAction.RESTART, S / 2),
-                restartPolicy.onExit(81 * S, 82 * S, 137, false));
+                new Decision(RestartAction.RESTART, NS_PER_S / 2),
+                policy.onExit(81 * NS_PER_S, 82 * NS_PER_S, 137, false));
         for (int i = 0; i < 3; i++) {
             assertEquals(
                     RestartAction.RESTART,
-                    restartPolicy.onExit(90 * S + i, 91 * S + i, 137, false).action());
+                    policy.onExit(90 * NS_PER_S + i, 91 * NS_PER_S + i, 137, false).action());
         }
         assertEquals(
-                new Decision(RestartAction.CRASH_LOOP, 30 * S),
-                restartPolicy.onExit(100 * S, 101 * S, 137, false));
+                new Decision(RestartAction.CRASH_LOOP, 30 * NS_PER_S),
+                policy.onExit(100 * NS_PER_S, 101 * NS_PER_S, 137, false));
         assertEquals(
                 RestartAction.RESTART,
-                restartPolicy.onExit(1_000 * S, 1_001 * S, 137, false).action(),
-                "long after, it is none any more");
+                policy.onExit(1_000 * NS_PER_S, 1_001 * NS_PER_S, 137, false).action(),
+                "the crash loop has ended");
     }
 
     @Test
     void requestedExitAndInvalidSettingsAreNotRestarted() {
-        RestartPolicy restartPolicy = new RestartPolicy(RestartPolicy.RestartLimits.DEFAULT);
-        assertEquals(RestartAction.NONE, restartPolicy.onExit(0, S, 0, false).action());
-        assertEquals(RestartAction.NONE, restartPolicy.onExit(0, S, 143, true).action());
-        assertEquals(RestartAction.GIVE_UP, restartPolicy.onExit(0, S, 2, false).action());
+        RestartPolicy policy = new RestartPolicy(RestartPolicy.RestartLimits.DEFAULT);
+        assertEquals(RestartAction.NONE, policy.onExit(0, NS_PER_S, 0, false).action());
+        assertEquals(RestartAction.NONE, policy.onExit(0, NS_PER_S, 143, true).action());
+        assertEquals(RestartAction.GIVE_UP, policy.onExit(0, NS_PER_S, 2, false).action());
     }
 }
