--- a/fleet/src/test/java/ashlink/fleet/command/CommandDisseminatorTest.java
+++ b/fleet/src/test/java/ashlink/fleet/command/CommandDisseminatorTest.java
@@ -26,7 +26,9 @@
             assertEquals(Map.of("DRAIN", 299L), simulation.countByIntent("engine:q1"));
             assertTrue(
                     simulation.lastReceivedMs() - submittedMs < 2_000,
-                    "last router received the drain after " + (simulation.lastReceivedMs() - submittedMs) + " ms");
+                    "last router received the drain after "
+                            + (simulation.lastReceivedMs() - submittedMs)
+                            + " ms");
         }
     }
 
@@ -66,7 +68,8 @@
     @Test
     void routerWithoutInboundMessagesConvergesOnceItReceivesThem() {
         DisseminationSimulation simulation = new DisseminationSimulation(24, 0.01, 9);
-        simulation.linkWorks = (from, to) -> !to.equals("r7"); // r7 can send messages but receives none
+        // r7 can send messages but receives none
+        simulation.linkWorks = (from, to) -> !to.equals("r7");
         simulation.submit("r0", command("ann", 1, Intent.DRAIN));
         simulation.run(60_000);
         assertEquals(
@@ -89,8 +92,8 @@
             long messages = simulation.messages - messagesBefore;
             simulation.run(20_000);
             System.out.printf(
-                    "1000 routers, %.0f%% loss: %d received a command after 500 ms, all after %d ms; %d"
-                            + " messages in the first 500 ms%n",
+                    "1000 routers, %.0f%% loss: %d received a command after 500 ms, all"
+                            + " after %d ms; %d messages in the first 500 ms%n",
                     loss * 100, receivedCount, simulation.lastReceivedMs() - submittedMs, messages);
             assertEquals(Map.of("DRAIN", 1_000L), simulation.countByIntent("engine:q1"));
         }
--- a/fleet/src/test/java/ashlink/fleet/command/ModelCheckTest.java
+++ b/fleet/src/test/java/ashlink/fleet/command/ModelCheckTest.java
@@ -158,7 +158,9 @@
         for (Message message : state.messages) {
             TreeSet<Message> remaining = new TreeSet<>(state.messages);
             remaining.remove(message);
-            successors.add(new State(state.memory, state.disk, state.seen, remaining, state.crashes)); // the message is lost
+            State lost =
+                    new State(state.memory, state.disk, state.seen, remaining, state.crashes);
+            successors.add(lost);
             successors.add(receive(state, message.to, message.commands, diskBeforeMemory, remaining));
         }
     }
--- a/fleet/src/test/java/ashlink/fleet/command/ReplicatedCommandSetProperties.java
+++ b/fleet/src/test/java/ashlink/fleet/command/ReplicatedCommandSetProperties.java
@@ -126,7 +126,10 @@
         assertEquals(Intent.DRAIN, set.intent("engine:q1", 999));
         assertEquals(Intent.NONE, set.intent("engine:q1", 1_000));
         set.add(command("engine:q1", "ann", 1, Intent.STOP), 7 * DAY_MS, 2_000);
-        assertEquals(Intent.NONE, set.intent("engine:q1", 2_001), "an older command, for example from a backup, does not take effect");
+        assertEquals(
+                Intent.NONE,
+                set.intent("engine:q1", 2_001),
+                "an older command, for example from a backup, does not take effect");
         set.removeExpired(13 * DAY_MS);
         assertEquals(1, set.size());
         set.removeExpired(15 * DAY_MS);
--- a/fleet/src/test/java/ashlink/fleet/membership/MembershipSimulation.java
+++ b/fleet/src/test/java/ashlink/fleet/membership/MembershipSimulation.java
@@ -88,7 +88,8 @@
             return;
         }
         if (paused.contains(send.member())) {
-            schedule(50 * NS_PER_MS, () -> deliver(from, send)); // the message stays in the socket until the member resumes
+            // the message stays in the socket until the member resumes
+            schedule(50 * NS_PER_MS, () -> deliver(from, send));
             return;
         }
         members.get(send.member())
--- a/fleet/src/test/java/ashlink/fleet/membership/SwimRun.java
+++ b/fleet/src/test/java/ashlink/fleet/membership/SwimRun.java
@@ -4,8 +4,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Measures SWIM with 1,000 routers in simulated time. Not part of CI; run with {@code mvn -pl fleet -am test -Dtest=SwimRun
- * -Dsurefire.failIfNoSpecifiedTests=false}.
+ * Measures SWIM with 1,000 routers in simulated time. Not part of CI; run with {@code mvn
+ * -pl fleet -am test -Dtest=SwimRun -Dsurefire.failIfNoSpecifiedTests=false}.
  */
 class SwimRun {
 
@@ -44,10 +44,11 @@
                             : halfDeadS;
         }
         System.out.printf(
-                "%d routers, %.0f%% loss: %.1f messages a router a second; in 30 s %d"
-                        + " suspicions refuted, %d wrongly dead; one dies: first suspected"
-                        + " after %.1f s (paper: mean e/(e-1) periods = %.2f s), dead for half"
-                        + " after %.1f s, for all after %.1f s; at most %d updates a message%n",
+                "%d routers, %.0f%% loss: %.1f messages per router per second; in 30 s %d"
+                        + " suspicions refuted, %d wrongly declared dead; after the death of one"
+                        + " router: first suspected after %.1f s (SWIM paper: mean e/(e-1) periods ="
+                        + " %.2f s), declared dead by half after %.1f s, by all after %.1f s; at most %d updates"
+                        + " per message%n",
                 MEMBERS,
                 loss * 100,
                 messagesPerMemberAndS,
