--- a/control/src/main/java/ashlink/control/channel/ControlClient.java
+++ b/control/src/main/java/ashlink/control/channel/ControlClient.java
@@ -22,12 +22,13 @@
     /**
      * Connects to a router and performs the TLS handshake.
      *
-     * @param expectedName the name that the router's certificate must contain, or null to accept any
-     *     name
+     * @param expectedName the name that the router's certificate must contain, or null to accept
+     *     any name
      * @param timeoutMs timeout of the connection attempt and of each read
      * @throws IOException if the connection or handshake fails, or the name is not the expected one
      */
-    public ControlClient(Identity identity, InetSocketAddress address, String expectedName, int timeoutMs)
+    public ControlClient(
+            Identity identity, InetSocketAddress address, String expectedName, int timeoutMs)
             throws IOException {
         Socket tcpSocket = new Socket();
         try {
@@ -38,7 +39,11 @@
                     (SSLSocket)
                             identity.context()
                                     .getSocketFactory()
-                                    .createSocket(tcpSocket, address.getHostString(), address.getPort(), true);
+                                    .createSocket(
+                                            tcpSocket,
+                                            address.getHostString(),
+                                            address.getPort(),
+                                            true);
             socket.startHandshake();
             peer = Identity.name((X509Certificate) socket.getSession().getPeerCertificates()[0]);
             if (expectedName != null && !peer.equals(expectedName)) {
--- a/control/src/main/java/ashlink/control/channel/ControlServer.java
+++ b/control/src/main/java/ashlink/control/channel/ControlServer.java
@@ -21,8 +21,8 @@
 
 /**
  * Accepts control connections of routers and operators, which authenticate with certificates of the
- * fleet. Each connection has a rate limit: processing of frames above the limit is delayed. Connections
- * above the maximum number are closed.
+ * fleet. Each connection has a rate limit: processing of frames above the limit is delayed.
+ * Connections above the maximum number are closed.
  */
 public final class ControlServer implements AutoCloseable {
 
@@ -61,7 +61,8 @@
             throws IOException {
         this.handler = handler;
         this.name = identity.name();
-        serverSocket = (SSLServerSocket) identity.context().getServerSocketFactory().createServerSocket();
+        serverSocket =
+                (SSLServerSocket) identity.context().getServerSocketFactory().createServerSocket();
         serverSocket.setReuseAddress(true);
         serverSocket.bind(address, 256);
         serverSocket.setNeedClientAuth(true);
--- a/control/src/main/java/ashlink/control/channel/Frames.java
+++ b/control/src/main/java/ashlink/control/channel/Frames.java
@@ -13,8 +13,8 @@
 import java.io.IOException;
 
 /**
- * Encodes and decodes the frames of the control channel: a length of four bytes in big-endian order,
- * then a JSON object. A frame that is too long or malformed closes the connection.
+ * Encodes and decodes the frames of the control channel: a length of four bytes in big-endian
+ * order, then a JSON object. A frame that is too long or malformed closes the connection.
  */
 final class Frames {
 
--- a/control/src/main/java/ashlink/control/member/CommandLog.java
+++ b/control/src/main/java/ashlink/control/member/CommandLog.java
@@ -34,7 +34,11 @@
         this.set = set;
         this.log = new KeyValueLog(disk, SEGMENT_BYTES, nowMs);
         for (String damage :
-                log.read(bytes -> read(new DataInputStream(new ByteArrayInputStream(bytes)), nowMs))) {
+                log.read(
+                        bytes ->
+                                read(
+                                        new DataInputStream(new ByteArrayInputStream(bytes)),
+                                        nowMs))) {
             LOG.error(
                     "command log damaged, later records are recovered from other routers"
                             + " error=\"{}\"",
@@ -77,7 +81,9 @@
         log.sync();
     }
 
-    /** Replaces the log by the commands of the set; deletes the old log after the new one is synced. */
+    /**
+     * Replaces the log by the commands of the set; deletes the old log after the new one is synced.
+     */
     void rewrite(long nowMs) throws IOException {
         List<byte[]> records = new ArrayList<>();
         for (ReplicatedCommandSet.CommandWithTtl entry : set.commands(nowMs)) {
--- a/control/src/main/java/ashlink/control/member/CommandStore.java
+++ b/control/src/main/java/ashlink/control/member/CommandStore.java
@@ -52,7 +52,9 @@
         return !logFailed;
     }
 
-    /** Merges commands and syncs each new one to disk; returns the commands that changed the set. */
+    /**
+     * Merges commands and syncs each new one to disk; returns the commands that changed the set.
+     */
     List<CommandWithTtl> merge(List<CommandWithTtl> received, long nowMs) {
         List<CommandWithTtl> changed = new ArrayList<>();
         for (CommandWithTtl entry : received) {
--- a/control/src/main/java/ashlink/control/member/ControlCodec.java
+++ b/control/src/main/java/ashlink/control/member/ControlCodec.java
@@ -64,13 +64,17 @@
                                         text(entry, ControlProtocol.SUBJECT),
                                         text(entry, ControlProtocol.OWNER),
                                         entry.path(ControlProtocol.REVISION).asLong(),
-                                        ControlProtocol.parseIntent(text(entry, ControlProtocol.INTENT)),
+                                        ControlProtocol.parseIntent(
+                                                text(entry, ControlProtocol.INTENT)),
                                         text(entry, ControlProtocol.ISSUER),
                                         text(entry, ControlProtocol.REASON)),
                                 entry.path(ControlProtocol.TTL_MS).asLong()));
             } catch (IllegalArgumentException e) {
                 throw new IOException(
-                        "invalid entry in field " + ControlProtocol.COMMANDS + ": " + e.getMessage());
+                        "invalid entry in field "
+                                + ControlProtocol.COMMANDS
+                                + ": "
+                                + e.getMessage());
             }
         }
         return commands;
@@ -93,7 +97,8 @@
         for (JsonNode entry : list(frame, ControlProtocol.DIGEST)) {
             digest.put(
                     new CommandKey(
-                            text(entry, ControlProtocol.SUBJECT), text(entry, ControlProtocol.OWNER)),
+                            text(entry, ControlProtocol.SUBJECT),
+                            text(entry, ControlProtocol.OWNER)),
                     entry.path(ControlProtocol.HASH).asInt());
         }
         return digest;
@@ -102,17 +107,14 @@
     static ObjectNode swim(Message message, String address) {
         ObjectNode frame = op(ControlProtocol.OP_SWIM).put(ControlProtocol.ADDRESS, address);
         if (message instanceof Ping ping) {
-            frame
-                    .put(ControlProtocol.KIND, ControlProtocol.KIND_PING)
+            frame.put(ControlProtocol.KIND, ControlProtocol.KIND_PING)
                     .put(ControlProtocol.SEQUENCE, ping.sequence());
         } else if (message instanceof PingReq pingReq) {
-            frame
-                    .put(ControlProtocol.KIND, ControlProtocol.KIND_PING_REQ)
+            frame.put(ControlProtocol.KIND, ControlProtocol.KIND_PING_REQ)
                     .put(ControlProtocol.SEQUENCE, pingReq.sequence())
                     .put(ControlProtocol.TARGET, pingReq.target());
         } else if (message instanceof Ack ack) {
-            frame
-                    .put(ControlProtocol.KIND, ControlProtocol.KIND_ACK)
+            frame.put(ControlProtocol.KIND, ControlProtocol.KIND_ACK)
                     .put(ControlProtocol.SEQUENCE, ack.sequence())
                     .put(ControlProtocol.ACKNOWLEDGED_MEMBER, ack.member());
         }
--- a/control/src/main/java/ashlink/control/member/ControlProtocol.java
+++ b/control/src/main/java/ashlink/control/member/ControlProtocol.java
@@ -72,7 +72,9 @@
             case "NONE" -> Intent.NONE;
             case "DRAIN" -> Intent.DRAIN;
             case "STOP" -> Intent.STOP;
-            default -> throw new IllegalArgumentException("unknown intent " + name + ": expected NONE, DRAIN or STOP");
+            default ->
+                    throw new IllegalArgumentException(
+                            "unknown intent " + name + ": expected NONE, DRAIN or STOP");
         };
     }
 
@@ -95,7 +97,9 @@
             case "ALIVE" -> State.ALIVE;
             case "SUSPECT" -> State.SUSPECT;
             case "GONE" -> State.DEAD;
-            default -> throw new IllegalArgumentException("unknown member state " + name + ": expected ALIVE, SUSPECT or GONE");
+            default ->
+                    throw new IllegalArgumentException(
+                            "unknown member state " + name + ": expected ALIVE, SUSPECT or GONE");
         };
     }
 }
--- a/control/src/main/java/ashlink/control/member/FleetMember.java
+++ b/control/src/main/java/ashlink/control/member/FleetMember.java
@@ -272,7 +272,8 @@
 
     private synchronized ObjectNode status() {
         ObjectNode status =
-                StatusResponse.of(spec.name(), store, swim.members(), identity.expiresMs(), nowMs());
+                StatusResponse.of(
+                        spec.name(), store, swim.members(), identity.expiresMs(), nowMs());
         router.addStatus(status);
         return status;
     }
--- a/control/src/main/java/ashlink/control/member/PeerConnection.java
+++ b/control/src/main/java/ashlink/control/member/PeerConnection.java
@@ -34,7 +34,8 @@
         this.identity = identity;
         this.peer = peer;
         this.address = address;
-        this.thread = new Thread(null, this::run, identity.name() + "-to-" + peer, THREAD_STACK_BYTES);
+        this.thread =
+                new Thread(null, this::run, identity.name() + "-to-" + peer, THREAD_STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
     }
--- a/control/src/main/java/ashlink/control/member/PeerConnections.java
+++ b/control/src/main/java/ashlink/control/member/PeerConnections.java
@@ -35,7 +35,9 @@
         }
     }
 
-    /** Queues a frame for a peer; adds the peer with its address {@code HOST:PORT} if it is unknown. */
+    /**
+     * Queues a frame for a peer; adds the peer with its address {@code HOST:PORT} if it is unknown.
+     */
     void send(String peer, String address, JsonNode frame) {
         if (!connections.containsKey(peer)) {
             int colon = address.lastIndexOf(':');
--- a/control/src/main/java/ashlink/control/member/RouterControl.java
+++ b/control/src/main/java/ashlink/control/member/RouterControl.java
@@ -3,7 +3,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.Set;
 
-/** Operations that a fleet member performs on its router. Called by any thread, one call at a time. */
+/**
+ * Operations that a fleet member performs on its router. Called by any thread, one call at a time.
+ */
 public interface RouterControl {
 
     /** Sets the engines that receive no new work, even if they are in the endpoint list. */
--- a/control/src/main/java/ashlink/control/member/StatusResponse.java
+++ b/control/src/main/java/ashlink/control/member/StatusResponse.java
@@ -29,7 +29,8 @@
         }
         ArrayNode memberList = response.putArray(ControlProtocol.MEMBERS);
         for (MembershipUpdate update : members.values()) {
-            memberList.addObject()
+            memberList
+                    .addObject()
                     .put(ControlProtocol.MEMBER, update.member())
                     .put(ControlProtocol.STATE, ControlProtocol.stateName(update.state()))
                     .put(ControlProtocol.INCARNATION, update.incarnation());
@@ -41,7 +42,8 @@
         store.receivedMs()
                 .forEach(
                         (command, receivedMs) -> {
-                            if (command.subject().equals(entry.path(ControlProtocol.SUBJECT).asText())
+                            if (command.subject()
+                                            .equals(entry.path(ControlProtocol.SUBJECT).asText())
                                     && command.owner()
                                             .equals(entry.path(ControlProtocol.OWNER).asText())
                                     && command.revision()
--- a/control/src/main/java/ashlink/control/tls/CertificateAuthority.java
+++ b/control/src/main/java/ashlink/control/tls/CertificateAuthority.java
@@ -34,8 +34,8 @@
 
 /**
  * The private certificate authority of a fleet, stored in a directory: {@code ca.crt} contains the
- * trusted authority certificates, the newest first, and {@code ca.key} the private key of the newest.
- * During a renewal two authority certificates are trusted.
+ * trusted authority certificates, the newest first, and {@code ca.key} the private key of the
+ * newest. During a renewal two authority certificates are trusted.
  */
 public final class CertificateAuthority {
 
@@ -71,8 +71,7 @@
                 new X500NameBuilder(BCStyle.INSTANCE)
                         .addRDN(BCStyle.O, "ashlink fleet")
                         .addRDN(BCStyle.CN, "authority " + Instant.now());
-        X509Certificate newest =
-                certificate(name, name, pair, pair.getPrivate(), validity, true);
+        X509Certificate newest = certificate(name, name, pair, pair.getPrivate(), validity, true);
         List<X509Certificate> trusted = new ArrayList<>(List.of(newest));
         if (Files.exists(dir.resolve(CERTIFICATES_FILE))) {
             trusted.addAll(Pem.certificates(dir.resolve(CERTIFICATES_FILE)));
@@ -83,7 +82,10 @@
 
     /** Removes all authority certificates but the newest from the trusted ones. */
     public void retire() throws IOException, GeneralSecurityException {
-        write(dir.resolve(CERTIFICATES_FILE), false, Pem.certificates(dir.resolve(CERTIFICATES_FILE)).get(0));
+        write(
+                dir.resolve(CERTIFICATES_FILE),
+                false,
+                Pem.certificates(dir.resolve(CERTIFICATES_FILE)).get(0));
     }
 
     /**
@@ -145,7 +147,8 @@
             return new JcaX509CertificateConverter()
                     .getCertificate(
                             builder.build(
-                                    new JcaContentSignerBuilder(SIGNATURE_ALGORITHM).build(signer)));
+                                    new JcaContentSignerBuilder(SIGNATURE_ALGORITHM)
+                                            .build(signer)));
         } catch (OperatorCreationException e) {
             throw new GeneralSecurityException(e);
         }
@@ -155,7 +158,8 @@
      * Writes PEM objects to a temporary file and atomically renames it, so that no reader sees a
      * partial file. Only the owner of the file may read it if {@code ownerOnly} is set.
      */
-    private static void write(Path file, boolean ownerOnly, Object... pemObjects) throws IOException {
+    private static void write(Path file, boolean ownerOnly, Object... pemObjects)
+            throws IOException {
         StringWriter text = new StringWriter();
         try (JcaPEMWriter pem = new JcaPEMWriter(text)) {
             for (Object pemObject : pemObjects) {
--- a/control/src/main/java/ashlink/control/tls/Identity.java
+++ b/control/src/main/java/ashlink/control/tls/Identity.java
@@ -72,7 +72,9 @@
         return name;
     }
 
-    /** Returns a TLS context that presents this identity and trusts the authorities of the fleet. */
+    /**
+     * Returns a TLS context that presents this identity and trusts the authorities of the fleet.
+     */
     public SSLContext context() {
         return context;
     }
--- a/control/src/main/java/ashlink/control/tool/FleetClient.java
+++ b/control/src/main/java/ashlink/control/tool/FleetClient.java
@@ -53,7 +53,10 @@
      * @param timeoutMs timeout of a connection attempt and of each read
      */
     public FleetClient(
-            Identity identity, Map<String, InetSocketAddress> routers, int maxParallelRequests, int timeoutMs) {
+            Identity identity,
+            Map<String, InetSocketAddress> routers,
+            int maxParallelRequests,
+            int timeoutMs) {
         this.identity = identity;
         this.routers = new LinkedHashMap<>(routers);
         this.timeoutMs = timeoutMs;
@@ -105,13 +108,17 @@
     }
 
     /**
-     * Returns a new command whose revision is higher than that of every command for the same subject
-     * and owner known to the routers that responded.
+     * Returns a new command whose revision is higher than that of every command for the same
+     * subject and owner known to the routers that responded.
      *
      * @param statuses results of {@link #status} by router
      */
     public OperatorCommand nextCommand(
-            String subject, String owner, Intent intent, String reason, Map<String, Result> statuses)
+            String subject,
+            String owner,
+            Intent intent,
+            String reason,
+            Map<String, Result> statuses)
             throws IOException {
         long revision = 0;
         for (Result result : statuses.values()) {
@@ -149,8 +156,7 @@
     /** Submits a command to all routers. */
     public Map<String, Result> submit(OperatorCommand command, long ttlMs)
             throws InterruptedException {
-        return request(
-                ControlCodec.commands("put", List.of(new CommandWithTtl(command, ttlMs))));
+        return request(ControlCodec.commands("put", List.of(new CommandWithTtl(command, ttlMs))));
     }
 
     /** Returns whether a router has a command, or a newer one for the same subject and owner. */
@@ -160,14 +166,11 @@
                     && ControlCodec.commands(result.answer()).stream()
                             .anyMatch(
                                     entry ->
-                                            entry.command()
-                                                            .subject()
-                                                            .equals(command.subject())
+                                            entry.command().subject().equals(command.subject())
                                                     && entry.command()
                                                             .owner()
                                                             .equals(command.owner())
-                                                    && entry.command().compareTo(command)
-                                                            >= 0);
+                                                    && entry.command().compareTo(command) >= 0);
         } catch (IOException e) {
             return false;
         }
@@ -184,7 +187,8 @@
         while (true) {
             Map<String, Result> statuses = status();
             long satisfied = statuses.values().stream().filter(condition).count();
-            if (satisfied >= Math.ceil(fraction * routers.size()) || System.nanoTime() > deadlineNs) {
+            if (satisfied >= Math.ceil(fraction * routers.size())
+                    || System.nanoTime() > deadlineNs) {
                 return statuses;
             }
             TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
--- a/control/src/test/java/ashlink/control/ControlTest.java
+++ b/control/src/test/java/ashlink/control/ControlTest.java
@@ -149,15 +149,15 @@
                 receivers.length == 0 ? addresses.keySet().toArray(new String[0]) : receivers) {
             receiverAddresses.put(router, addresses.get(router));
         }
-        return new FleetClient(new Identity(dir.resolve("keys"), operator), receiverAddresses, 8, 2_000);
+        return new FleetClient(
+                new Identity(dir.resolve("keys"), operator), receiverAddresses, 8, 2_000);
     }
 
     private OperatorCommand submit(String operator, Intent intent, String... receivers)
             throws Exception {
         try (FleetClient client = client(operator, receivers)) {
             OperatorCommand command =
-                    client.nextCommand(
-                            "engine:q1", operator, intent, "test", client.status());
+                    client.nextCommand("engine:q1", operator, intent, "test", client.status());
             client.submit(command, HOUR_MS);
             return command;
         }
@@ -256,7 +256,9 @@
         delete(dir.resolve("r3"));
         copy(dir.resolve("backup"), dir.resolve("r3"));
         start("r3");
-        assertTrue(routers.get("r3").drained.contains("q1"), "the restored router still has the drain");
+        assertTrue(
+                routers.get("r3").drained.contains("q1"),
+                "the restored router still has the drain");
         await("the restored router has received the withdrawal", () -> allRoutersDrain(false));
         Thread.sleep(1_500);
         assertTrue(allRoutersDrain(false), "no router applies the withdrawn drain again");
@@ -286,13 +288,13 @@
         startFleet(2);
         try (FleetClient client = client("ann")) {
             client.submit(
-                    client.nextCommand(
-                            "router:r2", "ann", Intent.DRAIN, "", client.status()),
+                    client.nextCommand("router:r2", "ann", Intent.DRAIN, "", client.status()),
                     HOUR_MS);
-            await("router r2 rejects requests", () -> routers.get("r2").rejecting && !routers.get("r1").rejecting);
+            await(
+                    "router r2 rejects requests",
+                    () -> routers.get("r2").rejecting && !routers.get("r1").rejecting);
             client.submit(
-                    client.nextCommand(
-                            "router:r2", "ann", Intent.STOP, "", client.status()),
+                    client.nextCommand("router:r2", "ann", Intent.STOP, "", client.status()),
                     HOUR_MS);
             await("router r2 stops", () -> routers.get("r2").stopped);
             stopMember("r2");
@@ -307,8 +309,7 @@
     // ---- Authorization
 
     private JsonNode status(Identity identity) throws IOException {
-        try (ControlClient client =
-                new ControlClient(identity, addresses.get("r1"), "r1", 2_000)) {
+        try (ControlClient client = new ControlClient(identity, addresses.get("r1"), "r1", 2_000)) {
             return client.request(ControlCodec.op("status"));
         }
     }
@@ -337,7 +338,8 @@
             String error = errorOf(client, "router:r1", "ben", Intent.STOP);
             assertTrue(error.contains("permission denied: ben requires role stop"), error);
             error = errorOf(client, "engine:q1", "ann", Intent.DRAIN);
-            assertTrue(error.contains("invalid command issuer ann: expected the sender ben"), error);
+            assertTrue(
+                    error.contains("invalid command issuer ann: expected the sender ben"), error);
         }
         assertTrue(routers.get("r1").drained.isEmpty());
     }
@@ -371,9 +373,15 @@
         stopMember("r1");
         start("r1"); // presents its old certificate and trusts both authorities
         Identity newIdentity = new Identity(dir.resolve("keys"), "ann");
-        assertEquals("r1", status(newIdentity).get("router").asText(), "certificate of the new authority");
+        assertEquals(
+                "r1",
+                status(newIdentity).get("router").asText(),
+                "certificate of the new authority");
         Identity oldIdentity = new Identity(dir.resolve("before"), "eve");
-        assertEquals("r1", status(oldIdentity).get("router").asText(), "certificate of the old authority");
+        assertEquals(
+                "r1",
+                status(oldIdentity).get("router").asText(),
+                "certificate of the old authority");
         authority.retire();
         authority.issue("r1", Set.of(Role.ROUTER), DAY);
         stopMember("r1");
@@ -434,7 +442,8 @@
                                         client.send(ControlCodec.op("nonsense"));
                                     }
                                 } catch (IOException e) {
-                                    // The server may close the connection before all frames are sent.
+                                    // The server may close the connection before all frames are
+                                    // sent.
                                 }
                             });
             thread.start();
--- a/control/src/test/java/ashlink/control/member/StoredCommandLogTest.java
+++ b/control/src/test/java/ashlink/control/member/StoredCommandLogTest.java
@@ -112,7 +112,8 @@
     @Test
     void digestsAreThoseOfTheEarlierBuild() throws Exception {
         List<String> digests = new ArrayList<>();
-        readLog().digest()
+        readLog()
+                .digest()
                 .forEach(
                         (key, digest) ->
                                 digests.add(key.subject() + "|" + key.owner() + "|" + digest));
--- a/control/src/test/java/ashlink/control/member/StoredDataRecorder.java
+++ b/control/src/test/java/ashlink/control/member/StoredDataRecorder.java
@@ -73,7 +73,8 @@
             String reason,
             long ttlMs)
             throws IOException {
-        OperatorCommand command = new OperatorCommand(subject, owner, revision, intent, issuer, reason);
+        OperatorCommand command =
+                new OperatorCommand(subject, owner, revision, intent, issuer, reason);
         set.add(command, ttlMs, ++nowMs);
         log.put(command, ttlMs, nowMs);
     }
--- a/control/src/test/java/ashlink/control/tls/CertificateText.java
+++ b/control/src/test/java/ashlink/control/tls/CertificateText.java
@@ -8,7 +8,10 @@
 import java.util.HexFormat;
 import java.util.List;
 
-/** Formats the certificates in a directory as plain text whose format does not depend on the tested code. */
+/**
+ * Formats the certificates in a directory as plain text whose format does not depend on the tested
+ * code.
+ */
 final class CertificateText {
 
     private static final List<String> FILES = List.of("ca.crt", "old.crt", "r1.crt", "ann.crt");
--- a/control/src/test/java/ashlink/control/tls/StoredDataRecorder.java
+++ b/control/src/test/java/ashlink/control/tls/StoredDataRecorder.java
@@ -20,8 +20,8 @@
     private StoredDataRecorder() {}
 
     /**
-     * Writes the directory {@code keys} and its description {@code keys.txt} into the directory given
-     * as the first argument.
+     * Writes the directory {@code keys} and its description {@code keys.txt} into the directory
+     * given as the first argument.
      */
     public static void main(String[] args) throws IOException, GeneralSecurityException {
         Path directory = Path.of(args[0]).resolve("keys");
--- a/control/src/test/java/ashlink/control/tls/StoredKeysAndCertificatesTest.java
+++ b/control/src/test/java/ashlink/control/tls/StoredKeysAndCertificatesTest.java
@@ -79,7 +79,8 @@
 
     @Test
     void certificatesAreReadAsTheyWereIssued() throws Exception {
-        assertEquals(Files.readString(storedPath("keys.txt")), CertificateText.of(storedPath("keys")));
+        assertEquals(
+                Files.readString(storedPath("keys.txt")), CertificateText.of(storedPath("keys")));
     }
 
     @ParameterizedTest
@@ -89,7 +90,8 @@
         assertEquals(name, identity.name());
         assertEquals(name, Identity.name(certificate(storedPath("keys"), name)));
         assertTrue(
-                Files.readString(storedPath("keys.txt")).contains("to " + identity.expiresMs() + "\n"));
+                Files.readString(storedPath("keys.txt"))
+                        .contains("to " + identity.expiresMs() + "\n"));
     }
 
     @Test
@@ -137,7 +139,8 @@
 
     @Test
     void storedAuthorityIssuesFurtherCertificates(@TempDir Path directory) throws Exception {
-        new CertificateAuthority(copyKeys(directory)).issue("r9", Set.of(Role.ROUTER), Duration.ofDays(1));
+        new CertificateAuthority(copyKeys(directory))
+                .issue("r9", Set.of(Role.ROUTER), Duration.ofDays(1));
         assertEquals("r9", new Identity(directory, "r9").name());
         certificate(directory, "r9").verify(certificate(storedPath("keys"), "ca").getPublicKey());
     }
--- a/fleet/src/main/java/ashlink/fleet/command/Intent.java
+++ b/fleet/src/main/java/ashlink/fleet/command/Intent.java
@@ -22,7 +22,9 @@
         this.code = code;
     }
 
-    /** Returns the number that represents this intent in command logs and digests, in every build. */
+    /**
+     * Returns the number that represents this intent in command logs and digests, in every build.
+     */
     public int code() {
         return code;
     }
--- a/fleet/src/main/java/ashlink/fleet/command/OperatorCommand.java
+++ b/fleet/src/main/java/ashlink/fleet/command/OperatorCommand.java
@@ -71,7 +71,8 @@
     }
 
     /**
-     * Compares commands of one owner and subject in a total order; the greatest command is in force.
+     * Compares commands of one owner and subject in a total order; the greatest command is in
+     * force.
      */
     @Override
     public int compareTo(OperatorCommand other) {
--- a/fleet/src/main/java/ashlink/fleet/command/ReplicatedCommandSet.java
+++ b/fleet/src/main/java/ashlink/fleet/command/ReplicatedCommandSet.java
@@ -15,12 +15,12 @@
  * associative and idempotent, as long as no command is rejected because of {@code maxEntries}.
  *
  * <p>Clocks: the revision is a logical clock per register, one more than the highest revision known
- * to the issuer. Expiry times are in milliseconds of the local wall clock; routers exchange only the
- * remaining time to live, so their clocks need not be synchronized.
+ * to the issuer. Expiry times are in milliseconds of the local wall clock; routers exchange only
+ * the remaining time to live, so their clocks need not be synchronized.
  *
  * <p>Invariants: the command of a register never decreases while the register is kept. An expired
- * command has no effect and is kept as a tombstone for {@code tombstoneMs}, so that an older command
- * with a time to live of at most {@code maxTtlMs} cannot take effect again.
+ * command has no effect and is kept as a tombstone for {@code tombstoneMs}, so that an older
+ * command with a time to live of at most {@code maxTtlMs} cannot take effect again.
  *
  * <p>Performs no I/O and reads no clock; not thread-safe.
  */
--- a/fleet/src/main/java/ashlink/fleet/membership/MembershipList.java
+++ b/fleet/src/main/java/ashlink/fleet/membership/MembershipList.java
@@ -7,10 +7,10 @@
 import java.util.TreeMap;
 
 /**
- * A member's view of the membership, and the updates that it disseminates. For each member, the list
- * keeps the update that overrides all other received ones. A suspected member is declared dead if
- * the suspicion is not refuted before its timeout. An update that reports this member as suspected
- * or dead is refuted by an update with a higher incarnation. Not thread-safe.
+ * A member's view of the membership, and the updates that it disseminates. For each member, the
+ * list keeps the update that overrides all other received ones. A suspected member is declared dead
+ * if the suspicion is not refuted before its timeout. An update that reports this member as
+ * suspected or dead is refuted by an update with a higher incarnation. Not thread-safe.
  */
 final class MembershipList {
 
@@ -72,7 +72,9 @@
                 .toList();
     }
 
-    /** Returns the names of all other members that are alive or suspected, in alphabetical order. */
+    /**
+     * Returns the names of all other members that are alive or suspected, in alphabetical order.
+     */
     Collection<String> notDead() {
         return members.keySet().stream().filter(this::isNotDead).toList();
     }
@@ -115,8 +117,8 @@
     }
 
     /**
-     * Refutes an update that reports this member as suspected or dead. Also raises the incarnation of
-     * this member above the one that an earlier process of the same name used.
+     * Refutes an update that reports this member as suspected or dead. Also raises the incarnation
+     * of this member above the one that an earlier process of the same name used.
      */
     private void applyToSelf(MembershipUpdate update) {
         boolean refutes =
@@ -143,7 +145,8 @@
     /** Declares every member dead whose suspicion timeout has expired. */
     void expireSuspicions(long nowNs) {
         for (MemberRecord memberRecord : members.values()) {
-            if (memberRecord.latest.state() == State.SUSPECT && nowNs >= memberRecord.suspectUntilNs) {
+            if (memberRecord.latest.state() == State.SUSPECT
+                    && nowNs >= memberRecord.suspectUntilNs) {
                 memberRecord.latest = memberRecord.latest.withState(State.DEAD);
                 disseminationBuffer.add(memberRecord.latest);
             }
--- a/fleet/src/main/java/ashlink/fleet/membership/Swim.java
+++ b/fleet/src/main/java/ashlink/fleet/membership/Swim.java
@@ -17,8 +17,8 @@
  * updates are piggybacked on all messages.
  *
  * <p>This class performs no I/O and reads no clock: the caller passes the time and the received
- * messages, and sends the returned messages. The same seed and the same calls give the same results.
- * Times are in nanoseconds of one monotonic clock. Not thread-safe.
+ * messages, and sends the returned messages. The same seed and the same calls give the same
+ * results. Times are in nanoseconds of one monotonic clock. Not thread-safe.
  */
 public final class Swim {
 
@@ -93,8 +93,8 @@
     }
 
     /**
-     * Resumes the protocol after a pause of this process. Acks may have been missed during the pause,
-     * so the pending ping is discarded and the suspicion timeouts are extended by the pause.
+     * Resumes the protocol after a pause of this process. Acks may have been missed during the
+     * pause, so the pending ping is discarded and the suspicion timeouts are extended by the pause.
      */
     private void resumeAfterPause(long pausedNs, long nowNs) {
         pingTarget = null;
--- a/fleet/src/main/java/ashlink/fleet/membership/SwimConfig.java
+++ b/fleet/src/main/java/ashlink/fleet/membership/SwimConfig.java
@@ -7,8 +7,8 @@
  * @param pingTimeoutNs timeout of the ack of a direct ping; the acks of ping-reqs time out at the
  *     end of the protocol period
  * @param pingReqMembers number of members that receive a ping-req (k of the SWIM paper)
- * @param suspicionFactor multiplied by log2 of the number of members, gives the suspicion timeout in
- *     protocol periods
+ * @param suspicionFactor multiplied by log2 of the number of members, gives the suspicion timeout
+ *     in protocol periods
  * @param maxUpdatesPerMessage maximum number of membership updates piggybacked on a message
  * @param disseminationFactor multiplied by log2 of the number of members, gives the number of
  *     messages that carry an update (lambda of the SWIM paper)
--- a/fleet/src/main/java/ashlink/fleet/supervise/RestartPolicy.java
+++ b/fleet/src/main/java/ashlink/fleet/supervise/RestartPolicy.java
@@ -4,8 +4,8 @@
 
 /**
  * Decides when an exited process is restarted: immediately after a stable run, with exponential
- * backoff after short runs, and with the maximum backoff in a crash loop. Times are in nanoseconds of
- * one monotonic clock. Performs no I/O and reads no clock; not thread-safe.
+ * backoff after short runs, and with the maximum backoff in a crash loop. Times are in nanoseconds
+ * of one monotonic clock. Performs no I/O and reads no clock; not thread-safe.
  */
 public final class RestartPolicy {
 
@@ -89,6 +89,7 @@
                         limits.initialBackoffNs() << Math.min(consecutiveShortRuns++, 30));
         return shortRunEndsNs.size() >= limits.crashLoopRuns()
                 ? new Decision(RestartAction.CRASH_LOOP, limits.maxBackoffNs())
-                : new Decision(RestartAction.RESTART, backoffNs < 0 ? limits.maxBackoffNs() : backoffNs);
+                : new Decision(
+                        RestartAction.RESTART, backoffNs < 0 ? limits.maxBackoffNs() : backoffNs);
     }
 }
--- a/fleet/src/test/java/ashlink/fleet/command/DisseminationSimulation.java
+++ b/fleet/src/test/java/ashlink/fleet/command/DisseminationSimulation.java
@@ -94,7 +94,10 @@
             send(
                     transmission.peer(),
                     router.disseminator.onDigest(
-                            from, sendDigest.digest(), sendDigest.reply(), nowMs + router.clockOffsetMs));
+                            from,
+                            sendDigest.digest(),
+                            sendDigest.reply(),
+                            nowMs + router.clockOffsetMs));
         }
     }
 
--- a/fleet/src/test/java/ashlink/fleet/command/ModelCheckTest.java
+++ b/fleet/src/test/java/ashlink/fleet/command/ModelCheckTest.java
@@ -80,7 +80,8 @@
             State state = unexplored.poll();
             for (int router = 0; router < ROUTERS; router++) {
                 boolean hasSeenNewer = (state.seen.get(router) & 2) != 0;
-                if (hasSeenNewer && setOf(state.memory.get(router)).intent("engine:q1", 1) == Intent.DRAIN) {
+                if (hasSeenNewer
+                        && setOf(state.memory.get(router)).intent("engine:q1", 1) == Intent.DRAIN) {
                     violations++;
                 }
             }
@@ -94,7 +95,11 @@
     }
 
     private static State receive(
-            State state, int router, int commands, boolean diskBeforeMemory, TreeSet<Message> messages) {
+            State state,
+            int router,
+            int commands,
+            boolean diskBeforeMemory,
+            TreeSet<Message> messages) {
         int commandsInMemory = state.memory.get(router) | commands;
         return new State(
                 withValue(state.memory, router, commandsInMemory),
@@ -122,17 +127,24 @@
                 successors.add(
                         new State(
                                 state.memory,
-                                withValue(state.disk, router, state.disk.get(router) | state.memory.get(router)),
+                                withValue(
+                                        state.disk,
+                                        router,
+                                        state.disk.get(router) | state.memory.get(router)),
                                 state.seen,
                                 state.messages,
                                 state.crashes));
             }
             addCrash(state, router, successors);
             for (int to = 0; to < ROUTERS; to++) {
-                if (to != router && state.memory.get(router) != 0 && state.messages.size() < MAX_IN_FLIGHT) {
+                if (to != router
+                        && state.memory.get(router) != 0
+                        && state.messages.size() < MAX_IN_FLIGHT) {
                     TreeSet<Message> messages = new TreeSet<>(state.messages);
                     messages.add(new Message(to, state.memory.get(router)));
-                    successors.add(new State(state.memory, state.disk, state.seen, messages, state.crashes));
+                    successors.add(
+                            new State(
+                                    state.memory, state.disk, state.seen, messages, state.crashes));
                 }
             }
         }
@@ -154,14 +166,15 @@
     }
 
     /** Adds the states in which a message in flight has been lost or delivered. */
-    private static void addDeliveries(State state, boolean diskBeforeMemory, List<State> successors) {
+    private static void addDeliveries(
+            State state, boolean diskBeforeMemory, List<State> successors) {
         for (Message message : state.messages) {
             TreeSet<Message> remaining = new TreeSet<>(state.messages);
             remaining.remove(message);
-            State lost =
-                    new State(state.memory, state.disk, state.seen, remaining, state.crashes);
+            State lost = new State(state.memory, state.disk, state.seen, remaining, state.crashes);
             successors.add(lost);
-            successors.add(receive(state, message.to, message.commands, diskBeforeMemory, remaining));
+            successors.add(
+                    receive(state, message.to, message.commands, diskBeforeMemory, remaining));
         }
     }
 
@@ -177,6 +190,7 @@
     void modelCheckFindsViolationIfCommandIsAppliedBeforeWrittenToDisk() {
         assertTrue(
                 explore(false).violations > 0,
-                "after a crash that loses the newer command, a late message delivers the older one");
+                "after a crash that loses the newer command, a late message delivers the older"
+                        + " one");
     }
 }
--- a/fleet/src/test/java/ashlink/fleet/command/ReplicatedCommandSetProperties.java
+++ b/fleet/src/test/java/ashlink/fleet/command/ReplicatedCommandSetProperties.java
@@ -18,7 +18,9 @@
 
     private static final long DAY_MS = 86_400_000L;
 
-    /** Computed independently of the code, from the definitions of Objects.hash and String.hashCode. */
+    /**
+     * Computed independently of the code, from the definitions of Objects.hash and String.hashCode.
+     */
     private static final int EXPECTED_DIGEST = 1912168615;
 
     private static ReplicatedCommandSet emptySet() {
@@ -68,7 +70,8 @@
         ReplicatedCommandSet left = setOf(randomCommands(random, random.nextInt(10)));
         ReplicatedCommandSet right = setOf(randomCommands(random, random.nextInt(10)));
         List<ReplicatedCommandSet.CommandWithTtl> toRight = left.missingFrom(right.digest(), 0);
-        right.missingFrom(left.digest(), 0).forEach(entry -> left.add(entry.command(), entry.ttlMs(), 0));
+        right.missingFrom(left.digest(), 0)
+                .forEach(entry -> left.add(entry.command(), entry.ttlMs(), 0));
         toRight.forEach(entry -> right.add(entry.command(), entry.ttlMs(), 0));
         assertEquals(left.commands(0), right.commands(0));
         assertTrue(left.missingFrom(right.digest(), 0).isEmpty());
--- a/fleet/src/test/java/ashlink/fleet/membership/MembershipSimulation.java
+++ b/fleet/src/test/java/ashlink/fleet/membership/MembershipSimulation.java
@@ -71,7 +71,11 @@
         if (!paused.contains(member)) {
             members.get(member).tick(nowNs).forEach(send -> send(member, send));
         }
-        schedule(Math.max(NS_PER_MS, Math.min(50 * NS_PER_MS, members.get(member).nextTickNs() - nowNs)), () -> tick(member));
+        schedule(
+                Math.max(
+                        NS_PER_MS,
+                        Math.min(50 * NS_PER_MS, members.get(member).nextTickNs() - nowNs)),
+                () -> tick(member));
     }
 
     private void send(String from, Swim.Send send) {
@@ -131,8 +135,7 @@
                                 .filter(
                                         update ->
                                                 update.state() == State.DEAD
-                                                        && !dead.contains(
-                                                                update.member()))
+                                                        && !dead.contains(update.member()))
                                 .count();
             }
         }
--- a/fleet/src/test/java/ashlink/fleet/membership/SwimTest.java
+++ b/fleet/src/test/java/ashlink/fleet/membership/SwimTest.java
@@ -33,7 +33,8 @@
         second.run(20 * NS_PER_S);
         assertEquals(first.messages, second.messages);
         first.members.forEach(
-                (member, swim) -> assertEquals(swim.members(), second.members.get(member).members()));
+                (member, swim) ->
+                        assertEquals(swim.members(), second.members.get(member).members()));
     }
 
     @Test
@@ -45,7 +46,10 @@
                         (Integer.parseInt(from.substring(1)) < 12)
                                 == (Integer.parseInt(to.substring(1)) < 12);
         simulation.run(60 * NS_PER_S);
-        assertEquals(2 * 12 * 12, simulation.countWronglyDead(), "each side of the partition declares the other dead");
+        assertEquals(
+                2 * 12 * 12,
+                simulation.countWronglyDead(),
+                "each side of the partition declares the other dead");
         simulation.linkWorks = (from, to) -> true;
         simulation.run(40 * NS_PER_S);
         assertEquals(0, simulation.countWronglyDead());
--- a/fleet/src/test/java/ashlink/fleet/supervise/RestartPolicyTest.java
+++ b/fleet/src/test/java/ashlink/fleet/supervise/RestartPolicyTest.java
@@ -15,7 +15,8 @@
     void backoffGrowsToCrashLoopAndStableRunResetsIt() {
         RestartPolicy policy = new RestartPolicy(RestartPolicy.RestartLimits.DEFAULT);
         assertEquals(
-                new Decision(RestartAction.RESTART, NS_PER_S / 2), policy.onExit(0, NS_PER_S, 137, false));
+                new Decision(RestartAction.RESTART, NS_PER_S / 2),
+                policy.onExit(0, NS_PER_S, 137, false));
         assertEquals(
                 new Decision(RestartAction.RESTART, NS_PER_S),
                 policy.onExit(2 * NS_PER_S, 3 * NS_PER_S, 137, false));
