--- a/control/src/main/java/ashlink/control/channel/ControlServer.java
+++ b/control/src/main/java/ashlink/control/channel/ControlServer.java
@@ -42,7 +42,8 @@
         /**
          * Processes a frame and returns the response, or null if there is none. May block.
          *
-         * @throws IOException if the request fails; the sender receives the exception's message
+         * @throws IOException if the request fails; the sender receives the message of this or any
+         *     runtime exception
          */
         JsonNode handle(Peer peer, JsonNode frame) throws IOException;
     }
--- a/fleet/src/main/java/ashlink/fleet/membership/MembershipList.java
+++ b/fleet/src/main/java/ashlink/fleet/membership/MembershipList.java
@@ -92,7 +92,10 @@
         }
     }
 
-    /** Applies an update if it overrides the latest one of its member. */
+    /**
+     * Applies an update if it overrides the latest one of its member. Ignores the death of an
+     * unknown member.
+     */
     void apply(MembershipUpdate update, long nowNs) {
         if (update.member().equals(self.member())) {
             applyToSelf(update);
--- a/fleet/src/test/java/ashlink/fleet/command/CommandDisseminatorTest.java
+++ b/fleet/src/test/java/ashlink/fleet/command/CommandDisseminatorTest.java
@@ -68,7 +68,7 @@
     @Test
     void routerWithoutInboundMessagesConvergesOnceItReceivesThem() {
         DisseminationSimulation simulation = new DisseminationSimulation(24, 0.01, 9);
-        // r7 can send messages but receives none
+        // Router r7 can send messages but receives none.
         simulation.linkWorks = (from, to) -> !to.equals("r7");
         simulation.submit("r0", command("ann", 1, Intent.DRAIN));
         simulation.run(60_000);
--- a/fleet/src/test/java/ashlink/fleet/command/ReplicatedCommandSetProperties.java
+++ b/fleet/src/test/java/ashlink/fleet/command/ReplicatedCommandSetProperties.java
@@ -141,7 +141,7 @@
         assertEquals(
                 Intent.NONE,
                 set.intent("engine:q1", 8 * DAY_MS),
-                "no command exceeds the longest time to live");
+                "the time to live is limited to the maximum");
     }
 
     @Example
--- a/fleet/src/test/java/ashlink/fleet/membership/MembershipSimulation.java
+++ b/fleet/src/test/java/ashlink/fleet/membership/MembershipSimulation.java
@@ -92,7 +92,7 @@
             return;
         }
         if (paused.contains(send.member())) {
-            // the message stays in the socket until the member resumes
+            // The message stays in the socket until the member resumes.
             schedule(50 * NS_PER_MS, () -> deliver(from, send));
             return;
         }
