--- a/control/src/main/java/ashlink/control/channel/ControlClient.java
+++ b/control/src/main/java/ashlink/control/channel/ControlClient.java
@@ -11,7 +11,7 @@
 import java.security.cert.X509Certificate;
 import javax.net.ssl.SSLSocket;
 
-/** A connection to a router's control channel. */
+/** Client side of a connection to a router's control channel, over mutual TLS. */
 public final class ControlClient implements AutoCloseable {
 
     private final SSLSocket socket;
@@ -20,55 +20,74 @@
     private final String peer;
 
     /**
-     * Connects within that time; {@code expected} is the name that the router's certificate must
-     * give, or null for any.
+     * Connects to a router and performs the TLS handshake.
+     *
+     * @param expectedName the name that the router's certificate must contain, or null to accept
+     *     any name
+     * @param timeoutMs timeout of the connection attempt and of each read
+     * @throws IOException if the connection or handshake fails, or the name is not the expected one
      */
-    public ControlClient(Identity identity, InetSocketAddress to, String expected, int timeoutMs)
+    public ControlClient(
+            Identity identity, InetSocketAddress address, String expectedName, int timeoutMs)
             throws IOException {
-        Socket plain = new Socket();
+        Socket tcpSocket = new Socket();
         try {
-            plain.setTcpNoDelay(true);
-            plain.connect(to, timeoutMs);
-            plain.setSoTimeout(timeoutMs);
+            tcpSocket.setTcpNoDelay(true);
+            tcpSocket.connect(address, timeoutMs);
+            tcpSocket.setSoTimeout(timeoutMs);
             socket =
                     (SSLSocket)
                             identity.context()
                                     .getSocketFactory()
-                                    .createSocket(plain, to.getHostString(), to.getPort(), true);
+                                    .createSocket(
+                                            tcpSocket,
+                                            address.getHostString(),
+                                            address.getPort(),
+                                            true);
             socket.startHandshake();
             peer = Identity.name((X509Certificate) socket.getSession().getPeerCertificates()[0]);
-            if (expected != null && !peer.equals(expected)) {
-                throw new IOException("at " + to + " is " + peer + ", not " + expected);
+            if (expectedName != null && !peer.equals(expectedName)) {
+                throw new IOException(
+                        "unexpected certificate name "
+                                + peer
+                                + " of the router at "
+                                + address
+                                + ": expected "
+                                + expectedName);
             }
             in = new DataInputStream(new BufferedInputStream(socket.getInputStream(), 16 << 10));
             out = new DataOutputStream(socket.getOutputStream());
         } catch (IOException | RuntimeException e) {
-            plain.close();
+            tcpSocket.close();
             throw e;
         }
     }
 
-    /** Who is at the other end, by its certificate. */
+    /** Returns the name in the router's certificate. */
     public String peer() {
         return peer;
     }
 
-    /** Sends a frame that has no answer. */
+    /** Sends a frame that the router does not respond to. */
     public void send(JsonNode frame) throws IOException {
         Frames.write(out, frame);
     }
 
-    /** Sends a frame and waits for its answer; one that tells of an error is an exception. */
+    /**
+     * Sends a frame and waits for the response.
+     *
+     * @throws IOException if the connection fails or the response reports an error
+     */
     public JsonNode request(JsonNode frame) throws IOException {
         send(frame);
-        JsonNode answer = Frames.read(in);
-        if (answer == null) {
+        JsonNode response = Frames.read(in);
+        if (response == null) {
             throw Frames.connectionClosed();
         }
-        if (answer.has("error")) {
-            throw new IOException(peer + ": " + answer.get("error").asText());
+        if (response.has("error")) {
+            throw new IOException(peer + ": " + response.get("error").asText());
         }
-        return answer;
+        return response;
     }
 
     @Override
@@ -76,7 +95,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // it is gone either way
+            // The connection is no longer used, whether or not closing it succeeded.
         }
     }
 }
--- a/control/src/main/java/ashlink/control/channel/Frames.java
+++ b/control/src/main/java/ashlink/control/channel/Frames.java
@@ -13,8 +13,8 @@
 import java.io.IOException;
 
 /**
- * Frames: four bytes of length, then JSON. One that is too long or makes no sense ends the
- * connection.
+ * Encodes and decodes the frames of the control channel: a length of four bytes in big-endian
+ * order, then a JSON object. A frame that is too long or malformed closes the connection.
  */
 final class Frames {
 
@@ -32,7 +32,11 @@
 
     private Frames() {}
 
-    /** The next frame, or null where the peer closed between frames. */
+    /**
+     * Reads the next frame; returns null if the peer closed the connection between two frames.
+     *
+     * @throws IOException if the frame is too long, malformed or incomplete
+     */
     static JsonNode read(DataInputStream in) throws IOException {
         int first = in.read();
         if (first < 0) {
@@ -45,10 +49,7 @@
                         | in.readUnsignedByte();
         if (length <= 0 || length > MAX_FRAME_BYTES) {
             throw new IOException(
-                    "a frame says that it has "
-                            + length
-                            + " bytes; the limit is "
-                            + MAX_FRAME_BYTES);
+                    "invalid frame length " + length + ": expected 1 to " + MAX_FRAME_BYTES);
         }
         byte[] bytes = new byte[length];
         in.readFully(bytes);
@@ -58,19 +59,16 @@
                 return node;
             }
         } catch (JsonProcessingException e) {
-            throw new IOException("a frame is no JSON: " + e.getOriginalMessage());
+            throw new IOException("invalid JSON in frame: " + e.getOriginalMessage());
         }
-        throw new IOException("a frame is no JSON object");
+        throw new IOException("invalid frame content: expected a JSON object");
     }
 
     static void write(DataOutputStream out, JsonNode node) throws IOException {
         byte[] bytes = JSON.writeValueAsBytes(node);
         if (bytes.length > MAX_FRAME_BYTES) {
             throw new IOException(
-                    "a frame of "
-                            + bytes.length
-                            + " bytes is over the limit of "
-                            + MAX_FRAME_BYTES);
+                    "invalid frame length " + bytes.length + ": at most " + MAX_FRAME_BYTES);
         }
         byte[] frame = new byte[4 + bytes.length];
         frame[0] = (byte) (bytes.length >>> 24);
@@ -83,6 +81,6 @@
     }
 
     static EOFException connectionClosed() {
-        return new EOFException("the peer closed the connection");
+        return new EOFException("connection closed by the peer before its response");
     }
 }
--- a/control/src/main/java/ashlink/control/member/CommandExecutor.java
+++ b/control/src/main/java/ashlink/control/member/CommandExecutor.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * Applies the commands in force to this router. A stop is executed once: a router that is started
- * again under the same stop keeps running. Not thread-safe.
+ * Applies the commands in force to this router. A stop command is executed only once: a router that
+ * is started again while the command is still in force keeps running. Not thread-safe.
  */
 final class CommandExecutor {
 
@@ -20,32 +20,32 @@
     private final ReplicatedCommandSet commands;
     private final Set<OperatorCommand> executedStops = new HashSet<>();
 
-    /** Takes the stops that the set already has as executed. */
+    /** Creates an executor; stop commands already in the set count as executed. */
     CommandExecutor(String name, RouterControl router, ReplicatedCommandSet commands, long nowMs) {
         this.subject = OperatorCommand.router(name);
         this.router = router;
         this.commands = commands;
         commands.commands(nowMs).stream()
-                .filter(command -> command.command().intent() == Intent.STOP)
-                .forEach(command -> executedStops.add(command.command()));
+                .filter(entry -> entry.command().intent() == Intent.STOP)
+                .forEach(entry -> executedStops.add(entry.command()));
     }
 
-    /** Applies what is in force now. */
+    /** Applies the commands that are in force at the given time. */
     void apply(long nowMs) {
         Set<String> drainedEngines = new HashSet<>();
-        Intent own = Intent.NONE;
+        Intent ownIntent = Intent.NONE;
         for (Map.Entry<String, Intent> entry : commands.intents(nowMs).entrySet()) {
             if (entry.getKey().startsWith(ENGINE_PREFIX)) {
                 drainedEngines.add(entry.getKey().substring(ENGINE_PREFIX.length()));
             } else if (entry.getKey().equals(subject)) {
-                own = entry.getValue();
+                ownIntent = entry.getValue();
             }
         }
         router.setDrainedEngines(drainedEngines);
-        boolean stops = own == Intent.STOP && isStopPending(nowMs);
-        router.setRejecting(own == Intent.DRAIN || stops);
-        if (stops) {
-            commands.commands(nowMs).forEach(command -> executedStops.add(command.command()));
+        boolean stopping = ownIntent == Intent.STOP && isStopPending(nowMs);
+        router.setRejecting(ownIntent == Intent.DRAIN || stopping);
+        if (stopping) {
+            commands.commands(nowMs).forEach(entry -> executedStops.add(entry.command()));
             router.stop();
         }
     }
@@ -53,10 +53,10 @@
     private boolean isStopPending(long nowMs) {
         return commands.commands(nowMs).stream()
                 .anyMatch(
-                        command ->
-                                command.command().subject().equals(subject)
-                                        && command.command().intent() == Intent.STOP
-                                        && command.ttlMs() > 0
-                                        && !executedStops.contains(command.command()));
+                        entry ->
+                                entry.command().subject().equals(subject)
+                                        && entry.command().intent() == Intent.STOP
+                                        && entry.ttlMs() > 0
+                                        && !executedStops.contains(entry.command()));
     }
 }
--- a/control/src/main/java/ashlink/control/member/CommandLog.java
+++ b/control/src/main/java/ashlink/control/member/CommandLog.java
@@ -16,9 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The command log of a router on disk, in the format of the capture log. {@link #put} returns once
- * the record is synced, so a command that was applied is known after a crash. Expiry is stored in
- * milliseconds since 1970. Not thread-safe.
+ * A router's log of commands on disk, in the format of the capture log. {@link #put} returns after
+ * the record has been synced, so that a command that was applied survives a crash. Expiry times are
+ * stored in milliseconds since 1970. Not thread-safe.
  */
 final class CommandLog implements AutoCloseable {
 
@@ -29,21 +29,26 @@
     private final KeyValueLog log;
     private final ReplicatedCommandSet set;
 
-    /** Merges what the disk has into the set, and rewrites the log. */
+    /** Merges the commands stored on a disk into the set and rewrites the log. */
     CommandLog(Disk disk, ReplicatedCommandSet set, long nowMs) throws IOException {
         this.set = set;
         this.log = new KeyValueLog(disk, SEGMENT_BYTES, nowMs);
         for (String damage :
-                log.read(r -> read(new DataInputStream(new ByteArrayInputStream(r)), nowMs))) {
+                log.read(
+                        bytes ->
+                                read(
+                                        new DataInputStream(new ByteArrayInputStream(bytes)),
+                                        nowMs))) {
             LOG.error(
-                    "the notices are damaged in {}; what followed comes from other routers",
+                    "command log damaged, later records are recovered from other routers"
+                            + " error=\"{}\"",
                     damage);
         }
         rewrite(nowMs);
     }
 
     private void read(DataInputStream in, long nowMs) throws IOException {
-        OperatorCommand operatorCommand =
+        OperatorCommand command =
                 new OperatorCommand(
                         in.readUTF(),
                         in.readUTF(),
@@ -51,36 +56,38 @@
                         Intent.ofCode(in.readByte()),
                         in.readUTF(),
                         in.readUTF());
-        set.add(operatorCommand, in.readLong() - nowMs, nowMs);
+        set.add(command, in.readLong() - nowMs, nowMs);
     }
 
-    private static byte[] record(OperatorCommand operatorCommand, long untilMs) throws IOException {
+    private static byte[] record(OperatorCommand command, long expiresMs) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
-        out.writeUTF(operatorCommand.subject());
-        out.writeUTF(operatorCommand.owner());
-        out.writeLong(operatorCommand.revision());
-        out.writeByte(operatorCommand.intent().code());
-        out.writeUTF(operatorCommand.by());
-        out.writeUTF(operatorCommand.why());
-        out.writeLong(untilMs);
+        out.writeUTF(command.subject());
+        out.writeUTF(command.owner());
+        out.writeLong(command.revision());
+        out.writeByte(command.intent().code());
+        out.writeUTF(command.issuer());
+        out.writeUTF(command.reason());
+        out.writeLong(expiresMs);
         return bytes.toByteArray();
     }
 
-    /** Appends a command; returns once it is synced to disk. */
-    void put(OperatorCommand operatorCommand, long leftMs, long nowMs) throws IOException {
+    /** Appends a command; returns after the record has been synced to disk. */
+    void put(OperatorCommand command, long ttlMs, long nowMs) throws IOException {
         if (log.written() > REWRITE_SLACK_RECORDS + 4L * set.size()) {
             rewrite(nowMs);
         }
-        log.append(record(operatorCommand, nowMs + leftMs));
+        log.append(record(command, nowMs + ttlMs));
         log.sync();
     }
 
-    /** Replaces the log by the commands of the set; the old one is deleted once that is synced. */
+    /**
+     * Replaces the log by the commands of the set; deletes the old log after the new one is synced.
+     */
     void rewrite(long nowMs) throws IOException {
         List<byte[]> records = new ArrayList<>();
-        for (ReplicatedCommandSet.CommandWithTtl ttl : set.commands(nowMs)) {
-            records.add(record(ttl.command(), nowMs + ttl.ttlMs()));
+        for (ReplicatedCommandSet.CommandWithTtl entry : set.commands(nowMs)) {
+            records.add(record(entry.command(), nowMs + entry.ttlMs()));
         }
         log.rewrite(records);
     }
--- a/control/src/main/java/ashlink/control/member/ControlWords.java
+++ b/control/src/main/java/ashlink/control/member/ControlProtocol.java
@@ -4,10 +4,10 @@
 import ashlink.fleet.membership.MembershipUpdate.State;
 
 /**
- * The words of the control channel's JSON. Routers of different builds exchange them, so they stay
- * as they are whatever the Java constants are called. Stateless.
+ * Field names and values in the JSON frames of the control channel. Routers of different builds
+ * exchange these frames, so the strings must not change, whatever the Java constants are called.
  */
-final class ControlWords {
+final class ControlProtocol {
 
     static final String OP = "op";
     static final String OP_SWIM = "swim";
@@ -51,10 +51,10 @@
     static final String CERTIFICATE_EXPIRES_MS = "certificateEndsMs";
     static final String MEMBERS = "members";
 
-    private ControlWords() {}
+    private ControlProtocol() {}
 
-    /** The word of an intent. */
-    static String word(Intent intent) {
+    /** Returns the string that represents an intent. */
+    static String intentName(Intent intent) {
         return switch (intent) {
             case NONE -> "NONE";
             case DRAIN -> "DRAIN";
@@ -63,21 +63,23 @@
     }
 
     /**
-     * The intent of a word.
+     * Returns the intent that a string represents.
      *
-     * @throws IllegalArgumentException if no intent has that word
+     * @throws IllegalArgumentException if the string represents no intent
      */
-    static Intent intent(String word) {
-        return switch (word) {
+    static Intent parseIntent(String name) {
+        return switch (name) {
             case "NONE" -> Intent.NONE;
             case "DRAIN" -> Intent.DRAIN;
             case "STOP" -> Intent.STOP;
-            default -> throw new IllegalArgumentException("unknown intent " + word);
+            default ->
+                    throw new IllegalArgumentException(
+                            "unknown intent " + name + ": expected NONE, DRAIN or STOP");
         };
     }
 
-    /** The word of a member's state. */
-    static String word(State state) {
+    /** Returns the string that represents a member state. */
+    static String stateName(State state) {
         return switch (state) {
             case ALIVE -> "ALIVE";
             case SUSPECT -> "SUSPECT";
@@ -86,16 +88,18 @@
     }
 
     /**
-     * The member state of a word.
+     * Returns the member state that a string represents.
      *
-     * @throws IllegalArgumentException if no state has that word
+     * @throws IllegalArgumentException if the string represents no member state
      */
-    static State state(String word) {
-        return switch (word) {
+    static State parseState(String name) {
+        return switch (name) {
             case "ALIVE" -> State.ALIVE;
             case "SUSPECT" -> State.SUSPECT;
             case "GONE" -> State.DEAD;
-            default -> throw new IllegalArgumentException("unknown member state " + word);
+            default ->
+                    throw new IllegalArgumentException(
+                            "unknown member state " + name + ": expected ALIVE, SUSPECT or GONE");
         };
     }
 }
--- a/control/src/main/java/ashlink/control/member/FleetMember.java
+++ b/control/src/main/java/ashlink/control/member/FleetMember.java
@@ -26,27 +26,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A router as a member of its fleet. Received commands are synced to disk, then applied, then sent
- * on to the other routers; lost ones arrive by a comparison of digests with one peer a second
- * (anti-entropy). Membership does not restrict to whom commands go.
+ * A router as a member of its fleet. A received command is synced to disk, then applied, then
+ * forwarded to the other routers. Commands lost in transit are recovered by comparing digests with
+ * one peer per second (anti-entropy). Commands are sent to all peers, whatever their membership
+ * state.
  *
- * <p>Thread-safe; the state of membership and commands is guarded by this.
+ * <p>Thread-safe; the state of the membership and the commands is guarded by {@code this}.
  */
 public final class FleetMember implements AutoCloseable {
 
     private static final Logger LOG = LoggerFactory.getLogger(FleetMember.class);
     private static final Logger AUDIT = LoggerFactory.getLogger("ashlink.control.audit");
-    private static final long MS = 1_000_000L;
-    private static final long TICK_NS = 10 * MS;
-    private static final long ANTI_ENTROPY_NS = 1_000 * MS;
-    private static final long STACK_BYTES = 256 << 10;
+    private static final long NS_PER_MS = 1_000_000L;
+    private static final long TICK_INTERVAL_NS = 10 * NS_PER_MS;
+    private static final long ANTI_ENTROPY_INTERVAL_NS = 1_000 * NS_PER_MS;
+    private static final long THREAD_STACK_BYTES = 256 << 10;
 
     /**
-     * A member's settings.
+     * Configuration of a member.
      *
-     * @param stateDir folder of the command log
-     * @param peers the other routers by name
-     * @param seed of the random choices
+     * @param listen address on which the control channel listens
+     * @param stateDir directory of the command log
+     * @param peers addresses of the other routers by name
+     * @param seed the seed of the random choices
      */
     public record Spec(
             String name,
@@ -68,23 +70,23 @@
     private Swim swim;
     private volatile boolean closed;
 
-    /** A member whose logged commands are in force when this returns. */
-    public FleetMember(Spec spec, Identity identity, RouterControl controlled) throws IOException {
-        this(spec, identity, controlled, FolderDisk.writing(spec.stateDir()));
+    /** Creates a member and applies the commands in its command log to the router. */
+    public FleetMember(Spec spec, Identity identity, RouterControl router) throws IOException {
+        this(spec, identity, router, FolderDisk.writing(spec.stateDir()));
     }
 
-    /** The same, with its command log on a given disk. */
-    public FleetMember(Spec spec, Identity identity, RouterControl controlled, Disk disk)
+    /** Creates a member whose command log is on the given disk. */
+    public FleetMember(Spec spec, Identity identity, RouterControl router, Disk disk)
             throws IOException {
         this.spec = spec;
         this.identity = identity;
-        this.router = controlled;
+        this.router = router;
         this.peers = new PeerConnections(identity);
         this.store = new CommandStore(disk, nowMs());
         this.disseminator = new CommandDisseminator(store.commands(), spec.seed());
         this.executor = new CommandExecutor(spec.name(), router, store.commands(), nowMs());
         this.server = new ControlServer(identity, spec.listen(), this::handle);
-        this.thread = new Thread(null, this::run, spec.name() + "-gossip", STACK_BYTES);
+        this.thread = new Thread(null, this::run, spec.name() + "-gossip", THREAD_STACK_BYTES);
         thread.setDaemon(true);
         executor.apply(nowMs());
     }
@@ -98,16 +100,16 @@
         Map<String, String> seeds = new HashMap<>();
         spec.peers()
                 .forEach(
-                        (peer, at) -> {
-                            seeds.put(peer, at.getHostString() + ":" + at.getPort());
-                            peers.add(peer, at);
+                        (peer, address) -> {
+                            seeds.put(peer, address.getHostString() + ":" + address.getPort());
+                            peers.add(peer, address);
                         });
         swim = new Swim(spec.name(), ownAddress(), seeds, spec.swimConfig(), spec.seed());
         server.start();
         thread.start();
     }
 
-    /** The address that it listens on. */
+    /** Returns the address on which the control channel listens. */
     public InetSocketAddress address() {
         return server.address();
     }
@@ -117,18 +119,18 @@
     }
 
     private void run() {
-        long compareNs = System.nanoTime();
+        long nextAntiEntropyNs = System.nanoTime();
         try {
             while (!closed) {
-                long now = System.nanoTime();
+                long nowNs = System.nanoTime();
                 synchronized (this) {
-                    swim.tick(now).forEach(this::send);
-                    if (now >= compareNs) {
-                        compareNs = now + ANTI_ENTROPY_NS;
+                    swim.tick(nowNs).forEach(this::send);
+                    if (nowNs >= nextAntiEntropyNs) {
+                        nextAntiEntropyNs = nowNs + ANTI_ENTROPY_INTERVAL_NS;
                         runAntiEntropy();
                     }
                 }
-                Thread.sleep(TICK_NS / MS);
+                Thread.sleep(TICK_INTERVAL_NS / NS_PER_MS);
             }
         } catch (InterruptedException e) {
             LOG.debug("gossip stopped router={}", spec.name());
@@ -142,8 +144,11 @@
         executor.apply(nowMs());
     }
 
-    private void send(Swim.Send send) {
-        peers.send(send.member(), send.address(), ControlCodec.swim(send.message(), ownAddress()));
+    private void send(Swim.Send message) {
+        peers.send(
+                message.member(),
+                message.address(),
+                ControlCodec.swim(message.message(), ownAddress()));
     }
 
     private void transmit(List<Transmission> transmissions) {
@@ -151,67 +156,73 @@
             if (transmission instanceof SendCommands commands) {
                 peers.send(
                         commands.peer(),
-                        ControlCodec.commands(ControlWords.OP_COMMANDS, commands.commands()));
+                        ControlCodec.commands(ControlProtocol.OP_COMMANDS, commands.commands()));
             } else if (transmission instanceof SendDigest digest) {
                 peers.send(digest.peer(), ControlCodec.digest(digest.digest(), digest.reply()));
             }
         }
     }
 
-    /** Merges commands: first on the disk, then in force, then sent on. */
-    private synchronized List<CommandWithTtl> merge(List<CommandWithTtl> received, String from) {
+    /** Merges commands: syncs the new ones to disk, applies them and forwards them to the peers. */
+    private synchronized List<CommandWithTtl> merge(List<CommandWithTtl> received, String sender) {
         List<CommandWithTtl> changed = store.merge(received, nowMs());
         if (!changed.isEmpty()) {
             executor.apply(nowMs());
-            transmit(disseminator.disseminate(changed, peers.peers(), from));
+            transmit(disseminator.disseminate(changed, peers.peers(), sender));
         }
         return changed;
     }
 
-    private JsonNode handle(Peer from, JsonNode frame) throws IOException {
-        String op = ControlCodec.text(frame, ControlWords.OP);
+    private JsonNode handle(Peer sender, JsonNode frame) throws IOException {
+        String op = ControlCodec.text(frame, ControlProtocol.OP);
         switch (op) {
-            case ControlWords.OP_SWIM -> {
-                requireRole(from, Role.ROUTER);
+            case ControlProtocol.OP_SWIM -> {
+                requireRole(sender, Role.ROUTER);
                 synchronized (this) {
                     swim.receive(
-                                    from.name(),
-                                    ControlCodec.text(frame, ControlWords.ADDRESS),
+                                    sender.name(),
+                                    ControlCodec.text(frame, ControlProtocol.ADDRESS),
                                     ControlCodec.swim(frame),
                                     System.nanoTime())
                             .forEach(this::send);
                 }
                 return null;
             }
-            case ControlWords.OP_COMMANDS -> {
-                requireRole(from, Role.ROUTER);
-                merge(ControlCodec.commands(frame), from.name());
+            case ControlProtocol.OP_COMMANDS -> {
+                requireRole(sender, Role.ROUTER);
+                merge(ControlCodec.commands(frame), sender.name());
                 return null;
             }
-            case ControlWords.OP_DIGEST -> {
-                requireRole(from, Role.ROUTER);
-                onDigest(from.name(), frame);
+            case ControlProtocol.OP_DIGEST -> {
+                requireRole(sender, Role.ROUTER);
+                onDigest(sender.name(), frame);
                 return null;
             }
-            case ControlWords.OP_PUT -> {
-                return put(from, ControlCodec.commands(frame));
+            case ControlProtocol.OP_PUT -> {
+                return put(sender, ControlCodec.commands(frame));
             }
-            case ControlWords.OP_STATUS -> {
-                requireRole(from, Role.OBSERVE);
+            case ControlProtocol.OP_STATUS -> {
+                requireRole(sender, Role.OBSERVE);
                 return status();
             }
             default ->
                     throw new IOException(
-                            "op "
+                            "unknown operation "
                                     + op
-                                    + " is unknown; there are status, put, and those of routers");
+                                    + ": expected status or put, from routers also swim, notices"
+                                    + " or digest");
         }
     }
 
-    private static void requireRole(Peer from, Role role) throws IOException {
-        if (!from.roles().contains(role)) {
+    private static void requireRole(Peer sender, Role role) throws IOException {
+        if (!sender.roles().contains(role)) {
             throw new IOException(
-                    from.name() + " has no role " + role.word() + ", only " + from.roles());
+                    "permission denied: "
+                            + sender.name()
+                            + " requires role "
+                            + role.word()
+                            + ", has "
+                            + sender.roles());
         }
     }
 
@@ -220,36 +231,39 @@
                 disseminator.onDigest(
                         peer,
                         ControlCodec.digest(frame),
-                        frame.path(ControlWords.REPLY).asBoolean(),
+                        frame.path(ControlProtocol.REPLY).asBoolean(),
                         nowMs()));
     }
 
-    /** Accepts commands from the operator who issued them, and no other. */
-    private JsonNode put(Peer from, List<CommandWithTtl> received) throws IOException {
-        for (CommandWithTtl command : received) {
-            requireRole(from, command.command().intent() == Intent.STOP ? Role.STOP : Role.DRAIN);
-            if (!command.command().by().equals(from.name())) {
+    /** Accepts commands only from the operator who issued them. */
+    private JsonNode put(Peer sender, List<CommandWithTtl> received) throws IOException {
+        for (CommandWithTtl entry : received) {
+            requireRole(sender, entry.command().intent() == Intent.STOP ? Role.STOP : Role.DRAIN);
+            if (!entry.command().issuer().equals(sender.name())) {
                 throw new IOException(
-                        "a notice by " + command.command().by() + " comes from " + from.name());
+                        "invalid command issuer "
+                                + entry.command().issuer()
+                                + ": expected the sender "
+                                + sender.name());
             }
         }
         List<CommandWithTtl> changed = merge(received, "");
-        for (CommandWithTtl command : received) {
+        for (CommandWithTtl entry : received) {
             AUDIT.atInfo()
-                    .addKeyValue("by", from.name())
-                    .addKeyValue("address", from.address())
-                    .addKeyValue("subject", command.command().subject())
-                    .addKeyValue("intent", command.command().intent())
-                    .addKeyValue("owner", command.command().owner())
-                    .addKeyValue("revision", command.command().revision())
-                    .addKeyValue("why", command.command().why())
-                    .addKeyValue("fresh", changed.contains(command))
+                    .addKeyValue("by", sender.name())
+                    .addKeyValue("address", sender.address())
+                    .addKeyValue("subject", entry.command().subject())
+                    .addKeyValue("intent", entry.command().intent())
+                    .addKeyValue("owner", entry.command().owner())
+                    .addKeyValue("revision", entry.command().revision())
+                    .addKeyValue("why", entry.command().reason())
+                    .addKeyValue("fresh", changed.contains(entry))
                     .log("command");
         }
-        return ControlCodec.op(ControlWords.OP_PUT_RESULT)
-                .put(ControlWords.ROUTER, spec.name())
-                .put(ControlWords.NEW_COMMANDS, changed.size())
-                .put(ControlWords.DURABLE, isDurable());
+        return ControlCodec.op(ControlProtocol.OP_PUT_RESULT)
+                .put(ControlProtocol.ROUTER, spec.name())
+                .put(ControlProtocol.NEW_COMMANDS, changed.size())
+                .put(ControlProtocol.DURABLE, isDurable());
     }
 
     private synchronized boolean isDurable() {
@@ -258,7 +272,8 @@
 
     private synchronized ObjectNode status() {
         ObjectNode status =
-                StatusPage.of(spec.name(), store, swim.members(), identity.expiresMs(), nowMs());
+                StatusResponse.of(
+                        spec.name(), store, swim.members(), identity.expiresMs(), nowMs());
         router.addStatus(status);
         return status;
     }
@@ -273,7 +288,7 @@
             try {
                 store.close();
             } catch (IOException e) {
-                LOG.warn("command log close failed error={}", e.toString());
+                LOG.warn("command log close failed error=\"{}\"", e.toString());
             }
         }
     }
--- a/control/src/main/java/ashlink/control/member/PeerConnection.java
+++ b/control/src/main/java/ashlink/control/member/PeerConnection.java
@@ -11,21 +11,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A connection to another router, opened when there is a frame to send, with a bounded queue that
- * drops its oldest frame when full. Thread-safe.
+ * An outgoing connection to another router, opened when there is a frame to send. Frames wait in a
+ * bounded queue, which drops its oldest frame when it is full. Thread-safe.
  */
 final class PeerConnection {
 
     private static final Logger LOG = LoggerFactory.getLogger(PeerConnection.class);
-    private static final int QUEUE_FRAMES = 64;
-    private static final int CONNECT_MS = 1_000;
-    private static final long RETRY_PAUSE_MS = 200;
-    private static final long STACK_BYTES = 256 << 10;
+    private static final int MAX_QUEUED_FRAMES = 64;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
+    private static final long RETRY_DELAY_MS = 200;
+    private static final long THREAD_STACK_BYTES = 256 << 10;
 
     private final Identity identity;
     private final InetSocketAddress address;
     private final String peer;
-    private final ArrayBlockingQueue<JsonNode> queue = new ArrayBlockingQueue<>(QUEUE_FRAMES);
+    private final ArrayBlockingQueue<JsonNode> queue = new ArrayBlockingQueue<>(MAX_QUEUED_FRAMES);
     private final Thread thread;
     private volatile boolean closed;
     private volatile ControlClient client;
@@ -34,7 +34,8 @@
         this.identity = identity;
         this.peer = peer;
         this.address = address;
-        this.thread = new Thread(null, this::run, identity.name() + "-to-" + peer, STACK_BYTES);
+        this.thread =
+                new Thread(null, this::run, identity.name() + "-to-" + peer, THREAD_STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
     }
@@ -51,13 +52,17 @@
                 JsonNode frame = queue.take();
                 try {
                     if (client == null) {
-                        client = new ControlClient(identity, address, peer, CONNECT_MS);
+                        client = new ControlClient(identity, address, peer, CONNECT_TIMEOUT_MS);
                     }
                     client.send(frame);
                 } catch (IOException e) {
-                    LOG.debug("peer unreachable peer={} error={}", peer, e.toString());
+                    LOG.debug(
+                            "peer unreachable peer={} address={} error=\"{}\"",
+                            peer,
+                            address,
+                            e.toString());
                     disconnect();
-                    TimeUnit.MILLISECONDS.sleep(RETRY_PAUSE_MS);
+                    TimeUnit.MILLISECONDS.sleep(RETRY_DELAY_MS);
                 }
             }
         } catch (InterruptedException e) {
@@ -66,19 +71,19 @@
     }
 
     private void disconnect() {
-        ControlClient controlClient = client;
+        ControlClient openClient = client;
         client = null;
-        if (controlClient != null) {
-            controlClient.close();
+        if (openClient != null) {
+            openClient.close();
         }
     }
 
     void close() {
         closed = true;
         thread.interrupt();
-        ControlClient controlClient = client;
-        if (controlClient != null) {
-            controlClient.close();
+        ControlClient openClient = client;
+        if (openClient != null) {
+            openClient.close();
         }
     }
 }
--- a/control/src/main/java/ashlink/control/tls/Identity.java
+++ b/control/src/main/java/ashlink/control/tls/Identity.java
@@ -16,8 +16,8 @@
 import javax.net.ssl.TrustManagerFactory;
 
 /**
- * Who a process is in its fleet, and whom it trusts: {@code NAME.key}, {@code NAME.crt} and {@code
- * ca.crt} of a folder.
+ * The TLS identity of a router or operator: its private key ({@code NAME.key}), its certificate
+ * ({@code NAME.crt}) and the authorities that it trusts ({@code ca.crt}).
  */
 public final class Identity {
 
@@ -25,7 +25,12 @@
     private final X509Certificate certificate;
     private final SSLContext context;
 
-    /** Reads the files; an exception says which is wrong. */
+    /**
+     * Reads the identity of a name from the files in a directory.
+     *
+     * @throws IOException if a file cannot be read
+     * @throws GeneralSecurityException if a file is invalid or the certificate has another name
+     */
     public Identity(Path dir, String name) throws IOException, GeneralSecurityException {
         this.name = name;
         List<X509Certificate> chain = Pem.certificates(dir.resolve(name + ".crt"));
@@ -33,56 +38,63 @@
         certificate = chain.get(0);
         if (!name(certificate).equals(name)) {
             throw new GeneralSecurityException(
-                    dir.resolve(name + ".crt") + " is the certificate of " + name(certificate));
+                    "unexpected certificate name "
+                            + name(certificate)
+                            + " in "
+                            + dir.resolve(name + ".crt")
+                            + ": expected "
+                            + name);
         }
-        KeyStore own = KeyStore.getInstance("PKCS12");
-        own.load(null, null);
-        own.setKeyEntry(
+        KeyStore ownKeys = KeyStore.getInstance("PKCS12");
+        ownKeys.load(null, null);
+        ownKeys.setKeyEntry(
                 name,
                 Pem.key(dir.resolve(name + ".key")),
                 new char[0],
                 chain.toArray(new X509Certificate[0]));
-        KeyManagerFactory keys =
+        KeyManagerFactory keyManagers =
                 KeyManagerFactory.getInstance(KeyManagerFactory.getDefaultAlgorithm());
-        keys.init(own, new char[0]);
+        keyManagers.init(ownKeys, new char[0]);
         KeyStore authorities = KeyStore.getInstance("PKCS12");
         authorities.load(null, null);
         for (int i = 0; i < trusted.size(); i++) {
             authorities.setCertificateEntry("ca" + i, trusted.get(i));
         }
-        TrustManagerFactory trust =
+        TrustManagerFactory trustManagers =
                 TrustManagerFactory.getInstance(TrustManagerFactory.getDefaultAlgorithm());
-        trust.init(authorities);
+        trustManagers.init(authorities);
         context = SSLContext.getInstance("TLSv1.3");
-        context.init(keys.getKeyManagers(), trust.getTrustManagers(), null);
+        context.init(keyManagers.getKeyManagers(), trustManagers.getTrustManagers(), null);
     }
 
-    /** The name that the certificate gives. */
+    /** Returns the name in the certificate. */
     public String name() {
         return name;
     }
 
-    /** Sockets that show this identity, and take those whom the fleet's authorities know. */
+    /**
+     * Returns a TLS context that presents this identity and trusts the authorities of the fleet.
+     */
     public SSLContext context() {
         return context;
     }
 
-    /** When the certificate ends, in milliseconds since 1970. */
+    /** Returns the expiry time of the certificate, in milliseconds since 1970. */
     public long expiresMs() {
         return certificate.getNotAfter().getTime();
     }
 
-    /** The name in a certificate. */
-    public static String name(X509Certificate x509Certificate) {
-        return parts(x509Certificate, "CN").stream().findFirst().orElse("");
+    /** Returns the name in a certificate; empty if there is none. */
+    public static String name(X509Certificate certificate) {
+        return subjectAttributes(certificate, "CN").stream().findFirst().orElse("");
     }
 
-    /** The roles in a certificate; words that are unknown are none. */
-    public static Set<Role> roles(X509Certificate x509Certificate) {
+    /** Returns the roles in a certificate; unknown role names are ignored. */
+    public static Set<Role> roles(X509Certificate certificate) {
         Set<Role> roles = EnumSet.noneOf(Role.class);
-        for (String word : parts(x509Certificate, "OU")) {
+        for (String roleName : subjectAttributes(certificate, "OU")) {
             for (Role role : Role.values()) {
-                if (role.word().equals(word)) {
+                if (role.word().equals(roleName)) {
                     roles.add(role);
                 }
             }
@@ -90,9 +102,9 @@
         return roles;
     }
 
-    private static List<String> parts(X509Certificate x509Certificate, String type) {
+    private static List<String> subjectAttributes(X509Certificate certificate, String type) {
         try {
-            return new LdapName(x509Certificate.getSubjectX500Principal().getName())
+            return new LdapName(certificate.getSubjectX500Principal().getName())
                     .getRdns().stream()
                             .filter(rdn -> rdn.getType().equalsIgnoreCase(type))
                             .map(Rdn::getValue)
--- a/control/src/main/java/ashlink/control/tls/Pem.java
+++ b/control/src/main/java/ashlink/control/tls/Pem.java
@@ -13,30 +13,31 @@
 import java.util.Base64;
 import java.util.List;
 
-/** Reads keys and certificates as text. */
+/** Reads private keys and certificates from PEM files. */
 public final class Pem {
 
     private Pem() {}
 
-    /** All certificates of a file. */
+    /** Reads all certificates in a file. */
     public static List<X509Certificate> certificates(Path file)
             throws IOException, GeneralSecurityException {
         try (InputStream in = Files.newInputStream(file)) {
             return CertificateFactory.getInstance("X.509").generateCertificates(in).stream()
-                    .map(c -> (X509Certificate) c)
+                    .map(certificate -> (X509Certificate) certificate)
                     .toList();
         }
     }
 
-    /** The private key of a file. */
+    /** Reads the elliptic-curve private key in a file. */
     public static PrivateKey key(Path file) throws IOException, GeneralSecurityException {
-        String text =
+        String base64 =
                 Files.readString(file).replaceAll("-----[A-Z ]+-----", "").replaceAll("\\s", "");
         try {
             return KeyFactory.getInstance("EC")
-                    .generatePrivate(new PKCS8EncodedKeySpec(Base64.getDecoder().decode(text)));
+                    .generatePrivate(new PKCS8EncodedKeySpec(Base64.getDecoder().decode(base64)));
         } catch (IllegalArgumentException e) {
-            throw new GeneralSecurityException(file + " is no private key", e);
+            throw new GeneralSecurityException(
+                    "invalid private key in " + file + ": expected Base64 in PEM", e);
         }
     }
 }
--- a/control/src/main/java/ashlink/control/tool/FleetClient.java
+++ b/control/src/main/java/ashlink/control/tool/FleetClient.java
@@ -20,19 +20,21 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 
-/** Sends requests to many routers in parallel; each has its own result. */
+/** Sends control requests to many routers in parallel and collects a result per router. */
 public final class FleetClient implements AutoCloseable {
 
-    private static final long POLL_MS = 50;
+    private static final long POLL_INTERVAL_MS = 50;
 
     /**
-     * The result of one router: its answer, or null and an error if it was not reached.
+     * The result of a request to one router.
      *
+     * @param answer the response, or null if the request failed
+     * @param error why the request failed; empty if it succeeded
      * @param atMs time of the result, in milliseconds since 1970
      */
     public record Result(String router, JsonNode answer, String error, long atMs) {
 
-        /** True if it answered. */
+        /** Returns whether the router responded. */
         public boolean isReached() {
             return answer != null;
         }
@@ -43,15 +45,24 @@
     private final int timeoutMs;
     private final ExecutorService pool;
 
-    /** A client of routers by name; each request times out after {@code timeoutMs}. */
+    /**
+     * Creates a client of the given routers.
+     *
+     * @param routers addresses of the routers by name
+     * @param maxParallelRequests maximum number of parallel requests
+     * @param timeoutMs timeout of a connection attempt and of each read
+     */
     public FleetClient(
-            Identity identity, Map<String, InetSocketAddress> routers, int atOnce, int timeoutMs) {
+            Identity identity,
+            Map<String, InetSocketAddress> routers,
+            int maxParallelRequests,
+            int timeoutMs) {
         this.identity = identity;
         this.routers = new LinkedHashMap<>(routers);
         this.timeoutMs = timeoutMs;
         this.pool =
                 Executors.newFixedThreadPool(
-                        Math.max(1, Math.min(atOnce, routers.size())),
+                        Math.max(1, Math.min(maxParallelRequests, routers.size())),
                         task -> {
                             Thread thread = new Thread(task, "fleet-tool");
                             thread.setDaemon(true);
@@ -59,72 +70,82 @@
                         });
     }
 
-    /** Sends a frame to all routers. */
+    /** Sends a frame to all routers and returns the results by router. */
     public Map<String, Result> request(JsonNode frame) throws InterruptedException {
         Map<String, Future<Result>> pending = new LinkedHashMap<>();
         routers.forEach(
-                (name, at) -> pending.put(name, pool.submit(() -> request(name, at, frame))));
+                (name, address) ->
+                        pending.put(name, pool.submit(() -> request(name, address, frame))));
         Map<String, Result> results = new LinkedHashMap<>();
         for (Map.Entry<String, Future<Result>> entry : pending.entrySet()) {
             try {
                 results.put(entry.getKey(), entry.getValue().get());
-            } catch (ExecutionException failure) {
+            } catch (ExecutionException e) {
                 results.put(
                         entry.getKey(),
                         new Result(
                                 entry.getKey(),
                                 null,
-                                String.valueOf(failure.getCause()),
+                                String.valueOf(e.getCause()),
                                 System.currentTimeMillis()));
             }
         }
         return results;
     }
 
-    private Result request(String name, InetSocketAddress at, JsonNode frame) {
-        try (ControlClient controlClient = new ControlClient(identity, at, name, timeoutMs)) {
-            return new Result(name, controlClient.request(frame), "", System.currentTimeMillis());
+    private Result request(String name, InetSocketAddress address, JsonNode frame) {
+        try (ControlClient client = new ControlClient(identity, address, name, timeoutMs)) {
+            return new Result(name, client.request(frame), "", System.currentTimeMillis());
         } catch (IOException e) {
             return new Result(
                     name, null, String.valueOf(e.getMessage()), System.currentTimeMillis());
         }
     }
 
-    /** The status of all routers. */
+    /** Requests the status of all routers. */
     public Map<String, Result> status() throws InterruptedException {
         return request(ControlCodec.op("status"));
     }
 
-    /** The command that supersedes all that the reached routers know of a subject and owner. */
+    /**
+     * Returns a new command whose revision is higher than that of every command for the same
+     * subject and owner known to the routers that responded.
+     *
+     * @param statuses results of {@link #status} by router
+     */
     public OperatorCommand nextCommand(
-            String subject, String owner, Intent intent, String why, Map<String, Result> known)
+            String subject,
+            String owner,
+            Intent intent,
+            String reason,
+            Map<String, Result> statuses)
             throws IOException {
         long revision = 0;
-        for (Result result : known.values()) {
+        for (Result result : statuses.values()) {
             if (result.isReached()) {
-                for (CommandWithTtl ttl : ControlCodec.commands(result.answer())) {
-                    if (ttl.command().subject().equals(subject)
-                            && ttl.command().owner().equals(owner)) {
-                        revision = Math.max(revision, ttl.command().revision());
+                for (CommandWithTtl entry : ControlCodec.commands(result.answer())) {
+                    if (entry.command().subject().equals(subject)
+                            && entry.command().owner().equals(owner)) {
+                        revision = Math.max(revision, entry.command().revision());
                     }
                 }
             }
         }
-        return new OperatorCommand(subject, owner, revision + 1, intent, identity.name(), why);
+        return new OperatorCommand(subject, owner, revision + 1, intent, identity.name(), reason);
     }
 
-    /** Owners with an intent in force for a subject, by the reached routers. */
-    public static List<String> activeOwners(String subject, Map<String, Result> known)
+    /** Returns the owners that have an intent in force for a subject on a router that responded. */
+    public static List<String> activeOwners(String subject, Map<String, Result> statuses)
             throws IOException {
         List<String> owners = new ArrayList<>();
-        for (Result result : known.values()) {
+        for (Result result : statuses.values()) {
             if (result.isReached()) {
-                for (CommandWithTtl ttl : ControlCodec.commands(result.answer())) {
-                    if (ttl.command().subject().equals(subject)
-                            && ttl.ttlMs() > 0
-                            && ttl.command().intent() != Intent.NONE
-                            && !owners.contains(ttl.command().owner())) {
-                        owners.add(ttl.command().owner());
+                for (CommandWithTtl entry : ControlCodec.commands(result.answer())) {
+                    if (entry.command().subject().equals(subject)
+                            && entry.ttlMs() > 0
+                            && entry.command().intent() != Intent.NONE
+                            && !owners.contains(entry.command().owner())) {
+                        owners.add(entry.command().owner());
                     }
                 }
             }
@@ -133,47 +154,44 @@
     }
 
     /** Submits a command to all routers. */
-    public Map<String, Result> submit(OperatorCommand operatorCommand, long leftMs)
+    public Map<String, Result> submit(OperatorCommand command, long ttlMs)
             throws InterruptedException {
-        return request(
-                ControlCodec.commands("put", List.of(new CommandWithTtl(operatorCommand, leftMs))));
+        return request(ControlCodec.commands("put", List.of(new CommandWithTtl(command, ttlMs))));
     }
 
-    /** Whether a router has a command, or a newer one of the same subject and owner. */
-    public static boolean hasCommand(Result result, OperatorCommand operatorCommand) {
+    /** Returns whether a router has a command, or a newer one for the same subject and owner. */
+    public static boolean hasCommand(Result result, OperatorCommand command) {
         try {
             return result.isReached()
                     && ControlCodec.commands(result.answer()).stream()
                             .anyMatch(
-                                    ttl ->
-                                            ttl.command()
-                                                            .subject()
-                                                            .equals(operatorCommand.subject())
-                                                    && ttl.command()
+                                    entry ->
+                                            entry.command().subject().equals(command.subject())
+                                                    && entry.command()
                                                             .owner()
-                                                            .equals(operatorCommand.owner())
-                                                    && ttl.command().compareTo(operatorCommand)
-                                                            >= 0);
+                                                            .equals(command.owner())
+                                                    && entry.command().compareTo(command) >= 0);
         } catch (IOException e) {
             return false;
         }
     }
 
     /**
-     * Polls the status until a fraction of all routers satisfies a condition or the timeout is
-     * over; returns the last status.
+     * Polls the status until the given fraction of all routers satisfies a condition or the timeout
+     * expires; returns the last status.
      */
     public Map<String, Result> awaitStatus(
             double fraction, long timeoutNs, Predicate<Result> condition)
             throws InterruptedException {
         long deadlineNs = System.nanoTime() + timeoutNs;
         while (true) {
-            Map<String, Result> now = status();
-            long good = now.values().stream().filter(condition).count();
-            if (good >= Math.ceil(fraction * routers.size()) || System.nanoTime() > deadlineNs) {
-                return now;
+            Map<String, Result> statuses = status();
+            long satisfied = statuses.values().stream().filter(condition).count();
+            if (satisfied >= Math.ceil(fraction * routers.size())
+                    || System.nanoTime() > deadlineNs) {
+                return statuses;
             }
-            TimeUnit.MILLISECONDS.sleep(POLL_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
     }
 
--- a/fleet/src/main/java/ashlink/fleet/command/OperatorCommand.java
+++ b/fleet/src/main/java/ashlink/fleet/command/OperatorCommand.java
@@ -4,63 +4,76 @@
 import java.util.Objects;
 
 /**
- * What one operator wants of one subject. Each owner has its own command per subject; the one of
- * the highest revision is in force. A revision is a logical clock: one more than the highest that
- * its issuer knew. Two of the same revision were issued concurrently, then the stronger intent wins
- * on every router.
+ * An operator's command for an engine or router. Each owner has at most one command in force per
+ * subject: the one with the highest revision. The revision is a logical clock: one more than the
+ * highest revision known to the issuer. Two commands with the same revision were issued
+ * concurrently; every router then applies the one with the stronger intent.
  *
- * @param subject {@code engine:NAME} or {@code router:NAME}
+ * @param subject the engine or router, as {@code engine:NAME} or {@code router:NAME}
  * @param owner the operator to whom the command belongs
- * @param by the issuer: the owner, or who overrides it
- * @param why reason, for people
+ * @param issuer the operator who issued the command: the owner, or another who overrides the owner
+ * @param reason free-text reason given by the issuer
  */
 public record OperatorCommand(
-        String subject, String owner, long revision, Intent intent, String by, String why)
+        String subject, String owner, long revision, Intent intent, String issuer, String reason)
         implements Comparable<OperatorCommand> {
 
-    /** Most characters of each text. */
+    /** Maximum length of each text field, in characters. */
     public static final int MAX_FIELD_CHARS = 256;
 
     private static final Comparator<OperatorCommand> ORDER =
             Comparator.comparingLong(OperatorCommand::revision)
                     .thenComparing(OperatorCommand::intent)
-                    .thenComparing(OperatorCommand::by)
-                    .thenComparing(OperatorCommand::why);
+                    .thenComparing(OperatorCommand::issuer)
+                    .thenComparing(OperatorCommand::reason);
 
     /**
-     * Checks the parts.
+     * Validates the fields.
      *
-     * @throws IllegalArgumentException if one is malformed or too long
+     * @throws IllegalArgumentException if a field is malformed or too long
      */
     public OperatorCommand {
         if (!subject.matches("(engine|router):.+") || owner.isEmpty() || revision < 1) {
             throw new IllegalArgumentException(
-                    "a notice on " + subject + " of " + owner + ", revision " + revision);
+                    "invalid command with subject \""
+                            + subject
+                            + "\", owner \""
+                            + owner
+                            + "\", revision "
+                            + revision
+                            + ": expected subject engine:NAME or router:NAME, a non-empty owner,"
+                            + " revision at least 1");
         }
-        for (String text : new String[] {subject, owner, by, why}) {
-            if (text.length() > MAX_FIELD_CHARS) {
+        for (String field : new String[] {subject, owner, issuer, reason}) {
+            if (field.length() > MAX_FIELD_CHARS) {
                 throw new IllegalArgumentException(
-                        "a notice with " + text.length() + " characters in one part");
+                        "invalid command with a field of "
+                                + field.length()
+                                + " characters: at most "
+                                + MAX_FIELD_CHARS);
             }
         }
     }
 
-    /** The subject of an engine. */
+    /** Returns the subject that denotes an engine. */
     public static String engine(String name) {
         return "engine:" + name;
     }
 
-    /** The subject of a router. */
+    /** Returns the subject that denotes a router. */
     public static String router(String name) {
         return "router:" + name;
     }
 
-    /** A hash that is the same in every process and build. */
+    /** Returns a hash of all fields that is the same in every process and build. */
     int digest() {
-        return Objects.hash(subject, owner, revision, intent.code(), by, why);
+        return Objects.hash(subject, owner, revision, intent.code(), issuer, reason);
     }
 
-    /** Total order of the commands of one owner on one subject: the greatest is in force. */
+    /**
+     * Compares commands of one owner and subject in a total order; the greatest command is in
+     * force.
+     */
     @Override
     public int compareTo(OperatorCommand other) {
         return ORDER.compare(this, other);
