--- a/router/src/main/java/ashlink/router/http/HeaderTimeoutGuard.java
+++ b/router/src/main/java/ashlink/router/http/HeaderTimeoutGuard.java
@@ -5,8 +5,8 @@
 import org.eclipse.jetty.io.Connection;
 
 /**
- * Closes connections whose next request does not arrive completely in time. Bytes that arrive
- * slowly prevent the idle timeout, so they need a limit of their own.
+ * Closes connections that do not send the complete next request within a timeout. A client that
+ * sends bytes slowly never triggers the idle timeout, so slow requests need this separate limit.
  */
 final class HeaderTimeoutGuard implements Connection.Listener {
 
@@ -14,7 +14,7 @@
         long messages;
         long bytes;
 
-        /** Time at which the first byte of a request was seen; negative without one. */
+        /** Time at which the first byte of a request was seen; negative if no request has begun. */
         long startedNs = -1;
     }
 
@@ -35,7 +35,7 @@
         connections.remove(connection);
     }
 
-    /** Checks all connections; called by one thread, several times within the timeout. */
+    /** Checks all connections; one thread calls it several times within the timeout. */
     void checkAll(long nowNs) {
         connections.forEach(
                 (connection, seen) -> {
--- a/router/src/main/java/ashlink/router/http/HttpAuthenticator.java
+++ b/router/src/main/java/ashlink/router/http/HttpAuthenticator.java
@@ -8,9 +8,10 @@
 import java.util.concurrent.Semaphore;
 
 /**
- * Basic authentication with the users of the native protocol; a request without credentials is of
- * the user {@code default}. Verifying a password is slow, so only a few threads do it at once, and
- * a flood of logins does not block other requests. Safe for use by several threads.
+ * Performs HTTP basic authentication with the users of the native protocol. A request without
+ * credentials authenticates as the user {@code default} with an empty password. Verifying a
+ * password is slow, so the number of concurrent verifications is limited, and a flood of logins
+ * does not block other requests. Safe for use by several threads.
  */
 final class HttpAuthenticator {
 
@@ -21,8 +22,8 @@
     /**
      * The result of an authentication.
      *
-     * @param user the user; null if the credentials are wrong or were not checked
-     * @param busy whether the credentials were not checked, as too many checks are running
+     * @param user the authenticated user; null if the credentials are wrong or were not checked
+     * @param busy whether the credentials were not checked because too many checks are running
      */
     record AuthenticationResult(String user, boolean busy) {}
 
--- a/router/src/main/java/ashlink/router/http/HttpExchange.java
+++ b/router/src/main/java/ashlink/router/http/HttpExchange.java
@@ -9,7 +9,7 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** A request of the API and the way of its response; exactly one response is sent. */
+/** An HTTP request of the API and the means to respond to it; exactly one response is sent. */
 record HttpExchange(Request request, Response response, Callback callback) {
 
     static final String JSON_TYPE = "application/json";
@@ -18,12 +18,12 @@
     private static final String CHALLENGE = "Basic realm=\"ashlink\", charset=\"UTF-8\"";
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** Returns a request header, or null. */
+    /** Returns the value of a request header, or null. */
     String header(HttpHeader name) {
         return request.getHeaders().get(name);
     }
 
-    /** Adds a header to the response. */
+    /** Sets a response header; replaces an earlier value. */
     void setHeader(HttpHeader name, String value) {
         response.getHeaders().put(name, value);
     }
@@ -33,7 +33,7 @@
         send(status, contentType, body, callback);
     }
 
-    /** Sends a complete response; {@code done} runs once it is written or failed. */
+    /** Sends a complete response; {@code done} runs once the response is written or has failed. */
     void send(int status, String contentType, byte[] body, Callback done) {
         response.setStatus(status);
         setHeader(HttpHeader.CONTENT_TYPE, contentType);
@@ -42,9 +42,9 @@
     }
 
     /**
-     * Sends a problem.
+     * Sends a problem response.
      *
-     * @param statementId identifier of the statement, or null
+     * @param statementId identifier of the statement that the problem is about, or null
      */
     void sendProblem(ProblemDetail problem, String statementId) {
         if (problem.retryAfterNs() > 0) {
@@ -58,7 +58,7 @@
         send(problem.kind().status(), PROBLEM_TYPE, problem.json(statementId));
     }
 
-    /** Sends the state of a statement. */
+    /** Sends the state of a statement as JSON. */
     void sendState(int status, HttpStatement statement) {
         send(status, JSON_TYPE, stateJson(statement));
     }
--- a/router/src/main/java/ashlink/router/http/HttpListener.java
+++ b/router/src/main/java/ashlink/router/http/HttpListener.java
@@ -29,7 +29,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The HTTP server of a router: assembles its parts, and starts and stops them. */
+/** The HTTP server of a router: assembles the parts of the server, and starts and stops them. */
 public final class HttpListener {
 
     private static final Logger LOG = LoggerFactory.getLogger(HttpListener.class);
@@ -43,7 +43,7 @@
     private static final long FETCH_POLL_MS = 10;
     private static final String KEY_DIRECTORY = "keys";
 
-    /** Part of the spool that is reserved for statements that store nothing yet. */
+    /** The spool size divided by this number is reserved for statements without stored pages. */
     private static final int SPOOL_RESERVE_DIVISOR = 8;
 
     private final HttpSpec spec;
@@ -55,9 +55,9 @@
     private final Scheduler background;
 
     /**
-     * A listener that is not started.
+     * Creates a listener without starting it.
      *
-     * @throws IOException if a directory of the settings cannot be used
+     * @throws IOException if a configured directory cannot be used
      */
     public HttpListener(ListenerContext context, Scheduler background, PrometheusRegistry metrics)
             throws IOException {
@@ -98,7 +98,7 @@
                 spec.memoryBytes());
     }
 
-    /** Opens the idempotency keys; without a state directory they do not survive a restart. */
+    /** Opens the idempotency keys; without a state directory, keys do not survive a restart. */
     private static IdempotencyKeys idempotencyKeys(RouterConfig config) throws IOException {
         IdempotencyKeyTable table =
                 new IdempotencyKeyTable(
@@ -166,7 +166,7 @@
                 .register(metrics);
     }
 
-    /** Starts accepting requests, and the background tasks. */
+    /** Starts the background tasks and accepts requests. */
     public void start() {
         background.add(
                 new TaskSpec(
@@ -204,17 +204,17 @@
         LOG.atInfo().addKeyValue("address", address().toString()).log("HTTP API started");
     }
 
-    /** Returns the address that it listens on. */
+    /** Returns the address that the server listens on. */
     public InetSocketAddress address() {
         return new InetSocketAddress(spec.listen().getAddress(), connector.getLocalPort());
     }
 
-    /** Rejects new statements; open ones continue. */
+    /** Rejects new statements from now on; open statements continue. */
     public void rejectNew() {
         registry.rejectNew();
     }
 
-    /** Waits until clients have fetched all results, up to a limit. */
+    /** Waits until clients have fetched all results, or until the time limit has passed. */
     public void awaitFetched(long limitNs) throws InterruptedException {
         long deadlineNs = System.nanoTime() + limitNs;
         while (!registry.allFetched() && System.nanoTime() < deadlineNs) {
@@ -232,18 +232,18 @@
         return registry.openCount();
     }
 
-    /** Returns the used bytes of the spool's budget. */
+    /** Returns the number of bytes that are reserved from the spool budget. */
     public long spooledBytes() {
         return store.usedBytes();
     }
 
-    /** Discards all results and stops; pending polls learn that the router is shutting down. */
+    /** Discards all results and stops; pending polls are told that the router is shutting down. */
     public void stop() {
         registry.stop();
         release();
     }
 
-    /** Stops at once, like a crash: no client gets a response. */
+    /** Stops immediately, like a crash: no client receives a response. */
     public void kill() {
         connector.getConnectedEndPoints().forEach(endPoint -> endPoint.close());
         release();
--- a/router/src/main/java/ashlink/router/http/HttpStatement.java
+++ b/router/src/main/java/ashlink/router/http/HttpStatement.java
@@ -20,17 +20,17 @@
  * A statement of the HTTP API, whose result clients fetch page by page. Receives packets of the
  * native protocol and stores the blocks of the result as pages of a {@link StatementResult}.
  *
- * <p>One thread at a time writes to it, holding the lock of this channel; it blocks while the spool
- * is full.
+ * <p>One thread at a time writes to the statement, holding the lock of this channel; the writing
+ * thread blocks while the spool is full.
  */
 final class HttpStatement implements ResponseChannel {
 
     private static final long NS_PER_MS = 1_000_000L;
 
-    /** Stores the outcome of a statement before any client learns of it. */
+    /** Stores the outcome of a statement before any client receives the outcome. */
     interface CompletionListener {
 
-        /** Called once; may block on the disk. */
+        /** Stores the outcome; called once for a statement, may block on the disk. */
         void onComplete(HttpStatement statement, StatementOutcome outcome) throws IOException;
     }
 
@@ -46,22 +46,22 @@
     private volatile RequestExchange exchange;
     private volatile Consumer<byte[]> headerListener;
 
-    // Guarded by this: used by the writing thread.
+    // Guarded by this; used by the writing thread.
     private final PageBuilder pageBuilder;
     private long storedBytes;
     private StoredPage lastPage;
     private ServerError error;
 
-    // Written by the writing thread alone.
+    // Written only by the writing thread.
     private volatile long rows;
     private volatile long bytes;
     private volatile long readRows;
     private volatile long readBytes;
 
     /**
-     * A statement without an exchange; see {@link #exchange}.
+     * Creates a statement without a request exchange; {@link #exchange} sets the exchange.
      *
-     * @param memory budget of the page that is being built
+     * @param memory memory budget of the page that is being built
      * @param pageBytes size at which a page is complete
      */
     HttpStatement(
@@ -89,7 +89,7 @@
         exchange = requestExchange;
     }
 
-    /** Sets who receives the columns of an insert, once, when an engine has sent them. */
+    /** Sets the listener that is called once, with the first header that an engine sends. */
     void headerListener(Consumer<byte[]> listener) {
         headerListener = listener;
     }
@@ -107,7 +107,7 @@
         return peer;
     }
 
-    /** Returns the result, which clients poll. */
+    /** Returns the result that clients poll. */
     StatementResult result() {
         return result;
     }
@@ -123,7 +123,7 @@
         keyStored.countDown();
     }
 
-    /** Blocks until the key is on the disk, so that a crash does not undo what a client learns. */
+    /** Blocks until the key is on the disk, so that a crash cannot undo what a client was told. */
     void awaitKey() {
         try {
             keyStored.await();
@@ -143,7 +143,7 @@
             }
         } catch (IOException e) {
             result.fail(e);
-            // The result is lost, so running work is cancelled where that is allowed.
+            // The result is lost, so the running work is cancelled where cancellation is allowed.
             exchange.clientDisconnected();
             complete(StatementOutcome.INCOMPLETE, 0);
             throw e;
@@ -156,7 +156,7 @@
         try {
             ResponseDecoder.decode(packets, limits, new PacketHandler());
             if (outcome == StatementOutcome.SERVED && !result.isClosed()) {
-                // It may be empty: a client that was sent to a next page finds one.
+                // An empty last page is stored too, because the page before may already link to it.
                 lastPage = pageBuilder.storeOpenPage();
             }
         } catch (IOException e) {
@@ -243,21 +243,21 @@
         }
     }
 
-    // The end of the statement
+    // Cancellation
 
-    /** Cancels the statement or discards its result, on behalf of the client; idempotent. */
+    /** Cancels the statement or discards its result at the client's request; idempotent. */
     void cancel() {
         boolean running = result.state() == State.RUNNING;
         if (running && exchange != null) {
-            // Unblocks the writing thread, which holds the lock that the cancel needs.
+            // Unblocks the writing thread, which holds the lock that cancellation needs.
             close();
-            // Pending polls learn the outcome before the result is discarded.
+            // Pending polls receive the outcome before the result is discarded.
             exchange.cancel();
         }
         result.discard();
     }
 
-    /** Cancels a statement that no client polls any more. */
+    /** Cancels a statement that clients have stopped polling. */
     void cancelAbandoned() {
         result.discard();
         synchronized (this) {
--- a/router/src/main/java/ashlink/router/http/IdempotencyKeys.java
+++ b/router/src/main/java/ashlink/router/http/IdempotencyKeys.java
@@ -12,9 +12,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The idempotency keys of statements, in memory and on the disk. A claim is on the disk before its
- * statement can run, and an outcome before its client learns of it. Safe for use by several
- * threads.
+ * Manages the idempotency keys of statements in memory and on the disk. A claim is on the disk
+ * before the claimed statement can run, and an outcome is on the disk before the client receives
+ * the outcome. Safe for use by several threads.
  */
 final class IdempotencyKeys {
 
@@ -23,7 +23,7 @@
     /** Guarded by itself. */
     private final IdempotencyKeyTable table;
 
-    /** Null where keys do not survive a restart. */
+    /** Null if keys do not survive a restart. */
     private final IdempotencyKeyLog log;
 
     IdempotencyKeys(IdempotencyKeyTable table, IdempotencyKeyLog log) {
@@ -34,7 +34,7 @@
     /**
      * Claims a key for a statement.
      *
-     * @param onNew runs before anybody else can find the key, if it was free
+     * @param onNew runs if the key was free, before another thread can find the key
      */
     Claim claim(String user, String key, String digest, String statementId, Runnable onNew) {
         synchronized (table) {
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Stores a claim; returns false if the disk failed. */
+    /** Stores a claim; returns false if the write to the disk fails. */
     boolean storeClaim(Entry entry) {
         try {
             if (log != null) {
@@ -59,7 +59,7 @@
         }
     }
 
-    /** Stores how the statement of a key ended. The key of one that did not run is released. */
+    /** Stores the outcome of a statement; releases the key of a statement that did not run. */
     void storeOutcome(String statementId, StatementOutcome outcome) throws IOException {
         Entry entry;
         synchronized (table) {
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Returns the entry of a user's statement, or null. */
+    /** Returns the key entry of a user's statement, or null. */
     Entry find(String statementId, String user) {
         synchronized (table) {
             Entry entry = table.findByStatement(statementId);
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Removes expired keys, and compacts the log. */
+    /** Removes expired keys and compacts the log. */
     void expire() throws IOException {
         List<Entry> expired;
         synchronized (table) {
--- a/router/src/main/java/ashlink/router/http/PageBuilder.java
+++ b/router/src/main/java/ashlink/router/http/PageBuilder.java
@@ -7,10 +7,10 @@
 import java.io.IOException;
 import java.util.Arrays;
 
-/** Collects blocks of a result into pages. Only the thread that writes the result uses it. */
+/** Collects blocks of a result into pages. Used only by the thread that writes the result. */
 final class PageBuilder {
 
-    /** Takes the pages. */
+    /** Receives the pages. */
     interface Target {
 
         /** Stores the first {@code length} bytes as the next page; may block. */
@@ -25,11 +25,11 @@
     private final Target target;
 
     /**
-     * A builder without blocks.
+     * Creates a builder with an empty open page.
      *
      * @param pageBytes size at which a page is complete
      * @param maxBlockBytes size of the largest block
-     * @param memory budget of the open page
+     * @param memory memory budget of the open page
      */
     PageBuilder(long pageBytes, long maxBlockBytes, Quota memory, Target target) {
         this.pageBytes = pageBytes;
@@ -37,7 +37,7 @@
         this.target = target;
     }
 
-    /** Appends a block; completes the open page where the block does not fit into it. */
+    /** Appends a block; completes the open page first if the block does not fit into the page. */
     void append(byte[] bytes, int offset, int length) throws IOException {
         if (!isEmpty() && openPage.size() + (long) length > pageBytes) {
             completePage();
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Returns false if the budget is used up; the block becomes a page of its own then. */
+    /** Returns false if the budget is exhausted; the block then becomes a separate page. */
     private boolean appendToOpenPage(byte[] bytes, int offset, int length) {
         try {
             openPage.append(bytes, offset, length);
@@ -81,7 +81,7 @@
         return page;
     }
 
-    /** Frees the open page. */
+    /** Releases the memory of the open page. */
     void close() {
         openPage.release();
     }
--- a/router/src/main/java/ashlink/router/http/PagePoller.java
+++ b/router/src/main/java/ashlink/router/http/PagePoller.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.eclipse.jetty.http.HttpHeader;
 
-/** Polls results and responds with their pages. Safe for use by several threads. */
+/** Polls the results of statements and sends the responses. Safe for use by several threads. */
 final class PagePoller {
 
     private static final int STATUS_ACCEPTED = 202;
@@ -17,7 +17,7 @@
     private final AtomicInteger openPolls = new AtomicInteger();
 
     /**
-     * A poller.
+     * Creates a poller.
      *
      * @param executor writes the responses of polls that had to wait
      */
@@ -27,12 +27,12 @@
         this.pageResponder = new PageResponder(context, spec);
     }
 
-    /** Returns the number of polls without a response. */
+    /** Returns the number of polls that have no response yet. */
     int openPolls() {
         return openPolls.get();
     }
 
-    /** Returns the format of the response, or null once the problem is sent. */
+    /** Returns the response format; if none is acceptable, sends a problem and returns null. */
     static ResultFormat acceptedFormat(HttpExchange exchange) {
         ResultFormat format = ResultFormat.accepted(exchange.header(HttpHeader.ACCEPT));
         if (format == null) {
@@ -45,7 +45,7 @@
         return format;
     }
 
-    /** Responds with a page, a problem, or the state if the page is not there in time. */
+    /** Responds with a page, a problem, or the state if the page is not available in time. */
     void poll(
             HttpExchange exchange,
             HttpStatement statement,
--- a/router/src/main/java/ashlink/router/http/PageResponder.java
+++ b/router/src/main/java/ashlink/router/http/PageResponder.java
@@ -11,13 +11,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Renders pages and sends them, within a budget of memory. Safe for use by several threads. */
+/** Renders and sends pages within a memory budget. Safe for use by several threads. */
 final class PageResponder {
 
     private static final Logger LOG = LoggerFactory.getLogger(PageResponder.class);
     private static final int STATUS_OK = 200;
 
-    /** Estimated size of a rendered page relative to its blocks; a larger one is still sent. */
+    /** Estimated size of a rendered page relative to its blocks; a larger page is still sent. */
     private static final int RENDERED_SIZE_FACTOR = 3;
 
     private static final int RENDERED_OVERHEAD_BYTES = 1024;
@@ -32,7 +32,7 @@
         this.renderQuota = new MemoryQuota(spec.maxRenderBytes());
     }
 
-    /** Sends a page, or a problem if the budget is used up or the page cannot be rendered. */
+    /** Sends a page, or a problem if the budget is exhausted or the page cannot be rendered. */
     void send(
             HttpExchange exchange, HttpStatement statement, PollResult page, ResultFormat format) {
         long estimatedBytes =
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Closes the connection of a client that does not read its page in time. */
+    /** Closes the connection of a client that does not read the page in time. */
     private Future<?> scheduleWriteTimeout(HttpExchange exchange) {
         Runnable closeConnection =
                 () ->
--- a/router/src/main/java/ashlink/router/http/PendingPoll.java
+++ b/router/src/main/java/ashlink/router/http/PendingPoll.java
@@ -6,14 +6,14 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 
-/** A poll that waits for its page. Several threads may try to respond; the first one does. */
+/** A poll that waits for a page. Several threads may try to respond; only the first one does. */
 final class PendingPoll {
 
     private final int page;
     private final Consumer<PollResult> responder;
     private final AtomicBoolean claimed = new AtomicBoolean();
 
-    /** Null until the timeout is scheduled, which may fire before it is set. */
+    /** Null until set by {@link #setTimeout}; the timeout may fire before that. */
     private volatile Future<?> timeout;
 
     private PendingPoll(int page, Consumer<PollResult> responder) {
@@ -21,7 +21,7 @@
         this.responder = responder;
     }
 
-    /** A poll whose responder runs on an executor, or on the caller at shutdown. */
+    /** Creates a poll whose responder runs on an executor, or on the calling thread at shutdown. */
     static PendingPoll respondingOn(Executor executor, int page, Consumer<PollResult> responder) {
         return new PendingPoll(
                 page,
@@ -43,7 +43,7 @@
         timeout = future;
     }
 
-    /** Returns true for the one caller that has to respond, and cancels the timeout. */
+    /** Returns true only for the first caller, which has to respond; cancels the timeout. */
     boolean claim() {
         if (!claimed.compareAndSet(false, true)) {
             return false;
--- a/router/src/main/java/ashlink/router/http/PollResult.java
+++ b/router/src/main/java/ashlink/router/http/PollResult.java
@@ -5,13 +5,13 @@
  *
  * @param page number of the page; negative if there is none
  * @param blocks blocks of the page in the native format, or null
- * @param header block without rows that has the columns, or null
+ * @param header block without rows that names the columns, or null
  * @param last whether the page is the last one
  * @param problem the problem, or null
  */
 record PollResult(int page, byte[] blocks, byte[] header, boolean last, ProblemDetail problem) {
 
-    /** Number that stands for no page. */
+    /** Value of {@code page} if there is no page. */
     static final int NO_PAGE = -1;
 
     static PollResult pending() {
@@ -26,7 +26,7 @@
         return page >= 0;
     }
 
-    /** Tells whether the client needs no further poll after this one. */
+    /** Returns whether this poll returned the end of the result: the last page or a problem. */
     boolean endsResult() {
         return isPage() && last || problem != null;
     }
--- a/router/src/main/java/ashlink/router/http/ProblemDetail.java
+++ b/router/src/main/java/ashlink/router/http/ProblemDetail.java
@@ -11,10 +11,10 @@
 import java.util.Locale;
 
 /**
- * A problem of the HTTP API in the form of RFC 9457. Each kind has a type, a status and a title,
- * and says whether the statement may have run; docs/statement-api.md documents them.
+ * A problem of the HTTP API in the format of RFC 9457. Each kind has a type, a status and a title,
+ * and tells whether the statement may have run; docs/statement-api.md documents the kinds.
  *
- * @param detail explanation for people; may be empty
+ * @param detail human-readable explanation; may be empty
  * @param retryAfterNs time after which the client may retry; 0 for none
  * @param code code of the engine's error; 0 for none
  */
@@ -24,7 +24,7 @@
     private static final long NS_PER_MS = 1_000_000L;
     private static final long NS_PER_S = 1_000 * NS_PER_MS;
 
-    /** The kinds of problems; their names are part of the API, see {@link #word}. */
+    /** The kinds of problems. The names are part of the API, see {@link #word}. */
     public enum Kind {
         BAD_REQUEST(400, "the request makes no sense", false),
         LOGIN(401, "user or password is wrong", false),
@@ -74,17 +74,17 @@
         }
     }
 
-    /** A problem without a delay or an error code. */
+    /** Creates a problem without a retry delay or an error code. */
     public static ProblemDetail of(Kind kind, String detail) {
         return new ProblemDetail(kind, detail, 0, 0);
     }
 
-    /** The problem that a result cannot be stored or read. */
+    /** Creates the problem that a result cannot be stored or read. */
     static ProblemDetail resultLost(IOException failure) {
         return of(Kind.RESULT_LOST, String.valueOf(failure.getMessage()));
     }
 
-    /** The problem that a page was released, as a later one was requested. */
+    /** Creates the problem that a page was released because a later page was requested. */
     static ProblemDetail pageReleased(int page) {
         return of(
                 Kind.GONE,
@@ -95,13 +95,13 @@
                         + " or a later one was asked for");
     }
 
-    /** The problem that a page does not exist, or was requested out of order. */
+    /** Creates the problem that a page does not exist or was requested out of order. */
     static ProblemDetail pageUnknown(int page) {
         return of(Kind.NOT_FOUND, "there is no page " + page + "; pages are asked for in order");
     }
 
     /**
-     * The problem of a statement that ended without a result.
+     * Creates the problem of a statement that ended without a result or whose result is discarded.
      *
      * @param error error of the engine or the router, or null
      */
@@ -124,7 +124,7 @@
         };
     }
 
-    /** The problem of a statement of which only the idempotency key is known. */
+    /** Creates the problem of a statement of which only the idempotency key is known. */
     static ProblemDetail expired(Entry entry) {
         if (entry.status() != Status.COMPLETED) {
             return of(Kind.FATE_UNKNOWN, "");
@@ -134,12 +134,12 @@
                 : of(entry.outcome(), null, 0);
     }
 
-    /** Returns the value of the Retry-After header in seconds, rounded up; 0 for none. */
+    /** Returns the retry delay in seconds, rounded up, for the Retry-After header; 0 for none. */
     long retryAfterS() {
         return (retryAfterNs + NS_PER_S - 1) / NS_PER_S;
     }
 
-    /** Returns the body of the response; {@code statement} is its identifier or null. */
+    /** Returns the body of the response; {@code statement} is a statement identifier or null. */
     byte[] json(String statement) {
         ObjectNode body = JSON.createObjectNode();
         body.put("type", "/problems/" + kind.word())
--- a/router/src/main/java/ashlink/router/http/RequestParameters.java
+++ b/router/src/main/java/ashlink/router/http/RequestParameters.java
@@ -14,7 +14,7 @@
 
     private RequestParameters() {}
 
-    /** Returns the parameters by name, in order. */
+    /** Returns the query parameters by name, in the order of the URI. */
     static Map<String, String> read(Request request) throws InvalidSubmissionException {
         Map<String, String> parameters = new LinkedHashMap<>();
         try {
@@ -28,7 +28,7 @@
         return parameters;
     }
 
-    /** Returns how long a poll waits, at most {@code maxWaitNs}; 0 where it is not given. */
+    /** Returns how long a poll waits, at most {@code maxWaitNs}; 0 without the parameter. */
     static long waitNs(Map<String, String> parameters, long maxWaitNs)
             throws InvalidSubmissionException {
         String text = parameters.get(WAIT);
--- a/router/src/main/java/ashlink/router/http/ResponseDecoder.java
+++ b/router/src/main/java/ashlink/router/http/ResponseDecoder.java
@@ -13,7 +13,7 @@
 import java.io.IOException;
 import java.util.Arrays;
 
-/** Decodes packets of a response in the native protocol. */
+/** Decodes the packets of a response in the native protocol. */
 final class ResponseDecoder {
 
     private static final int MIN_READ_BYTES = 16;
@@ -26,16 +26,16 @@
 
         void onProgress(Progress progress);
 
-        /** Receives the columns of the result: a block without rows. */
+        /** Receives the header of the result: a block without rows that names the columns. */
         void onHeader(byte[] block);
 
-        /** Receives a block of rows, as a range of {@code bytes}. */
+        /** Receives a block of rows as a range of {@code bytes}. */
         void onRows(byte[] bytes, int offset, int length, long rowCount) throws IOException;
     }
 
     private ResponseDecoder() {}
 
-    /** Decodes complete packets, in order. */
+    /** Decodes complete packets in order and passes their parts to the handler. */
     static void decode(ByteBuf packets, WireLimits limits, Handler handler) throws IOException {
         byte[] bytes = packets.array();
         StreamSource in =
--- a/router/src/main/java/ashlink/router/http/ResultFormat.java
+++ b/router/src/main/java/ashlink/router/http/ResultFormat.java
@@ -19,8 +19,8 @@
 import java.util.Locale;
 
 /**
- * The formats in which a page is rendered. Values are exact in each; docs/statement-api.md has the
- * table of types.
+ * The formats in which a page can be rendered. Values are exact in each format;
+ * docs/statement-api.md lists the representation of each type.
  */
 enum ResultFormat {
     JSON("application/json"),
@@ -45,7 +45,7 @@
         return this == CSV ? type + "; charset=utf-8" : type;
     }
 
-    /** Returns the first supported format of an Accept header, or null. */
+    /** Returns the first supported format in an Accept header, or null. */
     static ResultFormat accepted(String accept) {
         if (accept == null || accept.isBlank()) {
             return JSON;
@@ -68,14 +68,15 @@
         return null;
     }
 
-    /** The fields of a JSON page beside its rows; {@code nextUri} is null on the last page. */
+    /** The metadata of a JSON page; {@code nextUri} is null on the last page. */
     record PageInfo(String id, String state, String nextUri) {}
 
     /**
      * Renders a page.
      *
      * @param blocks blocks of the page
-     * @param header block without rows, whose columns count if there are no blocks; may be empty
+     * @param header block without rows that names the columns if {@code blocks} is empty; may be
+     *     empty
      */
     byte[] render(byte[] blocks, byte[] header, int page, PageInfo info, WireLimits limits)
             throws IOException {
@@ -195,7 +196,7 @@
         }
     }
 
-    /** Writes bytes as text, or in base 64 within an object if they are no UTF-8. */
+    /** Writes bytes as text, or as an object with Base64 if the bytes are not valid UTF-8. */
     private static void text(byte[] bytes, JsonGenerator generator) throws IOException {
         try {
             generator.writeString(
@@ -243,7 +244,7 @@
         }
     }
 
-    /** Texts are always quoted and null never is: an empty field is null, "" is an empty text. */
+    /** Strings are always quoted, null never is: an empty field is null, "" an empty string. */
     private static void field(Object value, ByteArrayBuilder out) throws IOException {
         if (value instanceof byte[] bytes) {
             quoted(bytes, out);
@@ -272,7 +273,7 @@
         for (int i = 0; i < bytes.length; i++) {
             if (bytes[i] == '"') {
                 out.write(bytes, from, i + 1 - from);
-                from = i; // once more, with what follows
+                from = i; // Doubles the quote: it is also the first byte of the next range.
             }
         }
         out.write(bytes, from, bytes.length - from);
--- a/router/src/main/java/ashlink/router/http/ResultPages.java
+++ b/router/src/main/java/ashlink/router/http/ResultPages.java
@@ -7,20 +7,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The published pages of a result. Callers synchronize, except for {@link #nextNumber}. */
+/** The published pages of a result. Callers synchronize, except on {@link #nextNumber}. */
 final class ResultPages {
 
     private final PageStore store;
     private final PageWindow window = new PageWindow();
 
-    /** Pages by number; null for a page that is released. */
+    /** The pages by number; null for a released page. */
     private final List<StoredPage> pages = new ArrayList<>();
 
     ResultPages(PageStore store) {
         this.store = store;
     }
 
-    /** Returns the number of the next page; also safe for the thread that adds pages. */
+    /** Returns the number of the next page; the thread that adds pages needs no lock for it. */
     int nextNumber() {
         return window.closedCount();
     }
@@ -30,12 +30,12 @@
         pages.add(page);
     }
 
-    /** No further page will be added. */
+    /** Records that no further page will be added. */
     void end() {
         window.end();
     }
 
-    /** Handles the request of a page, which releases the pages before it. */
+    /** Records the request of a page and releases the pages that are no longer retained. */
     PageWindow.PageState request(int page) {
         int firstBefore = window.firstRetained();
         PageWindow.PageState state = window.request(page);
--- a/router/src/main/java/ashlink/router/http/Route.java
+++ b/router/src/main/java/ashlink/router/http/Route.java
@@ -3,7 +3,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The routes of the API; the OpenAPI description has the same. */
+/** The routes of the API; the OpenAPI description lists the same routes. */
 enum Route {
     POST_STATEMENT("POST", "/v1/statements"),
     GET_STATEMENT("GET", "/v1/statements/{id}"),
@@ -32,7 +32,7 @@
         return path;
     }
 
-    /** Returns the match of a path for any method, or null. */
+    /** Returns the match of a path, whatever the method, or null. */
     Matcher match(String requested) {
         Matcher matcher = pattern.matcher(requested);
         return matcher.matches() ? matcher : null;
--- a/router/src/main/java/ashlink/router/http/RowsEncoder.java
+++ b/router/src/main/java/ashlink/router/http/RowsEncoder.java
@@ -15,10 +15,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Encodes the rows of an insert, given as JSON arrays, as a block of the engine's columns. */
+/** Encodes the rows of an insert, given as JSON arrays, as a block in the native format. */
 final class RowsEncoder {
 
-    /** A type name, with its arguments in parentheses. */
+    /** A type name with optional arguments in parentheses. */
     private static final Pattern TYPE = Pattern.compile("(\\w+)(?:\\((.*)\\))?");
 
     private static final String NULLABLE_PREFIX = "Nullable(";
@@ -27,10 +27,10 @@
     private RowsEncoder() {}
 
     /**
-     * Returns a Data packet with the rows.
+     * Returns a Data packet that contains the rows.
      *
-     * @param header block without rows that has the columns
-     * @throws WireException naming the row and the column of a value that does not fit
+     * @param header block without rows that names the columns of the table
+     * @throws WireException if a row or a value is invalid; names the row and the column
      */
     static byte[] encode(byte[] header, JsonNode rows, WireLimits limits) throws IOException {
         StreamSource in = new StreamSource(new ByteArrayInputStream(header), header.length);
@@ -50,7 +50,7 @@
         return Arrays.copyOf(out.array(), out.size());
     }
 
-    /** Writes field 1, not an overflow block; field 2, no bucket; and the end of the fields. */
+    /** Writes the block info: field 1 (no overflow block), field 2 (no bucket), end of fields. */
     private static void writeBlockInfo(ByteBuf out) throws WireException {
         out.putVarUInt(1).putByte(0).putVarUInt(2).putInt(-1).putVarUInt(0);
     }
--- a/router/src/main/java/ashlink/router/http/StatementHandler.java
+++ b/router/src/main/java/ashlink/router/http/StatementHandler.java
@@ -18,8 +18,8 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Handles the requests of the HTTP API. No thread waits for a statement: the response of a poll is
- * written when its page is there.
+ * Handles the requests of the HTTP API. No thread waits for a statement: the response to a poll is
+ * written once the requested page is available.
  */
 final class StatementHandler extends Handler.Abstract {
 
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Returns the number of polls without a response. */
+    /** Returns the number of polls that have no response yet. */
     int openPolls() {
         return poller.openPolls();
     }
@@ -112,7 +112,7 @@
         }
     }
 
-    /** Returns the user, or null once the problem is sent. */
+    /** Returns the user; if the authentication fails, sends a problem and returns null. */
     private String authenticate(HttpExchange exchange) throws InterruptedException {
         HttpAuthenticator.AuthenticationResult result =
                 authenticator.check(
@@ -131,7 +131,7 @@
         return result.user();
     }
 
-    /** Calls the action with a user's statement, or responds why it is not available here. */
+    /** Calls the action with a user's statement, or responds that it is not available here. */
     private void withStatement(
             HttpExchange exchange, String id, String user, Consumer<HttpStatement> action) {
         HttpStatement statement = registry.find(id, user);
@@ -159,7 +159,7 @@
         }
     }
 
-    /** Returns the URI of the other router that a statement belongs to, or null. */
+    /** Returns the URI of the peer router that a statement belongs to, or null. */
     private String peerUri(String statementId) {
         String router = StatementRegistry.routerOf(statementId);
         return router == null || router.equals(context.config().name())
--- a/router/src/main/java/ashlink/router/http/StatementRegistry.java
+++ b/router/src/main/java/ashlink/router/http/StatementRegistry.java
@@ -22,10 +22,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The statements of the HTTP API by identifier. Safe for use by several threads. */
+/** Registers the statements of the HTTP API by identifier. Safe for use by several threads. */
 final class StatementRegistry {
 
-    /** Retry-After of a statement that is rejected at a limit. */
+    /** Retry delay of a statement that is rejected because a limit is reached. */
     static final long RETRY_AFTER_NS = 1_000_000_000L;
 
     private static final Logger LOG = LoggerFactory.getLogger(StatementRegistry.class);
@@ -34,11 +34,11 @@
     private static final Pattern URI_SAFE_NAME = Pattern.compile("[A-Za-z0-9._-]+");
 
     /**
-     * The result of a submission: one of the components, the others are null.
+     * The result of a submission: exactly one component is not null.
      *
      * @param statement the statement, which may have been submitted earlier with the same key
-     * @param earlier what is known of a statement with the same key that has no result any more
-     * @param problem why the statement is rejected
+     * @param earlier key entry of an earlier statement that is no longer registered
+     * @param problem reason why the statement is rejected
      */
     record SubmitResult(HttpStatement statement, Entry earlier, ProblemDetail problem) {
 
@@ -86,7 +86,8 @@
     // Submission
 
     /**
-     * Submits a statement. With a key, a statement that was submitted before is not run again.
+     * Submits a statement. A statement that was submitted before with the same key does not run
+     * again.
      *
      * @param key idempotency key, or null
      */
@@ -138,7 +139,7 @@
                 submission.digest(),
                 statement.id(),
                 () -> {
-                    // The next submission with the key finds the statement, and waits for the key.
+                    // The next submission with the key finds the statement and awaits the key.
                     statement.expectKey();
                     statements.put(statement.id(), statement);
                 });
@@ -162,8 +163,8 @@
     }
 
     /**
-     * Returns an identifier that cannot be guessed. It begins with the name of the router, where
-     * the name is safe in a URI, so that other routers can redirect to this one.
+     * Returns an identifier that cannot be guessed. The identifier begins with the name of this
+     * router if the name is safe in a URI, so that other routers can redirect to this router.
      */
     private String newId() {
         byte[] randomBytes = new byte[ID_BYTES];
@@ -174,7 +175,7 @@
         return uriSafe ? router + ROUTER_SEPARATOR + text : text;
     }
 
-    /** Returns the name of the router that a statement belongs to, or null if it has none. */
+    /** Returns the router name in a statement identifier, or null if there is none. */
     static String routerOf(String statementId) {
         int separator = statementId.indexOf(ROUTER_SEPARATOR);
         return separator > 0 ? statementId.substring(0, separator) : null;
@@ -188,14 +189,14 @@
         return statement != null && statement.user().equals(user) ? statement : null;
     }
 
-    /** Returns what a key tells about a user's statement, or null. */
+    /** Returns the idempotency key entry of a user's statement, or null. */
     Entry findKeyEntry(String id, String user) {
         return keys.find(id, user);
     }
 
     // Expiry
 
-    /** Cancels a statement or discards its result, on behalf of the client. */
+    /** Cancels a statement or discards its result at the client's request. */
     void cancel(HttpStatement statement) {
         State state = statement.result().state();
         statement.cancel();
@@ -204,7 +205,7 @@
         }
     }
 
-    /** Cancels, discards and removes statements whose time is over. */
+    /** Cancels, discards and removes statements whose timeouts have expired. */
     void expire(long nowNs) {
         List<HttpStatement> discarded = new ArrayList<>();
         for (HttpStatement statement : statements.values()) {
@@ -235,7 +236,7 @@
             }
             case REMOVE -> remove(statement);
             default -> {
-                // Nothing is due.
+                // No action is due.
             }
         }
     }
@@ -247,19 +248,19 @@
         slots.remove(statement);
     }
 
-    /** Removes expired keys. */
+    /** Removes expired idempotency keys. */
     void expireKeys() throws IOException {
         keys.expire();
     }
 
     // Shutdown
 
-    /** Rejects new statements. */
+    /** Rejects new statements from now on. */
     void rejectNew() {
         stopping = true;
     }
 
-    /** Tells whether clients have fetched all results. */
+    /** Returns whether clients have fetched all results. */
     boolean allFetched() {
         return statements.values().stream()
                 .map(HttpStatement::result)
@@ -269,7 +270,7 @@
                                         || result.isFetched());
     }
 
-    /** Discards all results; pending polls learn that the router is shutting down. */
+    /** Discards all results; pending polls are told that the router is shutting down. */
     void stop() {
         stopping = true;
         statements.values().forEach(statement -> statement.result().stop());
--- a/router/src/main/java/ashlink/router/http/StatementRequestFactory.java
+++ b/router/src/main/java/ashlink/router/http/StatementRequestFactory.java
@@ -18,14 +18,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Turns submitted statements into requests, and feeds the data of inserts. */
+/** Creates requests from submitted statements and sends the data of inserts. */
 final class StatementRequestFactory {
 
     private static final Logger LOG = LoggerFactory.getLogger(StatementRequestFactory.class);
     private static final String CLIENT_NAME = "ashlink http";
     private static final int CLIENT_MAJOR = 1;
 
-    /** The Data packet that ends the external tables of a query, and the data of an insert. */
+    /** The Data packet that ends the external tables of a query and the data of an insert. */
     private static final byte[] END_OF_DATA = endOfData();
 
     private final ListenerContext context;
@@ -45,7 +45,7 @@
         return Arrays.copyOf(packet.array(), packet.size());
     }
 
-    /** Prepares the request of a statement, which writes its response to the statement. */
+    /** Prepares the request of a statement; the response is written to the statement. */
     RequestAdmission.Prepared prepare(StatementSubmission submission, HttpStatement statement) {
         RequestAdmission.Prepared prepared =
                 RequestAdmission.prepare(
@@ -87,7 +87,7 @@
                 submission.statement());
     }
 
-    /** Feeds on a thread of its own: the thread that received the header has to send the data. */
+    /** Feeds on a worker thread, as the thread that received the header has to send the data. */
     private void feedOnWorker(RequestExchange exchange, byte[] header, JsonNode rows) {
         try {
             context.workers().execute(() -> feed(exchange, header, rows));
--- a/router/src/main/java/ashlink/router/http/StatementResult.java
+++ b/router/src/main/java/ashlink/router/http/StatementResult.java
@@ -15,16 +15,17 @@
 import java.util.function.Consumer;
 
 /**
- * The result of a statement as its clients see it: the published pages, the outcome, and the polls
- * that wait for either. Safe for use by several threads; no method blocks but for reading a page.
+ * The result of a statement as the clients see it: the published pages, the outcome, and the polls
+ * that wait for a page or the outcome. Safe for use by several threads; methods block only while a
+ * page is read.
  */
 final class StatementResult {
 
     private final PageStore store;
 
     /**
-     * Guards all fields but {@code closed}. It is held while a page is read, so that the page is
-     * not released meanwhile, and never while a thread waits.
+     * Guards all fields except {@code closed}. Held while a page is read, so that the page is not
+     * released meanwhile, and never held while a thread waits.
      */
     private final Object lock = new Object();
 
@@ -37,7 +38,7 @@
     /** Null until the statement is complete. */
     private StatementCompletion completion;
 
-    /** Why the result is lost, or null. */
+    /** The reason why the result is lost, or null. */
     private ProblemDetail resultError;
 
     private volatile boolean closed;
@@ -48,12 +49,12 @@
         this.lifecycle = new StatementLifecycle(timeouts, System.nanoTime());
     }
 
-    /** Returns the number of the next page; only for the thread that publishes pages. */
+    /** Returns the number of the next page; called only by the thread that publishes pages. */
     int nextPageNumber() {
         return pages.nextNumber();
     }
 
-    /** Tells whether pages are no longer published. */
+    /** Returns whether publishing has ended, so that further pages are dropped. */
     boolean isClosed() {
         return closed;
     }
@@ -64,7 +65,7 @@
         }
     }
 
-    /** Publishes a page, and responds to the polls that wait for it. */
+    /** Publishes a page and responds to the pending polls. */
     void publish(StoredPage page) {
         List<PendingPoll> due;
         synchronized (lock) {
@@ -84,7 +85,7 @@
         }
     }
 
-    /** Records that the result cannot be stored, which clients receive instead. */
+    /** Records that the result cannot be stored; clients receive this problem instead. */
     void fail(IOException failure) {
         synchronized (lock) {
             if (resultError == null && !closed) {
@@ -93,7 +94,7 @@
         }
     }
 
-    /** Returns true for the one caller that has to call {@link #complete}. */
+    /** Returns true only for the first caller, which has to call {@link #complete}. */
     boolean beginCompletion() {
         synchronized (lock) {
             if (completing) {
@@ -104,7 +105,7 @@
         }
     }
 
-    /** Completes the result, and responds to all pending polls; {@code lastPage} may be null. */
+    /** Completes the result and responds to all pending polls; {@code lastPage} may be null. */
     void complete(StatementCompletion finalCompletion, StoredPage lastPage) {
         List<PendingPoll> due;
         synchronized (lock) {
@@ -124,9 +125,9 @@
     /**
      * Polls for a page.
      *
-     * @param waitNs longest time to wait for the page
-     * @param executor responds to a poll that had to wait
-     * @param responder receives the result once, at once on this thread or later
+     * @param waitNs maximum time to wait for the page
+     * @param executor runs the responder of a poll that had to wait
+     * @param responder receives the result exactly once, on this thread or later on the executor
      */
     void poll(
             int page,
@@ -173,7 +174,7 @@
         poll.respond(result == null ? PollResult.pending() : result);
     }
 
-    /** Returns the result of a poll, or null while the page is pending. Called under the lock. */
+    /** Returns the result of a poll, or null while the page is pending. Callers hold the lock. */
     private PollResult peek(int page) {
         if (lifecycle.state() == State.DISCARDED || lifecycle.state() == State.REMOVED) {
             return PollResult.of(discardedProblem());
@@ -206,7 +207,7 @@
                 : completion.problem();
     }
 
-    /** A poll beyond the end of a result learns why there is no such page. */
+    /** Returns the reason why a requested page does not exist. */
     private ProblemDetail invalidPageProblem(int page) {
         if (page != pages.nextNumber()) {
             return ProblemDetail.pageUnknown(page);
@@ -224,13 +225,13 @@
         }
     }
 
-    /** Stops publishing, and wakes a thread that waits to store a page. */
+    /** Stops publishing and wakes a thread that waits to store a page. */
     void close() {
         closed = true;
         store.wake();
     }
 
-    /** Discards all pages, and responds to all pending polls. */
+    /** Discards all pages and responds to all pending polls. */
     void discard() {
         List<PendingPoll> due;
         synchronized (lock) {
@@ -243,7 +244,7 @@
         due.forEach(this::respond);
     }
 
-    /** Discards all pages as the router shuts down. */
+    /** Discards all pages because the router is shutting down. */
     void stop() {
         synchronized (lock) {
             if (resultError == null) {
@@ -265,14 +266,14 @@
         }
     }
 
-    /** Tells whether the client has fetched the complete result, or there is none. */
+    /** Returns whether the client has requested the last page, or there is no result. */
     boolean isFetched() {
         synchronized (lock) {
             return completion != null && (!completion.hasResult() || pages.isLastPageRequested());
         }
     }
 
-    /** Returns the first page that can be fetched; negative if the result is discarded. */
+    /** Returns the first retained page; negative if the result is discarded. */
     int firstRetainedPage() {
         synchronized (lock) {
             return lifecycle.state() == State.DISCARDED
--- a/router/src/main/java/ashlink/router/http/StatementSlots.java
+++ b/router/src/main/java/ashlink/router/http/StatementSlots.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Limits the open statements of the router and of each user. A statement has a slot until its
- * result is discarded. Safe for use by several threads.
+ * Limits the number of open statements of the router and of each user. A statement occupies a slot
+ * until its result is discarded. Safe for use by several threads.
  */
 final class StatementSlots {
 
@@ -16,14 +16,14 @@
     private final AtomicInteger openCount = new AtomicInteger();
     private final Map<String, AtomicInteger> openCountByUser = new ConcurrentHashMap<>();
 
-    /** Identifiers of the known statements whose slots are released. */
+    /** Identifiers of the registered statements whose slots are released. */
     private final Set<String> released = ConcurrentHashMap.newKeySet();
 
     StatementSlots(HttpSpec spec) {
         this.spec = spec;
     }
 
-    /** Acquires a slot; returns the problem if there is none, else null. */
+    /** Acquires a slot; returns null on success, or a problem if a limit is reached. */
     ProblemDetail acquire(String user) {
         AtomicInteger userCount =
                 openCountByUser.computeIfAbsent(user, name -> new AtomicInteger());
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Forgets a statement that is no longer known; its slot must be released. */
+    /** Removes a statement that is no longer registered and whose slot is released. */
     void remove(HttpStatement statement) {
         released.remove(statement.id());
     }
--- a/router/src/main/java/ashlink/router/http/StatementSubmission.java
+++ b/router/src/main/java/ashlink/router/http/StatementSubmission.java
@@ -23,15 +23,15 @@
 import java.util.TreeMap;
 
 /**
- * A submitted statement. The body of the request is its text, or JSON with {@code statement},
- * {@code database}, {@code settings} and, for an insert, {@code rows}. Query parameters are
- * settings too, except those of the API itself.
+ * A submitted statement. The body of the request is the text of the statement, or a JSON object
+ * with {@code statement}, {@code database}, {@code settings} and, for an insert, {@code rows}.
+ * Query parameters are also settings, except for the parameters of the API.
  *
  * @param statement text of the statement
  * @param database default database
  * @param settings settings by name
  * @param rows rows of an insert, or null
- * @param digest digest of the other components, by which submissions with one key are compared
+ * @param digest digest of the other components; compared if an idempotency key is used again
  */
 record StatementSubmission(
         String statement,
@@ -54,14 +54,14 @@
                     .build();
     private static final Set<String> FIELDS = Set.of("statement", "database", "settings", "rows");
 
-    /** Query parameters that are no settings. */
+    /** Query parameters of the API, which are not settings. */
     static final Set<String> API_PARAMETERS = Set.of("wait", "database");
 
     private static final String DEFAULT_DATABASE = "default";
     private static final String DIGEST = "SHA-256";
     private static final int MAX_SETTINGS = 1_000;
 
-    /** A submission is not accepted. */
+    /** Thrown if a submission is invalid. */
     static final class InvalidSubmissionException extends Exception {
 
         private static final long serialVersionUID = 1L;
@@ -79,7 +79,7 @@
     }
 
     /**
-     * Reads a submission.
+     * Parses a submission.
      *
      * @param contentType value of the Content-Type header, or null
      * @param parameters query parameters by name
@@ -189,7 +189,7 @@
         }
     }
 
-    /** Digests all that decides what the statement does, so that its text need not be stored. */
+    /** Digests everything that determines the effect of a statement; stored instead of the text. */
     private static String digest(
             String text, String database, Map<String, String> settings, JsonNode rows) {
         try {
@@ -208,7 +208,7 @@
         }
     }
 
-    /** Returns the settings in the form of the native protocol. */
+    /** Returns the settings as settings of the native protocol. */
     List<Setting> settingList() {
         List<Setting> list = new ArrayList<>();
         settings.forEach((name, value) -> list.add(new Setting(name, 0, value)));
--- a/router/src/main/java/ashlink/router/http/StatementSubmissionHandler.java
+++ b/router/src/main/java/ashlink/router/http/StatementSubmissionHandler.java
@@ -30,9 +30,9 @@
     private final PagePoller poller;
 
     /**
-     * A handler.
+     * Creates a handler.
      *
-     * @param executor submits statements once their bodies are received
+     * @param executor runs the submission once the body of the request is received
      */
     StatementSubmissionHandler(
             HttpSpec spec, StatementRegistry registry, Executor executor, PagePoller poller) {
@@ -42,7 +42,7 @@
         this.poller = poller;
     }
 
-    /** Receives the body without blocking, then submits the statement and polls its first page. */
+    /** Reads the body without blocking, then submits the statement and polls its first page. */
     void handle(HttpExchange exchange, String user) {
         String key = exchange.request().getHeaders().get(IDEMPOTENCY_KEY);
         ResultFormat format = PagePoller.acceptedFormat(exchange);
@@ -89,7 +89,7 @@
         if (cause instanceof TimeoutException) {
             return ProblemDetail.of(ProblemDetail.Kind.BODY_LATE, "");
         }
-        // Jetty reports a body over the limit so.
+        // Jetty reports a body over the limit as an IllegalStateException.
         return cause instanceof IllegalStateException
                 ? bodyTooLarge()
                 : ProblemDetail.of(ProblemDetail.Kind.BAD_REQUEST, "the body broke off");
@@ -98,7 +98,7 @@
     private void submit(
             HttpExchange exchange, String user, String key, ResultFormat format, byte[] body) {
         try {
-            // All that can be invalid is checked before the statement runs.
+            // Validates the complete request before the statement runs.
             Map<String, String> parameters = RequestParameters.read(exchange.request());
             long waitNs = RequestParameters.waitNs(parameters, spec.maxPollWaitNs());
             StatementSubmission submission =
--- a/router/src/main/java/ashlink/router/http/ValueEncoder.java
+++ b/router/src/main/java/ashlink/router/http/ValueEncoder.java
@@ -17,11 +17,11 @@
 import java.util.regex.Pattern;
 
 /**
- * Encodes JSON values of one column type in the native format. A JSON null becomes the default of
- * the type, whose null flag is written apart.
+ * Encodes JSON values of one column type in the native format. A JSON null is encoded as the
+ * default value of the type; the caller writes the null flags.
  *
  * <p>{@link #encode} throws {@link IllegalArgumentException}, {@link DateTimeException} or {@link
- * ArithmeticException} for a value that the type does not take.
+ * ArithmeticException} for a value that is invalid for the type.
  */
 final class ValueEncoder {
 
@@ -37,7 +37,7 @@
     private final ByteBuf out;
 
     /**
-     * An encoder.
+     * Creates an encoder that appends to a buffer.
      *
      * @param type name of the type without its arguments
      * @param arguments arguments of the type, separated by commas; may be empty
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Appends a value.
+     * Appends a value to the buffer.
      *
      * @throws WireException if the type is not supported
      */
@@ -118,7 +118,7 @@
         out.putLong(uuid.getMostSignificantBits()).putLong(uuid.getLeastSignificantBits());
     }
 
-    /** Appends an integer, the least significant byte first. */
+    /** Appends an integer in little-endian order. */
     private void encodeInteger(BigInteger value, int bits, boolean signed) throws WireException {
         boolean overflow =
                 signed ? value.bitLength() >= bits : value.signum() < 0 || value.bitLength() > bits;
@@ -165,7 +165,7 @@
                 : BigInteger.valueOf(OffsetDateTime.parse(requireText(value)).toEpochSecond());
     }
 
-    /** Returns a time in units of 10^-digits seconds since 1970. */
+    /** Returns a time in units of 10^-digits seconds since the Unix epoch. */
     private static long ticks(JsonNode value, int digits) {
         OffsetDateTime time = OffsetDateTime.parse(requireText(value));
         return BigDecimal.valueOf(time.toEpochSecond())
--- a/router/src/main/java/ashlink/router/http/package-info.java
+++ b/router/src/main/java/ashlink/router/http/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The front that speaks HTTP: a statement is posted, its answer fetched by pages. It turns requests
- * into statements of the same core, and answers into JSON, CSV or JSON lines; what becomes of
- * statements is decided in {@code statement}.
+ * The HTTP API: clients post a statement and fetch its result page by page. This package submits
+ * the statements to the router core and renders results as JSON, CSV or JSON lines. The package
+ * {@code statement} holds the rules for the lifecycle of statements and the retention of results.
  */
 package ashlink.router.http;
--- a/router/src/main/java/ashlink/router/spool/IdempotencyKeyLog.java
+++ b/router/src/main/java/ashlink/router/spool/IdempotencyKeyLog.java
@@ -18,9 +18,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stores a table of idempotency keys on the disk, as a log with a record for each change. A change
- * is durable once its record is synced; concurrent changes share a sync. The log is compacted at
- * each start, and when it has grown. Safe for use by several threads.
+ * Stores a table of idempotency keys on the disk, as a log with one record for each change. A
+ * change is durable once its record is synced; concurrent changes share a sync. The log is
+ * compacted at each start of the router and whenever it has grown too large. Safe for use by
+ * several threads.
  *
  * <p>Lock order: {@code syncLock}, then this, then the table. Callers must not hold the lock of the
  * table.
@@ -30,14 +31,14 @@
     private static final Logger LOG = LoggerFactory.getLogger(IdempotencyKeyLog.class);
     private static final long SEGMENT_BYTES = 16L << 20;
 
-    // Kinds of records.
+    // Record kinds.
     private static final int PUT = 1;
     private static final int RELEASE = 2;
 
-    /** Stored in place of an outcome for a statement without one. */
+    /** Stored instead of an outcome if the statement has none. */
     private static final int NO_OUTCOME = -1;
 
-    /** The log is compacted beyond this many records, and this many for each key. */
+    /** The log is compacted beyond this number of records plus {@link #RECORDS_PER_KEY} per key. */
     private static final int MIN_RECORDS = 10_000;
 
     private static final long RECORDS_PER_KEY = 4L;
@@ -48,15 +49,15 @@
     /** Guarded by itself. */
     private final IdempotencyKeyTable table;
 
-    /** Held during a sync, so that records appended meanwhile share the next one. */
+    /** Held during a sync, so that records appended meanwhile share the next sync. */
     private final Object syncLock = new Object();
 
-    /** Records that are appended and not synced. Guarded by this. */
+    /** Records that are appended but not yet synced. Guarded by this. */
     private final List<Pending> pending = new ArrayList<>();
 
     /**
-     * Reads the stored keys into a table, and compacts the log. Statements that were running have
-     * an unknown outcome from now on.
+     * Opens a log: reads the stored keys into a table and compacts the log. Statements that were
+     * running when the router stopped become statements with an unknown outcome.
      */
     public IdempotencyKeyLog(Disk disk, IdempotencyKeyTable table, long nowMs) throws IOException {
         this.log = new KeyValueLog(disk, SEGMENT_BYTES, nowMs);
@@ -122,17 +123,17 @@
         return bytes.toByteArray();
     }
 
-    /** Stores an entry; returns once it is on the disk. */
+    /** Stores an entry; returns once the entry is on the disk. */
     public void put(Entry entry) throws IOException {
         append(PUT, entry);
     }
 
-    /** Stores the release of a key; returns once it is on the disk. */
+    /** Stores the release of a key; returns once the release is on the disk. */
     public void release(Entry entry) throws IOException {
         append(RELEASE, entry);
     }
 
-    /** A record that is appended and not synced. */
+    /** A record that is appended but not yet synced. */
     private static final class Pending {
         private boolean done;
 
@@ -147,7 +148,7 @@
             try {
                 log.append(record);
             } catch (IOException e) {
-                // Records that were appended before and not synced may be lost too.
+                // Records that were appended before and are not yet synced may be lost too.
                 settle(e);
                 throw e;
             }
@@ -185,7 +186,7 @@
         pending.clear();
     }
 
-    /** Compacts the log if it has grown far beyond the table. */
+    /** Compacts the log if it has many more records than the table has keys. */
     public void compact() throws IOException {
         synchronized (syncLock) {
             synchronized (this) {
--- a/router/src/main/java/ashlink/router/spool/PageStore.java
+++ b/router/src/main/java/ashlink/router/spool/PageStore.java
@@ -11,9 +11,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stores pages of results: the first ones of a statement in memory, within a budget of its own, the
- * others in files within the budget of the spool. Storing a page blocks until the budget allows it.
- * Safe for use by several threads.
+ * Stores pages of results: the first pages of a statement in memory, within a separate memory
+ * budget, and the other pages in files, within the spool budget. Storing a page blocks until the
+ * spool budget has room for the page. Safe for use by several threads.
  */
 public final class PageStore {
 
@@ -56,11 +56,11 @@
     private final long memoryBytes;
 
     /**
-     * A store.
+     * Creates a store.
      *
-     * @param files files of the spool; null keeps all pages in memory, within the same budget
-     * @param memory budget of pages in memory beside the budget of the spool
-     * @param memoryBytes limit of those pages for each statement
+     * @param files files of the spool; if null, all pages are in memory, within the same budgets
+     * @param memory memory budget of the first pages, separate from the spool budget
+     * @param memoryBytes limit of the first pages of each statement, in bytes
      */
     public PageStore(SpoolFiles files, SpoolBudget budget, Quota memory, long memoryBytes) {
         this.files = files;
@@ -70,10 +70,11 @@
     }
 
     /**
-     * Stores the first {@code length} bytes as a page; blocks until the budget allows it.
+     * Stores the first {@code length} bytes as a page; blocks until the budget has room for it.
      *
-     * @param storedBytes bytes of the statement that are stored already
-     * @param cancelled ends the wait with an exception once it is true and {@link #wake} is called
+     * @param storedBytes bytes of the statement that are already stored
+     * @param cancelled tells whether to end the wait with an exception; evaluated again after each
+     *     {@link #wake}
      * @throws IOException if the wait is cancelled, the page is too large, or the disk fails
      */
     public StoredPage store(
@@ -130,7 +131,7 @@
     /**
      * Returns the bytes of a page.
      *
-     * @throws IOException if they cannot be read or differ from those that were stored
+     * @throws IOException if the page cannot be read or differs from the stored page
      */
     public byte[] read(StoredPage stored) throws IOException {
         if (stored.memory != null) {
@@ -170,17 +171,17 @@
         notifyAll();
     }
 
-    /** Wakes blocked threads, so that they check whether they are cancelled. */
+    /** Wakes threads that are blocked in {@link #store}, so that they check for cancellation. */
     public synchronized void wake() {
         notifyAll();
     }
 
-    /** Returns the used bytes of the spool's budget. */
+    /** Returns the number of bytes that are reserved from the spool budget. */
     public synchronized long usedBytes() {
         return budget.usedBytes();
     }
 
-    /** Deletes the files of earlier starts of this router; returns their number. */
+    /** Deletes the files of earlier runs of this router; returns the number of deleted files. */
     public int deleteLeftovers() throws IOException {
         int deleted = 0;
         if (files != null) {
--- a/router/src/main/java/ashlink/router/spool/SpoolDirectory.java
+++ b/router/src/main/java/ashlink/router/spool/SpoolDirectory.java
@@ -14,8 +14,8 @@
 import java.util.regex.Pattern;
 
 /**
- * The files of a spool in a directory, which routers of different names may share. A lock file
- * keeps a second router of the same name out.
+ * Stores the files of a spool in a directory that routers with different names may share. A lock
+ * file prevents a second router with the same name from using the directory.
  */
 public final class SpoolDirectory implements SpoolFiles {
 
@@ -27,10 +27,10 @@
     private final FileLock lock;
 
     /**
-     * Opens the directory; creates it where it does not exist.
+     * Opens the directory; creates the directory if it does not exist.
      *
-     * @param boot text that is unique to this start of the router
-     * @throws IOException if another router of the same name uses it
+     * @param boot text that is unique to this run of the router
+     * @throws IOException if another router with the same name uses the directory
      */
     public SpoolDirectory(Path directory, String router, String boot) throws IOException {
         this.directory = directory;
@@ -49,7 +49,7 @@
         try {
             acquired = lockFile.tryLock();
         } catch (OverlappingFileLockException e) {
-            // Held within this process; reported like a lock of another process.
+            // This process holds the lock; reported like a lock of another process.
         }
         if (acquired == null) {
             lockFile.close();
@@ -99,7 +99,7 @@
 
     @Override
     public String name(String statement, int page) {
-        // The name of the router in an identifier may not be safe in a file name.
+        // The router name in a statement identifier may not be safe in a file name.
         String own = statement.substring(statement.lastIndexOf('~') + 1);
         return router + "." + boot + "." + own + "." + page + ".page";
     }
--- a/router/src/main/java/ashlink/router/spool/SpoolFiles.java
+++ b/router/src/main/java/ashlink/router/spool/SpoolFiles.java
@@ -4,10 +4,10 @@
 import java.io.IOException;
 import java.util.List;
 
-/** The files of a spool; tests inject faults through it. */
+/** The files of a spool; an interface so that tests can inject faults. */
 public interface SpoolFiles extends Closeable {
 
-    /** Creates a file of the first {@code length} bytes; after an exception it does not exist. */
+    /** Creates a file with the first {@code length} bytes; on an exception, no file remains. */
     void write(String name, byte[] bytes, int length) throws IOException;
 
     /** Returns the content of a file. */
@@ -16,12 +16,12 @@
     /** Deletes a file if it exists. */
     void delete(String name) throws IOException;
 
-    /** Returns the names of all files of this router, of this start and of earlier ones. */
+    /** Returns the names of all files of this router, from this run and from earlier runs. */
     List<String> list() throws IOException;
 
-    /** Returns the name of the file of a page, for this start. */
+    /** Returns the file name of a page that is stored by this run. */
     String name(String statement, int page);
 
-    /** Tells whether a file belongs to this start. */
+    /** Returns whether a file was stored by this run. */
     boolean isOwn(String name);
 }
--- a/router/src/main/java/ashlink/router/spool/package-info.java
+++ b/router/src/main/java/ashlink/router/spool/package-info.java
@@ -1,2 +1,2 @@
-/** Durable state of the HTTP API: the spool of results, and the log of idempotency keys. */
+/** Storage of the HTTP API on disk: the spool of results and the log of idempotency keys. */
 package ashlink.router.spool;
--- a/router/src/main/java/ashlink/router/statement/IdempotencyKeyTable.java
+++ b/router/src/main/java/ashlink/router/statement/IdempotencyKeyTable.java
@@ -9,31 +9,32 @@
 import java.util.Map;
 
 /**
- * Idempotency keys: a statement with a key runs at most once while the key is retained. A key is
- * claimed before its statement is submitted. It is released early only if the statement was
- * rejected, which proves that it did not run. A statement that was running when the router stopped
- * has an unknown outcome, and is never run again. Not safe for use by several threads.
+ * Holds idempotency keys: a statement with a key runs at most once while the key is retained. A key
+ * is claimed before its statement is submitted, and released before it expires only if the
+ * statement was rejected, which proves that the statement did not run. A statement that was running
+ * when the router stopped has an unknown outcome and is never run again. Not safe for use by
+ * several threads.
  */
 public final class IdempotencyKeyTable {
 
-    /** What is known of the statement of a key. Stored by ordinal: never reorder. */
+    /** The status of the statement of a key. Stored by ordinal: never reorder the constants. */
     public enum Status {
-        /** It has no final response. */
+        /** The statement has no final response yet. */
         RUNNING,
-        /** It has its final response. */
+        /** The statement has its final response. */
         COMPLETED,
-        /** The router stopped while it was running. */
+        /** The router stopped while the statement was running. */
         UNKNOWN
     }
 
     /**
      * A claimed key.
      *
-     * @param user user that the key belongs to
+     * @param user user whom the key belongs to
      * @param digest digest of the statement with its settings
      * @param statement identifier of the statement
-     * @param outcome how the statement ended; null unless it is completed
-     * @param claimedMs time of the claim in milliseconds since 1970
+     * @param outcome outcome of the statement; null unless the statement is completed
+     * @param claimedMs time of the claim in milliseconds since the Unix epoch
      */
     public record Entry(
             String user,
@@ -44,13 +45,13 @@
             StatementOutcome outcome,
             long claimedMs) {
 
-        /** Returns the entry once the statement has ended. */
+        /** Returns this entry with the status of a completed statement. */
         public Entry completed(StatementOutcome finalOutcome) {
             return new Entry(
                     user, key, digest, statement, Status.COMPLETED, finalOutcome, claimedMs);
         }
 
-        /** Returns the entry as it is after a restart of the router. */
+        /** Returns this entry with the status that it has after a restart of the router. */
         public Entry afterRestart() {
             return status == Status.RUNNING
                     ? new Entry(user, key, digest, statement, Status.UNKNOWN, outcome, claimedMs)
@@ -60,17 +61,17 @@
 
     /** The result of a claim. */
     public enum ClaimResult {
-        /** The key was free and is claimed now. */
+        /** The key was free and is now claimed. */
         NEW,
-        /** The same statement was submitted with the key before. */
+        /** The same statement was submitted with this key before. */
         DUPLICATE,
-        /** Another statement was submitted with the key before. */
+        /** A different statement was submitted with this key before. */
         CONFLICT,
-        /** The table is full of keys that are not expired. */
+        /** The table is full and none of the keys has expired. */
         FULL
     }
 
-    /** A result, with the entry of the key; null if the table is full. */
+    /** The result of a claim with the entry of the key, which is null if the table is full. */
     public record Claim(ClaimResult result, Entry entry) {}
 
     private record Name(String user, String key) {}
@@ -81,9 +82,10 @@
     private final Map<String, Name> nameByStatement = new HashMap<>();
 
     /**
-     * An empty table.
+     * Creates an empty table.
      *
-     * @param retentionMs time for which a key is retained
+     * @param most maximum number of keys
+     * @param keptMs time for which a key is retained
      */
     public IdempotencyKeyTable(int most, long keptMs) {
         this.maxKeys = most;
@@ -109,7 +111,7 @@
         return new Claim(ClaimResult.NEW, entry);
     }
 
-    /** Adds or replaces an entry, such as one read from the log. */
+    /** Adds or replaces an entry. */
     public void put(Entry entry) {
         Name name = new Name(entry.user(), entry.key());
         Entry before = entries.put(name, entry);
@@ -133,7 +135,7 @@
         return name == null ? null : entries.get(name);
     }
 
-    /** Releases and returns the expired keys; those of running statements never expire. */
+    /** Releases and returns the expired keys; keys of running statements never expire. */
     public List<Entry> expire(long nowMs) {
         List<Entry> expired = new ArrayList<>();
         for (Entry entry : new ArrayList<>(entries.values())) {
--- a/router/src/main/java/ashlink/router/statement/PageWindow.java
+++ b/router/src/main/java/ashlink/router/statement/PageWindow.java
@@ -1,9 +1,9 @@
 package ashlink.router.statement;
 
 /**
- * The numbers of the pages of a result that exist and are retained. A page is closed once and never
- * changes. The request of page n releases the pages before n-1, so a page can be requested again
- * until the page after the next one is requested. Not safe for use by several threads.
+ * Tracks which pages of a result exist and which of them are retained. A closed page never changes.
+ * The request of page n releases the pages before n-1, so that page n-1 can be requested again
+ * until page n+1 is requested. Not safe for use by several threads.
  */
 public final class PageWindow {
 
@@ -11,11 +11,11 @@
     public enum PageState {
         /** The page exists. */
         AVAILABLE,
-        /** The page is the next one to be closed. */
+        /** The page is the next page to be closed. */
         PENDING,
         /** The page was released. */
         RELEASED,
-        /** The page will never exist, or not before others. */
+        /** The page will never exist, or other pages have to be closed before it. */
         INVALID
     }
 
@@ -36,12 +36,12 @@
         return closedCount++;
     }
 
-    /** No further page will be closed. */
+    /** Records that no further page will be closed. */
     public void end() {
         ended = true;
     }
 
-    /** Handles the request of a page; {@link #firstRetained} tells afterwards what it released. */
+    /** Records the request of a page; advances {@link #firstRetained} past the released pages. */
     public PageState request(int page) {
         if (page < 0 || page > closedCount || page == closedCount && ended) {
             return PageState.INVALID;
@@ -57,13 +57,13 @@
         return PageState.AVAILABLE;
     }
 
-    /** Releases all pages; no further one will be closed. */
+    /** Releases all pages and records that no further page will be closed. */
     public void releaseAll() {
         firstRetained = closedCount;
         ended = true;
     }
 
-    /** Returns the lowest page that is retained. */
+    /** Returns the number of the first page that is retained. */
     public int firstRetained() {
         return firstRetained;
     }
@@ -73,12 +73,12 @@
         return closedCount;
     }
 
-    /** Tells whether a page is the last one of the result. */
+    /** Returns whether a page is the last page of the result. */
     public boolean isLast(int page) {
         return ended && page == closedCount - 1;
     }
 
-    /** Tells whether the last page was requested. */
+    /** Returns whether the last page of the result was requested. */
     public boolean isLastPageRequested() {
         return ended && highestRequested == closedCount - 1;
     }
--- a/router/src/main/java/ashlink/router/statement/SpoolBudget.java
+++ b/router/src/main/java/ashlink/router/statement/SpoolBudget.java
@@ -4,10 +4,11 @@
 import java.util.Map;
 
 /**
- * The budget of stored result bytes: per statement, per user and for the router. A page that does
- * not fit waits, and so does the engine that sends it, until clients have fetched others. A part of
- * the router's budget is reserved for statements that store nothing yet, so that results that
- * nobody fetches do not block the first pages of others. Not safe for use by several threads.
+ * Limits the stored result bytes per statement, per user and for the whole router. A page that does
+ * not fit has to wait, and the engine that sends the page waits too, until clients have fetched
+ * other pages. A part of the router's budget is reserved for statements without stored pages, so
+ * that results that no client fetches do not block the first pages of other statements. Not safe
+ * for use by several threads.
  */
 public final class SpoolBudget {
 
@@ -15,19 +16,19 @@
     public enum Reservation {
         /** The bytes are reserved. */
         GRANTED,
-        /** The bytes do not fit now; try again after a release. */
+        /** The bytes do not fit now; the caller tries again after a release. */
         WAIT,
-        /** The bytes exceed a limit by themselves. */
+        /** The bytes alone exceed a limit and will never fit. */
         TOO_LARGE
     }
 
     /**
-     * Limits in bytes.
+     * The limits of a budget, in bytes.
      *
      * @param statementBytes limit of one statement
      * @param userBytes limit of all statements of one user
      * @param totalBytes limit of all statements
-     * @param reserveBytes part of {@code totalBytes} for statements that store nothing yet
+     * @param reserveBytes part of {@code totalBytes} for statements without stored pages
      */
     public record Limits(long statementBytes, long userBytes, long totalBytes, long reserveBytes) {
 
@@ -43,12 +44,12 @@
     private final Map<String, Long> bytesByUser = new HashMap<>();
     private long totalBytes;
 
-    /** An unused budget. */
+    /** Creates a budget with no bytes reserved. */
     public SpoolBudget(Limits limits) {
         this.limits = limits;
     }
 
-    /** Reserves bytes for a statement of a user, in addition to those that it has. */
+    /** Reserves bytes for a statement of a user, in addition to its earlier reservations. */
     public Reservation reserve(String statement, String user, long bytes) {
         if (bytes > limits.maxReservationBytes()) {
             return Reservation.TOO_LARGE;
@@ -70,7 +71,7 @@
         return Reservation.GRANTED;
     }
 
-    /** Releases bytes of a statement, at most those that it has. */
+    /** Releases reserved bytes of a statement; more than are reserved are ignored. */
     public void release(String statement, long bytes) {
         StatementUsage usage = usageByStatement.get(statement);
         if (usage == null) {
@@ -86,18 +87,18 @@
         totalBytes -= released;
     }
 
-    /** Returns null for a sum of 0, which removes a user from the map. */
+    /** Returns the sum; null instead of 0, which removes the user from the map. */
     private static Long sumOrNull(Long first, Long second) {
         long sum = first + second;
         return sum == 0 ? null : sum;
     }
 
-    /** Returns the bytes used by all statements. */
+    /** Returns the bytes reserved by all statements. */
     public long usedBytes() {
         return totalBytes;
     }
 
-    /** Returns the bytes used by the statements of a user. */
+    /** Returns the bytes reserved by the statements of a user. */
     public long usedBytesOf(String user) {
         return bytesByUser.getOrDefault(user, 0L);
     }
--- a/router/src/main/java/ashlink/router/statement/StatementLifecycle.java
+++ b/router/src/main/java/ashlink/router/statement/StatementLifecycle.java
@@ -1,42 +1,44 @@
 package ashlink.router.statement;
 
 /**
- * The lifecycle of a statement whose client polls for its result: running, answered, discarded,
- * removed. A state is never left for an earlier one, and time never goes back. Not safe for use by
- * several threads; times are those of the caller in nanoseconds.
+ * Tracks the lifecycle of a statement whose client polls for the result: running, answered,
+ * discarded, removed. The state never returns to an earlier one, and a time earlier than a previous
+ * one is treated as the previous one. Not safe for use by several threads. The caller supplies all
+ * times, in nanoseconds.
  */
 public final class StatementLifecycle {
 
     /** The state of a statement. */
     public enum State {
-        /** It has no final response. */
+        /** The statement has no final response yet. */
         RUNNING,
-        /** It has its final response; the result can be fetched. */
+        /** The statement has its final response; the result can be fetched. */
         ANSWERED,
-        /** Its result is deleted; clients are told so. */
+        /** The result is deleted; clients that poll are told that it is deleted. */
         DISCARDED,
-        /** It is no longer known. */
+        /** The statement is no longer registered. */
         REMOVED
     }
 
-    /** What the caller has to do about a statement. */
+    /** The action that the caller has to take for a statement. */
     public enum PendingAction {
-        /** Nothing. */
+        /** No action. */
         NONE,
-        /** Cancel it, as no client polls it. */
+        /** Cancel the statement because no client polls it. */
         CANCEL,
-        /** Discard its result. */
+        /** Discard the result. */
         DISCARD,
-        /** Remove it. */
+        /** Remove the statement. */
         REMOVE
     }
 
     /**
-     * The time limits of statements, in nanoseconds.
+     * The timeouts of a statement, in nanoseconds.
      *
      * @param pollTimeoutNs time without a poll after which a running statement is cancelled
      * @param resultRetentionNs time without a poll after which a result is discarded
-     * @param completedRetentionNs the same for a result whose last page was fetched
+     * @param completedRetentionNs time without a poll after which a result is discarded whose last
+     *     page was fetched
      * @param tombstoneRetentionNs time after which a discarded statement is removed
      */
     public record Timeouts(
@@ -53,7 +55,7 @@
     private int openPolls;
     private boolean lastPageFetched;
 
-    /** A statement that starts now. */
+    /** Creates the lifecycle of a statement that starts now. */
     public StatementLifecycle(Timeouts timeouts, long nowNs) {
         this.timeouts = timeouts;
         this.nowNs = nowNs;
@@ -64,14 +66,14 @@
         nowNs = Math.max(nowNs, timeNs);
     }
 
-    /** A poll starts; it lasts until {@link #pollEnded}. */
+    /** Records the start of a poll, which lasts until {@link #pollEnded}. */
     public void pollStarted(long timeNs) {
         advanceClock(timeNs);
         openPolls++;
         lastPollNs = nowNs;
     }
 
-    /** A poll ends; {@code lastPage} tells whether it returned the end of the result. */
+    /** Records the end of a poll; {@code lastPage} tells whether it returned the result's end. */
     public void pollEnded(boolean lastPage, long timeNs) {
         advanceClock(timeNs);
         openPolls = Math.max(0, openPolls - 1);
@@ -79,19 +81,19 @@
         lastPageFetched |= lastPage;
     }
 
-    /** The statement has its final response; returns false if it had ended before. */
+    /** Records the final response; returns false if the statement was no longer running. */
     public boolean complete(long timeNs) {
         advanceClock(timeNs);
         if (state != State.RUNNING) {
             return false;
         }
         state = State.ANSWERED;
-        // The retention of the result starts now, even if nobody polled for long.
+        // The retention time of the result starts now, even if the last poll was long ago.
         lastPollNs = nowNs;
         return true;
     }
 
-    /** The result is discarded. */
+    /** Records that the result is discarded. */
     public void discard(long timeNs) {
         advanceClock(timeNs);
         if (state == State.RUNNING || state == State.ANSWERED) {
@@ -100,7 +102,7 @@
         }
     }
 
-    /** Returns what has to be done now; the caller reports it by the methods of this class. */
+    /** Returns the action that is due; the caller records it with the methods of this class. */
     public PendingAction pendingAction(long timeNs) {
         advanceClock(timeNs);
         return switch (state) {
@@ -127,7 +129,7 @@
         return openPolls == 0 && nowNs - lastPollNs >= durationNs;
     }
 
-    /** The statement is removed. */
+    /** Records that the statement is removed. */
     public void remove() {
         state = State.REMOVED;
     }
--- a/router/src/main/java/ashlink/router/statement/package-info.java
+++ b/router/src/main/java/ashlink/router/statement/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Decisions about statements whose results clients fetch: their lifecycle, retained pages, the
- * budget of the spool, and idempotency keys. Without I/O, clock or randomness.
+ * State machines of the HTTP API: the lifecycle of statements, the retained pages of results, the
+ * spool budget and the idempotency keys. They use no I/O, clock or randomness.
  */
 package ashlink.router.statement;
