--- a/router/src/main/java/ashlink/router/http/HttpExchange.java
+++ b/router/src/main/java/ashlink/router/http/HttpExchange.java
@@ -80,7 +80,7 @@
         try {
             return MAPPER.writeValueAsBytes(state);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a state cannot be written as JSON", e);
+            throw new IllegalStateException("statement state cannot be serialized as JSON", e);
         }
     }
 }
--- a/router/src/main/java/ashlink/router/http/HttpListener.java
+++ b/router/src/main/java/ashlink/router/http/HttpListener.java
@@ -193,13 +193,14 @@
                 lease -> {
                     int deleted = store.deleteLeftovers();
                     if (deleted > 0) {
-                        LOG.info("spool files of earlier starts deleted files={}", deleted);
+                        LOG.info("spool files of earlier runs deleted files={}", deleted);
                     }
                 });
         try {
             server.start();
         } catch (Exception e) {
-            throw new IllegalStateException("the HTTP API does not start: " + e.getMessage(), e);
+            throw new IllegalStateException(
+                    "cannot start the HTTP API on " + spec.listen() + ": " + e.getMessage(), e);
         }
         LOG.atInfo().addKeyValue("address", address().toString()).log("HTTP API started");
     }
@@ -253,12 +254,12 @@
         try {
             server.stop();
         } catch (Exception e) {
-            LOG.warn("HTTP API stop failed error=\"{}\"", e.toString());
+            LOG.warn("HTTP server not stopped cleanly error=\"{}\"", e.toString());
         }
         try {
             registry.close();
         } catch (IOException e) {
-            LOG.warn("HTTP API stop failed error=\"{}\"", e.toString());
+            LOG.warn("spool and idempotency key log not closed cleanly error=\"{}\"", e.toString());
         }
     }
 }
--- a/router/src/main/java/ashlink/router/http/HttpStatement.java
+++ b/router/src/main/java/ashlink/router/http/HttpStatement.java
@@ -233,7 +233,7 @@
                 return page;
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-                throw new IOException("the router stops", e);
+                throw new IOException("the router is shutting down", e);
             }
         }
 
--- a/router/src/main/java/ashlink/router/http/IdempotencyKeys.java
+++ b/router/src/main/java/ashlink/router/http/IdempotencyKeys.java
@@ -54,7 +54,10 @@
             }
             return true;
         } catch (IOException e) {
-            LOG.error("idempotency key not stored error=\"{}\"", e.toString());
+            LOG.error(
+                    "idempotency key claim not stored statement={} error=\"{}\"",
+                    entry.statement(),
+                    e.toString());
             return false;
         }
     }
@@ -88,7 +91,9 @@
             log.release(entry);
         } catch (IOException e) {
             LOG.warn(
-                    "idempotency key release not stored, unknown after a restart error=\"{}\"",
+                    "idempotency key release not stored, outcome unknown after a restart"
+                            + " statement={} error=\"{}\"",
+                    entry.statement(),
                     e.toString());
         }
     }
--- a/router/src/main/java/ashlink/router/http/PageResponder.java
+++ b/router/src/main/java/ashlink/router/http/PageResponder.java
@@ -64,7 +64,7 @@
                     .addKeyValue("statement", statement.id())
                     .addKeyValue("page", page.page())
                     .setCause(e)
-                    .log("page not rendered");
+                    .log("page rendering failed");
             exchange.sendProblem(
                     ProblemDetail.of(
                             ProblemDetail.Kind.RESULT_LOST, String.valueOf(e.getMessage())),
--- a/router/src/main/java/ashlink/router/http/ProblemDetail.java
+++ b/router/src/main/java/ashlink/router/http/ProblemDetail.java
@@ -90,14 +90,16 @@
                 Kind.GONE,
                 "page "
                         + page
-                        + " was let go when page "
+                        + " was released because page "
                         + (page + 2)
-                        + " or a later one was asked for");
+                        + " or a later page was requested");
     }
 
     /** Creates the problem that a page does not exist or was requested out of order. */
     static ProblemDetail pageUnknown(int page) {
-        return of(Kind.NOT_FOUND, "there is no page " + page + "; pages are asked for in order");
+        return of(
+                Kind.NOT_FOUND,
+                "page " + page + " does not exist; pages must be requested in order");
     }
 
     /**
@@ -118,9 +120,9 @@
             case CLIENT_DISCONNECTED ->
                     of(
                             Kind.GONE,
-                            "nobody asked for it in time; its work was called off where that is"
-                                    + " allowed");
-            case SERVED -> of(Kind.GONE, "its result was dropped");
+                            "the result was not polled in time; the statement was cancelled if"
+                                    + " cancellation was allowed");
+            case SERVED -> of(Kind.GONE, "the result was discarded");
         };
     }
 
@@ -130,7 +132,7 @@
             return of(Kind.FATE_UNKNOWN, "");
         }
         return entry.outcome() == StatementOutcome.SERVED
-                ? of(Kind.GONE, "it was served; its result is not kept any more")
+                ? of(Kind.GONE, "the statement was served; its result is no longer retained")
                 : of(entry.outcome(), null, 0);
     }
 
@@ -161,7 +163,7 @@
         try {
             return JSON.writeValueAsBytes(body);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a problem cannot be written as JSON", e);
+            throw new IllegalStateException("problem cannot be serialized as JSON", e);
         }
     }
 }
--- a/router/src/main/java/ashlink/router/http/RequestParameters.java
+++ b/router/src/main/java/ashlink/router/http/RequestParameters.java
@@ -23,7 +23,7 @@
             }
         } catch (RuntimeException e) {
             throw new InvalidSubmissionException(
-                    ProblemDetail.Kind.BAD_REQUEST, "the parameters of the URI make no sense");
+                    ProblemDetail.Kind.BAD_REQUEST, "the query parameters cannot be parsed");
         }
         return parameters;
     }
@@ -40,7 +40,8 @@
             return (long) Math.min(maxWaitNs, seconds * NS_PER_S);
         }
         throw new InvalidSubmissionException(
-                ProblemDetail.Kind.BAD_REQUEST, "wait is a number of seconds, such as 0.5");
+                ProblemDetail.Kind.BAD_REQUEST,
+                "invalid wait " + text + ": a number of seconds of at least 0, such as 0.5");
     }
 
     private static double parseSeconds(String text) {
--- a/router/src/main/java/ashlink/router/http/ResultFormat.java
+++ b/router/src/main/java/ashlink/router/http/ResultFormat.java
@@ -93,7 +93,7 @@
             case JSON -> json(tables, columns, page, info, out);
             case CSV -> csv(tables, columns, page, out);
             case NDJSON -> lines(tables, out);
-            default -> throw new IllegalStateException("no renderer for " + this);
+            default -> throw new IllegalStateException("unsupported result format " + this);
         }
         return out.toByteArray();
     }
--- a/router/src/main/java/ashlink/router/http/RowsEncoder.java
+++ b/router/src/main/java/ashlink/router/http/RowsEncoder.java
@@ -62,9 +62,9 @@
                 throw malformed(
                         "row "
                                 + row
-                                + " is no array of "
+                                + " is not an array of "
                                 + width
-                                + " values: "
+                                + " values for the columns "
                                 + String.join(", ", columns.names()));
             }
         }
@@ -94,7 +94,7 @@
             JsonNode value = rows.get(row).get(column);
             try {
                 if (value.isNull() && !nullable) {
-                    throw new IllegalArgumentException("null in a column that is not nullable");
+                    throw new IllegalArgumentException("null in a non-nullable column");
                 }
                 encoder.encode(value);
             } catch (IllegalArgumentException | DateTimeException | ArithmeticException e) {
@@ -103,10 +103,10 @@
                                 + row
                                 + ", column "
                                 + name
-                                + ": "
-                                + type
-                                + " does not take "
-                                + excerpt(value));
+                                + ": invalid value "
+                                + excerpt(value)
+                                + " for type "
+                                + type);
             }
         }
     }
--- a/router/src/main/java/ashlink/router/http/StatementHandler.java
+++ b/router/src/main/java/ashlink/router/http/StatementHandler.java
@@ -70,7 +70,9 @@
         }
         if (allowedMethods.isEmpty()) {
             exchange.sendProblem(
-                    ProblemDetail.of(ProblemDetail.Kind.NOT_FOUND, "paths are in /v1/openapi.json"),
+                    ProblemDetail.of(
+                            ProblemDetail.Kind.NOT_FOUND,
+                            "unknown path; /v1/openapi.json describes the paths"),
                     null);
         } else {
             exchange.setHeader(HttpHeader.ALLOW, allowedMethods);
@@ -122,7 +124,7 @@
                     result.busy()
                             ? new ProblemDetail(
                                     ProblemDetail.Kind.BUSY,
-                                    "too many logins at once",
+                                    "too many concurrent password checks",
                                     StatementRegistry.RETRY_AFTER_NS,
                                     0)
                             : ProblemDetail.of(ProblemDetail.Kind.LOGIN, "");
@@ -154,7 +156,7 @@
             exchange.sendProblem(
                     ProblemDetail.of(
                             ProblemDetail.Kind.NOT_FOUND,
-                            "no statement of that id is known to this router"),
+                            "no statement with this id is known to this router"),
                     id);
         }
     }
--- a/router/src/main/java/ashlink/router/http/StatementRegistry.java
+++ b/router/src/main/java/ashlink/router/http/StatementRegistry.java
@@ -93,7 +93,7 @@
      */
     SubmitResult submit(StatementSubmission submission, String user, String peer, String key) {
         if (stopping) {
-            return SubmitResult.rejected("the router stops");
+            return SubmitResult.rejected("the router is shutting down");
         }
         ProblemDetail full = slots.acquire(user);
         if (full != null) {
@@ -111,7 +111,7 @@
         statements.put(statement.id(), statement);
         RequestAdmission.Prepared prepared = requests.prepare(submission, statement);
         if (claim != null && !keys.storeClaim(claim.entry())) {
-            prepared.reject("the key could not be kept", RETRY_AFTER_NS);
+            prepared.reject("the idempotency key could not be stored", RETRY_AFTER_NS);
         } else {
             prepared.submit();
         }
@@ -150,7 +150,9 @@
             case CONFLICT -> SubmitResult.of(ProblemDetail.of(ProblemDetail.Kind.KEY_REUSED, ""));
             case FULL ->
                     SubmitResult.rejected(
-                            "there are " + spec.maxIdempotencyKeys() + " keys, which is the limit");
+                            "the router already retains the maximum of "
+                                    + spec.maxIdempotencyKeys()
+                                    + " idempotency keys");
             default -> {
                 HttpStatement statement = statements.get(claim.entry().statement());
                 if (statement == null) {
@@ -226,7 +228,7 @@
                 LOG.atInfo()
                         .addKeyValue("statement", statement.id())
                         .addKeyValue("user", statement.user())
-                        .log("statement cancelled, not polled");
+                        .log("statement cancelled after poll timeout");
                 statement.cancelAbandoned();
                 slots.release(statement);
             }
--- a/router/src/main/java/ashlink/router/http/StatementRequestFactory.java
+++ b/router/src/main/java/ashlink/router/http/StatementRequestFactory.java
@@ -40,7 +40,7 @@
             packet.putVarUInt(ClientPacket.DATA.ordinal()).putString("");
             Block.END.write(null, packet);
         } catch (WireException e) {
-            throw new IllegalStateException("an empty block does not fit into a buffer", e);
+            throw new IllegalStateException("empty block exceeds the buffer limit", e);
         }
         return Arrays.copyOf(packet.array(), packet.size());
     }
@@ -92,7 +92,7 @@
         try {
             context.workers().execute(() -> feed(exchange, header, rows));
         } catch (RejectedExecutionException e) {
-            LOG.debug("insert not fed, the router is shutting down");
+            LOG.debug("insert data not sent, router shutting down");
         }
     }
 
--- a/router/src/main/java/ashlink/router/http/StatementResult.java
+++ b/router/src/main/java/ashlink/router/http/StatementResult.java
@@ -15,9 +15,8 @@
 import java.util.function.Consumer;
 
 /**
- * The result of a statement as the clients see it: the published pages, the outcome, and the polls
- * that wait for a page or the outcome. Safe for use by several threads; methods block only while a
- * page is read.
+ * The client view of a statement's result: published pages, outcome and pending polls. Safe for use
+ * by several threads; methods block only while a page is read.
  */
 final class StatementResult {
 
--- a/router/src/main/java/ashlink/router/http/StatementSlots.java
+++ b/router/src/main/java/ashlink/router/http/StatementSlots.java
@@ -31,7 +31,7 @@
             userCount.decrementAndGet();
             return new ProblemDetail(
                     ProblemDetail.Kind.TOO_MANY,
-                    "the limit is " + spec.maxOpenStatementsPerUser(),
+                    "at most " + spec.maxOpenStatementsPerUser() + " open statements per user",
                     StatementRegistry.RETRY_AFTER_NS,
                     0);
         }
@@ -40,9 +40,9 @@
             userCount.decrementAndGet();
             return new ProblemDetail(
                     ProblemDetail.Kind.REFUSED,
-                    "the router holds "
+                    "the router already has the maximum of "
                             + spec.maxOpenStatements()
-                            + " statements, which is the limit",
+                            + " open statements",
                     StatementRegistry.RETRY_AFTER_NS,
                     0);
         }
--- a/router/src/main/java/ashlink/router/http/StatementSubmission.java
+++ b/router/src/main/java/ashlink/router/http/StatementSubmission.java
@@ -100,7 +100,9 @@
         }
         throw new InvalidSubmissionException(
                 ProblemDetail.Kind.MEDIA_TYPE,
-                mediaType + "; a statement is text/plain, application/sql or application/json");
+                "unsupported media type "
+                        + mediaType
+                        + ": text/plain, application/sql or application/json");
     }
 
     private static String mediaType(String contentType) {
@@ -117,10 +119,9 @@
             if (!FIELDS.contains(name)) {
                 throw new InvalidSubmissionException(
                         ProblemDetail.Kind.BAD_REQUEST,
-                        "field "
+                        "unknown field "
                                 + name
-                                + " is unknown; there are statement, database, "
-                                + "settings, rows");
+                                + ": statement, database, settings and rows are accepted");
             }
         }
         String statement = textOr(body.path("statement"), "");
@@ -129,7 +130,7 @@
         JsonNode rows = body.get("rows");
         if (rows != null && !rows.isArray()) {
             throw new InvalidSubmissionException(
-                    ProblemDetail.Kind.BAD_REQUEST, "rows are an array of arrays");
+                    ProblemDetail.Kind.BAD_REQUEST, "rows must be an array of arrays");
         }
         return create(statement, database, settings, rows);
     }
@@ -143,11 +144,12 @@
             throws InvalidSubmissionException {
         if (statement.isBlank()) {
             throw new InvalidSubmissionException(
-                    ProblemDetail.Kind.BAD_REQUEST, "there is no statement");
+                    ProblemDetail.Kind.BAD_REQUEST, "the statement is missing or blank");
         }
         if (settings.size() > MAX_SETTINGS) {
             throw new InvalidSubmissionException(
-                    ProblemDetail.Kind.BAD_REQUEST, "over " + MAX_SETTINGS + " settings");
+                    ProblemDetail.Kind.BAD_REQUEST,
+                    "invalid number of settings " + settings.size() + ": at most " + MAX_SETTINGS);
         }
         return new StatementSubmission(
                 statement, database, settings, rows, digest(statement, database, settings, rows));
@@ -162,20 +164,20 @@
         } catch (JsonProcessingException e) {
             throw new InvalidSubmissionException(
                     ProblemDetail.Kind.BAD_REQUEST,
-                    "the body is no JSON: " + e.getOriginalMessage());
+                    "the body is not valid JSON: " + e.getOriginalMessage());
         } catch (IOException e) {
             throw new InvalidSubmissionException(
-                    ProblemDetail.Kind.BAD_REQUEST, "the body is no JSON");
+                    ProblemDetail.Kind.BAD_REQUEST, "the body is not valid JSON");
         }
         throw new InvalidSubmissionException(
-                ProblemDetail.Kind.BAD_REQUEST, "the body is no JSON object");
+                ProblemDetail.Kind.BAD_REQUEST, "the body is not a JSON object");
     }
 
     private static void addSettings(JsonNode node, Map<String, String> settings)
             throws InvalidSubmissionException {
         if (!node.isMissingNode() && !node.isObject()) {
             throw new InvalidSubmissionException(
-                    ProblemDetail.Kind.BAD_REQUEST, "settings are an object");
+                    ProblemDetail.Kind.BAD_REQUEST, "settings must be a JSON object");
         }
         node.properties().forEach(entry -> settings.put(entry.getKey(), entry.getValue().asText()));
     }
@@ -185,7 +187,7 @@
             return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(body)).toString();
         } catch (CharacterCodingException e) {
             throw new InvalidSubmissionException(
-                    ProblemDetail.Kind.BAD_REQUEST, "the statement is no UTF-8");
+                    ProblemDetail.Kind.BAD_REQUEST, "the statement is not valid UTF-8");
         }
     }
 
@@ -204,7 +206,7 @@
             }
             return HexFormat.of().formatHex(sha256.digest());
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has " + DIGEST, e);
+            throw new IllegalStateException("digest " + DIGEST + " is not available", e);
         }
     }
 
--- a/router/src/main/java/ashlink/router/http/StatementSubmissionHandler.java
+++ b/router/src/main/java/ashlink/router/http/StatementSubmissionHandler.java
@@ -53,7 +53,9 @@
             exchange.sendProblem(
                     ProblemDetail.of(
                             ProblemDetail.Kind.BAD_REQUEST,
-                            "an Idempotency-Key has 1 to " + MAX_KEY_CHARS + " characters"),
+                            "invalid Idempotency-Key: 1 to "
+                                    + MAX_KEY_CHARS
+                                    + " characters that are not all blank"),
                     null);
             return;
         }
@@ -80,7 +82,8 @@
 
     private ProblemDetail bodyTooLarge() {
         return ProblemDetail.of(
-                ProblemDetail.Kind.TOO_LARGE, "the limit is " + spec.maxBodyBytes() + " bytes");
+                ProblemDetail.Kind.TOO_LARGE,
+                "the body exceeds the limit of " + spec.maxBodyBytes() + " bytes");
     }
 
     private ProblemDetail bodyProblem(Throwable failure) {
@@ -92,7 +95,8 @@
         // Jetty reports a body over the limit as an IllegalStateException.
         return cause instanceof IllegalStateException
                 ? bodyTooLarge()
-                : ProblemDetail.of(ProblemDetail.Kind.BAD_REQUEST, "the body broke off");
+                : ProblemDetail.of(
+                        ProblemDetail.Kind.BAD_REQUEST, "the body was not received completely");
     }
 
     private void submit(
@@ -120,7 +124,7 @@
         } catch (InvalidSubmissionException e) {
             exchange.sendProblem(e.problem(), null);
         } catch (RuntimeException e) {
-            LOG.error("request failed by an internal error", e);
+            LOG.error("request failed with an internal error", e);
             exchange.callback().failed(e);
         }
     }
--- a/router/src/main/java/ashlink/router/http/ValueEncoder.java
+++ b/router/src/main/java/ashlink/router/http/ValueEncoder.java
@@ -87,7 +87,7 @@
 
     private void encodeBool(JsonNode value) throws WireException {
         if (!value.isBoolean() && !value.isNull()) {
-            throw new IllegalArgumentException("no boolean");
+            throw new IllegalArgumentException("not a boolean");
         }
         out.putFlag(value.asBoolean());
     }
@@ -96,7 +96,8 @@
         byte[] utf8 = text.getBytes(StandardCharsets.UTF_8);
         int length = argument(0);
         if (utf8.length > length) {
-            throw new IllegalArgumentException("longer than " + length + " bytes");
+            throw new IllegalArgumentException(
+                    "invalid length " + utf8.length + " bytes: at most " + length);
         }
         out.append(Arrays.copyOf(utf8, length), 0, length);
     }
@@ -107,7 +108,8 @@
                         ? BigDecimal.ZERO
                         : new BigDecimal(value.asText()).setScale(scale, RoundingMode.UNNECESSARY);
         if (decimal.precision() > digits) {
-            throw new IllegalArgumentException("over " + digits + " digits");
+            throw new IllegalArgumentException(
+                    "invalid precision " + decimal.precision() + ": at most " + digits);
         }
         int bits = Byte.SIZE * TypeParser.decimalBytes(digits);
         encodeInteger(decimal.unscaledValue(), bits, true);
@@ -123,7 +125,7 @@
         boolean overflow =
                 signed ? value.bitLength() >= bits : value.signum() < 0 || value.bitLength() > bits;
         if (overflow) {
-            throw new IllegalArgumentException("out of the range of " + bits + " bits");
+            throw new IllegalArgumentException("integer out of the range of " + bits + " bits");
         }
         for (int shift = 0; shift < bits; shift += Byte.SIZE) {
             out.putByte(value.shiftRight(shift).intValue() & BYTE_MASK);
@@ -181,7 +183,7 @@
 
     private static String requireText(JsonNode value) {
         if (!value.isTextual()) {
-            throw new IllegalArgumentException("no text");
+            throw new IllegalArgumentException("not a string");
         }
         return value.textValue();
     }
--- a/router/src/main/java/ashlink/router/spool/IdempotencyKeyLog.java
+++ b/router/src/main/java/ashlink/router/spool/IdempotencyKeyLog.java
@@ -73,8 +73,7 @@
         for (String damage :
                 log.read(record -> apply(new DataInputStream(new ByteArrayInputStream(record))))) {
             LOG.error(
-                    "idempotency key log damaged, later keys of the segment are lost"
-                            + " segment=\"{}\"",
+                    "idempotency key log damaged, later keys in the segment lost segment=\"{}\"",
                     damage);
         }
         for (Entry entry : table.entries()) {
@@ -163,7 +162,7 @@
         }
         if (appended.failure != null) {
             throw new IOException(
-                    "the journal of keys fails: " + appended.failure.getMessage(),
+                    "cannot write the idempotency key log: " + appended.failure.getMessage(),
                     appended.failure);
         }
     }
--- a/router/src/main/java/ashlink/router/spool/PageStore.java
+++ b/router/src/main/java/ashlink/router/spool/PageStore.java
@@ -98,7 +98,7 @@
             files.write(name, bytes, length);
         } catch (IOException e) {
             release(statement, length);
-            throw new IOException("the spool fails: " + e.getMessage(), e);
+            throw new IOException("cannot write spool file " + name + ": " + e.getMessage(), e);
         }
         return new StoredPage(statement, name, null, length, checksum(bytes, length), true);
     }
@@ -115,8 +115,8 @@
             if (verdict != Reservation.WAIT) {
                 throw new IOException(
                         verdict == null
-                                ? "nobody wants the result any more"
-                                : "a page of " + length + " bytes is over the limit of the spool");
+                                ? "the result is no longer needed"
+                                : "a page of " + length + " bytes exceeds a limit of the spool");
             }
             wait();
         }
@@ -139,7 +139,8 @@
         }
         byte[] bytes = files.read(stored.file);
         if (bytes.length != stored.length || checksum(bytes, stored.length) != stored.checksum) {
-            throw new IOException("the spool gives back other bytes than it was given");
+            throw new IOException(
+                    "spool file " + stored.file + " differs from the page that was stored");
         }
         return bytes;
     }
@@ -156,7 +157,10 @@
             try {
                 files.delete(stored.file);
             } catch (IOException e) {
-                LOG.warn("spool file not deleted until the next start error=\"{}\"", e.toString());
+                LOG.warn(
+                        "spool file not deleted, retried at the next start file={} error=\"{}\"",
+                        stored.file,
+                        e.toString());
             }
         }
         if (stored.budgeted) {
--- a/router/src/main/java/ashlink/router/spool/SpoolDirectory.java
+++ b/router/src/main/java/ashlink/router/spool/SpoolDirectory.java
@@ -54,7 +54,10 @@
         if (acquired == null) {
             lockFile.close();
             throw new IOException(
-                    "another router named " + router + " uses the spool " + directory);
+                    "spool directory "
+                            + directory
+                            + " is in use by another router with the name "
+                            + router);
         }
         lock = acquired;
     }
--- a/router/src/main/java/ashlink/router/statement/PageWindow.java
+++ b/router/src/main/java/ashlink/router/statement/PageWindow.java
@@ -31,7 +31,8 @@
      */
     public int closePage() {
         if (ended) {
-            throw new IllegalStateException("page " + closedCount + " after the end");
+            throw new IllegalStateException(
+                    "page " + closedCount + " closed after the end of the result");
         }
         return closedCount++;
     }
