--- a/router/src/main/java/ashlink/router/http/HeaderTimeoutGuard.java
+++ b/router/src/main/java/ashlink/router/http/HeaderTimeoutGuard.java
@@ -11,15 +11,15 @@
 final class HeaderTimeoutGuard implements Connection.Listener {
 
     private static final class Observation {
-        long messages;
-        long bytes;
+        long messagesIn;
+        long bytesIn;
 
         /** Time at which the first byte of a request was seen; negative if no request has begun. */
-        long startedNs = -1;
+        long requestStartedNs = -1;
     }
 
     private final long timeoutNs;
-    private final Map<Connection, Observation> connections = new ConcurrentHashMap<>();
+    private final Map<Connection, Observation> observations = new ConcurrentHashMap<>();
 
     HeaderTimeoutGuard(long timeoutNs) {
         this.timeoutNs = timeoutNs;
@@ -27,28 +27,29 @@
 
     @Override
     public void onOpened(Connection connection) {
-        connections.put(connection, new Observation());
+        observations.put(connection, new Observation());
     }
 
     @Override
     public void onClosed(Connection connection) {
-        connections.remove(connection);
+        observations.remove(connection);
     }
 
     /** Checks all connections; one thread calls it several times within the timeout. */
     void checkAll(long nowNs) {
-        connections.forEach(
-                (connection, seen) -> {
-                    long messages = connection.getMessagesIn();
-                    long bytes = connection.getBytesIn();
-                    boolean idle = messages == connection.getMessagesOut();
-                    if (messages != seen.messages || !idle) {
-                        seen.messages = messages;
-                        seen.bytes = bytes;
-                        seen.startedNs = -1;
-                    } else if (bytes != seen.bytes && seen.startedNs < 0) {
-                        seen.startedNs = nowNs;
-                    } else if (seen.startedNs >= 0 && nowNs - seen.startedNs > timeoutNs) {
+        observations.forEach(
+                (connection, observation) -> {
+                    long messagesIn = connection.getMessagesIn();
+                    long bytesIn = connection.getBytesIn();
+                    boolean idle = messagesIn == connection.getMessagesOut();
+                    if (messagesIn != observation.messagesIn || !idle) {
+                        observation.messagesIn = messagesIn;
+                        observation.bytesIn = bytesIn;
+                        observation.requestStartedNs = -1;
+                    } else if (bytesIn != observation.bytesIn && observation.requestStartedNs < 0) {
+                        observation.requestStartedNs = nowNs;
+                    } else if (observation.requestStartedNs >= 0
+                            && nowNs - observation.requestStartedNs > timeoutNs) {
                         connection.getEndPoint().close();
                     }
                 });
--- a/router/src/main/java/ashlink/router/http/HttpAuthenticator.java
+++ b/router/src/main/java/ashlink/router/http/HttpAuthenticator.java
@@ -28,36 +28,36 @@
     record AuthenticationResult(String user, boolean busy) {}
 
     private final CredentialCache credentials = new CredentialCache();
-    private final Semaphore checks = new Semaphore(MAX_CONCURRENT_CHECKS);
+    private final Semaphore checkPermits = new Semaphore(MAX_CONCURRENT_CHECKS);
 
     AuthenticationResult check(Map<String, UserSpec> users, String authorization)
             throws InterruptedException {
         String user = "default";
         String password = "";
         if (authorization != null) {
-            String pair = decode(authorization);
-            int colon = pair.indexOf(':');
+            String userAndPassword = decodeCredentials(authorization);
+            int colon = userAndPassword.indexOf(':');
             if (colon < 0) {
                 return new AuthenticationResult(null, false);
             }
-            user = pair.substring(0, colon);
-            password = pair.substring(colon + 1);
+            user = userAndPassword.substring(0, colon);
+            password = userAndPassword.substring(colon + 1);
         }
         if (credentials.isKnown(users, user, password)) {
             return new AuthenticationResult(user, false);
         }
-        if (!checks.tryAcquire()) {
+        if (!checkPermits.tryAcquire()) {
             return new AuthenticationResult(null, true);
         }
         try {
             return new AuthenticationResult(
                     credentials.check(users, user, password) ? user : null, false);
         } finally {
-            checks.release();
+            checkPermits.release();
         }
     }
 
-    private static String decode(String authorization) {
+    private static String decodeCredentials(String authorization) {
         if (authorization.length() > MAX_HEADER_CHARS
                 || !authorization.regionMatches(true, 0, SCHEME, 0, SCHEME.length())) {
             return "";
--- a/router/src/main/java/ashlink/router/http/HttpListener.java
+++ b/router/src/main/java/ashlink/router/http/HttpListener.java
@@ -52,26 +52,26 @@
     private final PageStore store;
     private final StatementRegistry registry;
     private final HeaderTimeoutGuard headerTimeoutGuard;
-    private final Scheduler background;
+    private final Scheduler scheduler;
 
     /**
      * Creates a listener without starting it.
      *
      * @throws IOException if a configured directory cannot be used
      */
-    public HttpListener(ListenerContext context, Scheduler background, PrometheusRegistry metrics)
+    public HttpListener(ListenerContext context, Scheduler scheduler, PrometheusRegistry metrics)
             throws IOException {
         RouterConfig config = context.config();
         this.spec = config.http();
-        this.background = background;
-        store = pageStore(spec, files(context));
-        registry = new StatementRegistry(context, store, idempotencyKeys(config));
+        this.scheduler = scheduler;
+        store = createPageStore(spec, openSpoolFiles(context));
+        registry = new StatementRegistry(context, store, openIdempotencyKeys(config));
         QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
         threads.setName(config.name() + "-http");
         threads.setDaemon(true);
         server = new Server(threads);
         headerTimeoutGuard = new HeaderTimeoutGuard(spec.headerTimeoutNs());
-        connector = connector(server, spec);
+        connector = createConnector(server, spec);
         connector.addBean(headerTimeoutGuard);
         server.addConnector(connector);
         server.addBean(new NetworkConnectionLimit(spec.maxConnections(), connector));
@@ -80,7 +80,7 @@
         registerMetrics(metrics, handler);
     }
 
-    private static PageStore pageStore(HttpSpec spec, SpoolFiles files) {
+    private static PageStore createPageStore(HttpSpec spec, SpoolFiles files) {
         long totalBytes =
                 files == null
                         ? Math.min(spec.totalSpoolBytes(), spec.totalMemoryBytes())
@@ -99,7 +99,7 @@
     }
 
     /** Opens the idempotency keys; without a state directory, keys do not survive a restart. */
-    private static IdempotencyKeys idempotencyKeys(RouterConfig config) throws IOException {
+    private static IdempotencyKeys openIdempotencyKeys(RouterConfig config) throws IOException {
         IdempotencyKeyTable table =
                 new IdempotencyKeyTable(
                         config.http().maxIdempotencyKeys(),
@@ -113,13 +113,13 @@
                 table, new IdempotencyKeyLog(disk, table, System.currentTimeMillis()));
     }
 
-    private static ServerConnector connector(Server server, HttpSpec spec) {
+    private static ServerConnector createConnector(Server server, HttpSpec spec) {
         ServerConnector connector =
                 new ServerConnector(
                         server,
                         ACCEPTORS,
                         SELECTORS,
-                        new HttpConnectionFactory(httpConfiguration(spec)));
+                        new HttpConnectionFactory(createHttpConfiguration(spec)));
         connector.setHost(spec.listen().getAddress().getHostAddress());
         connector.setPort(spec.listen().getPort());
         connector.setIdleTimeout(spec.idleTimeoutNs() / NS_PER_MS);
@@ -127,7 +127,7 @@
         return connector;
     }
 
-    private static HttpConfiguration httpConfiguration(HttpSpec spec) {
+    private static HttpConfiguration createHttpConfiguration(HttpSpec spec) {
         HttpConfiguration http = new HttpConfiguration();
         http.setSendServerVersion(false);
         http.setRequestHeaderSize(spec.maxHeaderBytes());
@@ -136,39 +136,39 @@
     }
 
     private void registerMetrics(PrometheusRegistry metrics, StatementHandler handler) {
-        gauge(
+        registerGauge(
                 metrics,
                 "ashlink_http_statements",
                 "Statements that are not dropped",
                 registry::openCount);
-        gauge(metrics, "ashlink_http_polls", "Askers that wait", handler::openPolls);
-        gauge(metrics, "ashlink_http_keys", "Idempotency keys", registry::keyCount);
-        gauge(
+        registerGauge(metrics, "ashlink_http_polls", "Askers that wait", handler::openPolls);
+        registerGauge(metrics, "ashlink_http_keys", "Idempotency keys", registry::keyCount);
+        registerGauge(
                 metrics,
                 "ashlink_spool_bytes",
                 "Bytes of the spool's budget that are taken",
                 store::usedBytes);
     }
 
-    private static SpoolFiles files(ListenerContext context) throws IOException {
+    private static SpoolFiles openSpoolFiles(ListenerContext context) throws IOException {
         Path dir = context.config().http().spool();
         return dir == null
                 ? null
                 : new SpoolDirectory(dir, context.config().name(), context.boot());
     }
 
-    private static void gauge(
-            PrometheusRegistry metrics, String name, String help, DoubleSupplier figure) {
+    private static void registerGauge(
+            PrometheusRegistry metrics, String name, String help, DoubleSupplier valueSupplier) {
         GaugeWithCallback.builder()
                 .name(name)
                 .help(help)
-                .callback(callback -> callback.call(figure.getAsDouble()))
+                .callback(callback -> callback.call(valueSupplier.getAsDouble()))
                 .register(metrics);
     }
 
     /** Starts the background tasks and accepts requests. */
     public void start() {
-        background.add(
+        scheduler.add(
                 new TaskSpec(
                         "statements.expire",
                         Priority.HIGH,
@@ -178,20 +178,20 @@
                         10 * NS_PER_S,
                         false),
                 lease -> registry.expire(System.nanoTime()));
-        background.add(
+        scheduler.add(
                 TaskSpec.every(
                         "http.header-time",
                         Priority.HIGH,
                         Math.max(50 * NS_PER_MS, spec.headerTimeoutNs() / 4),
                         10 * NS_PER_S),
                 lease -> headerTimeoutGuard.checkAll(System.nanoTime()));
-        background.add(
+        scheduler.add(
                 TaskSpec.every("keys.tidy", Priority.NORMAL, 10 * NS_PER_S, 60 * NS_PER_S),
                 lease -> registry.expireKeys());
-        background.add(
+        scheduler.add(
                 TaskSpec.once("spool.clean", Priority.NORMAL, 30 * NS_PER_S, 600 * NS_PER_S),
                 lease -> {
-                    int deleted = store.deleteLeftovers();
+                    int deleted = store.deleteFilesOfEarlierRuns();
                     if (deleted > 0) {
                         LOG.info("spool files of earlier runs deleted files={}", deleted);
                     }
@@ -241,16 +241,16 @@
     /** Discards all results and stops; pending polls are told that the router is shutting down. */
     public void stop() {
         registry.stop();
-        release();
+        shutDown();
     }
 
     /** Stops immediately, like a crash: no client receives a response. */
     public void kill() {
         connector.getConnectedEndPoints().forEach(endPoint -> endPoint.close());
-        release();
+        shutDown();
     }
 
-    private void release() {
+    private void shutDown() {
         try {
             server.stop();
         } catch (Exception e) {
--- a/router/src/main/java/ashlink/router/http/HttpStatement.java
+++ b/router/src/main/java/ashlink/router/http/HttpStatement.java
@@ -18,7 +18,7 @@
 
 /**
  * A statement of the HTTP API, whose result clients fetch page by page. Receives packets of the
- * native protocol and stores the blocks of the result as pages of a {@link StatementResult}.
+ * native protocol and stores the blocks of the result as pages of a {@link PagedResult}.
  *
  * <p>One thread at a time writes to the statement, holding the lock of this channel; the writing
  * thread blocks while the spool is full.
@@ -40,10 +40,10 @@
     private final PageStore store;
     private final WireLimits limits;
     private final CompletionListener completionListener;
-    private final StatementResult result;
+    private final PagedResult result;
     private final long startNs = System.nanoTime();
     private volatile CountDownLatch keyStored = new CountDownLatch(0);
-    private volatile RequestExchange exchange;
+    private volatile RequestExchange requestExchange;
     private volatile Consumer<byte[]> headerListener;
 
     // Guarded by this; used by the writing thread.
@@ -59,7 +59,7 @@
     private volatile long readBytes;
 
     /**
-     * Creates a statement without a request exchange; {@link #exchange} sets the exchange.
+     * Creates a statement without a request exchange; {@link #setRequestExchange} sets it.
      *
      * @param memory memory budget of the page that is being built
      * @param pageBytes size at which a page is complete
@@ -80,17 +80,17 @@
         this.store = store;
         this.limits = limits;
         this.completionListener = completionListener;
-        this.result = new StatementResult(store, timeouts);
+        this.result = new PagedResult(store, timeouts);
         this.pageBuilder =
                 new PageBuilder(pageBytes, limits.packetBytes(), memory, new PageTarget());
     }
 
-    void exchange(RequestExchange requestExchange) {
-        exchange = requestExchange;
+    void setRequestExchange(RequestExchange exchange) {
+        requestExchange = exchange;
     }
 
     /** Sets the listener that is called once, with the first header that an engine sends. */
-    void headerListener(Consumer<byte[]> listener) {
+    void setHeaderListener(Consumer<byte[]> listener) {
         headerListener = listener;
     }
 
@@ -108,23 +108,23 @@
     }
 
     /** Returns the result that clients poll. */
-    StatementResult result() {
+    PagedResult result() {
         return result;
     }
 
     // The idempotency key
 
-    /** Makes {@link #awaitKey} block until {@link #keyStoredOnDisk}. */
-    void expectKey() {
+    /** Makes {@link #awaitKeyStored} block until {@link #markKeyStored}. */
+    void expectKeyStored() {
         keyStored = new CountDownLatch(1);
     }
 
-    void keyStoredOnDisk() {
+    void markKeyStored() {
         keyStored.countDown();
     }
 
     /** Blocks until the key is on the disk, so that a crash cannot undo what a client was told. */
-    void awaitKey() {
+    void awaitKeyStored() {
         try {
             keyStored.await();
         } catch (InterruptedException e) {
@@ -144,7 +144,7 @@
         } catch (IOException e) {
             result.fail(e);
             // The result is lost, so the running work is cancelled where cancellation is allowed.
-            exchange.clientDisconnected();
+            requestExchange.clientDisconnected();
             complete(StatementOutcome.INCOMPLETE, 0);
             throw e;
         }
@@ -248,11 +248,11 @@
     /** Cancels the statement or discards its result at the client's request; idempotent. */
     void cancel() {
         boolean running = result.state() == State.RUNNING;
-        if (running && exchange != null) {
+        if (running && requestExchange != null) {
             // Unblocks the writing thread, which holds the lock that cancellation needs.
             close();
             // Pending polls receive the outcome before the result is discarded.
-            exchange.cancel();
+            requestExchange.cancel();
         }
         result.discard();
     }
@@ -261,8 +261,8 @@
     void cancelAbandoned() {
         result.discard();
         synchronized (this) {
-            if (exchange != null) {
-                exchange.clientDisconnected();
+            if (requestExchange != null) {
+                requestExchange.clientDisconnected();
             }
             complete(StatementOutcome.CLIENT_DISCONNECTED, 0);
         }
--- a/router/src/main/java/ashlink/router/http/StatementResult.java
+++ b/router/src/main/java/ashlink/router/http/PagedResult.java
@@ -18,7 +18,7 @@
  * The client view of a statement's result: published pages, outcome and pending polls. Safe for use
  * by several threads; methods block only while a page is read.
  */
-final class StatementResult {
+final class PagedResult {
 
     private final PageStore store;
 
@@ -42,7 +42,7 @@
 
     private volatile boolean closed;
 
-    StatementResult(PageStore store, StatementLifecycle.Timeouts timeouts) {
+    PagedResult(PageStore store, StatementLifecycle.Timeouts timeouts) {
         this.store = store;
         this.pages = new ResultPages(store);
         this.lifecycle = new StatementLifecycle(timeouts, System.nanoTime());
@@ -50,7 +50,7 @@
 
     /** Returns the number of the next page; called only by the thread that publishes pages. */
     int nextPageNumber() {
-        return pages.nextNumber();
+        return pages.nextPageNumber();
     }
 
     /** Returns whether publishing has ended, so that further pages are dropped. */
@@ -208,7 +208,7 @@
 
     /** Returns the reason why a requested page does not exist. */
     private ProblemDetail invalidPageProblem(int page) {
-        if (page != pages.nextNumber()) {
+        if (page != pages.nextPageNumber()) {
             return ProblemDetail.pageUnknown(page);
         }
         if (resultError != null) {
--- a/router/src/main/java/ashlink/router/http/ProblemDetail.java
+++ b/router/src/main/java/ashlink/router/http/ProblemDetail.java
@@ -20,11 +20,11 @@
  */
 public record ProblemDetail(Kind kind, String detail, long retryAfterNs, int code) {
 
-    private static final ObjectMapper JSON = new ObjectMapper();
+    private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final long NS_PER_MS = 1_000_000L;
     private static final long NS_PER_S = 1_000 * NS_PER_MS;
 
-    /** The kinds of problems. The names are part of the API, see {@link #word}. */
+    /** The kinds of problems. The names are part of the API, see {@link #typeName}. */
     public enum Kind {
         BAD_REQUEST(400, "the request makes no sense", false),
         LOGIN(401, "user or password is wrong", false),
@@ -69,7 +69,7 @@
         }
 
         /** Returns the last part of the type URI. */
-        public String word() {
+        public String typeName() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
     }
@@ -143,8 +143,8 @@
 
     /** Returns the body of the response; {@code statement} is a statement identifier or null. */
     byte[] json(String statement) {
-        ObjectNode body = JSON.createObjectNode();
-        body.put("type", "/problems/" + kind.word())
+        ObjectNode body = MAPPER.createObjectNode();
+        body.put("type", "/problems/" + kind.typeName())
                 .put("title", kind.title)
                 .put("status", kind.status);
         body.put("mayHaveRun", kind.mayHaveRun);
@@ -161,7 +161,7 @@
             body.put("statement", statement);
         }
         try {
-            return JSON.writeValueAsBytes(body);
+            return MAPPER.writeValueAsBytes(body);
         } catch (JsonProcessingException e) {
             throw new IllegalStateException("problem cannot be serialized as JSON", e);
         }
--- a/router/src/main/java/ashlink/router/http/ResultFormat.java
+++ b/router/src/main/java/ashlink/router/http/ResultFormat.java
@@ -30,19 +30,19 @@
     private static final JsonFactory FACTORY = new JsonFactory();
     private static final int READ_BYTES = 64 << 10;
 
-    private final String type;
+    private final String mediaType;
 
-    ResultFormat(String type) {
-        this.type = type;
+    ResultFormat(String mediaType) {
+        this.mediaType = mediaType;
     }
 
-    String type() {
-        return type;
+    String mediaType() {
+        return mediaType;
     }
 
     /** Returns the value of the Content-Type header. */
     String contentType() {
-        return this == CSV ? type + "; charset=utf-8" : type;
+        return this == CSV ? mediaType + "; charset=utf-8" : mediaType;
     }
 
     /** Returns the first supported format in an Accept header, or null. */
@@ -51,8 +51,8 @@
             return JSON;
         }
         for (String part : accept.split(",")) {
-            String name = part.split(";")[0].trim().toLowerCase(Locale.ROOT);
-            switch (name) {
+            String range = part.split(";")[0].trim().toLowerCase(Locale.ROOT);
+            switch (range) {
                 case "application/json", "application/*", "*/*" -> {
                     return JSON;
                 }
@@ -81,24 +81,25 @@
     byte[] render(byte[] blocks, byte[] header, int page, PageInfo info, WireLimits limits)
             throws IOException {
         List<Table> tables = new ArrayList<>();
-        read(blocks, limits, tables);
+        readTables(blocks, limits, tables);
         Table columns = tables.isEmpty() ? null : tables.get(0);
         if (columns == null && header.length > 0) {
             List<Table> headerTables = new ArrayList<>();
-            read(header, limits, headerTables);
+            readTables(header, limits, headerTables);
             columns = headerTables.get(0);
         }
         ByteArrayBuilder out = new ByteArrayBuilder(blocks.length * 2 + 256);
         switch (this) {
-            case JSON -> json(tables, columns, page, info, out);
-            case CSV -> csv(tables, columns, page, out);
-            case NDJSON -> lines(tables, out);
+            case JSON -> writeJson(tables, columns, page, info, out);
+            case CSV -> writeCsv(tables, columns, page, out);
+            case NDJSON -> writeNdjson(tables, out);
             default -> throw new IllegalStateException("unsupported result format " + this);
         }
         return out.toByteArray();
     }
 
-    private static void read(byte[] bytes, WireLimits limits, List<Table> to) throws IOException {
+    private static void readTables(byte[] bytes, WireLimits limits, List<Table> to)
+            throws IOException {
         StreamSource in =
                 new StreamSource(
                         new ByteArrayInputStream(bytes),
@@ -111,7 +112,7 @@
 
     // JSON
 
-    private static void json(
+    private static void writeJson(
             List<Table> tables, Table columns, int page, PageInfo info, ByteArrayBuilder out)
             throws IOException {
         try (JsonGenerator generator = FACTORY.createGenerator(out)) {
@@ -132,7 +133,7 @@
                 for (int r = 0; r < table.rows(); r++) {
                     generator.writeStartArray();
                     for (Object[] column : table.columns()) {
-                        value(column[r], generator);
+                        writeValue(column[r], generator);
                     }
                     generator.writeEndArray();
                 }
@@ -145,7 +146,7 @@
         }
     }
 
-    private static void lines(List<Table> tables, ByteArrayBuilder out) throws IOException {
+    private static void writeNdjson(List<Table> tables, ByteArrayBuilder out) throws IOException {
         try (JsonGenerator generator = FACTORY.createGenerator(out)) {
             generator.setRootValueSeparator(null);
             for (Table table : tables) {
@@ -153,7 +154,7 @@
                     generator.writeStartObject();
                     for (int c = 0; c < table.columns().size(); c++) {
                         generator.writeFieldName(table.names().get(c));
-                        value(table.columns().get(c)[r], generator);
+                        writeValue(table.columns().get(c)[r], generator);
                     }
                     generator.writeEndObject();
                     generator.writeRaw('\n');
@@ -162,7 +163,7 @@
         }
     }
 
-    private static void value(Object value, JsonGenerator generator) throws IOException {
+    private static void writeValue(Object value, JsonGenerator generator) throws IOException {
         if (value == null) {
             generator.writeNull();
         } else if (value instanceof Long number) {
@@ -174,21 +175,21 @@
         } else if (value instanceof Boolean flag) {
             generator.writeBoolean(flag);
         } else if (value instanceof Double || value instanceof Float) {
-            floating((Number) value, generator);
+            writeFloat((Number) value, generator);
         } else if (value instanceof byte[] bytes) {
-            text(bytes, generator);
+            writeText(bytes, generator);
         } else {
             generator.writeStartArray();
             for (Object element : (List<?>) value) {
-                value(element, generator);
+                writeValue(element, generator);
             }
             generator.writeEndArray();
         }
     }
 
-    private static void floating(Number value, JsonGenerator generator) throws IOException {
+    private static void writeFloat(Number value, JsonGenerator generator) throws IOException {
         if (!Double.isFinite(value.doubleValue())) {
-            generator.writeString(notFinite(value.doubleValue()));
+            generator.writeString(nonFiniteText(value.doubleValue()));
         } else if (value instanceof Float number) {
             generator.writeNumber(number);
         } else {
@@ -197,7 +198,7 @@
     }
 
     /** Writes bytes as text, or as an object with Base64 if the bytes are not valid UTF-8. */
-    private static void text(byte[] bytes, JsonGenerator generator) throws IOException {
+    private static void writeText(byte[] bytes, JsonGenerator generator) throws IOException {
         try {
             generator.writeString(
                     StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString());
@@ -209,7 +210,7 @@
         }
     }
 
-    private static String notFinite(double value) {
+    private static String nonFiniteText(double value) {
         if (Double.isNaN(value)) {
             return "nan";
         }
@@ -218,14 +219,14 @@
 
     // CSV
 
-    private static void csv(List<Table> tables, Table columns, int page, ByteArrayBuilder out)
+    private static void writeCsv(List<Table> tables, Table columns, int page, ByteArrayBuilder out)
             throws IOException {
         if (page == 0 && columns != null) {
             for (int c = 0; c < columns.names().size(); c++) {
                 if (c > 0) {
                     out.write(',');
                 }
-                quoted(columns.names().get(c).getBytes(StandardCharsets.UTF_8), out);
+                writeQuoted(columns.names().get(c).getBytes(StandardCharsets.UTF_8), out);
             }
             out.write('\r');
             out.write('\n');
@@ -236,7 +237,7 @@
                     if (c > 0) {
                         out.write(',');
                     }
-                    field(table.columns().get(c)[r], out);
+                    writeField(table.columns().get(c)[r], out);
                 }
                 out.write('\r');
                 out.write('\n');
@@ -245,29 +246,29 @@
     }
 
     /** Strings are always quoted, null never is: an empty field is null, "" an empty string. */
-    private static void field(Object value, ByteArrayBuilder out) throws IOException {
+    private static void writeField(Object value, ByteArrayBuilder out) throws IOException {
         if (value instanceof byte[] bytes) {
-            quoted(bytes, out);
+            writeQuoted(bytes, out);
         } else if (value instanceof List<?>) {
             ByteArrayBuilder json = new ByteArrayBuilder();
             try (JsonGenerator generator = FACTORY.createGenerator(json)) {
-                value(value, generator);
+                writeValue(value, generator);
             }
-            quoted(json.toByteArray(), out);
+            writeQuoted(json.toByteArray(), out);
         } else if (value instanceof BigDecimal decimal) {
             out.write(decimal.toPlainString().getBytes(StandardCharsets.US_ASCII));
         } else if (value instanceof Double || value instanceof Float) {
             double number = ((Number) value).doubleValue();
-            String text = Double.isFinite(number) ? value.toString() : notFinite(number);
+            String text = Double.isFinite(number) ? value.toString() : nonFiniteText(number);
             out.write(text.getBytes(StandardCharsets.US_ASCII));
         } else if (value instanceof String text) {
-            quoted(text.getBytes(StandardCharsets.UTF_8), out);
+            writeQuoted(text.getBytes(StandardCharsets.UTF_8), out);
         } else if (value != null) {
             out.write(value.toString().getBytes(StandardCharsets.UTF_8));
         }
     }
 
-    private static void quoted(byte[] bytes, ByteArrayBuilder out) {
+    private static void writeQuoted(byte[] bytes, ByteArrayBuilder out) {
         out.write('"');
         int from = 0;
         for (int i = 0; i < bytes.length; i++) {
--- a/router/src/main/java/ashlink/router/http/ResultPages.java
+++ b/router/src/main/java/ashlink/router/http/ResultPages.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The published pages of a result. Callers synchronize, except on {@link #nextNumber}. */
+/** The published pages of a result. Callers synchronize, except on {@link #nextPageNumber}. */
 final class ResultPages {
 
     private final PageStore store;
@@ -21,12 +21,12 @@
     }
 
     /** Returns the number of the next page; the thread that adds pages needs no lock for it. */
-    int nextNumber() {
-        return window.closedCount();
+    int nextPageNumber() {
+        return window.pageCount();
     }
 
     void add(StoredPage page) {
-        window.closePage();
+        window.addPage();
         pages.add(page);
     }
 
--- a/router/src/main/java/ashlink/router/http/RowsEncoder.java
+++ b/router/src/main/java/ashlink/router/http/RowsEncoder.java
@@ -19,7 +19,7 @@
 final class RowsEncoder {
 
     /** A type name with optional arguments in parentheses. */
-    private static final Pattern TYPE = Pattern.compile("(\\w+)(?:\\((.*)\\))?");
+    private static final Pattern TYPE_PATTERN = Pattern.compile("(\\w+)(?:\\((.*)\\))?");
 
     private static final String NULLABLE_PREFIX = "Nullable(";
     private static final int MAX_SHOWN_CHARS = 60;
@@ -35,7 +35,7 @@
     static byte[] encode(byte[] header, JsonNode rows, WireLimits limits) throws IOException {
         StreamSource in = new StreamSource(new ByteArrayInputStream(header), header.length);
         Table columns = new BlockReader(in, limits).readValues(0);
-        checkWidth(rows, columns);
+        checkRowWidths(rows, columns);
         int width = columns.names().size();
         ByteBuf out = new ByteBuf(limits.packetBytes());
         out.putVarUInt(ClientPacket.DATA.ordinal()).putString("");
@@ -55,7 +55,7 @@
         out.putVarUInt(1).putByte(0).putVarUInt(2).putInt(-1).putVarUInt(0);
     }
 
-    private static void checkWidth(JsonNode rows, Table columns) throws WireException {
+    private static void checkRowWidths(JsonNode rows, Table columns) throws WireException {
         int width = columns.names().size();
         for (int row = 0; row < rows.size(); row++) {
             if (!rows.get(row).isArray() || rows.get(row).size() != width) {
@@ -84,7 +84,7 @@
                 out.putFlag(row.get(column).isNull());
             }
         }
-        Matcher matcher = TYPE.matcher(plainType);
+        Matcher matcher = TYPE_PATTERN.matcher(plainType);
         if (!matcher.matches()) {
             throw malformed("column " + name + " of type " + type + " cannot be loaded over HTTP");
         }
--- a/router/src/main/java/ashlink/router/http/StatementHandler.java
+++ b/router/src/main/java/ashlink/router/http/StatementHandler.java
@@ -23,7 +23,7 @@
  */
 final class StatementHandler extends Handler.Abstract {
 
-    private static final String DESCRIPTION_RESOURCE = "/ashlink/router/http/openapi.json";
+    private static final String OPENAPI_RESOURCE = "/ashlink/router/http/openapi.json";
     private static final int STATUS_OK = 200;
     private static final int STATUS_TEMPORARY_REDIRECT = 307;
 
@@ -32,8 +32,8 @@
     private final StatementRegistry registry;
     private final HttpAuthenticator authenticator = new HttpAuthenticator();
     private final PagePoller poller;
-    private final StatementSubmissionHandler submissions;
-    private final byte[] description;
+    private final StatementSubmissionHandler submissionHandler;
+    private final byte[] openApiDocument;
 
     StatementHandler(ListenerContext context, StatementRegistry registry, Executor executor)
             throws IOException {
@@ -41,9 +41,9 @@
         this.spec = context.config().http();
         this.registry = registry;
         this.poller = new PagePoller(context, spec, executor);
-        this.submissions = new StatementSubmissionHandler(spec, registry, executor, poller);
-        try (InputStream in = StatementHandler.class.getResourceAsStream(DESCRIPTION_RESOURCE)) {
-            description = in.readAllBytes();
+        this.submissionHandler = new StatementSubmissionHandler(spec, registry, executor, poller);
+        try (InputStream in = StatementHandler.class.getResourceAsStream(OPENAPI_RESOURCE)) {
+            openApiDocument = in.readAllBytes();
         }
     }
 
@@ -84,7 +84,7 @@
     private void handle(Route route, Matcher matcher, HttpExchange exchange)
             throws InterruptedException {
         if (route == Route.GET_DESCRIPTION) {
-            exchange.send(STATUS_OK, HttpExchange.JSON_TYPE, description);
+            exchange.send(STATUS_OK, HttpExchange.JSON_TYPE, openApiDocument);
             return;
         }
         String user = authenticate(exchange);
@@ -92,7 +92,7 @@
             return;
         }
         switch (route) {
-            case POST_STATEMENT -> submissions.handle(exchange, user);
+            case POST_STATEMENT -> submissionHandler.handle(exchange, user);
             case GET_STATEMENT ->
                     withStatement(
                             exchange,
--- a/router/src/main/java/ashlink/router/http/StatementRegistry.java
+++ b/router/src/main/java/ashlink/router/http/StatementRegistry.java
@@ -37,10 +37,10 @@
      * The result of a submission: exactly one component is not null.
      *
      * @param statement the statement, which may have been submitted earlier with the same key
-     * @param earlier key entry of an earlier statement that is no longer registered
+     * @param earlierEntry key entry of an earlier statement that is no longer registered
      * @param problem reason why the statement is rejected
      */
-    record SubmitResult(HttpStatement statement, Entry earlier, ProblemDetail problem) {
+    record SubmitResult(HttpStatement statement, Entry earlierEntry, ProblemDetail problem) {
 
         static SubmitResult of(HttpStatement statement) {
             return new SubmitResult(statement, null, null);
@@ -59,9 +59,9 @@
     private final HttpSpec spec;
     private final PageStore store;
     private final IdempotencyKeys keys;
-    private final StatementRequestFactory requests;
+    private final StatementRequestFactory requestFactory;
     private final StatementSlots slots;
-    private final MemoryQuota openPages;
+    private final MemoryQuota openPageQuota;
     private final StatementLifecycle.Timeouts timeouts;
     private final SecureRandom random = new SecureRandom();
     private final Map<String, HttpStatement> statements = new ConcurrentHashMap<>();
@@ -72,9 +72,9 @@
         this.spec = context.config().http();
         this.store = store;
         this.keys = keys;
-        this.requests = new StatementRequestFactory(context);
+        this.requestFactory = new StatementRequestFactory(context);
         this.slots = new StatementSlots(spec);
-        this.openPages = new MemoryQuota(spec.totalMemoryBytes());
+        this.openPageQuota = new MemoryQuota(spec.totalMemoryBytes());
         this.timeouts =
                 new StatementLifecycle.Timeouts(
                         spec.pollTimeoutNs(),
@@ -95,9 +95,9 @@
         if (stopping) {
             return SubmitResult.rejected("the router is shutting down");
         }
-        ProblemDetail full = slots.acquire(user);
-        if (full != null) {
-            return SubmitResult.of(full);
+        ProblemDetail problem = slots.acquire(user);
+        if (problem != null) {
+            return SubmitResult.of(problem);
         }
         HttpStatement statement = newStatement(user, peer);
         Claim claim = null;
@@ -105,17 +105,17 @@
             claim = claim(key, submission, statement);
             if (claim.result() != ClaimResult.NEW) {
                 slots.release(user);
-                return duplicate(claim);
+                return resultOfDuplicate(claim);
             }
         }
         statements.put(statement.id(), statement);
-        RequestAdmission.Prepared prepared = requests.prepare(submission, statement);
+        RequestAdmission.Prepared prepared = requestFactory.prepare(submission, statement);
         if (claim != null && !keys.storeClaim(claim.entry())) {
             prepared.reject("the idempotency key could not be stored", RETRY_AFTER_NS);
         } else {
             prepared.submit();
         }
-        statement.keyStoredOnDisk();
+        statement.markKeyStored();
         return SubmitResult.of(statement);
     }
 
@@ -125,7 +125,7 @@
                 user,
                 peer,
                 store,
-                openPages,
+                openPageQuota,
                 context.limits(),
                 spec.pageBytes(),
                 timeouts,
@@ -140,12 +140,12 @@
                 statement.id(),
                 () -> {
                     // The next submission with the key finds the statement and awaits the key.
-                    statement.expectKey();
+                    statement.expectKeyStored();
                     statements.put(statement.id(), statement);
                 });
     }
 
-    private SubmitResult duplicate(Claim claim) {
+    private SubmitResult resultOfDuplicate(Claim claim) {
         return switch (claim.result()) {
             case CONFLICT -> SubmitResult.of(ProblemDetail.of(ProblemDetail.Kind.KEY_REUSED, ""));
             case FULL ->
@@ -158,7 +158,7 @@
                 if (statement == null) {
                     yield new SubmitResult(null, claim.entry(), null);
                 }
-                statement.awaitKey();
+                statement.awaitKeyStored();
                 yield SubmitResult.of(statement);
             }
         };
@@ -171,10 +171,10 @@
     private String newId() {
         byte[] randomBytes = new byte[ID_BYTES];
         random.nextBytes(randomBytes);
-        String text = Base64.getUrlEncoder().withoutPadding().encodeToString(randomBytes);
+        String randomPart = Base64.getUrlEncoder().withoutPadding().encodeToString(randomBytes);
         String router = context.config().name();
         boolean uriSafe = URI_SAFE_NAME.matcher(router).matches();
-        return uriSafe ? router + ROUTER_SEPARATOR + text : text;
+        return uriSafe ? router + ROUTER_SEPARATOR + randomPart : randomPart;
     }
 
     /** Returns the router name in a statement identifier, or null if there is none. */
--- a/router/src/main/java/ashlink/router/http/StatementRequestFactory.java
+++ b/router/src/main/java/ashlink/router/http/StatementRequestFactory.java
@@ -54,17 +54,19 @@
                         Revision.HIGHEST,
                         statement.user(),
                         submission.database(),
-                        query(submission, statement),
+                        queryPacket(submission, statement),
                         END_OF_DATA);
         RequestExchange exchange = prepared.exchange();
-        statement.exchange(exchange);
+        statement.setRequestExchange(exchange);
         if (exchange.feed() != null) {
-            statement.headerListener(header -> feedOnWorker(exchange, header, submission.rows()));
+            statement.setHeaderListener(
+                    header -> feedOnWorker(exchange, header, submission.rows()));
         }
         return prepared;
     }
 
-    private static QueryPacket query(StatementSubmission submission, HttpStatement statement) {
+    private static QueryPacket queryPacket(
+            StatementSubmission submission, HttpStatement statement) {
         ClientInfo client =
                 new ClientInfo(
                         statement.user(),
--- a/router/src/main/java/ashlink/router/http/StatementSubmission.java
+++ b/router/src/main/java/ashlink/router/http/StatementSubmission.java
@@ -41,7 +41,7 @@
         String digest) {
 
     private static final int MAX_JSON_DEPTH = 32;
-    private static final ObjectMapper JSON =
+    private static final ObjectMapper MAPPER =
             JsonMapper.builder(
                             JsonFactory.builder()
                                     .streamReadConstraints(
@@ -52,13 +52,14 @@
                     .enable(DeserializationFeature.USE_BIG_DECIMAL_FOR_FLOATS)
                     .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
                     .build();
-    private static final Set<String> FIELDS = Set.of("statement", "database", "settings", "rows");
+    private static final Set<String> JSON_FIELDS =
+            Set.of("statement", "database", "settings", "rows");
 
     /** Query parameters of the API, which are not settings. */
     static final Set<String> API_PARAMETERS = Set.of("wait", "database");
 
     private static final String DEFAULT_DATABASE = "default";
-    private static final String DIGEST = "SHA-256";
+    private static final String DIGEST_ALGORITHM = "SHA-256";
     private static final int MAX_SETTINGS = 1_000;
 
     /** Thrown if a submission is invalid. */
@@ -116,7 +117,7 @@
             throws InvalidSubmissionException {
         for (var names = body.fieldNames(); names.hasNext(); ) {
             String name = names.next();
-            if (!FIELDS.contains(name)) {
+            if (!JSON_FIELDS.contains(name)) {
                 throw new InvalidSubmissionException(
                         ProblemDetail.Kind.BAD_REQUEST,
                         "unknown field "
@@ -124,8 +125,8 @@
                                 + ": statement, database, settings and rows are accepted");
             }
         }
-        String statement = textOr(body.path("statement"), "");
-        String database = textOr(body.path("database"), defaultDatabase);
+        String statement = textOrDefault(body.path("statement"), "");
+        String database = textOrDefault(body.path("database"), defaultDatabase);
         addSettings(body.path("settings"), settings);
         JsonNode rows = body.get("rows");
         if (rows != null && !rows.isArray()) {
@@ -135,7 +136,7 @@
         return create(statement, database, settings, rows);
     }
 
-    private static String textOr(JsonNode node, String defaultText) {
+    private static String textOrDefault(JsonNode node, String defaultText) {
         return node.isTextual() ? node.textValue() : defaultText;
     }
 
@@ -157,7 +158,7 @@
 
     private static JsonNode parseJson(byte[] body) throws InvalidSubmissionException {
         try {
-            JsonNode node = JSON.readTree(body);
+            JsonNode node = MAPPER.readTree(body);
             if (node != null && node.isObject()) {
                 return node;
             }
@@ -193,12 +194,15 @@
 
     /** Digests everything that determines the effect of a statement; stored instead of the text. */
     private static String digest(
-            String text, String database, Map<String, String> settings, JsonNode rows) {
+            String statement, String database, Map<String, String> settings, JsonNode rows) {
         try {
-            MessageDigest sha256 = MessageDigest.getInstance(DIGEST);
+            MessageDigest sha256 = MessageDigest.getInstance(DIGEST_ALGORITHM);
             for (String part :
                     new String[] {
-                        text, database, settings.toString(), rows == null ? "" : rows.toString()
+                        statement,
+                        database,
+                        settings.toString(),
+                        rows == null ? "" : rows.toString()
                     }) {
                 byte[] bytes = part.getBytes(StandardCharsets.UTF_8);
                 sha256.update(ByteBuffer.allocate(Integer.BYTES).putInt(bytes.length).array());
@@ -206,7 +210,7 @@
             }
             return HexFormat.of().formatHex(sha256.digest());
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("digest " + DIGEST + " is not available", e);
+            throw new IllegalStateException("digest " + DIGEST_ALGORITHM + " is not available", e);
         }
     }
 
--- a/router/src/main/java/ashlink/router/http/StatementSubmissionHandler.java
+++ b/router/src/main/java/ashlink/router/http/StatementSubmissionHandler.java
@@ -113,9 +113,10 @@
                             submission, user, Request.getRemoteAddr(exchange.request()), key);
             if (result.problem() != null) {
                 exchange.sendProblem(result.problem(), null);
-            } else if (result.earlier() != null) {
+            } else if (result.earlierEntry() != null) {
                 exchange.sendProblem(
-                        ProblemDetail.expired(result.earlier()), result.earlier().statement());
+                        ProblemDetail.expired(result.earlierEntry()),
+                        result.earlierEntry().statement());
             } else {
                 HttpStatement statement = result.statement();
                 exchange.setHeader(HttpHeader.LOCATION, Route.statement(statement.id()));
--- a/router/src/main/java/ashlink/router/http/ValueEncoder.java
+++ b/router/src/main/java/ashlink/router/http/ValueEncoder.java
@@ -56,18 +56,18 @@
     void encode(JsonNode value) throws IOException {
         switch (type) {
             case "UInt8", "UInt16", "UInt32", "UInt64", "UInt128", "UInt256" ->
-                    encodeInteger(integer(value), bits("UInt"), false);
+                    encodeInteger(toInteger(value), bitWidth("UInt"), false);
             case "Int8", "Int16", "Int32", "Int64", "Int128", "Int256" ->
-                    encodeInteger(integer(value), bits("Int"), true);
-            case "Float32" -> out.putInt(Float.floatToIntBits((float) floating(value)));
-            case "Float64" -> out.putLong(Double.doubleToLongBits(floating(value)));
+                    encodeInteger(toInteger(value), bitWidth("Int"), true);
+            case "Float32" -> out.putInt(Float.floatToIntBits((float) toDouble(value)));
+            case "Float64" -> out.putLong(Double.doubleToLongBits(toDouble(value)));
             case "Bool" -> encodeBool(value);
-            case "String" -> out.putString(text(value));
-            case "FixedString" -> encodeFixedString(text(value));
-            case "Date" -> encodeInteger(epochDay(value), DATE_BITS, false);
-            case "Date32" -> encodeInteger(epochDay(value), DATE32_BITS, true);
-            case "DateTime" -> encodeInteger(epochSecond(value), DATE_TIME_BITS, false);
-            case "DateTime64" -> out.putLong(value.isNull() ? 0 : ticks(value, argument(0)));
+            case "String" -> out.putString(textOrEmpty(value));
+            case "FixedString" -> encodeFixedString(textOrEmpty(value));
+            case "Date" -> encodeInteger(toEpochDay(value), DATE_BITS, false);
+            case "Date32" -> encodeInteger(toEpochDay(value), DATE32_BITS, true);
+            case "DateTime" -> encodeInteger(toEpochSecond(value), DATE_TIME_BITS, false);
+            case "DateTime64" -> out.putLong(value.isNull() ? 0 : toTicks(value, argument(0)));
             case "Decimal" -> encodeDecimal(value, argument(0), argument(1));
             case "UUID" -> encodeUuid(value);
             default ->
@@ -77,7 +77,7 @@
         }
     }
 
-    private int bits(String prefix) {
+    private int bitWidth(String prefix) {
         return Integer.parseInt(type.substring(prefix.length()));
     }
 
@@ -132,7 +132,7 @@
         }
     }
 
-    private static BigInteger integer(JsonNode value) {
+    private static BigInteger toInteger(JsonNode value) {
         if (value.isNull()) {
             return BigInteger.ZERO;
         }
@@ -141,7 +141,7 @@
                 : new BigDecimal(value.asText()).toBigIntegerExact();
     }
 
-    private static double floating(JsonNode value) {
+    private static double toDouble(JsonNode value) {
         if (value.isNull()) {
             return 0;
         }
@@ -153,12 +153,12 @@
         };
     }
 
-    private static BigInteger epochDay(JsonNode value) {
+    private static BigInteger toEpochDay(JsonNode value) {
         long day = value.isNull() ? 0 : LocalDate.parse(requireText(value)).toEpochDay();
         return BigInteger.valueOf(day);
     }
 
-    private static BigInteger epochSecond(JsonNode value) {
+    private static BigInteger toEpochSecond(JsonNode value) {
         if (value.isNull()) {
             return BigInteger.ZERO;
         }
@@ -168,7 +168,7 @@
     }
 
     /** Returns a time in units of 10^-digits seconds since the Unix epoch. */
-    private static long ticks(JsonNode value, int digits) {
+    private static long toTicks(JsonNode value, int digits) {
         OffsetDateTime time = OffsetDateTime.parse(requireText(value));
         return BigDecimal.valueOf(time.toEpochSecond())
                 .add(BigDecimal.valueOf(time.getNano(), NANOS_SCALE))
@@ -177,7 +177,7 @@
                 .longValueExact();
     }
 
-    private static String text(JsonNode value) {
+    private static String textOrEmpty(JsonNode value) {
         return value.isNull() ? "" : requireText(value);
     }
 
--- a/router/src/main/java/ashlink/router/spool/IdempotencyKeyLog.java
+++ b/router/src/main/java/ashlink/router/spool/IdempotencyKeyLog.java
@@ -53,7 +53,7 @@
     private final Object syncLock = new Object();
 
     /** Records that are appended but not yet synced. Guarded by this. */
-    private final List<Pending> pending = new ArrayList<>();
+    private final List<PendingRecord> pending = new ArrayList<>();
 
     /**
      * Opens a log: reads the stored keys into a table and compacts the log. Statements that were
@@ -71,7 +71,10 @@
 
     private void load() throws IOException {
         for (String damage :
-                log.read(record -> apply(new DataInputStream(new ByteArrayInputStream(record))))) {
+                log.read(
+                        record ->
+                                applyRecord(
+                                        new DataInputStream(new ByteArrayInputStream(record))))) {
             LOG.error(
                     "idempotency key log damaged, later keys in the segment lost segment=\"{}\"",
                     damage);
@@ -81,7 +84,7 @@
         }
     }
 
-    private void apply(DataInputStream in) throws IOException {
+    private void applyRecord(DataInputStream in) throws IOException {
         int kind = in.readByte();
         String user = in.readUTF();
         String key = in.readUTF();
@@ -106,7 +109,7 @@
 
     // Writing
 
-    private static byte[] record(int kind, Entry entry) throws IOException {
+    private static byte[] encode(int kind, Entry entry) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
         out.writeByte(kind);
@@ -133,7 +136,7 @@
     }
 
     /** A record that is appended but not yet synced. */
-    private static final class Pending {
+    private static final class PendingRecord {
         private boolean done;
 
         /** Null if the record is on the disk. */
@@ -141,14 +144,14 @@
     }
 
     private void append(int kind, Entry entry) throws IOException {
-        byte[] record = record(kind, entry);
-        Pending appended = new Pending();
+        byte[] record = encode(kind, entry);
+        PendingRecord appended = new PendingRecord();
         synchronized (this) {
             try {
                 log.append(record);
             } catch (IOException e) {
                 // Records that were appended before and are not yet synced may be lost too.
-                settle(e);
+                completePending(e);
                 throw e;
             }
             pending.add(appended);
@@ -174,11 +177,11 @@
         } catch (IOException e) {
             failure = e;
         }
-        settle(failure);
+        completePending(failure);
     }
 
-    private void settle(IOException failure) {
-        for (Pending record : pending) {
+    private void completePending(IOException failure) {
+        for (PendingRecord record : pending) {
             record.failure = failure;
             record.done = true;
         }
@@ -210,7 +213,7 @@
         }
         List<byte[]> records = new ArrayList<>();
         for (Entry entry : entries) {
-            records.add(record(PUT, entry));
+            records.add(encode(PUT, entry));
         }
         log.rewrite(records);
     }
--- a/router/src/main/java/ashlink/router/spool/PageStore.java
+++ b/router/src/main/java/ashlink/router/spool/PageStore.java
@@ -23,7 +23,7 @@
     public static final class StoredPage {
         private final String statement;
         private final String file;
-        private final byte[] memory;
+        private final byte[] bytes;
         private final int length;
         private final int checksum;
         private final boolean budgeted;
@@ -32,13 +32,13 @@
         private StoredPage(
                 String statement,
                 String file,
-                byte[] memory,
+                byte[] bytes,
                 int length,
                 int checksum,
                 boolean budgeted) {
             this.statement = statement;
             this.file = file;
-            this.memory = memory;
+            this.bytes = bytes;
             this.length = length;
             this.checksum = checksum;
             this.budgeted = budgeted;
@@ -52,21 +52,21 @@
 
     private final SpoolFiles files;
     private final SpoolBudget budget;
-    private final Quota memory;
-    private final long memoryBytes;
+    private final Quota memoryQuota;
+    private final long maxMemoryBytes;
 
     /**
      * Creates a store.
      *
      * @param files files of the spool; if null, all pages are in memory, within the same budgets
-     * @param memory memory budget of the first pages, separate from the spool budget
-     * @param memoryBytes limit of the first pages of each statement, in bytes
+     * @param memoryQuota memory budget of the first pages, separate from the spool budget
+     * @param maxMemoryBytes limit of the first pages of each statement, in bytes
      */
-    public PageStore(SpoolFiles files, SpoolBudget budget, Quota memory, long memoryBytes) {
+    public PageStore(SpoolFiles files, SpoolBudget budget, Quota memoryQuota, long maxMemoryBytes) {
         this.files = files;
         this.budget = budget;
-        this.memory = memory;
-        this.memoryBytes = memoryBytes;
+        this.memoryQuota = memoryQuota;
+        this.maxMemoryBytes = maxMemoryBytes;
     }
 
     /**
@@ -86,14 +86,14 @@
             long storedBytes,
             BooleanSupplier cancelled)
             throws IOException, InterruptedException {
-        if (storedBytes + length <= memoryBytes && memory.take(length)) {
+        if (storedBytes + length <= maxMemoryBytes && memoryQuota.take(length)) {
             return new StoredPage(statement, null, Arrays.copyOf(bytes, length), length, 0, false);
         }
         reserve(statement, user, length, cancelled);
         if (files == null) {
             return new StoredPage(statement, null, Arrays.copyOf(bytes, length), length, 0, true);
         }
-        String name = files.name(statement, page);
+        String name = files.fileName(statement, page);
         try {
             files.write(name, bytes, length);
         } catch (IOException e) {
@@ -107,14 +107,14 @@
             String statement, String user, int length, BooleanSupplier cancelled)
             throws IOException, InterruptedException {
         while (true) {
-            Reservation verdict =
+            Reservation reservation =
                     cancelled.getAsBoolean() ? null : budget.reserve(statement, user, length);
-            if (verdict == Reservation.GRANTED) {
+            if (reservation == Reservation.GRANTED) {
                 return;
             }
-            if (verdict != Reservation.WAIT) {
+            if (reservation != Reservation.WAIT) {
                 throw new IOException(
-                        verdict == null
+                        reservation == null
                                 ? "the result is no longer needed"
                                 : "a page of " + length + " bytes exceeds a limit of the spool");
             }
@@ -134,8 +134,8 @@
      * @throws IOException if the page cannot be read or differs from the stored page
      */
     public byte[] read(StoredPage stored) throws IOException {
-        if (stored.memory != null) {
-            return stored.memory;
+        if (stored.bytes != null) {
+            return stored.bytes;
         }
         byte[] bytes = files.read(stored.file);
         if (bytes.length != stored.length || checksum(bytes, stored.length) != stored.checksum) {
@@ -166,7 +166,7 @@
         if (stored.budgeted) {
             release(stored.statement, stored.length);
         } else {
-            memory.give(stored.length);
+            memoryQuota.give(stored.length);
         }
     }
 
@@ -186,11 +186,11 @@
     }
 
     /** Deletes the files of earlier runs of this router; returns the number of deleted files. */
-    public int deleteLeftovers() throws IOException {
+    public int deleteFilesOfEarlierRuns() throws IOException {
         int deleted = 0;
         if (files != null) {
             for (String name : files.list()) {
-                if (!files.isOwn(name)) {
+                if (!files.isFromThisRun(name)) {
                     files.delete(name);
                     deleted++;
                 }
--- a/router/src/main/java/ashlink/router/spool/SpoolDirectory.java
+++ b/router/src/main/java/ashlink/router/spool/SpoolDirectory.java
@@ -22,7 +22,7 @@
     private final Path directory;
     private final String router;
     private final String boot;
-    private final Pattern fileName;
+    private final Pattern fileNamePattern;
     private final FileChannel lockFile;
     private final FileLock lock;
 
@@ -36,7 +36,7 @@
         this.directory = directory;
         this.router = router;
         this.boot = boot;
-        this.fileName =
+        this.fileNamePattern =
                 Pattern.compile(
                         Pattern.quote(router) + "\\.[0-9a-z]+\\.[A-Za-z0-9_-]+\\.[0-9]+\\.page");
         Files.createDirectories(directory);
@@ -92,7 +92,7 @@
         List<String> names = new ArrayList<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(directory)) {
             for (Path path : files) {
-                if (fileName.matcher(path.getFileName().toString()).matches()) {
+                if (fileNamePattern.matcher(path.getFileName().toString()).matches()) {
                     names.add(path.getFileName().toString());
                 }
             }
@@ -101,14 +101,14 @@
     }
 
     @Override
-    public String name(String statement, int page) {
+    public String fileName(String statement, int page) {
         // The router name in a statement identifier may not be safe in a file name.
-        String own = statement.substring(statement.lastIndexOf('~') + 1);
-        return router + "." + boot + "." + own + "." + page + ".page";
+        String localId = statement.substring(statement.lastIndexOf('~') + 1);
+        return router + "." + boot + "." + localId + "." + page + ".page";
     }
 
     @Override
-    public boolean isOwn(String name) {
+    public boolean isFromThisRun(String name) {
         return name.startsWith(router + "." + boot + ".");
     }
 
--- a/router/src/main/java/ashlink/router/spool/SpoolFiles.java
+++ b/router/src/main/java/ashlink/router/spool/SpoolFiles.java
@@ -20,8 +20,8 @@
     List<String> list() throws IOException;
 
     /** Returns the file name of a page that is stored by this run. */
-    String name(String statement, int page);
+    String fileName(String statement, int page);
 
     /** Returns whether a file was stored by this run. */
-    boolean isOwn(String name);
+    boolean isFromThisRun(String name);
 }
--- a/router/src/main/java/ashlink/router/statement/IdempotencyKeyTable.java
+++ b/router/src/main/java/ashlink/router/statement/IdempotencyKeyTable.java
@@ -74,27 +74,27 @@
     /** The result of a claim with the entry of the key, which is null if the table is full. */
     public record Claim(ClaimResult result, Entry entry) {}
 
-    private record Name(String user, String key) {}
+    private record UserKey(String user, String key) {}
 
     private final int maxKeys;
     private final long retentionMs;
-    private final Map<Name, Entry> entries = new LinkedHashMap<>();
-    private final Map<String, Name> nameByStatement = new HashMap<>();
+    private final Map<UserKey, Entry> entries = new LinkedHashMap<>();
+    private final Map<String, UserKey> keyByStatement = new HashMap<>();
 
     /**
      * Creates an empty table.
      *
-     * @param most maximum number of keys
-     * @param keptMs time for which a key is retained
+     * @param maxKeys maximum number of keys
+     * @param retentionMs time for which a key is retained
      */
-    public IdempotencyKeyTable(int most, long keptMs) {
-        this.maxKeys = most;
-        this.retentionMs = keptMs;
+    public IdempotencyKeyTable(int maxKeys, long retentionMs) {
+        this.maxKeys = maxKeys;
+        this.retentionMs = retentionMs;
     }
 
     /** Claims a key for a statement. */
     public Claim claim(String user, String key, String digest, String statement, long nowMs) {
-        Entry existing = entries.get(new Name(user, key));
+        Entry existing = entries.get(new UserKey(user, key));
         if (existing != null) {
             return new Claim(
                     existing.digest().equals(digest) ? ClaimResult.DUPLICATE : ClaimResult.CONFLICT,
@@ -113,26 +113,26 @@
 
     /** Adds or replaces an entry. */
     public void put(Entry entry) {
-        Name name = new Name(entry.user(), entry.key());
-        Entry before = entries.put(name, entry);
+        UserKey userKey = new UserKey(entry.user(), entry.key());
+        Entry before = entries.put(userKey, entry);
         if (before != null) {
-            nameByStatement.remove(before.statement());
+            keyByStatement.remove(before.statement());
         }
-        nameByStatement.put(entry.statement(), name);
+        keyByStatement.put(entry.statement(), userKey);
     }
 
     /** Releases a key. */
     public void release(String user, String key) {
-        Entry entry = entries.remove(new Name(user, key));
+        Entry entry = entries.remove(new UserKey(user, key));
         if (entry != null) {
-            nameByStatement.remove(entry.statement());
+            keyByStatement.remove(entry.statement());
         }
     }
 
     /** Returns the entry of a statement, or null. */
     public Entry findByStatement(String statement) {
-        Name name = nameByStatement.get(statement);
-        return name == null ? null : entries.get(name);
+        UserKey userKey = keyByStatement.get(statement);
+        return userKey == null ? null : entries.get(userKey);
     }
 
     /** Releases and returns the expired keys; keys of running statements never expire. */
--- a/router/src/test/java/ashlink/router/http/DescriptionTest.java
+++ b/router/src/test/java/ashlink/router/http/DescriptionTest.java
@@ -66,7 +66,7 @@
     void describesAllProblems() throws Exception {
         Set<String> problems = new TreeSet<>();
         for (ProblemDetail.Kind kind : ProblemDetail.Kind.values()) {
-            problems.add("/problems/" + kind.word());
+            problems.add("/problems/" + kind.typeName());
         }
         Set<String> described = new TreeSet<>();
         description()
--- a/router/src/test/java/ashlink/router/spool/SpoolTest.java
+++ b/router/src/test/java/ashlink/router/spool/SpoolTest.java
@@ -246,7 +246,7 @@
             Files.write(dir.resolve(name), new byte[1]);
         }
         try (SpoolDirectory files = new SpoolDirectory(dir, "r1", "b2")) {
-            assertEquals(1, store(files, 10, 0).deleteLeftovers());
+            assertEquals(1, store(files, 10, 0).deleteFilesOfEarlierRuns());
             assertThrows(
                     IOException.class,
                     () -> new SpoolDirectory(dir, "r1", "b3"),
--- a/router/src/test/java/ashlink/router/spool/StoredSpoolTest.java
+++ b/router/src/test/java/ashlink/router/spool/StoredSpoolTest.java
@@ -63,7 +63,7 @@
     void pagesOfEarlierStartsAreNotOfThisStart() throws Exception {
         try (SpoolDirectory files = start("r1", NEW_BOOT)) {
             assertEquals(OWN_LEFTOVERS, files.list().stream().sorted().toList());
-            assertTrue(files.list().stream().noneMatch(files::isOwn));
+            assertTrue(files.list().stream().noneMatch(files::isFromThisRun));
         }
     }
 
@@ -71,7 +71,7 @@
     void deletesOnlyItsOwnLeftovers() throws Exception {
         assertEquals(5, Files.size(folder.resolve("r1.ln0b9j5c.sX4.1.page")), "the torn one");
         try (SpoolDirectory files = start("r1", NEW_BOOT)) {
-            assertEquals(OWN_LEFTOVERS.size(), store(files).deleteLeftovers());
+            assertEquals(OWN_LEFTOVERS.size(), store(files).deleteFilesOfEarlierRuns());
             assertEquals(List.of(), files.list());
         }
         assertEquals(KEPT, StoredFiles.names(folder));
--- a/router/src/test/java/ashlink/router/statement/StatementDecisionsTest.java
+++ b/router/src/test/java/ashlink/router/statement/StatementDecisionsTest.java
@@ -66,7 +66,7 @@
         assertEquals(PageState.PENDING, window.request(0));
         assertEquals(PageState.INVALID, window.request(1), "pages are asked for in order");
         for (int i = 0; i < 4; i++) {
-            assertEquals(i, window.closePage());
+            assertEquals(i, window.addPage());
         }
         assertEquals(PageState.AVAILABLE, window.request(0));
         assertEquals(PageState.AVAILABLE, window.request(1));
