--- a/router/src/test/java/ashlink/router/http/DescriptionTest.java
+++ b/router/src/test/java/ashlink/router/http/OpenApiDescriptionTest.java
@@ -13,8 +13,8 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** The description has the paths and the problems that the code has, no more and no fewer. */
-class DescriptionTest {
+/** Checks that the OpenAPI description lists exactly the routes, statuses and problem types. */
+class OpenApiDescriptionTest {
 
     private static JsonNode description() throws IOException {
         try (InputStream in = Route.class.getResourceAsStream("openapi.json")) {
@@ -22,7 +22,7 @@
         }
     }
 
-    /** Returns each described operation as its method and path, with its responses by status. */
+    /** Returns the responses of each described operation, by method and path. */
     private static Map<String, JsonNode> operations(JsonNode description) {
         Map<String, JsonNode> operations = new TreeMap<>();
         for (Map.Entry<String, JsonNode> path : description.get("paths").properties()) {
@@ -54,7 +54,7 @@
                 .forEach(responses -> responses.fieldNames().forEachRemaining(described::add));
         Set<String> statuses = new TreeSet<>(Set.of("200", "202", "307"));
         for (ProblemDetail.Kind kind : ProblemDetail.Kind.values()) {
-            // A wrong method has no operation that could describe it.
+            // A request with an unsupported method belongs to no operation of the description.
             if (kind != ProblemDetail.Kind.METHOD) {
                 statuses.add(Integer.toString(kind.status()));
             }
--- a/router/src/test/java/ashlink/router/http/ResultFormatTest.java
+++ b/router/src/test/java/ashlink/router/http/ResultFormatTest.java
@@ -15,33 +15,34 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** Values of each type as they are rendered, and as they are loaded. */
+/** Tests the rendering of values of each column type, and the encoding of the rows of inserts. */
 class ResultFormatTest {
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final ResultFormat.PageInfo PAGE_INFO =
             new ResultFormat.PageInfo("s", "finished", null);
 
-    private interface Values {
-        void put(ByteBuf to) throws IOException;
+    /** Appends the values of a column. */
+    private interface ValueWriter {
+        void write(ByteBuf buffer) throws IOException;
     }
 
-    /** A block of one column. */
-    private static byte[] block(String type, int rows, Values values) throws IOException {
-        ByteBuf byteBuf = new ByteBuf();
-        byteBuf.putVarUInt(1)
+    /** Returns a block with one column named c. */
+    private static byte[] block(String type, int rows, ValueWriter values) throws IOException {
+        ByteBuf buffer = new ByteBuf();
+        buffer.putVarUInt(1)
                 .putByte(0)
                 .putVarUInt(2)
                 .putInt(-1)
                 .putVarUInt(0)
                 .putVarUInt(1)
                 .putVarUInt(rows);
-        byteBuf.putString("c").putString(type);
-        values.put(byteBuf);
-        return Arrays.copyOf(byteBuf.array(), byteBuf.size());
+        buffer.putString("c").putString(type);
+        values.write(buffer);
+        return Arrays.copyOf(buffer.array(), buffer.size());
     }
 
-    private static String json(String type, int rows, Values values) throws IOException {
+    private static String json(String type, int rows, ValueWriter values) throws IOException {
         byte[] page =
                 ResultFormat.JSON.render(
                         block(type, rows, values), new byte[0], 0, PAGE_INFO, WireLimits.DEFAULT);
@@ -50,36 +51,36 @@
         return node.get("rows").toString();
     }
 
-    private static String csv(String type, int rows, Values values) throws IOException {
+    private static String csv(String type, int rows, ValueWriter values) throws IOException {
         return new String(
                 ResultFormat.CSV.render(
                         block(type, rows, values), new byte[0], 1, PAGE_INFO, WireLimits.DEFAULT),
                 StandardCharsets.UTF_8);
     }
 
-    private static ByteBuf ones(ByteBuf byteBuf, int bytes) throws IOException {
+    private static ByteBuf appendOnes(ByteBuf buffer, int bytes) throws IOException {
         for (int i = 0; i < bytes; i++) {
-            byteBuf.putByte(0xff);
+            buffer.putByte(0xff);
         }
-        return byteBuf;
+        return buffer;
     }
 
     @Test
     void rendersIntegersExactly() throws Exception {
-        assertEquals("[[255],[0]]", json("UInt8", 2, byteBuf -> byteBuf.putByte(255).putByte(0)));
-        assertEquals("[[-1]]", json("Int8", 1, byteBuf -> byteBuf.putByte(255)));
-        assertEquals("[[65535]]", json("UInt16", 1, byteBuf -> byteBuf.putShort(65535)));
-        assertEquals("[[4294967295]]", json("UInt32", 1, byteBuf -> byteBuf.putInt(-1)));
+        assertEquals("[[255],[0]]", json("UInt8", 2, buffer -> buffer.putByte(255).putByte(0)));
+        assertEquals("[[-1]]", json("Int8", 1, buffer -> buffer.putByte(255)));
+        assertEquals("[[65535]]", json("UInt16", 1, buffer -> buffer.putShort(65535)));
+        assertEquals("[[4294967295]]", json("UInt32", 1, buffer -> buffer.putInt(-1)));
         assertEquals(
-                "[[\"18446744073709551615\"]]", json("UInt64", 1, byteBuf -> byteBuf.putLong(-1)));
+                "[[\"18446744073709551615\"]]", json("UInt64", 1, buffer -> buffer.putLong(-1)));
         assertEquals(
                 "[[\"-9223372036854775808\"]]",
-                json("Int64", 1, byteBuf -> byteBuf.putLong(Long.MIN_VALUE)));
+                json("Int64", 1, buffer -> buffer.putLong(Long.MIN_VALUE)));
         assertEquals(
                 "[[\"340282366920938463463374607431768211455\"]]",
-                json("UInt128", 1, byteBuf -> ones(byteBuf, 16)));
-        assertEquals("[[\"-1\"]]", json("Int256", 1, byteBuf -> ones(byteBuf, 32)));
-        assertEquals("18446744073709551615\r\n", csv("UInt64", 1, byteBuf -> byteBuf.putLong(-1)));
+                json("UInt128", 1, buffer -> appendOnes(buffer, 16)));
+        assertEquals("[[\"-1\"]]", json("Int256", 1, buffer -> appendOnes(buffer, 32)));
+        assertEquals("18446744073709551615\r\n", csv("UInt64", 1, buffer -> buffer.putLong(-1)));
     }
 
     @Test
@@ -89,23 +90,23 @@
                 json(
                         "Float64",
                         3,
-                        byteBuf ->
-                                byteBuf.putLong(Double.doubleToLongBits(0.1))
+                        buffer ->
+                                buffer.putLong(Double.doubleToLongBits(0.1))
                                         .putLong(Double.doubleToLongBits(Double.NaN))
                                         .putLong(
                                                 Double.doubleToLongBits(
                                                         Double.NEGATIVE_INFINITY))));
         assertEquals(
                 "[[0.1]]",
-                json("Float32", 1, byteBuf -> byteBuf.putInt(Float.floatToIntBits(0.1f))));
-        assertEquals("[[\"-0.0001\"]]", json("Decimal(18, 4)", 1, byteBuf -> byteBuf.putLong(-1)));
+                json("Float32", 1, buffer -> buffer.putInt(Float.floatToIntBits(0.1f))));
+        assertEquals("[[\"-0.0001\"]]", json("Decimal(18, 4)", 1, buffer -> buffer.putLong(-1)));
         assertEquals(
                 "[[\"12345678901234567890.10\"]]",
                 json(
                         "Decimal128(2)",
                         1,
-                        byteBuf ->
-                                byteBuf.putLong(
+                        buffer ->
+                                buffer.putLong(
                                                 new java.math.BigInteger("1234567890123456789010")
                                                         .longValue())
                                         .putLong(
@@ -117,55 +118,55 @@
                 csv(
                         "Float64",
                         2,
-                        byteBuf ->
-                                byteBuf.putLong(Double.doubleToLongBits(Double.NaN))
+                        buffer ->
+                                buffer.putLong(Double.doubleToLongBits(Double.NaN))
                                         .putLong(Double.doubleToLongBits(1.5))));
     }
 
     @Test
-    void rendersDatesTimesAndNames() throws Exception {
-        assertEquals("[[\"2026-12-01\"]]", json("Date", 1, byteBuf -> byteBuf.putShort(20788)));
-        assertEquals("[[\"1900-01-01\"]]", json("Date32", 1, byteBuf -> byteBuf.putInt(-25567)));
+    void rendersDatesTimesEnumsAndIdentifiers() throws Exception {
+        assertEquals("[[\"2026-12-01\"]]", json("Date", 1, buffer -> buffer.putShort(20788)));
+        assertEquals("[[\"1900-01-01\"]]", json("Date32", 1, buffer -> buffer.putInt(-25567)));
         assertEquals(
                 "[[\"2026-12-01T00:00:00Z\"]]",
-                json("DateTime", 1, byteBuf -> byteBuf.putInt(1796083200)));
+                json("DateTime", 1, buffer -> buffer.putInt(1796083200)));
         assertEquals(
                 "[[\"2026-12-01T01:00:00+01:00\"]]",
-                json("DateTime('Europe/Vienna')", 1, byteBuf -> byteBuf.putInt(1796083200)));
+                json("DateTime('Europe/Vienna')", 1, buffer -> buffer.putInt(1796083200)));
         assertEquals(
                 "[[\"1969-12-31T23:59:59.999Z\"]]",
-                json("DateTime64(3)", 1, byteBuf -> byteBuf.putLong(-1)));
+                json("DateTime64(3)", 1, buffer -> buffer.putLong(-1)));
         assertEquals(
                 "[[\"it's\"],[\"7\"]]",
                 json(
                         "Enum8('it\\'s' = -3, 'b' = 2)",
                         2,
-                        byteBuf -> byteBuf.putByte(-3).putByte(7)));
+                        buffer -> buffer.putByte(-3).putByte(7)));
         assertEquals(
                 "[[\"00112233-4455-6677-8899-aabbccddeeff\"]]",
                 json(
                         "UUID",
                         1,
-                        byteBuf ->
-                                byteBuf.putLong(0x0011223344556677L).putLong(0x8899aabbccddeeffL)));
-        assertEquals("[[\"10.0.0.1\"]]", json("IPv4", 1, byteBuf -> byteBuf.putInt(0x0a000001)));
-        assertEquals("[[true],[false]]", json("Bool", 2, byteBuf -> byteBuf.putByte(1).putByte(0)));
+                        buffer ->
+                                buffer.putLong(0x0011223344556677L).putLong(0x8899aabbccddeeffL)));
+        assertEquals("[[\"10.0.0.1\"]]", json("IPv4", 1, buffer -> buffer.putInt(0x0a000001)));
+        assertEquals("[[true],[false]]", json("Bool", 2, buffer -> buffer.putByte(1).putByte(0)));
     }
 
     @Test
-    void rendersBytesThatAreNoUtf8() throws Exception {
+    void rendersBytesThatAreNotValidUtf8() throws Exception {
         assertEquals(
                 "[[\"a\\\"b\"],[{\"base64\":\"/w==\"}]]",
                 json(
                         "String",
                         2,
-                        byteBuf -> byteBuf.putString("a\"b").putVarUInt(1).putByte(0xff)));
+                        buffer -> buffer.putString("a\"b").putVarUInt(1).putByte(0xff)));
         byte[] raw =
                 ResultFormat.CSV.render(
                         block(
                                 "String",
                                 2,
-                                byteBuf -> byteBuf.putString("a\"b").putVarUInt(1).putByte(0xff)),
+                                buffer -> buffer.putString("a\"b").putVarUInt(1).putByte(0xff)),
                         new byte[0],
                         0,
                         PAGE_INFO,
@@ -173,10 +174,10 @@
         assertEquals(
                 "\"c\"\r\n\"a\"\"b\"\r\n\"\u00ff\"\r\n",
                 new String(raw, StandardCharsets.ISO_8859_1),
-                "CSV has the bytes");
+                "CSV contains the bytes unchanged");
         assertEquals(
                 "[[\"ab\\u0000\"]]",
-                json("FixedString(3)", 1, byteBuf -> byteBuf.putByte('a').putByte('b').putByte(0)));
+                json("FixedString(3)", 1, buffer -> buffer.putByte('a').putByte('b').putByte(0)));
     }
 
     @Test
@@ -186,13 +187,13 @@
                 json(
                         "Nullable(UInt8)",
                         2,
-                        byteBuf -> byteBuf.putByte(1).putByte(0).putByte(9).putByte(5)));
+                        buffer -> buffer.putByte(1).putByte(0).putByte(9).putByte(5)));
         assertEquals(
                 "\r\n5\r\n",
                 csv(
                         "Nullable(UInt8)",
                         2,
-                        byteBuf -> byteBuf.putByte(1).putByte(0).putByte(9).putByte(5)));
+                        buffer -> buffer.putByte(1).putByte(0).putByte(9).putByte(5)));
     }
 
     @Test
@@ -202,8 +203,8 @@
                 json(
                         "Array(UInt8)",
                         3,
-                        byteBuf ->
-                                byteBuf.putLong(2)
+                        buffer ->
+                                buffer.putLong(2)
                                         .putLong(2)
                                         .putLong(3)
                                         .putByte(1)
@@ -211,44 +212,44 @@
                                         .putByte(3)));
         assertEquals(
                 "[[[1,\"x\"]]]",
-                json("Tuple(a UInt8, b String)", 1, byteBuf -> byteBuf.putByte(1).putString("x")));
+                json("Tuple(a UInt8, b String)", 1, buffer -> buffer.putByte(1).putString("x")));
         assertEquals(
                 "[[[[\"k\",7]]]]",
                 json(
                         "Map(String, UInt8)",
                         1,
-                        byteBuf -> byteBuf.putLong(1).putString("k").putByte(7)));
+                        buffer -> buffer.putLong(1).putString("k").putByte(7)));
     }
 
     @Test
-    void rendersDictionariesAndNestedTypes() throws Exception {
+    void rendersLowCardinalityAndGeoTypes() throws Exception {
         assertEquals(
                 "[[\"b\"],[null],[\"b\"]]",
                 json(
                         "LowCardinality(Nullable(String))",
                         3,
-                        byteBuf -> {
-                            byteBuf.putLong(1)
+                        buffer -> {
+                            buffer.putLong(1)
                                     .putLong(1 << 9)
                                     .putLong(2)
                                     .putString("")
                                     .putString("b")
                                     .putLong(3);
-                            byteBuf.putByte(1).putByte(0).putByte(1);
+                            buffer.putByte(1).putByte(0).putByte(1);
                         }));
         assertEquals(
                 "[[[[1.5,2.5]]]]",
                 json(
                         "Ring",
                         1,
-                        byteBuf ->
-                                byteBuf.putLong(1)
+                        buffer ->
+                                buffer.putLong(1)
                                         .putLong(Double.doubleToLongBits(1.5))
                                         .putLong(Double.doubleToLongBits(2.5))));
     }
 
     @Test
-    void loadedValuesAreRenderedTheSame() throws Exception {
+    void encodedValuesAreRenderedUnchanged() throws Exception {
         for (String[] typeAndValue :
                 new String[][] {
                     {"UInt64", "\"18446744073709551615\""},
@@ -265,7 +266,7 @@
                     {"Nullable(Int64)", "null"},
                     {"Int256", "\"-5\""}
                 }) {
-            byte[] header = block(typeAndValue[0], 0, byteBuf -> {});
+            byte[] header = block(typeAndValue[0], 0, buffer -> {});
             byte[] packet =
                     RowsEncoder.encode(
                             header,
@@ -287,7 +288,7 @@
     }
 
     @Test
-    void rejectsValuesThatATypeDoesNotTake() throws Exception {
+    void rejectsValuesThatAreInvalidForTheirType() throws Exception {
         for (String[] typeAndValue :
                 new String[][] {
                     {"UInt8", "256"},
@@ -305,10 +306,10 @@
                             WireException.class,
                             () ->
                                     RowsEncoder.encode(
-                                            block(typeAndValue[0], 0, byteBuf -> {}),
+                                            block(typeAndValue[0], 0, buffer -> {}),
                                             JSON.readTree("[[" + typeAndValue[1] + "]]"),
                                             WireLimits.DEFAULT),
-                            typeAndValue[0] + " took " + typeAndValue[1]);
+                            typeAndValue[0] + " accepted " + typeAndValue[1]);
             assertTrue(
                     failure.getMessage().contains("row 0")
                             || failure.getMessage().contains("cannot be loaded"),
--- a/router/src/test/java/ashlink/router/spool/SpoolTest.java
+++ b/router/src/test/java/ashlink/router/spool/SpoolTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The idempotency key log and the page store, with faults of the disk. */
+/** Tests the idempotency key log and the page store, including disk faults. */
 class SpoolTest {
 
     @TempDir Path dir;
@@ -41,7 +41,8 @@
         return table.claim("u", key, "d-" + key, "s-" + key, 1).entry();
     }
 
-    // Keys
+    // Idempotency keys
+
     @Test
     void storedKeysSurviveACrashAndTheLogIsCompacted() throws Exception {
         IdempotencyKeyTable table = table();
@@ -57,26 +58,26 @@
                 log.release(entry);
             }
         }
-        // Closing writes nothing more.
+        // Simulates a crash: closing the log writes nothing more.
         log.close();
-        IdempotencyKeyTable after = table();
-        IdempotencyKeyLog next = new IdempotencyKeyLog(FolderDisk.writing(dir), after, 1);
-        assertEquals(15, after.entries().size());
-        assertEquals(Status.COMPLETED, after.findByStatement("s-k4").status());
-        assertEquals(StatementOutcome.SERVED, after.findByStatement("s-k4").outcome());
-        assertEquals(Status.UNKNOWN, after.findByStatement("s-k2").status());
-        assertEquals(null, after.findByStatement("s-k5"));
+        IdempotencyKeyTable reloaded = table();
+        IdempotencyKeyLog reopened = new IdempotencyKeyLog(FolderDisk.writing(dir), reloaded, 1);
+        assertEquals(15, reloaded.entries().size());
+        assertEquals(Status.COMPLETED, reloaded.findByStatement("s-k4").status());
+        assertEquals(StatementOutcome.SERVED, reloaded.findByStatement("s-k4").outcome());
+        assertEquals(Status.UNKNOWN, reloaded.findByStatement("s-k2").status());
+        assertEquals(null, reloaded.findByStatement("s-k5"));
         try (Stream<Path> files = Files.list(dir)) {
             assertEquals(
                     1,
                     files.filter(path -> path.toString().endsWith(".seg")).count(),
-                    "the log before is gone");
+                    "the log before compaction is deleted");
         }
-        next.close();
+        reopened.close();
     }
 
     @Test
-    void truncatedLogIsReadUpToItsLastRecord() throws Exception {
+    void truncatedLogIsReadUpToItsLastCompleteRecord() throws Exception {
         IdempotencyKeyTable table = table();
         IdempotencyKeyLog log = new IdempotencyKeyLog(FolderDisk.writing(dir), table, 1);
         Path file;
@@ -97,22 +98,22 @@
             sizes.add(Files.size(file));
         }
         log.close();
-        byte[] whole = Files.readAllBytes(file);
-        for (int cut = 0; cut <= whole.length; cut++) {
+        byte[] content = Files.readAllBytes(file);
+        for (int cut = 0; cut <= content.length; cut++) {
             Path copy = Files.createDirectory(dir.resolve("cut" + cut));
-            Files.write(copy.resolve(file.getFileName()), Arrays.copyOf(whole, cut));
-            IdempotencyKeyTable after = table();
-            new IdempotencyKeyLog(FolderDisk.writing(copy), after, 1).close();
-            int at = cut;
+            Files.write(copy.resolve(file.getFileName()), Arrays.copyOf(content, cut));
+            IdempotencyKeyTable reloaded = table();
+            new IdempotencyKeyLog(FolderDisk.writing(copy), reloaded, 1).close();
+            int cutLength = cut;
             assertEquals(
-                    sizes.stream().filter(s -> s <= at).count(),
-                    after.entries().size(),
-                    "cut at " + cut);
+                    sizes.stream().filter(size -> size <= cutLength).count(),
+                    reloaded.entries().size(),
+                    "truncated to " + cut + " bytes");
         }
     }
 
     @Test
-    void failedSyncIsReportedAndTheNextSucceeds() throws Exception {
+    void failedSyncIsReportedAndTheNextSyncSucceeds() throws Exception {
         IdempotencyKeyTable table = table();
         FaultyDisk disk = new FaultyDisk();
         IdempotencyKeyLog log = new IdempotencyKeyLog(disk, table, 1);
@@ -121,46 +122,49 @@
         assertThrows(IOException.class, () -> log.put(claim(table, "b")));
         disk.syncFails(false);
         log.put(claim(table, "c"));
-        IdempotencyKeyTable after = table();
-        new IdempotencyKeyLog(disk.afterPowerLoss(new SplittableRandom(1)), after, 1);
-        assertTrue(after.findByStatement("s-a") != null && after.findByStatement("s-c") != null);
+        IdempotencyKeyTable reloaded = table();
+        new IdempotencyKeyLog(disk.afterPowerLoss(new SplittableRandom(1)), reloaded, 1);
+        assertTrue(
+                reloaded.findByStatement("s-a") != null && reloaded.findByStatement("s-c") != null);
     }
 
     @Test
-    void acknowledgedKeysSurviveAPowerLoss() throws Exception {
+    void acknowledgedKeysSurviveAPowerLossAfterShortWrites() throws Exception {
         SplittableRandom random = new SplittableRandom(3);
-        int lost = 0;
+        int rejected = 0;
         for (int i = 0; i < 200; i++) {
             IdempotencyKeyTable table = table();
             FaultyDisk disk = new FaultyDisk();
             IdempotencyKeyLog log = new IdempotencyKeyLog(disk, table, 1);
             List<String> acknowledged = new ArrayList<>();
-            int faulty = random.nextInt(20);
+            int faultyWrite = random.nextInt(20);
             for (int n = 0; n < 20; n++) {
-                disk.shortWriteIn(n == faulty ? random.nextInt(2) : -1);
+                disk.shortWriteIn(n == faultyWrite ? random.nextInt(2) : -1);
                 try {
                     log.put(claim(table, "k" + n));
                     acknowledged.add("s-k" + n);
                 } catch (IOException e) {
-                    lost++;
+                    rejected++;
                 }
             }
-            IdempotencyKeyTable after = table();
-            new IdempotencyKeyLog(disk.afterPowerLoss(random), after, 1);
+            IdempotencyKeyTable reloaded = table();
+            new IdempotencyKeyLog(disk.afterPowerLoss(random), reloaded, 1);
             assertTrue(
-                    acknowledged.stream().allMatch(text -> after.findByStatement(text) != null),
-                    "run " + i);
+                    acknowledged.stream()
+                            .allMatch(statement -> reloaded.findByStatement(statement) != null),
+                    "iteration " + i);
         }
-        assertTrue(lost > 50, "faults at stake: " + lost);
+        assertTrue(rejected > 50, "rejected writes: " + rejected);
     }
 
     // Pages
-    private PageStore store(SpoolFiles files, long all, long memory) {
+
+    private PageStore store(SpoolFiles files, long totalBytes, long memoryBytes) {
         return new PageStore(
                 files,
-                new SpoolBudget(new SpoolBudget.Limits(all, all, all, 0)),
+                new SpoolBudget(new SpoolBudget.Limits(totalBytes, totalBytes, totalBytes, 0)),
                 Quota.NONE,
-                memory);
+                memoryBytes);
     }
 
     @Test
@@ -192,7 +196,7 @@
     }
 
     @Test
-    void storingBlocksUntilSpaceIsReleasedOrItIsCancelled() throws Exception {
+    void storingBlocksUntilSpaceIsReleasedOrTheStatementIsCancelled() throws Exception {
         PageStore pageStore = store(null, 10, 0);
         PageStore.StoredPage first = pageStore.store("s", "u", 0, new byte[8], 8, 0, () -> false);
         CountDownLatch stored = new CountDownLatch(1);
@@ -210,30 +214,36 @@
         assertFalse(stored.await(50, TimeUnit.MILLISECONDS));
         pageStore.release(first);
         assertTrue(stored.await(20, TimeUnit.SECONDS));
-        AtomicBoolean over = new AtomicBoolean();
-        CountDownLatch ended = new CountDownLatch(1);
+        AtomicBoolean cancelled = new AtomicBoolean();
+        CountDownLatch failed = new CountDownLatch(1);
         new Thread(
                         () -> {
                             assertThrows(
                                     IOException.class,
                                     () ->
                                             pageStore.store(
-                                                    "s", "u", 2, new byte[8], 8, 0, over::get));
-                            ended.countDown();
+                                                    "s",
+                                                    "u",
+                                                    2,
+                                                    new byte[8],
+                                                    8,
+                                                    0,
+                                                    cancelled::get));
+                            failed.countDown();
                         })
                 .start();
-        assertFalse(ended.await(50, TimeUnit.MILLISECONDS));
-        over.set(true);
+        assertFalse(failed.await(50, TimeUnit.MILLISECONDS));
+        cancelled.set(true);
         pageStore.wake();
-        assertTrue(ended.await(20, TimeUnit.SECONDS));
+        assertTrue(failed.await(20, TimeUnit.SECONDS));
         assertThrows(
                 IOException.class,
                 () -> pageStore.store("t", "u", 0, new byte[11], 11, 0, () -> false),
-                "never fits");
+                "a page larger than the budget");
     }
 
     @Test
-    void deletesOnlyTheFilesOfEarlierStarts() throws Exception {
+    void deletesOnlyTheFilesOfEarlierRunsOfTheSameRouter() throws Exception {
         for (String name :
                 List.of(
                         "r1.b1.s~x.0.page",
@@ -250,7 +260,7 @@
             assertThrows(
                     IOException.class,
                     () -> new SpoolDirectory(dir, "r1", "b3"),
-                    "two of one name");
+                    "a second router with the same name");
             new SpoolDirectory(dir, "r10", "b3").close();
         }
         assertFalse(Files.exists(dir.resolve("r1.b1.sx.0.page")));
--- a/router/src/test/java/ashlink/router/spool/StoredKeysTest.java
+++ b/router/src/test/java/ashlink/router/spool/StoredKeysTest.java
@@ -18,15 +18,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The journal of keys that an earlier build left, after two starts, gives the table that it stood
- * for. It is {@code src/test/resources/stored/keys}; the README beside tells how it was written.
+ * Tests that an idempotency key log written by an earlier build, over two runs of a router, is read
+ * as the table that was written. The log is in {@code src/test/resources/stored/keys}; the README
+ * in {@code stored} tells how the log was written.
  */
 class StoredKeysTest {
 
-    private static final long KEPT_MS = 24 * 3_600_000L;
+    private static final long RETENTION_MS = 24 * 3_600_000L;
 
-    /** Twelve hours after the first start: the key of twelve hours before it is over its time. */
-    private static final long NOW_MS = 1_700_000_000_000L + KEPT_MS / 2;
+    /** 12 hours after the first start: the key claimed 12 hours before that start has expired. */
+    private static final long NOW_MS = 1_700_000_000_000L + RETENTION_MS / 2;
 
     private static final List<String> EXPECTED =
             List.of(
@@ -53,18 +54,18 @@
     }
 
     private IdempotencyKeyTable open(long nowMs) throws IOException {
-        IdempotencyKeyTable table = new IdempotencyKeyTable(100, KEPT_MS);
+        IdempotencyKeyTable table = new IdempotencyKeyTable(100, RETENTION_MS);
         new IdempotencyKeyLog(FolderDisk.writing(folder), table, nowMs).close();
         return table;
     }
 
-    /** A line an entry: user, key, digest, statement, numbers of fate and ending, time claimed. */
-    private static List<String> lines(IdempotencyKeyTable table) {
-        return table.entries().stream().map(StoredKeysTest::line).toList();
+    /** Returns each entry as user|key|digest|statement|status|outcome|claim time, with ordinals. */
+    private static List<String> describeEntries(IdempotencyKeyTable table) {
+        return table.entries().stream().map(StoredKeysTest::describe).toList();
     }
 
-    private static String line(Entry entry) {
-        int ending = entry.outcome() == null ? -1 : entry.outcome().ordinal();
+    private static String describe(Entry entry) {
+        int outcomeOrdinal = entry.outcome() == null ? -1 : entry.outcome().ordinal();
         return String.join(
                 "|",
                 entry.user(),
@@ -77,18 +78,18 @@
     }
 
     @Test
-    void tableIsReadAsItWasWritten() throws Exception {
-        assertEquals(EXPECTED, lines(open(NOW_MS)));
+    void storedTableIsReadUnchanged() throws Exception {
+        assertEquals(EXPECTED, describeEntries(open(NOW_MS)));
     }
 
     @Test
-    void compactedTableIsReadTheSame() throws Exception {
+    void compactedTableIsReadUnchanged() throws Exception {
         open(NOW_MS);
-        assertEquals(EXPECTED, lines(open(NOW_MS)));
+        assertEquals(EXPECTED, describeEntries(open(NOW_MS)));
     }
 
     @Test
-    void expiredKeyIsFree() throws Exception {
+    void expiredKeyIsReleased() throws Exception {
         assertNull(open(NOW_MS).findByStatement("r1~ann-over-its-time"));
         StoredFiles.copyFolder("keys", Files.createDirectory(folder.resolve("early")));
         folder = folder.resolve("early");
@@ -97,7 +98,7 @@
     }
 
     @Test
-    void runningStatementsAreUnknown() throws Exception {
+    void runningStatementsHaveAnUnknownOutcome() throws Exception {
         IdempotencyKeyTable table = open(NOW_MS);
         assertEquals(Status.UNKNOWN, table.findByStatement("r1~-under-way").status());
         assertEquals(
@@ -105,7 +106,7 @@
                 table.findByStatement("r1~ann-under-way-at-the-first-end").status());
     }
 
-    /** Constants are stored as their ordinal numbers: in another order they mean something else. */
+    /** The log stores constants by ordinal, so reordering them would misread stored logs. */
     @Test
     void enumConstantsHaveTheirStoredOrdinals() {
         assertEquals(
--- a/router/src/test/java/ashlink/router/spool/StoredSpoolTest.java
+++ b/router/src/test/java/ashlink/router/spool/StoredSpoolTest.java
@@ -16,18 +16,18 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The spool that killed routers of an earlier build left: a start removes the pages of its own
- * earlier starts, and keeps all else. It is {@code src/test/resources/stored/spool}; the README
- * beside tells how it was written.
+ * Tests with a spool that routers of an earlier build left behind when they were killed: a router
+ * deletes the pages of its own earlier runs and keeps all other files. The spool is in {@code
+ * src/test/resources/stored/spool}; the README in {@code stored} tells how the spool was written.
  */
 class StoredSpoolTest {
 
-    private static final List<String> OWN_LEFTOVERS =
+    private static final List<String> PAGES_OF_EARLIER_RUNS =
             List.of(
                     "r1.ln0a0000.b7Zq_-9.1.page",
                     "r1.ln0b9j5c.sX4.1.page",
                     "r1.ln0b9j5c.sX4.2.page");
-    private static final List<String> KEPT =
+    private static final List<String> OTHER_FILES =
             List.of(
                     "r1.lock",
                     "r1.notes",
@@ -49,43 +49,47 @@
         return new PageStore(files, budget, Quota.NONE, 0);
     }
 
-    private SpoolDirectory start(String router, String boot) throws IOException {
+    private SpoolDirectory openAs(String router, String boot) throws IOException {
         return new SpoolDirectory(folder, router, boot);
     }
 
     @Test
-    void lockFileOfAKilledRouterIsFree() throws Exception {
+    void lockFileOfAKilledRouterIsNotLocked() throws Exception {
         assertTrue(Files.exists(folder.resolve("r1.lock")));
-        start("r1", NEW_BOOT).close();
+        openAs("r1", NEW_BOOT).close();
     }
 
     @Test
-    void pagesOfEarlierStartsAreNotOfThisStart() throws Exception {
-        try (SpoolDirectory files = start("r1", NEW_BOOT)) {
-            assertEquals(OWN_LEFTOVERS, files.list().stream().sorted().toList());
+    void pagesOfEarlierRunsAreNotFromThisRun() throws Exception {
+        try (SpoolDirectory files = openAs("r1", NEW_BOOT)) {
+            assertEquals(PAGES_OF_EARLIER_RUNS, files.list().stream().sorted().toList());
             assertTrue(files.list().stream().noneMatch(files::isFromThisRun));
         }
     }
 
     @Test
-    void deletesOnlyItsOwnLeftovers() throws Exception {
-        assertEquals(5, Files.size(folder.resolve("r1.ln0b9j5c.sX4.1.page")), "the torn one");
-        try (SpoolDirectory files = start("r1", NEW_BOOT)) {
-            assertEquals(OWN_LEFTOVERS.size(), store(files).deleteFilesOfEarlierRuns());
+    void deletesOnlyPagesOfItsOwnEarlierRuns() throws Exception {
+        assertEquals(
+                5,
+                Files.size(folder.resolve("r1.ln0b9j5c.sX4.1.page")),
+                "the size of a partially written page");
+        try (SpoolDirectory files = openAs("r1", NEW_BOOT)) {
+            assertEquals(PAGES_OF_EARLIER_RUNS.size(), store(files).deleteFilesOfEarlierRuns());
             assertEquals(List.of(), files.list());
         }
-        assertEquals(KEPT, StoredFiles.names(folder));
+        assertEquals(OTHER_FILES, StoredFiles.names(folder));
     }
 
     @Test
-    void pageHasItsFormerFileNameAndBytes() throws Exception {
+    void pageKeepsItsStoredFileNameAndBytes() throws Exception {
         String name = "r1.ln0a0000.b7Zq_-9.1.page";
-        byte[] before = Files.readAllBytes(folder.resolve(name));
+        byte[] storedBytes = Files.readAllBytes(folder.resolve(name));
         Files.delete(folder.resolve(name));
-        try (SpoolDirectory files = start("r1", "ln0a0000")) {
-            store(files).store("r1~b7Zq_-9", "ann", 1, before, before.length, 0, () -> false);
+        try (SpoolDirectory files = openAs("r1", "ln0a0000")) {
+            store(files)
+                    .store("r1~b7Zq_-9", "ann", 1, storedBytes, storedBytes.length, 0, () -> false);
         }
-        assertArrayEquals(before, Files.readAllBytes(folder.resolve(name)));
+        assertArrayEquals(storedBytes, Files.readAllBytes(folder.resolve(name)));
         assertEquals("page 1 of r1~b7Zq_-9\n", Files.readString(folder.resolve(name)));
     }
 }
--- a/router/src/test/java/ashlink/router/statement/StatementDecisionsTest.java
+++ b/router/src/test/java/ashlink/router/statement/StatementDecisionsTest.java
@@ -19,7 +19,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Lifecycles, page windows, budgets and idempotency keys, without I/O or a clock. */
+/** Tests statement lifecycle, page window, spool budget and idempotency keys without I/O. */
 class StatementDecisionsTest {
 
     private static final StatementLifecycle.Timeouts TIMEOUTS =
@@ -38,10 +38,10 @@
     }
 
     @Test
-    void retainsAResultShorterOnceItIsFetched() {
+    void retainsAFetchedResultForAShorterTime() {
         StatementLifecycle lifecycle = new StatementLifecycle(TIMEOUTS, 0);
         assertTrue(lifecycle.complete(100));
-        assertFalse(lifecycle.complete(101), "once only");
+        assertFalse(lifecycle.complete(101), "a statement completes only once");
         assertEquals(PendingAction.NONE, lifecycle.pendingAction(159));
         assertEquals(PendingAction.DISCARD, lifecycle.pendingAction(160));
         lifecycle.pollStarted(160);
@@ -57,14 +57,14 @@
         assertEquals(
                 PendingAction.NONE,
                 lifecycle.pendingAction(0),
-                "a clock that goes back brings nothing back");
+                "a clock that goes back does not revive a removed statement");
     }
 
     @Test
-    void retainsAPageUntilTheOneAfterTheNextIsRequested() {
+    void retainsAPageUntilThePageAfterTheNextIsRequested() {
         PageWindow window = new PageWindow();
         assertEquals(PageState.PENDING, window.request(0));
-        assertEquals(PageState.INVALID, window.request(1), "pages are asked for in order");
+        assertEquals(PageState.INVALID, window.request(1), "pages must be requested in order");
         for (int i = 0; i < 4; i++) {
             assertEquals(i, window.addPage());
         }
@@ -88,8 +88,8 @@
     void budgetIsNeverExceededAndFullyReleased(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         SpoolBudget budget = new SpoolBudget(new SpoolBudget.Limits(40, 70, 100, 12));
-        Map<String, Long> held = new HashMap<>();
-        Map<String, Long> byUser = new HashMap<>();
+        Map<String, Long> bytesByStatement = new HashMap<>();
+        Map<String, Long> bytesByUser = new HashMap<>();
         for (int i = 0; i < 300; i++) {
             int number = random.nextInt(12);
             String statement = "s" + number;
@@ -99,23 +99,25 @@
                 SpoolBudget.Reservation result = budget.reserve(statement, user, bytes);
                 assertEquals(bytes > 40, result == SpoolBudget.Reservation.TOO_LARGE);
                 if (result == SpoolBudget.Reservation.GRANTED) {
-                    held.merge(statement, bytes, Long::sum);
-                    byUser.merge(user, bytes, Long::sum);
+                    bytesByStatement.merge(statement, bytes, Long::sum);
+                    bytesByUser.merge(user, bytes, Long::sum);
                 }
-            } else if (held.getOrDefault(statement, 0L) > 0) {
-                long bytes = 1 + random.nextLong(held.get(statement));
+            } else if (bytesByStatement.getOrDefault(statement, 0L) > 0) {
+                long bytes = 1 + random.nextLong(bytesByStatement.get(statement));
                 budget.release(statement, bytes);
-                held.merge(statement, -bytes, Long::sum);
-                byUser.merge(user, -bytes, Long::sum);
+                bytesByStatement.merge(statement, -bytes, Long::sum);
+                bytesByUser.merge(user, -bytes, Long::sum);
             }
             assertTrue(
-                    held.values().stream().allMatch(x -> x <= 40)
-                            && byUser.values().stream().allMatch(x -> x <= 70));
-            assertEquals(held.values().stream().mapToLong(x -> x).sum(), budget.usedBytes());
+                    bytesByStatement.values().stream().allMatch(bytes -> bytes <= 40)
+                            && bytesByUser.values().stream().allMatch(bytes -> bytes <= 70));
+            assertEquals(
+                    bytesByStatement.values().stream().mapToLong(Long::longValue).sum(),
+                    budget.usedBytes());
             assertTrue(budget.usedBytes() <= 100);
-            assertEquals(byUser.getOrDefault("u1", 0L), budget.usedBytesOf("u1"));
+            assertEquals(bytesByUser.getOrDefault("u1", 0L), budget.usedBytesOf("u1"));
         }
-        held.forEach((statement, bytes) -> budget.release(statement, bytes));
+        bytesByStatement.forEach((statement, bytes) -> budget.release(statement, bytes));
         assertEquals(0, budget.usedBytes());
         assertEquals(SpoolBudget.Reservation.GRANTED, budget.reserve("new", "u", 40));
     }
@@ -123,13 +125,15 @@
     @Test
     void reservesSpaceForFirstPages() {
         SpoolBudget budget = new SpoolBudget(new SpoolBudget.Limits(100, 100, 100, 10));
-        assertEquals(SpoolBudget.Reservation.GRANTED, budget.reserve("hog", "u", 80));
-        assertEquals(SpoolBudget.Reservation.WAIT, budget.reserve("hog", "u", 11));
-        assertEquals(SpoolBudget.Reservation.GRANTED, budget.reserve("hog", "u", 10));
+        assertEquals(SpoolBudget.Reservation.GRANTED, budget.reserve("first", "u", 80));
+        assertEquals(SpoolBudget.Reservation.WAIT, budget.reserve("first", "u", 11));
+        assertEquals(SpoolBudget.Reservation.GRANTED, budget.reserve("first", "u", 10));
         assertEquals(
-                SpoolBudget.Reservation.GRANTED, budget.reserve("other", "v", 10), "the reserve");
+                SpoolBudget.Reservation.GRANTED,
+                budget.reserve("other", "v", 10),
+                "the reserve is for statements without stored pages");
         assertEquals(SpoolBudget.Reservation.WAIT, budget.reserve("other", "v", 1));
-        budget.release("hog", 50);
+        budget.release("first", 50);
         assertEquals(SpoolBudget.Reservation.GRANTED, budget.reserve("other", "v", 40));
     }
 
@@ -143,34 +147,35 @@
         assertEquals(
                 ClaimResult.NEW,
                 table.claim("v", "k", "d2", "s3", 2).result(),
-                "keys are each user's own");
+                "each user has separate keys");
         assertEquals(ClaimResult.FULL, table.claim("u", "l", "d", "s4", 3).result());
         table.put(table.findByStatement("s1").completed(StatementOutcome.SERVED));
         assertEquals(
                 ClaimResult.FULL,
                 table.claim("u", "l", "d", "s4", 999).result(),
-                "no key goes before its time");
+                "no key is released before it expires");
         assertEquals(ClaimResult.NEW, table.claim("u", "l", "d", "s4", 1_000).result());
         assertEquals(
                 ClaimResult.DUPLICATE,
                 table.claim("v", "k", "d2", "s5", 9_000).result(),
-                "one under way is never let go");
+                "the key of a running statement never expires");
         assertEquals(List.of(), table.expire(500));
     }
 
     @Test
-    void runningStatementsAreUnknownAfterARestart() {
-        Entry open = new Entry("u", "k", "d", "s", Status.RUNNING, null, 5);
-        assertEquals(Status.UNKNOWN, open.afterRestart().status());
+    void runningStatementsHaveAnUnknownOutcomeAfterARestart() {
+        Entry running = new Entry("u", "k", "d", "s", Status.RUNNING, null, 5);
+        assertEquals(Status.UNKNOWN, running.afterRestart().status());
         assertEquals(
-                Status.COMPLETED, open.completed(StatementOutcome.SERVED).afterRestart().status());
+                Status.COMPLETED,
+                running.completed(StatementOutcome.SERVED).afterRestart().status());
         IdempotencyKeyTable table = new IdempotencyKeyTable(2, 1_000);
-        table.put(open.afterRestart());
+        table.put(running.afterRestart());
         assertEquals(ClaimResult.DUPLICATE, table.claim("u", "k", "d", "s9", 6).result());
         table.release("u", "k");
         assertEquals(
                 ClaimResult.NEW,
                 table.claim("u", "k", "d", "s9", 6).result(),
-                "what was refused may come again");
+                "a released key can be claimed again");
     }
 }
