--- a/router/src/main/java/ashlink/router/http/HttpStatement.java
+++ b/router/src/main/java/ashlink/router/http/HttpStatement.java
@@ -114,7 +114,7 @@
 
     // The idempotency key
 
-    /** Makes {@link #awaitKeyStored} block until {@link #markKeyStored}. */
+    /** Makes {@link #awaitKeyStored} block until {@link #markKeyStored} is called. */
     void expectKeyStored() {
         keyStored = new CountDownLatch(1);
     }
--- a/router/src/main/java/ashlink/router/http/PagedResult.java
+++ b/router/src/main/java/ashlink/router/http/PagedResult.java
@@ -144,7 +144,7 @@
         PollResult result;
         synchronized (lock) {
             lifecycle.pollStarted(System.nanoTime());
-            result = peek(page);
+            result = tryPoll(page);
             if (result == null && waitNs > 0) {
                 PendingPoll poll = PendingPoll.respondingOn(executor, page, endPoll);
                 poll.setTimeout(timers.schedule(() -> respond(poll), waitNs, TimeUnit.NANOSECONDS));
@@ -168,13 +168,13 @@
         PollResult result;
         synchronized (lock) {
             pendingPolls.remove(poll);
-            result = peek(poll.page());
+            result = tryPoll(poll.page());
         }
         poll.respond(result == null ? PollResult.pending() : result);
     }
 
     /** Returns the result of a poll, or null while the page is pending. Callers hold the lock. */
-    private PollResult peek(int page) {
+    private PollResult tryPoll(int page) {
         if (lifecycle.state() == State.DISCARDED || lifecycle.state() == State.REMOVED) {
             return PollResult.of(discardedProblem());
         }
@@ -265,7 +265,7 @@
         }
     }
 
-    /** Returns whether the client has requested the last page, or there is no result. */
+    /** Returns whether the last page was requested or the statement ended without a result. */
     boolean isFetched() {
         synchronized (lock) {
             return completion != null && (!completion.hasResult() || pages.isLastPageRequested());
