--- a/router/src/main/java/ashlink/router/statement/PageWindow.java
+++ b/router/src/main/java/ashlink/router/statement/PageWindow.java
@@ -1,9 +1,9 @@
 package ashlink.router.statement;
 
 /**
- * Tracks which pages of a result exist and which of them are retained. Pages are added in
- * order and never change. The request of page n releases the pages before n-1, so that page n-1 can
- * be requested again until page n+1 is requested. Not safe for use by several threads.
+ * Tracks which pages of a result exist and which of them are retained. Pages are added in order and
+ * never change. The request of page n releases the pages before n-1, so that page n-1 can be
+ * requested again until page n+1 is requested. Not safe for use by several threads.
  */
 public final class PageWindow {
 
--- a/router/src/test/java/ashlink/router/http/ResultFormatTest.java
+++ b/router/src/test/java/ashlink/router/http/ResultFormatTest.java
@@ -97,8 +97,7 @@
                                                 Double.doubleToLongBits(
                                                         Double.NEGATIVE_INFINITY))));
         assertEquals(
-                "[[0.1]]",
-                json("Float32", 1, buffer -> buffer.putInt(Float.floatToIntBits(0.1f))));
+                "[[0.1]]", json("Float32", 1, buffer -> buffer.putInt(Float.floatToIntBits(0.1f))));
         assertEquals("[[\"-0.0001\"]]", json("Decimal(18, 4)", 1, buffer -> buffer.putLong(-1)));
         assertEquals(
                 "[[\"12345678901234567890.10\"]]",
@@ -138,10 +137,7 @@
                 json("DateTime64(3)", 1, buffer -> buffer.putLong(-1)));
         assertEquals(
                 "[[\"it's\"],[\"7\"]]",
-                json(
-                        "Enum8('it\\'s' = -3, 'b' = 2)",
-                        2,
-                        buffer -> buffer.putByte(-3).putByte(7)));
+                json("Enum8('it\\'s' = -3, 'b' = 2)", 2, buffer -> buffer.putByte(-3).putByte(7)));
         assertEquals(
                 "[[\"00112233-4455-6677-8899-aabbccddeeff\"]]",
                 json(
@@ -157,10 +153,7 @@
     void rendersBytesThatAreNotValidUtf8() throws Exception {
         assertEquals(
                 "[[\"a\\\"b\"],[{\"base64\":\"/w==\"}]]",
-                json(
-                        "String",
-                        2,
-                        buffer -> buffer.putString("a\"b").putVarUInt(1).putByte(0xff)));
+                json("String", 2, buffer -> buffer.putString("a\"b").putVarUInt(1).putByte(0xff)));
         byte[] raw =
                 ResultFormat.CSV.render(
                         block(
