--- a/router/src/test/java/ashlink/router/spool/StoredKeysTest.java
+++ b/router/src/test/java/ashlink/router/spool/StoredKeysTest.java
@@ -73,7 +73,7 @@
                 entry.digest(),
                 entry.statement(),
                 "" + entry.status().ordinal(),
-                "" + ending,
+                "" + outcomeOrdinal,
                 "" + entry.claimedMs());
     }
 
