--- a/router/src/test/java/ashlink/router/spool/SpoolTest.java
+++ b/router/src/test/java/ashlink/router/spool/SpoolTest.java
@@ -214,7 +214,7 @@
         assertFalse(stored.await(50, TimeUnit.MILLISECONDS));
         pageStore.release(first);
         assertTrue(stored.await(20, TimeUnit.SECONDS));
-        AtomicBoolean cancelled = new AtomicBoolean();
+        AtomicBoolean cancel = new AtomicBoolean();
         CountDownLatch failed = new CountDownLatch(1);
         new Thread(
                         () -> {
@@ -222,18 +222,12 @@
                                     IOException.class,
                                     () ->
                                             pageStore.store(
-                                                    "s",
-                                                    "u",
-                                                    2,
-                                                    new byte[8],
-                                                    8,
-                                                    0,
-                                                    cancelled::get));
+                                                    "s", "u", 2, new byte[8], 8, 0, cancel::get));
                             failed.countDown();
                         })
                 .start();
         assertFalse(failed.await(50, TimeUnit.MILLISECONDS));
-        cancelled.set(true);
+        cancel.set(true);
         pageStore.wake();
         assertTrue(failed.await(20, TimeUnit.SECONDS));
         assertThrows(
