--- a/router/src/main/java/ashlink/router/http/HttpAuthenticator.java
+++ b/router/src/main/java/ashlink/router/http/HttpAuthenticator.java
@@ -8,9 +8,10 @@
 import java.util.concurrent.Semaphore;
 
 /**
- * Basic authentication with the users of the native protocol; a request without credentials is of
- * the user {@code default}. Verifying a password is slow, so only a few threads do it at once, and
- * a flood of logins does not block other requests. Safe for use by several threads.
+ * Performs HTTP basic authentication with the users of the native protocol. A request without
+ * credentials authenticates as the user {@code default} with an empty password. Verifying a
+ * password is slow, so the number of concurrent verifications is limited, and a flood of logins
+ * does not block other requests. Safe for use by several threads.
  */
 final class HttpAuthenticator {
 
@@ -21,42 +22,42 @@
     /**
      * The result of an authentication.
      *
-     * @param user the user; null if the credentials are wrong or were not checked
-     * @param busy whether the credentials were not checked, as too many checks are running
+     * @param user the authenticated user; null if the credentials are wrong or were not checked
+     * @param busy whether the credentials were not checked because too many checks are running
      */
     record AuthenticationResult(String user, boolean busy) {}
 
     private final CredentialCache credentials = new CredentialCache();
-    private final Semaphore checks = new Semaphore(MAX_CONCURRENT_CHECKS);
+    private final Semaphore checkPermits = new Semaphore(MAX_CONCURRENT_CHECKS);
 
     AuthenticationResult check(Map<String, UserSpec> users, String authorization)
             throws InterruptedException {
         String user = "default";
         String password = "";
         if (authorization != null) {
-            String pair = decode(authorization);
-            int colon = pair.indexOf(':');
+            String userAndPassword = decodeCredentials(authorization);
+            int colon = userAndPassword.indexOf(':');
             if (colon < 0) {
                 return new AuthenticationResult(null, false);
             }
-            user = pair.substring(0, colon);
-            password = pair.substring(colon + 1);
+            user = userAndPassword.substring(0, colon);
+            password = userAndPassword.substring(colon + 1);
         }
         if (credentials.isKnown(users, user, password)) {
             return new AuthenticationResult(user, false);
         }
-        if (!checks.tryAcquire()) {
+        if (!checkPermits.tryAcquire()) {
             return new AuthenticationResult(null, true);
         }
         try {
             return new AuthenticationResult(
                     credentials.check(users, user, password) ? user : null, false);
         } finally {
-            checks.release();
+            checkPermits.release();
         }
     }
 
-    private static String decode(String authorization) {
+    private static String decodeCredentials(String authorization) {
         if (authorization.length() > MAX_HEADER_CHARS
                 || !authorization.regionMatches(true, 0, SCHEME, 0, SCHEME.length())) {
             return "";
--- a/router/src/main/java/ashlink/router/http/HttpStatement.java
+++ b/router/src/main/java/ashlink/router/http/HttpStatement.java
@@ -18,19 +18,19 @@
 
 /**
  * A statement of the HTTP API, whose result clients fetch page by page. Receives packets of the
- * native protocol and stores the blocks of the result as pages of a {@link StatementResult}.
+ * native protocol and stores the blocks of the result as pages of a {@link PagedResult}.
  *
- * <p>One thread at a time writes to it, holding the lock of this channel; it blocks while the spool
- * is full.
+ * <p>One thread at a time writes to the statement, holding the lock of this channel; the writing
+ * thread blocks while the spool is full.
  */
 final class HttpStatement implements ResponseChannel {
 
     private static final long NS_PER_MS = 1_000_000L;
 
-    /** Stores the outcome of a statement before any client learns of it. */
+    /** Stores the outcome of a statement before any client receives the outcome. */
     interface CompletionListener {
 
-        /** Called once; may block on the disk. */
+        /** Stores the outcome; called once for a statement, may block on the disk. */
         void onComplete(HttpStatement statement, StatementOutcome outcome) throws IOException;
     }
 
@@ -40,28 +40,28 @@
     private final PageStore store;
     private final WireLimits limits;
     private final CompletionListener completionListener;
-    private final StatementResult result;
+    private final PagedResult result;
     private final long startNs = System.nanoTime();
     private volatile CountDownLatch keyStored = new CountDownLatch(0);
-    private volatile RequestExchange exchange;
+    private volatile RequestExchange requestExchange;
     private volatile Consumer<byte[]> headerListener;
 
-    // Guarded by this: used by the writing thread.
+    // Guarded by this; used by the writing thread.
     private final PageBuilder pageBuilder;
     private long storedBytes;
     private StoredPage lastPage;
     private ServerError error;
 
-    // Written by the writing thread alone.
+    // Written only by the writing thread.
     private volatile long rows;
     private volatile long bytes;
     private volatile long readRows;
     private volatile long readBytes;
 
     /**
-     * A statement without an exchange; see {@link #exchange}.
+     * Creates a statement without a request exchange; {@link #setRequestExchange} sets it.
      *
-     * @param memory budget of the page that is being built
+     * @param memory memory budget of the page that is being built
      * @param pageBytes size at which a page is complete
      */
     HttpStatement(
@@ -80,17 +80,17 @@
         this.store = store;
         this.limits = limits;
         this.completionListener = completionListener;
-        this.result = new StatementResult(store, timeouts);
+        this.result = new PagedResult(store, timeouts);
         this.pageBuilder =
                 new PageBuilder(pageBytes, limits.packetBytes(), memory, new PageTarget());
     }
 
-    void exchange(RequestExchange requestExchange) {
-        exchange = requestExchange;
+    void setRequestExchange(RequestExchange exchange) {
+        requestExchange = exchange;
     }
 
-    /** Sets who receives the columns of an insert, once, when an engine has sent them. */
-    void headerListener(Consumer<byte[]> listener) {
+    /** Sets the listener that is called once, with the first header that an engine sends. */
+    void setHeaderListener(Consumer<byte[]> listener) {
         headerListener = listener;
     }
 
@@ -107,24 +107,24 @@
         return peer;
     }
 
-    /** Returns the result, which clients poll. */
-    StatementResult result() {
+    /** Returns the result that clients poll. */
+    PagedResult result() {
         return result;
     }
 
     // The idempotency key
 
-    /** Makes {@link #awaitKey} block until {@link #keyStoredOnDisk}. */
-    void expectKey() {
+    /** Makes {@link #awaitKeyStored} block until {@link #markKeyStored} is called. */
+    void expectKeyStored() {
         keyStored = new CountDownLatch(1);
     }
 
-    void keyStoredOnDisk() {
+    void markKeyStored() {
         keyStored.countDown();
     }
 
-    /** Blocks until the key is on the disk, so that a crash does not undo what a client learns. */
-    void awaitKey() {
+    /** Blocks until the key is on the disk, so that a crash cannot undo what a client was told. */
+    void awaitKeyStored() {
         try {
             keyStored.await();
         } catch (InterruptedException e) {
@@ -143,8 +143,8 @@
             }
         } catch (IOException e) {
             result.fail(e);
-            // The result is lost, so running work is cancelled where that is allowed.
-            exchange.clientDisconnected();
+            // The result is lost, so the running work is cancelled where cancellation is allowed.
+            requestExchange.clientDisconnected();
             complete(StatementOutcome.INCOMPLETE, 0);
             throw e;
         }
@@ -156,7 +156,7 @@
         try {
             ResponseDecoder.decode(packets, limits, new PacketHandler());
             if (outcome == StatementOutcome.SERVED && !result.isClosed()) {
-                // It may be empty: a client that was sent to a next page finds one.
+                // An empty last page is stored too, because the page before may already link to it.
                 lastPage = pageBuilder.storeOpenPage();
             }
         } catch (IOException e) {
@@ -233,7 +233,7 @@
                 return page;
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-                throw new IOException("the router stops", e);
+                throw new IOException("the router is shutting down", e);
             }
         }
 
@@ -243,26 +243,26 @@
         }
     }
 
-    // The end of the statement
+    // Cancellation
 
-    /** Cancels the statement or discards its result, on behalf of the client; idempotent. */
+    /** Cancels the statement or discards its result at the client's request; idempotent. */
     void cancel() {
         boolean running = result.state() == State.RUNNING;
-        if (running && exchange != null) {
-            // Unblocks the writing thread, which holds the lock that the cancel needs.
+        if (running && requestExchange != null) {
+            // Unblocks the writing thread, which holds the lock that cancellation needs.
             close();
-            // Pending polls learn the outcome before the result is discarded.
-            exchange.cancel();
+            // Pending polls receive the outcome before the result is discarded.
+            requestExchange.cancel();
         }
         result.discard();
     }
 
-    /** Cancels a statement that no client polls any more. */
+    /** Cancels a statement that clients have stopped polling. */
     void cancelAbandoned() {
         result.discard();
         synchronized (this) {
-            if (exchange != null) {
-                exchange.clientDisconnected();
+            if (requestExchange != null) {
+                requestExchange.clientDisconnected();
             }
             complete(StatementOutcome.CLIENT_DISCONNECTED, 0);
         }
--- a/router/src/main/java/ashlink/router/http/RequestParameters.java
+++ b/router/src/main/java/ashlink/router/http/RequestParameters.java
@@ -14,7 +14,7 @@
 
     private RequestParameters() {}
 
-    /** Returns the parameters by name, in order. */
+    /** Returns the query parameters by name, in the order of the URI. */
     static Map<String, String> read(Request request) throws InvalidSubmissionException {
         Map<String, String> parameters = new LinkedHashMap<>();
         try {
@@ -23,12 +23,12 @@
             }
         } catch (RuntimeException e) {
             throw new InvalidSubmissionException(
-                    ProblemDetail.Kind.BAD_REQUEST, "the parameters of the URI make no sense");
+                    ProblemDetail.Kind.BAD_REQUEST, "the query parameters cannot be parsed");
         }
         return parameters;
     }
 
-    /** Returns how long a poll waits, at most {@code maxWaitNs}; 0 where it is not given. */
+    /** Returns how long a poll waits, at most {@code maxWaitNs}; 0 without the parameter. */
     static long waitNs(Map<String, String> parameters, long maxWaitNs)
             throws InvalidSubmissionException {
         String text = parameters.get(WAIT);
@@ -40,7 +40,8 @@
             return (long) Math.min(maxWaitNs, seconds * NS_PER_S);
         }
         throw new InvalidSubmissionException(
-                ProblemDetail.Kind.BAD_REQUEST, "wait is a number of seconds, such as 0.5");
+                ProblemDetail.Kind.BAD_REQUEST,
+                "invalid wait " + text + ": a number of seconds of at least 0, such as 0.5");
     }
 
     private static double parseSeconds(String text) {
--- a/router/src/main/java/ashlink/router/http/RowsEncoder.java
+++ b/router/src/main/java/ashlink/router/http/RowsEncoder.java
@@ -15,11 +15,11 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Encodes the rows of an insert, given as JSON arrays, as a block of the engine's columns. */
+/** Encodes the rows of an insert, given as JSON arrays, as a block in the native format. */
 final class RowsEncoder {
 
-    /** A type name, with its arguments in parentheses. */
-    private static final Pattern TYPE = Pattern.compile("(\\w+)(?:\\((.*)\\))?");
+    /** A type name with optional arguments in parentheses. */
+    private static final Pattern TYPE_PATTERN = Pattern.compile("(\\w+)(?:\\((.*)\\))?");
 
     private static final String NULLABLE_PREFIX = "Nullable(";
     private static final int MAX_SHOWN_CHARS = 60;
@@ -27,15 +27,15 @@
     private RowsEncoder() {}
 
     /**
-     * Returns a Data packet with the rows.
+     * Returns a Data packet that contains the rows.
      *
-     * @param header block without rows that has the columns
-     * @throws WireException naming the row and the column of a value that does not fit
+     * @param header block without rows that names the columns of the table
+     * @throws WireException if a row or a value is invalid; names the row and the column
      */
     static byte[] encode(byte[] header, JsonNode rows, WireLimits limits) throws IOException {
         StreamSource in = new StreamSource(new ByteArrayInputStream(header), header.length);
         Table columns = new BlockReader(in, limits).readValues(0);
-        checkWidth(rows, columns);
+        checkRowWidths(rows, columns);
         int width = columns.names().size();
         ByteBuf out = new ByteBuf(limits.packetBytes());
         out.putVarUInt(ClientPacket.DATA.ordinal()).putString("");
@@ -50,21 +50,21 @@
         return Arrays.copyOf(out.array(), out.size());
     }
 
-    /** Writes field 1, not an overflow block; field 2, no bucket; and the end of the fields. */
+    /** Writes the block info: field 1 (no overflow block), field 2 (no bucket), end of fields. */
     private static void writeBlockInfo(ByteBuf out) throws WireException {
         out.putVarUInt(1).putByte(0).putVarUInt(2).putInt(-1).putVarUInt(0);
     }
 
-    private static void checkWidth(JsonNode rows, Table columns) throws WireException {
+    private static void checkRowWidths(JsonNode rows, Table columns) throws WireException {
         int width = columns.names().size();
         for (int row = 0; row < rows.size(); row++) {
             if (!rows.get(row).isArray() || rows.get(row).size() != width) {
                 throw malformed(
                         "row "
                                 + row
-                                + " is no array of "
+                                + " is not an array of "
                                 + width
-                                + " values: "
+                                + " values for the columns "
                                 + String.join(", ", columns.names()));
             }
         }
@@ -84,7 +84,7 @@
                 out.putFlag(row.get(column).isNull());
             }
         }
-        Matcher matcher = TYPE.matcher(plainType);
+        Matcher matcher = TYPE_PATTERN.matcher(plainType);
         if (!matcher.matches()) {
             throw malformed("column " + name + " of type " + type + " cannot be loaded over HTTP");
         }
@@ -94,7 +94,7 @@
             JsonNode value = rows.get(row).get(column);
             try {
                 if (value.isNull() && !nullable) {
-                    throw new IllegalArgumentException("null in a column that is not nullable");
+                    throw new IllegalArgumentException("null in a non-nullable column");
                 }
                 encoder.encode(value);
             } catch (IllegalArgumentException | DateTimeException | ArithmeticException e) {
@@ -103,10 +103,10 @@
                                 + row
                                 + ", column "
                                 + name
-                                + ": "
-                                + type
-                                + " does not take "
-                                + excerpt(value));
+                                + ": invalid value "
+                                + excerpt(value)
+                                + " for type "
+                                + type);
             }
         }
     }
--- a/router/src/main/java/ashlink/router/http/StatementHandler.java
+++ b/router/src/main/java/ashlink/router/http/StatementHandler.java
@@ -18,12 +18,12 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Handles the requests of the HTTP API. No thread waits for a statement: the response of a poll is
- * written when its page is there.
+ * Handles the requests of the HTTP API. No thread waits for a statement: the response to a poll is
+ * written once the requested page is available.
  */
 final class StatementHandler extends Handler.Abstract {
 
-    private static final String DESCRIPTION_RESOURCE = "/ashlink/router/http/openapi.json";
+    private static final String OPENAPI_RESOURCE = "/ashlink/router/http/openapi.json";
     private static final int STATUS_OK = 200;
     private static final int STATUS_TEMPORARY_REDIRECT = 307;
 
@@ -32,8 +32,8 @@
     private final StatementRegistry registry;
     private final HttpAuthenticator authenticator = new HttpAuthenticator();
     private final PagePoller poller;
-    private final StatementSubmissionHandler submissions;
-    private final byte[] description;
+    private final StatementSubmissionHandler submissionHandler;
+    private final byte[] openApiDocument;
 
     StatementHandler(ListenerContext context, StatementRegistry registry, Executor executor)
             throws IOException {
@@ -41,13 +41,13 @@
         this.spec = context.config().http();
         this.registry = registry;
         this.poller = new PagePoller(context, spec, executor);
-        this.submissions = new StatementSubmissionHandler(spec, registry, executor, poller);
-        try (InputStream in = StatementHandler.class.getResourceAsStream(DESCRIPTION_RESOURCE)) {
-            description = in.readAllBytes();
+        this.submissionHandler = new StatementSubmissionHandler(spec, registry, executor, poller);
+        try (InputStream in = StatementHandler.class.getResourceAsStream(OPENAPI_RESOURCE)) {
+            openApiDocument = in.readAllBytes();
         }
     }
 
-    /** Returns the number of polls without a response. */
+    /** Returns the number of polls that have no response yet. */
     int openPolls() {
         return poller.openPolls();
     }
@@ -70,7 +70,9 @@
         }
         if (allowedMethods.isEmpty()) {
             exchange.sendProblem(
-                    ProblemDetail.of(ProblemDetail.Kind.NOT_FOUND, "paths are in /v1/openapi.json"),
+                    ProblemDetail.of(
+                            ProblemDetail.Kind.NOT_FOUND,
+                            "unknown path; /v1/openapi.json describes the paths"),
                     null);
         } else {
             exchange.setHeader(HttpHeader.ALLOW, allowedMethods);
@@ -82,7 +84,7 @@
     private void handle(Route route, Matcher matcher, HttpExchange exchange)
             throws InterruptedException {
         if (route == Route.GET_DESCRIPTION) {
-            exchange.send(STATUS_OK, HttpExchange.JSON_TYPE, description);
+            exchange.send(STATUS_OK, HttpExchange.JSON_TYPE, openApiDocument);
             return;
         }
         String user = authenticate(exchange);
@@ -90,7 +92,7 @@
             return;
         }
         switch (route) {
-            case POST_STATEMENT -> submissions.handle(exchange, user);
+            case POST_STATEMENT -> submissionHandler.handle(exchange, user);
             case GET_STATEMENT ->
                     withStatement(
                             exchange,
@@ -112,7 +114,7 @@
         }
     }
 
-    /** Returns the user, or null once the problem is sent. */
+    /** Returns the user; if the authentication fails, sends a problem and returns null. */
     private String authenticate(HttpExchange exchange) throws InterruptedException {
         HttpAuthenticator.AuthenticationResult result =
                 authenticator.check(
@@ -122,7 +124,7 @@
                     result.busy()
                             ? new ProblemDetail(
                                     ProblemDetail.Kind.BUSY,
-                                    "too many logins at once",
+                                    "too many concurrent password checks",
                                     StatementRegistry.RETRY_AFTER_NS,
                                     0)
                             : ProblemDetail.of(ProblemDetail.Kind.LOGIN, "");
@@ -131,7 +133,7 @@
         return result.user();
     }
 
-    /** Calls the action with a user's statement, or responds why it is not available here. */
+    /** Calls the action with a user's statement, or responds that it is not available here. */
     private void withStatement(
             HttpExchange exchange, String id, String user, Consumer<HttpStatement> action) {
         HttpStatement statement = registry.find(id, user);
@@ -154,12 +156,12 @@
             exchange.sendProblem(
                     ProblemDetail.of(
                             ProblemDetail.Kind.NOT_FOUND,
-                            "no statement of that id is known to this router"),
+                            "no statement with this id is known to this router"),
                     id);
         }
     }
 
-    /** Returns the URI of the other router that a statement belongs to, or null. */
+    /** Returns the URI of the peer router that a statement belongs to, or null. */
     private String peerUri(String statementId) {
         String router = StatementRegistry.routerOf(statementId);
         return router == null || router.equals(context.config().name())
--- a/router/src/main/java/ashlink/router/http/StatementRegistry.java
+++ b/router/src/main/java/ashlink/router/http/StatementRegistry.java
@@ -22,10 +22,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The statements of the HTTP API by identifier. Safe for use by several threads. */
+/** Registers the statements of the HTTP API by identifier. Safe for use by several threads. */
 final class StatementRegistry {
 
-    /** Retry-After of a statement that is rejected at a limit. */
+    /** Retry delay of a statement that is rejected because a limit is reached. */
     static final long RETRY_AFTER_NS = 1_000_000_000L;
 
     private static final Logger LOG = LoggerFactory.getLogger(StatementRegistry.class);
@@ -34,13 +34,13 @@
     private static final Pattern URI_SAFE_NAME = Pattern.compile("[A-Za-z0-9._-]+");
 
     /**
-     * The result of a submission: one of the components, the others are null.
+     * The result of a submission: exactly one component is not null.
      *
      * @param statement the statement, which may have been submitted earlier with the same key
-     * @param earlier what is known of a statement with the same key that has no result any more
-     * @param problem why the statement is rejected
+     * @param earlierEntry key entry of an earlier statement that is no longer registered
+     * @param problem reason why the statement is rejected
      */
-    record SubmitResult(HttpStatement statement, Entry earlier, ProblemDetail problem) {
+    record SubmitResult(HttpStatement statement, Entry earlierEntry, ProblemDetail problem) {
 
         static SubmitResult of(HttpStatement statement) {
             return new SubmitResult(statement, null, null);
@@ -59,9 +59,9 @@
     private final HttpSpec spec;
     private final PageStore store;
     private final IdempotencyKeys keys;
-    private final StatementRequestFactory requests;
+    private final StatementRequestFactory requestFactory;
     private final StatementSlots slots;
-    private final MemoryQuota openPages;
+    private final MemoryQuota openPageQuota;
     private final StatementLifecycle.Timeouts timeouts;
     private final SecureRandom random = new SecureRandom();
     private final Map<String, HttpStatement> statements = new ConcurrentHashMap<>();
@@ -72,9 +72,9 @@
         this.spec = context.config().http();
         this.store = store;
         this.keys = keys;
-        this.requests = new StatementRequestFactory(context);
+        this.requestFactory = new StatementRequestFactory(context);
         this.slots = new StatementSlots(spec);
-        this.openPages = new MemoryQuota(spec.totalMemoryBytes());
+        this.openPageQuota = new MemoryQuota(spec.totalMemoryBytes());
         this.timeouts =
                 new StatementLifecycle.Timeouts(
                         spec.pollTimeoutNs(),
@@ -86,17 +86,18 @@
     // Submission
 
     /**
-     * Submits a statement. With a key, a statement that was submitted before is not run again.
+     * Submits a statement. A statement that was submitted before with the same key does not run
+     * again.
      *
      * @param key idempotency key, or null
      */
     SubmitResult submit(StatementSubmission submission, String user, String peer, String key) {
         if (stopping) {
-            return SubmitResult.rejected("the router stops");
+            return SubmitResult.rejected("the router is shutting down");
         }
-        ProblemDetail full = slots.acquire(user);
-        if (full != null) {
-            return SubmitResult.of(full);
+        ProblemDetail problem = slots.acquire(user);
+        if (problem != null) {
+            return SubmitResult.of(problem);
         }
         HttpStatement statement = newStatement(user, peer);
         Claim claim = null;
@@ -104,17 +105,17 @@
             claim = claim(key, submission, statement);
             if (claim.result() != ClaimResult.NEW) {
                 slots.release(user);
-                return duplicate(claim);
+                return resultOfDuplicate(claim);
             }
         }
         statements.put(statement.id(), statement);
-        RequestAdmission.Prepared prepared = requests.prepare(submission, statement);
+        RequestAdmission.Prepared prepared = requestFactory.prepare(submission, statement);
         if (claim != null && !keys.storeClaim(claim.entry())) {
-            prepared.reject("the key could not be kept", RETRY_AFTER_NS);
+            prepared.reject("the idempotency key could not be stored", RETRY_AFTER_NS);
         } else {
             prepared.submit();
         }
-        statement.keyStoredOnDisk();
+        statement.markKeyStored();
         return SubmitResult.of(statement);
     }
 
@@ -124,7 +125,7 @@
                 user,
                 peer,
                 store,
-                openPages,
+                openPageQuota,
                 context.limits(),
                 spec.pageBytes(),
                 timeouts,
@@ -138,43 +139,45 @@
                 submission.digest(),
                 statement.id(),
                 () -> {
-                    // The next submission with the key finds the statement, and waits for the key.
-                    statement.expectKey();
+                    // The next submission with the key finds the statement and awaits the key.
+                    statement.expectKeyStored();
                     statements.put(statement.id(), statement);
                 });
     }
 
-    private SubmitResult duplicate(Claim claim) {
+    private SubmitResult resultOfDuplicate(Claim claim) {
         return switch (claim.result()) {
             case CONFLICT -> SubmitResult.of(ProblemDetail.of(ProblemDetail.Kind.KEY_REUSED, ""));
             case FULL ->
                     SubmitResult.rejected(
-                            "there are " + spec.maxIdempotencyKeys() + " keys, which is the limit");
+                            "the router already retains the maximum of "
+                                    + spec.maxIdempotencyKeys()
+                                    + " idempotency keys");
             default -> {
                 HttpStatement statement = statements.get(claim.entry().statement());
                 if (statement == null) {
                     yield new SubmitResult(null, claim.entry(), null);
                 }
-                statement.awaitKey();
+                statement.awaitKeyStored();
                 yield SubmitResult.of(statement);
             }
         };
     }
 
     /**
-     * Returns an identifier that cannot be guessed. It begins with the name of the router, where
-     * the name is safe in a URI, so that other routers can redirect to this one.
+     * Returns an identifier that cannot be guessed. The identifier begins with the name of this
+     * router if the name is safe in a URI, so that other routers can redirect to this router.
      */
     private String newId() {
         byte[] randomBytes = new byte[ID_BYTES];
         random.nextBytes(randomBytes);
-        String text = Base64.getUrlEncoder().withoutPadding().encodeToString(randomBytes);
+        String randomPart = Base64.getUrlEncoder().withoutPadding().encodeToString(randomBytes);
         String router = context.config().name();
         boolean uriSafe = URI_SAFE_NAME.matcher(router).matches();
-        return uriSafe ? router + ROUTER_SEPARATOR + text : text;
+        return uriSafe ? router + ROUTER_SEPARATOR + randomPart : randomPart;
     }
 
-    /** Returns the name of the router that a statement belongs to, or null if it has none. */
+    /** Returns the router name in a statement identifier, or null if there is none. */
     static String routerOf(String statementId) {
         int separator = statementId.indexOf(ROUTER_SEPARATOR);
         return separator > 0 ? statementId.substring(0, separator) : null;
@@ -188,14 +191,14 @@
         return statement != null && statement.user().equals(user) ? statement : null;
     }
 
-    /** Returns what a key tells about a user's statement, or null. */
+    /** Returns the idempotency key entry of a user's statement, or null. */
     Entry findKeyEntry(String id, String user) {
         return keys.find(id, user);
     }
 
     // Expiry
 
-    /** Cancels a statement or discards its result, on behalf of the client. */
+    /** Cancels a statement or discards its result at the client's request. */
     void cancel(HttpStatement statement) {
         State state = statement.result().state();
         statement.cancel();
@@ -204,7 +207,7 @@
         }
     }
 
-    /** Cancels, discards and removes statements whose time is over. */
+    /** Cancels, discards and removes statements whose timeouts have expired. */
     void expire(long nowNs) {
         List<HttpStatement> discarded = new ArrayList<>();
         for (HttpStatement statement : statements.values()) {
@@ -225,7 +228,7 @@
                 LOG.atInfo()
                         .addKeyValue("statement", statement.id())
                         .addKeyValue("user", statement.user())
-                        .log("statement cancelled, not polled");
+                        .log("statement cancelled after poll timeout");
                 statement.cancelAbandoned();
                 slots.release(statement);
             }
@@ -235,7 +238,7 @@
             }
             case REMOVE -> remove(statement);
             default -> {
-                // Nothing is due.
+                // No action is due.
             }
         }
     }
@@ -247,19 +250,19 @@
         slots.remove(statement);
     }
 
-    /** Removes expired keys. */
+    /** Removes expired idempotency keys. */
     void expireKeys() throws IOException {
         keys.expire();
     }
 
     // Shutdown
 
-    /** Rejects new statements. */
+    /** Rejects new statements from now on. */
     void rejectNew() {
         stopping = true;
     }
 
-    /** Tells whether clients have fetched all results. */
+    /** Returns whether clients have fetched all results. */
     boolean allFetched() {
         return statements.values().stream()
                 .map(HttpStatement::result)
@@ -269,7 +272,7 @@
                                         || result.isFetched());
     }
 
-    /** Discards all results; pending polls learn that the router is shutting down. */
+    /** Discards all results; pending polls are told that the router is shutting down. */
     void stop() {
         stopping = true;
         statements.values().forEach(statement -> statement.result().stop());
--- a/router/src/main/java/ashlink/router/http/StatementRequestFactory.java
+++ b/router/src/main/java/ashlink/router/http/StatementRequestFactory.java
@@ -18,14 +18,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Turns submitted statements into requests, and feeds the data of inserts. */
+/** Creates requests from submitted statements and sends the data of inserts. */
 final class StatementRequestFactory {
 
     private static final Logger LOG = LoggerFactory.getLogger(StatementRequestFactory.class);
     private static final String CLIENT_NAME = "ashlink http";
     private static final int CLIENT_MAJOR = 1;
 
-    /** The Data packet that ends the external tables of a query, and the data of an insert. */
+    /** The Data packet that ends the external tables of a query and the data of an insert. */
     private static final byte[] END_OF_DATA = endOfData();
 
     private final ListenerContext context;
@@ -40,12 +40,12 @@
             packet.putVarUInt(ClientPacket.DATA.ordinal()).putString("");
             Block.END.write(null, packet);
         } catch (WireException e) {
-            throw new IllegalStateException("an empty block does not fit into a buffer", e);
+            throw new IllegalStateException("empty block exceeds the buffer limit", e);
         }
         return Arrays.copyOf(packet.array(), packet.size());
     }
 
-    /** Prepares the request of a statement, which writes its response to the statement. */
+    /** Prepares the request of a statement; the response is written to the statement. */
     RequestAdmission.Prepared prepare(StatementSubmission submission, HttpStatement statement) {
         RequestAdmission.Prepared prepared =
                 RequestAdmission.prepare(
@@ -54,17 +54,19 @@
                         Revision.HIGHEST,
                         statement.user(),
                         submission.database(),
-                        query(submission, statement),
+                        queryPacket(submission, statement),
                         END_OF_DATA);
         RequestExchange exchange = prepared.exchange();
-        statement.exchange(exchange);
+        statement.setRequestExchange(exchange);
         if (exchange.feed() != null) {
-            statement.headerListener(header -> feedOnWorker(exchange, header, submission.rows()));
+            statement.setHeaderListener(
+                    header -> feedOnWorker(exchange, header, submission.rows()));
         }
         return prepared;
     }
 
-    private static QueryPacket query(StatementSubmission submission, HttpStatement statement) {
+    private static QueryPacket queryPacket(
+            StatementSubmission submission, HttpStatement statement) {
         ClientInfo client =
                 new ClientInfo(
                         statement.user(),
@@ -87,12 +89,12 @@
                 submission.statement());
     }
 
-    /** Feeds on a thread of its own: the thread that received the header has to send the data. */
+    /** Feeds on a worker thread, as the thread that received the header has to send the data. */
     private void feedOnWorker(RequestExchange exchange, byte[] header, JsonNode rows) {
         try {
             context.workers().execute(() -> feed(exchange, header, rows));
         } catch (RejectedExecutionException e) {
-            LOG.debug("insert not fed, the router is shutting down");
+            LOG.debug("insert data not sent, router shutting down");
         }
     }
 
--- a/router/src/main/java/ashlink/router/http/StatementSubmission.java
+++ b/router/src/main/java/ashlink/router/http/StatementSubmission.java
@@ -23,15 +23,15 @@
 import java.util.TreeMap;
 
 /**
- * A submitted statement. The body of the request is its text, or JSON with {@code statement},
- * {@code database}, {@code settings} and, for an insert, {@code rows}. Query parameters are
- * settings too, except those of the API itself.
+ * A submitted statement. The body of the request is the text of the statement, or a JSON object
+ * with {@code statement}, {@code database}, {@code settings} and, for an insert, {@code rows}.
+ * Query parameters are also settings, except for the parameters of the API.
  *
  * @param statement text of the statement
  * @param database default database
  * @param settings settings by name
  * @param rows rows of an insert, or null
- * @param digest digest of the other components, by which submissions with one key are compared
+ * @param digest digest of the other components; compared if an idempotency key is used again
  */
 record StatementSubmission(
         String statement,
@@ -41,7 +41,7 @@
         String digest) {
 
     private static final int MAX_JSON_DEPTH = 32;
-    private static final ObjectMapper JSON =
+    private static final ObjectMapper MAPPER =
             JsonMapper.builder(
                             JsonFactory.builder()
                                     .streamReadConstraints(
@@ -52,16 +52,17 @@
                     .enable(DeserializationFeature.USE_BIG_DECIMAL_FOR_FLOATS)
                     .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
                     .build();
-    private static final Set<String> FIELDS = Set.of("statement", "database", "settings", "rows");
+    private static final Set<String> JSON_FIELDS =
+            Set.of("statement", "database", "settings", "rows");
 
-    /** Query parameters that are no settings. */
+    /** Query parameters of the API, which are not settings. */
     static final Set<String> API_PARAMETERS = Set.of("wait", "database");
 
     private static final String DEFAULT_DATABASE = "default";
-    private static final String DIGEST = "SHA-256";
+    private static final String DIGEST_ALGORITHM = "SHA-256";
     private static final int MAX_SETTINGS = 1_000;
 
-    /** A submission is not accepted. */
+    /** Thrown if a submission is invalid. */
     static final class InvalidSubmissionException extends Exception {
 
         private static final long serialVersionUID = 1L;
@@ -79,7 +80,7 @@
     }
 
     /**
-     * Reads a submission.
+     * Parses a submission.
      *
      * @param contentType value of the Content-Type header, or null
      * @param parameters query parameters by name
@@ -100,7 +101,9 @@
         }
         throw new InvalidSubmissionException(
                 ProblemDetail.Kind.MEDIA_TYPE,
-                mediaType + "; a statement is text/plain, application/sql or application/json");
+                "unsupported media type "
+                        + mediaType
+                        + ": text/plain, application/sql or application/json");
     }
 
     private static String mediaType(String contentType) {
@@ -114,27 +117,26 @@
             throws InvalidSubmissionException {
         for (var names = body.fieldNames(); names.hasNext(); ) {
             String name = names.next();
-            if (!FIELDS.contains(name)) {
+            if (!JSON_FIELDS.contains(name)) {
                 throw new InvalidSubmissionException(
                         ProblemDetail.Kind.BAD_REQUEST,
-                        "field "
+                        "unknown field "
                                 + name
-                                + " is unknown; there are statement, database, "
-                                + "settings, rows");
+                                + ": statement, database, settings and rows are accepted");
             }
         }
-        String statement = textOr(body.path("statement"), "");
-        String database = textOr(body.path("database"), defaultDatabase);
+        String statement = textOrDefault(body.path("statement"), "");
+        String database = textOrDefault(body.path("database"), defaultDatabase);
         addSettings(body.path("settings"), settings);
         JsonNode rows = body.get("rows");
         if (rows != null && !rows.isArray()) {
             throw new InvalidSubmissionException(
-                    ProblemDetail.Kind.BAD_REQUEST, "rows are an array of arrays");
+                    ProblemDetail.Kind.BAD_REQUEST, "rows must be an array of arrays");
         }
         return create(statement, database, settings, rows);
     }
 
-    private static String textOr(JsonNode node, String defaultText) {
+    private static String textOrDefault(JsonNode node, String defaultText) {
         return node.isTextual() ? node.textValue() : defaultText;
     }
 
@@ -143,11 +145,12 @@
             throws InvalidSubmissionException {
         if (statement.isBlank()) {
             throw new InvalidSubmissionException(
-                    ProblemDetail.Kind.BAD_REQUEST, "there is no statement");
+                    ProblemDetail.Kind.BAD_REQUEST, "the statement is missing or blank");
         }
         if (settings.size() > MAX_SETTINGS) {
             throw new InvalidSubmissionException(
-                    ProblemDetail.Kind.BAD_REQUEST, "over " + MAX_SETTINGS + " settings");
+                    ProblemDetail.Kind.BAD_REQUEST,
+                    "invalid number of settings " + settings.size() + ": at most " + MAX_SETTINGS);
         }
         return new StatementSubmission(
                 statement, database, settings, rows, digest(statement, database, settings, rows));
@@ -155,27 +158,27 @@
 
     private static JsonNode parseJson(byte[] body) throws InvalidSubmissionException {
         try {
-            JsonNode node = JSON.readTree(body);
+            JsonNode node = MAPPER.readTree(body);
             if (node != null && node.isObject()) {
                 return node;
             }
         } catch (JsonProcessingException e) {
             throw new InvalidSubmissionException(
                     ProblemDetail.Kind.BAD_REQUEST,
-                    "the body is no JSON: " + e.getOriginalMessage());
+                    "the body is not valid JSON: " + e.getOriginalMessage());
         } catch (IOException e) {
             throw new InvalidSubmissionException(
-                    ProblemDetail.Kind.BAD_REQUEST, "the body is no JSON");
+                    ProblemDetail.Kind.BAD_REQUEST, "the body is not valid JSON");
         }
         throw new InvalidSubmissionException(
-                ProblemDetail.Kind.BAD_REQUEST, "the body is no JSON object");
+                ProblemDetail.Kind.BAD_REQUEST, "the body is not a JSON object");
     }
 
     private static void addSettings(JsonNode node, Map<String, String> settings)
             throws InvalidSubmissionException {
         if (!node.isMissingNode() && !node.isObject()) {
             throw new InvalidSubmissionException(
-                    ProblemDetail.Kind.BAD_REQUEST, "settings are an object");
+                    ProblemDetail.Kind.BAD_REQUEST, "settings must be a JSON object");
         }
         node.properties().forEach(entry -> settings.put(entry.getKey(), entry.getValue().asText()));
     }
@@ -185,18 +188,21 @@
             return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(body)).toString();
         } catch (CharacterCodingException e) {
             throw new InvalidSubmissionException(
-                    ProblemDetail.Kind.BAD_REQUEST, "the statement is no UTF-8");
+                    ProblemDetail.Kind.BAD_REQUEST, "the statement is not valid UTF-8");
         }
     }
 
-    /** Digests all that decides what the statement does, so that its text need not be stored. */
+    /** Digests everything that determines the effect of a statement; stored instead of the text. */
     private static String digest(
-            String text, String database, Map<String, String> settings, JsonNode rows) {
+            String statement, String database, Map<String, String> settings, JsonNode rows) {
         try {
-            MessageDigest sha256 = MessageDigest.getInstance(DIGEST);
+            MessageDigest sha256 = MessageDigest.getInstance(DIGEST_ALGORITHM);
             for (String part :
                     new String[] {
-                        text, database, settings.toString(), rows == null ? "" : rows.toString()
+                        statement,
+                        database,
+                        settings.toString(),
+                        rows == null ? "" : rows.toString()
                     }) {
                 byte[] bytes = part.getBytes(StandardCharsets.UTF_8);
                 sha256.update(ByteBuffer.allocate(Integer.BYTES).putInt(bytes.length).array());
@@ -204,11 +210,11 @@
             }
             return HexFormat.of().formatHex(sha256.digest());
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has " + DIGEST, e);
+            throw new IllegalStateException("digest " + DIGEST_ALGORITHM + " is not available", e);
         }
     }
 
-    /** Returns the settings in the form of the native protocol. */
+    /** Returns the settings as settings of the native protocol. */
     List<Setting> settingList() {
         List<Setting> list = new ArrayList<>();
         settings.forEach((name, value) -> list.add(new Setting(name, 0, value)));
--- a/router/src/main/java/ashlink/router/http/StatementSubmissionHandler.java
+++ b/router/src/main/java/ashlink/router/http/StatementSubmissionHandler.java
@@ -30,9 +30,9 @@
     private final PagePoller poller;
 
     /**
-     * A handler.
+     * Creates a handler.
      *
-     * @param executor submits statements once their bodies are received
+     * @param executor runs the submission once the body of the request is received
      */
     StatementSubmissionHandler(
             HttpSpec spec, StatementRegistry registry, Executor executor, PagePoller poller) {
@@ -42,7 +42,7 @@
         this.poller = poller;
     }
 
-    /** Receives the body without blocking, then submits the statement and polls its first page. */
+    /** Reads the body without blocking, then submits the statement and polls its first page. */
     void handle(HttpExchange exchange, String user) {
         String key = exchange.request().getHeaders().get(IDEMPOTENCY_KEY);
         ResultFormat format = PagePoller.acceptedFormat(exchange);
@@ -53,7 +53,9 @@
             exchange.sendProblem(
                     ProblemDetail.of(
                             ProblemDetail.Kind.BAD_REQUEST,
-                            "an Idempotency-Key has 1 to " + MAX_KEY_CHARS + " characters"),
+                            "invalid Idempotency-Key: 1 to "
+                                    + MAX_KEY_CHARS
+                                    + " characters that are not all blank"),
                     null);
             return;
         }
@@ -80,7 +82,8 @@
 
     private ProblemDetail bodyTooLarge() {
         return ProblemDetail.of(
-                ProblemDetail.Kind.TOO_LARGE, "the limit is " + spec.maxBodyBytes() + " bytes");
+                ProblemDetail.Kind.TOO_LARGE,
+                "the body exceeds the limit of " + spec.maxBodyBytes() + " bytes");
     }
 
     private ProblemDetail bodyProblem(Throwable failure) {
@@ -89,16 +92,17 @@
         if (cause instanceof TimeoutException) {
             return ProblemDetail.of(ProblemDetail.Kind.BODY_LATE, "");
         }
-        // Jetty reports a body over the limit so.
+        // Jetty reports a body over the limit as an IllegalStateException.
         return cause instanceof IllegalStateException
                 ? bodyTooLarge()
-                : ProblemDetail.of(ProblemDetail.Kind.BAD_REQUEST, "the body broke off");
+                : ProblemDetail.of(
+                        ProblemDetail.Kind.BAD_REQUEST, "the body was not received completely");
     }
 
     private void submit(
             HttpExchange exchange, String user, String key, ResultFormat format, byte[] body) {
         try {
-            // All that can be invalid is checked before the statement runs.
+            // Validates the complete request before the statement runs.
             Map<String, String> parameters = RequestParameters.read(exchange.request());
             long waitNs = RequestParameters.waitNs(parameters, spec.maxPollWaitNs());
             StatementSubmission submission =
@@ -109,9 +113,10 @@
                             submission, user, Request.getRemoteAddr(exchange.request()), key);
             if (result.problem() != null) {
                 exchange.sendProblem(result.problem(), null);
-            } else if (result.earlier() != null) {
+            } else if (result.earlierEntry() != null) {
                 exchange.sendProblem(
-                        ProblemDetail.expired(result.earlier()), result.earlier().statement());
+                        ProblemDetail.expired(result.earlierEntry()),
+                        result.earlierEntry().statement());
             } else {
                 HttpStatement statement = result.statement();
                 exchange.setHeader(HttpHeader.LOCATION, Route.statement(statement.id()));
@@ -120,7 +125,7 @@
         } catch (InvalidSubmissionException e) {
             exchange.sendProblem(e.problem(), null);
         } catch (RuntimeException e) {
-            LOG.error("request failed by an internal error", e);
+            LOG.error("request failed with an internal error", e);
             exchange.callback().failed(e);
         }
     }
--- a/router/src/main/java/ashlink/router/http/ValueEncoder.java
+++ b/router/src/main/java/ashlink/router/http/ValueEncoder.java
@@ -17,11 +17,11 @@
 import java.util.regex.Pattern;
 
 /**
- * Encodes JSON values of one column type in the native format. A JSON null becomes the default of
- * the type, whose null flag is written apart.
+ * Encodes JSON values of one column type in the native format. A JSON null is encoded as the
+ * default value of the type; the caller writes the null flags.
  *
  * <p>{@link #encode} throws {@link IllegalArgumentException}, {@link DateTimeException} or {@link
- * ArithmeticException} for a value that the type does not take.
+ * ArithmeticException} for a value that is invalid for the type.
  */
 final class ValueEncoder {
 
@@ -37,7 +37,7 @@
     private final ByteBuf out;
 
     /**
-     * An encoder.
+     * Creates an encoder that appends to a buffer.
      *
      * @param type name of the type without its arguments
      * @param arguments arguments of the type, separated by commas; may be empty
@@ -49,25 +49,25 @@
     }
 
     /**
-     * Appends a value.
+     * Appends a value to the buffer.
      *
      * @throws WireException if the type is not supported
      */
     void encode(JsonNode value) throws IOException {
         switch (type) {
             case "UInt8", "UInt16", "UInt32", "UInt64", "UInt128", "UInt256" ->
-                    encodeInteger(integer(value), bits("UInt"), false);
+                    encodeInteger(toInteger(value), bitWidth("UInt"), false);
             case "Int8", "Int16", "Int32", "Int64", "Int128", "Int256" ->
-                    encodeInteger(integer(value), bits("Int"), true);
-            case "Float32" -> out.putInt(Float.floatToIntBits((float) floating(value)));
-            case "Float64" -> out.putLong(Double.doubleToLongBits(floating(value)));
+                    encodeInteger(toInteger(value), bitWidth("Int"), true);
+            case "Float32" -> out.putInt(Float.floatToIntBits((float) toDouble(value)));
+            case "Float64" -> out.putLong(Double.doubleToLongBits(toDouble(value)));
             case "Bool" -> encodeBool(value);
-            case "String" -> out.putString(text(value));
-            case "FixedString" -> encodeFixedString(text(value));
-            case "Date" -> encodeInteger(epochDay(value), DATE_BITS, false);
-            case "Date32" -> encodeInteger(epochDay(value), DATE32_BITS, true);
-            case "DateTime" -> encodeInteger(epochSecond(value), DATE_TIME_BITS, false);
-            case "DateTime64" -> out.putLong(value.isNull() ? 0 : ticks(value, argument(0)));
+            case "String" -> out.putString(textOrEmpty(value));
+            case "FixedString" -> encodeFixedString(textOrEmpty(value));
+            case "Date" -> encodeInteger(toEpochDay(value), DATE_BITS, false);
+            case "Date32" -> encodeInteger(toEpochDay(value), DATE32_BITS, true);
+            case "DateTime" -> encodeInteger(toEpochSecond(value), DATE_TIME_BITS, false);
+            case "DateTime64" -> out.putLong(value.isNull() ? 0 : toTicks(value, argument(0)));
             case "Decimal" -> encodeDecimal(value, argument(0), argument(1));
             case "UUID" -> encodeUuid(value);
             default ->
@@ -77,7 +77,7 @@
         }
     }
 
-    private int bits(String prefix) {
+    private int bitWidth(String prefix) {
         return Integer.parseInt(type.substring(prefix.length()));
     }
 
@@ -87,7 +87,7 @@
 
     private void encodeBool(JsonNode value) throws WireException {
         if (!value.isBoolean() && !value.isNull()) {
-            throw new IllegalArgumentException("no boolean");
+            throw new IllegalArgumentException("not a boolean");
         }
         out.putFlag(value.asBoolean());
     }
@@ -96,7 +96,8 @@
         byte[] utf8 = text.getBytes(StandardCharsets.UTF_8);
         int length = argument(0);
         if (utf8.length > length) {
-            throw new IllegalArgumentException("longer than " + length + " bytes");
+            throw new IllegalArgumentException(
+                    "invalid length " + utf8.length + " bytes: at most " + length);
         }
         out.append(Arrays.copyOf(utf8, length), 0, length);
     }
@@ -107,7 +108,8 @@
                         ? BigDecimal.ZERO
                         : new BigDecimal(value.asText()).setScale(scale, RoundingMode.UNNECESSARY);
         if (decimal.precision() > digits) {
-            throw new IllegalArgumentException("over " + digits + " digits");
+            throw new IllegalArgumentException(
+                    "invalid precision " + decimal.precision() + ": at most " + digits);
         }
         int bits = Byte.SIZE * TypeParser.decimalBytes(digits);
         encodeInteger(decimal.unscaledValue(), bits, true);
@@ -118,19 +120,19 @@
         out.putLong(uuid.getMostSignificantBits()).putLong(uuid.getLeastSignificantBits());
     }
 
-    /** Appends an integer, the least significant byte first. */
+    /** Appends an integer in little-endian order. */
     private void encodeInteger(BigInteger value, int bits, boolean signed) throws WireException {
         boolean overflow =
                 signed ? value.bitLength() >= bits : value.signum() < 0 || value.bitLength() > bits;
         if (overflow) {
-            throw new IllegalArgumentException("out of the range of " + bits + " bits");
+            throw new IllegalArgumentException("integer out of the range of " + bits + " bits");
         }
         for (int shift = 0; shift < bits; shift += Byte.SIZE) {
             out.putByte(value.shiftRight(shift).intValue() & BYTE_MASK);
         }
     }
 
-    private static BigInteger integer(JsonNode value) {
+    private static BigInteger toInteger(JsonNode value) {
         if (value.isNull()) {
             return BigInteger.ZERO;
         }
@@ -139,7 +141,7 @@
                 : new BigDecimal(value.asText()).toBigIntegerExact();
     }
 
-    private static double floating(JsonNode value) {
+    private static double toDouble(JsonNode value) {
         if (value.isNull()) {
             return 0;
         }
@@ -151,12 +153,12 @@
         };
     }
 
-    private static BigInteger epochDay(JsonNode value) {
+    private static BigInteger toEpochDay(JsonNode value) {
         long day = value.isNull() ? 0 : LocalDate.parse(requireText(value)).toEpochDay();
         return BigInteger.valueOf(day);
     }
 
-    private static BigInteger epochSecond(JsonNode value) {
+    private static BigInteger toEpochSecond(JsonNode value) {
         if (value.isNull()) {
             return BigInteger.ZERO;
         }
@@ -165,8 +167,8 @@
                 : BigInteger.valueOf(OffsetDateTime.parse(requireText(value)).toEpochSecond());
     }
 
-    /** Returns a time in units of 10^-digits seconds since 1970. */
-    private static long ticks(JsonNode value, int digits) {
+    /** Returns a time in units of 10^-digits seconds since the Unix epoch. */
+    private static long toTicks(JsonNode value, int digits) {
         OffsetDateTime time = OffsetDateTime.parse(requireText(value));
         return BigDecimal.valueOf(time.toEpochSecond())
                 .add(BigDecimal.valueOf(time.getNano(), NANOS_SCALE))
@@ -175,13 +177,13 @@
                 .longValueExact();
     }
 
-    private static String text(JsonNode value) {
+    private static String textOrEmpty(JsonNode value) {
         return value.isNull() ? "" : requireText(value);
     }
 
     private static String requireText(JsonNode value) {
         if (!value.isTextual()) {
-            throw new IllegalArgumentException("no text");
+            throw new IllegalArgumentException("not a string");
         }
         return value.textValue();
     }
--- a/router/src/main/java/ashlink/router/spool/PageStore.java
+++ b/router/src/main/java/ashlink/router/spool/PageStore.java
@@ -11,9 +11,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stores pages of results: the first ones of a statement in memory, within a budget of its own, the
- * others in files within the budget of the spool. Storing a page blocks until the budget allows it.
- * Safe for use by several threads.
+ * Stores pages of results: the first pages of a statement in memory, within a separate memory
+ * budget, and the other pages in files, within the spool budget. Storing a page blocks until the
+ * spool budget has room for the page. Safe for use by several threads.
  */
 public final class PageStore {
 
@@ -23,7 +23,7 @@
     public static final class StoredPage {
         private final String statement;
         private final String file;
-        private final byte[] memory;
+        private final byte[] bytes;
         private final int length;
         private final int checksum;
         private final boolean budgeted;
@@ -32,13 +32,13 @@
         private StoredPage(
                 String statement,
                 String file,
-                byte[] memory,
+                byte[] bytes,
                 int length,
                 int checksum,
                 boolean budgeted) {
             this.statement = statement;
             this.file = file;
-            this.memory = memory;
+            this.bytes = bytes;
             this.length = length;
             this.checksum = checksum;
             this.budgeted = budgeted;
@@ -52,28 +52,29 @@
 
     private final SpoolFiles files;
     private final SpoolBudget budget;
-    private final Quota memory;
-    private final long memoryBytes;
+    private final Quota memoryQuota;
+    private final long maxMemoryBytes;
 
     /**
-     * A store.
+     * Creates a store.
      *
-     * @param files files of the spool; null keeps all pages in memory, within the same budget
-     * @param memory budget of pages in memory beside the budget of the spool
-     * @param memoryBytes limit of those pages for each statement
+     * @param files files of the spool; if null, all pages are in memory, within the same budgets
+     * @param memoryQuota memory budget of the first pages, separate from the spool budget
+     * @param maxMemoryBytes limit of the first pages of each statement, in bytes
      */
-    public PageStore(SpoolFiles files, SpoolBudget budget, Quota memory, long memoryBytes) {
+    public PageStore(SpoolFiles files, SpoolBudget budget, Quota memoryQuota, long maxMemoryBytes) {
         this.files = files;
         this.budget = budget;
-        this.memory = memory;
-        this.memoryBytes = memoryBytes;
+        this.memoryQuota = memoryQuota;
+        this.maxMemoryBytes = maxMemoryBytes;
     }
 
     /**
-     * Stores the first {@code length} bytes as a page; blocks until the budget allows it.
+     * Stores the first {@code length} bytes as a page; blocks until the budget has room for it.
      *
-     * @param storedBytes bytes of the statement that are stored already
-     * @param cancelled ends the wait with an exception once it is true and {@link #wake} is called
+     * @param storedBytes bytes of the statement that are already stored
+     * @param cancelled tells whether to end the wait with an exception; evaluated again after each
+     *     {@link #wake}
      * @throws IOException if the wait is cancelled, the page is too large, or the disk fails
      */
     public StoredPage store(
@@ -85,19 +86,19 @@
             long storedBytes,
             BooleanSupplier cancelled)
             throws IOException, InterruptedException {
-        if (storedBytes + length <= memoryBytes && memory.take(length)) {
+        if (storedBytes + length <= maxMemoryBytes && memoryQuota.take(length)) {
             return new StoredPage(statement, null, Arrays.copyOf(bytes, length), length, 0, false);
         }
         reserve(statement, user, length, cancelled);
         if (files == null) {
             return new StoredPage(statement, null, Arrays.copyOf(bytes, length), length, 0, true);
         }
-        String name = files.name(statement, page);
+        String name = files.fileName(statement, page);
         try {
             files.write(name, bytes, length);
         } catch (IOException e) {
             release(statement, length);
-            throw new IOException("the spool fails: " + e.getMessage(), e);
+            throw new IOException("cannot write spool file " + name + ": " + e.getMessage(), e);
         }
         return new StoredPage(statement, name, null, length, checksum(bytes, length), true);
     }
@@ -106,16 +107,16 @@
             String statement, String user, int length, BooleanSupplier cancelled)
             throws IOException, InterruptedException {
         while (true) {
-            Reservation verdict =
+            Reservation reservation =
                     cancelled.getAsBoolean() ? null : budget.reserve(statement, user, length);
-            if (verdict == Reservation.GRANTED) {
+            if (reservation == Reservation.GRANTED) {
                 return;
             }
-            if (verdict != Reservation.WAIT) {
+            if (reservation != Reservation.WAIT) {
                 throw new IOException(
-                        verdict == null
-                                ? "nobody wants the result any more"
-                                : "a page of " + length + " bytes is over the limit of the spool");
+                        reservation == null
+                                ? "the result is no longer needed"
+                                : "a page of " + length + " bytes exceeds a limit of the spool");
             }
             wait();
         }
@@ -130,15 +131,16 @@
     /**
      * Returns the bytes of a page.
      *
-     * @throws IOException if they cannot be read or differ from those that were stored
+     * @throws IOException if the page cannot be read or differs from the stored page
      */
     public byte[] read(StoredPage stored) throws IOException {
-        if (stored.memory != null) {
-            return stored.memory;
+        if (stored.bytes != null) {
+            return stored.bytes;
         }
         byte[] bytes = files.read(stored.file);
         if (bytes.length != stored.length || checksum(bytes, stored.length) != stored.checksum) {
-            throw new IOException("the spool gives back other bytes than it was given");
+            throw new IOException(
+                    "spool file " + stored.file + " differs from the page that was stored");
         }
         return bytes;
     }
@@ -155,13 +157,16 @@
             try {
                 files.delete(stored.file);
             } catch (IOException e) {
-                LOG.warn("spool file not deleted until the next start error=\"{}\"", e.toString());
+                LOG.warn(
+                        "spool file not deleted, retried at the next start file={} error=\"{}\"",
+                        stored.file,
+                        e.toString());
             }
         }
         if (stored.budgeted) {
             release(stored.statement, stored.length);
         } else {
-            memory.give(stored.length);
+            memoryQuota.give(stored.length);
         }
     }
 
@@ -170,22 +175,22 @@
         notifyAll();
     }
 
-    /** Wakes blocked threads, so that they check whether they are cancelled. */
+    /** Wakes threads that are blocked in {@link #store}, so that they check for cancellation. */
     public synchronized void wake() {
         notifyAll();
     }
 
-    /** Returns the used bytes of the spool's budget. */
+    /** Returns the number of bytes that are reserved from the spool budget. */
     public synchronized long usedBytes() {
         return budget.usedBytes();
     }
 
-    /** Deletes the files of earlier starts of this router; returns their number. */
-    public int deleteLeftovers() throws IOException {
+    /** Deletes the files of earlier runs of this router; returns the number of deleted files. */
+    public int deleteFilesOfEarlierRuns() throws IOException {
         int deleted = 0;
         if (files != null) {
             for (String name : files.list()) {
-                if (!files.isOwn(name)) {
+                if (!files.isFromThisRun(name)) {
                     files.delete(name);
                     deleted++;
                 }
--- a/router/src/main/java/ashlink/router/spool/SpoolDirectory.java
+++ b/router/src/main/java/ashlink/router/spool/SpoolDirectory.java
@@ -14,29 +14,29 @@
 import java.util.regex.Pattern;
 
 /**
- * The files of a spool in a directory, which routers of different names may share. A lock file
- * keeps a second router of the same name out.
+ * Stores the files of a spool in a directory that routers with different names may share. A lock
+ * file prevents a second router with the same name from using the directory.
  */
 public final class SpoolDirectory implements SpoolFiles {
 
     private final Path directory;
     private final String router;
     private final String boot;
-    private final Pattern fileName;
+    private final Pattern fileNamePattern;
     private final FileChannel lockFile;
     private final FileLock lock;
 
     /**
-     * Opens the directory; creates it where it does not exist.
+     * Opens the directory; creates the directory if it does not exist.
      *
-     * @param boot text that is unique to this start of the router
-     * @throws IOException if another router of the same name uses it
+     * @param boot text that is unique to this run of the router
+     * @throws IOException if another router with the same name uses the directory
      */
     public SpoolDirectory(Path directory, String router, String boot) throws IOException {
         this.directory = directory;
         this.router = router;
         this.boot = boot;
-        this.fileName =
+        this.fileNamePattern =
                 Pattern.compile(
                         Pattern.quote(router) + "\\.[0-9a-z]+\\.[A-Za-z0-9_-]+\\.[0-9]+\\.page");
         Files.createDirectories(directory);
@@ -49,12 +49,15 @@
         try {
             acquired = lockFile.tryLock();
         } catch (OverlappingFileLockException e) {
-            // Held within this process; reported like a lock of another process.
+            // This process holds the lock; reported like a lock of another process.
         }
         if (acquired == null) {
             lockFile.close();
             throw new IOException(
-                    "another router named " + router + " uses the spool " + directory);
+                    "spool directory "
+                            + directory
+                            + " is in use by another router with the name "
+                            + router);
         }
         lock = acquired;
     }
@@ -89,7 +92,7 @@
         List<String> names = new ArrayList<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(directory)) {
             for (Path path : files) {
-                if (fileName.matcher(path.getFileName().toString()).matches()) {
+                if (fileNamePattern.matcher(path.getFileName().toString()).matches()) {
                     names.add(path.getFileName().toString());
                 }
             }
@@ -98,14 +101,14 @@
     }
 
     @Override
-    public String name(String statement, int page) {
-        // The name of the router in an identifier may not be safe in a file name.
-        String own = statement.substring(statement.lastIndexOf('~') + 1);
-        return router + "." + boot + "." + own + "." + page + ".page";
+    public String fileName(String statement, int page) {
+        // The router name in a statement identifier may not be safe in a file name.
+        String localId = statement.substring(statement.lastIndexOf('~') + 1);
+        return router + "." + boot + "." + localId + "." + page + ".page";
     }
 
     @Override
-    public boolean isOwn(String name) {
+    public boolean isFromThisRun(String name) {
         return name.startsWith(router + "." + boot + ".");
     }
 
