--- a/router/src/main/java/ashlink/router/ConfigReload.java
+++ b/router/src/main/java/ashlink/router/ConfigReload.java
@@ -4,19 +4,19 @@
 import ashlink.config.RouterConfig.ClassRule;
 import java.util.List;
 
-/** Decides which settings a reload replaces. */
+/** Selects the settings that a reload replaces. */
 final class ConfigReload {
 
     private ConfigReload() {}
 
-    /** Tells whether some of the changes take effect only after a restart. */
+    /** Returns whether some of the changes take effect only after a restart. */
     static boolean needsRestart(RouterConfig current, RouterConfig next) {
         return !next.settings().equals(current.settings())
                 || !next.resourceLimits().equals(current.resourceLimits())
                 || !next.listen().equals(current.listen());
     }
 
-    /** Returns the current settings with the engines, users and rules of the next ones. */
+    /** Returns the current settings with the engines, users and rules of the new settings. */
     static RouterConfig merge(RouterConfig current, RouterConfig next) {
         return new RouterConfig(
                 current.name(),
@@ -46,7 +46,7 @@
                 current.control());
     }
 
-    /** Returns the next rules, without those whose class does not exist before a restart. */
+    /** Returns the new rules, without rules whose query class is not defined before a restart. */
     private static List<ClassRule> rules(RouterConfig current, RouterConfig next) {
         return next.rules().stream()
                 .filter(rule -> current.queryClasses().containsKey(rule.queryClass()))
--- a/router/src/main/java/ashlink/router/EndpointCache.java
+++ b/router/src/main/java/ashlink/router/EndpointCache.java
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stores the endpoints whenever they change, so that a restarted router knows them at once. Without
- * a state directory it stores nothing.
+ * Stores the endpoints when they change, so that they are available immediately after a restart of
+ * the router. Stores nothing if no state directory is configured.
  */
 final class EndpointCache {
 
@@ -20,7 +20,7 @@
 
     private final CoreClock clock;
 
-    /** Null without a state directory. */
+    /** Store of the endpoints; null if no state directory is configured. */
     private final EndpointListStore store;
 
     private List<Endpoint> stored = List.of();
@@ -33,7 +33,9 @@
                         : new EndpointListStore(config.stateDir().resolve(FILE));
     }
 
-    /** Returns the endpoints of the last run; empty if there are none or they cannot be read. */
+    /**
+     * Returns the endpoints of the previous run; empty if none are stored or they cannot be read.
+     */
     List<Endpoint> load() {
         if (store != null) {
             try {
--- a/router/src/main/java/ashlink/router/Router.java
+++ b/router/src/main/java/ashlink/router/Router.java
@@ -35,8 +35,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A router: assembles its parts, and starts, reloads and stops them. Several routers in one process
- * share nothing.
+ * Router: creates the components, and starts, reloads and stops them. Several routers in one
+ * process share no state.
  */
 public final class Router {
 
@@ -45,10 +45,10 @@
     private static final long UPKEEP_INTERVAL_NS = NS_PER_S;
     private static final long UPKEEP_DEADLINE_NS = 10 * NS_PER_S;
 
-    /** Time for background tasks to run a last time at shutdown. */
+    /** Maximum time for the last runs of background tasks at shutdown. */
     private static final long BACKGROUND_STOP_TIMEOUT_NS = 5 * NS_PER_S;
 
-    /** Queued events from which on background tasks get their smallest part of the CPU. */
+    /** Queued events from which on background tasks get their minimum share of the CPU. */
     private static final double MAX_PRESSURE_EVENTS = 256;
 
     private final CoreClock clock = new CoreClock();
@@ -59,12 +59,12 @@
     private final NativeListener listener;
     private final Scheduler background;
 
-    /** Null without the HTTP API. */
+    /** Null if the HTTP API is disabled. */
     private final HttpListener http;
 
     private final EndpointCache endpointCache;
 
-    /** Null without a metrics endpoint. */
+    /** Null if the metrics endpoint is disabled. */
     private final HTTPServer metrics;
 
     private final PrometheusRegistry registry = new PrometheusRegistry();
@@ -72,16 +72,16 @@
     private volatile RouterConfig config;
     private volatile Classifier classifier;
 
-    /** Null before the start. */
+    /** Null before {@link #start}. */
     private RouterCapture capture;
 
-    /** A router with the {@link DefaultWorkloadManager}. */
+    /** Creates a router with the {@link DefaultWorkloadManager}. */
     public Router(RouterConfig config) throws IOException {
         this(config, DefaultWorkloadManager::new);
     }
 
     /**
-     * A router with another decision module, such as a baseline.
+     * Creates a router with another decision module, such as a baseline.
      *
      * @param moduleFactory creates the decision module
      * @throws IOException if an address cannot be bound or a directory is in use
@@ -180,22 +180,22 @@
                 .log("started");
     }
 
-    /** Returns the load of the decision thread from 0 to 1, by its queue. */
+    /** Returns the load of the decision thread from 0 to 1, by the length of its queue. */
     private double pressure() {
         return core == null ? 0 : Math.min(1, core.queuedEvents() / MAX_PRESSURE_EVENTS);
     }
 
-    /** Returns the address of the native protocol. */
+    /** Returns the address of the native protocol listener. */
     public InetSocketAddress address() {
         return listener.address();
     }
 
-    /** Returns the address of the HTTP API, or null. */
+    /** Returns the address of the HTTP API, or null if the HTTP API is disabled. */
     public InetSocketAddress httpAddress() {
         return http == null ? null : http.address();
     }
 
-    /** Returns the listener of the HTTP API, or null. */
+    /** Returns the listener of the HTTP API, or null if the HTTP API is disabled. */
     public HttpListener http() {
         return http;
     }
@@ -210,22 +210,22 @@
         return core;
     }
 
-    /** Sets the state of an engine by the endpoint list. */
+    /** Sets the state of an engine in the endpoint list. */
     public void setEngineState(String engine, EndpointState phase) {
         engines.setState(engine, phase);
     }
 
-    /** Sets the engines that operators drain; also allowed before the start. */
+    /** Sets the engines that operators drain; may be called before {@link #start}. */
     public void setDrainedEngines(Set<String> names) {
         engines.setDrained(names);
     }
 
-    /** Rejects new requests, or accepts them again. */
+    /** Sets whether new requests are rejected. */
     public void rejectNewRequests(boolean refuses) {
         core.rejectNew(refuses);
     }
 
-    /** Replaces the engines, users and classification rules; the rest needs a restart. */
+    /** Replaces the engines, users and classification rules; the rest requires a restart. */
     public void reload(RouterConfig next) {
         if (ConfigReload.needsRestart(config, next)) {
             LOG.warn(
@@ -239,8 +239,8 @@
     }
 
     /**
-     * Shuts down gracefully: rejects new requests, waits for open ones up to the limit of the
-     * settings, responds to the rest, and closes.
+     * Shuts down gracefully: rejects new requests, waits for open requests up to the configured
+     * timeout, sends a final response for the remaining ones, and closes all connections.
      */
     public void stop() throws InterruptedException {
         try {
@@ -265,7 +265,7 @@
         LOG.info("stopped");
     }
 
-    /** Stops at once, like a crash: nothing is responded to and nothing is stored. */
+    /** Stops immediately, like a crash: sends no further response and stores nothing. */
     public void kill() {
         try {
             listener.stopAccepting();
--- a/router/src/main/java/ashlink/router/RouterCapture.java
+++ b/router/src/main/java/ashlink/router/RouterCapture.java
@@ -23,8 +23,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The capture of a router's decisions. A capture that cannot be written never keeps the router from
- * serving.
+ * Capture of the decisions of a router. A failure of the capture does not stop the router from
+ * serving requests.
  */
 final class RouterCapture {
 
@@ -34,14 +34,17 @@
     private static final int HASHED_KEY_BYTES = 8;
     private static final int SECRET_BYTES = 32;
 
-    /** Null if nothing is captured. */
+    /** Null if the capture is disabled. */
     private final Recorder recorder;
 
     private RouterCapture(Recorder recorder) {
         this.recorder = recorder;
     }
 
-    /** Starts the capture if the settings have a directory for it and the directory is free. */
+    /**
+     * Starts the capture if the settings define a directory for it and no other process uses the
+     * directory.
+     */
     static RouterCapture start(
             RouterConfig config,
             Class<? extends WorkloadManager> module,
@@ -88,7 +91,10 @@
                 .register(registry);
     }
 
-    /** Returns the hash of ordering keys, which may identify customers. */
+    /**
+     * Returns a keyed hash function for ordering keys, because ordering keys may identify
+     * customers.
+     */
     private static UnaryOperator<String> keyHash(String secret) {
         byte[] key = secret.getBytes(StandardCharsets.UTF_8);
         if (key.length == 0) {
--- a/router/src/main/java/ashlink/router/RouterExecutors.java
+++ b/router/src/main/java/ashlink/router/RouterExecutors.java
@@ -9,23 +9,26 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Creates the executors of a router; all threads are daemons. */
+/** Creates the executors of a router; all their threads are daemon threads. */
 final class RouterExecutors {
 
     private static final long WORKER_IDLE_S = 10;
 
     /**
-     * Each open request needs one thread for its attempt, and one to write a final response while
-     * another is blocked.
+     * Workers for each open request: one for its attempt, and one that writes a final response
+     * while the attempt is blocked.
      */
     private static final int WORKERS_PER_REQUEST = 2;
 
-    /** Workers for health checks and other short tasks. */
+    /** Additional workers for health checks and other short tasks. */
     private static final int EXTRA_WORKERS = 64;
 
     private RouterExecutors() {}
 
-    /** Creates the executor of attempts; it rejects tasks beyond its limit instead of queueing. */
+    /**
+     * Creates the executor of attempts, which rejects tasks beyond its limit instead of queueing
+     * them.
+     */
     static ThreadPoolExecutor workers(RouterConfig config) {
         int maxWorkers =
                 WORKERS_PER_REQUEST * config.resourceLimits().maxOpenRequests() + EXTRA_WORKERS;
@@ -48,7 +51,7 @@
         };
     }
 
-    /** Creates the executor of timeouts, with a single thread. */
+    /** Creates the executor of timeouts, which has a single thread. */
     static ScheduledThreadPoolExecutor timer(RouterConfig config) {
         return DaemonTimer.create(config.name() + "-front-timer");
     }
--- a/router/src/main/java/ashlink/router/classify/Classifier.java
+++ b/router/src/main/java/ashlink/router/classify/Classifier.java
@@ -12,27 +12,29 @@
 import java.util.regex.Pattern;
 
 /**
- * Assigns a query class to a statement: that of the first rule that matches, else the default.
+ * Assigns a query class to each statement: the class of the first matching rule, or a default
+ * class.
  *
- * <p>A class that allows retries applies only to statements that are plainly harmless reads, or to
- * those that a rule names by kind or keyword if engines deduplicate them. Any other statement gets
- * the at-most-once variant of the class, which keeps its placement, or the default class of writes
- * where there is no variant. Safe for use by several threads.
+ * <p>A class that allows retries is assigned only to statements that are certainly reads without
+ * side effects. If engines deduplicate statements of the class, it is also assigned to statements
+ * that a rule selects by kind or keyword. Any other statement gets the at-most-once variant of the
+ * class, which has the same placement, or the default class for writes if there is no such variant.
+ * Thread-safe.
  */
 public final class Classifier {
 
     /**
-     * The class of a statement.
+     * The query class of a statement.
      *
-     * @param rule number of the rule that matched, from 1; 0 for the default
-     * @param downgraded whether the class of the rule was replaced by one without retries
+     * @param rule number of the matching rule, starting at 1; 0 for a default class
+     * @param downgraded whether the class of the rule was replaced by a class without retries
      */
     public record Classification(QueryClass queryClass, int rule, boolean downgraded) {}
 
     private final RouterConfig config;
     private final Map<String, QueryClass> classes;
 
-    /** A classifier with the rules of the settings. */
+    /** Creates a classifier with the rules of the settings. */
     public Classifier(RouterConfig config) {
         this.config = config;
         this.classes = config.allQueryClasses();
@@ -41,7 +43,7 @@
     /**
      * Classifies a statement.
      *
-     * @param settings settings of the request by name
+     * @param settings settings of the request, by name
      */
     public Classification classify(
             String user,
@@ -111,7 +113,9 @@
                                         .anyMatch(pattern -> pattern.matcher(text).matches()));
     }
 
-    /** Returns the first keyword in upper case, even of a statement that is not supported. */
+    /**
+     * Returns the first keyword in upper case, also for a statement whose syntax is not supported.
+     */
     static String keyword(StatementAnalysis analysis) {
         String normal =
                 analysis.kind() == StatementKind.UNKNOWN
@@ -121,13 +125,13 @@
         return (end < 0 ? normal : normal.substring(0, end)).toUpperCase(Locale.ROOT);
     }
 
-    /** Tells whether the statement may take data from the client. */
+    /** Returns whether the statement may be followed by data from the client. */
     public static boolean mayTakeData(StatementAnalysis analysis) {
         return analysis.takesData()
                 || analysis.kind() == StatementKind.UNKNOWN && keyword(analysis).equals("INSERT");
     }
 
-    /** Tells whether the statement cannot run before the end of its data. */
+    /** Returns whether the engine executes the statement only after the end of its data. */
     public static boolean waitsForData(StatementAnalysis analysis) {
         return analysis.kind() == StatementKind.LOAD && analysis.takesData();
     }
--- a/router/src/main/java/ashlink/router/classify/StatementAnalyzer.java
+++ b/router/src/main/java/ashlink/router/classify/StatementAnalyzer.java
@@ -6,15 +6,18 @@
 import com.github.benmanes.caffeine.cache.Caffeine;
 
 /**
- * Analyzes statements, and caches the analysis of short ones by their text and database. Safe for
- * use by several threads.
+ * Analyzes statements, and caches the analyses of short statements by text and database.
+ * Thread-safe.
  */
 public final class StatementAnalyzer {
 
-    /** Longer statements are rarely repeated unchanged, so they are not cached. */
+    /**
+     * Maximum length of a cached statement in characters. Longer statements are rarely repeated
+     * unchanged.
+     */
     private static final int MAX_CACHED_CHARS = 16 << 10;
 
-    /** Approximate size of the cache in bytes. */
+    /** Approximate maximum size of the cache in bytes. */
     private static final long MAX_CACHE_BYTES = 16 << 20;
 
     private static final int ENTRY_BYTES = 500;
@@ -31,7 +34,7 @@
                                     ENTRY_BYTES + BYTES_PER_CHAR * key.text.length())
                     .build();
 
-    /** Returns the analysis of a statement in a default database. */
+    /** Returns the analysis of a statement that runs with the given default database. */
     public StatementAnalysis analyze(String text, String database) {
         if (text.length() > MAX_CACHED_CHARS) {
             return reader.read(text, database);
--- a/router/src/main/java/ashlink/router/classify/UnreachableRules.java
+++ b/router/src/main/java/ashlink/router/classify/UnreachableRules.java
@@ -13,7 +13,7 @@
 
     private UnreachableRules() {}
 
-    /** Returns a warning for each unreachable rule, in the order of the rules. */
+    /** Returns one warning for each reason why a rule is unreachable, in the order of the rules. */
     public static List<String> of(RouterConfig config) {
         List<String> warnings = new ArrayList<>();
         List<ClassRule> rules = config.rules();
@@ -35,7 +35,10 @@
         return warnings;
     }
 
-    /** Returns the index of the first earlier rule that covers a rule, or -1. */
+    /**
+     * Returns the index of the first earlier rule that matches every statement that the rule at an
+     * index matches, or -1 if there is none.
+     */
     private static int firstCovering(List<ClassRule> rules, int index) {
         for (int i = 0; i < index; i++) {
             if (covers(rules.get(i), rules.get(index))) {
@@ -67,7 +70,9 @@
         return patterns.stream().map(Pattern::pattern).collect(Collectors.toSet());
     }
 
-    /** An empty condition matches everything. */
+    /**
+     * Returns whether one condition includes another; an empty condition matches every statement.
+     */
     private static boolean covers(Set<String> wide, Set<String> narrow) {
         return wide.isEmpty() || !narrow.isEmpty() && wide.containsAll(narrow);
     }
--- a/router/src/main/java/ashlink/router/classify/package-info.java
+++ b/router/src/main/java/ashlink/router/classify/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Assigns query classes to statements, by the rules of the settings and the analysis of their text.
+ * Assigns query classes to statements, by the classification rules of the settings and the analysis
+ * of the statement text.
  */
 package ashlink.router.classify;
--- a/router/src/main/java/ashlink/router/core/Attempt.java
+++ b/router/src/main/java/ashlink/router/core/Attempt.java
@@ -6,29 +6,30 @@
 import java.util.function.BiConsumer;
 
 /**
- * One attempt at a request. A worker advances it through its phases; a timeout or the decision
- * module may abort it at any time. It ends exactly once, and its end is reported at once, whatever
- * its worker waits for. Thread-safe.
+ * One attempt to execute a request on an engine. A worker thread advances the attempt through its
+ * phases; a timeout or the decision module may abort it at any time. An attempt ends exactly once.
+ * The end of an aborted attempt is reported without waiting for the worker, unless the worker is
+ * writing the part of the statement after which the engine may execute it. Thread-safe.
  */
 public final class Attempt {
 
     /**
-     * What a response reports besides its content.
+     * Cost and load that an engine reports with its response.
      *
-     * @param workMs execution time in milliseconds, 0 where unknown
-     * @param memoryMb peak memory in MB, 0 where unknown
-     * @param loadReport the engine's load, {@link LoadReport#NONE} where unknown
+     * @param workMs execution time in milliseconds, 0 if unknown
+     * @param memoryMb peak memory in MB, 0 if unknown
+     * @param loadReport load of the engine, {@link LoadReport#NONE} if unknown
      */
     public record AttemptReport(double workMs, double memoryMb, LoadReport loadReport) {
 
-        /** Nothing is known. */
+        /** Report without any known value. */
         public static final AttemptReport NONE = new AttemptReport(0, 0, LoadReport.NONE);
     }
 
     /**
-     * How an attempt ended.
+     * The end of an attempt.
      *
-     * @param answered whether the attempt itself gave the client its final answer
+     * @param answered whether the final response of the client comes from this attempt
      */
     record AttemptEnd(
             AttemptEndReason reason, Outcome outcome, boolean answered, AttemptReport report) {}
@@ -41,7 +42,7 @@
     private final long memoryMb;
     private final BiConsumer<Attempt, AttemptEnd> endListener;
 
-    // Guarded by this.
+    // Fields guarded by this.
     private AttemptPhase phase = AttemptPhase.QUEUED;
     private AttemptEndReason abortReason;
     private boolean ended;
@@ -65,42 +66,44 @@
         this.endListener = endListener;
     }
 
-    /** Number of the request. */
+    /** Returns the number of the request. */
     public long id() {
         return id;
     }
 
-    /** Number of the attempt, 0 for the first. */
+    /** Returns the number of the attempt within its request; the first attempt has number 0. */
     public int attemptNumber() {
         return attemptNumber;
     }
 
-    /** Name of the engine that runs it. */
+    /** Returns the name of the engine that executes the attempt. */
     public String engine() {
         return engine;
     }
 
-    /** When the decision module started it, on the core's clock. */
+    /**
+     * Returns the time at which the decision module started the attempt, on the clock of the core.
+     */
     long startNs() {
         return startNs;
     }
 
-    /** Priority for the engine, 0 to 3, or -1 where the decision module chose none. */
+    /** Returns the priority on the engine from 0 to 3, or -1 if the decision module set none. */
     public int priority() {
         return priority;
     }
 
-    /** Memory granted, in MB; 0 leaves the choice to the engine. */
+    /** Returns the granted memory in MB; 0 leaves the limit to the engine. */
     public long memoryMb() {
         return memoryMb;
     }
 
-    /** Its phase. */
+    /** Returns the current phase. */
     public synchronized AttemptPhase phase() {
         return phase;
     }
 
-    /** Sets the timer to cancel when the attempt ends. */
+    /** Sets the timeout task, which is cancelled when the attempt ends. */
     synchronized void setTimeout(Future<?> timer) {
         timeout = timer;
         if (ended) {
@@ -108,7 +111,10 @@
         }
     }
 
-    /** Sets what closes the attempt's connection when it is aborted; runs it at once if it was. */
+    /**
+     * Sets the handler that closes the connection of the attempt on an abort. Runs the handler
+     * immediately if the attempt is already aborted.
+     */
     public void onAbort(Runnable handler) {
         synchronized (this) {
             abortHandler = handler;
@@ -120,9 +126,11 @@
     }
 
     /**
-     * Advances to a phase; called before the bytes that make it true are written. False where the
-     * attempt is over: the worker then calls {@link #end}, which ensures that the end is reported,
-     * and stops.
+     * Advances to a phase. The worker calls this method before it writes the bytes that lead to the
+     * phase.
+     *
+     * @return false if the attempt has ended or was aborted; the worker then calls {@link #end}, so
+     *     that the end is reported, and stops
      */
     public synchronized boolean advance(AttemptPhase next) {
         if (!ended) {
@@ -131,14 +139,18 @@
         return !ended && abortReason == null;
     }
 
-    /** True once nothing more of it may be written to the client. */
+    /**
+     * Returns true if the attempt has ended or was aborted: no further part of its response may be
+     * written to the client.
+     */
     public synchronized boolean isOver() {
         return ended || abortReason != null;
     }
 
     /**
-     * Aborts it. While a write is in progress after which the statement may run, its worker reports
-     * the end; otherwise it is reported before this returns.
+     * Aborts the attempt. If the worker is writing the part of the statement after which the engine
+     * may execute it, the worker reports the end; otherwise the end is reported before this method
+     * returns.
      */
     public void abort(AttemptEndReason reason) {
         Runnable handler;
@@ -160,9 +172,10 @@
     }
 
     /**
-     * Ends it, unless it has ended; an aborted attempt ends with the reason of its abort.
+     * Ends the attempt unless it has already ended. An aborted attempt ends with the reason of the
+     * abort.
      *
-     * @return true where this call ended it, with the given reason
+     * @return true if this call ended the attempt with the given reason
      */
     public boolean end(AttemptEndReason reason, AttemptReport report) {
         AttemptEnd end;
--- a/router/src/main/java/ashlink/router/core/AttemptEndReason.java
+++ b/router/src/main/java/ashlink/router/core/AttemptEndReason.java
@@ -3,38 +3,47 @@
 import ashlink.decisions.api.Outcome;
 
 /**
- * Why an attempt ended. {@link #outcome} implements the table of phases and reasons in
+ * Reason for the end of an attempt. {@link #outcome} implements the table of phases and reasons in
  * docs/native-protocol.md.
  */
 public enum AttemptEndReason {
     /** The complete response was received. */
     SERVED,
-    /** The engine answered with an error of the statement itself, which is the final answer. */
+    /**
+     * The engine returned an error that the statement itself caused; the error is the final
+     * response.
+     */
     STATEMENT_ERROR,
-    /** The engine answered with an error of its own; a retry on another engine may succeed. */
+    /**
+     * The engine returned an error that the statement did not cause; a retry on another engine may
+     * succeed.
+     */
     ENGINE_ERROR,
-    /** The engine rejected the statement and did not start it. */
+    /** The engine rejected the statement and did not start to execute it. */
     REJECTED,
-    /** The engine reported that the request had ended when it arrived, so that it never ran. */
+    /**
+     * The engine reported that the request had already ended when it arrived, so the statement was
+     * not executed.
+     */
     STALE_REQUEST,
     /**
-     * This router had no free thread or connection, or no longer has the data that a retry needs.
+     * The router had no free thread or connection, or no longer holds the data that a retry needs.
      */
     NO_CAPACITY,
-    /** The engine began to drain, or was deregistered, before the first byte was sent. */
+    /** The engine started to drain or was deregistered before the first byte was sent. */
     ENGINE_DRAINING,
-    /** No connection could be made. */
+    /** The connection to the engine could not be established. */
     CONNECT_FAILED,
-    /** The connection broke, or the engine violated the protocol. */
+    /** The connection was lost, or the engine violated the protocol. */
     CONNECTION_BROKEN,
     /** The attempt's timeout expired. */
     TIMED_OUT,
-    /** Cancelled by the decision module, or by the client during its insert. */
+    /** The decision module cancelled the attempt, or the client cancelled its insert. */
     CANCELLED;
 
     /**
-     * The outcome for the decision module; {@link Outcome#mayHaveRun} is true only from {@link
-     * AttemptPhase#RUNNING} on.
+     * Returns the outcome to report to the decision module. {@link Outcome#mayHaveRun} is true only
+     * for the phases from {@link AttemptPhase#RUNNING} on.
      */
     public Outcome outcome(AttemptPhase phase) {
         return switch (this) {
@@ -52,7 +61,10 @@
         };
     }
 
-    /** True where the attempt itself gave, or is giving, the client its final answer. */
+    /**
+     * Returns true if the final response of the client comes from this attempt, completely or in
+     * part.
+     */
     boolean answers(AttemptPhase phase) {
         return this == SERVED || this == STATEMENT_ERROR || phase == AttemptPhase.ANSWERING;
     }
--- a/router/src/main/java/ashlink/router/core/AttemptPhase.java
+++ b/router/src/main/java/ashlink/router/core/AttemptPhase.java
@@ -1,34 +1,46 @@
 package ashlink.router.core;
 
-/** Progress of an attempt, as far as it decides whether its statement may have run. */
+/**
+ * Progress of an attempt. The phase determines whether the engine may have executed the statement.
+ */
 public enum AttemptPhase {
-    /** Waiting for a thread. */
+    /** The attempt waits for a worker thread. */
     QUEUED,
-    /** Waiting for a connection to the engine. */
+    /** The attempt waits for a connection to the engine. */
     CONNECTING,
-    /** The statement is being written; until its last byte is written it cannot run. */
+    /**
+     * The statement is being written. The engine cannot execute it before the last byte is written.
+     */
     SENDING,
     /**
-     * The engine has an insert's statement and a part of its data; without the end of the data it
-     * does not run.
+     * The engine has the statement of an insert and a part of the data. The engine does not execute
+     * the insert before it receives the end of the data.
      */
     FEEDING,
-    /** The end of an insert's data is being written. */
+    /** The end of the data of an insert is being written. */
     ENDING,
-    /** The engine has the complete statement: from here on it may have run. */
+    /**
+     * The engine has the complete statement and may have executed it in this phase and the next.
+     */
     RUNNING,
-    /** A part of the response was written to the client: no other attempt can answer. */
+    /**
+     * A part of the response was written to the client, so no other attempt can provide the
+     * response.
+     */
     ANSWERING;
 
     /**
-     * True while a write is in progress after which the statement may run: an abort waits for its
-     * end.
+     * Returns true during a write after which the engine may execute the statement. An abort waits
+     * for the end of such a write.
      */
     boolean isBeingWritten() {
         return this == SENDING || this == ENDING;
     }
 
-    /** False where the engine cannot have run the statement, since it lacks a part of it. */
+    /**
+     * Returns false if the engine lacks a part of the statement and therefore cannot have executed
+     * it.
+     */
     public boolean mayRun() {
         return this == RUNNING || this == ANSWERING;
     }
--- a/router/src/main/java/ashlink/router/core/AttemptRunner.java
+++ b/router/src/main/java/ashlink/router/core/AttemptRunner.java
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Starts and cancels the attempts that the decision module requests, and reports their ends to it.
- * Unless stated otherwise, methods run on the decision thread; none blocks.
+ * Starts and cancels attempts as the decision module requests, and reports their ends to the
+ * decision module. Unless stated otherwise, methods run on the decision thread. No method blocks.
  */
 final class AttemptRunner {
 
@@ -46,7 +46,10 @@
         this.dispatcher = dispatcher;
     }
 
-    /** Starts an attempt; ignores one of a request that is answered or has an attempt in flight. */
+    /**
+     * Starts an attempt. Ignores the action if the request is closed, has its final response or has
+     * an attempt in flight.
+     */
     void start(StartAttempt startAttempt) {
         OpenRequest openRequest = requests.get(startAttempt.id());
         if (openRequest == null || openRequest.answered || openRequest.attempt != null) {
@@ -77,7 +80,7 @@
         openRequest.sink.start(attempt);
     }
 
-    /** Cancels an attempt; ignores one that is not in flight. */
+    /** Cancels an attempt. Ignores the action if the attempt is not in flight. */
     void cancel(CancelAttempt cancelAttempt) {
         OpenRequest openRequest = requests.get(cancelAttempt.id());
         if (openRequest != null
@@ -87,7 +90,7 @@
         }
     }
 
-    /** Called on the thread that ended the attempt. */
+    /** Handles the end of an attempt; runs on the thread that ended the attempt. */
     private void onEnd(OpenRequest openRequest, Attempt attempt, Attempt.AttemptEnd end) {
         if (end.answered()
                 && end.outcome() != Outcome.SERVED
--- a/router/src/main/java/ashlink/router/core/Core.java
+++ b/router/src/main/java/ashlink/router/core/Core.java
@@ -12,34 +12,34 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Admits requests to the decision module and shuts them down. Events reach the module through one
- * ordered queue; see {@link DecisionThread} for the thread that owns it and {@link
- * DecisionDispatcher} for its actions. No method but {@link #drain} blocks; all may be called on
- * any thread.
+ * Admits requests to the decision module and closes them at shutdown. Events reach the decision
+ * module through one ordered queue: {@link DecisionThread} processes the queue, and {@link
+ * DecisionDispatcher} performs the actions of the decision module. Only {@link #drain} blocks; all
+ * methods may be called on any thread.
  *
- * <p>The queue is bounded by admission: a request is admitted only while fewer than {@code
- * queueBound} events wait and fewer than {@code openBound} requests are open. An open request has
- * at most one attempt in flight and an engine one health check, so each adds a fixed number of
- * further events.
+ * <p>Admission bounds the queue: a request is admitted only while fewer than {@code queueBound}
+ * events are queued and fewer than {@code openBound} requests are open. An open request has at most
+ * one attempt in flight and an engine has at most one health check in flight, so each of them adds
+ * a fixed number of further events.
  */
 public final class Core {
 
-    /** Returned by {@link #submit} where the request was not admitted. */
+    /** Result of {@link #submit} for a request that was not admitted. */
     private static final long NOT_ADMITTED = -1;
 
     private static final long DRAIN_POLL_MS = 5;
 
-    /** How long the answers of a drain have to pass through the queue. */
+    /** Time for the final responses of a drain to pass through the event queue. */
     private static final long DRAIN_GRACE_NS = TimeUnit.SECONDS.toNanos(1);
 
-    /** Receives every event of the decision module and its actions. */
+    /** Receives each event that the decision module processed, and the resulting actions. */
     @FunctionalInterface
     public interface Observer {
         /**
-         * Called on the decision thread after each event, before the actions are performed; must
-         * not block.
+         * Handles one decision. This method is called on the decision thread after each event,
+         * before the actions are performed, and must not block.
          *
-         * @param nowNs time of the event on the core's clock
+         * @param nowNs time of the event on the clock of the core
          */
         void onDecision(Event event, long nowNs, List<Action> actions);
     }
@@ -57,12 +57,12 @@
     private volatile boolean rejectingNew;
 
     /**
-     * Creates a core that is not started.
+     * Creates a core, which processes no events until {@link #start}.
      *
-     * @param name prefix of the names of its threads
-     * @param classes classes of the module's settings, by name
-     * @param queueBound events that may wait before requests are no longer admitted
-     * @param openBound requests that may be open before further ones are no longer admitted
+     * @param name prefix of the thread names
+     * @param classes query classes of the settings, by name
+     * @param queueBound number of queued events from which on requests are not admitted
+     * @param openBound number of open requests from which on further requests are not admitted
      */
     public Core(
             String name,
@@ -103,21 +103,22 @@
         dispatcher.observe(observer);
     }
 
-    /** Events that wait for a decision. */
+    /** Returns the number of events that wait for the decision thread. */
     public int queuedEvents() {
         return decisionThread.queuedTasks();
     }
 
-    /** Requests without a final answer. */
+    /** Returns the number of requests without a final response. */
     public int openRequests() {
         return requests.unansweredCount();
     }
 
     /**
-     * Submits a request; unless the result is negative, the sink receives exactly one final answer.
+     * Submits a request. If the request is admitted, the sink receives exactly one final response,
+     * unless the client disconnects.
      *
-     * @return the number of the request; negative where it was not admitted, and then the caller
-     *     rejects it
+     * @return the number of the request, or a negative number if the request was not admitted; the
+     *     caller then rejects the request
      */
     public long submit(CoreRequest request, ResponseSink sink) {
         if (!accepting
@@ -134,7 +135,10 @@
         return id;
     }
 
-    /** The client disconnected or cancelled; the sink receives no final answer any more. */
+    /**
+     * Handles a client that disconnected or cancelled its request. The sink receives no final
+     * response after this call.
+     */
     public void clientDisconnected(long id) {
         decisionThread.execute(() -> dispatcher.clientDisconnected(id));
     }
@@ -144,17 +148,18 @@
         decisionThread.execute(() -> dispatcher.dispatch(change));
     }
 
-    // Shutdown.
+    // Shutdown
 
-    /** Whether new requests are rejected; open requests are not affected. */
+    /** Sets whether new requests are rejected. Open requests are not affected. */
     public void rejectNew(boolean rejects) {
         rejectingNew = rejects;
     }
 
     /**
-     * Admits nothing more, waits for open requests to finish, and answers those that have not.
+     * Stops admitting requests, waits for open requests to complete, and sends a final response for
+     * those that have not completed in time.
      *
-     * @param timeoutNs longest wait for open requests
+     * @param timeoutNs maximum time to wait for open requests
      */
     public void drain(long timeoutNs) throws InterruptedException {
         accepting = false;
@@ -169,7 +174,7 @@
         }
     }
 
-    /** Ends at once, as a crash would: no request is answered. */
+    /** Stops immediately, like a crash of the process: open requests receive no response. */
     public void kill() {
         accepting = false;
         decisionThread.stop();
--- a/router/src/main/java/ashlink/router/core/CoreRequest.java
+++ b/router/src/main/java/ashlink/router/core/CoreRequest.java
@@ -1,15 +1,15 @@
 package ashlink.router.core;
 
 /**
- * A request as the decision module sees it.
+ * Properties of a request that the decision module uses.
  *
- * @param queryClass name of its class in the settings
- * @param key ordering key, or null where its class is not ordered
- * @param tableGroup number of the table group that it reads or writes, 0 for none
- * @param timeLimitNs time from submission until the client gives up
- * @param estimatedWorkNs estimate of its execution time, 0 where there is none
- * @param estimatedMemoryMb estimate of the memory that it needs, 0 where there is none
- * @param tenant name of the tenant, empty where there is none
+ * @param queryClass name of the query class in the settings
+ * @param key ordering key, or null if the query class is not ordered
+ * @param tableGroup number of the table group that the request reads or writes, 0 for none
+ * @param timeLimitNs time from the submission to the deadline of the client
+ * @param estimatedWorkNs estimated execution time, 0 if unknown
+ * @param estimatedMemoryMb estimated memory in MB, 0 if unknown
+ * @param tenant name of the tenant, empty for none
  */
 public record CoreRequest(
         String queryClass,
--- a/router/src/main/java/ashlink/router/core/DaemonTimer.java
+++ b/router/src/main/java/ashlink/router/core/DaemonTimer.java
@@ -2,12 +2,15 @@
 
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 
-/** Creates timers whose single thread does not keep the process alive. */
+/** Creates timers with a single daemon thread, which does not keep the process alive. */
 public final class DaemonTimer {
 
     private DaemonTimer() {}
 
-    /** A timer with one daemon thread of that name; cancelled tasks are removed at once. */
+    /**
+     * Creates a timer with one daemon thread of the given name. The timer removes cancelled tasks
+     * immediately.
+     */
     public static ScheduledThreadPoolExecutor create(String threadName) {
         ScheduledThreadPoolExecutor timer =
                 new ScheduledThreadPoolExecutor(
--- a/router/src/main/java/ashlink/router/core/DecisionDispatcher.java
+++ b/router/src/main/java/ashlink/router/core/DecisionDispatcher.java
@@ -24,8 +24,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Passes events to the decision module and performs its actions in the order in which it returns
- * them. All methods run on the decision thread, and none blocks.
+ * Passes events to the decision module and performs the resulting actions in the order in which the
+ * decision module returns them. Unless stated otherwise, methods run on the decision thread. No
+ * method blocks.
  */
 final class DecisionDispatcher {
 
@@ -62,14 +63,18 @@
         this.attempts = new AttemptRunner(clock, thread, timer, requests, metrics, this::dispatch);
     }
 
-    /** Sets the observer; may be called on any thread. */
+    /** Sets the observer of decisions; may be called on any thread. */
     void observe(Core.Observer newObserver) {
         observer = newObserver;
     }
 
-    // Events.
+    // Events
 
-    /** Passes an event to the module and performs its actions; false if the module threw. */
+    /**
+     * Passes an event to the decision module and performs the resulting actions.
+     *
+     * @return false if the decision module threw an exception
+     */
     boolean dispatch(Event event) {
         List<Action> actions;
         long nowNs = clock.nowNs();
@@ -87,7 +92,7 @@
         return true;
     }
 
-    /** Opens a request and submits it to the module. */
+    /** Adds a request to the open requests and submits it to the decision module. */
     void submit(OpenRequest openRequest, long deadlineNs) {
         requests.add(openRequest);
         CoreRequest request = openRequest.request;
@@ -113,7 +118,7 @@
         }
     }
 
-    /** The client of a request disconnected or cancelled it. */
+    /** Handles a client that disconnected or cancelled its request. */
     void clientDisconnected(long id) {
         OpenRequest openRequest = requests.unanswered(id);
         if (openRequest != null) {
@@ -122,7 +127,10 @@
         }
     }
 
-    /** Aborts all attempts and answers all requests whose response has not begun. */
+    /**
+     * Aborts all attempts, and sends a final response for each request whose response has not
+     * begun.
+     */
     void answerAll() {
         for (OpenRequest openRequest : requests.snapshot()) {
             if (!openRequest.answered) {
@@ -137,8 +145,8 @@
     }
 
     /**
-     * Answers a request for which the module gave no answer in time: the client gets one before it
-     * gives up in any case.
+     * Sends a fallback response for a request without a final response at its deadline, so that the
+     * client always receives one before it gives up.
      */
     private void onDeadline(OpenRequest openRequest) {
         if (openRequest.answered) {
@@ -147,7 +155,7 @@
         if (openRequest.attempt != null) {
             openRequest.attempt.abort(AttemptEndReason.TIMED_OUT);
             if (openRequest.isAnswering()) {
-                // The attempt's end is in the queue and counts as the answer.
+                // The end of the attempt is already queued and completes the request.
                 return;
             }
         }
@@ -172,7 +180,7 @@
         dispatch(new ClientDisconnected(openRequest.id));
     }
 
-    // Actions.
+    // Actions
 
     private void perform(Action action) {
         if (action instanceof StartAttempt startAttempt) {
--- a/router/src/main/java/ashlink/router/core/DecisionThread.java
+++ b/router/src/main/java/ashlink/router/core/DecisionThread.java
@@ -5,8 +5,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one thread that calls the decision module. It runs tasks in the order in which they were
- * added; the queue is bounded by the admission in {@link Core#submit}.
+ * The only thread that calls the decision module. It runs tasks in the order in which they were
+ * added. The admission control in {@link Core#submit} bounds the queue.
  */
 final class DecisionThread {
 
@@ -25,17 +25,17 @@
         thread.start();
     }
 
-    /** Adds a task; does not block. */
+    /** Adds a task to the queue; does not block. */
     void execute(Runnable task) {
         tasks.add(task);
     }
 
-    /** Tasks that wait. */
+    /** Returns the number of queued tasks. */
     int queuedTasks() {
         return tasks.size();
     }
 
-    /** Ends the thread; tasks that wait are not run. */
+    /** Stops the thread; queued tasks are not run. */
     void stop() {
         stopped = true;
         thread.interrupt();
@@ -48,7 +48,7 @@
             } catch (InterruptedException e) {
                 return;
             } catch (RuntimeException | Error e) {
-                // Without this thread the router would accept requests and answer none.
+                // If this thread ended, the router would accept requests but never respond.
                 LOG.error("decision task failed, thread continues", e);
             }
         }
--- a/router/src/main/java/ashlink/router/core/EngineTransport.java
+++ b/router/src/main/java/ashlink/router/core/EngineTransport.java
@@ -3,13 +3,16 @@
 import ashlink.decisions.api.LoadReport;
 import ashlink.decisions.api.Outcome;
 
-/** Reaches engines for the core. Thread-safe. */
+/** Sends health checks to engines on behalf of the core. Thread-safe. */
 public interface EngineTransport {
 
-    /** Receives the result of one health check, exactly once, on any thread. */
+    /** Receives the result of one health check exactly once, on any thread. */
     @FunctionalInterface
     interface HealthCheckListener {
-        /** The health check completed, with {@link LoadReport#NONE} where it brought no report. */
+        /**
+         * Handles the result; {@code report} is {@link LoadReport#NONE} if the engine sent no load
+         * report.
+         */
         void onHealthCheckCompleted(Outcome outcome, LoadReport report);
     }
 
--- a/router/src/main/java/ashlink/router/core/FallbackResponse.java
+++ b/router/src/main/java/ashlink/router/core/FallbackResponse.java
@@ -3,19 +3,19 @@
 import ashlink.decisions.api.QueryClass;
 
 /**
- * Chooses the final answer of a request for which the decision module gives none: it threw, the
- * request is past its deadline, or the router stops.
+ * Selects the final response of a request for which the decision module provides none: the decision
+ * module threw an exception, the deadline of the request passed, or the router is stopping.
  */
 final class FallbackResponse {
 
     private FallbackResponse() {}
 
     /**
-     * Whether the client may be sent a rejection, which promises that a retry is harmless;
-     * otherwise it is sent a failure.
+     * Returns whether the client may receive a rejection, which states that a retry is safe.
+     * Otherwise the client receives a failure.
      *
-     * @param queryClass class of the request, or null where the settings have no such class
-     * @param mayHaveRun whether an attempt may have been executed
+     * @param queryClass query class of the request, or null if the settings do not define it
+     * @param mayHaveRun whether an engine may have executed the statement
      */
     static boolean mayReject(QueryClass queryClass, boolean mayHaveRun) {
         return queryClass == null ? !mayHaveRun : queryClass.mayBeRejected(mayHaveRun);
--- a/router/src/main/java/ashlink/router/core/FinalAnswer.java
+++ b/router/src/main/java/ashlink/router/core/FinalAnswer.java
@@ -1,26 +1,34 @@
 package ashlink.router.core;
 
-/** How a request was finished, as counted in {@code ashlink_answers_total}. */
+/**
+ * How the core completed a request, as counted by the metric {@code ashlink_answers_total}. Unlike
+ * {@link StatementOutcome}, which describes the response that a client of a frontend received,
+ * these values distinguish the reasons inside the core, and they are neither stored nor sent to
+ * clients.
+ */
 public enum FinalAnswer {
-    /** An engine's complete response. */
+    /** The client received the complete response of an engine. */
     SERVED("served"),
-    /** An engine's error that is the statement's own. */
+    /** The client received an error of an engine that the statement itself caused. */
     ERROR("error"),
-    /** A response that broke off after its first part. */
+    /** The client received only a part of the response. */
     INCOMPLETE("broken"),
-    /** Rejected by the decision module: a retry is harmless. */
+    /** The decision module rejected the request; a retry is safe. */
     REJECTED("refused"),
-    /** Rejected before the decision module received it, since a limit was reached. */
+    /**
+     * The core rejected the request before the decision module received it, because a limit was
+     * reached or the router does not accept requests.
+     */
     NOT_ADMITTED("turned away"),
-    /** Failed by the decision module: no promise about its effect. */
+    /** The decision module failed the request; the statement may have taken effect. */
     FAILED("failed"),
-    /** The client disconnected or cancelled before an answer. */
+    /** The client disconnected or cancelled the request before its final response. */
     CLIENT_DISCONNECTED("client gone"),
-    /** The decision module threw on it. */
+    /** The decision module threw an exception when the request was submitted. */
     DECISION_ERROR("module error"),
-    /** The decision module gave no answer before the deadline. */
+    /** The decision module did not complete the request before its deadline. */
     DEADLINE_EXCEEDED("overdue"),
-    /** The router stopped. */
+    /** The router stopped before the request was complete. */
     SHUTDOWN("stopped");
 
     private final String label;
@@ -29,7 +37,10 @@
         this.label = label;
     }
 
-    /** Value of the label {@code answer} of the metric; operators' dashboards depend on it. */
+    /**
+     * Returns the value of the label {@code answer} of the metric. Dashboards of operators depend
+     * on these values.
+     */
     public String label() {
         return label;
     }
--- a/router/src/main/java/ashlink/router/core/OpenRequest.java
+++ b/router/src/main/java/ashlink/router/core/OpenRequest.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.Future;
 
 /**
- * A request without a final answer, or whose attempt is still in flight. Its fields are read and
- * written by the decision thread alone.
+ * A request that has no final response or still has an attempt in flight. Only the decision thread
+ * reads and writes the mutable fields.
  */
 final class OpenRequest {
 
@@ -12,22 +12,25 @@
     final CoreRequest request;
     final ResponseSink sink;
 
-    /** The attempt in flight, or null. */
+    /** Attempt in flight, or null. */
     Attempt attempt;
 
-    /** Number of attempts started. */
+    /** Number of attempts started so far. */
     int attempts;
 
+    /** Whether the request has its final response. */
     boolean answered;
+
+    /** Whether an engine may have executed the statement in an attempt that has ended. */
     boolean mayHaveRun;
 
-    /** Priority of the next attempt for the engine, -1 where the decision module chose none. */
+    /** Priority of the next attempt on its engine, -1 if the decision module set none. */
     int priority = -1;
 
-    /** Memory granted to the next attempt in MB, 0 where the decision module chose none. */
+    /** Memory granted to the next attempt in MB, 0 if the decision module set none. */
     long memoryMb;
 
-    /** Fires at the client's deadline. */
+    /** Timer task that runs at the deadline of the client. */
     Future<?> deadlineTimer;
 
     OpenRequest(long id, CoreRequest request, ResponseSink sink) {
@@ -36,7 +39,7 @@
         this.sink = sink;
     }
 
-    /** True where its attempt has begun to write the response. */
+    /** Returns true if the attempt in flight has started to write its response to the client. */
     boolean isAnswering() {
         return attempt != null && attempt.phase() == AttemptPhase.ANSWERING;
     }
--- a/router/src/main/java/ashlink/router/core/OpenRequestTable.java
+++ b/router/src/main/java/ashlink/router/core/OpenRequestTable.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * The open requests by number. The table belongs to the decision thread; the count of requests
- * without a final answer may be reserved and read by any thread.
+ * The open requests, by number. Only the decision thread uses the table; any thread may reserve a
+ * place and read the count of requests without a final response.
  */
 final class OpenRequestTable {
 
@@ -20,9 +20,12 @@
         this.metrics = metrics;
     }
 
-    // Any thread.
+    // Called on any thread
 
-    /** Counts one more request, unless the limit is reached; false where it is. */
+    /**
+     * Increments the count of requests without a final response; returns false, and leaves the
+     * count unchanged, if the limit is reached.
+     */
     boolean tryReserve(int limit) {
         if (unansweredCount.incrementAndGet() > limit) {
             unansweredCount.decrementAndGet();
@@ -31,35 +34,40 @@
         return true;
     }
 
-    /** Requests without a final answer. */
+    /** Returns the number of requests without a final response. */
     int unansweredCount() {
         return unansweredCount.get();
     }
 
-    // The decision thread.
+    // Called on the decision thread
 
-    /** Adds a request that was counted by {@link #tryReserve}. */
+    /** Adds a request that {@link #tryReserve} has counted. */
     void add(OpenRequest openRequest) {
         requests.put(openRequest.id, openRequest);
     }
 
-    /** The request of that number, or null where it is not open. */
+    /** Returns the request of the given number, or null if it is not open. */
     OpenRequest get(long id) {
         return requests.get(id);
     }
 
-    /** The request of that number, or null where it is not open or has its final answer. */
+    /**
+     * Returns the request of the given number, or null if it is not open or has its final response.
+     */
     OpenRequest unanswered(long id) {
         OpenRequest openRequest = requests.get(id);
         return openRequest == null || openRequest.answered ? null : openRequest;
     }
 
-    /** A copy of all open requests. */
+    /** Returns a copy of the list of open requests. */
     List<OpenRequest> snapshot() {
         return new ArrayList<>(requests.values());
     }
 
-    /** Records that a request has its final answer, and removes it once no attempt is in flight. */
+    /**
+     * Records the final response of a request, and removes the request unless an attempt is in
+     * flight.
+     */
     void markAnswered(OpenRequest openRequest, FinalAnswer answer) {
         openRequest.answered = true;
         openRequest.deadlineTimer.cancel(false);
@@ -70,7 +78,7 @@
         }
     }
 
-    /** Removes a request that is answered and has no attempt in flight. */
+    /** Removes a request that has its final response and no attempt in flight. */
     void remove(OpenRequest openRequest) {
         requests.remove(openRequest.id);
     }
--- a/router/src/main/java/ashlink/router/core/PrometheusRequestMetrics.java
+++ b/router/src/main/java/ashlink/router/core/PrometheusRequestMetrics.java
@@ -5,7 +5,7 @@
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 import java.util.function.IntSupplier;
 
-/** Counts in a Prometheus registry. */
+/** Records the metrics of the core in a Prometheus registry. */
 public final class PrometheusRequestMetrics implements RequestMetrics {
 
     private final Counter requests;
@@ -14,7 +14,7 @@
     private final Counter decisionErrors;
     private final PrometheusRegistry registry;
 
-    /** Registers the counters. */
+    /** Creates the metrics and registers their counters. */
     public PrometheusRequestMetrics(PrometheusRegistry registry) {
         this.registry = registry;
         requests =
--- a/router/src/main/java/ashlink/router/core/RequestMetrics.java
+++ b/router/src/main/java/ashlink/router/core/RequestMetrics.java
@@ -2,29 +2,30 @@
 
 import java.util.function.IntSupplier;
 
-/** Receives what the core counts. Methods are called on any thread and must not block. */
+/** Receives the metrics of the core. Methods are called on any thread and must not block. */
 public interface RequestMetrics {
 
-    /** Ignores everything. */
+    /** Implementation that records nothing. */
     RequestMetrics NONE = new RequestMetrics() {};
 
     /**
-     * Called once, when the core is created; the suppliers may be called at any time.
+     * Registers gauges. This method is called once, when the core is created; the suppliers may be
+     * called at any time.
      *
-     * @param queuedEvents events that wait for the decision thread
-     * @param openRequests requests without a final answer
+     * @param queuedEvents number of events that wait for the decision thread
+     * @param openRequests number of requests without a final response
      */
     default void registerGauges(IntSupplier queuedEvents, IntSupplier openRequests) {}
 
-    /** A request was admitted to the decision module. */
+    /** Records that a request was admitted to the decision module. */
     default void onAdmitted(String queryClass) {}
 
-    /** A request got its final answer. */
+    /** Records how a request was completed. */
     default void onAnswered(String queryClass, FinalAnswer answer) {}
 
-    /** An attempt ended; {@code outcome} is the name of an {@code Outcome}. */
+    /** Records the end of an attempt; {@code outcome} is the name of an {@code Outcome}. */
     default void onAttemptEnded(String engine, String outcome) {}
 
-    /** The decision module threw. */
+    /** Records that the decision module threw an exception. */
     default void onDecisionError() {}
 }
--- a/router/src/main/java/ashlink/router/core/ResponseSink.java
+++ b/router/src/main/java/ashlink/router/core/ResponseSink.java
@@ -3,24 +3,29 @@
 import ashlink.decisions.api.Outcome;
 
 /**
- * Receives the attempts and the final answer of one request. No method may block: they are called
- * on the decision thread or on a thread that serves other requests too.
+ * Receives the attempts and the final response of one request. Methods are called on the decision
+ * thread or on a thread that serves other requests too, and must not block.
  */
 public interface ResponseSink {
 
-    /** Starts an attempt; the implementation ends it by {@link Attempt#end}. */
+    /**
+     * Starts an attempt; the implementation must call {@link Attempt#end} when the attempt is over.
+     */
     void start(Attempt attempt);
 
     /**
-     * Final answer: rejected, a retry is harmless.
+     * Sends a rejection as the final response: a retry is safe.
      *
-     * @param retryAfterNs time after which to retry, 0 where none is given
+     * @param retryAfterNs time after which the client may retry, 0 if unknown
      */
     void reject(long retryAfterNs);
 
-    /** Final answer: failed, with no promise about the effect of the statement. */
+    /** Sends a failure as the final response: the statement may have taken effect. */
     void fail();
 
-    /** Final answer: the response broke off after the client received a part of it. */
+    /**
+     * Ends a response of which the client already received a part, and reports that the rest is
+     * missing.
+     */
     void abortPartial(Outcome outcome);
 }
--- a/router/src/main/java/ashlink/router/core/StatementOutcome.java
+++ b/router/src/main/java/ashlink/router/core/StatementOutcome.java
@@ -1,26 +1,36 @@
 package ashlink.router.core;
 
 /**
- * How a statement was answered. Ordinals are stored in the key log: constants are only appended.
+ * Outcome of a statement as its client sees it: what kind of response the client connection or the
+ * HTTP interface sent. In contrast, {@link FinalAnswer} describes why the core completed a request.
+ * Ordinals are stored in the idempotency key log, so new constants are only appended.
  */
 public enum StatementOutcome {
-    /** The engine's complete response. */
+    /** The client received the complete response of an engine. */
     SERVED("served"),
-    /** The engine's exception, or one of this router about the engine's response. */
+    /**
+     * The client received an error of the engine, or an error of the router about the response of
+     * the engine.
+     */
     ERROR("error"),
-    /** Rejected by the decision module; it did not run, and a retry is harmless. */
+    /**
+     * The decision module rejected the statement. The statement was not executed or may be
+     * repeated, so a retry is safe.
+     */
     REJECTED("refused"),
-    /** Rejected before the decision module received it; a retry is harmless. */
+    /**
+     * The router rejected the statement before the decision module received it; a retry is safe.
+     */
     NOT_ADMITTED("turned away"),
-    /** Failed, with no promise about its effect. */
+    /** The statement failed and may have taken effect. */
     FAILED("failed"),
-    /** The response broke off after its first part. */
+    /** The client received only a part of the response. */
     INCOMPLETE("broken"),
-    /** Cancelled by the client. */
+    /** The client cancelled the statement. */
     CANCELLED("cancelled"),
     /** The client violated the protocol. */
     PROTOCOL_VIOLATION("bad input"),
-    /** The client disconnected before an answer. */
+    /** The client disconnected before the response was complete. */
     CLIENT_DISCONNECTED("gone");
 
     private final String label;
@@ -29,12 +39,15 @@
         this.label = label;
     }
 
-    /** True if a repeat by the client is harmless; an idempotent statement may have run. */
+    /**
+     * Returns true if a retry by the client is safe. An idempotent statement may have been executed
+     * even then.
+     */
     public boolean isRejection() {
         return this == REJECTED || this == NOT_ADMITTED;
     }
 
-    /** The label in the HTTP interface and in logs. */
+    /** Returns the label used by the HTTP interface and in logs. */
     public String label() {
         return label;
     }
--- a/router/src/main/java/ashlink/router/core/package-info.java
+++ b/router/src/main/java/ashlink/router/core/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The protocol-independent core of a router: admission of requests, the thread that owns the
- * decision module, attempts and their outcomes. Client listeners submit requests with a {@link
+ * Protocol-independent core of a router: admission of requests, the thread that calls the decision
+ * module, and attempts with their outcomes. Client frontends submit requests with a {@link
  * ashlink.router.core.ResponseSink}; an {@link ashlink.router.core.EngineTransport} checks the
  * health of engines.
  */
--- a/router/src/main/java/ashlink/router/discovery/EndpointListStore.java
+++ b/router/src/main/java/ashlink/router/discovery/EndpointListStore.java
@@ -19,10 +19,11 @@
 import java.util.zip.CRC32C;
 
 /**
- * Stores the last endpoint list in a file: magic, version, length, checksum (CRC32C), entries. A
- * save writes a new file and renames it over the old one, so that a crash leaves one of the two
- * complete; a truncated or damaged file is detected and not used. Start times are stored in
- * milliseconds since 1970, since the router's clock starts anew with its process.
+ * Stores the last endpoint list in a file with a magic number, a version, a length, a checksum
+ * (CRC32C) and the entries. A save writes a new file and renames it to the old name, so that one of
+ * the two versions is complete after a crash; a truncated or corrupt file is detected and not used.
+ * Start times are stored in milliseconds since 1970, because the clock of the router is reset when
+ * the process starts.
  */
 public final class EndpointListStore {
 
@@ -32,12 +33,12 @@
     private static final int MAX_ENTRIES = 100_000;
     private static final long NS_PER_MS = 1_000_000L;
 
-    /** Name under which {@link EndpointState#REMOVED} is stored in files of all versions. */
+    /** Stored name of {@link EndpointState#REMOVED}, the same in files of all versions. */
     private static final String STORED_REMOVED = "GONE";
 
     private final Path file;
 
-    /** Creates a store in that file, which need not exist. */
+    /** Creates a store that uses the given file, which may be absent. */
     public EndpointListStore(Path file) {
         this.file = file;
     }
@@ -45,10 +46,10 @@
     /**
      * Reads the stored list.
      *
-     * @param nowNs the current time on the router's clock
-     * @param nowEpochMs the current time in milliseconds since 1970
-     * @return the list, empty where there is no file
-     * @throws IOException if the file cannot be read, or is truncated, damaged or of another
+     * @param nowNs current time on the clock of the router
+     * @param nowEpochMs current time in milliseconds since 1970
+     * @return the list, empty if the file is absent
+     * @throws IOException if the file cannot be read, is truncated or corrupt, or has another
      *     version
      */
     public List<Endpoint> load(long nowNs, long nowEpochMs) throws IOException {
@@ -72,7 +73,10 @@
         return endpoints;
     }
 
-    /** Checks magic, version, length and checksum; returns the length of the entries in bytes. */
+    /**
+     * Checks the magic number, version, length and checksum; returns the length of the entries in
+     * bytes.
+     */
     private int checkHeader(byte[] bytes) throws IOException {
         ByteBuffer header = ByteBuffer.wrap(bytes);
         if (bytes.length < HEADER_BYTES || header.getInt() != MAGIC || header.getInt() != VERSION) {
@@ -103,10 +107,10 @@
     }
 
     /**
-     * Stores a list; when this returns, it is durable.
+     * Stores a list durably: the data is on disk when this method returns.
      *
-     * @param nowNs the current time on the router's clock
-     * @param nowEpochMs the current time in milliseconds since 1970
+     * @param nowNs current time on the clock of the router
+     * @param nowEpochMs current time in milliseconds since 1970
      */
     public void save(List<Endpoint> endpoints, long nowNs, long nowEpochMs) throws IOException {
         byte[] entries = encode(endpoints, nowNs, nowEpochMs);
@@ -133,7 +137,7 @@
         }
         Files.move(
                 newFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        // The rename is durable only once the directory is.
+        // The rename is durable only after the directory is synced.
         try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
             channel.force(true);
         }
--- a/router/src/main/java/ashlink/router/discovery/EndpointRegistry.java
+++ b/router/src/main/java/ashlink/router/discovery/EndpointRegistry.java
@@ -12,20 +12,25 @@
 import java.util.Optional;
 
 /**
- * The state and the start time of each configured engine. Start times follow from the uptimes that
- * engines report and from the success of connections. Pure state: no I/O, and times are the
- * caller's, in nanoseconds of the core's clock. Not thread-safe.
+ * Holds the state and the start time of each configured engine. Start times are derived from the
+ * uptimes that engines report and from connection attempts that succeed or fail. The registry
+ * performs no I/O, and callers pass times in nanoseconds on the clock of the core. Not thread-safe.
  *
- * <p>An engine whose restart goes undetected would receive its full load while it warms up. A
- * restart is detected by an uptime shorter than expected, or by a connection that succeeds after
- * one that failed. The latter comes before any query; the former corrects it.
+ * <p>An engine receives reduced load while it warms up after a start; if a restart went undetected,
+ * the engine would receive its full load immediately. A restart is detected by an uptime that is
+ * shorter than expected, or by a connection that succeeds after one that failed. The connection
+ * reveals the restart before the first query; the next reported uptime replaces the start time
+ * assumed from the connection.
  */
 public final class EndpointRegistry {
 
-    /** Start times that differ by no more are equal: engines report their uptime in seconds. */
+    /**
+     * Maximum difference of start times that are treated as equal; engines report their uptime in
+     * seconds.
+     */
     private static final long START_TOLERANCE_NS = 2_000_000_000L;
 
-    /** Start time of an engine that is not warming up. */
+    /** Start time of an engine that has finished its warm-up. */
     private static final long STARTED_LONG_AGO = 0;
 
     private static final class EngineRecord {
@@ -33,10 +38,13 @@
         EndpointState state;
         long startedNs = STARTED_LONG_AGO;
 
-        /** The last connection could not be made. */
+        /** Whether the last connection attempt failed. */
         boolean unreachable;
 
-        /** The start time is assumed after a failed connection, not reported by the engine. */
+        /**
+         * Whether the start time was assumed after a failed connection and not reported by the
+         * engine.
+         */
         boolean startAssumed;
     }
 
@@ -46,13 +54,15 @@
     /**
      * Creates an empty registry.
      *
-     * @param slowStartNs time after its start for which an engine warms up
+     * @param slowStartNs duration of the warm-up after the start of an engine
      */
     public EndpointRegistry(long slowStartNs) {
         this.slowStartNs = slowStartNs;
     }
 
-    /** Replaces the configured engines; an engine with a new address is a new process. */
+    /**
+     * Replaces the configured engines. An engine with a new address is treated as a new process.
+     */
     public EndpointsChanged configure(Iterable<EngineSpec> specs) {
         Map<String, EngineRecord> before = new LinkedHashMap<>(engines);
         engines.clear();
@@ -70,7 +80,9 @@
         return new EndpointsChanged(EndpointListKind.SNAPSHOT, endpoints());
     }
 
-    /** Sets the state of an engine; empty where the engine is unknown or its state is the same. */
+    /**
+     * Sets the state of an engine; returns empty if the engine is unknown or already has the state.
+     */
     public Optional<EndpointsChanged> setState(String name, EndpointState state) {
         EngineRecord engine = engines.get(name);
         if (engine == null || engine.state == state) {
@@ -80,7 +92,10 @@
         return Optional.of(changed(engine));
     }
 
-    /** An engine reported its uptime; empty where its start time does not change. */
+    /**
+     * Records the uptime that an engine reported; returns empty if the start time of the engine
+     * does not change.
+     */
     public Optional<EndpointsChanged> recordUptime(String name, long uptimeNs, long nowNs) {
         EngineRecord engine = engines.get(name);
         if (engine == null || uptimeNs < 0) {
@@ -91,7 +106,7 @@
         boolean isWarm = uptimeNs >= slowStartNs;
         boolean isSame =
                 isStartKnown && Math.abs(startedNs - engine.startedNs) <= START_TOLERANCE_NS;
-        // An earlier start than a reported one is due to rounding or to a late response.
+        // A start time before a reported one results from rounding or from a delayed response.
         boolean isStale = isStartKnown && startedNs < engine.startedNs && !engine.startAssumed;
         if (!isStartKnown && isWarm || isSame || isStale) {
             return Optional.empty();
@@ -101,7 +116,7 @@
         return Optional.of(changed(engine));
     }
 
-    /** A connection to an engine could not be made. */
+    /** Records that a connection to an engine failed. */
     public void recordConnectFailure(String name) {
         EngineRecord engine = engines.get(name);
         if (engine != null) {
@@ -110,8 +125,8 @@
     }
 
     /**
-     * A connection to an engine was made; after one that failed, the engine is assumed to have just
-     * started, until it reports an uptime.
+     * Records a successful connection to an engine. If the previous connection failed, the engine
+     * is assumed to have just started, until it reports an uptime.
      */
     public Optional<EndpointsChanged> recordConnection(String name, long nowNs) {
         EngineRecord engine = engines.get(name);
@@ -127,7 +142,10 @@
         return Optional.of(changed(engine));
     }
 
-    /** The engines that are not removed, with their start times; 0 is long ago. */
+    /**
+     * Returns the engines that are not removed, with their start times; the start time of an engine
+     * that has finished its warm-up is 0.
+     */
     public List<Endpoint> endpoints() {
         List<Endpoint> endpoints = new ArrayList<>();
         for (EngineRecord engine : engines.values()) {
@@ -138,7 +156,7 @@
         return endpoints;
     }
 
-    /** Restores the start times of a stored list for those engines that are still configured. */
+    /** Restores the start times of a stored list for the engines that are still configured. */
     public void restore(Iterable<Endpoint> stored) {
         for (Endpoint endpoint : stored) {
             EngineRecord engine = engines.get(endpoint.engine());
--- a/router/src/main/java/ashlink/router/frontend/ConnectionLease.java
+++ b/router/src/main/java/ashlink/router/frontend/ConnectionLease.java
@@ -4,19 +4,19 @@
 import ashlink.router.upstream.NativeEngineConnection;
 import java.io.IOException;
 
-/** The engine connection of one attempt. Only the thread of the attempt uses it. */
+/** Engine connection of one attempt. Used only by the thread of the attempt. */
 final class ConnectionLease {
 
     private final EngineConnections engines;
 
-    /** Null before the connection is acquired and after it is released. */
+    /** Connection of the attempt; null before it is acquired and after it is released. */
     private NativeEngineConnection connection;
 
     ConnectionLease(EngineConnections engines) {
         this.engines = engines;
     }
 
-    /** Takes a connection from the pool of an engine. */
+    /** Acquires a connection from the pool of an engine. */
     NativeEngineConnection acquire(String engine, String database) throws IOException {
         connection = engines.take(engine, database);
         return connection;
@@ -30,7 +30,7 @@
         return connection;
     }
 
-    /** Returns the connection to its pool if it is reusable, else closes it. */
+    /** Returns the connection to its pool if it is reusable; closes it otherwise. */
     void release(boolean reusable) {
         engines.giveBack(connection, reusable);
         connection = null;
--- a/router/src/main/java/ashlink/router/frontend/CredentialCache.java
+++ b/router/src/main/java/ashlink/router/frontend/CredentialCache.java
@@ -14,9 +14,9 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Verifies users and passwords. A verification is slow on purpose, so few run at once, and those
- * that succeed are cached under a keyed digest; failures never are. Safe for use by several
- * threads.
+ * Verifies user names and passwords. The password hash is slow by design, so the number of
+ * concurrent verifications is limited. Successful verifications are cached under a keyed digest;
+ * failed ones are not cached. Thread-safe.
  */
 public final class CredentialCache {
 
@@ -30,21 +30,24 @@
             Caffeine.newBuilder().maximumSize(MAX_CACHED).build();
     private final SecretKeySpec key;
 
-    /** An empty cache with a new secret. */
+    /** Creates an empty cache with a random secret. */
     public CredentialCache() {
         byte[] secret = new byte[SECRET_BYTES];
         new SecureRandom().nextBytes(secret);
         key = new SecretKeySpec(secret, MAC);
     }
 
-    /** Tells whether a user and password are cached as verified; fast. */
+    /** Returns whether a user name and password are cached as verified; does not block. */
     public boolean isKnown(Map<String, UserSpec> users, String user, String password) {
         UserSpec spec = users.get(user);
         return spec != null
                 && verified.getIfPresent(digest(user, password, spec.passwordHash())) != null;
     }
 
-    /** Tells whether a user and password are right; slow unless cached, and may block. */
+    /**
+     * Returns whether a user name and password are valid. Slow and possibly blocking unless the
+     * result is cached.
+     */
     public boolean check(Map<String, UserSpec> users, String user, String password)
             throws InterruptedException {
         UserSpec spec = users.get(user);
--- a/router/src/main/java/ashlink/router/frontend/EngineQueryEncoder.java
+++ b/router/src/main/java/ashlink/router/frontend/EngineQueryEncoder.java
@@ -13,14 +13,17 @@
 /** Encodes the query that an attempt sends to its engine. */
 final class EngineQueryEncoder {
 
-    /** Settings with this prefix are hints for the router, which engines do not know. */
+    /** Prefix of settings that are hints for the router; engines do not know them. */
     private static final String ROUTER_SETTING_PREFIX = "ashlink_";
 
     private static final String MEMORY_SETTING = "max_memory_usage";
     private static final String PRIORITY_SETTING = "priority";
     private static final int BYTES_PER_MB_SHIFT = 20;
 
-    /** Engines run small numbers first, the decision module large ones. */
+    /**
+     * Offset for the conversion of priorities: on engines a smaller number means a higher priority,
+     * in the decision module a larger number does.
+     */
     private static final int MAX_ENGINE_PRIORITY = 4;
 
     private final ListenerContext context;
@@ -33,7 +36,7 @@
         this.attempt = attempt;
     }
 
-    /** Returns the query with its external tables, in the layout of a protocol revision. */
+    /** Returns the query with its external tables, encoded for a protocol revision. */
     ByteBuf encode(int revision) throws WireException {
         QueryPacket query = exchange.query();
         String attemptId = attemptId();
--- a/router/src/main/java/ashlink/router/frontend/EngineResponseRelay.java
+++ b/router/src/main/java/ashlink/router/frontend/EngineResponseRelay.java
@@ -22,16 +22,17 @@
 import java.util.Map;
 
 /**
- * Relays the response of an engine to the client of one attempt, and feeds an insert's data to the
- * engine.
+ * Relays the response of an engine to the client of one attempt, and sends the data of an insert to
+ * the engine.
  *
- * <p>The response is buffered until it is complete or exceeds its limit, so that another attempt
- * can take over without the client noticing. Beyond the limit the attempt is committed: from then
- * on the client receives its packets, and no other attempt can.
+ * <p>The response is buffered until it is complete or exceeds the buffer limit, so that another
+ * attempt can replace this one without effect on the client. When the response exceeds the limit,
+ * the attempt is committed: the packets are written to the client, and no other attempt can provide
+ * the response.
  */
 final class EngineResponseRelay {
 
-    /** Committed packets are gathered up to this size, for one write instead of many small ones. */
+    /** Buffer size from which on committed packets are written, to avoid many small writes. */
     private static final int GATHER_BYTES = 64 << 10;
 
     private static final int MAX_PROFILE_EVENT_ROWS = 100_000;
@@ -42,7 +43,7 @@
     private final ConnectionLease lease;
     private final ByteBuf response;
 
-    /** Values that the engine reported beside its response, by name. */
+    /** Values of the profile events that the engine sent with its response, by name. */
     private final Map<String, Double> reportedValues = new HashMap<>();
 
     private boolean committed;
@@ -59,17 +60,20 @@
         this.response = new ByteBuf(context.limits().packetBytes(), context.answerQuota());
     }
 
-    /** Tells whether the client receives the response of this attempt. */
+    /** Returns whether the client receives the response of this attempt. */
     boolean isCommitted() {
         return committed;
     }
 
-    /** Frees the buffer. */
+    /** Releases the buffer. */
     void close() {
         response.release();
     }
 
-    /** Relays until the attempt ends; returns why it ended, or null if it is ended already. */
+    /**
+     * Relays the response; returns the reason for the end of the attempt, or null if the attempt
+     * has already ended.
+     */
     AttemptEndReason run() throws IOException, InterruptedException {
         StreamSource in = lease.connection().in();
         boolean dataComplete = exchange.feed() == null;
@@ -101,7 +105,9 @@
         }
     }
 
-    /** Reads the rest of a packet into the buffer, in the layout of the client's revision. */
+    /**
+     * Reads the rest of a packet into the buffer, encoded for the protocol revision of the client.
+     */
     private BlockReader.Size readPacket(ServerPacket kind, int packetStart) throws IOException {
         NativeEngineConnection connection = lease.connection();
         StreamSource in = connection.in();
@@ -145,7 +151,11 @@
         in.readString("table", context.limits().nameBytes());
     }
 
-    /** Commits and writes the buffer where it is due; returns false if the attempt is over. */
+    /**
+     * Commits the attempt if the response exceeds the buffer limit, and writes the buffer of a
+     * committed attempt once it is large enough or no further bytes are available. Returns false if
+     * the attempt is over.
+     */
     private boolean forward() {
         if (!committed
                 && response.size() > context.config().resourceLimits().responseBufferBytes()) {
@@ -164,7 +174,7 @@
 
     private AttemptEndReason handleEndOfStream(boolean dataComplete) {
         if (!dataComplete && exchange.waitsForData()) {
-            // The engine ended an insert before it had the data, so nothing of it ran.
+            // The engine ended the insert before it received the data, so it executed nothing.
             return AttemptEndReason.CONNECTION_BROKEN;
         }
         boolean ended =
@@ -178,7 +188,7 @@
         return null;
     }
 
-    /** Ends the attempt; the connection is reusable unless the engine still expects data. */
+    /** Ends the attempt. The connection is reusable unless the engine still expects data. */
     private AttemptEndReason handleException(ServerError error, boolean dataComplete)
             throws IOException {
         lease.connection().in().endTap();
@@ -194,7 +204,7 @@
         return null;
     }
 
-    /** Offers the header of an insert to the client, then feeds the engine. */
+    /** Passes the header of an insert to the client, then sends the data to the engine. */
     private AttemptEndReason startFeeding(int headerStart)
             throws IOException, InterruptedException {
         byte[] header = Arrays.copyOfRange(response.array(), headerStart, response.size());
@@ -208,7 +218,8 @@
     }
 
     /**
-     * Feeds the engine; returns null once it has all data or the attempt is ended, else why not.
+     * Sends the data of the insert to the engine. Returns null after all data is sent or if the
+     * attempt has ended, otherwise the reason for the end of the attempt.
      */
     private AttemptEndReason feed() throws IOException, InterruptedException {
         InsertFeed feed = exchange.feed();
@@ -235,8 +246,10 @@
     }
 
     /**
-     * Reads a packet that the engine sends before it has all data. Progress and logs are buffered;
-     * an exception ends the attempt, and false is returned.
+     * Reads a packet that the engine sends before it has received all data. Progress and log
+     * packets are buffered.
+     *
+     * @return false if the packet is an exception, which ends the attempt
      */
     private boolean handleEarlyPacket() throws IOException {
         StreamSource in = lease.connection().in();
--- a/router/src/main/java/ashlink/router/frontend/InsertFeed.java
+++ b/router/src/main/java/ashlink/router/frontend/InsertFeed.java
@@ -6,20 +6,23 @@
 import java.util.List;
 
 /**
- * The data of an insert on its way from the client to an engine. All of it is buffered while it is
- * within the limit, so that a retry can send it again. Beyond the limit only unsent data is
- * buffered, up to a window, and there is no retry. Safe for use by several threads: the client's
- * thread puts, the thread of the current attempt takes.
+ * Buffers the data of an insert between the client and an engine. While the data is within the
+ * limit, all of it is kept, so that a retry can send it again. Beyond the limit only unsent data is
+ * kept, up to a window, and no retry is possible. Thread-safe: the thread of the client adds
+ * packets, and the thread of the current attempt removes them.
  */
 public final class InsertFeed {
 
-    /** Unsent bytes beyond which the client has to wait, once the data is not replayable. */
+    /**
+     * Maximum number of unsent bytes once the data cannot be replayed; the client waits while the
+     * window is full.
+     */
     private static final long WINDOW_BYTES = 4 << 20;
 
     private final long maxReplayBytes;
     private final Quota quota;
 
-    // Guarded by this.
+    // Fields guarded by this.
     private final List<byte[]> packets = new ArrayList<>();
     private long bufferedBytes;
     private long unsentBytes;
@@ -34,7 +37,7 @@
     }
 
     /**
-     * Appends the client's next packet; blocks while the window is full.
+     * Appends the next packet of the client; blocks while the window is full.
      *
      * @param last whether the packet ends the data
      */
@@ -70,7 +73,10 @@
         nextIndex = 0;
     }
 
-    /** Starts over for another attempt; returns false if a part of the data is dropped. */
+    /**
+     * Restarts at the first packet for another attempt; returns false if a part of the data is no
+     * longer buffered.
+     */
     synchronized boolean rewind() {
         if (!replayable || closed) {
             return false;
@@ -81,9 +87,9 @@
     }
 
     /**
-     * Returns the next packet; blocks until there is one.
+     * Returns the next packet; blocks until one is available.
      *
-     * @return null once the feed is closed or the attempt is over
+     * @return null if the feed is closed or the attempt is over
      */
     synchronized byte[] next(Attempt attempt) throws InterruptedException {
         while (!closed && !attempt.isOver() && nextIndex == packets.size()) {
@@ -104,7 +110,7 @@
         return packet;
     }
 
-    /** Tells whether the packet that {@link #next} returned last ends the data. */
+    /** Returns whether the packet that {@link #next} returned last ends the data. */
     synchronized boolean isAtEnd() {
         return complete && nextIndex == packets.size();
     }
@@ -114,7 +120,7 @@
         notifyAll();
     }
 
-    /** Drops all data, and what the client still sends. */
+    /** Discards all data, including the packets that the client sends later. */
     synchronized void close() {
         if (closed) {
             return;
--- a/router/src/main/java/ashlink/router/frontend/ListenerContext.java
+++ b/router/src/main/java/ashlink/router/frontend/ListenerContext.java
@@ -12,20 +12,20 @@
 import java.util.function.Supplier;
 
 /**
- * What the listeners of a router share.
+ * Objects that all listeners of a router share.
  *
- * @param settings current settings, which a reload replaces
- * @param core decides about requests
+ * @param settings supplier of the current settings, which a reload replaces
+ * @param core core that admits requests and calls the decision module
  * @param engines connections to the engines
  * @param workers executor of attempts and final responses
- * @param timer executor of timeouts; its tasks must not block
+ * @param timer executor of timeouts; tasks of this executor must not block
  * @param limits limits of the wire protocol
- * @param answerQuota budget of buffered responses
- * @param insertQuota budget of buffered insert data
- * @param classifier classifier of the current settings
- * @param statementAnalyzer analyzes statements
+ * @param answerQuota memory budget of buffered responses
+ * @param insertQuota memory budget of buffered insert data
+ * @param classifier supplier of the classifier for the current settings
+ * @param statementAnalyzer analyzer of statements
  * @param unsupportedStatements log of statements that cannot be analyzed
- * @param boot text that is unique to this start of the router
+ * @param boot identifier of this run of the router, part of the query ids sent to engines
  */
 public record ListenerContext(
         Supplier<RouterConfig> settings,
--- a/router/src/main/java/ashlink/router/frontend/MemoryQuota.java
+++ b/router/src/main/java/ashlink/router/frontend/MemoryQuota.java
@@ -3,13 +3,13 @@
 import ashlink.wire.Quota;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A memory budget shared by all requests of a router. Safe for use by several threads. */
+/** Memory budget shared by all requests of a router. Thread-safe. */
 public final class MemoryQuota implements Quota {
 
     private final long maxBytes;
     private final AtomicLong usedBytes = new AtomicLong();
 
-    /** An unused budget. */
+    /** Creates an unused budget. */
     public MemoryQuota(long maxBytes) {
         this.maxBytes = maxBytes;
     }
--- a/router/src/main/java/ashlink/router/frontend/NativeAttempt.java
+++ b/router/src/main/java/ashlink/router/frontend/NativeAttempt.java
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Drives one attempt on a worker thread: connects to the engine, sends the query, and lets an
- * {@link EngineResponseRelay} handle the response. Ends the attempt exactly once.
+ * Executes one attempt on a worker thread: connects to the engine, sends the query, and has an
+ * {@link EngineResponseRelay} relay the response. Ends the attempt exactly once.
  */
 final class NativeAttempt implements Runnable {
 
@@ -59,7 +59,7 @@
         } finally {
             relay.close();
             if (lease.isActive()) {
-                // Nothing was written to the connection of an engine that drains.
+                // Nothing was written to the connection of a draining engine, so it is reusable.
                 lease.release(reason == AttemptEndReason.ENGINE_DRAINING);
             }
             if (reason != null) {
@@ -70,9 +70,9 @@
 
     /**
      * Handles bytes of the engine that violate the protocol or a limit. A value that the router
-     * cannot relay fails on every engine, so it ends the statement instead of causing a retry.
+     * cannot relay fails on every engine, so the statement fails without a retry.
      *
-     * @return why the attempt ended, or null if it is ended already
+     * @return reason for the end of the attempt, or null if the attempt has already ended
      */
     private AttemptEndReason handleProtocolError(WireException failure) {
         exchange.recordError(attempt.engine() + ": " + failure.getMessage());
@@ -89,7 +89,9 @@
         return AttemptEndReason.CONNECTION_BROKEN;
     }
 
-    /** Returns why the attempt ended, or null if it is ended already. */
+    /**
+     * Runs the attempt; returns the reason for its end, or null if the attempt has already ended.
+     */
     private AttemptEndReason drive() throws IOException, InterruptedException {
         InsertFeed feed = exchange.feed();
         if (feed != null && !feed.rewind()) {
@@ -105,7 +107,7 @@
         if (!attempt.advance(AttemptPhase.SENDING)) {
             return AttemptEndReason.CANCELLED;
         }
-        // Checked last, so that an engine that drains receives no first byte.
+        // Checked immediately before the write, so that a draining engine receives no new query.
         if (!context.engines().isReady(attempt.engine())) {
             return AttemptEndReason.ENGINE_DRAINING;
         }
@@ -117,7 +119,7 @@
         return relay.run();
     }
 
-    /** Unblocks the thread of the attempt; called by any thread. */
+    /** Unblocks the thread of the attempt; may be called on any thread. */
     private static void abort(NativeEngineConnection connection, InsertFeed feed) {
         connection.close();
         if (feed != null) {
--- a/router/src/main/java/ashlink/router/frontend/NativeClientConnection.java
+++ b/router/src/main/java/ashlink/router/frontend/NativeClientConnection.java
@@ -20,9 +20,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A client connection of the native protocol, read by its own thread. Its states: login; idle; a
- * statement is open; the client sends the data of an insert; the rest of an insert that got its
- * response early is discarded; closed.
+ * Client connection of the native protocol, read by a thread of its own. The connection is in one
+ * of these states: login; idle; a statement is open; the client sends the data of an insert; the
+ * rest of the data is discarded because the insert already has its response; closed.
  */
 final class NativeClientConnection implements Runnable {
 
@@ -42,10 +42,10 @@
     private Hello.Client hello;
     private int revision;
 
-    /** The current or last statement; null before the first. */
+    /** Current or last statement; null before the first statement. */
     private RequestExchange exchange;
 
-    /** Whether the data of the current statement is complete, or it takes none. */
+    /** Whether the client has sent all data of the current statement, if it takes any. */
     private boolean dataComplete = true;
 
     NativeClientConnection(
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Reports the error to the client, unless that would break a response in progress. */
+    /** Reports an error, unless the packet would corrupt a response in progress. */
     private void reportProtocolError(WireException failure) {
         LOG.atInfo()
                 .addKeyValue("client", client.peer())
@@ -192,14 +192,15 @@
 
     private void handlePing() throws IOException, InterruptedException {
         if (exchange != null) {
-            // A Pong must not interrupt a response.
+            // A Pong packet must not be written between the packets of a response.
             exchange.awaitDone();
         }
         client.write(new ByteBuf().putVarUInt(ServerPacket.PONG.ordinal()));
     }
 
     /**
-     * Handles a block of the current insert; discards it if the insert has its response already.
+     * Handles a data block of the current insert; discards the block if the insert already has its
+     * response.
      */
     private void handleData() throws IOException, InterruptedException {
         ByteBuf packet = new ByteBuf(context.limits().packetBytes());
@@ -212,7 +213,7 @@
         }
     }
 
-    /** Reads the rest of a Data packet and appends the complete packet. */
+    /** Reads the rest of a Data packet and appends the complete packet to a buffer. */
     private BlockReader.Size readData(ByteBuf target, boolean compressed) throws IOException {
         target.putVarUInt(ClientPacket.DATA.ordinal());
         in.startTap(target);
@@ -224,7 +225,7 @@
 
     private void handleQuery() throws IOException, InterruptedException {
         if (exchange != null) {
-            // The client sent the query early; its bytes wait in the socket.
+            // The client sent the query early; its bytes remain in the socket buffer.
             exchange.awaitDone();
         }
         QueryPacket query = QueryPacket.read(in, revision, context.limits());
@@ -246,7 +247,7 @@
         begin(query, tables);
     }
 
-    /** Reads an external table; returns true for the empty block that ends them. */
+    /** Reads an external table; returns true for the empty block that ends the list. */
     private boolean readExternalTable(ByteBuf target, boolean compressed) throws IOException {
         int kind = in.readByte();
         if (ClientPacket.of(kind) != ClientPacket.DATA) {
@@ -280,7 +281,7 @@
         dataComplete = exchange.feed() == null;
     }
 
-    /** Returns what the client says about itself, with its verified user and address. */
+    /** Returns the client information of a query, with the verified user and address. */
     private ClientInfo clientInfo(QueryPacket query) {
         ClientInfo claimed = query.client();
         return new ClientInfo(
--- a/router/src/main/java/ashlink/router/frontend/NativeListener.java
+++ b/router/src/main/java/ashlink/router/frontend/NativeListener.java
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Accepts clients of the native protocol, each with a thread of its own, up to a limit of
- * connections; further ones are closed.
+ * Accepts client connections of the native protocol. Each connection has a thread of its own;
+ * connections beyond the configured limit are closed.
  */
 public final class NativeListener {
 
@@ -26,7 +26,7 @@
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private volatile boolean closed;
 
-    /** Binds the address of the settings; port 0 stands for any free port. */
+    /** Binds the configured address; port 0 selects any free port. */
     public NativeListener(ListenerContext context) throws IOException {
         this.context = context;
         server = new ServerSocket();
@@ -41,7 +41,7 @@
         acceptThread.start();
     }
 
-    /** Returns the address that it listens on. */
+    /** Returns the address on which the listener accepts connections. */
     public InetSocketAddress address() {
         return (InetSocketAddress) server.getLocalSocketAddress();
     }
@@ -59,7 +59,10 @@
         }
     }
 
-    /** Prevents a busy loop while the process has no file descriptors. */
+    /**
+     * Sleeps before the next accept, to prevent a busy loop while the process has no free file
+     * descriptors.
+     */
     private static void pause() {
         try {
             Thread.sleep(ACCEPT_RETRY_DELAY_MS);
@@ -112,7 +115,7 @@
             try {
                 socket.close();
             } catch (IOException e) {
-                // The connection is unusable either way.
+                // The socket is not used again, so a failed close has no effect.
             }
         }
     }
--- a/router/src/main/java/ashlink/router/frontend/NativeResponseChannel.java
+++ b/router/src/main/java/ashlink/router/frontend/NativeResponseChannel.java
@@ -8,7 +8,7 @@
 import java.net.InetSocketAddress;
 import java.net.Socket;
 
-/** The socket of a client of the native protocol. */
+/** Socket of a client of the native protocol. */
 final class NativeResponseChannel implements ResponseChannel {
 
     private final Socket socket;
@@ -49,7 +49,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // The connection is unusable either way.
+            // The socket is not used again, so a failed close has no effect.
         }
     }
 }
--- a/router/src/main/java/ashlink/router/frontend/RequestAdmission.java
+++ b/router/src/main/java/ashlink/router/frontend/RequestAdmission.java
@@ -12,14 +12,14 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Turns a statement into a request of the core; used by all listeners. */
+/** Creates requests of the core from statements; used by all listeners. */
 public final class RequestAdmission {
 
     private RequestAdmission() {}
 
     /**
-     * Analyzes and classifies a statement, and submits it to the core. The response goes to the
-     * channel, possibly before this method returns.
+     * Analyzes and classifies a statement, and submits it to the core. The channel may receive the
+     * response before this method returns.
      */
     public static RequestExchange begin(
             ListenerContext context,
@@ -35,7 +35,7 @@
         return prepared.exchange;
     }
 
-    /** A statement that is analyzed and classified, and not yet submitted to the core. */
+    /** A statement that is analyzed and classified but not yet submitted to the core. */
     public static final class Prepared {
         private final ListenerContext context;
         private final RequestExchange exchange;
@@ -52,7 +52,10 @@
             return exchange;
         }
 
-        /** Returns the time until the client gives up, by its class and its own limit. */
+        /**
+         * Returns the time until the deadline of the client, the shorter of the limits of its query
+         * class and of its own settings.
+         */
         public long timeLimitNs() {
             return request.timeLimitNs();
         }
--- a/router/src/main/java/ashlink/router/frontend/RequestExchange.java
+++ b/router/src/main/java/ashlink/router/frontend/RequestExchange.java
@@ -23,15 +23,15 @@
 import org.slf4j.event.Level;
 
 /**
- * A statement and its final response. Several threads may try to respond: the client, the decision
- * thread and the worker of an attempt. The first one claims the response and writes it; nothing is
- * written for the statement after that. Safe for use by several threads.
+ * A statement and its final response. Several threads may try to respond: the thread of the client,
+ * the decision thread and the worker of an attempt. The first thread claims the response and writes
+ * it; nothing is written for the statement afterwards. Thread-safe.
  */
 public final class RequestExchange implements ResponseSink {
 
     private static final Logger LOG = LoggerFactory.getLogger(RequestExchange.class);
 
-    /** Time to write the final response; a client that does not read it by then is closed. */
+    /** Maximum time until the client has read the final response; then the client is closed. */
     private static final long FINAL_WRITE_TIMEOUT_MS = 2_000;
 
     private final ListenerContext context;
@@ -47,10 +47,10 @@
     private final long startNs = System.nanoTime();
     private volatile long id;
 
-    /** Guarded by {@link #client}. */
+    /** Whether a thread has claimed the response. Guarded by {@link #client}. */
     private boolean claimed;
 
-    /** Columns of an insert as the first attempt's engine sent them. Guarded by {@link #client}. */
+    /** Columns that the first engine sent for an insert. Guarded by {@link #client}. */
     private byte[] header;
 
     private volatile String lastError = "";
@@ -105,22 +105,22 @@
         return queryClass;
     }
 
-    /** Returns the data of the client, or null for a statement that takes none. */
+    /** Returns the data of the insert, or null for a statement that takes no data. */
     public InsertFeed feed() {
         return feed;
     }
 
-    /** Tells whether the statement cannot run before the end of its data. */
+    /** Returns whether the engine executes the statement only after the end of its data. */
     boolean waitsForData() {
         return waitsForData;
     }
 
-    /** Stores why an attempt failed, for the message of a final error. */
+    /** Stores the error of an attempt for the message of a final error response. */
     void recordError(String message) {
         lastError = message;
     }
 
-    // Called by the core; none of these methods blocks
+    // Called by the core; these methods do not block
 
     @Override
     public void start(Attempt attempt) {
@@ -161,15 +161,15 @@
                                 writeTimeout.cancel(false);
                             });
         } catch (RejectedExecutionException e) {
-            // The router is shutting down and has no worker left.
+            // The router is shutting down and no worker is available.
             client.close();
             done.countDown();
         }
     }
 
-    // Responses; these methods may block until the client reads
+    // Writes of responses; these methods may block until the client reads
 
-    /** Writes a part of the response, unless the response is claimed. */
+    /** Writes a part of the response, unless the final response is claimed. */
     void write(ByteBuf packets) {
         synchronized (client) {
             if (!claimed) {
@@ -178,7 +178,7 @@
         }
     }
 
-    /** Writes the rest of the response, unless it is claimed. */
+    /** Writes the last part of the response, unless the final response is claimed. */
     void finish(ByteBuf packets, StatementOutcome outcome) {
         finish(packets, outcome, 0);
     }
@@ -192,19 +192,19 @@
             try {
                 client.end(packets, outcome, retryAfterNs);
             } catch (IOException e) {
-                // The thread that reads from the client notices, and cancels the request.
+                // The thread that reads from the client detects the close and cancels the request.
                 client.close();
             }
         }
         complete(outcome);
     }
 
-    /** Responds with an error, unless the response is claimed. */
+    /** Writes an error as the final response, unless the final response is claimed. */
     void finish(ServerError error, StatementOutcome outcome) {
         finish(error, outcome, 0);
     }
 
-    /** Like {@link #finish(ServerError, StatementOutcome)}, with a Retry-After; 0 for none. */
+    /** Writes an error as the final response; a {@code retryAfterNs} of 0 gives no retry time. */
     void finish(ServerError error, StatementOutcome outcome, long retryAfterNs) {
         ByteBuf packet = new ByteBuf();
         try {
@@ -219,15 +219,15 @@
         try {
             client.write(packets);
         } catch (IOException e) {
-            // The thread that reads from the client notices, and cancels the request.
+            // The thread that reads from the client detects the close and cancels the request.
             client.close();
         }
     }
 
     /**
-     * Handles the columns that an engine expects of an insert. The client receives those of the
-     * first attempt. Returns false if those of a later attempt differ, as the client's data does
-     * not match them.
+     * Handles the columns that an engine expects in the data of an insert. The columns of the first
+     * attempt are sent to the client. Returns false if those of a later attempt differ, because the
+     * data of the client does not match them.
      */
     boolean acceptHeader(ByteBuf packets, byte[] block) {
         synchronized (client) {
@@ -242,19 +242,19 @@
         return Arrays.equals(header, block);
     }
 
-    /** The client cancelled the statement: responds at once, and lets the core cancel the work. */
+    /** Handles a cancellation by the client: responds immediately and informs the core. */
     public void cancel() {
         context.core().clientDisconnected(id);
         finish(ResponseWriter.cancelled(), StatementOutcome.CANCELLED);
     }
 
-    /** The client violated the protocol: ends the statement, unless the response is claimed. */
+    /** Handles a protocol violation: ends the statement, unless the response is claimed. */
     public void rejectInput(WireException failure) {
         context.core().clientDisconnected(id);
         finish(ResponseWriter.protocol(failure), StatementOutcome.PROTOCOL_VIOLATION);
     }
 
-    /** The client disconnected; nothing more is written. */
+    /** Handles the disconnect of the client; nothing more is written. */
     public void clientDisconnected() {
         context.core().clientDisconnected(id);
         synchronized (client) {
@@ -285,7 +285,7 @@
                 .log("answered");
     }
 
-    /** Tells whether the statement has its final response. */
+    /** Returns whether the statement has its final response. */
     public boolean isDone() {
         return done.getCount() == 0;
     }
--- a/router/src/main/java/ashlink/router/frontend/RequestHints.java
+++ b/router/src/main/java/ashlink/router/frontend/RequestHints.java
@@ -9,8 +9,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * Hints that a client gives about a query in its settings: those with the prefix {@code ashlink_},
- * and the time limit.
+ * Reads the hints that a client gives in the settings of a query: the settings with the prefix
+ * {@code ashlink_}, and the time limit.
  */
 final class RequestHints {
 
@@ -22,7 +22,7 @@
     private static final double NS_PER_MS = 1e6;
     private static final double NS_PER_S = 1e9;
 
-    /** Larger numbers are ignored as mistakes. */
+    /** Upper bound of numeric hints; larger numbers are assumed to be mistakes and are ignored. */
     private static final double MAX_NUMBER = 1e12;
 
     private static final Pattern GROUP_NUMBER = Pattern.compile("[0-9]{1,15}");
@@ -30,9 +30,9 @@
     private RequestHints() {}
 
     /**
-     * Returns the request for the core. Hints that cannot be read are ignored.
+     * Returns the request for the core. Hints that cannot be parsed are ignored.
      *
-     * @param marginNs time before the client's deadline by which its response must be sent
+     * @param marginNs time before the deadline of the client by which the response must be sent
      */
     static CoreRequest request(
             QueryClass queryClass,
@@ -55,9 +55,9 @@
     }
 
     /**
-     * Returns the number of the table group: the client's hint if there is one, else the first
-     * table that is written, or read where none is written. A name counts as its checksum, so that
-     * the load and the readers of a table have the same number.
+     * Returns the number of the table group: the hint of the client, or else the first table that
+     * the statement writes, or reads if it writes none. The number of a table name is its checksum,
+     * so that the load of a table and the statements that read the table have the same number.
      */
     private static long tableGroup(StatementAnalysis analysis, String hint) {
         String text = hint != null ? hint : firstTable(analysis);
@@ -72,7 +72,7 @@
         return crc.getValue();
     }
 
-    /** Returns the name of a table, or null where the statement uses none. */
+    /** Returns the name of the first table, or null if the statement uses none. */
     private static String firstTable(StatementAnalysis analysis) {
         if (!analysis.writes().isEmpty()) {
             return analysis.writes().first();
@@ -80,7 +80,7 @@
         return analysis.reads().isEmpty() ? null : analysis.reads().first();
     }
 
-    /** Returns a positive number; 0 where the text is absent or no such number. */
+    /** Returns the positive number in a text; 0 if the text is null or contains no valid number. */
     private static double number(String text) {
         if (text == null) {
             return 0;
--- a/router/src/main/java/ashlink/router/frontend/ResponseChannel.java
+++ b/router/src/main/java/ashlink/router/frontend/ResponseChannel.java
@@ -5,8 +5,8 @@
 import java.io.IOException;
 
 /**
- * Carries responses to a client, as packets of the native protocol. Writers synchronize on the
- * channel, so that packets are never interleaved.
+ * Sends responses to a client as packets of the native protocol. Writers synchronize on the
+ * channel, so that packets of different responses are not interleaved.
  */
 public interface ResponseChannel {
 
@@ -14,15 +14,15 @@
     void write(ByteBuf packets) throws IOException;
 
     /**
-     * Writes the last packets of a statement's response; may block until the client reads.
+     * Writes the last packets of the response to a statement; may block until the client reads.
      *
      * @param retryAfterNs time after which the client may retry; 0 for none
      */
     void end(ByteBuf packets, StatementOutcome outcome, long retryAfterNs) throws IOException;
 
-    /** Returns the address of the client, for logs and engines. */
+    /** Returns the address of the client, used in logs and sent to engines. */
     String peer();
 
-    /** Closes the channel and wakes blocked writers; safe from any thread. */
+    /** Closes the channel and wakes blocked writers; may be called on any thread. */
     void close();
 }
--- a/router/src/main/java/ashlink/router/frontend/ResponseWriter.java
+++ b/router/src/main/java/ashlink/router/frontend/ResponseWriter.java
@@ -5,24 +5,24 @@
 import ashlink.wire.WireException;
 
 /**
- * Creates the errors that clients receive in place of an engine's response. Each kind has its own
- * code, from the public list of the native protocol.
+ * Creates the errors that the router sends to clients instead of the response of an engine. Each
+ * kind of error has its own code from the public list of the native protocol.
  */
 public final class ResponseWriter {
 
-    /** The statement did not run, a retry is safe (TOO_MANY_SIMULTANEOUS_QUERIES). */
+    /** The statement was rejected and a retry is safe (TOO_MANY_SIMULTANEOUS_QUERIES). */
     public static final int REJECTED = 202;
 
-    /** The statement may have run (NETWORK_ERROR). */
+    /** The statement failed and may have been executed (NETWORK_ERROR). */
     public static final int FAILED = 210;
 
     /** The client cancelled the statement (QUERY_WAS_CANCELLED). */
     public static final int CANCELLED = 394;
 
-    /** The user or the password is wrong (AUTHENTICATION_FAILED). */
+    /** The user name or password is invalid (AUTHENTICATION_FAILED). */
     public static final int LOGIN = 516;
 
-    /** The bytes violate the protocol (UNEXPECTED_PACKET_FROM_CLIENT). */
+    /** The client or engine violated the protocol (UNEXPECTED_PACKET_FROM_CLIENT). */
     public static final int PROTOCOL = 101;
 
     /** A column has an unsupported type (UNKNOWN_TYPE). */
--- a/router/src/main/java/ashlink/router/frontend/UnsupportedStatementLog.java
+++ b/router/src/main/java/ashlink/router/frontend/UnsupportedStatementLog.java
@@ -6,8 +6,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Logs statements that the SQL reader does not support: fingerprint, position and reason, never
- * their text. Limits its rate. Safe for use by several threads.
+ * Logs statements whose syntax the SQL parser does not support. A log line contains the
+ * fingerprint, the position and the reason, but never the statement text. The rate of log lines is
+ * limited. Thread-safe.
  */
 public final class UnsupportedStatementLog {
 
@@ -15,10 +16,10 @@
     private static final int MAX_PER_SECOND = 5;
     private static final long NS_PER_S = 1_000_000_000L;
 
-    /** Statements that were not logged since the last one that was. */
+    /** Number of statements that were not logged since the last log line. */
     private final AtomicLong suppressed = new AtomicLong();
 
-    // Guarded by this.
+    // Fields guarded by this.
     private long secondStartNs = System.nanoTime();
     private int loggedInSecond;
 
--- a/router/src/main/java/ashlink/router/package-info.java
+++ b/router/src/main/java/ashlink/router/package-info.java
@@ -1,2 +1,2 @@
-/** A router as a whole: assembles its parts, and starts, reloads and stops them. */
+/** Router process: creates the components, and starts, reloads and stops them. */
 package ashlink.router;
--- a/router/src/main/java/ashlink/router/upstream/EngineConnections.java
+++ b/router/src/main/java/ashlink/router/upstream/EngineConnections.java
@@ -26,9 +26,9 @@
 import java.util.function.Consumer;
 
 /**
- * The engines of the endpoint list: their states, connection pools and health checks. Changes of
- * the endpoints go to the core in the order in which the registry reports them. Safe for use by
- * several threads.
+ * Manages the engines of the endpoint list: their states, connection pools and health checks.
+ * Endpoint changes are passed to the core in the order in which the registry reports them.
+ * Thread-safe.
  */
 public final class EngineConnections implements EngineTransport {
 
@@ -48,7 +48,10 @@
     private final Map<String, NativeConnectionPool> pools = new ConcurrentHashMap<>();
     private final Map<String, EndpointState> states = new ConcurrentHashMap<>();
 
-    /** States by the endpoint list, without those set by operators. Guarded by this. */
+    /**
+     * States according to the endpoint list, without the drains that operators set. Guarded by
+     * this.
+     */
     private final Map<String, EndpointState> listed = new HashMap<>();
 
     /** Engines that operators drain. Guarded by this. */
@@ -57,9 +60,9 @@
     private volatile Consumer<EndpointsChanged> onChange = change -> {};
 
     /**
-     * Engines without endpoints; see {@link #start}.
+     * Creates an instance without endpoints; see {@link #start}.
      *
-     * @param workers runs the health checks
+     * @param workers executor of health checks
      */
     public EngineConnections(
             RouterConfig config, CoreClock clock, Executor workers, WireLimits limits) {
@@ -80,10 +83,10 @@
     // Endpoints
 
     /**
-     * Starts to report endpoints: first those that were cached, then those that are configured.
+     * Starts to report endpoints: first the cached endpoints, then the configured ones.
      *
      * @param listener receives all changes, in order
-     * @param cached endpoints of the last run; may be empty
+     * @param cached endpoints stored by the previous run; may be empty
      */
     public synchronized void start(Consumer<EndpointsChanged> listener, List<Endpoint> cached) {
         onChange = listener;
@@ -96,7 +99,9 @@
         configure(config.engines().values());
     }
 
-    /** Replaces all endpoints; pools of unchanged addresses remain. */
+    /**
+     * Replaces all endpoints; the connection pools of engines with an unchanged address are kept.
+     */
     public synchronized void configure(Collection<EngineSpec> specs) {
         Map<String, NativeConnectionPool> before = new HashMap<>(pools);
         pools.clear();
@@ -135,13 +140,13 @@
                 limits);
     }
 
-    /** Sets the state of an engine by the endpoint list. */
+    /** Sets the state of an engine in the endpoint list. */
     public synchronized void setState(String engine, EndpointState state) {
         listed.put(engine, state);
         reportState(engine);
     }
 
-    /** Sets the engines that operators drain, whatever their state by the endpoint list. */
+    /** Sets the engines that operators drain, regardless of their state in the endpoint list. */
     public synchronized void setDrained(Set<String> engines) {
         Set<String> changed = new TreeSet<>(engines);
         changed.addAll(drained);
@@ -150,7 +155,10 @@
         changed.forEach(this::reportState);
     }
 
-    /** Returns the state of an engine, draining if either side drains it. */
+    /**
+     * Returns the effective state of an engine: draining if an operator drains it, otherwise its
+     * state in the endpoint list.
+     */
     private EndpointState effectiveState(String engine) {
         return drained.contains(engine)
                 ? EndpointState.DRAINING
@@ -169,7 +177,10 @@
         return registry.endpoints();
     }
 
-    /** Tells whether an engine accepts new queries; checked just before the first byte. */
+    /**
+     * Returns whether an engine accepts new queries; checked immediately before the first byte is
+     * sent.
+     */
     public boolean isReady(String engine) {
         return states.get(engine) == EndpointState.READY;
     }
@@ -183,9 +194,9 @@
     }
 
     /**
-     * Handles a reported uptime, from which restarts are detected.
+     * Records an uptime that an engine reported; the registry detects restarts from uptimes.
      *
-     * @param uptimeS seconds; negative if unknown
+     * @param uptimeS uptime in seconds; negative if unknown
      */
     synchronized void reportUptime(String engine, double uptimeS) {
         if (uptimeS >= 0) {
@@ -197,10 +208,10 @@
     // Connections
 
     /**
-     * Takes a connection to an engine, with a default database.
+     * Acquires a connection to an engine with the given default database.
      *
      * @throws NativeConnectionPool.Full if all connections are in use
-     * @throws IOException if the engine is unknown or cannot be reached
+     * @throws IOException if the engine is unknown or the connection cannot be established
      */
     public NativeEngineConnection take(String engine, String database) throws IOException {
         NativeConnectionPool pool = pools.get(engine);
@@ -220,10 +231,10 @@
     }
 
     /**
-     * Returns a connection.
+     * Returns a connection to its pool, or closes it.
      *
-     * @param reusable whether its last statement ended and nothing more will arrive; it is closed
-     *     otherwise
+     * @param reusable whether the last statement on the connection has ended and no further bytes
+     *     will arrive; otherwise the connection is closed
      */
     public void giveBack(NativeEngineConnection connection, boolean reusable) {
         if (reusable) {
@@ -233,7 +244,7 @@
         }
     }
 
-    /** Closes connections that are idle beyond the limit. */
+    /** Closes connections that exceed the idle timeout. */
     public void closeIdle() {
         pools.values().forEach(pool -> pool.closeIdle(clock.nowNs()));
     }
--- a/router/src/main/java/ashlink/router/upstream/EngineErrors.java
+++ b/router/src/main/java/ashlink/router/upstream/EngineErrors.java
@@ -4,19 +4,19 @@
 import java.util.Set;
 
 /**
- * Classifies the error codes of engines. An error of the statement itself, such as its syntax, its
- * permissions or its data, is the response: another engine would return the same. Codes are those
- * of the public list of the native protocol.
+ * Classifies the error codes of engines. An error that the statement itself causes, such as a
+ * syntax error, a missing permission or invalid data, is the final response, because another engine
+ * would return the same error. The codes are those of the public list of the native protocol.
  */
 public final class EngineErrors {
 
-    /** The engine did not start the statement. */
+    /** Codes with which an engine rejects a statement without starting it. */
     private static final Set<Integer> REJECTIONS =
             Set.of(202 /* too many simultaneous queries */, 745 /* overloaded */);
 
     /**
-     * Faults of the engine or its dependencies: timeouts, network, memory, shutdown, coordination,
-     * unnamed exceptions.
+     * Codes for failures of the engine or of services that it depends on: timeouts, network,
+     * memory, shutdown, coordination, unnamed exceptions.
      */
     private static final Set<Integer> ENGINE_FAULTS =
             Set.of(
@@ -25,7 +25,10 @@
 
     private EngineErrors() {}
 
-    /** Returns why an attempt ended whose response was an error with that code. */
+    /**
+     * Returns the reason for the end of an attempt to which the engine responded with the given
+     * error code.
+     */
     public static AttemptEndReason reason(int code) {
         if (REJECTIONS.contains(code)) {
             return AttemptEndReason.REJECTED;
--- a/router/src/main/java/ashlink/router/upstream/EngineHealthChecker.java
+++ b/router/src/main/java/ashlink/router/upstream/EngineHealthChecker.java
@@ -20,7 +20,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Checks the health of an engine by a query for its metrics; blocks until the engine responds. */
+/** Checks the health of an engine by querying its metrics; blocks until the engine responds. */
 final class EngineHealthChecker {
 
     private static final Logger LOG = LoggerFactory.getLogger(EngineHealthChecker.class);
@@ -29,7 +29,7 @@
     private static final String METRICS_QUERY =
             "SELECT metric, toFloat64(value) AS value FROM system.metrics";
 
-    /** Timeout of a response, as a multiple of the connect timeout. */
+    /** Response timeout as a multiple of the connect timeout. */
     private static final int RESPONSE_TIMEOUT_FACTOR = 2;
 
     private final EngineConnections engines;
@@ -65,7 +65,7 @@
                 + "', toFloat64(uptime())";
     }
 
-    /** Checks an engine, and reports the result to the listener. */
+    /** Checks the health of an engine and reports the result to the listener. */
     void check(String engine, HealthCheckListener listener) {
         Outcome outcome = Outcome.CONNECT_FAILED;
         LoadReport report = LoadReport.NONE;
--- a/router/src/main/java/ashlink/router/upstream/LoadReportReader.java
+++ b/router/src/main/java/ashlink/router/upstream/LoadReportReader.java
@@ -14,14 +14,14 @@
 
     private final LoadMetrics metrics;
 
-    /** A reader of those metrics. */
+    /** Creates a reader of the given metrics. */
     public LoadReportReader(LoadMetrics metrics) {
         this.metrics = metrics;
     }
 
     /**
-     * Returns the values of a block by name; empty unless the block has a column of names and one
-     * of values.
+     * Returns the values of a block by name; empty unless the block has a column of names and a
+     * column of values.
      */
     public static Map<String, Double> values(Block block) {
         Map<String, Double> values = new HashMap<>();
@@ -40,7 +40,7 @@
         return values;
     }
 
-    /** Returns the load report; a metric that is absent is NaN in it. */
+    /** Returns the load report; absent metrics are NaN. */
     public LoadReport report(Map<String, Double> values) {
         return new LoadReport(
                 value(values, metrics.queued()),
@@ -50,7 +50,7 @@
                 value(values, metrics.inFlight()));
     }
 
-    /** Returns the load report and the cost; a cost that is absent is 0 in it. */
+    /** Returns the cost and the load report; absent cost values are 0. */
     public AttemptReport attemptReport(Map<String, Double> values) {
         double workMs = value(values, metrics.workMs());
         double memoryMb = value(values, metrics.memoryMb());
@@ -60,7 +60,7 @@
                 report(values));
     }
 
-    /** Returns the seconds since the engine started; negative if unknown. */
+    /** Returns the uptime of the engine in seconds; negative if unknown. */
     public double uptimeS(Map<String, Double> values) {
         double uptimeS = value(values, metrics.uptimeS());
         return Double.isNaN(uptimeS) ? -1 : uptimeS;
--- a/router/src/main/java/ashlink/router/upstream/NativeConnectionPool.java
+++ b/router/src/main/java/ashlink/router/upstream/NativeConnectionPool.java
@@ -10,14 +10,14 @@
 import java.util.List;
 
 /**
- * A pool of connections to one engine. The connection that was returned last is taken first, so
- * that surplus ones become idle and are closed. At the limit, taking a connection fails instead of
- * waiting: queries wait in the queue of the decision module, by priority. Safe for use by several
- * threads.
+ * Pool of connections to one engine. The most recently returned connection is reused first, so that
+ * surplus connections become idle and are closed. If the pool is exhausted, a request for a
+ * connection fails instead of waiting, because queries wait in the queue of the decision module,
+ * ordered by priority. Thread-safe.
  */
 public final class NativeConnectionPool {
 
-    /** All connections of the limit are in use. */
+    /** Thrown if all connections of a pool are in use. */
     public static final class Full extends IOException {
 
         private static final long serialVersionUID = 1L;
@@ -36,12 +36,12 @@
     private final long idleTimeoutNs;
     private final WireLimits limits;
 
-    // Guarded by this.
+    // Fields guarded by this.
     private final ArrayDeque<NativeEngineConnection> idle = new ArrayDeque<>();
     private int open;
     private boolean closed;
 
-    /** An empty pool. */
+    /** Creates an empty pool. */
     NativeConnectionPool(
             String engine,
             InetSocketAddress address,
@@ -66,7 +66,7 @@
     }
 
     /**
-     * Takes an idle connection with that default database, or opens one.
+     * Acquires an idle connection with the given default database, or opens a new one.
      *
      * @throws Full if all connections are in use
      */
@@ -82,7 +82,7 @@
         NativeEngineConnection evicted = null;
         synchronized (this) {
             if (open >= maxConnections && !idle.isEmpty()) {
-                // It has another default database; the new connection takes its place.
+                // All idle connections have another default database; the oldest is replaced.
                 evicted = idle.pollLast();
             } else if (open >= maxConnections) {
                 throw new Full(engine, maxConnections);
@@ -115,7 +115,7 @@
         return null;
     }
 
-    /** Returns a reusable connection. */
+    /** Returns a reusable connection to the pool. */
     void giveBack(NativeEngineConnection connection, long nowNs) {
         connection.setIdleSinceNs(nowNs);
         synchronized (this) {
@@ -135,7 +135,7 @@
         }
     }
 
-    /** Closes connections that are idle beyond the timeout. */
+    /** Closes connections that exceed the idle timeout. */
     void closeIdle(long nowNs) {
         List<NativeEngineConnection> expired = new ArrayList<>();
         synchronized (this) {
@@ -147,7 +147,7 @@
         expired.forEach(this::discard);
     }
 
-    /** Closes the idle connections now, and the others when they are returned. */
+    /** Closes the idle connections, and later the others when they are returned. */
     void close() {
         synchronized (this) {
             closed = true;
--- a/router/src/main/java/ashlink/router/upstream/NativeEngineConnection.java
+++ b/router/src/main/java/ashlink/router/upstream/NativeEngineConnection.java
@@ -19,8 +19,8 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * A connection to an engine after its handshake. One attempt uses it at a time; {@link #close} is
- * safe from any thread.
+ * Connection to an engine after the handshake. At most one attempt uses the connection at a time;
+ * {@link #close} may be called on any thread.
  */
 public final class NativeEngineConnection implements AutoCloseable {
 
@@ -57,7 +57,7 @@
         this.blocks = new BlockReader(in, limits);
     }
 
-    /** Connects and performs the handshake, both within the timeout. */
+    /** Connects and performs the handshake; the timeout covers both. */
     static NativeEngineConnection open(
             NativeConnectionPool pool,
             String engine,
@@ -136,7 +136,7 @@
         return pool;
     }
 
-    /** Returns the default database of its statements. */
+    /** Returns the default database of the statements on this connection. */
     String database() {
         return database;
     }
@@ -146,12 +146,12 @@
         return revision;
     }
 
-    /** Returns the bytes that the engine sends. */
+    /** Returns the stream of bytes from the engine. */
     public StreamSource in() {
         return in;
     }
 
-    /** Returns the reader of blocks that the engine sends. */
+    /** Returns the reader of blocks from the engine. */
     public BlockReader blocks() {
         return blocks;
     }
@@ -159,7 +159,7 @@
     /**
      * Writes all bytes.
      *
-     * @throws IOException if the last byte was not handed to the operating system
+     * @throws IOException if some bytes were not passed to the operating system
      */
     public void write(ByteBuf bytes) throws IOException {
         bytes.writeTo(out);
@@ -168,23 +168,23 @@
     /**
      * Writes all bytes.
      *
-     * @throws IOException if the last byte was not handed to the operating system
+     * @throws IOException if some bytes were not passed to the operating system
      */
     public void write(byte[] bytes) throws IOException {
         out.write(bytes, 0, bytes.length);
     }
 
-    /** Tells whether the engine has sent bytes that are not read yet. */
+    /** Returns whether unread bytes from the engine are available. */
     public boolean hasSomething() throws IOException {
         return in.hasBuffered() || channel.socket().getInputStream().available() > 0;
     }
 
-    /** Sets the timeout of reads; 0 disables it. */
+    /** Sets the read timeout; 0 disables it. */
     void timeout(int ms) throws IOException {
         channel.socket().setSoTimeout(ms);
     }
 
-    /** Skips a packet that has no block and does not end a response. */
+    /** Skips a packet that contains no block and does not end a response. */
     void skipPlain(ServerPacket kind) throws IOException {
         PlainPackets.skip(kind, in, revision, limits);
     }
@@ -217,7 +217,7 @@
         try {
             channel.close();
         } catch (IOException e) {
-            // The connection is unusable either way.
+            // The socket is not used again, so a failed close has no effect.
         }
     }
 }
