--- a/router/src/main/java/ashlink/router/Router.java
+++ b/router/src/main/java/ashlink/router/Router.java
@@ -229,8 +229,8 @@
     public void reload(RouterConfig next) {
         if (ConfigReload.needsRestart(config, next)) {
             LOG.warn(
-                    "reload: classes, kinds, limits, bounds and addresses change at a restart"
-                            + " only");
+                    "reload is partial, some changes require a restart"
+                            + " reason=\"classes, engine kinds, limits or addresses changed\"");
         }
         config = ConfigReload.merge(config, next);
         classifier = new Classifier(config);
@@ -246,7 +246,7 @@
         try {
             listener.stopAccepting();
         } catch (IOException e) {
-            LOG.warn("listener close failed error=\"{}\"", e.toString());
+            LOG.warn("close of the listener failed error=\"{}\"", e.toString());
         }
         long stopStartNs = System.nanoTime();
         if (http != null) {
@@ -270,7 +270,7 @@
         try {
             listener.stopAccepting();
         } catch (IOException e) {
-            LOG.warn("listener close failed error=\"{}\"", e.toString());
+            LOG.warn("close of the listener failed error=\"{}\"", e.toString());
         }
         if (capture != null) {
             capture.kill();
--- a/router/src/main/java/ashlink/router/RouterCapture.java
+++ b/router/src/main/java/ashlink/router/RouterCapture.java
@@ -86,7 +86,7 @@
                 .register(registry);
         GaugeWithCallback.builder()
                 .name("ashlink_capture_dropped")
-                .help("Entries dropped and not told of yet")
+                .help("Entries dropped and not yet recorded as a gap")
                 .callback(callback -> callback.call(recorder.dropped()))
                 .register(registry);
     }
@@ -112,7 +112,7 @@
                                 0,
                                 HASHED_KEY_BYTES);
             } catch (GeneralSecurityException e) {
-                throw new IllegalStateException("every Java platform has " + MAC, e);
+                throw new IllegalStateException("required algorithm " + MAC + " is not available", e);
             }
         };
     }
--- a/router/src/main/java/ashlink/router/classify/UnreachableRules.java
+++ b/router/src/main/java/ashlink/router/classify/UnreachableRules.java
@@ -26,10 +26,13 @@
                                 + number
                                 + " can never match: rule "
                                 + (coveringIndex + 1)
-                                + " matches all that it would");
+                                + " matches every statement that rule "
+                                + number
+                                + " matches");
             }
             if (isContradictory(rules.get(i))) {
-                warnings.add("rule " + number + " can never match: a load starts with INSERT");
+                warnings.add(
+                        "rule " + number + " can never match: the kind load requires INSERT");
             }
         }
         return warnings;
--- a/router/src/main/java/ashlink/router/core/AttemptRunner.java
+++ b/router/src/main/java/ashlink/router/core/AttemptRunner.java
@@ -54,8 +54,7 @@
         OpenRequest openRequest = requests.get(startAttempt.id());
         if (openRequest == null || openRequest.answered || openRequest.attempt != null) {
             LOG.error(
-                    "decision module started an attempt of an ineligible request:"
-                            + " request={} state={}",
+                    "attempt of an ineligible request ignored request={} state={}",
                     startAttempt.id(),
                     openRequest == null
                             ? "closed"
--- a/router/src/main/java/ashlink/router/core/DecisionDispatcher.java
+++ b/router/src/main/java/ashlink/router/core/DecisionDispatcher.java
@@ -82,7 +82,7 @@
             actions = workloadManager.onEvent(event, nowNs);
         } catch (RuntimeException e) {
             metrics.onDecisionError();
-            LOG.error("decision module threw: event={}", event, e);
+            LOG.error("decision module failed event=\"{}\"", event, e);
             return false;
         }
         observer.onDecision(event, nowNs, actions);
@@ -160,7 +160,7 @@
             }
         }
         LOG.error(
-                "request without answer at its deadline: request={} class={}",
+                "request has no response at its deadline request={} class={}",
                 openRequest.id,
                 openRequest.request.queryClass());
         answerWithFallback(openRequest, FinalAnswer.DEADLINE_EXCEEDED);
--- a/router/src/main/java/ashlink/router/core/DecisionThread.java
+++ b/router/src/main/java/ashlink/router/core/DecisionThread.java
@@ -49,7 +49,7 @@
                 return;
             } catch (RuntimeException | Error e) {
                 // If this thread ended, the router would accept requests but never respond.
-                LOG.error("decision task failed, thread continues", e);
+                LOG.error("decision task failed; the decision thread continues", e);
             }
         }
     }
--- a/router/src/main/java/ashlink/router/discovery/EndpointListStore.java
+++ b/router/src/main/java/ashlink/router/discovery/EndpointListStore.java
@@ -64,7 +64,13 @@
                 new DataInputStream(new ByteArrayInputStream(bytes, HEADER_BYTES, length));
         int count = in.readInt();
         if (count < 0 || count > MAX_ENTRIES) {
-            throw new IOException(file + " says that it holds " + count + " engines");
+            throw new IOException(
+                    "invalid number of entries "
+                            + count
+                            + " in endpoint list "
+                            + file
+                            + ": at most "
+                            + MAX_ENTRIES);
         }
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -80,13 +86,14 @@
     private int checkHeader(byte[] bytes) throws IOException {
         ByteBuffer header = ByteBuffer.wrap(bytes);
         if (bytes.length < HEADER_BYTES || header.getInt() != MAGIC || header.getInt() != VERSION) {
-            throw new IOException(file + " is no list of engines of version " + VERSION);
+            throw new IOException(
+                    "invalid header of endpoint list " + file + ": expected version " + VERSION);
         }
         int length = header.getInt();
         int checksum = header.getInt();
         if (length != bytes.length - HEADER_BYTES
                 || checksum(bytes, HEADER_BYTES, length) != checksum) {
-            throw new IOException(file + " is torn or damaged");
+            throw new IOException("endpoint list " + file + " is truncated or corrupt");
         }
         return length;
     }
--- a/router/src/main/java/ashlink/router/frontend/CredentialCache.java
+++ b/router/src/main/java/ashlink/router/frontend/CredentialCache.java
@@ -80,7 +80,7 @@
             }
             return Base64.getEncoder().encodeToString(mac.doFinal());
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("every Java platform has " + MAC, e);
+            throw new IllegalStateException("required algorithm " + MAC + " is not available", e);
         }
     }
 }
--- a/router/src/main/java/ashlink/router/frontend/EngineResponseRelay.java
+++ b/router/src/main/java/ashlink/router/frontend/EngineResponseRelay.java
@@ -138,7 +138,7 @@
             clientSupports = Revision.hasTableColumns(clientRevision);
         } else if (kind != ServerPacket.END_OF_STREAM) {
             throw new WireException(
-                    WireException.Reason.MALFORMED, "packet " + kind + " is out of place");
+                    WireException.Reason.MALFORMED, "unexpected packet " + kind + " in a response");
         }
         in.endTap();
         if (!clientSupports) {
@@ -194,7 +194,8 @@
         lease.connection().in().endTap();
         AttemptEndReason reason =
                 committed ? AttemptEndReason.STATEMENT_ERROR : EngineErrors.reason(error.code());
-        exchange.recordError(attempt.engine() + ": code " + error.code() + ": " + error.message());
+        exchange.recordError(
+                attempt.engine() + ": error code " + error.code() + ": " + error.message());
         boolean ended =
                 attempt.end(reason, context.engines().loadReports().attemptReport(reportedValues));
         lease.release(ended && dataComplete);
@@ -210,7 +211,7 @@
         byte[] header = Arrays.copyOfRange(response.array(), headerStart, response.size());
         if (!exchange.acceptHeader(response, header)) {
             exchange.recordError(
-                    attempt.engine() + " has other columns than the engine that was asked first");
+                    attempt.engine() + ": columns differ from those of the first attempt");
             return AttemptEndReason.ENGINE_ERROR;
         }
         response.clear();
@@ -262,7 +263,7 @@
         }
         readPacket(kind, packetStart);
         if (kind == ServerPacket.END_OF_STREAM) {
-            throw new IOException("the engine ended the insert before it had the data");
+            throw new IOException("engine ended the insert before it received all data");
         }
         return true;
     }
--- a/router/src/main/java/ashlink/router/frontend/NativeAttempt.java
+++ b/router/src/main/java/ashlink/router/frontend/NativeAttempt.java
@@ -55,7 +55,7 @@
                     .addKeyValue("request", attempt.id())
                     .addKeyValue("attempt", attempt.attemptNumber())
                     .setCause(e)
-                    .log("attempt failed by an internal error");
+                    .log("attempt failed with an internal error");
         } finally {
             relay.close();
             if (lease.isActive()) {
--- a/router/src/main/java/ashlink/router/frontend/NativeClientConnection.java
+++ b/router/src/main/java/ashlink/router/frontend/NativeClientConnection.java
@@ -95,7 +95,8 @@
         LOG.atInfo()
                 .addKeyValue("client", client.peer())
                 .addKeyValue("reason", failure.reason())
-                .log(failure.getMessage());
+                .addKeyValue("error", failure.getMessage())
+                .log("client violated the protocol");
         try {
             if (exchange != null && !exchange.isDone()) {
                 exchange.rejectInput(failure);
@@ -138,18 +139,14 @@
 
     private void readHello(int kind) throws IOException {
         if (ClientPacket.of(kind) != ClientPacket.HELLO) {
-            throw new WireException(WireException.Reason.MALFORMED, "the first packet is no Hello");
+            throw new WireException(WireException.Reason.MALFORMED, "first packet is not Hello");
         }
         hello = Hello.Client.read(in, WireLimits.LOGIN);
         revision = Math.min(Revision.HIGHEST, hello.revision());
         if (revision < Revision.LOWEST) {
             throw new WireException(
                     WireException.Reason.MALFORMED,
-                    "revision "
-                            + hello.revision()
-                            + " is too old, "
-                            + Revision.LOWEST
-                            + " is the least");
+                    "unsupported revision " + hello.revision() + ": at least " + Revision.LOWEST);
         }
     }
 
@@ -184,8 +181,8 @@
                     exchange.cancel();
                 }
             }
-            case HELLO -> throw new WireException(WireException.Reason.MALFORMED, "a second Hello");
-            default -> throw new IllegalStateException("no handler for packet kind " + kind);
+            case HELLO -> throw new WireException(WireException.Reason.MALFORMED, "repeated Hello");
+            default -> throw new IllegalStateException("no handler for packet " + kind);
         }
         return true;
     }
@@ -241,8 +238,7 @@
         external.release();
         if (query.stage() != QueryPacket.COMPLETE) {
             throw new WireException(
-                    WireException.Reason.MALFORMED,
-                    "stage " + query.stage() + " is only for servers");
+                    WireException.Reason.MALFORMED, "unsupported query stage " + query.stage());
         }
         begin(query, tables);
     }
@@ -253,7 +249,7 @@
         if (ClientPacket.of(kind) != ClientPacket.DATA) {
             throw new WireException(
                     WireException.Reason.MALFORMED,
-                    "a query is followed by a packet of kind " + kind);
+                    "unexpected packet " + kind + " after a query: expected Data");
         }
         return readData(target, compressed).isEnd();
     }
--- a/router/src/main/java/ashlink/router/frontend/NativeListener.java
+++ b/router/src/main/java/ashlink/router/frontend/NativeListener.java
@@ -75,7 +75,7 @@
         try {
             if (sockets.size() >= context.config().resourceLimits().maxClientConnections()) {
                 LOG.warn(
-                        "connection rejected at the limit client={} connections={}",
+                        "client connection rejected at the limit client={} connections={}",
                         socket.getRemoteSocketAddress(),
                         sockets.size());
                 socket.close();
@@ -99,7 +99,7 @@
             socket.close();
             throw e instanceof IOException io
                     ? io
-                    : new IOException("no thread for a connection", e);
+                    : new IOException("cannot start a thread for a client connection", e);
         }
     }
 
--- a/router/src/main/java/ashlink/router/frontend/RequestAdmission.java
+++ b/router/src/main/java/ashlink/router/frontend/RequestAdmission.java
@@ -72,7 +72,7 @@
         public void submit() {
             if (request.timeLimitNs() <= 0) {
                 exchange.finish(
-                        ResponseWriter.rejected(0, "its time was up when it came"),
+                        ResponseWriter.rejected(0, "the time limit had expired on arrival"),
                         StatementOutcome.REJECTED);
                 return;
             }
@@ -80,7 +80,8 @@
             if (id < 0) {
                 long retryAfterNs = context.config().capabilities().maxRetryAfterNs();
                 exchange.finish(
-                        ResponseWriter.rejected(retryAfterNs, "the router is full or stops"),
+                        ResponseWriter.rejected(
+                                retryAfterNs, "the router is overloaded or shutting down"),
                         StatementOutcome.NOT_ADMITTED,
                         retryAfterNs);
             } else {
--- a/router/src/main/java/ashlink/router/frontend/RequestExchange.java
+++ b/router/src/main/java/ashlink/router/frontend/RequestExchange.java
@@ -210,7 +210,7 @@
         try {
             error.write(packet);
         } catch (IOException e) {
-            throw new IllegalStateException("an error does not fit into a buffer without limit", e);
+            throw new IllegalStateException("cannot encode an error into an unlimited buffer", e);
         }
         finish(packet, outcome, retryAfterNs);
     }
@@ -279,10 +279,11 @@
                 .addKeyValue("request", id)
                 .addKeyValue("class", queryClass.name())
                 .addKeyValue("answer", outcome.label())
-                .addKeyValue("ms", TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs))
+                .addKeyValue(
+                        "durationMs", TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNs))
                 .addKeyValue("query_id", query.id())
                 .addKeyValue("client", client.peer())
-                .log("answered");
+                .log("statement completed");
     }
 
     /** Returns whether the statement has its final response. */
--- a/router/src/main/java/ashlink/router/frontend/ResponseWriter.java
+++ b/router/src/main/java/ashlink/router/frontend/ResponseWriter.java
@@ -38,12 +38,12 @@
     static ServerError rejected(long retryAfterNs, String reason) {
         String retryHint =
                 retryAfterNs > 0
-                        ? "; come back in " + (retryAfterNs + NS_PER_MS - 1) / NS_PER_MS + " ms"
+                        ? "; retry after " + (retryAfterNs + NS_PER_MS - 1) / NS_PER_MS + " ms"
                         : "";
         return new ServerError(
                 REJECTED,
                 "ashlink::Refused",
-                "ashlink: refused, not run, trying again is harmless"
+                "ashlink: refused, not executed; a retry is safe"
                         + retryHint
                         + (reason.isEmpty() ? "" : " (" + reason + ")"));
     }
@@ -52,7 +52,7 @@
         return new ServerError(
                 FAILED,
                 "ashlink::Failed",
-                "ashlink: failed, may have run, may have had its effect"
+                "ashlink: failed; the statement may have been executed and taken effect"
                         + (reason.isEmpty() ? "" : " (" + reason + ")"));
     }
 
@@ -60,18 +60,20 @@
         return new ServerError(
                 FAILED,
                 "ashlink::Failed",
-                "ashlink: the answer broke off after its first part, its rest is lost ("
+                "ashlink: response interrupted after its first part; the rest is missing ("
                         + outcome
                         + ")");
     }
 
     static ServerError cancelled() {
         return new ServerError(
-                CANCELLED, "ashlink::Cancelled", "ashlink: cancelled by the client, may have run");
+                CANCELLED,
+                "ashlink::Cancelled",
+                "ashlink: cancelled by the client; the statement may have been executed");
     }
 
     static ServerError loginFailed() {
-        return new ServerError(LOGIN, "ashlink::Login", "ashlink: user or password is wrong");
+        return new ServerError(LOGIN, "ashlink::Login", "ashlink: invalid user name or password");
     }
 
     static ServerError protocol(WireException failure) {
--- a/router/src/main/java/ashlink/router/frontend/UnsupportedStatementLog.java
+++ b/router/src/main/java/ashlink/router/frontend/UnsupportedStatementLog.java
@@ -34,10 +34,11 @@
         }
         LOG.atWarn()
                 .addKeyValue("fingerprint", analysis.fingerprint())
-                .addKeyValue("at", analysis.offset())
+                .addKeyValue("offset", analysis.offset())
+                .addKeyValue("reason", analysis.reason())
                 .addKeyValue("user", user)
                 .addKeyValue("suppressed", suppressedBefore)
-                .log("statement not understood: {}", analysis.reason());
+                .log("unsupported statement syntax");
     }
 
     private boolean acquire() {
--- a/router/src/main/java/ashlink/router/upstream/EngineConnections.java
+++ b/router/src/main/java/ashlink/router/upstream/EngineConnections.java
@@ -216,7 +216,7 @@
     public NativeEngineConnection take(String engine, String database) throws IOException {
         NativeConnectionPool pool = pools.get(engine);
         if (pool == null) {
-            throw new IOException("engine " + engine + " is not on the list");
+            throw new IOException("unknown engine " + engine + ": not in the endpoint list");
         }
         try {
             NativeEngineConnection connection = pool.take(database);
--- a/router/src/main/java/ashlink/router/upstream/NativeEngineConnection.java
+++ b/router/src/main/java/ashlink/router/upstream/NativeEngineConnection.java
@@ -104,26 +104,25 @@
             throw new IOException(
                     "engine "
                             + engine
-                            + " refuses the login: code "
+                            + " rejected the login: error code "
                             + serverError.code()
-                            + " "
+                            + ": "
                             + serverError.message());
         } else if (kind != ServerPacket.HELLO) {
             throw new WireException(
                     WireException.Reason.MALFORMED,
-                    "engine " + engine + " answers Hello with " + kind);
+                    "unexpected packet " + kind + " of engine " + engine + ": expected Hello");
         }
         Hello.Server server = Hello.Server.read(in, limits);
         revision = Math.min(Revision.HIGHEST, server.revision());
         if (revision < Revision.SETTINGS_AS_STRINGS) {
             throw new IOException(
-                    "engine "
-                            + engine
-                            + " speaks revision "
+                    "unsupported revision "
                             + server.revision()
-                            + ", "
-                            + Revision.SETTINGS_AS_STRINGS
-                            + " is the least");
+                            + " of engine "
+                            + engine
+                            + ": at least "
+                            + Revision.SETTINGS_AS_STRINGS);
         }
     }
 
