--- a/router/src/main/java/ashlink/router/EndpointCache.java
+++ b/router/src/main/java/ashlink/router/EndpointCache.java
@@ -16,7 +16,7 @@
 final class EndpointCache {
 
     private static final Logger LOG = LoggerFactory.getLogger(EndpointCache.class);
-    private static final String FILE = "engines.list";
+    private static final String FILE_NAME = "engines.list";
 
     private final CoreClock clock;
 
@@ -30,7 +30,7 @@
         this.store =
                 config.stateDir() == null
                         ? null
-                        : new EndpointListStore(config.stateDir().resolve(FILE));
+                        : new EndpointListStore(config.stateDir().resolve(FILE_NAME));
     }
 
     /**
--- a/router/src/main/java/ashlink/router/Router.java
+++ b/router/src/main/java/ashlink/router/Router.java
@@ -42,14 +42,14 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(Router.class);
     private static final long NS_PER_S = 1_000_000_000L;
-    private static final long UPKEEP_INTERVAL_NS = NS_PER_S;
-    private static final long UPKEEP_DEADLINE_NS = 10 * NS_PER_S;
+    private static final long MAINTENANCE_INTERVAL_NS = NS_PER_S;
+    private static final long MAINTENANCE_DEADLINE_NS = 10 * NS_PER_S;
 
     /** Maximum time for the last runs of background tasks at shutdown. */
     private static final long BACKGROUND_STOP_TIMEOUT_NS = 5 * NS_PER_S;
 
     /** Queued events from which on background tasks get their minimum share of the CPU. */
-    private static final double MAX_PRESSURE_EVENTS = 256;
+    private static final double FULL_LOAD_EVENTS = 256;
 
     private final CoreClock clock = new CoreClock();
     private final ThreadPoolExecutor workers;
@@ -68,7 +68,7 @@
     private final HTTPServer metrics;
 
     private final PrometheusRegistry registry = new PrometheusRegistry();
-    private final WorkloadManager module;
+    private final WorkloadManager decisionModule;
     private volatile RouterConfig config;
     private volatile Classifier classifier;
 
@@ -94,7 +94,7 @@
         timer = RouterExecutors.timer(config);
         WireLimits limits = wireLimits(config);
         engines = new EngineConnections(config, clock, workers, limits);
-        module = moduleFactory.apply(config.settings());
+        decisionModule = moduleFactory.apply(config.settings());
         core =
                 new Core(
                         config.name(),
@@ -107,7 +107,7 @@
                         new PrometheusRequestMetrics(registry));
         ListenerContext context = listenerContext(limits);
         listener = new NativeListener(context);
-        background = new Scheduler(config.name(), Limits.DEFAULT, config.seed(), this::pressure);
+        background = new Scheduler(config.name(), Limits.DEFAULT, config.seed(), this::decisionLoad);
         http =
                 config.http().listen() == null
                         ? null
@@ -155,19 +155,19 @@
     /** Starts the router: the endpoints first, then the listeners. */
     public void start() {
         List<Endpoint> cachedEndpoints = endpointCache.load();
-        capture = RouterCapture.start(config, module.getClass(), core, registry);
+        capture = RouterCapture.start(config, decisionModule.getClass(), core, registry);
         core.start();
         engines.start(core::updateEndpoints, cachedEndpoints);
         background.add(
-                TaskSpec.every("list.keep", Priority.HIGH, UPKEEP_INTERVAL_NS, UPKEEP_DEADLINE_NS)
+                TaskSpec.every("list.keep", Priority.HIGH, MAINTENANCE_INTERVAL_NS, MAINTENANCE_DEADLINE_NS)
                         .alsoAtStop(),
                 lease -> endpointCache.save(engines.endpoints()));
         background.add(
                 TaskSpec.every(
                         "engines.close-idle",
                         Priority.NORMAL,
-                        UPKEEP_INTERVAL_NS,
-                        UPKEEP_DEADLINE_NS),
+                        MAINTENANCE_INTERVAL_NS,
+                        MAINTENANCE_DEADLINE_NS),
                 lease -> engines.closeIdle());
         listener.start();
         if (http != null) {
@@ -181,8 +181,8 @@
     }
 
     /** Returns the load of the decision thread from 0 to 1, by the length of its queue. */
-    private double pressure() {
-        return core == null ? 0 : Math.min(1, core.queuedEvents() / MAX_PRESSURE_EVENTS);
+    private double decisionLoad() {
+        return core == null ? 0 : Math.min(1, core.queuedEvents() / FULL_LOAD_EVENTS);
     }
 
     /** Returns the address of the native protocol listener. */
@@ -211,8 +211,8 @@
     }
 
     /** Sets the state of an engine in the endpoint list. */
-    public void setEngineState(String engine, EndpointState phase) {
-        engines.setState(engine, phase);
+    public void setEngineState(String engine, EndpointState state) {
+        engines.setState(engine, state);
     }
 
     /** Sets the engines that operators drain; may be called before {@link #start}. */
@@ -221,8 +221,8 @@
     }
 
     /** Sets whether new requests are rejected. */
-    public void rejectNewRequests(boolean refuses) {
-        core.rejectNew(refuses);
+    public void rejectNewRequests(boolean rejected) {
+        core.rejectNew(rejected);
     }
 
     /** Replaces the engines, users and classification rules; the rest requires a restart. */
@@ -260,7 +260,7 @@
             http.stop();
         }
         background.stop(BACKGROUND_STOP_TIMEOUT_NS);
-        release();
+        closeAll();
         capture.stop();
         LOG.info("stopped");
     }
@@ -279,10 +279,10 @@
             http.kill();
         }
         background.kill();
-        release();
+        closeAll();
     }
 
-    private void release() {
+    private void closeAll() {
         listener.closeAll();
         core.kill();
         timer.shutdownNow();
--- a/router/src/main/java/ashlink/router/RouterCapture.java
+++ b/router/src/main/java/ashlink/router/RouterCapture.java
@@ -29,7 +29,7 @@
 final class RouterCapture {
 
     private static final Logger LOG = LoggerFactory.getLogger(RouterCapture.class);
-    private static final long DISK_RETRY_NS = 500_000_000L;
+    private static final long DISK_RETRY_DELAY_NS = 500_000_000L;
     private static final String MAC = "HmacSHA256";
     private static final int HASHED_KEY_BYTES = 8;
     private static final int SECRET_BYTES = 32;
@@ -63,13 +63,13 @@
                             spec.retainedBytes(),
                             spec.queueEntries(),
                             spec.syncIntervalNs(),
-                            DISK_RETRY_NS,
+                            DISK_RETRY_DELAY_NS,
                             keyHash(spec.keySecret()));
             recorder.record(
                     new Entry.Start(ModuleHash.of(module), config.settings(), config.name()));
             core.observe(
-                    (event, now, actions) ->
-                            recorder.record(new Entry.Step(event, now, List.copyOf(actions))));
+                    (event, nowNs, actions) ->
+                            recorder.record(new Entry.Step(event, nowNs, List.copyOf(actions))));
             registerMetrics(recorder, registry);
             return new RouterCapture(recorder);
         } catch (IOException e) {
--- a/router/src/main/java/ashlink/router/classify/Classifier.java
+++ b/router/src/main/java/ashlink/router/classify/Classifier.java
@@ -63,10 +63,10 @@
 
     private Classification classify(ClassRule rule, int number, StatementAnalysis analysis) {
         QueryClass queryClass = classes.get(rule.queryClass());
-        boolean named = !rule.keywords().isEmpty() || !rule.kinds().isEmpty();
+        boolean selectsKindOrKeyword = !rule.keywords().isEmpty() || !rule.kinds().isEmpty();
         boolean deduplicated =
                 queryClass.retrySafety() == RetrySafety.DEDUPLICATED
-                        && named
+                        && selectsKindOrKeyword
                         && analysis.kind() != StatementKind.UNKNOWN
                         && analysis.kind() != StatementKind.SEVERAL;
         if (analysis.harmless()
@@ -97,32 +97,32 @@
                 && (rule.fingerprints().isEmpty()
                         || rule.fingerprints().contains(analysis.fingerprint()))
                 && (rule.tables().isEmpty()
-                        || touches(rule.tables(), analysis.reads())
-                        || touches(rule.tables(), analysis.writes()))
+                        || matchesAny(rule.tables(), analysis.reads())
+                        || matchesAny(rule.tables(), analysis.writes()))
                 && (rule.setting().isEmpty()
                         || settings.containsKey(rule.setting())
                                 && (rule.value().isEmpty()
                                         || rule.value().equals(settings.get(rule.setting()))));
     }
 
-    private static boolean touches(Set<Pattern> patterns, Set<String> tables) {
+    private static boolean matchesAny(Set<Pattern> patterns, Set<String> tables) {
         return tables.stream()
                 .anyMatch(
-                        text ->
+                        table ->
                                 patterns.stream()
-                                        .anyMatch(pattern -> pattern.matcher(text).matches()));
+                                        .anyMatch(pattern -> pattern.matcher(table).matches()));
     }
 
     /**
      * Returns the first keyword in upper case, also for a statement whose syntax is not supported.
      */
     static String keyword(StatementAnalysis analysis) {
-        String normal =
+        String normalizedSql =
                 analysis.kind() == StatementKind.UNKNOWN
                         ? analysis.normalizedSql().substring("unknown ".length())
                         : analysis.normalizedSql();
-        int end = normal.indexOf(' ');
-        return (end < 0 ? normal : normal.substring(0, end)).toUpperCase(Locale.ROOT);
+        int end = normalizedSql.indexOf(' ');
+        return (end < 0 ? normalizedSql : normalizedSql.substring(0, end)).toUpperCase(Locale.ROOT);
     }
 
     /** Returns whether the statement may be followed by data from the client. */
--- a/router/src/main/java/ashlink/router/core/Attempt.java
+++ b/router/src/main/java/ashlink/router/core/Attempt.java
@@ -160,7 +160,7 @@
                 return;
             }
             abortReason = reason;
-            endNow = !phase.isBeingWritten();
+            endNow = !phase.isCompletingStatement();
             handler = abortHandler;
         }
         if (endNow) {
@@ -185,8 +185,13 @@
                 return false;
             }
             ended = true;
-            AttemptEndReason first = abortReason != null ? abortReason : reason;
-            end = new AttemptEnd(first, first.outcome(phase), first.answers(phase), report);
+            AttemptEndReason effectiveReason = abortReason != null ? abortReason : reason;
+            end =
+                    new AttemptEnd(
+                            effectiveReason,
+                            effectiveReason.outcome(phase),
+                            effectiveReason.providesFinalResponse(phase),
+                            report);
             timer = timeout;
         }
         if (timer != null) {
--- a/router/src/main/java/ashlink/router/core/AttemptEndReason.java
+++ b/router/src/main/java/ashlink/router/core/AttemptEndReason.java
@@ -65,7 +65,7 @@
      * Returns true if the final response of the client comes from this attempt, completely or in
      * part.
      */
-    boolean answers(AttemptPhase phase) {
+    boolean providesFinalResponse(AttemptPhase phase) {
         return this == SERVED || this == STATEMENT_ERROR || phase == AttemptPhase.ANSWERING;
     }
 }
--- a/router/src/main/java/ashlink/router/core/AttemptPhase.java
+++ b/router/src/main/java/ashlink/router/core/AttemptPhase.java
@@ -16,9 +16,9 @@
      * The engine has the statement of an insert and a part of the data. The engine does not execute
      * the insert before it receives the end of the data.
      */
-    FEEDING,
+    SENDING_DATA,
     /** The end of the data of an insert is being written. */
-    ENDING,
+    SENDING_DATA_END,
     /**
      * The engine has the complete statement and may have executed it in this phase and the next.
      */
@@ -33,8 +33,8 @@
      * Returns true during a write after which the engine may execute the statement. An abort waits
      * for the end of such a write.
      */
-    boolean isBeingWritten() {
-        return this == SENDING || this == ENDING;
+    boolean isCompletingStatement() {
+        return this == SENDING || this == SENDING_DATA_END;
     }
 
     /**
--- a/router/src/main/java/ashlink/router/core/AttemptRunner.java
+++ b/router/src/main/java/ashlink/router/core/AttemptRunner.java
@@ -64,7 +64,7 @@
         Attempt attempt =
                 new Attempt(
                         openRequest.id,
-                        openRequest.attempts++,
+                        openRequest.startedAttempts++,
                         startAttempt.engine(),
                         clock.nowNs(),
                         openRequest.priority,
@@ -109,7 +109,7 @@
         openRequest.mayHaveRun |= end.outcome().mayHaveRun();
         boolean requestOver = end.answered() || openRequest.answered;
         if (!openRequest.answered && end.answered()) {
-            requests.markAnswered(openRequest, finalAnswer(end.reason()));
+            requests.markAnswered(openRequest, completion(end.reason()));
         }
         if (openRequest.answered) {
             requests.remove(openRequest);
@@ -127,12 +127,12 @@
                         end.report().loadReport()));
     }
 
-    private static FinalAnswer finalAnswer(AttemptEndReason reason) {
+    private static RequestCompletion completion(AttemptEndReason reason) {
         if (reason == AttemptEndReason.SERVED) {
-            return FinalAnswer.SERVED;
+            return RequestCompletion.SERVED;
         }
         return reason == AttemptEndReason.STATEMENT_ERROR
-                ? FinalAnswer.ERROR
-                : FinalAnswer.INCOMPLETE;
+                ? RequestCompletion.ERROR
+                : RequestCompletion.INCOMPLETE;
     }
 }
--- a/router/src/main/java/ashlink/router/core/Core.java
+++ b/router/src/main/java/ashlink/router/core/Core.java
@@ -17,10 +17,10 @@
  * DecisionDispatcher} performs the actions of the decision module. Only {@link #drain} blocks; all
  * methods may be called on any thread.
  *
- * <p>Admission bounds the queue: a request is admitted only while fewer than {@code queueBound}
- * events are queued and fewer than {@code openBound} requests are open. An open request has at most
- * one attempt in flight and an engine has at most one health check in flight, so each of them adds
- * a fixed number of further events.
+ * <p>Admission bounds the queue: a request is admitted only while fewer than {@code
+ * maxQueuedEvents} events are queued and fewer than {@code maxOpenRequests} requests have no final
+ * response. A request has at most one attempt in flight and an engine has at most one health check
+ * in flight, so each of them adds a fixed number of further events.
  */
 public final class Core {
 
@@ -30,7 +30,7 @@
     private static final long DRAIN_POLL_MS = 5;
 
     /** Time for the final responses of a drain to pass through the event queue. */
-    private static final long DRAIN_GRACE_NS = TimeUnit.SECONDS.toNanos(1);
+    private static final long DRAIN_RESPONSE_TIMEOUT_NS = TimeUnit.SECONDS.toNanos(1);
 
     /** Receives each event that the decision module processed, and the resulting actions. */
     @FunctionalInterface
@@ -45,14 +45,14 @@
     }
 
     private final CoreClock clock;
-    private final int queueBound;
-    private final int openBound;
+    private final int maxQueuedEvents;
+    private final int maxOpenRequests;
     private final RequestMetrics metrics;
     private final DecisionThread decisionThread;
     private final ScheduledThreadPoolExecutor timer;
     private final OpenRequestTable requests;
     private final DecisionDispatcher dispatcher;
-    private final AtomicLong lastId = new AtomicLong();
+    private final AtomicLong lastRequestId = new AtomicLong();
     private volatile boolean accepting = true;
     private volatile boolean rejectingNew;
 
@@ -61,8 +61,9 @@
      *
      * @param name prefix of the thread names
      * @param classes query classes of the settings, by name
-     * @param queueBound number of queued events from which on requests are not admitted
-     * @param openBound number of open requests from which on further requests are not admitted
+     * @param maxQueuedEvents number of queued events from which on requests are not admitted
+     * @param maxOpenRequests number of requests without a final response from which on further
+     *     requests are not admitted
      */
     public Core(
             String name,
@@ -70,12 +71,12 @@
             Map<String, QueryClass> classes,
             EngineTransport transport,
             CoreClock clock,
-            int queueBound,
-            int openBound,
+            int maxQueuedEvents,
+            int maxOpenRequests,
             RequestMetrics metrics) {
         this.clock = clock;
-        this.queueBound = queueBound;
-        this.openBound = openBound;
+        this.maxQueuedEvents = maxQueuedEvents;
+        this.maxOpenRequests = maxOpenRequests;
         this.metrics = metrics;
         requests = new OpenRequestTable(metrics);
         decisionThread = new DecisionThread(name + "-decisions");
@@ -123,12 +124,12 @@
     public long submit(CoreRequest request, ResponseSink sink) {
         if (!accepting
                 || rejectingNew
-                || decisionThread.queuedTasks() >= queueBound
-                || !requests.tryReserve(openBound)) {
-            metrics.onAnswered(request.queryClass(), FinalAnswer.NOT_ADMITTED);
+                || decisionThread.queuedTasks() >= maxQueuedEvents
+                || !requests.tryReserve(maxOpenRequests)) {
+            metrics.onCompleted(request.queryClass(), RequestCompletion.NOT_ADMITTED);
             return NOT_ADMITTED;
         }
-        long id = lastId.incrementAndGet();
+        long id = lastRequestId.incrementAndGet();
         long deadlineNs = clock.nowNs() + request.timeLimitNs();
         decisionThread.execute(
                 () -> dispatcher.submit(new OpenRequest(id, request, sink), deadlineNs));
@@ -151,8 +152,8 @@
     // Shutdown
 
     /** Sets whether new requests are rejected. Open requests are not affected. */
-    public void rejectNew(boolean rejects) {
-        rejectingNew = rejects;
+    public void rejectNew(boolean rejected) {
+        rejectingNew = rejected;
     }
 
     /**
@@ -164,12 +165,12 @@
     public void drain(long timeoutNs) throws InterruptedException {
         accepting = false;
         awaitAnswered(clock.nowNs() + timeoutNs);
-        decisionThread.execute(dispatcher::answerAll);
-        awaitAnswered(clock.nowNs() + DRAIN_GRACE_NS);
+        decisionThread.execute(dispatcher::respondToAll);
+        awaitAnswered(clock.nowNs() + DRAIN_RESPONSE_TIMEOUT_NS);
     }
 
-    private void awaitAnswered(long untilNs) throws InterruptedException {
-        while (requests.unansweredCount() > 0 && clock.nowNs() < untilNs) {
+    private void awaitAnswered(long deadlineNs) throws InterruptedException {
+        while (requests.unansweredCount() > 0 && clock.nowNs() < deadlineNs) {
             Thread.sleep(DRAIN_POLL_MS);
         }
     }
--- a/router/src/main/java/ashlink/router/core/DecisionDispatcher.java
+++ b/router/src/main/java/ashlink/router/core/DecisionDispatcher.java
@@ -40,7 +40,7 @@
     private final ScheduledThreadPoolExecutor timer;
     private final OpenRequestTable requests;
     private final RequestMetrics metrics;
-    private final AttemptRunner attempts;
+    private final AttemptRunner attemptRunner;
     private volatile Core.Observer observer = (event, nowNs, actions) -> {};
 
     DecisionDispatcher(
@@ -60,7 +60,7 @@
         this.timer = timer;
         this.requests = requests;
         this.metrics = metrics;
-        this.attempts = new AttemptRunner(clock, thread, timer, requests, metrics, this::dispatch);
+        attemptRunner = new AttemptRunner(clock, thread, timer, requests, metrics, this::dispatch);
     }
 
     /** Sets the observer of decisions; may be called on any thread. */
@@ -114,7 +114,7 @@
                                 request.estimatedMemoryMb(),
                                 request.tenant()));
         if (!dispatched && !openRequest.answered) {
-            answerWithFallback(openRequest, FinalAnswer.DECISION_ERROR);
+            respondWithFallback(openRequest, RequestCompletion.DECISION_ERROR);
         }
     }
 
@@ -122,7 +122,7 @@
     void clientDisconnected(long id) {
         OpenRequest openRequest = requests.unanswered(id);
         if (openRequest != null) {
-            requests.markAnswered(openRequest, FinalAnswer.CLIENT_DISCONNECTED);
+            requests.markAnswered(openRequest, RequestCompletion.CLIENT_DISCONNECTED);
             dispatch(new ClientDisconnected(id));
         }
     }
@@ -131,14 +131,14 @@
      * Aborts all attempts, and sends a final response for each request whose response has not
      * begun.
      */
-    void answerAll() {
+    void respondToAll() {
         for (OpenRequest openRequest : requests.snapshot()) {
             if (!openRequest.answered) {
                 if (openRequest.attempt != null) {
                     openRequest.attempt.abort(AttemptEndReason.CANCELLED);
                 }
-                if (!openRequest.isAnswering()) {
-                    answerWithFallback(openRequest, FinalAnswer.SHUTDOWN);
+                if (!openRequest.isResponding()) {
+                    respondWithFallback(openRequest, RequestCompletion.SHUTDOWN);
                 }
             }
         }
@@ -154,7 +154,7 @@
         }
         if (openRequest.attempt != null) {
             openRequest.attempt.abort(AttemptEndReason.TIMED_OUT);
-            if (openRequest.isAnswering()) {
+            if (openRequest.isResponding()) {
                 // The end of the attempt is already queued and completes the request.
                 return;
             }
@@ -163,14 +163,14 @@
                 "request has no response at its deadline request={} class={}",
                 openRequest.id,
                 openRequest.request.queryClass());
-        answerWithFallback(openRequest, FinalAnswer.DEADLINE_EXCEEDED);
+        respondWithFallback(openRequest, RequestCompletion.DEADLINE_EXCEEDED);
     }
 
-    private void answerWithFallback(OpenRequest openRequest, FinalAnswer answer) {
+    private void respondWithFallback(OpenRequest openRequest, RequestCompletion completion) {
         boolean mayHaveRun =
                 openRequest.mayHaveRun
                         || openRequest.attempt != null && openRequest.attempt.phase().mayRun();
-        requests.markAnswered(openRequest, answer);
+        requests.markAnswered(openRequest, completion);
         QueryClass queryClass = classes.get(openRequest.request.queryClass());
         if (FallbackResponse.mayReject(queryClass, mayHaveRun)) {
             openRequest.sink.reject(0);
@@ -184,7 +184,7 @@
 
     private void perform(Action action) {
         if (action instanceof StartAttempt startAttempt) {
-            attempts.start(startAttempt);
+            attemptRunner.start(startAttempt);
         } else if (action instanceof SetAttemptResources resources) {
             setResources(resources);
         } else if (action instanceof Reject reject) {
@@ -192,7 +192,7 @@
         } else if (action instanceof Fail fail) {
             fail(fail);
         } else if (action instanceof CancelAttempt cancelAttempt) {
-            attempts.cancel(cancelAttempt);
+            attemptRunner.cancel(cancelAttempt);
         } else if (action instanceof CheckHealth checkHealth) {
             checkHealth(checkHealth.engine());
         } else if (action instanceof SetTimer setTimer) {
@@ -213,7 +213,7 @@
     private void reject(Reject reject) {
         OpenRequest openRequest = requests.unanswered(reject.id());
         if (openRequest != null) {
-            requests.markAnswered(openRequest, FinalAnswer.REJECTED);
+            requests.markAnswered(openRequest, RequestCompletion.REJECTED);
             openRequest.sink.reject(reject.retryAfterNs());
         }
     }
@@ -221,7 +221,7 @@
     private void fail(Fail fail) {
         OpenRequest openRequest = requests.unanswered(fail.id());
         if (openRequest != null) {
-            requests.markAnswered(openRequest, FinalAnswer.FAILED);
+            requests.markAnswered(openRequest, RequestCompletion.FAILED);
             openRequest.sink.fail();
         }
     }
--- a/router/src/main/java/ashlink/router/core/OpenRequest.java
+++ b/router/src/main/java/ashlink/router/core/OpenRequest.java
@@ -16,7 +16,7 @@
     Attempt attempt;
 
     /** Number of attempts started so far. */
-    int attempts;
+    int startedAttempts;
 
     /** Whether the request has its final response. */
     boolean answered;
@@ -40,7 +40,7 @@
     }
 
     /** Returns true if the attempt in flight has started to write its response to the client. */
-    boolean isAnswering() {
+    boolean isResponding() {
         return attempt != null && attempt.phase() == AttemptPhase.ANSWERING;
     }
 }
--- a/router/src/main/java/ashlink/router/core/OpenRequestTable.java
+++ b/router/src/main/java/ashlink/router/core/OpenRequestTable.java
@@ -68,11 +68,11 @@
      * Records the final response of a request, and removes the request unless an attempt is in
      * flight.
      */
-    void markAnswered(OpenRequest openRequest, FinalAnswer answer) {
+    void markAnswered(OpenRequest openRequest, RequestCompletion completion) {
         openRequest.answered = true;
         openRequest.deadlineTimer.cancel(false);
         unansweredCount.decrementAndGet();
-        metrics.onAnswered(openRequest.request.queryClass(), answer);
+        metrics.onCompleted(openRequest.request.queryClass(), completion);
         if (openRequest.attempt == null) {
             remove(openRequest);
         }
--- a/router/src/main/java/ashlink/router/core/PrometheusRequestMetrics.java
+++ b/router/src/main/java/ashlink/router/core/PrometheusRequestMetrics.java
@@ -62,8 +62,8 @@
     }
 
     @Override
-    public void onAnswered(String queryClass, FinalAnswer answer) {
-        answers.labelValues(queryClass, answer.label()).inc();
+    public void onCompleted(String queryClass, RequestCompletion completion) {
+        answers.labelValues(queryClass, completion.label()).inc();
     }
 
     @Override
--- a/router/src/main/java/ashlink/router/core/FinalAnswer.java
+++ b/router/src/main/java/ashlink/router/core/RequestCompletion.java
@@ -1,12 +1,11 @@
 package ashlink.router.core;
 
 /**
- * How the core completed a request, as counted by the metric {@code ashlink_answers_total}. Unlike
- * {@link StatementOutcome}, which describes the response that a client of a frontend received,
- * these values distinguish the reasons inside the core, and they are neither stored nor sent to
- * clients.
+ * Reason for which the core completed a request, as counted by the metric {@code
+ * ashlink_answers_total}. Values are neither stored nor sent to clients. In contrast, {@link
+ * StatementOutcome} describes the response that the client of a statement received.
  */
-public enum FinalAnswer {
+public enum RequestCompletion {
     /** The client received the complete response of an engine. */
     SERVED("served"),
     /** The client received an error of an engine that the statement itself caused. */
@@ -33,7 +32,7 @@
 
     private final String label;
 
-    FinalAnswer(String label) {
+    RequestCompletion(String label) {
         this.label = label;
     }
 
--- a/router/src/main/java/ashlink/router/core/RequestMetrics.java
+++ b/router/src/main/java/ashlink/router/core/RequestMetrics.java
@@ -21,7 +21,7 @@
     default void onAdmitted(String queryClass) {}
 
     /** Records how a request was completed. */
-    default void onAnswered(String queryClass, FinalAnswer answer) {}
+    default void onCompleted(String queryClass, RequestCompletion completion) {}
 
     /** Records the end of an attempt; {@code outcome} is the name of an {@code Outcome}. */
     default void onAttemptEnded(String engine, String outcome) {}
--- a/router/src/main/java/ashlink/router/core/StatementOutcome.java
+++ b/router/src/main/java/ashlink/router/core/StatementOutcome.java
@@ -1,9 +1,9 @@
 package ashlink.router.core;
 
 /**
- * Outcome of a statement as its client sees it: what kind of response the client connection or the
- * HTTP interface sent. In contrast, {@link FinalAnswer} describes why the core completed a request.
- * Ordinals are stored in the idempotency key log, so new constants are only appended.
+ * Outcome of a statement as its client sees it: the kind of response that the native protocol or
+ * the HTTP interface sent. In contrast, {@link RequestCompletion} describes why the core completed
+ * a request. Ordinals are stored in the idempotency key log, so new constants are only appended.
  */
 public enum StatementOutcome {
     /** The client received the complete response of an engine. */
--- a/router/src/main/java/ashlink/router/discovery/EndpointRegistry.java
+++ b/router/src/main/java/ashlink/router/discovery/EndpointRegistry.java
@@ -28,15 +28,15 @@
      * Maximum difference of start times that are treated as equal; engines report their uptime in
      * seconds.
      */
-    private static final long START_TOLERANCE_NS = 2_000_000_000L;
+    private static final long START_TIME_TOLERANCE_NS = 2_000_000_000L;
 
     /** Start time of an engine that has finished its warm-up. */
-    private static final long STARTED_LONG_AGO = 0;
+    private static final long WARM_UP_FINISHED = 0;
 
     private static final class EngineRecord {
         EngineSpec spec;
         EndpointState state;
-        long startedNs = STARTED_LONG_AGO;
+        long startedNs = WARM_UP_FINISHED;
 
         /** Whether the last connection attempt failed. */
         boolean unreachable;
@@ -64,10 +64,10 @@
      * Replaces the configured engines. An engine with a new address is treated as a new process.
      */
     public EndpointsChanged configure(Iterable<EngineSpec> specs) {
-        Map<String, EngineRecord> before = new LinkedHashMap<>(engines);
+        Map<String, EngineRecord> previous = new LinkedHashMap<>(engines);
         engines.clear();
         for (EngineSpec spec : specs) {
-            EngineRecord engine = before.getOrDefault(spec.name(), new EngineRecord());
+            EngineRecord engine = previous.getOrDefault(spec.name(), new EngineRecord());
             boolean hasNewAddress =
                     engine.spec != null && !engine.spec.address().equals(spec.address());
             if (hasNewAddress) {
@@ -89,7 +89,7 @@
             return Optional.empty();
         }
         engine.state = state;
-        return Optional.of(changed(engine));
+        return Optional.of(delta(engine));
     }
 
     /**
@@ -102,18 +102,18 @@
             return Optional.empty();
         }
         long startedNs = nowNs - uptimeNs;
-        boolean isStartKnown = engine.startedNs != STARTED_LONG_AGO;
-        boolean isWarm = uptimeNs >= slowStartNs;
-        boolean isSame =
-                isStartKnown && Math.abs(startedNs - engine.startedNs) <= START_TOLERANCE_NS;
+        boolean isStartKnown = engine.startedNs != WARM_UP_FINISHED;
+        boolean isWarmUpFinished = uptimeNs >= slowStartNs;
+        boolean isUnchanged =
+                isStartKnown && Math.abs(startedNs - engine.startedNs) <= START_TIME_TOLERANCE_NS;
         // A start time before a reported one results from rounding or from a delayed response.
         boolean isStale = isStartKnown && startedNs < engine.startedNs && !engine.startAssumed;
-        if (!isStartKnown && isWarm || isSame || isStale) {
+        if (!isStartKnown && isWarmUpFinished || isUnchanged || isStale) {
             return Optional.empty();
         }
-        engine.startedNs = isWarm ? STARTED_LONG_AGO : Math.max(1, startedNs);
+        engine.startedNs = isWarmUpFinished ? WARM_UP_FINISHED : Math.max(1, startedNs);
         engine.startAssumed = false;
-        return Optional.of(changed(engine));
+        return Optional.of(delta(engine));
     }
 
     /** Records that a connection to an engine failed. */
@@ -139,7 +139,7 @@
         }
         engine.startedNs = nowNs;
         engine.startAssumed = true;
-        return Optional.of(changed(engine));
+        return Optional.of(delta(engine));
     }
 
     /**
@@ -160,13 +160,13 @@
     public void restore(Iterable<Endpoint> stored) {
         for (Endpoint endpoint : stored) {
             EngineRecord engine = engines.get(endpoint.engine());
-            if (engine != null && engine.startedNs == STARTED_LONG_AGO) {
+            if (engine != null && engine.startedNs == WARM_UP_FINISHED) {
                 engine.startedNs = Math.max(0, endpoint.startedNs());
             }
         }
     }
 
-    private static EndpointsChanged changed(EngineRecord engine) {
+    private static EndpointsChanged delta(EngineRecord engine) {
         return new EndpointsChanged(EndpointListKind.DELTA, List.of(endpoint(engine)));
     }
 
--- a/router/src/main/java/ashlink/router/frontend/ResponseWriter.java
+++ b/router/src/main/java/ashlink/router/frontend/ClientErrors.java
@@ -8,7 +8,7 @@
  * Creates the errors that the router sends to clients instead of the response of an engine. Each
  * kind of error has its own code from the public list of the native protocol.
  */
-public final class ResponseWriter {
+public final class ClientErrors {
 
     /** The statement was rejected and a retry is safe (TOO_MANY_SIMULTANEOUS_QUERIES). */
     public static final int REJECTED = 202;
@@ -20,20 +20,20 @@
     public static final int CANCELLED = 394;
 
     /** The user name or password is invalid (AUTHENTICATION_FAILED). */
-    public static final int LOGIN = 516;
+    public static final int LOGIN_FAILED = 516;
 
     /** The client or engine violated the protocol (UNEXPECTED_PACKET_FROM_CLIENT). */
-    public static final int PROTOCOL = 101;
+    public static final int PROTOCOL_VIOLATION = 101;
 
     /** A column has an unsupported type (UNKNOWN_TYPE). */
     public static final int UNKNOWN_TYPE = 50;
 
     /** A limit of this router is exceeded (TOO_MANY_BYTES). */
-    public static final int LIMIT = 307;
+    public static final int LIMIT_EXCEEDED = 307;
 
     private static final long NS_PER_MS = 1_000_000L;
 
-    private ResponseWriter() {}
+    private ClientErrors() {}
 
     static ServerError rejected(long retryAfterNs, String reason) {
         String retryHint =
@@ -73,15 +73,15 @@
     }
 
     static ServerError loginFailed() {
-        return new ServerError(LOGIN, "ashlink::Login", "ashlink: invalid user name or password");
+        return new ServerError(LOGIN_FAILED, "ashlink::Login", "ashlink: invalid user name or password");
     }
 
-    static ServerError protocol(WireException failure) {
+    static ServerError protocolViolation(WireException failure) {
         int code =
                 switch (failure.reason()) {
                     case UNKNOWN_TYPE -> UNKNOWN_TYPE;
-                    case TOO_LARGE -> LIMIT;
-                    default -> PROTOCOL;
+                    case TOO_LARGE -> LIMIT_EXCEEDED;
+                    default -> PROTOCOL_VIOLATION;
                 };
         return new ServerError(code, "ashlink::Protocol", "ashlink: " + failure.getMessage());
     }
--- a/router/src/main/java/ashlink/router/frontend/ConnectionLease.java
+++ b/router/src/main/java/ashlink/router/frontend/ConnectionLease.java
@@ -18,7 +18,7 @@
 
     /** Acquires a connection from the pool of an engine. */
     NativeEngineConnection acquire(String engine, String database) throws IOException {
-        connection = engines.take(engine, database);
+        connection = engines.acquire(engine, database);
         return connection;
     }
 
@@ -32,7 +32,7 @@
 
     /** Returns the connection to its pool if it is reusable; closes it otherwise. */
     void release(boolean reusable) {
-        engines.giveBack(connection, reusable);
+        engines.release(connection, reusable);
         connection = null;
     }
 }
--- a/router/src/main/java/ashlink/router/frontend/CredentialCache.java
+++ b/router/src/main/java/ashlink/router/frontend/CredentialCache.java
@@ -20,12 +20,12 @@
  */
 public final class CredentialCache {
 
-    private static final int MAX_CONCURRENT_CHECKS = 4;
+    private static final int MAX_CONCURRENT_VERIFICATIONS = 4;
     private static final int MAX_CACHED = 10_000;
     private static final int SECRET_BYTES = 32;
     private static final String MAC = "HmacSHA256";
 
-    private final Semaphore checks = new Semaphore(MAX_CONCURRENT_CHECKS);
+    private final Semaphore verifications = new Semaphore(MAX_CONCURRENT_VERIFICATIONS);
     private final Cache<String, Boolean> verified =
             Caffeine.newBuilder().maximumSize(MAX_CACHED).build();
     private final SecretKeySpec key;
@@ -56,7 +56,7 @@
         if (spec != null && verified.getIfPresent(digest) != null) {
             return true;
         }
-        checks.acquire();
+        verifications.acquire();
         try {
             boolean matches = Passwords.matches(password, hash);
             if (matches) {
@@ -64,7 +64,7 @@
             }
             return matches;
         } finally {
-            checks.release();
+            verifications.release();
         }
     }
 
--- a/router/src/main/java/ashlink/router/frontend/EngineResponseRelay.java
+++ b/router/src/main/java/ashlink/router/frontend/EngineResponseRelay.java
@@ -33,7 +33,7 @@
 final class EngineResponseRelay {
 
     /** Buffer size from which on committed packets are written, to avoid many small writes. */
-    private static final int GATHER_BYTES = 64 << 10;
+    private static final int WRITE_BATCH_BYTES = 64 << 10;
 
     private static final int MAX_PROFILE_EVENT_ROWS = 100_000;
 
@@ -44,7 +44,7 @@
     private final ByteBuf response;
 
     /** Values of the profile events that the engine sent with its response, by name. */
-    private final Map<String, Double> reportedValues = new HashMap<>();
+    private final Map<String, Double> profileEvents = new HashMap<>();
 
     private boolean committed;
 
@@ -94,7 +94,7 @@
                             && block.rows() == 0
                             && block.columns() > 0;
             if (isInsertHeader) {
-                AttemptEndReason reason = startFeeding(packetStart);
+                AttemptEndReason reason = startInsert(packetStart);
                 if (reason != null || attempt.isOver()) {
                     return reason;
                 }
@@ -116,7 +116,7 @@
         boolean clientSupports = true;
         if (kind == ServerPacket.PROFILE_EVENTS) {
             readTableName(in);
-            reportedValues.putAll(
+            profileEvents.putAll(
                     LoadReportReader.values(
                             connection.blocks().read(false, MAX_PROFILE_EVENT_ROWS)));
             clientSupports = Revision.hasProfileEvents(clientRevision);
@@ -164,8 +164,8 @@
             }
             committed = true;
         }
-        boolean due = response.size() >= GATHER_BYTES || !lease.connection().in().hasBuffered();
-        if (committed && response.size() > 0 && due) {
+        boolean shouldWrite = response.size() >= WRITE_BATCH_BYTES || !lease.connection().in().hasBuffered();
+        if (committed && response.size() > 0 && shouldWrite) {
             exchange.write(response);
             response.clear();
         }
@@ -180,7 +180,7 @@
         boolean ended =
                 attempt.end(
                         AttemptEndReason.SERVED,
-                        context.engines().loadReports().attemptReport(reportedValues));
+                        context.engines().loadReports().attemptReport(profileEvents));
         lease.release(ended);
         if (ended) {
             exchange.finish(response, StatementOutcome.SERVED);
@@ -197,7 +197,7 @@
         exchange.recordError(
                 attempt.engine() + ": error code " + error.code() + ": " + error.message());
         boolean ended =
-                attempt.end(reason, context.engines().loadReports().attemptReport(reportedValues));
+                attempt.end(reason, context.engines().loadReports().attemptReport(profileEvents));
         lease.release(ended && dataComplete);
         if (ended && reason == AttemptEndReason.STATEMENT_ERROR) {
             exchange.finish(response, StatementOutcome.ERROR);
@@ -206,7 +206,7 @@
     }
 
     /** Passes the header of an insert to the client, then sends the data to the engine. */
-    private AttemptEndReason startFeeding(int headerStart)
+    private AttemptEndReason startInsert(int headerStart)
             throws IOException, InterruptedException {
         byte[] header = Arrays.copyOfRange(response.array(), headerStart, response.size());
         if (!exchange.acceptHeader(response, header)) {
@@ -215,14 +215,14 @@
             return AttemptEndReason.ENGINE_ERROR;
         }
         response.clear();
-        return feed();
+        return sendInsertData();
     }
 
     /**
      * Sends the data of the insert to the engine. Returns null after all data is sent or if the
      * attempt has ended, otherwise the reason for the end of the attempt.
      */
-    private AttemptEndReason feed() throws IOException, InterruptedException {
+    private AttemptEndReason sendInsertData() throws IOException, InterruptedException {
         InsertFeed feed = exchange.feed();
         while (true) {
             byte[] packet = feed.next(attempt);
@@ -230,17 +230,17 @@
                 // The client disconnected, or the attempt timed out.
                 return AttemptEndReason.CANCELLED;
             }
-            while (lease.connection().hasSomething()) {
+            while (lease.connection().hasUnreadBytes()) {
                 if (!handleEarlyPacket()) {
                     return null;
                 }
             }
-            boolean last = feed.isAtEnd();
-            if (last && exchange.waitsForData() && !attempt.advance(AttemptPhase.ENDING)) {
+            boolean isLast = feed.isAtEnd();
+            if (isLast && exchange.waitsForData() && !attempt.advance(AttemptPhase.SENDING_DATA_END)) {
                 return AttemptEndReason.CANCELLED;
             }
             lease.connection().write(packet);
-            if (last) {
+            if (isLast) {
                 return attempt.advance(AttemptPhase.RUNNING) ? null : AttemptEndReason.CANCELLED;
             }
         }
--- a/router/src/main/java/ashlink/router/frontend/InsertFeed.java
+++ b/router/src/main/java/ashlink/router/frontend/InsertFeed.java
@@ -45,7 +45,7 @@
         if (replayable
                 && (bufferedBytes + packet.length > maxReplayBytes || !quota.take(packet.length))) {
             replayable = false;
-            dropSent();
+            discardSent();
             quota.give(bufferedBytes);
         }
         while (!closed
@@ -64,7 +64,7 @@
         notifyAll();
     }
 
-    private void dropSent() {
+    private void discardSent() {
         List<byte[]> sent = packets.subList(0, nextIndex);
         for (byte[] packet : sent) {
             bufferedBytes -= packet.length;
--- a/router/src/main/java/ashlink/router/frontend/ListenerContext.java
+++ b/router/src/main/java/ashlink/router/frontend/ListenerContext.java
@@ -25,7 +25,7 @@
  * @param classifier supplier of the classifier for the current settings
  * @param statementAnalyzer analyzer of statements
  * @param unsupportedStatements log of statements that cannot be analyzed
- * @param boot identifier of this run of the router, part of the query ids sent to engines
+ * @param boot identifier of this run of the router, part of query ids and spool file names
  */
 public record ListenerContext(
         Supplier<RouterConfig> settings,
--- a/router/src/main/java/ashlink/router/frontend/NativeAttempt.java
+++ b/router/src/main/java/ashlink/router/frontend/NativeAttempt.java
@@ -39,8 +39,8 @@
     public void run() {
         AttemptEndReason reason = AttemptEndReason.CONNECTION_BROKEN;
         try {
-            reason = drive();
-        } catch (NativeConnectionPool.Full | InterruptedException e) {
+            reason = execute();
+        } catch (NativeConnectionPool.ExhaustedException | InterruptedException e) {
             reason = AttemptEndReason.NO_CAPACITY;
         } catch (WireException e) {
             reason = handleProtocolError(e);
@@ -83,7 +83,7 @@
                 && !relay.isCommitted()
                 && attempt.phase() == AttemptPhase.RUNNING
                 && attempt.end(AttemptEndReason.STATEMENT_ERROR, AttemptReport.NONE)) {
-            exchange.finish(ResponseWriter.protocol(failure), StatementOutcome.ERROR);
+            exchange.finish(ClientErrors.protocolViolation(failure), StatementOutcome.ERROR);
             return null;
         }
         return AttemptEndReason.CONNECTION_BROKEN;
@@ -92,7 +92,7 @@
     /**
      * Runs the attempt; returns the reason for its end, or null if the attempt has already ended.
      */
-    private AttemptEndReason drive() throws IOException, InterruptedException {
+    private AttemptEndReason execute() throws IOException, InterruptedException {
         InsertFeed feed = exchange.feed();
         if (feed != null && !feed.rewind()) {
             return AttemptEndReason.NO_CAPACITY;
@@ -112,7 +112,7 @@
             return AttemptEndReason.ENGINE_DRAINING;
         }
         connection.write(query);
-        AttemptPhase next = exchange.waitsForData() ? AttemptPhase.FEEDING : AttemptPhase.RUNNING;
+        AttemptPhase next = exchange.waitsForData() ? AttemptPhase.SENDING_DATA : AttemptPhase.RUNNING;
         if (!attempt.advance(next)) {
             return AttemptEndReason.CANCELLED;
         }
--- a/router/src/main/java/ashlink/router/frontend/NativeClientConnection.java
+++ b/router/src/main/java/ashlink/router/frontend/NativeClientConnection.java
@@ -101,7 +101,7 @@
             if (exchange != null && !exchange.isDone()) {
                 exchange.rejectInput(failure);
             } else if (failure.reason() != WireException.Reason.TRUNCATED) {
-                client.write(ResponseWriter.protocol(failure));
+                client.write(ClientErrors.protocolViolation(failure));
             }
         } catch (IOException e) {
             LOG.debug("client disconnected client={} error=\"{}\"", client.peer(), e.toString());
@@ -130,7 +130,7 @@
                     .addKeyValue("client", client.peer())
                     .addKeyValue("user", hello.user())
                     .log("login rejected");
-            client.write(ResponseWriter.loginFailed());
+            client.write(ClientErrors.loginFailed());
             return false;
         }
         writeHello();
@@ -226,21 +226,21 @@
             exchange.awaitDone();
         }
         QueryPacket query = QueryPacket.read(in, revision, context.limits());
-        ByteBuf external =
+        ByteBuf externalTables =
                 new ByteBuf(
                         context.config().resourceLimits().insertBufferBytes(),
                         context.insertQuota());
-        boolean more = true;
-        while (more) {
-            more = !readExternalTable(external, query.compressed());
+        boolean hasMore = true;
+        while (hasMore) {
+            hasMore = !readExternalTable(externalTables, query.compressed());
         }
-        byte[] tables = Arrays.copyOf(external.array(), external.size());
-        external.release();
+        byte[] encodedTables = Arrays.copyOf(externalTables.array(), externalTables.size());
+        externalTables.release();
         if (query.stage() != QueryPacket.COMPLETE) {
             throw new WireException(
                     WireException.Reason.MALFORMED, "unsupported query stage " + query.stage());
         }
-        begin(query, tables);
+        submit(query, encodedTables);
     }
 
     /** Reads an external table; returns true for the empty block that ends the list. */
@@ -256,8 +256,8 @@
 
     // Statements
 
-    private void begin(QueryPacket query, byte[] externalTables) {
-        QueryPacket identified =
+    private void submit(QueryPacket query, byte[] externalTables) {
+        QueryPacket verified =
                 new QueryPacket(
                         query.id(),
                         clientInfo(query),
@@ -272,25 +272,25 @@
                         revision,
                         hello.user(),
                         hello.database(),
-                        identified,
+                        verified,
                         externalTables);
         dataComplete = exchange.feed() == null;
     }
 
     /** Returns the client information of a query, with the verified user and address. */
     private ClientInfo clientInfo(QueryPacket query) {
-        ClientInfo claimed = query.client();
+        ClientInfo reported = query.client();
         return new ClientInfo(
                 hello.user(),
                 query.id(),
                 client.peer(),
-                claimed.osUser(),
-                claimed.host(),
-                claimed.name().isEmpty() ? hello.name() : claimed.name(),
-                claimed.major(),
-                claimed.minor(),
-                claimed.revision(),
-                claimed.patch(),
-                claimed.quotaKey());
+                reported.osUser(),
+                reported.host(),
+                reported.name().isEmpty() ? hello.name() : reported.name(),
+                reported.major(),
+                reported.minor(),
+                reported.revision(),
+                reported.patch(),
+                reported.quotaKey());
     }
 }
--- a/router/src/main/java/ashlink/router/frontend/NativeListener.java
+++ b/router/src/main/java/ashlink/router/frontend/NativeListener.java
@@ -21,7 +21,7 @@
 
     private final ListenerContext context;
     private final CredentialCache credentials = new CredentialCache();
-    private final ServerSocket server;
+    private final ServerSocket serverSocket;
     private final Thread acceptThread;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private volatile boolean closed;
@@ -29,9 +29,9 @@
     /** Binds the configured address; port 0 selects any free port. */
     public NativeListener(ListenerContext context) throws IOException {
         this.context = context;
-        server = new ServerSocket();
-        server.setReuseAddress(true);
-        server.bind(context.config().listen(), BACKLOG);
+        serverSocket = new ServerSocket();
+        serverSocket.setReuseAddress(true);
+        serverSocket.bind(context.config().listen(), BACKLOG);
         acceptThread = new Thread(this::accept, context.config().name() + "-accept");
         acceptThread.setDaemon(true);
     }
@@ -43,17 +43,17 @@
 
     /** Returns the address on which the listener accepts connections. */
     public InetSocketAddress address() {
-        return (InetSocketAddress) server.getLocalSocketAddress();
+        return (InetSocketAddress) serverSocket.getLocalSocketAddress();
     }
 
     private void accept() {
         while (!closed) {
             try {
-                startConnection(server.accept());
+                startConnection(serverSocket.accept());
             } catch (IOException e) {
                 if (!closed) {
                     LOG.warn("accept failed error=\"{}\"", e.toString());
-                    pause();
+                    waitBeforeRetry();
                 }
             }
         }
@@ -63,7 +63,7 @@
      * Sleeps before the next accept, to prevent a busy loop while the process has no free file
      * descriptors.
      */
-    private static void pause() {
+    private static void waitBeforeRetry() {
         try {
             Thread.sleep(ACCEPT_RETRY_DELAY_MS);
         } catch (InterruptedException e) {
@@ -106,7 +106,7 @@
     /** Stops accepting clients; open connections remain. */
     public void stopAccepting() throws IOException {
         closed = true;
-        server.close();
+        serverSocket.close();
     }
 
     /** Closes all connections. */
--- a/router/src/main/java/ashlink/router/frontend/RequestAdmission.java
+++ b/router/src/main/java/ashlink/router/frontend/RequestAdmission.java
@@ -63,7 +63,7 @@
         /** Rejects the statement without submitting it. */
         public void reject(String reason, long retryAfterNs) {
             exchange.finish(
-                    ResponseWriter.rejected(retryAfterNs, reason),
+                    ClientErrors.rejected(retryAfterNs, reason),
                     StatementOutcome.NOT_ADMITTED,
                     retryAfterNs);
         }
@@ -72,7 +72,7 @@
         public void submit() {
             if (request.timeLimitNs() <= 0) {
                 exchange.finish(
-                        ResponseWriter.rejected(0, "the time limit had expired on arrival"),
+                        ClientErrors.rejected(0, "the time limit had expired on arrival"),
                         StatementOutcome.REJECTED);
                 return;
             }
@@ -80,7 +80,7 @@
             if (id < 0) {
                 long retryAfterNs = context.config().capabilities().maxRetryAfterNs();
                 exchange.finish(
-                        ResponseWriter.rejected(
+                        ClientErrors.rejected(
                                 retryAfterNs, "the router is overloaded or shutting down"),
                         StatementOutcome.NOT_ADMITTED,
                         retryAfterNs);
--- a/router/src/main/java/ashlink/router/frontend/RequestExchange.java
+++ b/router/src/main/java/ashlink/router/frontend/RequestExchange.java
@@ -134,19 +134,19 @@
     @Override
     public void reject(long retryAfterNs) {
         finishOnWorker(
-                ResponseWriter.rejected(retryAfterNs, lastError),
+                ClientErrors.rejected(retryAfterNs, lastError),
                 StatementOutcome.REJECTED,
                 retryAfterNs);
     }
 
     @Override
     public void fail() {
-        finishOnWorker(ResponseWriter.failed(lastError), StatementOutcome.FAILED, 0);
+        finishOnWorker(ClientErrors.failed(lastError), StatementOutcome.FAILED, 0);
     }
 
     @Override
     public void abortPartial(Outcome outcome) {
-        finishOnWorker(ResponseWriter.interrupted(outcome), StatementOutcome.INCOMPLETE, 0);
+        finishOnWorker(ClientErrors.interrupted(outcome), StatementOutcome.INCOMPLETE, 0);
     }
 
     private void finishOnWorker(ServerError error, StatementOutcome outcome, long retryAfterNs) {
@@ -245,13 +245,13 @@
     /** Handles a cancellation by the client: responds immediately and informs the core. */
     public void cancel() {
         context.core().clientDisconnected(id);
-        finish(ResponseWriter.cancelled(), StatementOutcome.CANCELLED);
+        finish(ClientErrors.cancelled(), StatementOutcome.CANCELLED);
     }
 
     /** Handles a protocol violation: ends the statement, unless the response is claimed. */
     public void rejectInput(WireException failure) {
         context.core().clientDisconnected(id);
-        finish(ResponseWriter.protocol(failure), StatementOutcome.PROTOCOL_VIOLATION);
+        finish(ClientErrors.protocolViolation(failure), StatementOutcome.PROTOCOL_VIOLATION);
     }
 
     /** Handles the disconnect of the client; nothing more is written. */
--- a/router/src/main/java/ashlink/router/frontend/RequestHints.java
+++ b/router/src/main/java/ashlink/router/frontend/RequestHints.java
@@ -40,17 +40,17 @@
             Map<String, String> settings,
             String tenant,
             long marginNs) {
-        double limitNs = number(settings.get(TIME_LIMIT_S)) * NS_PER_S;
+        double limitNs = parsePositive(settings.get(TIME_LIMIT_S)) * NS_PER_S;
         double clientTimeoutNs =
                 limitNs > 0 ? Math.min(limitNs, queryClass.deadlineNs()) : queryClass.deadlineNs();
-        long timeoutNs = (long) clientTimeoutNs - marginNs;
+        long timeLimitNs = (long) clientTimeoutNs - marginNs;
         return new CoreRequest(
                 queryClass.name(),
                 settings.get(ORDERING_KEY),
                 tableGroup(analysis, settings.get(TABLE_GROUP)),
-                timeoutNs,
-                (long) (number(settings.get(WORK_MS)) * NS_PER_MS),
-                number(settings.get(MEMORY_MB)),
+                timeLimitNs,
+                (long) (parsePositive(settings.get(WORK_MS)) * NS_PER_MS),
+                parsePositive(settings.get(MEMORY_MB)),
                 tenant);
     }
 
@@ -81,7 +81,7 @@
     }
 
     /** Returns the positive number in a text; 0 if the text is null or contains no valid number. */
-    private static double number(String text) {
+    private static double parsePositive(String text) {
         if (text == null) {
             return 0;
         }
--- a/router/src/main/java/ashlink/router/frontend/UnsupportedStatementLog.java
+++ b/router/src/main/java/ashlink/router/frontend/UnsupportedStatementLog.java
@@ -26,7 +26,7 @@
     void log(StatementAnalysis analysis, String user) {
         long suppressedBefore;
         synchronized (this) {
-            if (!acquire()) {
+            if (!tryAcquire()) {
                 suppressed.incrementAndGet();
                 return;
             }
@@ -41,7 +41,7 @@
                 .log("unsupported statement syntax");
     }
 
-    private boolean acquire() {
+    private boolean tryAcquire() {
         long nowNs = System.nanoTime();
         if (nowNs - secondStartNs >= NS_PER_S) {
             secondStartNs = nowNs;
--- a/router/src/main/java/ashlink/router/upstream/EngineConnections.java
+++ b/router/src/main/java/ashlink/router/upstream/EngineConnections.java
@@ -52,10 +52,10 @@
      * States according to the endpoint list, without the drains that operators set. Guarded by
      * this.
      */
-    private final Map<String, EndpointState> listed = new HashMap<>();
+    private final Map<String, EndpointState> listedStates = new HashMap<>();
 
     /** Engines that operators drain. Guarded by this. */
-    private Set<String> drained = Set.of();
+    private Set<String> drainedEngines = Set.of();
 
     private volatile Consumer<EndpointsChanged> onChange = change -> {};
 
@@ -103,13 +103,13 @@
      * Replaces all endpoints; the connection pools of engines with an unchanged address are kept.
      */
     public synchronized void configure(Collection<EngineSpec> specs) {
-        Map<String, NativeConnectionPool> before = new HashMap<>(pools);
+        Map<String, NativeConnectionPool> previous = new HashMap<>(pools);
         pools.clear();
         states.clear();
-        listed.clear();
+        listedStates.clear();
         List<EngineSpec> effective = new ArrayList<>();
         for (EngineSpec spec : specs) {
-            listed.put(spec.name(), spec.state());
+            listedStates.put(spec.name(), spec.state());
             effective.add(
                     new EngineSpec(
                             spec.name(),
@@ -118,41 +118,41 @@
                             spec.kind(),
                             spec.cell(),
                             effectiveState(spec.name())));
-            NativeConnectionPool old = before.get(spec.name());
-            boolean sameAddress = old != null && old.address().equals(spec.address());
-            pools.put(spec.name(), sameAddress ? before.remove(spec.name()) : newPool(spec));
+            NativeConnectionPool existing = previous.get(spec.name());
+            boolean sameAddress = existing != null && existing.address().equals(spec.address());
+            pools.put(spec.name(), sameAddress ? previous.remove(spec.name()) : newPool(spec));
             states.put(spec.name(), effectiveState(spec.name()));
         }
-        before.values().forEach(NativeConnectionPool::close);
+        previous.values().forEach(NativeConnectionPool::close);
         onChange.accept(registry.configure(effective));
     }
 
     private NativeConnectionPool newPool(EngineSpec spec) {
-        RouterConfig.ResourceLimits bounds = config.resourceLimits();
+        RouterConfig.ResourceLimits resourceLimits = config.resourceLimits();
         return new NativeConnectionPool(
                 spec.name(),
                 spec.address(),
                 config.name(),
                 config.engineLogin(),
-                bounds.maxConnectionsPerEngine(),
-                (int) Math.max(1, bounds.connectTimeoutNs() / NS_PER_MS),
-                bounds.engineIdleTimeoutNs(),
+                resourceLimits.maxConnectionsPerEngine(),
+                (int) Math.max(1, resourceLimits.connectTimeoutNs() / NS_PER_MS),
+                resourceLimits.engineIdleTimeoutNs(),
                 limits);
     }
 
     /** Sets the state of an engine in the endpoint list. */
     public synchronized void setState(String engine, EndpointState state) {
-        listed.put(engine, state);
-        reportState(engine);
+        listedStates.put(engine, state);
+        publishState(engine);
     }
 
     /** Sets the engines that operators drain, regardless of their state in the endpoint list. */
     public synchronized void setDrained(Set<String> engines) {
         Set<String> changed = new TreeSet<>(engines);
-        changed.addAll(drained);
-        changed.removeIf(engine -> engines.contains(engine) == drained.contains(engine));
-        drained = Set.copyOf(engines);
-        changed.forEach(this::reportState);
+        changed.addAll(drainedEngines);
+        changed.removeIf(engine -> engines.contains(engine) == drainedEngines.contains(engine));
+        drainedEngines = Set.copyOf(engines);
+        changed.forEach(this::publishState);
     }
 
     /**
@@ -160,12 +160,12 @@
      * state in the endpoint list.
      */
     private EndpointState effectiveState(String engine) {
-        return drained.contains(engine)
+        return drainedEngines.contains(engine)
                 ? EndpointState.DRAINING
-                : listed.getOrDefault(engine, EndpointState.READY);
+                : listedStates.getOrDefault(engine, EndpointState.READY);
     }
 
-    private void reportState(String engine) {
+    private void publishState(String engine) {
         if (pools.containsKey(engine)) {
             states.put(engine, effectiveState(engine));
             registry.setState(engine, effectiveState(engine)).ifPresent(onChange);
@@ -185,7 +185,7 @@
         return states.get(engine) == EndpointState.READY;
     }
 
-    private synchronized void reportConnect(String engine, boolean connected) {
+    private synchronized void recordConnect(String engine, boolean connected) {
         if (connected) {
             registry.recordConnection(engine, clock.nowNs()).ifPresent(onChange);
         } else {
@@ -198,7 +198,7 @@
      *
      * @param uptimeS uptime in seconds; negative if unknown
      */
-    synchronized void reportUptime(String engine, double uptimeS) {
+    synchronized void recordUptime(String engine, double uptimeS) {
         if (uptimeS >= 0) {
             registry.recordUptime(engine, (long) (uptimeS * NS_PER_S), clock.nowNs())
                     .ifPresent(onChange);
@@ -210,22 +210,22 @@
     /**
      * Acquires a connection to an engine with the given default database.
      *
-     * @throws NativeConnectionPool.Full if all connections are in use
+     * @throws NativeConnectionPool.ExhaustedException if all connections are in use
      * @throws IOException if the engine is unknown or the connection cannot be established
      */
-    public NativeEngineConnection take(String engine, String database) throws IOException {
+    public NativeEngineConnection acquire(String engine, String database) throws IOException {
         NativeConnectionPool pool = pools.get(engine);
         if (pool == null) {
             throw new IOException("unknown engine " + engine + ": not in the endpoint list");
         }
         try {
-            NativeEngineConnection connection = pool.take(database);
-            reportConnect(engine, true);
+            NativeEngineConnection connection = pool.acquire(database);
+            recordConnect(engine, true);
             return connection;
-        } catch (NativeConnectionPool.Full e) {
+        } catch (NativeConnectionPool.ExhaustedException e) {
             throw e;
         } catch (IOException e) {
-            reportConnect(engine, false);
+            recordConnect(engine, false);
             throw e;
         }
     }
@@ -236,9 +236,9 @@
      * @param reusable whether the last statement on the connection has ended and no further bytes
      *     will arrive; otherwise the connection is closed
      */
-    public void giveBack(NativeEngineConnection connection, boolean reusable) {
+    public void release(NativeEngineConnection connection, boolean reusable) {
         if (reusable) {
-            connection.pool().giveBack(connection, clock.nowNs());
+            connection.pool().release(connection, clock.nowNs());
         } else {
             connection.pool().discard(connection);
         }
--- a/router/src/main/java/ashlink/router/upstream/EngineHealthChecker.java
+++ b/router/src/main/java/ashlink/router/upstream/EngineHealthChecker.java
@@ -72,16 +72,16 @@
         NativeEngineConnection connection = null;
         boolean succeeded = false;
         try {
-            connection = engines.take(engine, "");
+            connection = engines.acquire(engine, "");
             outcome = Outcome.RESET;
             Map<String, Double> metrics = queryMetrics(connection);
             succeeded = metrics != null;
             outcome = succeeded ? Outcome.SERVED : Outcome.ERROR;
             if (succeeded) {
                 report = loadReports.report(metrics);
-                engines.reportUptime(engine, loadReports.uptimeS(metrics));
+                engines.recordUptime(engine, loadReports.uptimeS(metrics));
             }
-        } catch (NativeConnectionPool.Full e) {
+        } catch (NativeConnectionPool.ExhaustedException e) {
             outcome = Outcome.NOT_SENT;
         } catch (SocketTimeoutException e) {
             outcome = connection == null ? Outcome.CONNECT_FAILED : Outcome.TIMED_OUT;
@@ -89,7 +89,7 @@
             LOG.debug("health check failed engine={} error=\"{}\"", engine, e.toString());
         } finally {
             if (connection != null) {
-                engines.giveBack(connection, succeeded);
+                engines.release(connection, succeeded);
             }
             listener.onHealthCheckCompleted(outcome, report);
         }
@@ -100,7 +100,7 @@
         int connectTimeoutMs =
                 (int) Math.max(1, config.resourceLimits().connectTimeoutNs() / NS_PER_MS);
         ByteBuf packets = encodeQuery(connection.revision());
-        connection.timeout(RESPONSE_TIMEOUT_FACTOR * connectTimeoutMs);
+        connection.setReadTimeout(RESPONSE_TIMEOUT_FACTOR * connectTimeoutMs);
         connection.write(packets);
         Map<String, Double> metrics = new HashMap<>();
         while (true) {
@@ -109,7 +109,7 @@
                 ServerError.read(connection.in(), limits);
                 return null;
             } else if (kind == ServerPacket.END_OF_STREAM) {
-                connection.timeout(0);
+                connection.setReadTimeout(0);
                 return metrics;
             } else if (kind.hasBlock()) {
                 connection.in().readString("table", limits.nameBytes());
@@ -118,7 +118,7 @@
                     metrics.putAll(LoadReportReader.values(block));
                 }
             } else {
-                connection.skipPlain(kind);
+                connection.skipPacket(kind);
             }
         }
     }
--- a/router/src/main/java/ashlink/router/upstream/LoadReportReader.java
+++ b/router/src/main/java/ashlink/router/upstream/LoadReportReader.java
@@ -67,10 +67,10 @@
     }
 
     private static double value(Map<String, Double> values, List<LoadMetric> candidates) {
-        for (LoadMetric gauge : candidates) {
-            Double value = values.get(gauge.name());
+        for (LoadMetric candidate : candidates) {
+            Double value = values.get(candidate.name());
             if (value != null) {
-                return value / gauge.divisor();
+                return value / candidate.divisor();
             }
         }
         return Double.NaN;
--- a/router/src/main/java/ashlink/router/upstream/NativeConnectionPool.java
+++ b/router/src/main/java/ashlink/router/upstream/NativeConnectionPool.java
@@ -18,11 +18,11 @@
 public final class NativeConnectionPool {
 
     /** Thrown if all connections of a pool are in use. */
-    public static final class Full extends IOException {
+    public static final class ExhaustedException extends IOException {
 
         private static final long serialVersionUID = 1L;
 
-        Full(String engine, int maxConnections) {
+        ExhaustedException(String engine, int maxConnections) {
             super("all " + maxConnections + " connections to engine " + engine + " are in use");
         }
     }
@@ -68,16 +68,16 @@
     /**
      * Acquires an idle connection with the given default database, or opens a new one.
      *
-     * @throws Full if all connections are in use
+     * @throws ExhaustedException if all connections are in use
      */
-    NativeEngineConnection take(String database) throws IOException {
-        NativeEngineConnection pooled = poll(database);
-        while (pooled != null) {
-            if (pooled.isQuiet()) {
-                return pooled;
+    NativeEngineConnection acquire(String database) throws IOException {
+        NativeEngineConnection idleConnection = poll(database);
+        while (idleConnection != null) {
+            if (idleConnection.isReusable()) {
+                return idleConnection;
             }
-            discard(pooled);
-            pooled = poll(database);
+            discard(idleConnection);
+            idleConnection = poll(database);
         }
         NativeEngineConnection evicted = null;
         synchronized (this) {
@@ -85,7 +85,7 @@
                 // All idle connections have another default database; the oldest is replaced.
                 evicted = idle.pollLast();
             } else if (open >= maxConnections) {
-                throw new Full(engine, maxConnections);
+                throw new ExhaustedException(engine, maxConnections);
             } else {
                 open++;
             }
@@ -116,7 +116,7 @@
     }
 
     /** Returns a reusable connection to the pool. */
-    void giveBack(NativeEngineConnection connection, long nowNs) {
+    void release(NativeEngineConnection connection, long nowNs) {
         connection.setIdleSinceNs(nowNs);
         synchronized (this) {
             if (!closed) {
--- a/router/src/main/java/ashlink/router/upstream/NativeEngineConnection.java
+++ b/router/src/main/java/ashlink/router/upstream/NativeEngineConnection.java
@@ -174,22 +174,22 @@
     }
 
     /** Returns whether unread bytes from the engine are available. */
-    public boolean hasSomething() throws IOException {
+    public boolean hasUnreadBytes() throws IOException {
         return in.hasBuffered() || channel.socket().getInputStream().available() > 0;
     }
 
     /** Sets the read timeout; 0 disables it. */
-    void timeout(int ms) throws IOException {
-        channel.socket().setSoTimeout(ms);
+    void setReadTimeout(int timeoutMs) throws IOException {
+        channel.socket().setSoTimeout(timeoutMs);
     }
 
     /** Skips a packet that contains no block and does not end a response. */
-    void skipPlain(ServerPacket kind) throws IOException {
+    void skipPacket(ServerPacket kind) throws IOException {
         PlainPackets.skip(kind, in, revision, limits);
     }
 
     /** Returns false if the engine closed the connection or sent unexpected bytes. */
-    boolean isQuiet() {
+    boolean isReusable() {
         if (in.hasBuffered()) {
             return false;
         }
--- a/router/src/test/java/ashlink/router/core/AttemptEndReasonTest.java
+++ b/router/src/test/java/ashlink/router/core/AttemptEndReasonTest.java
@@ -43,7 +43,7 @@
     @Test
     void endIsReportedOnceWithTheFirstReason() {
         for (AttemptPhase phase :
-                EnumSet.complementOf(EnumSet.of(AttemptPhase.SENDING, AttemptPhase.ENDING))) {
+                EnumSet.complementOf(EnumSet.of(AttemptPhase.SENDING, AttemptPhase.SENDING_DATA_END))) {
             ends.clear();
             Attempt attempt = attempt(phase);
             attempt.abort(AttemptEndReason.TIMED_OUT);
@@ -57,7 +57,7 @@
 
     @Test
     void abortDuringAWriteIsReportedByTheWriter() {
-        for (AttemptPhase phase : List.of(AttemptPhase.SENDING, AttemptPhase.ENDING)) {
+        for (AttemptPhase phase : List.of(AttemptPhase.SENDING, AttemptPhase.SENDING_DATA_END)) {
             ends.clear();
             Attempt failed = attempt(phase);
             failed.abort(AttemptEndReason.TIMED_OUT);
