--- a/router/src/test/java/ashlink/router/StoredDataRecorder.java
+++ b/router/src/test/java/ashlink/router/StoredDataRecorder.java
@@ -19,8 +19,9 @@
 import java.util.List;
 
 /**
- * Writes what {@code StoredKeysTest}, {@code StoredListTest} and {@code StoredSpoolTest} read: a
- * journal of keys, a list of engines and a spool, each as a router leaves it that is killed.
+ * Writes the files that {@code StoredKeysTest}, {@code StoredListTest} and {@code StoredSpoolTest}
+ * read: an idempotency key log, an endpoint list and a spool, each in the state that a killed
+ * router leaves behind.
  */
 final class StoredDataRecorder {
 
@@ -28,59 +29,63 @@
     private static final long SECOND_MS = 1_000;
     private static final long START_MS = 1_700_000_000_000L;
     private static final long DAY_MS = 24 * 3_600 * SECOND_MS;
-    private static final String BOOT_BEFORE = "ln0b9j5c";
-    private static final String BOOT_FIRST = "ln0a0000";
+    private static final String PREVIOUS_BOOT = "ln0b9j5c";
+    private static final String FIRST_BOOT = "ln0a0000";
 
     private StoredDataRecorder() {}
 
-    /** Writes all of it into the folder that is named. */
+    /**
+     * Writes all files.
+     *
+     * @param arguments path of the directory to write to
+     */
     public static void main(String[] arguments) throws Exception {
-        Path folder = Path.of(arguments[0]);
-        firstStartOfKeys(folder.resolve("keys"));
-        secondStartOfKeys(folder.resolve("keys"));
-        list(folder.resolve("engines.list"));
-        spool(folder.resolve("spool"));
+        Path directory = Path.of(arguments[0]);
+        writeKeysOfFirstRun(directory.resolve("keys"));
+        writeKeysOfSecondRun(directory.resolve("keys"));
+        writeEndpointList(directory.resolve("engines.list"));
+        writeSpool(directory.resolve("spool"));
     }
 
-    // Keys
-    private static void firstStartOfKeys(Path folder) throws IOException {
+    // Idempotency keys
+    private static void writeKeysOfFirstRun(Path directory) throws IOException {
         IdempotencyKeyTable table = new IdempotencyKeyTable(100, DAY_MS);
-        try (IdempotencyKeyLog journal =
-                new IdempotencyKeyLog(FolderDisk.writing(folder), table, START_MS)) {
-            claim(journal, table, "ann", "over-its-time", START_MS - DAY_MS / 2);
-            claim(journal, table, "ann", "under-way-at-the-first-end", START_MS + 1);
-            for (StatementOutcome ending : StatementOutcome.values()) {
-                answer(
-                        journal,
+        try (IdempotencyKeyLog keyLog =
+                new IdempotencyKeyLog(FolderDisk.writing(directory), table, START_MS)) {
+            claim(keyLog, table, "ann", "over-its-time", START_MS - DAY_MS / 2);
+            claim(keyLog, table, "ann", "under-way-at-the-first-end", START_MS + 1);
+            for (StatementOutcome outcome : StatementOutcome.values()) {
+                complete(
+                        keyLog,
                         table,
                         claim(
-                                journal,
+                                keyLog,
                                 table,
                                 "ann",
-                                "ending-" + ending.ordinal(),
-                                START_MS + 10 + ending.ordinal()),
-                        ending);
+                                "ending-" + outcome.ordinal(),
+                                START_MS + 10 + outcome.ordinal()),
+                        outcome);
             }
         }
     }
 
-    private static void secondStartOfKeys(Path folder) throws IOException {
+    private static void writeKeysOfSecondRun(Path directory) throws IOException {
         IdempotencyKeyTable table = new IdempotencyKeyTable(100, DAY_MS);
         long nowMs = START_MS + 3_600 * SECOND_MS;
-        try (IdempotencyKeyLog journal =
-                new IdempotencyKeyLog(FolderDisk.writing(folder), table, nowMs)) {
-            IdempotencyKeyTable.Entry free = claim(journal, table, "böb", "free-again", nowMs + 1);
-            claim(journal, table, "böb", "ending-0", nowMs + 2);
-            table.release(free.user(), free.key());
-            journal.release(free);
-            IdempotencyKeyTable.Entry first = claim(journal, table, "", "answered-late", nowMs + 3);
-            claim(journal, table, "", "under-way", nowMs + 4);
-            answer(journal, table, first, StatementOutcome.SERVED);
+        try (IdempotencyKeyLog keyLog =
+                new IdempotencyKeyLog(FolderDisk.writing(directory), table, nowMs)) {
+            IdempotencyKeyTable.Entry released = claim(keyLog, table, "böb", "free-again", nowMs + 1);
+            claim(keyLog, table, "böb", "ending-0", nowMs + 2);
+            table.release(released.user(), released.key());
+            keyLog.release(released);
+            IdempotencyKeyTable.Entry first = claim(keyLog, table, "", "answered-late", nowMs + 3);
+            claim(keyLog, table, "", "under-way", nowMs + 4);
+            complete(keyLog, table, first, StatementOutcome.SERVED);
         }
     }
 
     private static IdempotencyKeyTable.Entry claim(
-            IdempotencyKeyLog journal,
+            IdempotencyKeyLog keyLog,
             IdempotencyKeyTable table,
             String user,
             String key,
@@ -88,22 +93,22 @@
             throws IOException {
         IdempotencyKeyTable.Entry entry =
                 table.claim(user, key, "digest of " + key, "r1~" + user + "-" + key, nowMs).entry();
-        journal.put(entry);
+        keyLog.put(entry);
         return entry;
     }
 
-    private static void answer(
-            IdempotencyKeyLog journal,
+    private static void complete(
+            IdempotencyKeyLog keyLog,
             IdempotencyKeyTable table,
             IdempotencyKeyTable.Entry entry,
-            StatementOutcome ending)
+            StatementOutcome outcome)
             throws IOException {
-        table.put(entry.completed(ending));
-        journal.put(entry.completed(ending));
+        table.put(entry.completed(outcome));
+        keyLog.put(entry.completed(outcome));
     }
 
-    // The list of engines
-    private static void list(Path file) throws IOException {
+    // Endpoint list
+    private static void writeEndpointList(Path file) throws IOException {
         long nowNs = 5_000 * SECOND_MS * MS;
         new EndpointListStore(file)
                 .save(
@@ -128,29 +133,34 @@
                         START_MS);
     }
 
-    // The spool
-    private static void spool(Path folder) throws Exception {
-        leave(folder, "r1", BOOT_FIRST, "r1~b7Zq_-9", 1);
-        leave(folder, "r1", BOOT_BEFORE, "r1~sX4", 2);
-        leave(folder, "r10", BOOT_BEFORE, "r10~sX4", 1);
-        leave(folder, "r2", BOOT_BEFORE, "r2~sX4", 1);
-        Path torn = folder.resolve("r1." + BOOT_BEFORE + ".sX4.1.page");
-        Files.write(torn, Arrays.copyOf(Files.readAllBytes(torn), 5)); // killed within it
-        Files.writeString(folder.resolve("r1.notes"), "an operator's\n");
+    // Spool
+    private static void writeSpool(Path directory) throws Exception {
+        storePages(directory, "r1", FIRST_BOOT, "r1~b7Zq_-9", 1);
+        storePages(directory, "r1", PREVIOUS_BOOT, "r1~sX4", 2);
+        storePages(directory, "r10", PREVIOUS_BOOT, "r10~sX4", 1);
+        storePages(directory, "r2", PREVIOUS_BOOT, "r2~sX4", 1);
+        Path truncated = directory.resolve("r1." + PREVIOUS_BOOT + ".sX4.1.page");
+        // The router was killed while it wrote this page.
+        Files.write(truncated, Arrays.copyOf(Files.readAllBytes(truncated), 5));
+        Files.writeString(directory.resolve("r1.notes"), "an operator's\n");
     }
 
-    /** Keeps pages of a statement and drops none: the first in memory, so many more in files. */
-    private static void leave(Path folder, String router, String boot, String statement, int pages)
+    /**
+     * Stores pages of a statement and releases none. The memory limit holds only the first page, so
+     * the given number of further pages is written to files.
+     */
+    private static void storePages(
+            Path directory, String router, String boot, String statement, int pages)
             throws Exception {
         SpoolBudget budget = new SpoolBudget(new SpoolBudget.Limits(1_000, 1_000, 1_000, 0));
-        try (SpoolDirectory files = new SpoolDirectory(folder, router, boot)) {
-            PageStore store = new PageStore(files, budget, Quota.NONE, 30);
-            long before = 0;
+        try (SpoolDirectory spoolDirectory = new SpoolDirectory(directory, router, boot)) {
+            PageStore store = new PageStore(spoolDirectory, budget, Quota.NONE, 30);
+            long offset = 0;
             for (int page = 0; page <= pages; page++) {
                 String text = "page " + page + " of " + statement + "\n";
                 byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-                store.store(statement, "ann", page, bytes, bytes.length, before, () -> false);
-                before += bytes.length;
+                store.store(statement, "ann", page, bytes, bytes.length, offset, () -> false);
+                offset += bytes.length;
             }
         }
     }
--- a/router/src/test/java/ashlink/router/StoredFiles.java
+++ b/router/src/test/java/ashlink/router/StoredFiles.java
@@ -7,26 +7,26 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Files that an earlier build wrote, in {@code src/test/resources/stored}, and copies of them. */
+/** Access to the files that an earlier build wrote, in {@code src/test/resources/stored}. */
 public final class StoredFiles {
 
     private StoredFiles() {}
 
-    /** A stored file or folder. */
+    /** Returns the path of a stored file or directory. */
     public static Path stored(String name) throws URISyntaxException {
         return Path.of(StoredFiles.class.getResource("/stored").toURI()).resolve(name);
     }
 
-    /** Copies the files of a stored folder into one that is there. */
-    public static void copyFolder(String name, Path to) throws IOException, URISyntaxException {
+    /** Copies the files of a stored directory into an existing directory. */
+    public static void copyFolder(String name, Path target) throws IOException, URISyntaxException {
         for (String file : names(stored(name))) {
-            Files.copy(stored(name).resolve(file), to.resolve(file));
+            Files.copy(stored(name).resolve(file), target.resolve(file));
         }
     }
 
-    /** Names of all files of a folder, in order. */
-    public static List<String> names(Path folder) throws IOException {
-        try (Stream<Path> files = Files.list(folder)) {
+    /** Returns the sorted names of all files in a directory. */
+    public static List<String> names(Path directory) throws IOException {
+        try (Stream<Path> files = Files.list(directory)) {
             return files.map(file -> file.getFileName().toString()).sorted().toList();
         }
     }
--- a/router/src/test/java/ashlink/router/core/AttemptEndReasonTest.java
+++ b/router/src/test/java/ashlink/router/core/AttemptEndReasonTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Outcomes of attempts by phase and reason, and the exactly-once report of an attempt's end. */
+/**
+ * Tests the outcomes of attempts by phase and reason, and that the end of an attempt is reported
+ * exactly once.
+ */
 class AttemptEndReasonTest {
 
     private final List<Attempt.AttemptEnd> ends = new ArrayList<>();
@@ -25,7 +28,7 @@
 
     @ParameterizedTest
     @EnumSource(AttemptEndReason.class)
-    void statementMayHaveRunOnlyOnceTheEngineHasItComplete(AttemptEndReason reason) {
+    void mayHaveRunOnlyAfterEngineReceivedCompleteStatement(AttemptEndReason reason) {
         for (AttemptPhase phase : AttemptPhase.values()) {
             Outcome outcome = reason.outcome(phase);
             if (reason == AttemptEndReason.SERVED) {
@@ -41,7 +44,7 @@
     }
 
     @Test
-    void endIsReportedOnceWithTheFirstReason() {
+    void endIsReportedOnceWithReasonOfAbort() {
         for (AttemptPhase phase :
                 EnumSet.complementOf(EnumSet.of(AttemptPhase.SENDING, AttemptPhase.SENDING_DATA_END))) {
             ends.clear();
@@ -56,21 +59,21 @@
     }
 
     @Test
-    void abortDuringAWriteIsReportedByTheWriter() {
+    void abortDuringCompletingWriteIsReportedByWriter() {
         for (AttemptPhase phase : List.of(AttemptPhase.SENDING, AttemptPhase.SENDING_DATA_END)) {
             ends.clear();
-            Attempt failed = attempt(phase);
-            failed.abort(AttemptEndReason.TIMED_OUT);
+            Attempt attemptWithFailedWrite = attempt(phase);
+            attemptWithFailedWrite.abort(AttemptEndReason.TIMED_OUT);
             assertEquals(0, ends.size());
-            // The write threw: its last byte was not sent.
-            failed.end(AttemptEndReason.CONNECTION_BROKEN, Attempt.AttemptReport.NONE);
+            // The write failed before the last byte was sent.
+            attemptWithFailedWrite.end(AttemptEndReason.CONNECTION_BROKEN, Attempt.AttemptReport.NONE);
             assertEquals(Outcome.NOT_SENT, ends.get(0).outcome());
             ends.clear();
-            Attempt written = attempt(phase);
-            written.abort(AttemptEndReason.TIMED_OUT);
-            // The write was complete before the socket was closed.
-            assertFalse(written.advance(AttemptPhase.RUNNING));
-            written.end(AttemptEndReason.CANCELLED, Attempt.AttemptReport.NONE);
+            Attempt attemptWithCompletedWrite = attempt(phase);
+            attemptWithCompletedWrite.abort(AttemptEndReason.TIMED_OUT);
+            // The write completed before the socket was closed.
+            assertFalse(attemptWithCompletedWrite.advance(AttemptPhase.RUNNING));
+            attemptWithCompletedWrite.end(AttemptEndReason.CANCELLED, Attempt.AttemptReport.NONE);
             assertEquals(Outcome.TIMED_OUT, ends.get(0).outcome());
         }
     }
--- a/router/src/test/java/ashlink/router/core/FallbackResponseTest.java
+++ b/router/src/test/java/ashlink/router/core/FallbackResponseTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The final answer of a request for which the decision module gives none. */
+/** Tests the final response of a request for which the decision module provides none. */
 class FallbackResponseTest {
 
     private static QueryClass queryClass(RetrySafety retrySafety, DeduplicationScope scope) {
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void requestThatCannotHaveRunIsRejected() {
+    void requestThatCannotHaveRunMayBeRejected() {
         for (RetrySafety retrySafety : RetrySafety.values()) {
             for (DeduplicationScope scope : DeduplicationScope.values()) {
                 assertTrue(FallbackResponse.mayReject(queryClass(retrySafety, scope), false));
@@ -43,15 +43,15 @@
     }
 
     @Test
-    void requestThatMayHaveRunIsRejectedOnlyWhereARetryIsHarmless() {
+    void requestThatMayHaveRunMayBeRejectedOnlyIfRetryIsSafe() {
         for (RetrySafety retrySafety : RetrySafety.values()) {
             for (DeduplicationScope scope : DeduplicationScope.values()) {
-                boolean harmless =
+                boolean isRetrySafe =
                         retrySafety == RetrySafety.IDEMPOTENT
                                 || retrySafety == RetrySafety.DEDUPLICATED
                                         && scope == DeduplicationScope.ALL;
                 assertEquals(
-                        harmless,
+                        isRetrySafe,
                         FallbackResponse.mayReject(queryClass(retrySafety, scope), true),
                         retrySafety + " " + scope);
             }
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void requestOfAnUnknownClassThatMayHaveRunFails() {
+    void requestOfUnknownClassThatMayHaveRunIsNotRejected() {
         assertFalse(FallbackResponse.mayReject(null, true));
     }
 }
--- a/router/src/test/java/ashlink/router/discovery/StoredListTest.java
+++ b/router/src/test/java/ashlink/router/discovery/StoredListTest.java
@@ -16,33 +16,33 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * An endpoint list saved by an earlier build is read with the same content, and is not used where
- * it is damaged. It is {@code src/test/resources/stored/engines.list}; the README beside it
- * describes how it was written.
+ * Tests that an endpoint list saved by an earlier build is read with the same content, and is not
+ * used if it is corrupt. The list is {@code src/test/resources/stored/engines.list}; the README in
+ * that directory describes how the list was written.
  */
 class StoredListTest {
 
-    private static final long MILLISECOND = 1_000_000L;
-    private static final long SECOND = 1_000 * MILLISECOND;
-    private static final long DAY = 24 * 3_600 * SECOND;
-    private static final long SAVED_MS = 1_700_000_000_000L;
+    private static final long NS_PER_MS = 1_000_000L;
+    private static final long NS_PER_S = 1_000 * NS_PER_MS;
+    private static final long NS_PER_DAY = 24 * 3_600 * NS_PER_S;
+    private static final long SAVED_EPOCH_MS = 1_700_000_000_000L;
 
-    /** Time of the load on the router's clock, as if the router had started long ago. */
-    private static final long NOW = 100 * DAY;
+    /** Time of the load on the clock of the router, long after the start of the router. */
+    private static final long NOW_NS = 100 * NS_PER_DAY;
 
-    @TempDir Path folder;
+    @TempDir Path directory;
 
-    private static List<Endpoint> expected(long startedOfFirst, long startedOfThird) {
+    private static List<Endpoint> expected(long firstStartedNs, long thirdStartedNs) {
         return List.of(
-                new Endpoint("q1", EndpointState.READY, "z", "large", 3, startedOfFirst),
+                new Endpoint("q1", EndpointState.READY, "z", "large", 3, firstStartedNs),
                 new Endpoint("q2", EndpointState.DRAINING, "mañana", "small", -1, 0),
-                new Endpoint("q3", EndpointState.REMOVED, "", "", Long.MAX_VALUE, startedOfThird));
+                new Endpoint("q3", EndpointState.REMOVED, "", "", Long.MAX_VALUE, thirdStartedNs));
     }
 
-    private IOException loadFailure(byte[] bytes) throws IOException {
-        Path file = Files.write(folder.resolve("engines.list"), bytes);
+    private IOException failureOfLoading(byte[] bytes) throws IOException {
+        Path file = Files.write(directory.resolve("engines.list"), bytes);
         return assertThrows(
-                IOException.class, () -> new EndpointListStore(file).load(NOW, SAVED_MS));
+                IOException.class, () -> new EndpointListStore(file).load(NOW_NS, SAVED_EPOCH_MS));
     }
 
     private static byte[] stored() throws Exception {
@@ -50,33 +50,33 @@
     }
 
     @Test
-    void storedListIsReadAsItWasSaved() throws Exception {
+    void storedListIsReadWithSavedContent() throws Exception {
         EndpointListStore store = new EndpointListStore(StoredFiles.stored("engines.list"));
-        assertEquals(expected(NOW - 2 * SECOND, NOW - 90 * DAY), store.load(NOW, SAVED_MS));
+        assertEquals(expected(NOW_NS - 2 * NS_PER_S, NOW_NS - 90 * NS_PER_DAY), store.load(NOW_NS, SAVED_EPOCH_MS));
     }
 
     @Test
-    void startTimesAreConvertedToTheRoutersClock() throws Exception {
+    void startTimesAreConvertedToRouterClock() throws Exception {
         EndpointListStore store = new EndpointListStore(StoredFiles.stored("engines.list"));
         assertEquals(
-                expected(NOW - 12 * SECOND, NOW - 90 * DAY - 10 * SECOND),
-                store.load(NOW, SAVED_MS + 10_000));
+                expected(NOW_NS - 12 * NS_PER_S, NOW_NS - 90 * NS_PER_DAY - 10 * NS_PER_S),
+                store.load(NOW_NS, SAVED_EPOCH_MS + 10_000));
     }
 
     @Test
-    void savingTheSameListWritesTheSameBytes() throws Exception {
-        Path file = folder.resolve("engines.list");
-        new EndpointListStore(file).save(expected(NOW - 2 * SECOND, NOW - 90 * DAY), NOW, SAVED_MS);
+    void savingSameListWritesSameBytes() throws Exception {
+        Path file = directory.resolve("engines.list");
+        new EndpointListStore(file).save(expected(NOW_NS - 2 * NS_PER_S, NOW_NS - 90 * NS_PER_DAY), NOW_NS, SAVED_EPOCH_MS);
         assertArrayEquals(stored(), Files.readAllBytes(file));
     }
 
     @Test
-    void listWithAnyByteChangedIsNotLoaded() throws Exception {
+    void listWithAnyChangedByteIsNotLoaded() throws Exception {
         byte[] complete = stored();
         for (int i = 0; i < complete.length; i++) {
             byte[] changed = complete.clone();
             changed[i] ^= 1;
-            loadFailure(changed);
+            failureOfLoading(changed);
         }
     }
 
@@ -84,20 +84,20 @@
     void truncatedListIsNotLoaded() throws Exception {
         byte[] complete = stored();
         for (int length = 0; length < complete.length; length++) {
-            loadFailure(Arrays.copyOf(complete, length));
+            failureOfLoading(Arrays.copyOf(complete, length));
         }
     }
 
     @Test
-    void failureNamesTheFile() throws Exception {
+    void failureContainsPathOfFile() throws Exception {
         byte[] complete = stored();
-        String path = folder.resolve("engines.list").toString();
+        String path = directory.resolve("engines.list").toString();
         assertEquals(
                 "endpoint list " + path + " is truncated or corrupt",
-                loadFailure(Arrays.copyOf(complete, complete.length - 1)).getMessage());
+                failureOfLoading(Arrays.copyOf(complete, complete.length - 1)).getMessage());
         complete[0] ^= 1;
         assertEquals(
                 "invalid header of endpoint list " + path + ": expected version 1",
-                loadFailure(complete).getMessage());
+                failureOfLoading(complete).getMessage());
     }
 }
