--- a/router/src/main/java/ashlink/router/core/Core.java
+++ b/router/src/main/java/ashlink/router/core/Core.java
@@ -138,7 +138,7 @@
 
     /**
      * Handles a client that disconnected or cancelled its request. The sink receives no final
-     * response after this call.
+     * response after the decision thread has processed the call.
      */
     public void clientDisconnected(long id) {
         decisionThread.execute(() -> dispatcher.clientDisconnected(id));
