--- a/router/src/main/java/ashlink/router/Router.java
+++ b/router/src/main/java/ashlink/router/Router.java
@@ -42,8 +42,8 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(Router.class);
     private static final long NS_PER_S = 1_000_000_000L;
-    private static final long MAINTENANCE_INTERVAL_NS = NS_PER_S;
-    private static final long MAINTENANCE_DEADLINE_NS = 10 * NS_PER_S;
+    private static final long TASK_INTERVAL_NS = NS_PER_S;
+    private static final long TASK_DEADLINE_NS = 10 * NS_PER_S;
 
     /** Maximum time for the last runs of background tasks at shutdown. */
     private static final long BACKGROUND_STOP_TIMEOUT_NS = 5 * NS_PER_S;
@@ -98,7 +98,7 @@
         core =
                 new Core(
                         config.name(),
-                        module,
+                        decisionModule,
                         config.allQueryClasses(),
                         engines,
                         clock,
@@ -107,7 +107,8 @@
                         new PrometheusRequestMetrics(registry));
         ListenerContext context = listenerContext(limits);
         listener = new NativeListener(context);
-        background = new Scheduler(config.name(), Limits.DEFAULT, config.seed(), this::decisionLoad);
+        background =
+                new Scheduler(config.name(), Limits.DEFAULT, config.seed(), this::decisionLoad);
         http =
                 config.http().listen() == null
                         ? null
@@ -159,15 +160,12 @@
         core.start();
         engines.start(core::updateEndpoints, cachedEndpoints);
         background.add(
-                TaskSpec.every("list.keep", Priority.HIGH, MAINTENANCE_INTERVAL_NS, MAINTENANCE_DEADLINE_NS)
+                TaskSpec.every("list.keep", Priority.HIGH, TASK_INTERVAL_NS, TASK_DEADLINE_NS)
                         .alsoAtStop(),
                 lease -> endpointCache.save(engines.endpoints()));
         background.add(
                 TaskSpec.every(
-                        "engines.close-idle",
-                        Priority.NORMAL,
-                        MAINTENANCE_INTERVAL_NS,
-                        MAINTENANCE_DEADLINE_NS),
+                        "engines.close-idle", Priority.NORMAL, TASK_INTERVAL_NS, TASK_DEADLINE_NS),
                 lease -> engines.closeIdle());
         listener.start();
         if (http != null) {
--- a/router/src/main/java/ashlink/router/RouterCapture.java
+++ b/router/src/main/java/ashlink/router/RouterCapture.java
@@ -112,7 +112,8 @@
                                 0,
                                 HASHED_KEY_BYTES);
             } catch (GeneralSecurityException e) {
-                throw new IllegalStateException("required algorithm " + MAC + " is not available", e);
+                throw new IllegalStateException(
+                        "required algorithm " + MAC + " is not available", e);
             }
         };
     }
--- a/router/src/main/java/ashlink/router/classify/UnreachableRules.java
+++ b/router/src/main/java/ashlink/router/classify/UnreachableRules.java
@@ -31,8 +31,7 @@
                                 + " matches");
             }
             if (isContradictory(rules.get(i))) {
-                warnings.add(
-                        "rule " + number + " can never match: the kind load requires INSERT");
+                warnings.add("rule " + number + " can never match: the kind load requires INSERT");
             }
         }
         return warnings;
--- a/router/src/main/java/ashlink/router/frontend/ClientErrors.java
+++ b/router/src/main/java/ashlink/router/frontend/ClientErrors.java
@@ -73,7 +73,8 @@
     }
 
     static ServerError loginFailed() {
-        return new ServerError(LOGIN_FAILED, "ashlink::Login", "ashlink: invalid user name or password");
+        return new ServerError(
+                LOGIN_FAILED, "ashlink::Login", "ashlink: invalid user name or password");
     }
 
     static ServerError protocolViolation(WireException failure) {
--- a/router/src/main/java/ashlink/router/frontend/EngineResponseRelay.java
+++ b/router/src/main/java/ashlink/router/frontend/EngineResponseRelay.java
@@ -164,7 +164,8 @@
             }
             committed = true;
         }
-        boolean shouldWrite = response.size() >= WRITE_BATCH_BYTES || !lease.connection().in().hasBuffered();
+        boolean shouldWrite =
+                response.size() >= WRITE_BATCH_BYTES || !lease.connection().in().hasBuffered();
         if (committed && response.size() > 0 && shouldWrite) {
             exchange.write(response);
             response.clear();
@@ -206,8 +207,7 @@
     }
 
     /** Passes the header of an insert to the client, then sends the data to the engine. */
-    private AttemptEndReason startInsert(int headerStart)
-            throws IOException, InterruptedException {
+    private AttemptEndReason startInsert(int headerStart) throws IOException, InterruptedException {
         byte[] header = Arrays.copyOfRange(response.array(), headerStart, response.size());
         if (!exchange.acceptHeader(response, header)) {
             exchange.recordError(
@@ -236,7 +236,9 @@
                 }
             }
             boolean isLast = feed.isAtEnd();
-            if (isLast && exchange.waitsForData() && !attempt.advance(AttemptPhase.SENDING_DATA_END)) {
+            if (isLast
+                    && exchange.waitsForData()
+                    && !attempt.advance(AttemptPhase.SENDING_DATA_END)) {
                 return AttemptEndReason.CANCELLED;
             }
             lease.connection().write(packet);
--- a/router/src/main/java/ashlink/router/frontend/NativeAttempt.java
+++ b/router/src/main/java/ashlink/router/frontend/NativeAttempt.java
@@ -112,7 +112,8 @@
             return AttemptEndReason.ENGINE_DRAINING;
         }
         connection.write(query);
-        AttemptPhase next = exchange.waitsForData() ? AttemptPhase.SENDING_DATA : AttemptPhase.RUNNING;
+        AttemptPhase next =
+                exchange.waitsForData() ? AttemptPhase.SENDING_DATA : AttemptPhase.RUNNING;
         if (!attempt.advance(next)) {
             return AttemptEndReason.CANCELLED;
         }
--- a/router/src/test/java/ashlink/router/StoredDataRecorder.java
+++ b/router/src/test/java/ashlink/router/StoredDataRecorder.java
@@ -74,7 +74,8 @@
         long nowMs = START_MS + 3_600 * SECOND_MS;
         try (IdempotencyKeyLog keyLog =
                 new IdempotencyKeyLog(FolderDisk.writing(directory), table, nowMs)) {
-            IdempotencyKeyTable.Entry released = claim(keyLog, table, "böb", "free-again", nowMs + 1);
+            IdempotencyKeyTable.Entry released =
+                    claim(keyLog, table, "böb", "free-again", nowMs + 1);
             claim(keyLog, table, "böb", "ending-0", nowMs + 2);
             table.release(released.user(), released.key());
             keyLog.release(released);
--- a/router/src/test/java/ashlink/router/core/AttemptEndReasonTest.java
+++ b/router/src/test/java/ashlink/router/core/AttemptEndReasonTest.java
@@ -46,7 +46,8 @@
     @Test
     void endIsReportedOnceWithReasonOfAbort() {
         for (AttemptPhase phase :
-                EnumSet.complementOf(EnumSet.of(AttemptPhase.SENDING, AttemptPhase.SENDING_DATA_END))) {
+                EnumSet.complementOf(
+                        EnumSet.of(AttemptPhase.SENDING, AttemptPhase.SENDING_DATA_END))) {
             ends.clear();
             Attempt attempt = attempt(phase);
             attempt.abort(AttemptEndReason.TIMED_OUT);
@@ -66,7 +67,8 @@
             attemptWithFailedWrite.abort(AttemptEndReason.TIMED_OUT);
             assertEquals(0, ends.size());
             // The write failed before the last byte was sent.
-            attemptWithFailedWrite.end(AttemptEndReason.CONNECTION_BROKEN, Attempt.AttemptReport.NONE);
+            attemptWithFailedWrite.end(
+                    AttemptEndReason.CONNECTION_BROKEN, Attempt.AttemptReport.NONE);
             assertEquals(Outcome.NOT_SENT, ends.get(0).outcome());
             ends.clear();
             Attempt attemptWithCompletedWrite = attempt(phase);
--- a/router/src/test/java/ashlink/router/discovery/EndpointRegistryTest.java
+++ b/router/src/test/java/ashlink/router/discovery/EndpointRegistryTest.java
@@ -97,7 +97,8 @@
         assertEquals(List.of(), store.load(NOW_NS, 5_000_000));
         List<Endpoint> list =
                 List.of(
-                        new Endpoint("q1", EndpointState.DRAINING, "z", "k", 3, NOW_NS - 2 * NS_PER_S),
+                        new Endpoint(
+                                "q1", EndpointState.DRAINING, "z", "k", 3, NOW_NS - 2 * NS_PER_S),
                         new Endpoint("q2", EndpointState.READY, "z", "k", 0, 0));
         store.save(list, NOW_NS, 5_000_000);
         assertEquals(list, store.load(NOW_NS, 5_000_000));
@@ -106,13 +107,18 @@
         for (int length = 0; length < complete.length; length++) {
             Files.write(file, Arrays.copyOf(complete, length));
             assertThrows(
-                    IOException.class, () -> store.load(NOW_NS, 5_000_000), "truncated to " + length + " bytes");
+                    IOException.class,
+                    () -> store.load(NOW_NS, 5_000_000),
+                    "truncated to " + length + " bytes");
         }
         for (int i = 0; i < complete.length; i++) {
             byte[] flipped = complete.clone();
             flipped[i] ^= 1;
             Files.write(file, flipped);
-            assertThrows(IOException.class, () -> store.load(NOW_NS, 5_000_000), "bit flipped in byte " + i);
+            assertThrows(
+                    IOException.class,
+                    () -> store.load(NOW_NS, 5_000_000),
+                    "bit flipped in byte " + i);
         }
         store.save(list, NOW_NS, 5_000_000);
         assertFalse(Files.exists(dir.resolve("list.new")));
--- a/router/src/test/java/ashlink/router/discovery/StoredListTest.java
+++ b/router/src/test/java/ashlink/router/discovery/StoredListTest.java
@@ -52,7 +52,9 @@
     @Test
     void storedListIsReadWithSavedContent() throws Exception {
         EndpointListStore store = new EndpointListStore(StoredFiles.stored("engines.list"));
-        assertEquals(expected(NOW_NS - 2 * NS_PER_S, NOW_NS - 90 * NS_PER_DAY), store.load(NOW_NS, SAVED_EPOCH_MS));
+        assertEquals(
+                expected(NOW_NS - 2 * NS_PER_S, NOW_NS - 90 * NS_PER_DAY),
+                store.load(NOW_NS, SAVED_EPOCH_MS));
     }
 
     @Test
@@ -66,7 +68,11 @@
     @Test
     void savingSameListWritesSameBytes() throws Exception {
         Path file = directory.resolve("engines.list");
-        new EndpointListStore(file).save(expected(NOW_NS - 2 * NS_PER_S, NOW_NS - 90 * NS_PER_DAY), NOW_NS, SAVED_EPOCH_MS);
+        new EndpointListStore(file)
+                .save(
+                        expected(NOW_NS - 2 * NS_PER_S, NOW_NS - 90 * NS_PER_DAY),
+                        NOW_NS,
+                        SAVED_EPOCH_MS);
         assertArrayEquals(stored(), Files.readAllBytes(file));
     }
 
