--- a/router/src/main/java/ashlink/router/ConfigReload.java
+++ b/router/src/main/java/ashlink/router/ConfigReload.java
@@ -10,14 +10,14 @@
     private ConfigReload() {}
 
     /** Returns whether some of the changes take effect only after a restart. */
-    static boolean needsRestart(RouterConfig current, RouterConfig next) {
-        return !next.settings().equals(current.settings())
-                || !next.resourceLimits().equals(current.resourceLimits())
-                || !next.listen().equals(current.listen());
+    static boolean needsRestart(RouterConfig current, RouterConfig updated) {
+        return !updated.settings().equals(current.settings())
+                || !updated.resourceLimits().equals(current.resourceLimits())
+                || !updated.listen().equals(current.listen());
     }
 
     /** Returns the current settings with the engines, users and rules of the new settings. */
-    static RouterConfig merge(RouterConfig current, RouterConfig next) {
+    static RouterConfig merge(RouterConfig current, RouterConfig updated) {
         return new RouterConfig(
                 current.name(),
                 current.zone(),
@@ -29,12 +29,12 @@
                 current.stateDir(),
                 current.resourceLimits(),
                 current.engineKinds(),
-                next.engines(),
+                updated.engines(),
                 current.queryClasses(),
-                rules(current, next),
+                rules(current, updated),
                 current.defaultClass(),
                 current.defaultWriteClass(),
-                next.users(),
+                updated.users(),
                 current.tenants(),
                 current.overQuotaWeight(),
                 current.capabilities(),
@@ -47,8 +47,8 @@
     }
 
     /** Returns the new rules, without rules whose query class is not defined before a restart. */
-    private static List<ClassRule> rules(RouterConfig current, RouterConfig next) {
-        return next.rules().stream()
+    private static List<ClassRule> rules(RouterConfig current, RouterConfig updated) {
+        return updated.rules().stream()
                 .filter(rule -> current.queryClasses().containsKey(rule.queryClass()))
                 .toList();
     }
--- a/router/src/main/java/ashlink/router/Router.java
+++ b/router/src/main/java/ashlink/router/Router.java
@@ -224,15 +224,15 @@
     }
 
     /** Replaces the engines, users and classification rules; the rest requires a restart. */
-    public void reload(RouterConfig next) {
-        if (ConfigReload.needsRestart(config, next)) {
+    public void reload(RouterConfig updated) {
+        if (ConfigReload.needsRestart(config, updated)) {
             LOG.warn(
                     "reload is partial, some changes require a restart"
                             + " reason=\"classes, engine kinds, limits or addresses changed\"");
         }
-        config = ConfigReload.merge(config, next);
+        config = ConfigReload.merge(config, updated);
         classifier = new Classifier(config);
-        engines.configure(next.engines().values());
+        engines.configure(updated.engines().values());
         LOG.info("reloaded");
     }
 
--- a/router/src/main/java/ashlink/router/RouterCapture.java
+++ b/router/src/main/java/ashlink/router/RouterCapture.java
@@ -30,7 +30,7 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(RouterCapture.class);
     private static final long DISK_RETRY_DELAY_NS = 500_000_000L;
-    private static final String MAC = "HmacSHA256";
+    private static final String MAC_ALGORITHM = "HmacSHA256";
     private static final int HASHED_KEY_BYTES = 8;
     private static final int SECRET_BYTES = 32;
 
@@ -101,10 +101,10 @@
             key = new byte[SECRET_BYTES];
             new SecureRandom().nextBytes(key);
         }
-        SecretKeySpec spec = new SecretKeySpec(key, MAC);
+        SecretKeySpec spec = new SecretKeySpec(key, MAC_ALGORITHM);
         return text -> {
             try {
-                Mac mac = Mac.getInstance(MAC);
+                Mac mac = Mac.getInstance(MAC_ALGORITHM);
                 mac.init(spec);
                 return HexFormat.of()
                         .formatHex(
@@ -113,7 +113,7 @@
                                 HASHED_KEY_BYTES);
             } catch (GeneralSecurityException e) {
                 throw new IllegalStateException(
-                        "required algorithm " + MAC + " is not available", e);
+                        "required algorithm " + MAC_ALGORITHM + " is not available", e);
             }
         };
     }
--- a/router/src/main/java/ashlink/router/core/DecisionDispatcher.java
+++ b/router/src/main/java/ashlink/router/core/DecisionDispatcher.java
@@ -160,7 +160,7 @@
             }
         }
         LOG.error(
-                "request has no response at its deadline request={} class={}",
+                "deadline exceeded without a response request={} class={}",
                 openRequest.id,
                 openRequest.request.queryClass());
         respondWithFallback(openRequest, RequestCompletion.DEADLINE_EXCEEDED);
--- a/router/src/main/java/ashlink/router/frontend/CredentialCache.java
+++ b/router/src/main/java/ashlink/router/frontend/CredentialCache.java
@@ -23,7 +23,7 @@
     private static final int MAX_CONCURRENT_VERIFICATIONS = 4;
     private static final int MAX_CACHED = 10_000;
     private static final int SECRET_BYTES = 32;
-    private static final String MAC = "HmacSHA256";
+    private static final String MAC_ALGORITHM = "HmacSHA256";
 
     private final Semaphore verifications = new Semaphore(MAX_CONCURRENT_VERIFICATIONS);
     private final Cache<String, Boolean> verified =
@@ -34,7 +34,7 @@
     public CredentialCache() {
         byte[] secret = new byte[SECRET_BYTES];
         new SecureRandom().nextBytes(secret);
-        key = new SecretKeySpec(secret, MAC);
+        key = new SecretKeySpec(secret, MAC_ALGORITHM);
     }
 
     /** Returns whether a user name and password are cached as verified; does not block. */
@@ -70,7 +70,7 @@
 
     private String digest(String user, String password, String hash) {
         try {
-            Mac mac = Mac.getInstance(MAC);
+            Mac mac = Mac.getInstance(MAC_ALGORITHM);
             mac.init(key);
             for (String part : new String[] {user, password, String.valueOf(hash)}) {
                 byte[] bytes = part.getBytes(StandardCharsets.UTF_8);
@@ -80,7 +80,8 @@
             }
             return Base64.getEncoder().encodeToString(mac.doFinal());
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("required algorithm " + MAC + " is not available", e);
+            throw new IllegalStateException(
+                    "required algorithm " + MAC_ALGORITHM + " is not available", e);
         }
     }
 }
--- a/router/src/main/java/ashlink/router/frontend/EngineQueryEncoder.java
+++ b/router/src/main/java/ashlink/router/frontend/EngineQueryEncoder.java
@@ -18,13 +18,13 @@
 
     private static final String MEMORY_SETTING = "max_memory_usage";
     private static final String PRIORITY_SETTING = "priority";
-    private static final int BYTES_PER_MB_SHIFT = 20;
+    private static final int MB_TO_BYTES_SHIFT = 20;
 
     /**
-     * Offset for the conversion of priorities: on engines a smaller number means a higher priority,
-     * in the decision module a larger number does.
+     * Priority on the engine for the lowest priority of the decision module, 0. Smaller numbers
+     * have priority on engines, larger numbers in the decision module.
      */
-    private static final int MAX_ENGINE_PRIORITY = 4;
+    private static final int LOWEST_ENGINE_PRIORITY = 4;
 
     private final ListenerContext context;
     private final RequestExchange exchange;
@@ -88,11 +88,11 @@
             }
         }
         if (attempt.memoryMb() > 0) {
-            long bytes = attempt.memoryMb() << BYTES_PER_MB_SHIFT;
+            long bytes = attempt.memoryMb() << MB_TO_BYTES_SHIFT;
             settings.add(new Setting(MEMORY_SETTING, 0, Long.toString(bytes)));
         }
         if (attempt.priority() >= 0 && context.config().capabilities().priorities()) {
-            int priority = MAX_ENGINE_PRIORITY - attempt.priority();
+            int priority = LOWEST_ENGINE_PRIORITY - attempt.priority();
             settings.add(new Setting(PRIORITY_SETTING, 0, Integer.toString(priority)));
         }
         return settings;
--- a/router/src/main/java/ashlink/router/frontend/EngineResponseRelay.java
+++ b/router/src/main/java/ashlink/router/frontend/EngineResponseRelay.java
@@ -57,7 +57,7 @@
         this.exchange = exchange;
         this.attempt = attempt;
         this.lease = lease;
-        this.response = new ByteBuf(context.limits().packetBytes(), context.answerQuota());
+        this.response = new ByteBuf(context.limits().packetBytes(), context.responseQuota());
     }
 
     /** Returns whether the client receives the response of this attempt. */
--- a/router/src/main/java/ashlink/router/frontend/ListenerContext.java
+++ b/router/src/main/java/ashlink/router/frontend/ListenerContext.java
@@ -20,7 +20,7 @@
  * @param workers executor of attempts and final responses
  * @param timer executor of timeouts; tasks of this executor must not block
  * @param limits limits of the wire protocol
- * @param answerQuota memory budget of buffered responses
+ * @param responseQuota memory budget of buffered responses
  * @param insertQuota memory budget of buffered insert data
  * @param classifier supplier of the classifier for the current settings
  * @param statementAnalyzer analyzer of statements
@@ -34,7 +34,7 @@
         Executor workers,
         ScheduledExecutorService timer,
         WireLimits limits,
-        Quota answerQuota,
+        Quota responseQuota,
         Quota insertQuota,
         Supplier<Classifier> classifier,
         StatementAnalyzer statementAnalyzer,
