--- a/router/src/main/java/ashlink/router/EndpointCache.java
+++ b/router/src/main/java/ashlink/router/EndpointCache.java
@@ -10,17 +10,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stores the endpoints whenever they change, so that a restarted router knows them at once. Without
- * a state directory it stores nothing.
+ * Stores the endpoints when they change, so that they are available immediately after a restart of
+ * the router. Stores nothing if no state directory is configured.
  */
 final class EndpointCache {
 
     private static final Logger LOG = LoggerFactory.getLogger(EndpointCache.class);
-    private static final String FILE = "engines.list";
+    private static final String FILE_NAME = "engines.list";
 
     private final CoreClock clock;
 
-    /** Null without a state directory. */
+    /** Store of the endpoints; null if no state directory is configured. */
     private final EndpointListStore store;
 
     private List<Endpoint> stored = List.of();
@@ -30,10 +30,12 @@
         this.store =
                 config.stateDir() == null
                         ? null
-                        : new EndpointListStore(config.stateDir().resolve(FILE));
+                        : new EndpointListStore(config.stateDir().resolve(FILE_NAME));
     }
 
-    /** Returns the endpoints of the last run; empty if there are none or they cannot be read. */
+    /**
+     * Returns the endpoints of the previous run; empty if none are stored or they cannot be read.
+     */
     List<Endpoint> load() {
         if (store != null) {
             try {
--- a/router/src/main/java/ashlink/router/Router.java
+++ b/router/src/main/java/ashlink/router/Router.java
@@ -35,21 +35,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A router: assembles its parts, and starts, reloads and stops them. Several routers in one process
- * share nothing.
+ * Router: creates the components, and starts, reloads and stops them. Several routers in one
+ * process share no state.
  */
 public final class Router {
 
     private static final Logger LOG = LoggerFactory.getLogger(Router.class);
     private static final long NS_PER_S = 1_000_000_000L;
-    private static final long UPKEEP_INTERVAL_NS = NS_PER_S;
-    private static final long UPKEEP_DEADLINE_NS = 10 * NS_PER_S;
+    private static final long TASK_INTERVAL_NS = NS_PER_S;
+    private static final long TASK_DEADLINE_NS = 10 * NS_PER_S;
 
-    /** Time for background tasks to run a last time at shutdown. */
+    /** Maximum time for the last runs of background tasks at shutdown. */
     private static final long BACKGROUND_STOP_TIMEOUT_NS = 5 * NS_PER_S;
 
-    /** Queued events from which on background tasks get their smallest part of the CPU. */
-    private static final double MAX_PRESSURE_EVENTS = 256;
+    /** Queued events from which on background tasks get their minimum share of the CPU. */
+    private static final double FULL_LOAD_EVENTS = 256;
 
     private final CoreClock clock = new CoreClock();
     private final ThreadPoolExecutor workers;
@@ -59,29 +59,29 @@
     private final NativeListener listener;
     private final Scheduler background;
 
-    /** Null without the HTTP API. */
+    /** Null if the HTTP API is disabled. */
     private final HttpListener http;
 
     private final EndpointCache endpointCache;
 
-    /** Null without a metrics endpoint. */
+    /** Null if the metrics endpoint is disabled. */
     private final HTTPServer metrics;
 
     private final PrometheusRegistry registry = new PrometheusRegistry();
-    private final WorkloadManager module;
+    private final WorkloadManager decisionModule;
     private volatile RouterConfig config;
     private volatile Classifier classifier;
 
-    /** Null before the start. */
+    /** Null before {@link #start}. */
     private RouterCapture capture;
 
-    /** A router with the {@link DefaultWorkloadManager}. */
+    /** Creates a router with the {@link DefaultWorkloadManager}. */
     public Router(RouterConfig config) throws IOException {
         this(config, DefaultWorkloadManager::new);
     }
 
     /**
-     * A router with another decision module, such as a baseline.
+     * Creates a router with another decision module, such as a baseline.
      *
      * @param moduleFactory creates the decision module
      * @throws IOException if an address cannot be bound or a directory is in use
@@ -94,11 +94,11 @@
         timer = RouterExecutors.timer(config);
         WireLimits limits = wireLimits(config);
         engines = new EngineConnections(config, clock, workers, limits);
-        module = moduleFactory.apply(config.settings());
+        decisionModule = moduleFactory.apply(config.settings());
         core =
                 new Core(
                         config.name(),
-                        module,
+                        decisionModule,
                         config.allQueryClasses(),
                         engines,
                         clock,
@@ -107,7 +107,8 @@
                         new PrometheusRequestMetrics(registry));
         ListenerContext context = listenerContext(limits);
         listener = new NativeListener(context);
-        background = new Scheduler(config.name(), Limits.DEFAULT, config.seed(), this::pressure);
+        background =
+                new Scheduler(config.name(), Limits.DEFAULT, config.seed(), this::decisionLoad);
         http =
                 config.http().listen() == null
                         ? null
@@ -155,19 +156,16 @@
     /** Starts the router: the endpoints first, then the listeners. */
     public void start() {
         List<Endpoint> cachedEndpoints = endpointCache.load();
-        capture = RouterCapture.start(config, module.getClass(), core, registry);
+        capture = RouterCapture.start(config, decisionModule.getClass(), core, registry);
         core.start();
         engines.start(core::updateEndpoints, cachedEndpoints);
         background.add(
-                TaskSpec.every("list.keep", Priority.HIGH, UPKEEP_INTERVAL_NS, UPKEEP_DEADLINE_NS)
+                TaskSpec.every("list.keep", Priority.HIGH, TASK_INTERVAL_NS, TASK_DEADLINE_NS)
                         .alsoAtStop(),
                 lease -> endpointCache.save(engines.endpoints()));
         background.add(
                 TaskSpec.every(
-                        "engines.close-idle",
-                        Priority.NORMAL,
-                        UPKEEP_INTERVAL_NS,
-                        UPKEEP_DEADLINE_NS),
+                        "engines.close-idle", Priority.NORMAL, TASK_INTERVAL_NS, TASK_DEADLINE_NS),
                 lease -> engines.closeIdle());
         listener.start();
         if (http != null) {
@@ -180,22 +178,22 @@
                 .log("started");
     }
 
-    /** Returns the load of the decision thread from 0 to 1, by its queue. */
-    private double pressure() {
-        return core == null ? 0 : Math.min(1, core.queuedEvents() / MAX_PRESSURE_EVENTS);
+    /** Returns the load of the decision thread from 0 to 1, by the length of its queue. */
+    private double decisionLoad() {
+        return core == null ? 0 : Math.min(1, core.queuedEvents() / FULL_LOAD_EVENTS);
     }
 
-    /** Returns the address of the native protocol. */
+    /** Returns the address of the native protocol listener. */
     public InetSocketAddress address() {
         return listener.address();
     }
 
-    /** Returns the address of the HTTP API, or null. */
+    /** Returns the address of the HTTP API, or null if the HTTP API is disabled. */
     public InetSocketAddress httpAddress() {
         return http == null ? null : http.address();
     }
 
-    /** Returns the listener of the HTTP API, or null. */
+    /** Returns the listener of the HTTP API, or null if the HTTP API is disabled. */
     public HttpListener http() {
         return http;
     }
@@ -210,43 +208,43 @@
         return core;
     }
 
-    /** Sets the state of an engine by the endpoint list. */
-    public void setEngineState(String engine, EndpointState phase) {
-        engines.setState(engine, phase);
+    /** Sets the state of an engine in the endpoint list. */
+    public void setEngineState(String engine, EndpointState state) {
+        engines.setState(engine, state);
     }
 
-    /** Sets the engines that operators drain; also allowed before the start. */
+    /** Sets the engines that operators drain; may be called before {@link #start}. */
     public void setDrainedEngines(Set<String> names) {
         engines.setDrained(names);
     }
 
-    /** Rejects new requests, or accepts them again. */
-    public void rejectNewRequests(boolean refuses) {
-        core.rejectNew(refuses);
+    /** Sets whether new requests are rejected. */
+    public void rejectNewRequests(boolean rejected) {
+        core.rejectNew(rejected);
     }
 
-    /** Replaces the engines, users and classification rules; the rest needs a restart. */
-    public void reload(RouterConfig next) {
-        if (ConfigReload.needsRestart(config, next)) {
+    /** Replaces the engines, users and classification rules; the rest requires a restart. */
+    public void reload(RouterConfig updated) {
+        if (ConfigReload.needsRestart(config, updated)) {
             LOG.warn(
-                    "reload: classes, kinds, limits, bounds and addresses change at a restart"
-                            + " only");
+                    "reload is partial, some changes require a restart"
+                            + " reason=\"classes, engine kinds, limits or addresses changed\"");
         }
-        config = ConfigReload.merge(config, next);
+        config = ConfigReload.merge(config, updated);
         classifier = new Classifier(config);
-        engines.configure(next.engines().values());
+        engines.configure(updated.engines().values());
         LOG.info("reloaded");
     }
 
     /**
-     * Shuts down gracefully: rejects new requests, waits for open ones up to the limit of the
-     * settings, responds to the rest, and closes.
+     * Shuts down gracefully: rejects new requests, waits for open requests up to the configured
+     * timeout, sends a final response for the remaining ones, and closes all connections.
      */
     public void stop() throws InterruptedException {
         try {
             listener.stopAccepting();
         } catch (IOException e) {
-            LOG.warn("listener close failed error=\"{}\"", e.toString());
+            LOG.warn("close of the listener failed error=\"{}\"", e.toString());
         }
         long stopStartNs = System.nanoTime();
         if (http != null) {
@@ -260,17 +258,17 @@
             http.stop();
         }
         background.stop(BACKGROUND_STOP_TIMEOUT_NS);
-        release();
+        closeAll();
         capture.stop();
         LOG.info("stopped");
     }
 
-    /** Stops at once, like a crash: nothing is responded to and nothing is stored. */
+    /** Stops immediately, like a crash: sends no further response and stores nothing. */
     public void kill() {
         try {
             listener.stopAccepting();
         } catch (IOException e) {
-            LOG.warn("listener close failed error=\"{}\"", e.toString());
+            LOG.warn("close of the listener failed error=\"{}\"", e.toString());
         }
         if (capture != null) {
             capture.kill();
@@ -279,10 +277,10 @@
             http.kill();
         }
         background.kill();
-        release();
+        closeAll();
     }
 
-    private void release() {
+    private void closeAll() {
         listener.closeAll();
         core.kill();
         timer.shutdownNow();
--- a/router/src/main/java/ashlink/router/RouterCapture.java
+++ b/router/src/main/java/ashlink/router/RouterCapture.java
@@ -23,25 +23,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The capture of a router's decisions. A capture that cannot be written never keeps the router from
- * serving.
+ * Capture of the decisions of a router. A failure of the capture does not stop the router from
+ * serving requests.
  */
 final class RouterCapture {
 
     private static final Logger LOG = LoggerFactory.getLogger(RouterCapture.class);
-    private static final long DISK_RETRY_NS = 500_000_000L;
-    private static final String MAC = "HmacSHA256";
+    private static final long DISK_RETRY_DELAY_NS = 500_000_000L;
+    private static final String MAC_ALGORITHM = "HmacSHA256";
     private static final int HASHED_KEY_BYTES = 8;
     private static final int SECRET_BYTES = 32;
 
-    /** Null if nothing is captured. */
+    /** Null if the capture is disabled. */
     private final Recorder recorder;
 
     private RouterCapture(Recorder recorder) {
         this.recorder = recorder;
     }
 
-    /** Starts the capture if the settings have a directory for it and the directory is free. */
+    /**
+     * Starts the capture if the settings define a directory for it and no other process uses the
+     * directory.
+     */
     static RouterCapture start(
             RouterConfig config,
             Class<? extends WorkloadManager> module,
@@ -60,13 +63,13 @@
                             spec.retainedBytes(),
                             spec.queueEntries(),
                             spec.syncIntervalNs(),
-                            DISK_RETRY_NS,
+                            DISK_RETRY_DELAY_NS,
                             keyHash(spec.keySecret()));
             recorder.record(
                     new Entry.Start(ModuleHash.of(module), config.settings(), config.name()));
             core.observe(
-                    (event, now, actions) ->
-                            recorder.record(new Entry.Step(event, now, List.copyOf(actions))));
+                    (event, nowNs, actions) ->
+                            recorder.record(new Entry.Step(event, nowNs, List.copyOf(actions))));
             registerMetrics(recorder, registry);
             return new RouterCapture(recorder);
         } catch (IOException e) {
@@ -83,22 +86,25 @@
                 .register(registry);
         GaugeWithCallback.builder()
                 .name("ashlink_capture_dropped")
-                .help("Entries dropped and not told of yet")
+                .help("Entries dropped and not yet recorded as a gap")
                 .callback(callback -> callback.call(recorder.dropped()))
                 .register(registry);
     }
 
-    /** Returns the hash of ordering keys, which may identify customers. */
+    /**
+     * Returns a keyed hash function for ordering keys, because ordering keys may identify
+     * customers.
+     */
     private static UnaryOperator<String> keyHash(String secret) {
         byte[] key = secret.getBytes(StandardCharsets.UTF_8);
         if (key.length == 0) {
             key = new byte[SECRET_BYTES];
             new SecureRandom().nextBytes(key);
         }
-        SecretKeySpec spec = new SecretKeySpec(key, MAC);
+        SecretKeySpec spec = new SecretKeySpec(key, MAC_ALGORITHM);
         return text -> {
             try {
-                Mac mac = Mac.getInstance(MAC);
+                Mac mac = Mac.getInstance(MAC_ALGORITHM);
                 mac.init(spec);
                 return HexFormat.of()
                         .formatHex(
@@ -106,7 +112,8 @@
                                 0,
                                 HASHED_KEY_BYTES);
             } catch (GeneralSecurityException e) {
-                throw new IllegalStateException("every Java platform has " + MAC, e);
+                throw new IllegalStateException(
+                        "required algorithm " + MAC_ALGORITHM + " is not available", e);
             }
         };
     }
--- a/router/src/main/java/ashlink/router/classify/Classifier.java
+++ b/router/src/main/java/ashlink/router/classify/Classifier.java
@@ -12,27 +12,29 @@
 import java.util.regex.Pattern;
 
 /**
- * Assigns a query class to a statement: that of the first rule that matches, else the default.
+ * Assigns a query class to each statement: the class of the first matching rule, or a default
+ * class.
  *
- * <p>A class that allows retries applies only to statements that are plainly harmless reads, or to
- * those that a rule names by kind or keyword if engines deduplicate them. Any other statement gets
- * the at-most-once variant of the class, which keeps its placement, or the default class of writes
- * where there is no variant. Safe for use by several threads.
+ * <p>A class that allows retries is assigned only to statements that are certainly reads without
+ * side effects. If engines deduplicate statements of the class, it is also assigned to statements
+ * that a rule selects by kind or keyword. Any other statement gets the at-most-once variant of the
+ * class, which has the same placement, or the default class for writes if there is no such variant.
+ * Thread-safe.
  */
 public final class Classifier {
 
     /**
-     * The class of a statement.
+     * The query class of a statement.
      *
-     * @param rule number of the rule that matched, from 1; 0 for the default
-     * @param downgraded whether the class of the rule was replaced by one without retries
+     * @param rule number of the matching rule, starting at 1; 0 for a default class
+     * @param downgraded whether the class of the rule was replaced by a class without retries
      */
     public record Classification(QueryClass queryClass, int rule, boolean downgraded) {}
 
     private final RouterConfig config;
     private final Map<String, QueryClass> classes;
 
-    /** A classifier with the rules of the settings. */
+    /** Creates a classifier with the rules of the settings. */
     public Classifier(RouterConfig config) {
         this.config = config;
         this.classes = config.allQueryClasses();
@@ -41,7 +43,7 @@
     /**
      * Classifies a statement.
      *
-     * @param settings settings of the request by name
+     * @param settings settings of the request, by name
      */
     public Classification classify(
             String user,
@@ -61,10 +63,10 @@
 
     private Classification classify(ClassRule rule, int number, StatementAnalysis analysis) {
         QueryClass queryClass = classes.get(rule.queryClass());
-        boolean named = !rule.keywords().isEmpty() || !rule.kinds().isEmpty();
+        boolean selectsKindOrKeyword = !rule.keywords().isEmpty() || !rule.kinds().isEmpty();
         boolean deduplicated =
                 queryClass.retrySafety() == RetrySafety.DEDUPLICATED
-                        && named
+                        && selectsKindOrKeyword
                         && analysis.kind() != StatementKind.UNKNOWN
                         && analysis.kind() != StatementKind.SEVERAL;
         if (analysis.harmless()
@@ -95,39 +97,41 @@
                 && (rule.fingerprints().isEmpty()
                         || rule.fingerprints().contains(analysis.fingerprint()))
                 && (rule.tables().isEmpty()
-                        || touches(rule.tables(), analysis.reads())
-                        || touches(rule.tables(), analysis.writes()))
+                        || matchesAny(rule.tables(), analysis.reads())
+                        || matchesAny(rule.tables(), analysis.writes()))
                 && (rule.setting().isEmpty()
                         || settings.containsKey(rule.setting())
                                 && (rule.value().isEmpty()
                                         || rule.value().equals(settings.get(rule.setting()))));
     }
 
-    private static boolean touches(Set<Pattern> patterns, Set<String> tables) {
+    private static boolean matchesAny(Set<Pattern> patterns, Set<String> tables) {
         return tables.stream()
                 .anyMatch(
-                        text ->
+                        table ->
                                 patterns.stream()
-                                        .anyMatch(pattern -> pattern.matcher(text).matches()));
+                                        .anyMatch(pattern -> pattern.matcher(table).matches()));
     }
 
-    /** Returns the first keyword in upper case, even of a statement that is not supported. */
+    /**
+     * Returns the first keyword in upper case, also for a statement whose syntax is not supported.
+     */
     static String keyword(StatementAnalysis analysis) {
-        String normal =
+        String normalizedSql =
                 analysis.kind() == StatementKind.UNKNOWN
                         ? analysis.normalizedSql().substring("unknown ".length())
                         : analysis.normalizedSql();
-        int end = normal.indexOf(' ');
-        return (end < 0 ? normal : normal.substring(0, end)).toUpperCase(Locale.ROOT);
+        int end = normalizedSql.indexOf(' ');
+        return (end < 0 ? normalizedSql : normalizedSql.substring(0, end)).toUpperCase(Locale.ROOT);
     }
 
-    /** Tells whether the statement may take data from the client. */
+    /** Returns whether the statement may be followed by data from the client. */
     public static boolean mayTakeData(StatementAnalysis analysis) {
         return analysis.takesData()
                 || analysis.kind() == StatementKind.UNKNOWN && keyword(analysis).equals("INSERT");
     }
 
-    /** Tells whether the statement cannot run before the end of its data. */
+    /** Returns whether the engine executes the statement only after the end of its data. */
     public static boolean waitsForData(StatementAnalysis analysis) {
         return analysis.kind() == StatementKind.LOAD && analysis.takesData();
     }
--- a/router/src/main/java/ashlink/router/core/AttemptRunner.java
+++ b/router/src/main/java/ashlink/router/core/AttemptRunner.java
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Starts and cancels the attempts that the decision module requests, and reports their ends to it.
- * Unless stated otherwise, methods run on the decision thread; none blocks.
+ * Starts and cancels attempts as the decision module requests, and reports their ends to the
+ * decision module. Unless stated otherwise, methods run on the decision thread. No method blocks.
  */
 final class AttemptRunner {
 
@@ -46,13 +46,15 @@
         this.dispatcher = dispatcher;
     }
 
-    /** Starts an attempt; ignores one of a request that is answered or has an attempt in flight. */
+    /**
+     * Starts an attempt. Ignores the action if the request is closed, has its final response or has
+     * an attempt in flight.
+     */
     void start(StartAttempt startAttempt) {
         OpenRequest openRequest = requests.get(startAttempt.id());
         if (openRequest == null || openRequest.answered || openRequest.attempt != null) {
             LOG.error(
-                    "decision module started an attempt of an ineligible request:"
-                            + " request={} state={}",
+                    "attempt of an ineligible request ignored request={} state={}",
                     startAttempt.id(),
                     openRequest == null
                             ? "closed"
@@ -62,7 +64,7 @@
         Attempt attempt =
                 new Attempt(
                         openRequest.id,
-                        openRequest.attempts++,
+                        openRequest.startedAttempts++,
                         startAttempt.engine(),
                         clock.nowNs(),
                         openRequest.priority,
@@ -77,7 +79,7 @@
         openRequest.sink.start(attempt);
     }
 
-    /** Cancels an attempt; ignores one that is not in flight. */
+    /** Cancels an attempt. Ignores the action if the attempt is not in flight. */
     void cancel(CancelAttempt cancelAttempt) {
         OpenRequest openRequest = requests.get(cancelAttempt.id());
         if (openRequest != null
@@ -87,7 +89,7 @@
         }
     }
 
-    /** Called on the thread that ended the attempt. */
+    /** Handles the end of an attempt; runs on the thread that ended the attempt. */
     private void onEnd(OpenRequest openRequest, Attempt attempt, Attempt.AttemptEnd end) {
         if (end.answered()
                 && end.outcome() != Outcome.SERVED
@@ -107,7 +109,7 @@
         openRequest.mayHaveRun |= end.outcome().mayHaveRun();
         boolean requestOver = end.answered() || openRequest.answered;
         if (!openRequest.answered && end.answered()) {
-            requests.markAnswered(openRequest, finalAnswer(end.reason()));
+            requests.markAnswered(openRequest, completion(end.reason()));
         }
         if (openRequest.answered) {
             requests.remove(openRequest);
@@ -125,12 +127,12 @@
                         end.report().loadReport()));
     }
 
-    private static FinalAnswer finalAnswer(AttemptEndReason reason) {
+    private static RequestCompletion completion(AttemptEndReason reason) {
         if (reason == AttemptEndReason.SERVED) {
-            return FinalAnswer.SERVED;
+            return RequestCompletion.SERVED;
         }
         return reason == AttemptEndReason.STATEMENT_ERROR
-                ? FinalAnswer.ERROR
-                : FinalAnswer.INCOMPLETE;
+                ? RequestCompletion.ERROR
+                : RequestCompletion.INCOMPLETE;
     }
 }
--- a/router/src/main/java/ashlink/router/core/DecisionDispatcher.java
+++ b/router/src/main/java/ashlink/router/core/DecisionDispatcher.java
@@ -24,8 +24,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Passes events to the decision module and performs its actions in the order in which it returns
- * them. All methods run on the decision thread, and none blocks.
+ * Passes events to the decision module and performs the resulting actions in the order in which the
+ * decision module returns them. Unless stated otherwise, methods run on the decision thread. No
+ * method blocks.
  */
 final class DecisionDispatcher {
 
@@ -39,7 +40,7 @@
     private final ScheduledThreadPoolExecutor timer;
     private final OpenRequestTable requests;
     private final RequestMetrics metrics;
-    private final AttemptRunner attempts;
+    private final AttemptRunner attemptRunner;
     private volatile Core.Observer observer = (event, nowNs, actions) -> {};
 
     DecisionDispatcher(
@@ -59,17 +60,21 @@
         this.timer = timer;
         this.requests = requests;
         this.metrics = metrics;
-        this.attempts = new AttemptRunner(clock, thread, timer, requests, metrics, this::dispatch);
+        attemptRunner = new AttemptRunner(clock, thread, timer, requests, metrics, this::dispatch);
     }
 
-    /** Sets the observer; may be called on any thread. */
+    /** Sets the observer of decisions; may be called on any thread. */
     void observe(Core.Observer newObserver) {
         observer = newObserver;
     }
 
-    // Events.
+    // Events
 
-    /** Passes an event to the module and performs its actions; false if the module threw. */
+    /**
+     * Passes an event to the decision module and performs the resulting actions.
+     *
+     * @return false if the decision module threw an exception
+     */
     boolean dispatch(Event event) {
         List<Action> actions;
         long nowNs = clock.nowNs();
@@ -77,7 +82,7 @@
             actions = workloadManager.onEvent(event, nowNs);
         } catch (RuntimeException e) {
             metrics.onDecisionError();
-            LOG.error("decision module threw: event={}", event, e);
+            LOG.error("decision module failed event=\"{}\"", event, e);
             return false;
         }
         observer.onDecision(event, nowNs, actions);
@@ -87,7 +92,7 @@
         return true;
     }
 
-    /** Opens a request and submits it to the module. */
+    /** Adds a request to the open requests and submits it to the decision module. */
     void submit(OpenRequest openRequest, long deadlineNs) {
         requests.add(openRequest);
         CoreRequest request = openRequest.request;
@@ -109,36 +114,39 @@
                                 request.estimatedMemoryMb(),
                                 request.tenant()));
         if (!dispatched && !openRequest.answered) {
-            answerWithFallback(openRequest, FinalAnswer.DECISION_ERROR);
+            respondWithFallback(openRequest, RequestCompletion.DECISION_ERROR);
         }
     }
 
-    /** The client of a request disconnected or cancelled it. */
+    /** Handles a client that disconnected or cancelled its request. */
     void clientDisconnected(long id) {
         OpenRequest openRequest = requests.unanswered(id);
         if (openRequest != null) {
-            requests.markAnswered(openRequest, FinalAnswer.CLIENT_DISCONNECTED);
+            requests.markAnswered(openRequest, RequestCompletion.CLIENT_DISCONNECTED);
             dispatch(new ClientDisconnected(id));
         }
     }
 
-    /** Aborts all attempts and answers all requests whose response has not begun. */
-    void answerAll() {
+    /**
+     * Aborts all attempts, and sends a final response for each request whose response has not
+     * begun.
+     */
+    void respondToAll() {
         for (OpenRequest openRequest : requests.snapshot()) {
             if (!openRequest.answered) {
                 if (openRequest.attempt != null) {
                     openRequest.attempt.abort(AttemptEndReason.CANCELLED);
                 }
-                if (!openRequest.isAnswering()) {
-                    answerWithFallback(openRequest, FinalAnswer.SHUTDOWN);
+                if (!openRequest.isResponding()) {
+                    respondWithFallback(openRequest, RequestCompletion.SHUTDOWN);
                 }
             }
         }
     }
 
     /**
-     * Answers a request for which the module gave no answer in time: the client gets one before it
-     * gives up in any case.
+     * Sends a fallback response for a request without a final response at its deadline, so that the
+     * client always receives one before it gives up.
      */
     private void onDeadline(OpenRequest openRequest) {
         if (openRequest.answered) {
@@ -146,23 +154,23 @@
         }
         if (openRequest.attempt != null) {
             openRequest.attempt.abort(AttemptEndReason.TIMED_OUT);
-            if (openRequest.isAnswering()) {
-                // The attempt's end is in the queue and counts as the answer.
+            if (openRequest.isResponding()) {
+                // The end of the attempt is already queued and completes the request.
                 return;
             }
         }
         LOG.error(
-                "request without answer at its deadline: request={} class={}",
+                "deadline exceeded without a response request={} class={}",
                 openRequest.id,
                 openRequest.request.queryClass());
-        answerWithFallback(openRequest, FinalAnswer.DEADLINE_EXCEEDED);
+        respondWithFallback(openRequest, RequestCompletion.DEADLINE_EXCEEDED);
     }
 
-    private void answerWithFallback(OpenRequest openRequest, FinalAnswer answer) {
+    private void respondWithFallback(OpenRequest openRequest, RequestCompletion completion) {
         boolean mayHaveRun =
                 openRequest.mayHaveRun
                         || openRequest.attempt != null && openRequest.attempt.phase().mayRun();
-        requests.markAnswered(openRequest, answer);
+        requests.markAnswered(openRequest, completion);
         QueryClass queryClass = classes.get(openRequest.request.queryClass());
         if (FallbackResponse.mayReject(queryClass, mayHaveRun)) {
             openRequest.sink.reject(0);
@@ -172,11 +180,11 @@
         dispatch(new ClientDisconnected(openRequest.id));
     }
 
-    // Actions.
+    // Actions
 
     private void perform(Action action) {
         if (action instanceof StartAttempt startAttempt) {
-            attempts.start(startAttempt);
+            attemptRunner.start(startAttempt);
         } else if (action instanceof SetAttemptResources resources) {
             setResources(resources);
         } else if (action instanceof Reject reject) {
@@ -184,7 +192,7 @@
         } else if (action instanceof Fail fail) {
             fail(fail);
         } else if (action instanceof CancelAttempt cancelAttempt) {
-            attempts.cancel(cancelAttempt);
+            attemptRunner.cancel(cancelAttempt);
         } else if (action instanceof CheckHealth checkHealth) {
             checkHealth(checkHealth.engine());
         } else if (action instanceof SetTimer setTimer) {
@@ -205,7 +213,7 @@
     private void reject(Reject reject) {
         OpenRequest openRequest = requests.unanswered(reject.id());
         if (openRequest != null) {
-            requests.markAnswered(openRequest, FinalAnswer.REJECTED);
+            requests.markAnswered(openRequest, RequestCompletion.REJECTED);
             openRequest.sink.reject(reject.retryAfterNs());
         }
     }
@@ -213,7 +221,7 @@
     private void fail(Fail fail) {
         OpenRequest openRequest = requests.unanswered(fail.id());
         if (openRequest != null) {
-            requests.markAnswered(openRequest, FinalAnswer.FAILED);
+            requests.markAnswered(openRequest, RequestCompletion.FAILED);
             openRequest.sink.fail();
         }
     }
--- a/router/src/main/java/ashlink/router/discovery/EndpointRegistry.java
+++ b/router/src/main/java/ashlink/router/discovery/EndpointRegistry.java
@@ -12,31 +12,39 @@
 import java.util.Optional;
 
 /**
- * The state and the start time of each configured engine. Start times follow from the uptimes that
- * engines report and from the success of connections. Pure state: no I/O, and times are the
- * caller's, in nanoseconds of the core's clock. Not thread-safe.
+ * Holds the state and the start time of each configured engine. Start times are derived from the
+ * uptimes that engines report and from connection attempts that succeed or fail. The registry
+ * performs no I/O, and callers pass times in nanoseconds on the clock of the core. Not thread-safe.
  *
- * <p>An engine whose restart goes undetected would receive its full load while it warms up. A
- * restart is detected by an uptime shorter than expected, or by a connection that succeeds after
- * one that failed. The latter comes before any query; the former corrects it.
+ * <p>An engine receives reduced load while it warms up after a start; if a restart went undetected,
+ * the engine would receive its full load immediately. A restart is detected by an uptime that is
+ * shorter than expected, or by a connection that succeeds after one that failed. The connection
+ * reveals the restart before the first query; the next reported uptime replaces the start time
+ * assumed from the connection.
  */
 public final class EndpointRegistry {
 
-    /** Start times that differ by no more are equal: engines report their uptime in seconds. */
-    private static final long START_TOLERANCE_NS = 2_000_000_000L;
+    /**
+     * Maximum difference of start times that are treated as equal; engines report their uptime in
+     * seconds.
+     */
+    private static final long START_TIME_TOLERANCE_NS = 2_000_000_000L;
 
-    /** Start time of an engine that is not warming up. */
-    private static final long STARTED_LONG_AGO = 0;
+    /** Start time of an engine that has finished its warm-up. */
+    private static final long WARM_UP_FINISHED = 0;
 
     private static final class EngineRecord {
         EngineSpec spec;
         EndpointState state;
-        long startedNs = STARTED_LONG_AGO;
+        long startedNs = WARM_UP_FINISHED;
 
-        /** The last connection could not be made. */
+        /** Whether the last connection attempt failed. */
         boolean unreachable;
 
-        /** The start time is assumed after a failed connection, not reported by the engine. */
+        /**
+         * Whether the start time was assumed after a failed connection and not reported by the
+         * engine.
+         */
         boolean startAssumed;
     }
 
@@ -46,18 +54,20 @@
     /**
      * Creates an empty registry.
      *
-     * @param slowStartNs time after its start for which an engine warms up
+     * @param slowStartNs duration of the warm-up after the start of an engine
      */
     public EndpointRegistry(long slowStartNs) {
         this.slowStartNs = slowStartNs;
     }
 
-    /** Replaces the configured engines; an engine with a new address is a new process. */
+    /**
+     * Replaces the configured engines. An engine with a new address is treated as a new process.
+     */
     public EndpointsChanged configure(Iterable<EngineSpec> specs) {
-        Map<String, EngineRecord> before = new LinkedHashMap<>(engines);
+        Map<String, EngineRecord> previous = new LinkedHashMap<>(engines);
         engines.clear();
         for (EngineSpec spec : specs) {
-            EngineRecord engine = before.getOrDefault(spec.name(), new EngineRecord());
+            EngineRecord engine = previous.getOrDefault(spec.name(), new EngineRecord());
             boolean hasNewAddress =
                     engine.spec != null && !engine.spec.address().equals(spec.address());
             if (hasNewAddress) {
@@ -70,38 +80,43 @@
         return new EndpointsChanged(EndpointListKind.SNAPSHOT, endpoints());
     }
 
-    /** Sets the state of an engine; empty where the engine is unknown or its state is the same. */
+    /**
+     * Sets the state of an engine; returns empty if the engine is unknown or already has the state.
+     */
     public Optional<EndpointsChanged> setState(String name, EndpointState state) {
         EngineRecord engine = engines.get(name);
         if (engine == null || engine.state == state) {
             return Optional.empty();
         }
         engine.state = state;
-        return Optional.of(changed(engine));
+        return Optional.of(delta(engine));
     }
 
-    /** An engine reported its uptime; empty where its start time does not change. */
+    /**
+     * Records the uptime that an engine reported; returns empty if the start time of the engine
+     * does not change.
+     */
     public Optional<EndpointsChanged> recordUptime(String name, long uptimeNs, long nowNs) {
         EngineRecord engine = engines.get(name);
         if (engine == null || uptimeNs < 0) {
             return Optional.empty();
         }
         long startedNs = nowNs - uptimeNs;
-        boolean isStartKnown = engine.startedNs != STARTED_LONG_AGO;
-        boolean isWarm = uptimeNs >= slowStartNs;
-        boolean isSame =
-                isStartKnown && Math.abs(startedNs - engine.startedNs) <= START_TOLERANCE_NS;
-        // An earlier start than a reported one is due to rounding or to a late response.
+        boolean isStartKnown = engine.startedNs != WARM_UP_FINISHED;
+        boolean isWarmUpFinished = uptimeNs >= slowStartNs;
+        boolean isUnchanged =
+                isStartKnown && Math.abs(startedNs - engine.startedNs) <= START_TIME_TOLERANCE_NS;
+        // A start time before a reported one results from rounding or from a delayed response.
         boolean isStale = isStartKnown && startedNs < engine.startedNs && !engine.startAssumed;
-        if (!isStartKnown && isWarm || isSame || isStale) {
+        if (!isStartKnown && isWarmUpFinished || isUnchanged || isStale) {
             return Optional.empty();
         }
-        engine.startedNs = isWarm ? STARTED_LONG_AGO : Math.max(1, startedNs);
+        engine.startedNs = isWarmUpFinished ? WARM_UP_FINISHED : Math.max(1, startedNs);
         engine.startAssumed = false;
-        return Optional.of(changed(engine));
+        return Optional.of(delta(engine));
     }
 
-    /** A connection to an engine could not be made. */
+    /** Records that a connection to an engine failed. */
     public void recordConnectFailure(String name) {
         EngineRecord engine = engines.get(name);
         if (engine != null) {
@@ -110,8 +125,8 @@
     }
 
     /**
-     * A connection to an engine was made; after one that failed, the engine is assumed to have just
-     * started, until it reports an uptime.
+     * Records a successful connection to an engine. If the previous connection failed, the engine
+     * is assumed to have just started, until it reports an uptime.
      */
     public Optional<EndpointsChanged> recordConnection(String name, long nowNs) {
         EngineRecord engine = engines.get(name);
@@ -124,10 +139,13 @@
         }
         engine.startedNs = nowNs;
         engine.startAssumed = true;
-        return Optional.of(changed(engine));
+        return Optional.of(delta(engine));
     }
 
-    /** The engines that are not removed, with their start times; 0 is long ago. */
+    /**
+     * Returns the engines that are not removed, with their start times; the start time of an engine
+     * that has finished its warm-up is 0.
+     */
     public List<Endpoint> endpoints() {
         List<Endpoint> endpoints = new ArrayList<>();
         for (EngineRecord engine : engines.values()) {
@@ -138,17 +156,17 @@
         return endpoints;
     }
 
-    /** Restores the start times of a stored list for those engines that are still configured. */
+    /** Restores the start times of a stored list for the engines that are still configured. */
     public void restore(Iterable<Endpoint> stored) {
         for (Endpoint endpoint : stored) {
             EngineRecord engine = engines.get(endpoint.engine());
-            if (engine != null && engine.startedNs == STARTED_LONG_AGO) {
+            if (engine != null && engine.startedNs == WARM_UP_FINISHED) {
                 engine.startedNs = Math.max(0, endpoint.startedNs());
             }
         }
     }
 
-    private static EndpointsChanged changed(EngineRecord engine) {
+    private static EndpointsChanged delta(EngineRecord engine) {
         return new EndpointsChanged(EndpointListKind.DELTA, List.of(endpoint(engine)));
     }
 
--- a/router/src/main/java/ashlink/router/frontend/CredentialCache.java
+++ b/router/src/main/java/ashlink/router/frontend/CredentialCache.java
@@ -14,37 +14,40 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Verifies users and passwords. A verification is slow on purpose, so few run at once, and those
- * that succeed are cached under a keyed digest; failures never are. Safe for use by several
- * threads.
+ * Verifies user names and passwords. The password hash is slow by design, so the number of
+ * concurrent verifications is limited. Successful verifications are cached under a keyed digest;
+ * failed ones are not cached. Thread-safe.
  */
 public final class CredentialCache {
 
-    private static final int MAX_CONCURRENT_CHECKS = 4;
+    private static final int MAX_CONCURRENT_VERIFICATIONS = 4;
     private static final int MAX_CACHED = 10_000;
     private static final int SECRET_BYTES = 32;
-    private static final String MAC = "HmacSHA256";
+    private static final String MAC_ALGORITHM = "HmacSHA256";
 
-    private final Semaphore checks = new Semaphore(MAX_CONCURRENT_CHECKS);
+    private final Semaphore verifications = new Semaphore(MAX_CONCURRENT_VERIFICATIONS);
     private final Cache<String, Boolean> verified =
             Caffeine.newBuilder().maximumSize(MAX_CACHED).build();
     private final SecretKeySpec key;
 
-    /** An empty cache with a new secret. */
+    /** Creates an empty cache with a random secret. */
     public CredentialCache() {
         byte[] secret = new byte[SECRET_BYTES];
         new SecureRandom().nextBytes(secret);
-        key = new SecretKeySpec(secret, MAC);
+        key = new SecretKeySpec(secret, MAC_ALGORITHM);
     }
 
-    /** Tells whether a user and password are cached as verified; fast. */
+    /** Returns whether a user name and password are cached as verified; does not block. */
     public boolean isKnown(Map<String, UserSpec> users, String user, String password) {
         UserSpec spec = users.get(user);
         return spec != null
                 && verified.getIfPresent(digest(user, password, spec.passwordHash())) != null;
     }
 
-    /** Tells whether a user and password are right; slow unless cached, and may block. */
+    /**
+     * Returns whether a user name and password are valid. Slow and possibly blocking unless the
+     * result is cached.
+     */
     public boolean check(Map<String, UserSpec> users, String user, String password)
             throws InterruptedException {
         UserSpec spec = users.get(user);
@@ -53,7 +56,7 @@
         if (spec != null && verified.getIfPresent(digest) != null) {
             return true;
         }
-        checks.acquire();
+        verifications.acquire();
         try {
             boolean matches = Passwords.matches(password, hash);
             if (matches) {
@@ -61,13 +64,13 @@
             }
             return matches;
         } finally {
-            checks.release();
+            verifications.release();
         }
     }
 
     private String digest(String user, String password, String hash) {
         try {
-            Mac mac = Mac.getInstance(MAC);
+            Mac mac = Mac.getInstance(MAC_ALGORITHM);
             mac.init(key);
             for (String part : new String[] {user, password, String.valueOf(hash)}) {
                 byte[] bytes = part.getBytes(StandardCharsets.UTF_8);
@@ -77,7 +80,8 @@
             }
             return Base64.getEncoder().encodeToString(mac.doFinal());
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("every Java platform has " + MAC, e);
+            throw new IllegalStateException(
+                    "required algorithm " + MAC_ALGORITHM + " is not available", e);
         }
     }
 }
--- a/router/src/main/java/ashlink/router/frontend/EngineQueryEncoder.java
+++ b/router/src/main/java/ashlink/router/frontend/EngineQueryEncoder.java
@@ -13,15 +13,18 @@
 /** Encodes the query that an attempt sends to its engine. */
 final class EngineQueryEncoder {
 
-    /** Settings with this prefix are hints for the router, which engines do not know. */
+    /** Prefix of settings that are hints for the router; engines do not know them. */
     private static final String ROUTER_SETTING_PREFIX = "ashlink_";
 
     private static final String MEMORY_SETTING = "max_memory_usage";
     private static final String PRIORITY_SETTING = "priority";
-    private static final int BYTES_PER_MB_SHIFT = 20;
+    private static final int MB_TO_BYTES_SHIFT = 20;
 
-    /** Engines run small numbers first, the decision module large ones. */
-    private static final int MAX_ENGINE_PRIORITY = 4;
+    /**
+     * Priority on the engine for the lowest priority of the decision module, 0. Smaller numbers
+     * have priority on engines, larger numbers in the decision module.
+     */
+    private static final int LOWEST_ENGINE_PRIORITY = 4;
 
     private final ListenerContext context;
     private final RequestExchange exchange;
@@ -33,7 +36,7 @@
         this.attempt = attempt;
     }
 
-    /** Returns the query with its external tables, in the layout of a protocol revision. */
+    /** Returns the query with its external tables, encoded for a protocol revision. */
     ByteBuf encode(int revision) throws WireException {
         QueryPacket query = exchange.query();
         String attemptId = attemptId();
@@ -85,11 +88,11 @@
             }
         }
         if (attempt.memoryMb() > 0) {
-            long bytes = attempt.memoryMb() << BYTES_PER_MB_SHIFT;
+            long bytes = attempt.memoryMb() << MB_TO_BYTES_SHIFT;
             settings.add(new Setting(MEMORY_SETTING, 0, Long.toString(bytes)));
         }
         if (attempt.priority() >= 0 && context.config().capabilities().priorities()) {
-            int priority = MAX_ENGINE_PRIORITY - attempt.priority();
+            int priority = LOWEST_ENGINE_PRIORITY - attempt.priority();
             settings.add(new Setting(PRIORITY_SETTING, 0, Integer.toString(priority)));
         }
         return settings;
--- a/router/src/main/java/ashlink/router/frontend/EngineResponseRelay.java
+++ b/router/src/main/java/ashlink/router/frontend/EngineResponseRelay.java
@@ -22,17 +22,18 @@
 import java.util.Map;
 
 /**
- * Relays the response of an engine to the client of one attempt, and feeds an insert's data to the
- * engine.
+ * Relays the response of an engine to the client of one attempt, and sends the data of an insert to
+ * the engine.
  *
- * <p>The response is buffered until it is complete or exceeds its limit, so that another attempt
- * can take over without the client noticing. Beyond the limit the attempt is committed: from then
- * on the client receives its packets, and no other attempt can.
+ * <p>The response is buffered until it is complete or exceeds the buffer limit, so that another
+ * attempt can replace this one without effect on the client. When the response exceeds the limit,
+ * the attempt is committed: the packets are written to the client, and no other attempt can provide
+ * the response.
  */
 final class EngineResponseRelay {
 
-    /** Committed packets are gathered up to this size, for one write instead of many small ones. */
-    private static final int GATHER_BYTES = 64 << 10;
+    /** Buffer size from which on committed packets are written, to avoid many small writes. */
+    private static final int WRITE_BATCH_BYTES = 64 << 10;
 
     private static final int MAX_PROFILE_EVENT_ROWS = 100_000;
 
@@ -42,8 +43,8 @@
     private final ConnectionLease lease;
     private final ByteBuf response;
 
-    /** Values that the engine reported beside its response, by name. */
-    private final Map<String, Double> reportedValues = new HashMap<>();
+    /** Values of the profile events that the engine sent with its response, by name. */
+    private final Map<String, Double> profileEvents = new HashMap<>();
 
     private boolean committed;
 
@@ -56,20 +57,23 @@
         this.exchange = exchange;
         this.attempt = attempt;
         this.lease = lease;
-        this.response = new ByteBuf(context.limits().packetBytes(), context.answerQuota());
+        this.response = new ByteBuf(context.limits().packetBytes(), context.responseQuota());
     }
 
-    /** Tells whether the client receives the response of this attempt. */
+    /** Returns whether the client receives the response of this attempt. */
     boolean isCommitted() {
         return committed;
     }
 
-    /** Frees the buffer. */
+    /** Releases the buffer. */
     void close() {
         response.release();
     }
 
-    /** Relays until the attempt ends; returns why it ended, or null if it is ended already. */
+    /**
+     * Relays the response; returns the reason for the end of the attempt, or null if the attempt
+     * has already ended.
+     */
     AttemptEndReason run() throws IOException, InterruptedException {
         StreamSource in = lease.connection().in();
         boolean dataComplete = exchange.feed() == null;
@@ -90,7 +94,7 @@
                             && block.rows() == 0
                             && block.columns() > 0;
             if (isInsertHeader) {
-                AttemptEndReason reason = startFeeding(packetStart);
+                AttemptEndReason reason = startInsert(packetStart);
                 if (reason != null || attempt.isOver()) {
                     return reason;
                 }
@@ -101,7 +105,9 @@
         }
     }
 
-    /** Reads the rest of a packet into the buffer, in the layout of the client's revision. */
+    /**
+     * Reads the rest of a packet into the buffer, encoded for the protocol revision of the client.
+     */
     private BlockReader.Size readPacket(ServerPacket kind, int packetStart) throws IOException {
         NativeEngineConnection connection = lease.connection();
         StreamSource in = connection.in();
@@ -110,7 +116,7 @@
         boolean clientSupports = true;
         if (kind == ServerPacket.PROFILE_EVENTS) {
             readTableName(in);
-            reportedValues.putAll(
+            profileEvents.putAll(
                     LoadReportReader.values(
                             connection.blocks().read(false, MAX_PROFILE_EVENT_ROWS)));
             clientSupports = Revision.hasProfileEvents(clientRevision);
@@ -132,7 +138,7 @@
             clientSupports = Revision.hasTableColumns(clientRevision);
         } else if (kind != ServerPacket.END_OF_STREAM) {
             throw new WireException(
-                    WireException.Reason.MALFORMED, "packet " + kind + " is out of place");
+                    WireException.Reason.MALFORMED, "unexpected packet " + kind + " in a response");
         }
         in.endTap();
         if (!clientSupports) {
@@ -145,7 +151,11 @@
         in.readString("table", context.limits().nameBytes());
     }
 
-    /** Commits and writes the buffer where it is due; returns false if the attempt is over. */
+    /**
+     * Commits the attempt if the response exceeds the buffer limit, and writes the buffer of a
+     * committed attempt once it is large enough or no further bytes are available. Returns false if
+     * the attempt is over.
+     */
     private boolean forward() {
         if (!committed
                 && response.size() > context.config().resourceLimits().responseBufferBytes()) {
@@ -154,8 +164,9 @@
             }
             committed = true;
         }
-        boolean due = response.size() >= GATHER_BYTES || !lease.connection().in().hasBuffered();
-        if (committed && response.size() > 0 && due) {
+        boolean shouldWrite =
+                response.size() >= WRITE_BATCH_BYTES || !lease.connection().in().hasBuffered();
+        if (committed && response.size() > 0 && shouldWrite) {
             exchange.write(response);
             response.clear();
         }
@@ -164,13 +175,13 @@
 
     private AttemptEndReason handleEndOfStream(boolean dataComplete) {
         if (!dataComplete && exchange.waitsForData()) {
-            // The engine ended an insert before it had the data, so nothing of it ran.
+            // The engine ended the insert before it received the data, so it executed nothing.
             return AttemptEndReason.CONNECTION_BROKEN;
         }
         boolean ended =
                 attempt.end(
                         AttemptEndReason.SERVED,
-                        context.engines().loadReports().attemptReport(reportedValues));
+                        context.engines().loadReports().attemptReport(profileEvents));
         lease.release(ended);
         if (ended) {
             exchange.finish(response, StatementOutcome.SERVED);
@@ -178,15 +189,16 @@
         return null;
     }
 
-    /** Ends the attempt; the connection is reusable unless the engine still expects data. */
+    /** Ends the attempt. The connection is reusable unless the engine still expects data. */
     private AttemptEndReason handleException(ServerError error, boolean dataComplete)
             throws IOException {
         lease.connection().in().endTap();
         AttemptEndReason reason =
                 committed ? AttemptEndReason.STATEMENT_ERROR : EngineErrors.reason(error.code());
-        exchange.recordError(attempt.engine() + ": code " + error.code() + ": " + error.message());
+        exchange.recordError(
+                attempt.engine() + ": error code " + error.code() + ": " + error.message());
         boolean ended =
-                attempt.end(reason, context.engines().loadReports().attemptReport(reportedValues));
+                attempt.end(reason, context.engines().loadReports().attemptReport(profileEvents));
         lease.release(ended && dataComplete);
         if (ended && reason == AttemptEndReason.STATEMENT_ERROR) {
             exchange.finish(response, StatementOutcome.ERROR);
@@ -194,23 +206,23 @@
         return null;
     }
 
-    /** Offers the header of an insert to the client, then feeds the engine. */
-    private AttemptEndReason startFeeding(int headerStart)
-            throws IOException, InterruptedException {
+    /** Passes the header of an insert to the client, then sends the data to the engine. */
+    private AttemptEndReason startInsert(int headerStart) throws IOException, InterruptedException {
         byte[] header = Arrays.copyOfRange(response.array(), headerStart, response.size());
         if (!exchange.acceptHeader(response, header)) {
             exchange.recordError(
-                    attempt.engine() + " has other columns than the engine that was asked first");
+                    attempt.engine() + ": columns differ from those of the first attempt");
             return AttemptEndReason.ENGINE_ERROR;
         }
         response.clear();
-        return feed();
+        return sendInsertData();
     }
 
     /**
-     * Feeds the engine; returns null once it has all data or the attempt is ended, else why not.
+     * Sends the data of the insert to the engine. Returns null after all data is sent or if the
+     * attempt has ended, otherwise the reason for the end of the attempt.
      */
-    private AttemptEndReason feed() throws IOException, InterruptedException {
+    private AttemptEndReason sendInsertData() throws IOException, InterruptedException {
         InsertFeed feed = exchange.feed();
         while (true) {
             byte[] packet = feed.next(attempt);
@@ -218,25 +230,29 @@
                 // The client disconnected, or the attempt timed out.
                 return AttemptEndReason.CANCELLED;
             }
-            while (lease.connection().hasSomething()) {
+            while (lease.connection().hasUnreadBytes()) {
                 if (!handleEarlyPacket()) {
                     return null;
                 }
             }
-            boolean last = feed.isAtEnd();
-            if (last && exchange.waitsForData() && !attempt.advance(AttemptPhase.ENDING)) {
+            boolean isLast = feed.isAtEnd();
+            if (isLast
+                    && exchange.waitsForData()
+                    && !attempt.advance(AttemptPhase.SENDING_DATA_END)) {
                 return AttemptEndReason.CANCELLED;
             }
             lease.connection().write(packet);
-            if (last) {
+            if (isLast) {
                 return attempt.advance(AttemptPhase.RUNNING) ? null : AttemptEndReason.CANCELLED;
             }
         }
     }
 
     /**
-     * Reads a packet that the engine sends before it has all data. Progress and logs are buffered;
-     * an exception ends the attempt, and false is returned.
+     * Reads a packet that the engine sends before it has received all data. Progress and log
+     * packets are buffered.
+     *
+     * @return false if the packet is an exception, which ends the attempt
      */
     private boolean handleEarlyPacket() throws IOException {
         StreamSource in = lease.connection().in();
@@ -249,7 +265,7 @@
         }
         readPacket(kind, packetStart);
         if (kind == ServerPacket.END_OF_STREAM) {
-            throw new IOException("the engine ended the insert before it had the data");
+            throw new IOException("engine ended the insert before it received all data");
         }
         return true;
     }
--- a/router/src/main/java/ashlink/router/frontend/NativeAttempt.java
+++ b/router/src/main/java/ashlink/router/frontend/NativeAttempt.java
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Drives one attempt on a worker thread: connects to the engine, sends the query, and lets an
- * {@link EngineResponseRelay} handle the response. Ends the attempt exactly once.
+ * Executes one attempt on a worker thread: connects to the engine, sends the query, and has an
+ * {@link EngineResponseRelay} relay the response. Ends the attempt exactly once.
  */
 final class NativeAttempt implements Runnable {
 
@@ -39,8 +39,8 @@
     public void run() {
         AttemptEndReason reason = AttemptEndReason.CONNECTION_BROKEN;
         try {
-            reason = drive();
-        } catch (NativeConnectionPool.Full | InterruptedException e) {
+            reason = execute();
+        } catch (NativeConnectionPool.ExhaustedException | InterruptedException e) {
             reason = AttemptEndReason.NO_CAPACITY;
         } catch (WireException e) {
             reason = handleProtocolError(e);
@@ -55,11 +55,11 @@
                     .addKeyValue("request", attempt.id())
                     .addKeyValue("attempt", attempt.attemptNumber())
                     .setCause(e)
-                    .log("attempt failed by an internal error");
+                    .log("attempt failed with an internal error");
         } finally {
             relay.close();
             if (lease.isActive()) {
-                // Nothing was written to the connection of an engine that drains.
+                // Nothing was written to the connection of a draining engine, so it is reusable.
                 lease.release(reason == AttemptEndReason.ENGINE_DRAINING);
             }
             if (reason != null) {
@@ -70,9 +70,9 @@
 
     /**
      * Handles bytes of the engine that violate the protocol or a limit. A value that the router
-     * cannot relay fails on every engine, so it ends the statement instead of causing a retry.
+     * cannot relay fails on every engine, so the statement fails without a retry.
      *
-     * @return why the attempt ended, or null if it is ended already
+     * @return reason for the end of the attempt, or null if the attempt has already ended
      */
     private AttemptEndReason handleProtocolError(WireException failure) {
         exchange.recordError(attempt.engine() + ": " + failure.getMessage());
@@ -83,14 +83,16 @@
                 && !relay.isCommitted()
                 && attempt.phase() == AttemptPhase.RUNNING
                 && attempt.end(AttemptEndReason.STATEMENT_ERROR, AttemptReport.NONE)) {
-            exchange.finish(ResponseWriter.protocol(failure), StatementOutcome.ERROR);
+            exchange.finish(ClientErrors.protocolViolation(failure), StatementOutcome.ERROR);
             return null;
         }
         return AttemptEndReason.CONNECTION_BROKEN;
     }
 
-    /** Returns why the attempt ended, or null if it is ended already. */
-    private AttemptEndReason drive() throws IOException, InterruptedException {
+    /**
+     * Runs the attempt; returns the reason for its end, or null if the attempt has already ended.
+     */
+    private AttemptEndReason execute() throws IOException, InterruptedException {
         InsertFeed feed = exchange.feed();
         if (feed != null && !feed.rewind()) {
             return AttemptEndReason.NO_CAPACITY;
@@ -105,19 +107,20 @@
         if (!attempt.advance(AttemptPhase.SENDING)) {
             return AttemptEndReason.CANCELLED;
         }
-        // Checked last, so that an engine that drains receives no first byte.
+        // Checked immediately before the write, so that a draining engine receives no new query.
         if (!context.engines().isReady(attempt.engine())) {
             return AttemptEndReason.ENGINE_DRAINING;
         }
         connection.write(query);
-        AttemptPhase next = exchange.waitsForData() ? AttemptPhase.FEEDING : AttemptPhase.RUNNING;
+        AttemptPhase next =
+                exchange.waitsForData() ? AttemptPhase.SENDING_DATA : AttemptPhase.RUNNING;
         if (!attempt.advance(next)) {
             return AttemptEndReason.CANCELLED;
         }
         return relay.run();
     }
 
-    /** Unblocks the thread of the attempt; called by any thread. */
+    /** Unblocks the thread of the attempt; may be called on any thread. */
     private static void abort(NativeEngineConnection connection, InsertFeed feed) {
         connection.close();
         if (feed != null) {
--- a/router/src/main/java/ashlink/router/frontend/NativeClientConnection.java
+++ b/router/src/main/java/ashlink/router/frontend/NativeClientConnection.java
@@ -20,9 +20,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A client connection of the native protocol, read by its own thread. Its states: login; idle; a
- * statement is open; the client sends the data of an insert; the rest of an insert that got its
- * response early is discarded; closed.
+ * Client connection of the native protocol, read by a thread of its own. The connection is in one
+ * of these states: login; idle; a statement is open; the client sends the data of an insert; the
+ * rest of the data is discarded because the insert already has its response; closed.
  */
 final class NativeClientConnection implements Runnable {
 
@@ -42,10 +42,10 @@
     private Hello.Client hello;
     private int revision;
 
-    /** The current or last statement; null before the first. */
+    /** Current or last statement; null before the first statement. */
     private RequestExchange exchange;
 
-    /** Whether the data of the current statement is complete, or it takes none. */
+    /** Whether the client has sent all data of the current statement, if it takes any. */
     private boolean dataComplete = true;
 
     NativeClientConnection(
@@ -90,17 +90,18 @@
         }
     }
 
-    /** Reports the error to the client, unless that would break a response in progress. */
+    /** Reports an error, unless the packet would corrupt a response in progress. */
     private void reportProtocolError(WireException failure) {
         LOG.atInfo()
                 .addKeyValue("client", client.peer())
                 .addKeyValue("reason", failure.reason())
-                .log(failure.getMessage());
+                .addKeyValue("error", failure.getMessage())
+                .log("client violated the protocol");
         try {
             if (exchange != null && !exchange.isDone()) {
                 exchange.rejectInput(failure);
             } else if (failure.reason() != WireException.Reason.TRUNCATED) {
-                client.write(ResponseWriter.protocol(failure));
+                client.write(ClientErrors.protocolViolation(failure));
             }
         } catch (IOException e) {
             LOG.debug("client disconnected client={} error=\"{}\"", client.peer(), e.toString());
@@ -129,7 +130,7 @@
                     .addKeyValue("client", client.peer())
                     .addKeyValue("user", hello.user())
                     .log("login rejected");
-            client.write(ResponseWriter.loginFailed());
+            client.write(ClientErrors.loginFailed());
             return false;
         }
         writeHello();
@@ -138,18 +139,14 @@
 
     private void readHello(int kind) throws IOException {
         if (ClientPacket.of(kind) != ClientPacket.HELLO) {
-            throw new WireException(WireException.Reason.MALFORMED, "the first packet is no Hello");
+            throw new WireException(WireException.Reason.MALFORMED, "first packet is not Hello");
         }
         hello = Hello.Client.read(in, WireLimits.LOGIN);
         revision = Math.min(Revision.HIGHEST, hello.revision());
         if (revision < Revision.LOWEST) {
             throw new WireException(
                     WireException.Reason.MALFORMED,
-                    "revision "
-                            + hello.revision()
-                            + " is too old, "
-                            + Revision.LOWEST
-                            + " is the least");
+                    "unsupported revision " + hello.revision() + ": at least " + Revision.LOWEST);
         }
     }
 
@@ -184,22 +181,23 @@
                     exchange.cancel();
                 }
             }
-            case HELLO -> throw new WireException(WireException.Reason.MALFORMED, "a second Hello");
-            default -> throw new IllegalStateException("no handler for packet kind " + kind);
+            case HELLO -> throw new WireException(WireException.Reason.MALFORMED, "repeated Hello");
+            default -> throw new IllegalStateException("no handler for packet " + kind);
         }
         return true;
     }
 
     private void handlePing() throws IOException, InterruptedException {
         if (exchange != null) {
-            // A Pong must not interrupt a response.
+            // A Pong packet must not be written between the packets of a response.
             exchange.awaitDone();
         }
         client.write(new ByteBuf().putVarUInt(ServerPacket.PONG.ordinal()));
     }
 
     /**
-     * Handles a block of the current insert; discards it if the insert has its response already.
+     * Handles a data block of the current insert; discards the block if the insert already has its
+     * response.
      */
     private void handleData() throws IOException, InterruptedException {
         ByteBuf packet = new ByteBuf(context.limits().packetBytes());
@@ -212,7 +210,7 @@
         }
     }
 
-    /** Reads the rest of a Data packet and appends the complete packet. */
+    /** Reads the rest of a Data packet and appends the complete packet to a buffer. */
     private BlockReader.Size readData(ByteBuf target, boolean compressed) throws IOException {
         target.putVarUInt(ClientPacket.DATA.ordinal());
         in.startTap(target);
@@ -224,43 +222,42 @@
 
     private void handleQuery() throws IOException, InterruptedException {
         if (exchange != null) {
-            // The client sent the query early; its bytes wait in the socket.
+            // The client sent the query early; its bytes remain in the socket buffer.
             exchange.awaitDone();
         }
         QueryPacket query = QueryPacket.read(in, revision, context.limits());
-        ByteBuf external =
+        ByteBuf externalTables =
                 new ByteBuf(
                         context.config().resourceLimits().insertBufferBytes(),
                         context.insertQuota());
-        boolean more = true;
-        while (more) {
-            more = !readExternalTable(external, query.compressed());
+        boolean hasMore = true;
+        while (hasMore) {
+            hasMore = !readExternalTable(externalTables, query.compressed());
         }
-        byte[] tables = Arrays.copyOf(external.array(), external.size());
-        external.release();
+        byte[] encodedTables = Arrays.copyOf(externalTables.array(), externalTables.size());
+        externalTables.release();
         if (query.stage() != QueryPacket.COMPLETE) {
             throw new WireException(
-                    WireException.Reason.MALFORMED,
-                    "stage " + query.stage() + " is only for servers");
+                    WireException.Reason.MALFORMED, "unsupported query stage " + query.stage());
         }
-        begin(query, tables);
+        submit(query, encodedTables);
     }
 
-    /** Reads an external table; returns true for the empty block that ends them. */
+    /** Reads an external table; returns true for the empty block that ends the list. */
     private boolean readExternalTable(ByteBuf target, boolean compressed) throws IOException {
         int kind = in.readByte();
         if (ClientPacket.of(kind) != ClientPacket.DATA) {
             throw new WireException(
                     WireException.Reason.MALFORMED,
-                    "a query is followed by a packet of kind " + kind);
+                    "unexpected packet " + kind + " after a query: expected Data");
         }
         return readData(target, compressed).isEnd();
     }
 
     // Statements
 
-    private void begin(QueryPacket query, byte[] externalTables) {
-        QueryPacket identified =
+    private void submit(QueryPacket query, byte[] externalTables) {
+        QueryPacket verified =
                 new QueryPacket(
                         query.id(),
                         clientInfo(query),
@@ -275,25 +272,25 @@
                         revision,
                         hello.user(),
                         hello.database(),
-                        identified,
+                        verified,
                         externalTables);
         dataComplete = exchange.feed() == null;
     }
 
-    /** Returns what the client says about itself, with its verified user and address. */
+    /** Returns the client information of a query, with the verified user and address. */
     private ClientInfo clientInfo(QueryPacket query) {
-        ClientInfo claimed = query.client();
+        ClientInfo reported = query.client();
         return new ClientInfo(
                 hello.user(),
                 query.id(),
                 client.peer(),
-                claimed.osUser(),
-                claimed.host(),
-                claimed.name().isEmpty() ? hello.name() : claimed.name(),
-                claimed.major(),
-                claimed.minor(),
-                claimed.revision(),
-                claimed.patch(),
-                claimed.quotaKey());
+                reported.osUser(),
+                reported.host(),
+                reported.name().isEmpty() ? hello.name() : reported.name(),
+                reported.major(),
+                reported.minor(),
+                reported.revision(),
+                reported.patch(),
+                reported.quotaKey());
     }
 }
--- a/router/src/main/java/ashlink/router/frontend/NativeListener.java
+++ b/router/src/main/java/ashlink/router/frontend/NativeListener.java
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Accepts clients of the native protocol, each with a thread of its own, up to a limit of
- * connections; further ones are closed.
+ * Accepts client connections of the native protocol. Each connection has a thread of its own;
+ * connections beyond the configured limit are closed.
  */
 public final class NativeListener {
 
@@ -21,17 +21,17 @@
 
     private final ListenerContext context;
     private final CredentialCache credentials = new CredentialCache();
-    private final ServerSocket server;
+    private final ServerSocket serverSocket;
     private final Thread acceptThread;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private volatile boolean closed;
 
-    /** Binds the address of the settings; port 0 stands for any free port. */
+    /** Binds the configured address; port 0 selects any free port. */
     public NativeListener(ListenerContext context) throws IOException {
         this.context = context;
-        server = new ServerSocket();
-        server.setReuseAddress(true);
-        server.bind(context.config().listen(), BACKLOG);
+        serverSocket = new ServerSocket();
+        serverSocket.setReuseAddress(true);
+        serverSocket.bind(context.config().listen(), BACKLOG);
         acceptThread = new Thread(this::accept, context.config().name() + "-accept");
         acceptThread.setDaemon(true);
     }
@@ -41,26 +41,29 @@
         acceptThread.start();
     }
 
-    /** Returns the address that it listens on. */
+    /** Returns the address on which the listener accepts connections. */
     public InetSocketAddress address() {
-        return (InetSocketAddress) server.getLocalSocketAddress();
+        return (InetSocketAddress) serverSocket.getLocalSocketAddress();
     }
 
     private void accept() {
         while (!closed) {
             try {
-                startConnection(server.accept());
+                startConnection(serverSocket.accept());
             } catch (IOException e) {
                 if (!closed) {
                     LOG.warn("accept failed error=\"{}\"", e.toString());
-                    pause();
+                    waitBeforeRetry();
                 }
             }
         }
     }
 
-    /** Prevents a busy loop while the process has no file descriptors. */
-    private static void pause() {
+    /**
+     * Sleeps before the next accept, to prevent a busy loop while the process has no free file
+     * descriptors.
+     */
+    private static void waitBeforeRetry() {
         try {
             Thread.sleep(ACCEPT_RETRY_DELAY_MS);
         } catch (InterruptedException e) {
@@ -72,7 +75,7 @@
         try {
             if (sockets.size() >= context.config().resourceLimits().maxClientConnections()) {
                 LOG.warn(
-                        "connection rejected at the limit client={} connections={}",
+                        "client connection rejected at the limit client={} connections={}",
                         socket.getRemoteSocketAddress(),
                         sockets.size());
                 socket.close();
@@ -96,14 +99,14 @@
             socket.close();
             throw e instanceof IOException io
                     ? io
-                    : new IOException("no thread for a connection", e);
+                    : new IOException("cannot start a thread for a client connection", e);
         }
     }
 
     /** Stops accepting clients; open connections remain. */
     public void stopAccepting() throws IOException {
         closed = true;
-        server.close();
+        serverSocket.close();
     }
 
     /** Closes all connections. */
@@ -112,7 +115,7 @@
             try {
                 socket.close();
             } catch (IOException e) {
-                // The connection is unusable either way.
+                // The socket is not used again, so a failed close has no effect.
             }
         }
     }
--- a/router/src/main/java/ashlink/router/frontend/UnsupportedStatementLog.java
+++ b/router/src/main/java/ashlink/router/frontend/UnsupportedStatementLog.java
@@ -6,8 +6,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Logs statements that the SQL reader does not support: fingerprint, position and reason, never
- * their text. Limits its rate. Safe for use by several threads.
+ * Logs statements whose syntax the SQL parser does not support. A log line contains the
+ * fingerprint, the position and the reason, but never the statement text. The rate of log lines is
+ * limited. Thread-safe.
  */
 public final class UnsupportedStatementLog {
 
@@ -15,17 +16,17 @@
     private static final int MAX_PER_SECOND = 5;
     private static final long NS_PER_S = 1_000_000_000L;
 
-    /** Statements that were not logged since the last one that was. */
+    /** Number of statements that were not logged since the last log line. */
     private final AtomicLong suppressed = new AtomicLong();
 
-    // Guarded by this.
+    // Fields guarded by this.
     private long secondStartNs = System.nanoTime();
     private int loggedInSecond;
 
     void log(StatementAnalysis analysis, String user) {
         long suppressedBefore;
         synchronized (this) {
-            if (!acquire()) {
+            if (!tryAcquire()) {
                 suppressed.incrementAndGet();
                 return;
             }
@@ -33,13 +34,14 @@
         }
         LOG.atWarn()
                 .addKeyValue("fingerprint", analysis.fingerprint())
-                .addKeyValue("at", analysis.offset())
+                .addKeyValue("offset", analysis.offset())
+                .addKeyValue("reason", analysis.reason())
                 .addKeyValue("user", user)
                 .addKeyValue("suppressed", suppressedBefore)
-                .log("statement not understood: {}", analysis.reason());
+                .log("unsupported statement syntax");
     }
 
-    private boolean acquire() {
+    private boolean tryAcquire() {
         long nowNs = System.nanoTime();
         if (nowNs - secondStartNs >= NS_PER_S) {
             secondStartNs = nowNs;
--- a/router/src/main/java/ashlink/router/upstream/EngineConnections.java
+++ b/router/src/main/java/ashlink/router/upstream/EngineConnections.java
@@ -26,9 +26,9 @@
 import java.util.function.Consumer;
 
 /**
- * The engines of the endpoint list: their states, connection pools and health checks. Changes of
- * the endpoints go to the core in the order in which the registry reports them. Safe for use by
- * several threads.
+ * Manages the engines of the endpoint list: their states, connection pools and health checks.
+ * Endpoint changes are passed to the core in the order in which the registry reports them.
+ * Thread-safe.
  */
 public final class EngineConnections implements EngineTransport {
 
@@ -48,18 +48,21 @@
     private final Map<String, NativeConnectionPool> pools = new ConcurrentHashMap<>();
     private final Map<String, EndpointState> states = new ConcurrentHashMap<>();
 
-    /** States by the endpoint list, without those set by operators. Guarded by this. */
-    private final Map<String, EndpointState> listed = new HashMap<>();
+    /**
+     * States according to the endpoint list, without the drains that operators set. Guarded by
+     * this.
+     */
+    private final Map<String, EndpointState> listedStates = new HashMap<>();
 
     /** Engines that operators drain. Guarded by this. */
-    private Set<String> drained = Set.of();
+    private Set<String> drainedEngines = Set.of();
 
     private volatile Consumer<EndpointsChanged> onChange = change -> {};
 
     /**
-     * Engines without endpoints; see {@link #start}.
+     * Creates an instance without endpoints; see {@link #start}.
      *
-     * @param workers runs the health checks
+     * @param workers executor of health checks
      */
     public EngineConnections(
             RouterConfig config, CoreClock clock, Executor workers, WireLimits limits) {
@@ -80,10 +83,10 @@
     // Endpoints
 
     /**
-     * Starts to report endpoints: first those that were cached, then those that are configured.
+     * Starts to report endpoints: first the cached endpoints, then the configured ones.
      *
      * @param listener receives all changes, in order
-     * @param cached endpoints of the last run; may be empty
+     * @param cached endpoints stored by the previous run; may be empty
      */
     public synchronized void start(Consumer<EndpointsChanged> listener, List<Endpoint> cached) {
         onChange = listener;
@@ -96,15 +99,17 @@
         configure(config.engines().values());
     }
 
-    /** Replaces all endpoints; pools of unchanged addresses remain. */
+    /**
+     * Replaces all endpoints; the connection pools of engines with an unchanged address are kept.
+     */
     public synchronized void configure(Collection<EngineSpec> specs) {
-        Map<String, NativeConnectionPool> before = new HashMap<>(pools);
+        Map<String, NativeConnectionPool> previous = new HashMap<>(pools);
         pools.clear();
         states.clear();
-        listed.clear();
+        listedStates.clear();
         List<EngineSpec> effective = new ArrayList<>();
         for (EngineSpec spec : specs) {
-            listed.put(spec.name(), spec.state());
+            listedStates.put(spec.name(), spec.state());
             effective.add(
                     new EngineSpec(
                             spec.name(),
@@ -113,51 +118,54 @@
                             spec.kind(),
                             spec.cell(),
                             effectiveState(spec.name())));
-            NativeConnectionPool old = before.get(spec.name());
-            boolean sameAddress = old != null && old.address().equals(spec.address());
-            pools.put(spec.name(), sameAddress ? before.remove(spec.name()) : newPool(spec));
+            NativeConnectionPool existing = previous.get(spec.name());
+            boolean sameAddress = existing != null && existing.address().equals(spec.address());
+            pools.put(spec.name(), sameAddress ? previous.remove(spec.name()) : newPool(spec));
             states.put(spec.name(), effectiveState(spec.name()));
         }
-        before.values().forEach(NativeConnectionPool::close);
+        previous.values().forEach(NativeConnectionPool::close);
         onChange.accept(registry.configure(effective));
     }
 
     private NativeConnectionPool newPool(EngineSpec spec) {
-        RouterConfig.ResourceLimits bounds = config.resourceLimits();
+        RouterConfig.ResourceLimits resourceLimits = config.resourceLimits();
         return new NativeConnectionPool(
                 spec.name(),
                 spec.address(),
                 config.name(),
                 config.engineLogin(),
-                bounds.maxConnectionsPerEngine(),
-                (int) Math.max(1, bounds.connectTimeoutNs() / NS_PER_MS),
-                bounds.engineIdleTimeoutNs(),
+                resourceLimits.maxConnectionsPerEngine(),
+                (int) Math.max(1, resourceLimits.connectTimeoutNs() / NS_PER_MS),
+                resourceLimits.engineIdleTimeoutNs(),
                 limits);
     }
 
-    /** Sets the state of an engine by the endpoint list. */
+    /** Sets the state of an engine in the endpoint list. */
     public synchronized void setState(String engine, EndpointState state) {
-        listed.put(engine, state);
-        reportState(engine);
+        listedStates.put(engine, state);
+        publishState(engine);
     }
 
-    /** Sets the engines that operators drain, whatever their state by the endpoint list. */
+    /** Sets the engines that operators drain, regardless of their state in the endpoint list. */
     public synchronized void setDrained(Set<String> engines) {
         Set<String> changed = new TreeSet<>(engines);
-        changed.addAll(drained);
-        changed.removeIf(engine -> engines.contains(engine) == drained.contains(engine));
-        drained = Set.copyOf(engines);
-        changed.forEach(this::reportState);
+        changed.addAll(drainedEngines);
+        changed.removeIf(engine -> engines.contains(engine) == drainedEngines.contains(engine));
+        drainedEngines = Set.copyOf(engines);
+        changed.forEach(this::publishState);
     }
 
-    /** Returns the state of an engine, draining if either side drains it. */
+    /**
+     * Returns the effective state of an engine: draining if an operator drains it, otherwise its
+     * state in the endpoint list.
+     */
     private EndpointState effectiveState(String engine) {
-        return drained.contains(engine)
+        return drainedEngines.contains(engine)
                 ? EndpointState.DRAINING
-                : listed.getOrDefault(engine, EndpointState.READY);
+                : listedStates.getOrDefault(engine, EndpointState.READY);
     }
 
-    private void reportState(String engine) {
+    private void publishState(String engine) {
         if (pools.containsKey(engine)) {
             states.put(engine, effectiveState(engine));
             registry.setState(engine, effectiveState(engine)).ifPresent(onChange);
@@ -169,12 +177,15 @@
         return registry.endpoints();
     }
 
-    /** Tells whether an engine accepts new queries; checked just before the first byte. */
+    /**
+     * Returns whether an engine accepts new queries; checked immediately before the first byte is
+     * sent.
+     */
     public boolean isReady(String engine) {
         return states.get(engine) == EndpointState.READY;
     }
 
-    private synchronized void reportConnect(String engine, boolean connected) {
+    private synchronized void recordConnect(String engine, boolean connected) {
         if (connected) {
             registry.recordConnection(engine, clock.nowNs()).ifPresent(onChange);
         } else {
@@ -183,11 +194,11 @@
     }
 
     /**
-     * Handles a reported uptime, from which restarts are detected.
+     * Records an uptime that an engine reported; the registry detects restarts from uptimes.
      *
-     * @param uptimeS seconds; negative if unknown
+     * @param uptimeS uptime in seconds; negative if unknown
      */
-    synchronized void reportUptime(String engine, double uptimeS) {
+    synchronized void recordUptime(String engine, double uptimeS) {
         if (uptimeS >= 0) {
             registry.recordUptime(engine, (long) (uptimeS * NS_PER_S), clock.nowNs())
                     .ifPresent(onChange);
@@ -197,43 +208,43 @@
     // Connections
 
     /**
-     * Takes a connection to an engine, with a default database.
+     * Acquires a connection to an engine with the given default database.
      *
-     * @throws NativeConnectionPool.Full if all connections are in use
-     * @throws IOException if the engine is unknown or cannot be reached
+     * @throws NativeConnectionPool.ExhaustedException if all connections are in use
+     * @throws IOException if the engine is unknown or the connection cannot be established
      */
-    public NativeEngineConnection take(String engine, String database) throws IOException {
+    public NativeEngineConnection acquire(String engine, String database) throws IOException {
         NativeConnectionPool pool = pools.get(engine);
         if (pool == null) {
-            throw new IOException("engine " + engine + " is not on the list");
+            throw new IOException("unknown engine " + engine + ": not in the endpoint list");
         }
         try {
-            NativeEngineConnection connection = pool.take(database);
-            reportConnect(engine, true);
+            NativeEngineConnection connection = pool.acquire(database);
+            recordConnect(engine, true);
             return connection;
-        } catch (NativeConnectionPool.Full e) {
+        } catch (NativeConnectionPool.ExhaustedException e) {
             throw e;
         } catch (IOException e) {
-            reportConnect(engine, false);
+            recordConnect(engine, false);
             throw e;
         }
     }
 
     /**
-     * Returns a connection.
+     * Returns a connection to its pool, or closes it.
      *
-     * @param reusable whether its last statement ended and nothing more will arrive; it is closed
-     *     otherwise
+     * @param reusable whether the last statement on the connection has ended and no further bytes
+     *     will arrive; otherwise the connection is closed
      */
-    public void giveBack(NativeEngineConnection connection, boolean reusable) {
+    public void release(NativeEngineConnection connection, boolean reusable) {
         if (reusable) {
-            connection.pool().giveBack(connection, clock.nowNs());
+            connection.pool().release(connection, clock.nowNs());
         } else {
             connection.pool().discard(connection);
         }
     }
 
-    /** Closes connections that are idle beyond the limit. */
+    /** Closes connections that exceed the idle timeout. */
     public void closeIdle() {
         pools.values().forEach(pool -> pool.closeIdle(clock.nowNs()));
     }
--- a/router/src/main/java/ashlink/router/upstream/EngineHealthChecker.java
+++ b/router/src/main/java/ashlink/router/upstream/EngineHealthChecker.java
@@ -20,7 +20,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Checks the health of an engine by a query for its metrics; blocks until the engine responds. */
+/** Checks the health of an engine by querying its metrics; blocks until the engine responds. */
 final class EngineHealthChecker {
 
     private static final Logger LOG = LoggerFactory.getLogger(EngineHealthChecker.class);
@@ -29,7 +29,7 @@
     private static final String METRICS_QUERY =
             "SELECT metric, toFloat64(value) AS value FROM system.metrics";
 
-    /** Timeout of a response, as a multiple of the connect timeout. */
+    /** Response timeout as a multiple of the connect timeout. */
     private static final int RESPONSE_TIMEOUT_FACTOR = 2;
 
     private final EngineConnections engines;
@@ -65,23 +65,23 @@
                 + "', toFloat64(uptime())";
     }
 
-    /** Checks an engine, and reports the result to the listener. */
+    /** Checks the health of an engine and reports the result to the listener. */
     void check(String engine, HealthCheckListener listener) {
         Outcome outcome = Outcome.CONNECT_FAILED;
         LoadReport report = LoadReport.NONE;
         NativeEngineConnection connection = null;
         boolean succeeded = false;
         try {
-            connection = engines.take(engine, "");
+            connection = engines.acquire(engine, "");
             outcome = Outcome.RESET;
             Map<String, Double> metrics = queryMetrics(connection);
             succeeded = metrics != null;
             outcome = succeeded ? Outcome.SERVED : Outcome.ERROR;
             if (succeeded) {
                 report = loadReports.report(metrics);
-                engines.reportUptime(engine, loadReports.uptimeS(metrics));
+                engines.recordUptime(engine, loadReports.uptimeS(metrics));
             }
-        } catch (NativeConnectionPool.Full e) {
+        } catch (NativeConnectionPool.ExhaustedException e) {
             outcome = Outcome.NOT_SENT;
         } catch (SocketTimeoutException e) {
             outcome = connection == null ? Outcome.CONNECT_FAILED : Outcome.TIMED_OUT;
@@ -89,7 +89,7 @@
             LOG.debug("health check failed engine={} error=\"{}\"", engine, e.toString());
         } finally {
             if (connection != null) {
-                engines.giveBack(connection, succeeded);
+                engines.release(connection, succeeded);
             }
             listener.onHealthCheckCompleted(outcome, report);
         }
@@ -100,7 +100,7 @@
         int connectTimeoutMs =
                 (int) Math.max(1, config.resourceLimits().connectTimeoutNs() / NS_PER_MS);
         ByteBuf packets = encodeQuery(connection.revision());
-        connection.timeout(RESPONSE_TIMEOUT_FACTOR * connectTimeoutMs);
+        connection.setReadTimeout(RESPONSE_TIMEOUT_FACTOR * connectTimeoutMs);
         connection.write(packets);
         Map<String, Double> metrics = new HashMap<>();
         while (true) {
@@ -109,7 +109,7 @@
                 ServerError.read(connection.in(), limits);
                 return null;
             } else if (kind == ServerPacket.END_OF_STREAM) {
-                connection.timeout(0);
+                connection.setReadTimeout(0);
                 return metrics;
             } else if (kind.hasBlock()) {
                 connection.in().readString("table", limits.nameBytes());
@@ -118,7 +118,7 @@
                     metrics.putAll(LoadReportReader.values(block));
                 }
             } else {
-                connection.skipPlain(kind);
+                connection.skipPacket(kind);
             }
         }
     }
