--- a/capture/src/main/java/ashlink/capture/CaptureReader.java
+++ b/capture/src/main/java/ashlink/capture/CaptureReader.java
@@ -9,20 +9,22 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Reads a capture, of each segment as far as it is intact. Not safe for use by several threads. */
+/** Reads a capture; each segment is read up to its first damaged frame. Not thread-safe. */
 public final class CaptureReader {
 
     private static final long UNKNOWN_ENTRIES = 0;
 
     /**
-     * What was read of a segment.
+     * Summary of a segment that was read.
      *
-     * @param boot identifier of the start of the router that wrote it
-     * @param number number of the segment among those of that start, from 0
-     * @param firstEntry number of its first entry
+     * @param name file name
+     * @param state result of reading the segment
+     * @param boot identifier of the router start that wrote the segment
+     * @param number index of the segment among the segments of this router start, from 0
+     * @param firstEntry index of the first entry of the segment among the entries of this start
      * @param entries number of entries read
-     * @param bytes length of the file
-     * @param reason reason of a state other than {@link Segment.State#WHOLE}, else empty
+     * @param bytes length of the file in bytes
+     * @param reason cause of a state other than {@link Segment.State#WHOLE}; empty otherwise
      */
     public record SegmentSummary(
             String name,
@@ -37,16 +39,16 @@
     private final Disk disk;
     private final EntryReader reader = new EntryReader();
 
-    /** A reader of the capture in a directory. */
+    /** Creates a reader of the capture in a directory. */
     public CaptureReader(Disk disk) {
         this.disk = disk;
     }
 
     /**
-     * Reads all entries in order. Where a segment does not continue the one before, a gap of
-     * unknown size precedes its entries.
+     * Reads all entries in order. If a segment does not directly continue the previous segment, a
+     * gap of unknown size is passed to the consumer before the entries of the segment.
      *
-     * @return the segments in order
+     * @return summaries of the segments in order
      */
     public List<SegmentSummary> read(Consumer<Entry> consumer) throws IOException {
         List<SegmentSummary> segments = new ArrayList<>();
@@ -76,7 +78,7 @@
                 reader.read(frame, counter);
             }
         } catch (IOException | IllegalArgumentException e) {
-            // The checksum is right, yet the frame is no frame of this version.
+            // The checksum matches, but the payload is not valid in this format version.
             state = Segment.State.DAMAGED;
             reason = String.valueOf(e.getMessage());
         }
@@ -91,7 +93,7 @@
                 reason);
     }
 
-    /** Tells whether no entries are missing between a segment and the one before. */
+    /** Returns whether no entries are missing between the previous segment and a segment. */
     private static boolean continues(Segment.Contents contents, SegmentSummary previous) {
         if (contents.number() == 0 && contents.boot() != 0) {
             return true;
--- a/capture/src/main/java/ashlink/capture/CaptureSlice.java
+++ b/capture/src/main/java/ashlink/capture/CaptureSlice.java
@@ -11,9 +11,10 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Writes a part of a capture as a capture of its own. A part that begins with a start can be
- * replayed. Another begins with the last start before it and a gap, and can only be read: a
- * decision module cannot be created in the middle. Not safe for use by several threads.
+ * Writes a range of the entries of a capture as a separate capture. A slice whose first entry is a
+ * start can be replayed. Any other slice is preceded by the last start before it and a gap; such a
+ * slice can be read but not replayed, because the state of a decision module cannot be
+ * reconstructed in the middle of its run. Not thread-safe.
  */
 public final class CaptureSlice implements Consumer<Entry>, AutoCloseable {
 
@@ -24,10 +25,10 @@
     private final long maxCount;
     private final SegmentWriter log;
 
-    /** The keys of a capture are hidden already. */
+    /** Stores keys unchanged: the keys of the source capture are already masked. */
     private final EntryWriter writer = new EntryWriter(UnaryOperator.identity());
 
-    /** The last start before the part, or null. */
+    /** Last start before the slice, or null. */
     private Entry start;
 
     private long nextIndex;
@@ -36,13 +37,13 @@
     private boolean frameOpen;
 
     /**
-     * A part of a capture.
+     * Creates a slice of up to {@code count} entries.
      *
-     * @param to directory without a capture, which receives the part
-     * @param boot identifier of the start of the router, for the names of the segments
+     * @param to target directory, which must not contain a capture
+     * @param boot identifier of the router start, used in the names of the segments
      * @param from index of the first entry, from 0
-     * @param count largest number of entries
-     * @throws IOException if the directory has a capture
+     * @param count maximum number of entries
+     * @throws IOException if the target directory already contains a capture
      */
     public CaptureSlice(Disk to, long boot, long from, long count) throws IOException {
         if (to.list().stream().anyMatch(Segment::isSegment)) {
@@ -53,7 +54,7 @@
         this.log = new SegmentWriter(to, boot, SEGMENT_BYTES, Long.MAX_VALUE);
     }
 
-    /** Takes the next entry of the capture, whether or not it belongs to the part. */
+    /** Receives the next entry of the source capture, inside or outside the slice. */
     @Override
     public void accept(Entry entry) {
         long index = nextIndex++;
@@ -83,7 +84,7 @@
         }
     }
 
-    /** Returns the number of entries written, including a start and a gap put before the part. */
+    /** Returns the number of written entries, including the start and gap before the slice. */
     public long written() {
         return written;
     }
--- a/capture/src/main/java/ashlink/capture/CaptureSummary.java
+++ b/capture/src/main/java/ashlink/capture/CaptureSummary.java
@@ -18,14 +18,14 @@
 import java.util.function.Consumer;
 
 /**
- * Counts what happened in a capture by class, by engine and by second. The getters are read by name
- * from the template of the report. Not safe for use by several threads.
+ * Counts queries by class, attempts by engine and load by second of a capture. The report template
+ * reads the getters by name. Not thread-safe.
  */
 public final class CaptureSummary implements Consumer<Entry> {
 
     private static final double NS_PER_S = 1e9;
 
-    /** Queries of a class by how they ended. */
+    /** Numbers of queries of a class by final result. */
     public static final class ClassCount {
         private long submitted;
         private long served;
@@ -38,7 +38,7 @@
             return submitted;
         }
 
-        /** Returns the number of queries that ended with the response of an engine. */
+        /** Returns the number of queries that ended with a result or error from an engine. */
         public long getServed() {
             return served;
         }
@@ -59,7 +59,7 @@
         }
     }
 
-    /** The counts of one second. */
+    /** Counts of one second of a capture. */
     public static final class Second {
         private long submitted;
         private long endedAttempts;
@@ -101,7 +101,7 @@
     /** Time of the first step since the last start; 0 before it. */
     private long firstStepNs;
 
-    /** Seconds of the starts before the last one. */
+    /** Number of seconds covered by the starts before the last one. */
     private int earlierSeconds;
 
     @Override
@@ -197,7 +197,10 @@
         return attemptEndsByEngine;
     }
 
-    /** Returns the counts by second from the first step; those of later starts follow on. */
+    /**
+     * Returns the counts by second since the first step. The seconds of a later start are numbered
+     * after the seconds of the earlier starts.
+     */
     public Map<Integer, Second> getSeconds() {
         return seconds;
     }
@@ -212,7 +215,7 @@
         return moduleHash;
     }
 
-    /** Returns the numbers of starts, gaps and steps, in this order. */
+    /** Returns the number of starts, of gaps and of steps, in this order. */
     public List<Long> getTotals() {
         return List.of(starts, gaps, steps);
     }
--- a/capture/src/main/java/ashlink/capture/CapturedEngineState.java
+++ b/capture/src/main/java/ashlink/capture/CapturedEngineState.java
@@ -4,13 +4,13 @@
 import ashlink.decisions.api.LoadReport;
 import java.util.Locale;
 
-/** What a decision module knew of an engine at some time, as far as its events show it. */
+/** State of an engine as known to a decision module, derived from the events of a capture. */
 final class CapturedEngineState {
 
     private static final double NS_PER_MS = 1e6;
     private static final double MS_PER_S = 1000;
 
-    /** Null while the engine is not listed. */
+    /** Null while the engine is not in the endpoint list. */
     private Endpoint endpoint;
 
     private LoadReport loadReport = LoadReport.NONE;
@@ -22,7 +22,7 @@
         this.endpoint = endpoint;
     }
 
-    /** Stores a load report, unless it is empty. */
+    /** Stores a load report and its time; ignores an empty report. */
     void reportLoad(LoadReport report, long nowNs) {
         if (!report.equals(LoadReport.NONE)) {
             loadReport = report;
@@ -35,10 +35,10 @@
     }
 
     /**
-     * An attempt ended.
+     * Handles the end of an attempt.
      *
-     * @param counted whether its start was counted
-     * @param description how it ended
+     * @param counted whether the start of the attempt was counted by {@link #attemptStarted}
+     * @param description outcome and duration
      */
     void attemptEnded(boolean counted, String description) {
         if (counted) {
@@ -47,7 +47,7 @@
         lastAttemptEnd = description;
     }
 
-    /** Describes the state on one line. */
+    /** Returns a one-line description of the state. */
     String describe(long nowNs) {
         String lastEnd = lastAttemptEnd.isEmpty() ? "" : "; last end " + lastAttemptEnd;
         return describeEndpoint(nowNs)
--- a/capture/src/main/java/ashlink/capture/JsonExport.java
+++ b/capture/src/main/java/ashlink/capture/JsonExport.java
@@ -12,9 +12,9 @@
 import java.util.function.Consumer;
 
 /**
- * Writes entries as JSON, one object per line: the form of the entry and its fields by name; events
- * and actions also have their kind. Names are those of the records, so a renamed record component
- * changes this output. Not safe for use by several threads.
+ * Writes entries as JSON, one object per line, with the form of the entry and its fields by name.
+ * Events and actions also have a kind. The names are the names of the records and their components,
+ * so renaming a record component changes the output. Not thread-safe.
  */
 public final class JsonExport implements Consumer<Entry>, AutoCloseable {
 
@@ -27,7 +27,7 @@
     private final ObjectMapper mapper = new ObjectMapper();
     private final OutputStream out;
 
-    /** Writes to a stream, which {@link #close} flushes and leaves open. */
+    /** Creates an export to a stream; {@link #close} flushes the stream but does not close it. */
     public JsonExport(OutputStream out) {
         this.out = out;
         mapper.getFactory().configure(JsonGenerator.Feature.AUTO_CLOSE_TARGET, false);
@@ -36,7 +36,7 @@
     /**
      * Writes an entry.
      *
-     * @throws UncheckedIOException if the stream fails
+     * @throws UncheckedIOException if writing to the stream fails
      */
     @Override
     public void accept(Entry entry) {
--- a/capture/src/main/java/ashlink/capture/ModuleHash.java
+++ b/capture/src/main/java/ashlink/capture/ModuleHash.java
@@ -17,27 +17,27 @@
 import java.util.jar.JarFile;
 import java.util.stream.Stream;
 
-/** A hash of the code of a decision module, by which a replay recognizes another build. */
+/** Hash of the code of a decision module; a replay uses the hash to detect a different build. */
 public final class ModuleHash {
 
     private static final String ALGORITHM = "SHA-256";
     private static final String CLASS_SUFFIX = ".class";
 
-    /** Bytes of the digest that the hash keeps. */
+    /** Number of leading digest bytes used as the hash. */
     private static final int HASH_BYTES = 8;
 
-    /** Separates the name of a class file from its content in the digest. */
+    /** Separator between the name and the content of a class file in the digest input. */
     private static final byte NAME_END = 0;
 
     private ModuleHash() {}
 
     /**
-     * Returns the hash of all class files in the package of a class and in its sub-packages, in
-     * hex. It depends on the names and contents of the files alone: the same build has the same
-     * hash as a jar and as a directory.
+     * Returns the hash of all class files in the package of a class and in its subpackages, in hex.
+     * The hash depends only on the names and contents of the files, so a build has the same hash as
+     * a jar and as a directory.
      *
-     * @throws IllegalStateException if the class comes from neither a jar nor a directory, or its
-     *     class files cannot be read; the message names the class and the place
+     * @throws IllegalStateException if the class was loaded from neither a jar nor a directory, or
+     *     if its class files cannot be read; the message contains the class name and the location
      */
     public static String of(Class<?> module) {
         Path codeSource = codeSource(module);
@@ -71,7 +71,7 @@
                         + location);
     }
 
-    /** Returns the class files by name, with {@code /} as separator, in the order of names. */
+    /** Returns the class files by name, sorted, with {@code /} as the separator in names. */
     private static Map<String, byte[]> readDirectory(Path directory, String packagePath)
             throws IOException {
         Map<String, byte[]> classFiles = new TreeMap<>();
@@ -90,7 +90,7 @@
         return classFiles;
     }
 
-    /** Like {@link #readDirectory}, from a jar. */
+    /** Returns the same map as {@link #readDirectory}, read from a jar. */
     private static Map<String, byte[]> readJar(Path jar, String packagePath) throws IOException {
         Map<String, byte[]> classFiles = new TreeMap<>();
         try (JarFile jarFile = new JarFile(jar.toFile())) {
--- a/capture/src/main/java/ashlink/capture/QueryTimeline.java
+++ b/capture/src/main/java/ashlink/capture/QueryTimeline.java
@@ -26,8 +26,8 @@
 import java.util.function.Consumer;
 
 /**
- * Extracts the timeline of one query from a capture: when it was submitted, what was known of the
- * engines at each attempt, how the attempts ended, and what the client received.
+ * Extracts the timeline of one query from a capture: the submission, the known state of the engines
+ * at each attempt, the outcomes of the attempts, and the final result. Not thread-safe.
  */
 public final class QueryTimeline implements Consumer<Entry> {
 
@@ -39,19 +39,19 @@
     private final Map<String, QueryClass> classes = new HashMap<>();
     private final Map<Long, String> engineByQuery = new HashMap<>();
 
-    /** Null until the query was submitted. */
+    /** Null before the query is submitted. */
     private QuerySubmitted query;
 
     private long submittedNs;
     private boolean mayHaveRun;
     private boolean finished;
 
-    /** The timeline of the query with that identifier. */
+    /** Creates the timeline of the query with the given identifier. */
     public QueryTimeline(long id) {
         this.queryId = id;
     }
 
-    /** Returns the lines of the timeline; empty if the capture does not have the query. */
+    /** Returns the lines of the timeline; empty if the capture does not contain the query. */
     public List<String> lines() {
         return List.copyOf(lines);
     }
--- a/capture/src/main/java/ashlink/capture/Recorder.java
+++ b/capture/src/main/java/ashlink/capture/Recorder.java
@@ -15,9 +15,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes a capture on a thread of its own, so that the decision thread never waits for the disk.
- * Entries pass through a bounded queue; where it is full, or the disk fails, they are dropped, and
- * an {@link Entry.Gap} with their number is written once the disk works again.
+ * Writes a capture on a dedicated thread, so that the decision thread never waits for the disk.
+ * Entries pass through a bounded queue. If the queue is full or the disk fails, entries are
+ * dropped, and an {@link Entry.Gap} with their number is written after recovery.
  */
 public final class Recorder implements AutoCloseable {
 
@@ -36,28 +36,28 @@
     private final long retryDelayNs;
     private final Thread thread;
 
-    /** Entries dropped since the last gap; while it is positive, all further ones are dropped. */
+    /** Entries dropped since the last gap; while positive, all further entries are dropped. */
     private final AtomicLong dropped = new AtomicLong();
 
     private final AtomicLong gaps = new AtomicLong();
     private volatile long syncedEntries;
     private volatile boolean closed;
 
-    // Only the writing thread uses these.
+    // Accessed only by the writer thread.
     private long writtenEntries;
     private boolean failing;
 
     /**
-     * Starts a recorder.
+     * Creates a recorder and starts its writer thread.
      *
-     * @param disk directory of the capture; the recorder closes it
-     * @param boot identifier of the start of the router; larger than those of earlier starts
+     * @param disk directory of the capture; closed by the recorder
+     * @param boot identifier of the router start, larger than the identifiers of earlier starts
      * @param segmentBytes size at which a segment is closed
-     * @param keptBytes total size beyond which the oldest segments are deleted
+     * @param keptBytes total size above which the oldest segments are deleted
      * @param queueBound capacity of the queue in entries
-     * @param syncNs interval between two syncs
-     * @param retryNs delay after an error of the disk
-     * @param hideKey replaces each ordering key, so that none is stored
+     * @param syncNs minimum interval between two syncs, in nanoseconds
+     * @param retryNs delay after a disk error, in nanoseconds
+     * @param hideKey masks an ordering key, so that no key is stored in plain text
      */
     public Recorder(
             Disk disk,
@@ -80,25 +80,26 @@
         thread.start();
     }
 
-    /** Records an entry, or drops it; never blocks. */
+    /** Queues an entry for writing, or drops the entry; never blocks. */
     public void record(Entry entry) {
-        // Once an entry is dropped, all later ones are, so that the gap is one run of entries.
+        // After the first dropped entry, all entries are dropped until a gap is written, so that
+        // each gap stands for consecutive entries.
         if (dropped.get() > 0 || !queue.offer(entry)) {
             dropped.incrementAndGet();
         }
     }
 
-    /** Returns the number of entries that survive a crash, each gap counted as one entry. */
+    /** Returns the number of entries synced to disk; each gap counts as one entry. */
     public long synced() {
         return syncedEntries;
     }
 
-    /** Returns the number of dropped entries that no gap accounts for yet. */
+    /** Returns the number of dropped entries that are not yet represented by a gap. */
     public long dropped() {
         return dropped.get();
     }
 
-    /** Returns the number of gaps. */
+    /** Returns the number of gaps recorded. */
     public long gaps() {
         return gaps.get();
     }
@@ -127,7 +128,7 @@
         closeLog();
     }
 
-    /** Takes the queued entries, or a gap once the queue is empty and entries were dropped. */
+    /** Takes the queued entries, or a gap if the queue is empty and entries were dropped. */
     private void fill(List<Entry> batch) throws InterruptedException {
         Entry first = queue.poll(POLL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         if (first != null) {
@@ -154,7 +155,7 @@
         }
     }
 
-    /** Counts everything since the last sync as dropped, for it may not be on the disk. */
+    /** Counts all entries since the last sync as dropped, because they may not be on disk. */
     private void handleDiskFailure(List<Entry> batch, IOException failure) {
         if (!failing) {
             LOG.warn("capture write failed, dropping entries error=\"{}\"", failure.toString());
@@ -180,7 +181,7 @@
         }
     }
 
-    /** Writes the queued entries and closes the disk; waits for up to ten seconds. */
+    /** Writes the queued entries, waiting up to ten seconds, and closes the disk. */
     @Override
     public void close() throws IOException {
         closed = true;
@@ -192,7 +193,7 @@
         disk.close();
     }
 
-    /** Stops at once and loses the queued entries, like a crash. */
+    /** Stops immediately and discards the queued entries, to simulate a crash. */
     public void kill() throws IOException {
         closed = true;
         queue.clear();
--- a/capture/src/main/java/ashlink/capture/Replay.java
+++ b/capture/src/main/java/ashlink/capture/Replay.java
@@ -10,18 +10,21 @@
 import java.util.function.Function;
 
 /**
- * Replays a capture: hands the recorded events at the recorded times to a new decision module, and
- * compares its actions with the recorded ones. A decision module depends on nothing else. Steps
- * after a gap are skipped until the next start. Not safe for use by several threads.
+ * Replays a capture: passes the recorded events and times to a new decision module and compares the
+ * actions of the module with the recorded actions. The actions of a decision module depend only on
+ * its settings, events and times. Steps after a gap are skipped until the next start. Not
+ * thread-safe.
  */
 public final class Replay implements Consumer<Entry> {
 
     private static final int MAX_DIVERGENCES = 20;
 
     /**
-     * A step in which the replay decided otherwise.
+     * Step whose replayed actions differ from the recorded actions.
      *
-     * @param entry number of the entry in the capture, from 0
+     * @param entry index of the entry in the capture, from 0
+     * @param recorded recorded step
+     * @param replayed actions of the replayed module
      */
     public record Divergence(long entry, Entry.Step recorded, List<Action> replayed) {}
 
@@ -43,10 +46,10 @@
     private long earlierSpanNs;
 
     /**
-     * A replay.
+     * Creates a replay.
      *
-     * @param module creates the decision module that decides again
-     * @param hash hash of its code, see {@link ModuleHash}
+     * @param module factory of the decision module that handles the recorded events
+     * @param hash hash of the code of this module, see {@link ModuleHash}
      */
     public Replay(Function<Settings, WorkloadManager> module, String hash) {
         this.moduleFactory = module;
@@ -96,35 +99,36 @@
         return replayedSteps;
     }
 
-    /** Returns the number of steps that were skipped, as they follow a gap. */
+    /** Returns the number of steps that were skipped because they follow a gap. */
     public long skippedSteps() {
         return skippedSteps;
     }
 
-    /** Returns the number of decision modules that the capture covers. */
+    /** Returns the number of starts, each of which created a decision module. */
     public long starts() {
         return starts;
     }
 
     /**
-     * Returns the number of steps in which the replay decided otherwise. After the first of them,
-     * the recorded events are no longer those that the replayed decisions would have caused.
+     * Returns the number of steps whose replayed actions differ from the recorded actions. After
+     * the first such step, the recorded events are no longer the events that the replayed actions
+     * would have caused.
      */
     public long divergentSteps() {
         return divergentSteps;
     }
 
-    /** Returns the first divergences, up to a limit. */
+    /** Returns the first divergences, up to a fixed limit. */
     public List<Divergence> divergences() {
         return List.copyOf(divergences);
     }
 
-    /** Tells whether a part of the capture was recorded with other code. */
+    /** Returns whether any start of the capture was recorded with different module code. */
     public boolean hashesDiffer() {
         return hashesDiffer;
     }
 
-    /** Returns the time from the first to the last step, summed over the starts. */
+    /** Returns the time from the first to the last step, summed over all starts. */
     public long spanNs() {
         return earlierSpanNs + lastNs - firstNs;
     }
--- a/capture/src/main/java/ashlink/capture/events/ActionCodec.java
+++ b/capture/src/main/java/ashlink/capture/events/ActionCodec.java
@@ -12,7 +12,7 @@
 import ashlink.decisions.api.Action.WatchEndpoints;
 import java.io.IOException;
 
-/** The stored form of actions: a tag, then the fields in a fixed order. */
+/** Encodes and decodes actions: a tag, followed by the fields in a fixed order. */
 final class ActionCodec {
 
     private static final int START_ATTEMPT = 1;
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Reads an action of the current step. */
+    /** Reads an action that belongs to the current step. */
     static Action read(FrameDecoder in) throws IOException {
         int tag = in.readByte();
         return switch (tag) {
--- a/capture/src/main/java/ashlink/capture/events/DoubleForm.java
+++ b/capture/src/main/java/ashlink/capture/events/DoubleForm.java
@@ -1,15 +1,15 @@
 package ashlink.capture.events;
 
-/** The forms in which a double is stored; the form precedes the value. */
+/** Encodings of a double; a byte with the encoding precedes the value. */
 final class DoubleForm {
 
-    /** Not a number; nothing follows. */
+    /** NaN, without further bytes. */
     static final int NAN = 0;
 
-    /** A natural number below {@link #INTEGER_LIMIT}, as an unsigned varint. */
+    /** Non-negative integer below {@link #INTEGER_LIMIT}, as an unsigned varint. */
     static final int INTEGER = 1;
 
-    /** Eight bytes, the least significant first. */
+    /** IEEE 754 bits in eight bytes, least significant byte first. */
     static final int BITS = 2;
 
     static final long INTEGER_LIMIT = 1L << 40;
--- a/capture/src/main/java/ashlink/capture/events/Entry.java
+++ b/capture/src/main/java/ashlink/capture/events/Entry.java
@@ -5,24 +5,31 @@
 import ashlink.decisions.api.Settings;
 import java.util.List;
 
-/** An entry of a capture; entries are in the order in which they happened. */
+/** Entry of a capture; entries are stored in the order of their occurrence. */
 public sealed interface Entry {
 
     /**
-     * A decision module was created; the entries that follow are its own.
+     * Creation of a decision module; the entries up to the next start belong to this module.
      *
-     * @param moduleHash hash of its code
-     * @param router name of its router
+     * @param moduleHash hash of the code of the module
+     * @param settings settings of the module
+     * @param router name of the router
      */
     record Start(String moduleHash, Settings settings, String router) implements Entry {}
 
-    /** The module handled an event at a time, and returned those actions. */
+    /**
+     * Event handled by the module.
+     *
+     * @param event event passed to the module
+     * @param nowNs time passed to the module, in nanoseconds
+     * @param actions actions returned by the module
+     */
     record Step(Event event, long nowNs, List<Action> actions) implements Entry {}
 
     /**
-     * Entries are missing; those that follow cannot be replayed until the next start.
+     * Range of missing entries; the entries between the gap and the next start cannot be replayed.
      *
-     * @param entries number of missing entries; 0 if unknown
+     * @param entries number of missing entries, or 0 if unknown
      */
     record Gap(long entries) implements Entry {}
 }
--- a/capture/src/main/java/ashlink/capture/events/EntryReader.java
+++ b/capture/src/main/java/ashlink/capture/events/EntryReader.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Decodes the frames of {@link EntryWriter}. Not safe for use by several threads. */
+/** Decodes the frames written by {@link EntryWriter}. Not thread-safe. */
 public final class EntryReader {
 
     private final FrameDecoder in = new FrameDecoder();
 
-    /** Starts a segment, which does not refer to frames read before. */
+    /** Starts a segment, whose frames do not depend on frames read before. */
     public void startSegment() {
         in.startSegment();
     }
@@ -22,7 +22,8 @@
      * Decodes the next frame of the segment.
      *
      * @param consumer receives the entries in order
-     * @throws IOException if the frame is damaged; the entries before the damage were delivered
+     * @throws IOException if the frame is malformed; the consumer has received the entries before
+     *     the malformed entry
      */
     public void read(byte[] frame, Consumer<Entry> consumer) throws IOException {
         in.startFrame(frame);
--- a/capture/src/main/java/ashlink/capture/events/EntryWriter.java
+++ b/capture/src/main/java/ashlink/capture/events/EntryWriter.java
@@ -3,8 +3,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Encodes entries into frames. The frames of a segment refer to earlier frames of the same segment,
- * never to another segment. Not safe for use by several threads.
+ * Encodes entries into frames. A frame can depend on earlier frames of the same segment, but never
+ * on another segment. Not thread-safe.
  */
 public final class EntryWriter {
 
@@ -16,15 +16,15 @@
     private final UnaryOperator<String> hideKey;
 
     /**
-     * A writer.
+     * Creates a writer.
      *
-     * @param hideKey replaces each ordering key, so that none is stored
+     * @param hideKey masks an ordering key, so that no key is stored in plain text
      */
     public EntryWriter(UnaryOperator<String> hideKey) {
         this.hideKey = hideKey;
     }
 
-    /** Returns the buffer, of which the first {@link #size()} bytes are the current frame. */
+    /** Returns the buffer, whose first {@link #size()} bytes are the current frame. */
     public byte[] bytes() {
         return out.bytes();
     }
@@ -34,7 +34,11 @@
         return out.size();
     }
 
-    /** Starts a frame, which may be the first of a segment. */
+    /**
+     * Starts a frame.
+     *
+     * @param newSegment whether the frame is the first frame of a segment
+     */
     public void startFrame(boolean newSegment) {
         out.startFrame();
         if (newSegment) {
--- a/capture/src/main/java/ashlink/capture/events/EventCodec.java
+++ b/capture/src/main/java/ashlink/capture/events/EventCodec.java
@@ -19,7 +19,7 @@
 import java.util.List;
 import java.util.function.UnaryOperator;
 
-/** The stored form of events: a tag, then the fields in a fixed order. */
+/** Encodes and decodes events: a tag, followed by the fields in a fixed order. */
 final class EventCodec {
 
     private static final int QUERY_SUBMITTED = 1;
@@ -35,7 +35,7 @@
     /**
      * Writes an event.
      *
-     * @param hideKey replaces the ordering key of a query
+     * @param hideKey masks the ordering key of a query
      */
     static void write(Event event, FrameEncoder out, UnaryOperator<String> hideKey) {
         if (event instanceof QuerySubmitted submitted) {
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Reads an event; the current step of {@code in} gives its time. */
+    /** Reads an event; times are relative to the time of the current step of {@code in}. */
     static Event read(FrameDecoder in) throws IOException {
         int tag = in.readByte();
         return switch (tag) {
--- a/capture/src/main/java/ashlink/capture/events/FrameDecoder.java
+++ b/capture/src/main/java/ashlink/capture/events/FrameDecoder.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Decodes the values that {@link FrameEncoder} encoded. All methods throw {@link IOException} for
- * bytes that no encoder wrote. Not safe for use by several threads.
+ * Decodes the values that {@link FrameEncoder} encoded. The reading methods throw {@link
+ * IOException} for bytes that are not a valid encoding. Not thread-safe.
  */
 final class FrameDecoder {
 
@@ -24,7 +24,7 @@
         position = 0;
     }
 
-    /** Forgets all context. */
+    /** Clears the state that earlier frames left behind. */
     void startSegment() {
         texts.clear();
         lastStepNs = 0;
@@ -35,7 +35,7 @@
         return position < bytes.length;
     }
 
-    /** Reads a byte as a number from 0 to 255. */
+    /** Reads an unsigned byte. */
     int readByte() throws IOException {
         if (position >= bytes.length) {
             throw new IOException("a frame ends within an entry");
@@ -43,6 +43,7 @@
         return bytes[position++] & BYTE_MASK;
     }
 
+    /** Reads an unsigned varint. */
     long readUnsigned() throws IOException {
         long value = 0;
         for (int shift = 0; shift < Long.SIZE; shift += Varint.PAYLOAD_BITS) {
@@ -64,11 +65,13 @@
         return (int) value;
     }
 
+    /** Reads a signed varint in zigzag encoding. */
     long readSigned() throws IOException {
         long value = readUnsigned();
         return value >>> 1 ^ -(value & 1);
     }
 
+    /** Reads a double in one of the encodings of {@link DoubleForm}. */
     double readDouble() throws IOException {
         int form = readByte();
         if (form == DoubleForm.NAN) {
@@ -88,7 +91,7 @@
         return readByte() != 0;
     }
 
-    /** Reads a text, or null. */
+    /** Reads a text or null; a text that is new in the segment follows its number. */
     String readText() throws IOException {
         int number = readCount(Integer.MAX_VALUE - 1);
         if (number == 0) {
@@ -107,22 +110,23 @@
         return text;
     }
 
-    /** Reads one of the constants of an enum. */
+    /** Reads a constant of an enum by its ordinal. */
     <E extends Enum<E>> E readEnum(E[] constants) throws IOException {
         return constants[readCount(constants.length - 1)];
     }
 
-    /** Reads the time of a step in nanoseconds. */
+    /** Reads the time of a step in nanoseconds, stored relative to the previous step. */
     long readStepTime() throws IOException {
         lastStepNs += readSigned();
         return lastStepNs;
     }
 
-    /** Reads a time in nanoseconds that was written within the current step. */
+    /** Reads a time in nanoseconds, stored relative to the time of the current step. */
     long readTime() throws IOException {
         return readSigned() + lastStepNs;
     }
 
+    /** Reads a query identifier, stored relative to the previous query identifier. */
     long readQueryId() throws IOException {
         lastQueryId += readSigned();
         return lastQueryId;
--- a/capture/src/main/java/ashlink/capture/events/FrameEncoder.java
+++ b/capture/src/main/java/ashlink/capture/events/FrameEncoder.java
@@ -7,8 +7,8 @@
 
 /**
  * Encodes the values of a frame compactly: integers as varints, times and query identifiers as
- * differences, each text once per segment. {@link FrameDecoder} is the inverse;
- * docs/capture-format.md has the layout. Not safe for use by several threads.
+ * differences, and each text once per segment. {@link FrameDecoder} is the inverse;
+ * docs/capture-format.md specifies the layout. Not thread-safe.
  */
 final class FrameEncoder {
 
@@ -20,7 +20,7 @@
     private long lastStepNs;
     private long lastQueryId;
 
-    /** Returns the buffer, of which the first {@link #size()} bytes are the frame. */
+    /** Returns the buffer, whose first {@link #size()} bytes are the frame. */
     byte[] bytes() {
         return bytes;
     }
@@ -33,14 +33,14 @@
         size = 0;
     }
 
-    /** Forgets all context, so that the new segment can be read by itself. */
+    /** Clears the state of earlier frames, so that the new segment can be read on its own. */
     void startSegment() {
         textNumbers.clear();
         lastStepNs = 0;
         lastQueryId = 0;
     }
 
-    /** Writes the low byte of a value. */
+    /** Writes the least significant byte of a value. */
     void writeByte(int value) {
         if (size == bytes.length) {
             bytes = Arrays.copyOf(bytes, 2 * size);
@@ -58,12 +58,12 @@
         writeByte((int) rest);
     }
 
-    /** Writes a signed varint in zigzag form. */
+    /** Writes a signed varint in zigzag encoding. */
     void writeSigned(long value) {
         writeUnsigned(value << 1 ^ value >> 63);
     }
 
-    /** Writes a double: short if it is NaN or a small natural number, else all of its bits. */
+    /** Writes a double in the shortest of the encodings of {@link DoubleForm}. */
     void writeDouble(double value) {
         if (Double.isNaN(value)) {
             writeByte(DoubleForm.NAN);
@@ -91,12 +91,12 @@
         writeByte(value ? 1 : 0);
     }
 
-    /** Writes a constant by its ordinal: constants of stored enums are never reordered. */
+    /** Writes an enum constant as its ordinal; stored enums must never be reordered. */
     void writeEnum(Enum<?> value) {
         writeByte(value.ordinal());
     }
 
-    /** Writes a text or null: its number in the segment, with the text where the number is new. */
+    /** Writes 0 for null, else the number of the text in the segment; a new text follows it. */
     void writeText(String value) {
         if (value == null) {
             writeUnsigned(0);
@@ -117,18 +117,18 @@
         }
     }
 
-    /** Writes the time of a step, as the difference to the step before. */
+    /** Writes the time of a step as the difference to the previous step. */
     void writeStepTime(long timeNs) {
         writeSigned(timeNs - lastStepNs);
         lastStepNs = timeNs;
     }
 
-    /** Writes a time as the difference to the current step. */
+    /** Writes a time as the difference to the time of the current step. */
     void writeTime(long timeNs) {
         writeSigned(timeNs - lastStepNs);
     }
 
-    /** Writes the identifier of a query, as the difference to the one written before. */
+    /** Writes a query identifier as the difference to the previous query identifier. */
     void writeQueryId(long id) {
         writeSigned(id - lastQueryId);
         lastQueryId = id;
--- a/capture/src/main/java/ashlink/capture/events/SettingsCodec.java
+++ b/capture/src/main/java/ashlink/capture/events/SettingsCodec.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** The stored form of the settings of a decision module: all fields in a fixed order. */
+/** Encodes and decodes the settings of a decision module: all fields in a fixed order. */
 final class SettingsCodec {
 
     private SettingsCodec() {}
--- a/capture/src/main/java/ashlink/capture/events/StoredLimits.java
+++ b/capture/src/main/java/ashlink/capture/events/StoredLimits.java
@@ -1,9 +1,9 @@
 package ashlink.capture.events;
 
-/** Limits that protect a reader from damaged data. */
+/** Limits that protect a reader against malformed data. */
 final class StoredLimits {
 
-    /** Largest count of elements that a reader accepts. */
+    /** Maximum number of elements of a list, and maximum value of other small numbers. */
     static final int MAX_COUNT = 1 << 20;
 
     private StoredLimits() {}
--- a/capture/src/main/java/ashlink/capture/events/package-info.java
+++ b/capture/src/main/java/ashlink/capture/events/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The entries of a capture and their stored form: events, actions and settings of {@link
- * ashlink.decisions.api}. The stored form is part of the file format; docs/capture-format.md
- * describes it.
+ * Entries of a capture and their binary encoding: events, actions and settings of {@link
+ * ashlink.decisions.api}. The encoding is part of the file format, which docs/capture-format.md
+ * specifies.
  */
 package ashlink.capture.events;
--- a/capture/src/main/java/ashlink/capture/log/Disk.java
+++ b/capture/src/main/java/ashlink/capture/log/Disk.java
@@ -4,26 +4,26 @@
 import java.io.IOException;
 import java.util.List;
 
-/** The files of one directory, as a log needs them; tests inject faults through it. */
+/** Files of one directory as used by a log; tests replace the implementation to inject faults. */
 public interface Disk extends Closeable {
 
-    /** A file that is open for appending. */
+    /** File open for appending. */
     interface Appender extends Closeable {
-        /** Appends bytes; after an exception any part of them may be in the file. */
+        /** Appends bytes; after an exception, the file may contain any part of the bytes. */
         void append(byte[] bytes, int from, int length) throws IOException;
 
         /**
-         * Returns once all appended bytes are on the disk.
+         * Forces all appended bytes to disk.
          *
-         * @throws IOException if bytes since the last sync may be lost
+         * @throws IOException if bytes appended since the last sync may be lost
          */
         void sync() throws IOException;
     }
 
-    /** Returns the names of the files, sorted. */
+    /** Returns the sorted names of the files. */
     List<String> list() throws IOException;
 
-    /** Creates a file, which must not exist. */
+    /** Creates a file; fails if the file exists. */
     Appender create(String name) throws IOException;
 
     /** Returns the content of a file. */
--- a/capture/src/main/java/ashlink/capture/log/FaultyDisk.java
+++ b/capture/src/main/java/ashlink/capture/log/FaultyDisk.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * A directory in memory with injected faults: short writes, errors at sync, a full disk, delays and
- * power loss. For tests; safe for use by several threads.
+ * In-memory directory for tests with fault injection: short writes, sync errors, a full disk,
+ * delays and power loss. Thread-safe.
  */
 public final class FaultyDisk implements Disk {
 
@@ -20,27 +20,27 @@
     private volatile int shortWriteIn = -1;
     private volatile long delayMs;
 
-    /** Makes each write fail for lack of space. */
+    /** Sets whether writes and the creation of files fail for lack of space. */
     public void full(boolean enabled) {
         full = enabled;
     }
 
-    /** Makes each sync fail. */
+    /** Sets whether syncs fail. */
     public void syncFails(boolean enabled) {
         syncFails = enabled;
     }
 
-    /** Makes a write fail halfway, after that many others; a negative number disables this. */
+    /** Makes one write fail halfway after {@code writes} complete writes; negative disables it. */
     public void shortWriteIn(int writes) {
         shortWriteIn = writes;
     }
 
-    /** Returns the number of writes before the short one; negative if there is none. */
+    /** Returns the number of writes left before the short write; negative if none is due. */
     public int shortWriteIn() {
         return shortWriteIn;
     }
 
-    /** Delays each write and sync. */
+    /** Sets the delay of each write and sync in milliseconds. */
     public void delayMs(long ms) {
         delayMs = ms;
     }
@@ -103,8 +103,8 @@
     }
 
     /**
-     * Returns a possible state of the disk after a power loss: all synced bytes, and any part of
-     * the others, with some of them zero.
+     * Returns a possible state of the disk after a power loss: all synced bytes and a random part
+     * of the bytes after them, some of which are replaced with zeros.
      */
     public synchronized FaultyDisk afterPowerLoss(SplittableRandom random) throws IOException {
         FaultyDisk survivor = new FaultyDisk();
@@ -117,7 +117,7 @@
                                     : 0);
             byte[] bytes = java.util.Arrays.copyOf(all, length);
             for (int i = synced.get(name); i < length; i++) {
-                // Pages that the disk never wrote read as zeros.
+                // A page that was never written to disk reads as zeros.
                 bytes[i] = random.nextInt(4) == 0 ? 0 : bytes[i];
             }
             survivor.put(name, bytes);
@@ -125,7 +125,7 @@
         return survivor;
     }
 
-    /** Creates or replaces a file, as synced. */
+    /** Creates or replaces a file, whose bytes count as synced. */
     public synchronized void put(String name, byte[] bytes) throws IOException {
         ByteArrayOutputStream stream = new ByteArrayOutputStream();
         stream.write(bytes);
--- a/capture/src/main/java/ashlink/capture/log/FolderDisk.java
+++ b/capture/src/main/java/ashlink/capture/log/FolderDisk.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A directory of the file system. It is locked while it is open for writing. */
+/** Directory of the file system, protected by a file lock while open for writing. */
 public final class FolderDisk implements Disk {
 
     private static final String LOCK_FILE = "lock";
@@ -26,15 +26,15 @@
         this.lock = lock;
     }
 
-    /** Opens a directory for reading, without a lock. */
+    /** Opens a directory for reading, without locking the directory. */
     public static FolderDisk reading(Path directory) {
         return new FolderDisk(directory, null, null);
     }
 
     /**
-     * Opens a directory for writing; creates it where it does not exist.
+     * Opens a directory for writing and locks it; creates the directory if it does not exist.
      *
-     * @throws IOException if another writer holds its lock
+     * @throws IOException if another writer holds the lock of the directory
      */
     public static FolderDisk writing(Path directory) throws IOException {
         Files.createDirectories(directory);
@@ -47,7 +47,7 @@
         try {
             lock = channel.tryLock();
         } catch (OverlappingFileLockException e) {
-            // Held within this process; reported like a lock of another process.
+            // This process already holds the lock; reported like a lock of another process.
         }
         if (lock == null) {
             channel.close();
--- a/capture/src/main/java/ashlink/capture/log/KeyValueLog.java
+++ b/capture/src/main/java/ashlink/capture/log/KeyValueLog.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * A log of changes that represents a table: one record per change, the later ones override the
- * earlier ones. {@link #rewrite} replaces the log by the records of the table; a crash during it
- * leaves both, which represent the same table. Not safe for use by several threads.
+ * Change log of a table: one record per change; later records override earlier records. {@link
+ * #rewrite} compacts the log to the current records of the table. A crash during compaction leaves
+ * the records of both logs, which still represent the same table. Not thread-safe.
  */
 public final class KeyValueLog implements AutoCloseable {
 
@@ -16,7 +16,7 @@
         /**
          * Handles a record.
          *
-         * @throws IOException if the record is damaged; ends the reading
+         * @throws IOException if the record is malformed; this stops reading the log
          */
         void read(byte[] record) throws IOException;
     }
@@ -31,9 +31,9 @@
     private long written;
 
     /**
-     * A log whose records are not read yet.
+     * Creates a log without reading its records.
      *
-     * @param nowMs current time, from which the segments of this start get their names
+     * @param nowMs current time in milliseconds, used in the names of new segments
      */
     public KeyValueLog(Disk disk, long segmentBytes, long nowMs) {
         this.disk = disk;
@@ -42,9 +42,9 @@
     }
 
     /**
-     * Reads all records in order, of each segment as far as it is intact.
+     * Reads all records in order; each segment is read up to its first damaged frame.
      *
-     * @return the damaged segments, each with the reason
+     * @return names of the damaged segments, each with the reason
      */
     public List<String> read(Reader reader) throws IOException {
         List<String> damaged = new ArrayList<>();
@@ -65,7 +65,7 @@
         return disk.list().stream().filter(Segment::isSegment).toList();
     }
 
-    /** Replaces the log by these records; they are on the disk when this returns. */
+    /** Replaces the log with the given records and syncs them before deleting the old segments. */
     public void rewrite(List<byte[]> table) throws IOException {
         List<String> oldSegments = segments();
         if (log != null) {
@@ -82,21 +82,21 @@
         }
     }
 
-    /** Appends a record; the log must have been rewritten once. */
+    /** Appends a record; {@link #rewrite} must have been called before. */
     public void append(byte[] record) throws IOException {
         log.append(record, record.length, written++);
     }
 
     /**
-     * Returns once all records are on the disk.
+     * Forces all appended records to disk.
      *
-     * @throws IOException if records since the last sync may be lost
+     * @throws IOException if records appended since the last sync may be lost
      */
     public void sync() throws IOException {
         log.sync();
     }
 
-    /** Returns the number of records since the last {@link #rewrite}, including its own. */
+    /** Returns the number of records written by the last {@link #rewrite} and after it. */
     public long written() {
         return written;
     }
--- a/capture/src/main/java/ashlink/capture/log/Segment.java
+++ b/capture/src/main/java/ashlink/capture/log/Segment.java
@@ -5,8 +5,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * The layout of a segment file: a header, then frames of a length, a checksum and a payload.
- * docs/capture-format.md describes it.
+ * Layout of a segment file: a header, followed by frames that consist of a length, a checksum and a
+ * payload. docs/capture-format.md specifies the format.
  */
 public final class Segment {
 
@@ -14,37 +14,38 @@
     static final int MAGIC = 0x41534c43;
     static final int VERSION = 1;
 
-    /** Magic, version, boot, number, first entry, a reserved word, checksum. */
+    /** Size of the magic number, version, boot, number, first entry, reserved word and checksum. */
     static final int HEADER_BYTES = 36;
 
-    /** Length and checksum of a frame. */
+    /** Size of the length and the checksum of a frame. */
     static final int FRAME_BYTES = 8;
 
-    /** Largest payload of a frame that a reader accepts. */
+    /** Maximum payload size of a frame that a reader accepts. */
     public static final int MAX_FRAME_BYTES = 16 << 20;
 
-    /** First byte of what a frame's checksum covers. */
+    /** First byte of the input of a frame checksum, before the length and the payload. */
     private static final int FRAME_CHECKSUM_SEED = 0x5a;
 
-    /** How the reading of a segment ended. */
+    /** Result of reading a segment. */
     public enum State {
-        /** At the end of the segment. */
+        /** The segment was read to its end. */
         WHOLE,
-        /** Within the last frame or the header: the writer was interrupted there. */
+        /** The header or the last frame is incomplete, as after an interrupted write. */
         TORN,
-        /** At bytes that differ from what was written. */
+        /** The segment contains bytes that differ from the written bytes. */
         DAMAGED
     }
 
     /**
-     * The content of a segment.
+     * Content of a segment.
      *
-     * @param boot identifier of the start of the router that wrote it
-     * @param number number of the segment among those of that start, from 0
-     * @param firstEntry number of its first entry
+     * @param state result of reading the segment
+     * @param boot identifier of the router start that wrote the segment
+     * @param number index of the segment among the segments of this router start, from 0
+     * @param firstEntry index of the first entry of the segment among the entries of this start
      * @param frames payloads of the intact frames, in order
      * @param readTo length of the intact part in bytes
-     * @param reason reason of a state other than {@link State#WHOLE}, else empty
+     * @param reason cause of a state other than {@link State#WHOLE}; empty otherwise
      */
     public record Contents(
             State state,
@@ -57,12 +58,12 @@
 
     private Segment() {}
 
-    /** Returns the file name of a segment; names sort in the order of writing. */
+    /** Returns the file name of a segment; the sort order of names is the order of writing. */
     public static String name(long boot, int number) {
         return String.format("%016x-%08d" + FILE_SUFFIX, boot, number);
     }
 
-    /** Tells whether a file of a directory is a segment, by its name. */
+    /** Returns whether a file is a segment, judged by its name. */
     public static boolean isSegment(String fileName) {
         return fileName.endsWith(FILE_SUFFIX);
     }
@@ -85,7 +86,7 @@
         return buffer.array();
     }
 
-    /** Returns the checksum of a header, which its last four bytes hold. */
+    /** Computes the checksum of a header over all bytes except the four checksum bytes. */
     static int headerChecksum(byte[] header) {
         CRC32C crc = new CRC32C();
         crc.update(header, 0, HEADER_BYTES - Integer.BYTES);
@@ -93,8 +94,8 @@
     }
 
     /**
-     * Returns the checksum of a frame. It covers the length too, so that zeros, which a file system
-     * may leave behind after a crash, never pass for a frame.
+     * Computes the checksum of a frame over its length and payload. The length is included so that
+     * zeros, which a file system may leave behind after a crash, are never a valid frame.
      */
     static int frameChecksum(byte[] bytes, int offset, int length) {
         CRC32C crc = new CRC32C();
@@ -107,7 +108,7 @@
         return (int) crc.getValue();
     }
 
-    /** Parses the bytes of a segment as far as they are intact. */
+    /** Parses a segment up to its end or the first error. */
     public static Contents read(byte[] bytes) {
         return new SegmentParser(bytes).parse();
     }
--- a/capture/src/main/java/ashlink/capture/log/SegmentParser.java
+++ b/capture/src/main/java/ashlink/capture/log/SegmentParser.java
@@ -7,7 +7,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Parses the bytes of one segment up to their end or the first error. */
+/** Parses the bytes of one segment up to the end or the first error. */
 final class SegmentParser {
 
     private final byte[] bytes;
@@ -54,7 +54,7 @@
         return true;
     }
 
-    /** Reads the frame at the current position; returns the final result where it is not intact. */
+    /** Reads the frame at the current position; returns null, or the final result on an error. */
     private Contents readFrame() {
         int remaining = bytes.length - position;
         if (remaining < Segment.FRAME_BYTES) {
--- a/capture/src/main/java/ashlink/capture/log/SegmentWriter.java
+++ b/capture/src/main/java/ashlink/capture/log/SegmentWriter.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * Writes frames into segments, and deletes the oldest segments beyond a total size. After any error
- * the current segment is abandoned: frames that were appended to it since the last sync may be
- * lost, and the next frame starts another segment. Not safe for use by several threads.
+ * Writes frames to segments and deletes the oldest segments above a total size. After any error,
+ * the current segment is abandoned: frames appended since the last sync may be lost, and the next
+ * frame starts a new segment. Not thread-safe.
  */
 public final class SegmentWriter implements AutoCloseable {
 
@@ -15,7 +15,7 @@
     private final long segmentBytes;
     private final long retainedBytes;
 
-    /** The current segment, or null where the next frame starts one. */
+    /** Current segment, or null if the next frame starts a new segment. */
     private Disk.Appender segment;
 
     private String segmentName = "";
@@ -23,11 +23,11 @@
     private long segmentSizeBytes;
 
     /**
-     * A writer of one start of a router.
+     * Creates a writer of the segments of one router start.
      *
-     * @param boot identifier of the start; larger than those of earlier starts
+     * @param boot identifier of the router start, larger than the identifiers of earlier starts
      * @param segmentBytes size at which a segment is closed
-     * @param keptBytes total size beyond which the oldest segments are deleted
+     * @param keptBytes total size above which the oldest segments are deleted
      */
     public SegmentWriter(Disk disk, long boot, long segmentBytes, long keptBytes) {
         this.disk = disk;
@@ -36,15 +36,15 @@
         this.retainedBytes = keptBytes;
     }
 
-    /** Tells whether the next frame starts a segment; it must not refer to earlier frames then. */
+    /** Returns whether the next frame starts a segment and must not depend on earlier frames. */
     public boolean startsSegment() {
         return segment == null || segmentSizeBytes >= segmentBytes;
     }
 
     /**
-     * Appends a frame of the first {@code length} bytes of {@code payload}.
+     * Appends a frame with the first {@code length} bytes of {@code payload}.
      *
-     * @param firstEntry number of the first entry of the frame
+     * @param firstEntry index of the first entry of the frame among the entries of this start
      */
     public void append(byte[] payload, int length, long firstEntry) throws IOException {
         try {
@@ -75,7 +75,7 @@
         deleteOldSegments();
     }
 
-    /** Returns once all frames are on the disk. */
+    /** Forces all appended frames to disk. */
     public void sync() throws IOException {
         try {
             if (segment != null) {
@@ -99,7 +99,7 @@
         segment = null;
     }
 
-    /** Deletes the oldest segments while they are too large together, never the current one. */
+    /** Deletes the oldest segments above the total size, but never the current segment. */
     private void deleteOldSegments() throws IOException {
         List<String> names = disk.list().stream().filter(Segment::isSegment).toList();
         long totalBytes = 0;
--- a/capture/src/main/java/ashlink/capture/log/package-info.java
+++ b/capture/src/main/java/ashlink/capture/log/package-info.java
@@ -1,5 +1,5 @@
 /**
  * Append-only logs of checksummed frames in segment files. {@link ashlink.capture.log.Disk}
- * separates them from the file system.
+ * abstracts the file system.
  */
 package ashlink.capture.log;
