--- a/capture/src/main/java/ashlink/capture/CaptureSlice.java
+++ b/capture/src/main/java/ashlink/capture/CaptureSlice.java
@@ -47,7 +47,8 @@
      */
     public CaptureSlice(Disk to, long boot, long from, long count) throws IOException {
         if (to.list().stream().anyMatch(Segment::isSegment)) {
-            throw new IOException("there is a capture in that folder already");
+            throw new IOException(
+                    "target directory already contains a capture: expected no segment files");
         }
         this.firstIndex = from;
         this.maxCount = count;
--- a/capture/src/main/java/ashlink/capture/ModuleHash.java
+++ b/capture/src/main/java/ashlink/capture/ModuleHash.java
@@ -63,12 +63,19 @@
             }
         } catch (URISyntaxException e) {
             throw new IllegalStateException(
-                    module.getName() + " has the malformed code source " + location, e);
+                    "invalid code source "
+                            + location
+                            + " of "
+                            + module.getName()
+                            + ": expected a URI",
+                    e);
         }
         throw new IllegalStateException(
-                module.getName()
-                        + " comes from neither a jar nor a directory; its code source is "
-                        + location);
+                "unsupported code source "
+                        + location
+                        + " of "
+                        + module.getName()
+                        + ": neither a jar nor a directory");
     }
 
     /** Returns the class files by name, sorted, with {@code /} as the separator in names. */
@@ -122,7 +129,8 @@
             return MessageDigest.getInstance(ALGORITHM);
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(
-                    "every Java platform has " + ALGORITHM + ", this one does not", e);
+                    "missing digest algorithm " + ALGORITHM + ": required of every Java platform",
+                    e);
         }
     }
 }
--- a/capture/src/main/java/ashlink/capture/events/ActionCodec.java
+++ b/capture/src/main/java/ashlink/capture/events/ActionCodec.java
@@ -87,7 +87,10 @@
             case SET_TIMER -> new SetTimer(in.readSigned(), in.readTime());
             case WATCH_ENDPOINTS -> new WatchEndpoints();
             case LOG -> new Log(in.readText());
-            default -> throw new IOException("an action of form " + tag + " is unknown");
+            default ->
+                    throw new IOException(
+                            "unknown action tag %d: expected %d to %d"
+                                    .formatted(tag, START_ATTEMPT, LOG));
         };
     }
 }
--- a/capture/src/main/java/ashlink/capture/events/EntryReader.java
+++ b/capture/src/main/java/ashlink/capture/events/EntryReader.java
@@ -38,7 +38,10 @@
             case EntryWriter.START -> readStart();
             case EntryWriter.STEP -> readStep();
             case EntryWriter.GAP -> new Entry.Gap(in.readUnsigned());
-            default -> throw new IOException("an entry of form " + tag + " is unknown");
+            default ->
+                    throw new IOException(
+                            "unknown entry tag %d: expected %d to %d"
+                                    .formatted(tag, EntryWriter.START, EntryWriter.GAP));
         };
     }
 
--- a/capture/src/main/java/ashlink/capture/events/EventCodec.java
+++ b/capture/src/main/java/ashlink/capture/events/EventCodec.java
@@ -81,7 +81,10 @@
             case ENDPOINTS_CHANGED -> readEndpointsChanged(in);
             case CLIENT_DISCONNECTED -> new ClientDisconnected(in.readQueryId());
             case ATTEMPT_PROGRESS -> readAttemptProgress(in);
-            default -> throw new IOException("an event of form " + tag + " is unknown");
+            default ->
+                    throw new IOException(
+                            "unknown event tag %d: expected %d to %d"
+                                    .formatted(tag, QUERY_SUBMITTED, ATTEMPT_PROGRESS));
         };
     }
 
--- a/capture/src/main/java/ashlink/capture/events/FrameDecoder.java
+++ b/capture/src/main/java/ashlink/capture/events/FrameDecoder.java
@@ -38,7 +38,8 @@
     /** Reads an unsigned byte. */
     int readByte() throws IOException {
         if (position >= bytes.length) {
-            throw new IOException("a frame ends within an entry");
+            throw new IOException(
+                    "truncated entry at the end of a frame of " + bytes.length + " bytes");
         }
         return bytes[position++] & BYTE_MASK;
     }
@@ -53,14 +54,16 @@
                 return value;
             }
         }
-        throw new IOException("a number is too long");
+        throw new IOException(
+                "invalid varint before byte " + position + " of a frame: longer than 10 bytes");
     }
 
     /** Reads an unsigned varint that is at most {@code max}. */
     int readCount(int max) throws IOException {
         long value = readUnsigned();
         if (value < 0 || value > max) {
-            throw new IOException("a count of " + value + " is over " + max);
+            throw new IOException(
+                    "invalid count " + Long.toUnsignedString(value) + ": at most " + max);
         }
         return (int) value;
     }
@@ -101,7 +104,8 @@
             return texts.get(number - 1);
         }
         if (number != texts.size() + 1) {
-            throw new IOException("text " + number + " is not defined in its segment");
+            throw new IOException(
+                    "invalid text number " + number + ": at most " + (texts.size() + 1));
         }
         int length = readCount(bytes.length - position);
         String text = new String(bytes, position, length, StandardCharsets.UTF_8);
--- a/capture/src/main/java/ashlink/capture/log/FaultyDisk.java
+++ b/capture/src/main/java/ashlink/capture/log/FaultyDisk.java
@@ -53,7 +53,7 @@
     @Override
     public synchronized Appender create(String name) throws IOException {
         if (full || files.containsKey(name)) {
-            throw new IOException("no space");
+            throw new IOException("cannot create " + name + ": disk full or file exists");
         }
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         files.put(name, bytes);
@@ -64,12 +64,12 @@
                 pause();
                 synchronized (FaultyDisk.this) {
                     if (full) {
-                        throw new IOException("no space");
+                        throw new IOException("cannot append to " + name + ": disk full");
                     }
                     if (shortWriteIn == 0) {
                         shortWriteIn = -1;
                         bytes.write(from, offset, length / 2);
-                        throw new IOException("short write");
+                        throw new IOException("short write to " + name);
                     }
                     shortWriteIn = Math.max(-1, shortWriteIn - 1);
                     bytes.write(from, offset, length);
@@ -81,7 +81,7 @@
                 pause();
                 synchronized (FaultyDisk.this) {
                     if (syncFails) {
-                        throw new IOException("sync failed");
+                        throw new IOException("cannot sync " + name);
                     }
                     synced.put(name, bytes.size());
                 }
--- a/capture/src/main/java/ashlink/capture/log/FolderDisk.java
+++ b/capture/src/main/java/ashlink/capture/log/FolderDisk.java
@@ -52,9 +52,9 @@
         if (lock == null) {
             channel.close();
             throw new IOException(
-                    directory
-                            + " is being written by another router; each needs a folder of its"
-                            + " own");
+                    "directory "
+                            + directory
+                            + " is in use by another router: each router needs its own directory");
         }
         return new FolderDisk(directory, channel, lock);
     }
--- a/capture/src/main/java/ashlink/capture/log/SegmentParser.java
+++ b/capture/src/main/java/ashlink/capture/log/SegmentParser.java
@@ -25,11 +25,16 @@
 
     Contents parse() {
         if (bytes.length < Segment.HEADER_BYTES) {
-            return contents(State.TORN, "the header ends early");
+            return contents(
+                    State.TORN,
+                    "truncated segment header: %d of %d bytes"
+                            .formatted(bytes.length, Segment.HEADER_BYTES));
         }
         if (!readHeader()) {
             return contents(
-                    State.DAMAGED, "the header is no capture's of version " + Segment.VERSION);
+                    State.DAMAGED,
+                    "invalid segment header: expected a valid checksum and format version "
+                            + Segment.VERSION);
         }
         while (position < bytes.length) {
             Contents error = readFrame();
@@ -58,20 +63,31 @@
     private Contents readFrame() {
         int remaining = bytes.length - position;
         if (remaining < Segment.FRAME_BYTES) {
-            return contents(State.TORN, "a frame's head ends early");
+            return contents(
+                    State.TORN,
+                    "truncated frame header at byte %d: %d of %d bytes"
+                            .formatted(position, remaining, Segment.FRAME_BYTES));
         }
         int length = buffer.getInt(position);
         if (length <= 0 || length > Segment.MAX_FRAME_BYTES) {
-            return contents(State.DAMAGED, "a frame says that it has " + length + " bytes");
+            return contents(
+                    State.DAMAGED,
+                    "invalid frame length %d at byte %d: expected 1 to %d"
+                            .formatted(length, position, Segment.MAX_FRAME_BYTES));
         }
         if (remaining - Segment.FRAME_BYTES < length) {
-            return contents(State.TORN, "a frame ends early");
+            return contents(
+                    State.TORN,
+                    "truncated frame payload at byte %d: %d of %d bytes"
+                            .formatted(position, remaining - Segment.FRAME_BYTES, length));
         }
         int payload = position + Segment.FRAME_BYTES;
         int checksum = buffer.getInt(position + Integer.BYTES);
         if (Segment.frameChecksum(bytes, payload, length) != checksum) {
             boolean last = payload + length == bytes.length;
-            return contents(last ? State.TORN : State.DAMAGED, "the checksum of a frame is wrong");
+            return contents(
+                    last ? State.TORN : State.DAMAGED,
+                    "frame checksum mismatch at byte " + position);
         }
         frames.add(Arrays.copyOfRange(bytes, payload, payload + length));
         position = payload + length;
