--- a/capture/src/main/java/ashlink/capture/CapturedEngineState.java
+++ b/capture/src/main/java/ashlink/capture/CapturedEngineState.java
@@ -49,35 +49,40 @@
 
     /** Returns a one-line description of the state. */
     String describe(long nowNs) {
-        String lastEnd = lastAttemptEnd.isEmpty() ? "" : "; last end " + lastAttemptEnd;
+        String lastEnd = lastAttemptEnd.isEmpty() ? "" : "; last attempt " + lastAttemptEnd;
         return describeEndpoint(nowNs)
                 + "; "
                 + inFlight
-                + " of ours out; "
+                + " in flight from this router; "
                 + describeLoad(nowNs)
                 + lastEnd;
     }
 
     private String describeEndpoint(long nowNs) {
         if (endpoint == null) {
-            return "not listed";
+            return "not in the endpoint list";
         }
         String uptime =
                 endpoint.startedNs() > 0
-                        ? ", up "
+                        ? ", uptime "
                                 + Math.round((nowNs - endpoint.startedNs()) / NS_PER_MS / MS_PER_S)
                                 + " s"
                         : "";
-        return endpoint.state() + ", " + endpoint.kind() + ", " + endpoint.zone() + uptime;
+        return endpoint.state()
+                + ", kind "
+                + endpoint.kind()
+                + ", zone "
+                + endpoint.zone()
+                + uptime;
     }
 
     private String describeLoad(long nowNs) {
         if (loadReport.equals(LoadReport.NONE)) {
-            return "no report";
+            return "no load report";
         }
         return String.format(
                 Locale.ROOT,
-                "report %.0f ms old: waiting %.0f, cores %.2f, memory %.2f, disks %.2f",
+                "load report %.0f ms old: queued %.0f, CPU %.2f, memory %.2f, disk %.2f",
                 (nowNs - reportedNs) / NS_PER_MS,
                 loadReport.queued(),
                 loadReport.cpuUtilization(),
--- a/capture/src/main/java/ashlink/capture/QueryTimeline.java
+++ b/capture/src/main/java/ashlink/capture/QueryTimeline.java
@@ -67,7 +67,7 @@
                     .forEach(queryClass -> classes.put(queryClass.name(), queryClass));
         } else if (entry instanceof Entry.Gap gap && query != null && !finished) {
             String size = gap.entries() == 0 ? "unknown size" : gap.entries() + " entries";
-            lines.add("a gap of " + size + ": the rest is not known");
+            lines.add("gap of " + size + " in the capture: rest of the timeline unknown");
             finished = true;
         } else if (entry instanceof Entry.Step step && !finished) {
             handleEvent(step.event(), step.nowNs());
@@ -100,7 +100,7 @@
         } else if (event instanceof AttemptProgress progress && progress.id() == queryId) {
             addLine(
                     nowNs,
-                    "progress at "
+                    "progress on "
                             + progress.engine()
                             + ": "
                             + progress.kind()
@@ -108,7 +108,7 @@
                             + progress.amount());
         } else if (event instanceof ClientDisconnected disconnected
                 && disconnected.id() == queryId) {
-            addLine(nowNs, "the client no longer waits");
+            addLine(nowNs, "client disconnected");
             finished = true;
         } else if (event instanceof EndpointsChanged changed) {
             handleEndpointsChanged(changed, nowNs);
@@ -122,8 +122,9 @@
         lines.add(
                 String.format(
                         Locale.ROOT,
-                        "request %d of class %s%s, worth %.1f, wanted within %.0f ms, to be"
-                                + " answered within %.0f ms, estimated at %.0f ms and %.0f MB%s",
+                        "request %d of class %s%s: priority weight %.1f, latency objective %.0f"
+                                + " ms, deadline in %.0f ms, estimated work %.0f ms, estimated"
+                                + " memory %.0f MB%s",
                         queryId,
                         submitted.queryClass(),
                         submitted.key() == null ? "" : " with key " + submitted.key(),
@@ -140,10 +141,12 @@
             return "";
         }
         String retries =
-                queryClass.retrySafety() == RetrySafety.AT_MOST_ONCE ? "; never to run twice" : "";
+                queryClass.retrySafety() == RetrySafety.AT_MOST_ONCE ? "; runs at most once" : "";
         String placement =
-                queryClass.engineKinds().isEmpty() ? "" : "; only on " + queryClass.engineKinds();
-        return retries + placement + (queryClass.ordered() ? "; in order of its key" : "");
+                queryClass.engineKinds().isEmpty()
+                        ? ""
+                        : "; only on engine kinds " + queryClass.engineKinds();
+        return retries + placement + (queryClass.ordered() ? "; ordered by key" : "");
     }
 
     private void handleAttemptEnded(AttemptEnded ended, long nowNs) {
@@ -161,12 +164,12 @@
                 nowNs,
                 "attempt "
                         + ended.attempt()
-                        + " at "
+                        + " on "
                         + ended.engine()
                         + " ended: "
                         + ended.outcome()
-                        + (attemptMayHaveRun ? ", may have run" : ", has not run")
-                        + (ended.clientAnswered() ? "; the client has its answer" : ""));
+                        + (attemptMayHaveRun ? ", may have run" : ", did not run")
+                        + (ended.clientAnswered() ? "; client received the answer" : ""));
         finished = ended.clientAnswered();
     }
 
@@ -180,7 +183,7 @@
                     changed.endpoints().stream()
                             .map(endpoint -> endpoint.engine() + " " + endpoint.state())
                             .toList();
-            addLine(nowNs, "news of the list: " + states);
+            addLine(nowNs, "endpoint list changed: " + states);
         }
     }
 
@@ -193,10 +196,10 @@
             addLine(nowNs, describeRejection(reject));
             finished = true;
         } else if (action instanceof Fail fail && fail.id() == queryId) {
-            addLine(nowNs, "failed: it may have run and must not run twice");
+            addLine(nowNs, "failed: may have run and must not run more than once");
             finished = true;
         } else if (action instanceof CancelAttempt cancel && cancel.id() == queryId) {
-            addLine(nowNs, "attempt " + cancel.attempt() + " called off");
+            addLine(nowNs, "attempt " + cancel.attempt() + " cancelled by the router");
         } else if (action instanceof Log log && query != null) {
             addLine(nowNs, "log: " + log.text());
         }
@@ -212,9 +215,9 @@
                 nowNs,
                 "sent to "
                         + start.engine()
-                        + " for at most "
+                        + " with a timeout of "
                         + roundMs(start.timeoutNs())
-                        + " ms; then known of each engine:");
+                        + " ms; known engine states:");
         engines.forEach(
                 (name, engine) ->
                         lines.add("              " + name + ": " + engine.describe(nowNs)));
@@ -222,8 +225,9 @@
 
     private String describeRejection(Reject reject) {
         String delay =
-                reject.retryAfterNs() > 0 ? ", in " + roundMs(reject.retryAfterNs()) + " ms" : "";
-        String caution = mayHaveRun ? " (it may have run, and may be repeated)" : "";
-        return "refused: trying again is harmless" + delay + caution;
+                reject.retryAfterNs() > 0 ? " after " + roundMs(reject.retryAfterNs()) + " ms" : "";
+        String caution =
+                mayHaveRun ? " (an attempt may have run; the class allows repetition)" : "";
+        return "rejected: safe to retry" + delay + caution;
     }
 }
--- a/capture/src/test/java/ashlink/capture/CaptureTest.java
+++ b/capture/src/test/java/ashlink/capture/CaptureTest.java
@@ -298,7 +298,7 @@
         assertTrue(
                 text.contains("request " + id + " of class")
                         && text.contains("sent to q")
-                        && text.contains("the client has its" + " answer"),
+                        && text.contains("client received the answer"),
                 text);
         QueryTimeline none = new QueryTimeline(1 << 30);
         recorded.forEach(none);
