--- a/capture/src/main/java/ashlink/capture/CaptureSlice.java
+++ b/capture/src/main/java/ashlink/capture/CaptureSlice.java
@@ -23,13 +23,13 @@
 
     private final long firstIndex;
     private final long maxCount;
-    private final SegmentWriter log;
+    private final SegmentWriter segmentWriter;
 
     /** Stores keys unchanged: the keys of the source capture are already masked. */
     private final EntryWriter writer = new EntryWriter(UnaryOperator.identity());
 
     /** Last start before the slice, or null. */
-    private Entry start;
+    private Entry lastStart;
 
     private long nextIndex;
     private long skippedSinceStart;
@@ -37,22 +37,22 @@
     private boolean frameOpen;
 
     /**
-     * Creates a slice of up to {@code count} entries.
+     * Creates a slice of up to {@code maxCount} entries.
      *
-     * @param to target directory, which must not contain a capture
+     * @param target directory, which must not contain a capture
      * @param boot identifier of the router start, used in the names of the segments
-     * @param from index of the first entry, from 0
-     * @param count maximum number of entries
+     * @param firstIndex index of the first entry, from 0
+     * @param maxCount maximum number of entries
      * @throws IOException if the target directory already contains a capture
      */
-    public CaptureSlice(Disk to, long boot, long from, long count) throws IOException {
-        if (to.list().stream().anyMatch(Segment::isSegment)) {
+    public CaptureSlice(Disk target, long boot, long firstIndex, long maxCount) throws IOException {
+        if (target.list().stream().anyMatch(Segment::isSegment)) {
             throw new IOException(
                     "target directory already contains a capture: expected no segment files");
         }
-        this.firstIndex = from;
-        this.maxCount = count;
-        this.log = new SegmentWriter(to, boot, SEGMENT_BYTES, Long.MAX_VALUE);
+        this.firstIndex = firstIndex;
+        this.maxCount = maxCount;
+        this.segmentWriter = new SegmentWriter(target, boot, SEGMENT_BYTES, Long.MAX_VALUE);
     }
 
     /** Receives the next entry of the source capture, inside or outside the slice. */
@@ -62,7 +62,7 @@
         if (index < firstIndex) {
             skip(entry);
         } else if (index - firstIndex < maxCount) {
-            if (written == 0 && start != null && !(entry instanceof Entry.Start)) {
+            if (written == 0 && lastStart != null && !(entry instanceof Entry.Start)) {
                 writePrologue();
             }
             write(entry);
@@ -71,7 +71,7 @@
 
     private void skip(Entry entry) {
         if (entry instanceof Entry.Start) {
-            start = entry;
+            lastStart = entry;
             skippedSinceStart = 0;
         } else {
             skippedSinceStart++;
@@ -79,7 +79,7 @@
     }
 
     private void writePrologue() {
-        write(start);
+        write(lastStart);
         if (skippedSinceStart > 0) {
             write(new Entry.Gap(skippedSinceStart));
         }
@@ -93,7 +93,7 @@
     private void write(Entry entry) {
         try {
             if (!frameOpen) {
-                writer.startFrame(log.startsSegment());
+                writer.startFrame(segmentWriter.startsSegment());
                 frameOpen = true;
             }
             writer.write(entry);
@@ -108,7 +108,7 @@
 
     private void flush() throws IOException {
         if (frameOpen) {
-            log.append(writer.bytes(), writer.size(), written);
+            segmentWriter.append(writer.bytes(), writer.size(), written);
             frameOpen = false;
         }
     }
@@ -116,6 +116,6 @@
     @Override
     public void close() throws IOException {
         flush();
-        log.close();
+        segmentWriter.close();
     }
 }
--- a/capture/src/main/java/ashlink/capture/CaptureSummary.java
+++ b/capture/src/main/java/ashlink/capture/CaptureSummary.java
@@ -102,7 +102,7 @@
     private long firstStepNs;
 
     /** Number of seconds covered by the starts before the last one. */
-    private int earlierSeconds;
+    private int secondsOfEarlierStarts;
 
     @Override
     public void accept(Entry entry) {
@@ -123,7 +123,7 @@
         engineByQuery.clear();
         start.settings().classes().forEach(queryClass -> counts(queryClass.name()));
         firstStepNs = 0;
-        earlierSeconds = seconds.isEmpty() ? 0 : seconds.lastKey() + 1;
+        secondsOfEarlierStarts = seconds.isEmpty() ? 0 : seconds.lastKey() + 1;
     }
 
     private ClassCount counts(String queryClass) {
@@ -133,7 +133,7 @@
     private void handleStep(Entry.Step step) {
         steps++;
         firstStepNs = firstStepNs == 0 ? step.nowNs() : firstStepNs;
-        int secondIndex = earlierSeconds + (int) ((step.nowNs() - firstStepNs) / NS_PER_S);
+        int secondIndex = secondsOfEarlierStarts + (int) ((step.nowNs() - firstStepNs) / NS_PER_S);
         Second second = seconds.computeIfAbsent(secondIndex, index -> new Second());
         handleEvent(step.event(), second);
         step.actions().forEach(this::handleAction);
--- a/capture/src/main/java/ashlink/capture/QueryTimeline.java
+++ b/capture/src/main/java/ashlink/capture/QueryTimeline.java
@@ -226,8 +226,8 @@
     private String describeRejection(Reject reject) {
         String delay =
                 reject.retryAfterNs() > 0 ? " after " + roundMs(reject.retryAfterNs()) + " ms" : "";
-        String caution =
+        String mayHaveRunNote =
                 mayHaveRun ? " (an attempt may have run; the class allows repetition)" : "";
-        return "rejected: safe to retry" + delay + caution;
+        return "rejected: safe to retry" + delay + mayHaveRunNote;
     }
 }
--- a/capture/src/main/java/ashlink/capture/Recorder.java
+++ b/capture/src/main/java/ashlink/capture/Recorder.java
@@ -28,13 +28,13 @@
     private static final long CLOSE_TIMEOUT_MS = 10_000;
 
     private final Disk disk;
-    private final SegmentWriter log;
+    private final SegmentWriter segmentWriter;
     private final EntryWriter writer;
     private final ArrayBlockingQueue<Entry> queue;
     private final long frameBytes;
     private final long syncIntervalNs;
     private final long retryDelayNs;
-    private final Thread thread;
+    private final Thread writerThread;
 
     /** Entries dropped since the last gap; while positive, all further entries are dropped. */
     private final AtomicLong dropped = new AtomicLong();
@@ -53,31 +53,31 @@
      * @param disk directory of the capture; closed by the recorder
      * @param boot identifier of the router start, larger than the identifiers of earlier starts
      * @param segmentBytes size at which a segment is closed
-     * @param keptBytes total size above which the oldest segments are deleted
-     * @param queueBound capacity of the queue in entries
-     * @param syncNs minimum interval between two syncs, in nanoseconds
-     * @param retryNs delay after a disk error, in nanoseconds
-     * @param hideKey masks an ordering key, so that no key is stored in plain text
+     * @param retainedBytes total size above which the oldest segments are deleted
+     * @param queueCapacity capacity of the queue in entries
+     * @param syncIntervalNs minimum interval between two syncs, in nanoseconds
+     * @param retryDelayNs delay after a disk error, in nanoseconds
+     * @param maskKey masks an ordering key, so that no key is stored in plain text
      */
     public Recorder(
             Disk disk,
             long boot,
             long segmentBytes,
-            long keptBytes,
-            int queueBound,
-            long syncNs,
-            long retryNs,
-            UnaryOperator<String> hideKey) {
+            long retainedBytes,
+            int queueCapacity,
+            long syncIntervalNs,
+            long retryDelayNs,
+            UnaryOperator<String> maskKey) {
         this.disk = disk;
-        this.log = new SegmentWriter(disk, boot, segmentBytes, keptBytes);
-        this.writer = new EntryWriter(hideKey);
-        this.queue = new ArrayBlockingQueue<>(queueBound);
+        this.segmentWriter = new SegmentWriter(disk, boot, segmentBytes, retainedBytes);
+        this.writer = new EntryWriter(maskKey);
+        this.queue = new ArrayBlockingQueue<>(queueCapacity);
         this.frameBytes = Math.min(MAX_FRAME_BYTES, segmentBytes / 2);
-        this.syncIntervalNs = syncNs;
-        this.retryDelayNs = retryNs;
-        this.thread = new Thread(this::run, "capture");
-        thread.setDaemon(true);
-        thread.start();
+        this.syncIntervalNs = syncIntervalNs;
+        this.retryDelayNs = retryDelayNs;
+        this.writerThread = new Thread(this::run, "capture");
+        writerThread.setDaemon(true);
+        writerThread.start();
     }
 
     /** Queues an entry for writing, or drops the entry; never blocks. */
@@ -110,11 +110,11 @@
         while (!closed || !queue.isEmpty() || dropped.get() > 0 && !failing) {
             try {
                 batch.clear();
-                fill(batch);
+                takeBatch(batch);
                 write(batch);
                 if (writtenEntries > syncedEntries
                         && System.nanoTime() - lastSyncNs >= syncIntervalNs) {
-                    log.sync();
+                    segmentWriter.sync();
                     syncedEntries = writtenEntries;
                     lastSyncNs = System.nanoTime();
                 }
@@ -125,11 +125,11 @@
                 handleDiskFailure(batch, e);
             }
         }
-        closeLog();
+        closeSegmentWriter();
     }
 
     /** Takes the queued entries, or a gap if the queue is empty and entries were dropped. */
-    private void fill(List<Entry> batch) throws InterruptedException {
+    private void takeBatch(List<Entry> batch) throws InterruptedException {
         Entry first = queue.poll(POLL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         if (first != null) {
             batch.add(first);
@@ -144,13 +144,13 @@
     private void write(List<Entry> batch) throws IOException {
         int next = 0;
         while (next < batch.size()) {
-            writer.startFrame(log.startsSegment());
+            writer.startFrame(segmentWriter.startsSegment());
             int frameStart = next;
             while (next < batch.size() && writer.size() < frameBytes) {
                 writer.write(batch.get(next));
                 next++;
             }
-            log.append(writer.bytes(), writer.size(), writtenEntries);
+            segmentWriter.append(writer.bytes(), writer.size(), writtenEntries);
             writtenEntries += next - frameStart;
         }
     }
@@ -172,9 +172,9 @@
         }
     }
 
-    private void closeLog() {
+    private void closeSegmentWriter() {
         try {
-            log.close();
+            segmentWriter.close();
             syncedEntries = writtenEntries;
         } catch (IOException e) {
             LOG.warn("capture close failed, last entries may be lost error=\"{}\"", e.toString());
@@ -186,7 +186,7 @@
     public void close() throws IOException {
         closed = true;
         try {
-            thread.join(CLOSE_TIMEOUT_MS);
+            writerThread.join(CLOSE_TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -197,7 +197,7 @@
     public void kill() throws IOException {
         closed = true;
         queue.clear();
-        thread.interrupt();
+        writerThread.interrupt();
         disk.close();
     }
 }
--- a/capture/src/main/java/ashlink/capture/Replay.java
+++ b/capture/src/main/java/ashlink/capture/Replay.java
@@ -41,49 +41,49 @@
     private long skippedSteps;
     private long divergentSteps;
     private boolean hashesDiffer;
-    private long firstNs;
-    private long lastNs;
-    private long earlierSpanNs;
+    private long firstStepNs;
+    private long lastStepNs;
+    private long earlierStartsSpanNs;
 
     /**
      * Creates a replay.
      *
-     * @param module factory of the decision module that handles the recorded events
-     * @param hash hash of the code of this module, see {@link ModuleHash}
+     * @param moduleFactory factory of the decision module that handles the recorded events
+     * @param moduleHash hash of the code of this module, see {@link ModuleHash}
      */
-    public Replay(Function<Settings, WorkloadManager> module, String hash) {
-        this.moduleFactory = module;
-        this.moduleHash = hash;
+    public Replay(Function<Settings, WorkloadManager> moduleFactory, String moduleHash) {
+        this.moduleFactory = moduleFactory;
+        this.moduleHash = moduleHash;
     }
 
     @Override
     public void accept(Entry entry) {
         entries++;
         if (entry instanceof Entry.Start start) {
-            start(start);
+            handleStart(start);
         } else if (entry instanceof Entry.Gap) {
             module = null;
         } else if (entry instanceof Entry.Step step) {
-            replay(step);
+            replayStep(step);
         }
     }
 
-    private void start(Entry.Start start) {
+    private void handleStart(Entry.Start start) {
         module = moduleFactory.apply(start.settings());
         starts++;
         hashesDiffer |= !start.moduleHash().equals(moduleHash);
-        earlierSpanNs += lastNs - firstNs;
-        firstNs = 0;
-        lastNs = 0;
+        earlierStartsSpanNs += lastStepNs - firstStepNs;
+        firstStepNs = 0;
+        lastStepNs = 0;
     }
 
-    private void replay(Entry.Step step) {
+    private void replayStep(Entry.Step step) {
         if (module == null) {
             skippedSteps++;
             return;
         }
-        firstNs = firstNs == 0 ? step.nowNs() : firstNs;
-        lastNs = step.nowNs();
+        firstStepNs = firstStepNs == 0 ? step.nowNs() : firstStepNs;
+        lastStepNs = step.nowNs();
         List<Action> actions = module.onEvent(step.event(), step.nowNs());
         replayedSteps++;
         if (!actions.equals(step.actions())) {
@@ -130,6 +130,6 @@
 
     /** Returns the time from the first to the last step, summed over all starts. */
     public long spanNs() {
-        return earlierSpanNs + lastNs - firstNs;
+        return earlierStartsSpanNs + lastStepNs - firstStepNs;
     }
 }
--- a/capture/src/main/java/ashlink/capture/events/DoubleForm.java
+++ b/capture/src/main/java/ashlink/capture/events/DoubleEncoding.java
@@ -1,7 +1,7 @@
 package ashlink.capture.events;
 
 /** Encodings of a double; a byte with the encoding precedes the value. */
-final class DoubleForm {
+final class DoubleEncoding {
 
     /** NaN, without further bytes. */
     static final int NAN = 0;
@@ -14,5 +14,5 @@
 
     static final long INTEGER_LIMIT = 1L << 40;
 
-    private DoubleForm() {}
+    private DoubleEncoding() {}
 }
--- a/capture/src/main/java/ashlink/capture/events/EntryWriter.java
+++ b/capture/src/main/java/ashlink/capture/events/EntryWriter.java
@@ -13,15 +13,15 @@
     static final int GAP = 3;
 
     private final FrameEncoder out = new FrameEncoder();
-    private final UnaryOperator<String> hideKey;
+    private final UnaryOperator<String> maskKey;
 
     /**
      * Creates a writer.
      *
-     * @param hideKey masks an ordering key, so that no key is stored in plain text
+     * @param maskKey masks an ordering key, so that no key is stored in plain text
      */
-    public EntryWriter(UnaryOperator<String> hideKey) {
-        this.hideKey = hideKey;
+    public EntryWriter(UnaryOperator<String> maskKey) {
+        this.maskKey = maskKey;
     }
 
     /** Returns the buffer, whose first {@link #size()} bytes are the current frame. */
@@ -56,7 +56,7 @@
         } else if (entry instanceof Entry.Step step) {
             out.writeByte(STEP);
             out.writeStepTime(step.nowNs());
-            EventCodec.write(step.event(), out, hideKey);
+            EventCodec.write(step.event(), out, maskKey);
             out.writeUnsigned(step.actions().size());
             step.actions().forEach(action -> ActionCodec.write(action, out));
         } else if (entry instanceof Entry.Gap gap) {
--- a/capture/src/main/java/ashlink/capture/events/EventCodec.java
+++ b/capture/src/main/java/ashlink/capture/events/EventCodec.java
@@ -35,12 +35,12 @@
     /**
      * Writes an event.
      *
-     * @param hideKey masks the ordering key of a query
+     * @param maskKey masks the ordering key of a query
      */
-    static void write(Event event, FrameEncoder out, UnaryOperator<String> hideKey) {
+    static void write(Event event, FrameEncoder out, UnaryOperator<String> maskKey) {
         if (event instanceof QuerySubmitted submitted) {
             out.writeByte(QUERY_SUBMITTED);
-            writeQuerySubmitted(submitted, out, hideKey);
+            writeQuerySubmitted(submitted, out, maskKey);
         } else if (event instanceof AttemptEnded ended) {
             out.writeByte(ATTEMPT_ENDED);
             writeAttemptEnded(ended, out);
@@ -89,10 +89,10 @@
     }
 
     private static void writeQuerySubmitted(
-            QuerySubmitted event, FrameEncoder out, UnaryOperator<String> hideKey) {
+            QuerySubmitted event, FrameEncoder out, UnaryOperator<String> maskKey) {
         out.writeQueryId(event.id());
         out.writeText(event.queryClass());
-        out.writeText(event.key() == null ? null : hideKey.apply(event.key()));
+        out.writeText(event.key() == null ? null : maskKey.apply(event.key()));
         out.writeSigned(event.tableGroup());
         out.writeTime(event.deadlineNs());
         out.writeSigned(event.estimatedWorkNs());
--- a/capture/src/main/java/ashlink/capture/events/FrameDecoder.java
+++ b/capture/src/main/java/ashlink/capture/events/FrameDecoder.java
@@ -74,13 +74,13 @@
         return value >>> 1 ^ -(value & 1);
     }
 
-    /** Reads a double in one of the encodings of {@link DoubleForm}. */
+    /** Reads a double in one of the encodings of {@link DoubleEncoding}. */
     double readDouble() throws IOException {
-        int form = readByte();
-        if (form == DoubleForm.NAN) {
+        int encoding = readByte();
+        if (encoding == DoubleEncoding.NAN) {
             return Double.NaN;
         }
-        if (form == DoubleForm.INTEGER) {
+        if (encoding == DoubleEncoding.INTEGER) {
             return readUnsigned();
         }
         long bits = 0;
--- a/capture/src/main/java/ashlink/capture/events/FrameEncoder.java
+++ b/capture/src/main/java/ashlink/capture/events/FrameEncoder.java
@@ -63,15 +63,15 @@
         writeUnsigned(value << 1 ^ value >> 63);
     }
 
-    /** Writes a double in the shortest of the encodings of {@link DoubleForm}. */
+    /** Writes a double in the shortest of the encodings of {@link DoubleEncoding}. */
     void writeDouble(double value) {
         if (Double.isNaN(value)) {
-            writeByte(DoubleForm.NAN);
-        } else if (isSmallNatural(value)) {
-            writeByte(DoubleForm.INTEGER);
+            writeByte(DoubleEncoding.NAN);
+        } else if (isSmallNonNegativeInteger(value)) {
+            writeByte(DoubleEncoding.INTEGER);
             writeUnsigned((long) value);
         } else {
-            writeByte(DoubleForm.BITS);
+            writeByte(DoubleEncoding.BITS);
             long bits = Double.doubleToRawLongBits(value);
             for (int i = 0; i < Long.BYTES; i++) {
                 writeByte((int) (bits >>> Byte.SIZE * i));
@@ -79,11 +79,11 @@
         }
     }
 
-    private static boolean isSmallNatural(double value) {
+    private static boolean isSmallNonNegativeInteger(double value) {
         boolean negativeZero = Double.doubleToRawLongBits(value) == 1L << 63;
         return value == Math.rint(value)
                 && value >= 0
-                && value < DoubleForm.INTEGER_LIMIT
+                && value < DoubleEncoding.INTEGER_LIMIT
                 && !negativeZero;
     }
 
--- a/capture/src/main/java/ashlink/capture/log/FaultyDisk.java
+++ b/capture/src/main/java/ashlink/capture/log/FaultyDisk.java
@@ -61,7 +61,7 @@
         return new Appender() {
             @Override
             public void append(byte[] from, int offset, int length) throws IOException {
-                pause();
+                delay();
                 synchronized (FaultyDisk.this) {
                     if (full) {
                         throw new IOException("cannot append to " + name + ": disk full");
@@ -78,7 +78,7 @@
 
             @Override
             public void sync() throws IOException {
-                pause();
+                delay();
                 synchronized (FaultyDisk.this) {
                     if (syncFails) {
                         throw new IOException("cannot sync " + name);
@@ -92,7 +92,7 @@
         };
     }
 
-    private void pause() {
+    private void delay() {
         if (delayMs > 0) {
             try {
                 Thread.sleep(delayMs);
--- a/capture/src/main/java/ashlink/capture/log/KeyValueLog.java
+++ b/capture/src/main/java/ashlink/capture/log/KeyValueLog.java
@@ -25,7 +25,7 @@
     private final long segmentBytes;
 
     /** Null until the first {@link #rewrite}. */
-    private SegmentWriter log;
+    private SegmentWriter segmentWriter;
 
     private long boot;
     private long written;
@@ -68,10 +68,10 @@
     /** Replaces the log with the given records and syncs them before deleting the old segments. */
     public void rewrite(List<byte[]> table) throws IOException {
         List<String> oldSegments = segments();
-        if (log != null) {
-            log.close();
+        if (segmentWriter != null) {
+            segmentWriter.close();
         }
-        log = new SegmentWriter(disk, boot++, segmentBytes, Long.MAX_VALUE);
+        segmentWriter = new SegmentWriter(disk, boot++, segmentBytes, Long.MAX_VALUE);
         written = 0;
         for (byte[] record : table) {
             append(record);
@@ -84,7 +84,7 @@
 
     /** Appends a record; {@link #rewrite} must have been called before. */
     public void append(byte[] record) throws IOException {
-        log.append(record, record.length, written++);
+        segmentWriter.append(record, record.length, written++);
     }
 
     /**
@@ -93,7 +93,7 @@
      * @throws IOException if records appended since the last sync may be lost
      */
     public void sync() throws IOException {
-        log.sync();
+        segmentWriter.sync();
     }
 
     /** Returns the number of records written by the last {@link #rewrite} and after it. */
@@ -103,8 +103,8 @@
 
     @Override
     public void close() throws IOException {
-        if (log != null) {
-            log.close();
+        if (segmentWriter != null) {
+            segmentWriter.close();
         }
         disk.close();
     }
--- a/capture/src/main/java/ashlink/capture/log/Segment.java
+++ b/capture/src/main/java/ashlink/capture/log/Segment.java
@@ -44,7 +44,7 @@
      * @param number index of the segment among the segments of this router start, from 0
      * @param firstEntry index of the first entry of the segment among the entries of this start
      * @param frames payloads of the intact frames, in order
-     * @param readTo length of the intact part in bytes
+     * @param intactBytes length of the intact part in bytes
      * @param reason cause of a state other than {@link State#WHOLE}; empty otherwise
      */
     public record Contents(
@@ -53,7 +53,7 @@
             int number,
             long firstEntry,
             List<byte[]> frames,
-            int readTo,
+            int intactBytes,
             String reason) {}
 
     private Segment() {}
--- a/capture/src/main/java/ashlink/capture/log/SegmentWriter.java
+++ b/capture/src/main/java/ashlink/capture/log/SegmentWriter.java
@@ -27,13 +27,13 @@
      *
      * @param boot identifier of the router start, larger than the identifiers of earlier starts
      * @param segmentBytes size at which a segment is closed
-     * @param keptBytes total size above which the oldest segments are deleted
+     * @param retainedBytes total size above which the oldest segments are deleted
      */
-    public SegmentWriter(Disk disk, long boot, long segmentBytes, long keptBytes) {
+    public SegmentWriter(Disk disk, long boot, long segmentBytes, long retainedBytes) {
         this.disk = disk;
         this.boot = boot;
         this.segmentBytes = segmentBytes;
-        this.retainedBytes = keptBytes;
+        this.retainedBytes = retainedBytes;
     }
 
     /** Returns whether the next frame starts a segment and must not depend on earlier frames. */
