--- a/capture/src/main/java/ashlink/capture/CaptureSummary.java
+++ b/capture/src/main/java/ashlink/capture/CaptureSummary.java
@@ -72,17 +72,17 @@
         }
 
         /** Returns the number of attempts that ended in this second. */
-        public long getEnded() {
+        public long getEndedAttempts() {
             return endedAttempts;
         }
 
         /** Returns the number of open queries without an attempt at the end of this second. */
-        public int getHeld() {
+        public int getQueued() {
             return queued;
         }
 
         /** Returns the number of attempts in flight by engine at the end of this second. */
-        public Map<String, Integer> getOut() {
+        public Map<String, Integer> getInFlight() {
             return inFlight;
         }
     }
--- a/report/src/main/java/ashlink/report/CaptureReport.java
+++ b/report/src/main/java/ashlink/report/CaptureReport.java
@@ -96,8 +96,8 @@
     private static XYChart load(CaptureSummary summary) {
         XYChart chart = chart("Requests", "per second; queued at its end");
         series(chart, "taken", summary, CaptureSummary.Second::getTaken);
-        series(chart, "attempts ended", summary, CaptureSummary.Second::getEnded);
-        series(chart, "held", summary, CaptureSummary.Second::getHeld);
+        series(chart, "attempts ended", summary, CaptureSummary.Second::getEndedAttempts);
+        series(chart, "held", summary, CaptureSummary.Second::getQueued);
         return chart;
     }
 
@@ -110,7 +110,7 @@
                                 chart,
                                 engine,
                                 summary,
-                                second -> second.getOut().getOrDefault(engine, 0)));
+                                second -> second.getInFlight().getOrDefault(engine, 0)));
         return chart;
     }
 }
