--- a/capture/src/test/java/ashlink/capture/CaptureRun.java
+++ b/capture/src/test/java/ashlink/capture/CaptureRun.java
@@ -4,6 +4,7 @@
 import ashlink.capture.log.FaultyDisk;
 import ashlink.capture.log.FolderDisk;
 import ashlink.decisions.DefaultWorkloadManager;
+import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Arrays;
@@ -11,13 +12,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Measures the log; runs only when it is named, {@code -Dtest=CaptureRun}. */
+/** Measures the capture log. Runs only if selected with {@code -Dtest=CaptureRun}. */
 class CaptureRun {
 
     private static final long MS = 1_000_000L;
     private static final long GIB = 1L << 30;
 
-    /** Time to read a log of 1 GiB after a crash, and to replay a part of it. */
+    /** Measures the time to read a log of 1 GiB after a crash, and replays one recorded script. */
     @Test
     void recoveryTime(@TempDir Path dir) throws Exception {
         List<Entry> script = ScriptedModule.record(1, 200_000);
@@ -30,7 +31,7 @@
                         1 << 16,
                         100 * MS,
                         MS,
-                        text -> text);
+                        key -> key);
         long startNs = System.nanoTime();
         fill(dir, recorder, script);
         recorder.kill();
@@ -38,18 +39,18 @@
                 "wrote %d MiB in %.1f s, %d gaps%n",
                 size(dir) >> 20, (System.nanoTime() - startNs) / 1e9, recorder.gaps());
         long readStartNs = System.nanoTime();
-        long[] read = new long[1];
-        List<CaptureReader.SegmentSummary> found =
-                new CaptureReader(FolderDisk.reading(dir)).read(entry -> read[0]++);
+        long[] readEntries = new long[1];
+        List<CaptureReader.SegmentSummary> segments =
+                new CaptureReader(FolderDisk.reading(dir)).read(entry -> readEntries[0]++);
         System.out.printf(
-                "read %d entries of %d segments in %.2f s; the last is %s%n",
-                read[0],
-                found.size(),
+                "read %d entries of %d segments in %.2f s; state of the last segment %s%n",
+                readEntries[0],
+                segments.size(),
                 (System.nanoTime() - readStartNs) / 1e9,
-                found.get(found.size() - 1).state());
+                segments.get(segments.size() - 1).state());
         Replay replay = new Replay(DefaultWorkloadManager::new, "");
         script.forEach(replay);
-        System.out.println("differing " + replay.divergentSteps());
+        System.out.println("divergent steps " + replay.divergentSteps());
     }
 
     private static void fill(Path dir, Recorder recorder, List<Entry> script) throws Exception {
@@ -68,35 +69,35 @@
         }
     }
 
-    private static long size(Path dir) throws java.io.IOException {
+    private static long size(Path dir) throws IOException {
         try (var files = Files.list(dir)) {
             return files.mapToLong(path -> path.toFile().length()).sum();
         }
     }
 
-    /** Cost of recording for the decision thread, with a fast disk and one of 20 ms a write. */
+    /** Measures the time of {@link Recorder#record} with write delays of 0 and 20 ms. */
     @Test
     void recordingCost() throws Exception {
         List<Entry> script = ScriptedModule.record(2, 50_000);
-        for (long delay : new long[] {0, 20, 0, 20}) {
+        for (long delayMs : new long[] {0, 20, 0, 20}) {
             FaultyDisk disk = new FaultyDisk();
-            disk.delayMs(delay);
+            disk.delayMs(delayMs);
             Recorder recorder =
-                    new Recorder(disk, 1, 64 << 20, GIB, 1 << 14, 100 * MS, MS, text -> text);
+                    new Recorder(disk, 1, 64 << 20, GIB, 1 << 14, 100 * MS, MS, key -> key);
             long[] durationsNs = new long[script.size()];
             for (int i = 0; i < durationsNs.length; i++) {
-                long from = System.nanoTime();
+                long startNs = System.nanoTime();
                 recorder.record(script.get(i));
-                durationsNs[i] = System.nanoTime() - from;
+                durationsNs[i] = System.nanoTime() - startNs;
                 if (i % 20 == 0) {
                     Thread.sleep(0, 100_000);
                 }
             }
             Arrays.sort(durationsNs);
             System.out.printf(
-                    "delay %d ms: record takes %.2f us at the median, %.1f us at 99.9%%, %.1f us at"
-                            + " most; %d gaps%n",
-                    delay,
+                    "delay %d ms: median %.2f us, 99.9th percentile %.1f us, maximum %.1f us; %d"
+                            + " gaps%n",
+                    delayMs,
                     durationsNs[durationsNs.length / 2] / 1e3,
                     durationsNs[(int) (durationsNs.length * 0.999)] / 1e3,
                     durationsNs[durationsNs.length - 1] / 1e3,
--- a/capture/src/test/java/ashlink/capture/CaptureTest.java
+++ b/capture/src/test/java/ashlink/capture/CaptureTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import ashlink.capture.events.Entry;
+import ashlink.capture.log.Disk;
 import ashlink.capture.log.FaultyDisk;
 import ashlink.capture.log.FolderDisk;
 import ashlink.capture.log.Segment;
@@ -16,47 +17,56 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
+import java.util.function.BooleanSupplier;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Recording, reading and replay of captures, with faults of the disk. */
+/** Tests recording, reading and replay of captures, including with injected disk faults. */
 class CaptureTest {
 
     private static final long MS = 1_000_000L;
 
-    private static Recorder recorder(ashlink.capture.log.Disk disk, int queue, long segment) {
+    private static Recorder recorder(Disk disk, int queueCapacity, long segmentBytes) {
         return new Recorder(
-                disk, 42, segment, 1L << 40, queue, MS, 5 * MS, text -> "h" + text.hashCode());
+                disk,
+                42,
+                segmentBytes,
+                1L << 40,
+                queueCapacity,
+                MS,
+                5 * MS,
+                key -> "h" + key.hashCode());
     }
 
-    private static FaultyDisk written(List<Entry> entries, long segment) throws IOException {
+    private static FaultyDisk write(List<Entry> entries, long segmentBytes) throws IOException {
         FaultyDisk disk = new FaultyDisk();
-        try (Recorder recorder = recorder(disk, 1 << 20, segment)) {
+        try (Recorder recorder = recorder(disk, 1 << 20, segmentBytes)) {
             entries.forEach(recorder::record);
         }
         return disk;
     }
 
-    private static List<Entry> read(ashlink.capture.log.Disk disk) throws IOException {
+    private static List<Entry> read(Disk disk) throws IOException {
         List<Entry> entries = new ArrayList<>();
         new CaptureReader(disk).read(entries::add);
         return entries;
     }
 
     @Test
-    void replaysExactlyInParallelAndStoresFewBytes() throws Exception {
+    void parallelReplaysHaveNoDivergenceAndEntriesTakeFewBytes() throws Exception {
         List<Entry> recorded = ScriptedModule.record(1, 20_000);
-        FaultyDisk disk = written(recorded, 64 << 10);
+        FaultyDisk disk = write(recorded, 64 << 10);
         assertTrue(disk.list().size() > 3);
         long bytes = 0;
-        for (String text : disk.list()) {
-            bytes += disk.size(text);
+        for (String name : disk.list()) {
+            bytes += disk.size(name);
         }
-        assertTrue(bytes / recorded.size() < 60, bytes / recorded.size() + " bytes an entry");
-        List<Long> differing =
+        assertTrue(bytes / recorded.size() < 60, bytes / recorded.size() + " bytes per entry");
+        List<Long> divergentSteps =
                 IntStream.range(0, 8)
                         .parallel()
                         .mapToObj(
@@ -75,50 +85,50 @@
                                     return replay.divergentSteps();
                                 })
                         .toList();
-        assertEquals(List.of(0L, 0L, 0L, 0L, 0L, 0L, 0L, 0L), differing);
+        assertEquals(List.of(0L, 0L, 0L, 0L, 0L, 0L, 0L, 0L), divergentSteps);
     }
 
     @Test
     void sliceFromTheStartReplaysAndSliceFromTheMiddleDoesNot() throws Exception {
         List<Entry> recorded = ScriptedModule.record(3, 4_000);
-        FaultyDisk complete = written(recorded, 64 << 10);
-        FaultyDisk head = new FaultyDisk();
-        try (CaptureSlice cut = new CaptureSlice(head, 42, 0, 1_500)) {
-            new CaptureReader(complete).read(cut);
+        FaultyDisk complete = write(recorded, 64 << 10);
+        FaultyDisk beginning = new FaultyDisk();
+        try (CaptureSlice slice = new CaptureSlice(beginning, 42, 0, 1_500)) {
+            new CaptureReader(complete).read(slice);
         }
         Replay replay =
                 new Replay(
                         DefaultWorkloadManager::new, ModuleHash.of(DefaultWorkloadManager.class));
-        new CaptureReader(head).read(replay);
+        new CaptureReader(beginning).read(replay);
         assertEquals(1_499, replay.replayedSteps());
         assertEquals(0, replay.divergentSteps());
 
         FaultyDisk middle = new FaultyDisk();
-        try (CaptureSlice cut = new CaptureSlice(middle, 42, 1_000, 500)) {
-            new CaptureReader(complete).read(cut);
+        try (CaptureSlice slice = new CaptureSlice(middle, 42, 1_000, 500)) {
+            new CaptureReader(complete).read(slice);
         }
-        List<Entry> part = read(middle);
-        assertEquals(recorded.get(0), part.get(0));
-        assertEquals(new Entry.Gap(999), part.get(1));
+        List<Entry> slice = read(middle);
+        assertEquals(recorded.get(0), slice.get(0));
+        assertEquals(new Entry.Gap(999), slice.get(1));
         assertTrue(
-                read(complete).subList(1_000, 1_500).equals(part.subList(2, part.size())),
-                "the part is as it was");
-        Replay none =
+                read(complete).subList(1_000, 1_500).equals(slice.subList(2, slice.size())),
+                "entries of the slice differ from the capture");
+        Replay sliceReplay =
                 new Replay(
                         DefaultWorkloadManager::new, ModuleHash.of(DefaultWorkloadManager.class));
-        part.forEach(none);
-        assertEquals(0, none.replayedSteps());
-        assertEquals(500, none.skippedSteps());
+        slice.forEach(sliceReplay);
+        assertEquals(0, sliceReplay.replayedSteps());
+        assertEquals(500, sliceReplay.skippedSteps());
         assertThrows(
                 IOException.class,
                 () -> new CaptureSlice(middle, 42, 0, 1),
-                "a capture is not written over");
+                "existing capture was overwritten");
     }
 
     @Test
     void replayReportsTheDivergencesOfAnotherModule() throws Exception {
-        FaultyDisk disk = written(ScriptedModule.record(2, 3_000), 1 << 20);
-        Replay replay = new Replay(settings -> (event, now) -> List.of(), "other");
+        FaultyDisk disk = write(ScriptedModule.record(2, 3_000), 1 << 20);
+        Replay replay = new Replay(settings -> (event, nowNs) -> List.of(), "other");
         new CaptureReader(disk).read(replay);
         assertTrue(replay.divergentSteps() > 100 && replay.hashesDiffer());
     }
@@ -126,45 +136,52 @@
     @Test
     void truncatedSegmentIsReadUpToItsLastIntactFrame() throws Exception {
         List<Entry> recorded = ScriptedModule.record(3, 400);
-        FaultyDisk disk = written(recorded, 4 << 10);
-        String last = disk.list().get(disk.list().size() - 1);
-        byte[] complete = disk.read(last);
+        FaultyDisk disk = write(recorded, 4 << 10);
+        String lastSegment = disk.list().get(disk.list().size() - 1);
+        byte[] complete = disk.read(lastSegment);
         List<Entry> all = read(disk);
-        int longest = 0;
-        for (int cut = 0; cut <= complete.length; cut++) {
-            disk.put(last, java.util.Arrays.copyOf(complete, cut));
+        int mostEntries = 0;
+        for (int length = 0; length <= complete.length; length++) {
+            disk.put(lastSegment, Arrays.copyOf(complete, length));
             List<Entry> entries = read(disk);
             entries.removeIf(entry -> entry instanceof Entry.Gap);
-            assertEquals(all.subList(0, entries.size()), entries, "cut at " + cut);
-            assertTrue(entries.size() >= longest, "cut at " + cut);
-            longest = entries.size();
+            assertEquals(
+                    all.subList(0, entries.size()), entries, "truncated to " + length + " bytes");
+            assertTrue(entries.size() >= mostEntries, "truncated to " + length + " bytes");
+            mostEntries = entries.size();
         }
-        assertEquals(all.size(), longest);
+        assertEquals(all.size(), mostEntries);
     }
 
     @Test
     void flippedBitIsDetectedAndTheNextSegmentIsRead() throws Exception {
         List<Entry> recorded = ScriptedModule.record(4, 800);
-        FaultyDisk disk = written(recorded, 4 << 10);
+        FaultyDisk disk = write(recorded, 4 << 10);
         assertTrue(disk.list().size() >= 3);
-        String second = disk.list().get(1);
-        byte[] complete = disk.read(second);
+        String secondSegment = disk.list().get(1);
+        byte[] complete = disk.read(secondSegment);
         List<Entry> all = read(disk);
         for (int i = 0; i < complete.length; i++) {
             byte[] flipped = complete.clone();
             flipped[i] ^= (byte) (1 << i % 8);
-            disk.put(second, flipped);
+            disk.put(secondSegment, flipped);
             List<Entry> entries = new ArrayList<>();
-            List<CaptureReader.SegmentSummary> found = new CaptureReader(disk).read(entries::add);
-            assertTrue(found.get(1).state() != Segment.State.WHOLE, "flipped at " + i);
-            int gap =
+            List<CaptureReader.SegmentSummary> segments =
+                    new CaptureReader(disk).read(entries::add);
+            assertTrue(segments.get(1).state() != Segment.State.WHOLE, "bit flipped in byte " + i);
+            int firstGap =
                     IntStream.range(0, entries.size())
-                            .filter(n -> entries.get(n) instanceof Entry.Gap)
+                            .filter(index -> entries.get(index) instanceof Entry.Gap)
                             .findFirst()
                             .orElseThrow();
-            assertEquals(all.subList(0, gap), entries.subList(0, gap), "flipped at " + i);
             assertEquals(
-                    all.get(all.size() - 1), entries.get(entries.size() - 1), "flipped at " + i);
+                    all.subList(0, firstGap),
+                    entries.subList(0, firstGap),
+                    "bit flipped in byte " + i);
+            assertEquals(
+                    all.get(all.size() - 1),
+                    entries.get(entries.size() - 1),
+                    "bit flipped in byte " + i);
         }
     }
 
@@ -175,28 +192,28 @@
         for (int trial = 0; trial < 200; trial++) {
             FaultyDisk disk = new FaultyDisk();
             Recorder recorder = recorder(disk, 1 << 20, 8 << 10);
-            int given = random.nextInt(recorded.size());
-            recorded.subList(0, given).forEach(recorder::record);
-            long until = System.nanoTime() + random.nextInt(3_000_000);
-            while (System.nanoTime() < until) {
+            int recordedCount = random.nextInt(recorded.size());
+            recorded.subList(0, recordedCount).forEach(recorder::record);
+            long deadlineNs = System.nanoTime() + random.nextInt(3_000_000);
+            while (System.nanoTime() < deadlineNs) {
                 Thread.onSpinWait();
             }
-            long acknowledged;
-            FaultyDisk left;
+            long synced;
+            FaultyDisk survivor;
             synchronized (disk) {
-                acknowledged = recorder.synced();
-                left = disk.afterPowerLoss(random);
+                synced = recorder.synced();
+                survivor = disk.afterPowerLoss(random);
             }
             recorder.kill();
-            List<Entry> entries = read(left);
-            int gap =
+            List<Entry> entries = read(survivor);
+            int firstGap =
                     IntStream.range(0, entries.size())
-                            .filter(n -> entries.get(n) instanceof Entry.Gap)
+                            .filter(index -> entries.get(index) instanceof Entry.Gap)
                             .findFirst()
                             .orElse(entries.size());
             assertTrue(
-                    gap >= acknowledged,
-                    "trial " + trial + ": " + gap + " of " + acknowledged + " acknowledged");
+                    firstGap >= synced,
+                    "trial " + trial + ": read " + firstGap + " of " + synced + " synced entries");
             Replay replay = new Replay(DefaultWorkloadManager::new, "");
             entries.forEach(replay);
             assertEquals(0, replay.divergentSteps(), "trial " + trial);
@@ -209,9 +226,9 @@
         FaultyDisk disk = new FaultyDisk();
         Recorder recorder = recorder(disk, 64, 1 << 20);
         disk.delayMs(5);
-        long from = System.nanoTime();
+        long startNs = System.nanoTime();
         recorded.subList(0, 4_000).forEach(recorder::record);
-        assertTrue(System.nanoTime() - from < 2_000 * MS, "recording blocked on the disk");
+        assertTrue(System.nanoTime() - startNs < 2_000 * MS, "recording blocked on the disk");
         disk.delayMs(0);
         waitFor(() -> recorder.dropped() == 0);
         disk.syncFails(true);
@@ -237,8 +254,7 @@
         assertTrue(replay.replayedSteps() > 0);
     }
 
-    private static void waitFor(java.util.function.BooleanSupplier condition)
-            throws InterruptedException {
+    private static void waitFor(BooleanSupplier condition) throws InterruptedException {
         for (int i = 0; !condition.getAsBoolean(); i++) {
             assertTrue(i < 5_000, "condition not met in time");
             Thread.sleep(2);
@@ -246,15 +262,15 @@
     }
 
     @Test
-    void oldestSegmentsAreDeletedAndTheRestBeginsWithAGap() throws Exception {
+    void oldestSegmentsAreDeletedAndTheRemainderBeginsWithAGap() throws Exception {
         FaultyDisk disk = new FaultyDisk();
         try (Recorder recorder =
-                new Recorder(disk, 42, 4 << 10, 12 << 10, 1 << 20, MS, MS, k -> k)) {
+                new Recorder(disk, 42, 4 << 10, 12 << 10, 1 << 20, MS, MS, key -> key)) {
             ScriptedModule.record(7, 3_000).forEach(recorder::record);
         }
         long bytes = 0;
-        for (String s : disk.list()) {
-            bytes += disk.size(s);
+        for (String name : disk.list()) {
+            bytes += disk.size(name);
         }
         assertTrue(bytes < 64 << 10, bytes + " bytes retained");
         assertTrue(read(disk).get(0) instanceof Entry.Gap);
@@ -271,16 +287,17 @@
             assertTrue(failure.getMessage().contains("another router"), failure.getMessage());
             ScriptedModule.record(8, 500).forEach(recorder::record);
         }
-        for (String text : FolderDisk.reading(dir).list()) {
+        for (String name : FolderDisk.reading(dir).list()) {
             String bytes =
-                    new String(Files.readAllBytes(dir.resolve(text)), StandardCharsets.ISO_8859_1);
-            assertFalse(bytes.contains("customer-"), "a key is in the capture");
+                    new String(Files.readAllBytes(dir.resolve(name)), StandardCharsets.ISO_8859_1);
+            assertFalse(bytes.contains("customer-"), "unmasked key in the capture");
         }
-        FolderDisk.writing(dir).close(); // free again
+        FolderDisk.writing(dir)
+                .close(); // succeeds because close() of the recorder released the lock
     }
 
     @Test
-    void timelineHasTheAttemptsAndTheEndOfAQuery() throws Exception {
+    void timelineContainsTheAttemptsAndTheResultOfAQuery() throws Exception {
         List<Entry> recorded = ScriptedModule.record(9, 2_000);
         long id =
                 recorded.stream()
@@ -300,8 +317,8 @@
                         && text.contains("sent to q")
                         && text.contains("client received the answer"),
                 text);
-        QueryTimeline none = new QueryTimeline(1 << 30);
-        recorded.forEach(none);
-        assertEquals(List.of(), none.lines());
+        QueryTimeline unknownQuery = new QueryTimeline(1 << 30);
+        recorded.forEach(unknownQuery);
+        assertEquals(List.of(), unknownQuery.lines());
     }
 }
--- a/capture/src/test/java/ashlink/capture/EntryText.java
+++ b/capture/src/test/java/ashlink/capture/EntryText.java
@@ -30,18 +30,19 @@
 import java.util.List;
 
 /**
- * Entries of a capture as plain text. The words are this class's own and enumerations are their
- * ordinal numbers, so the text stays the same when types, fields or constants are renamed.
+ * Formats the entries of a capture as plain text. The format uses keywords defined in this class
+ * and the ordinals of enum constants, so that the text stays the same when types, fields or
+ * constants are renamed.
  */
 final class EntryText {
 
     private final StringBuilder text = new StringBuilder();
 
-    /** The text of these entries, each on lines of its own. */
+    /** Returns the text of the entries; each entry starts a new line. */
     static String of(List<Entry> entries) {
-        EntryText all = new EntryText();
-        entries.forEach(all::entry);
-        return all.text.toString();
+        EntryText formatter = new EntryText();
+        entries.forEach(formatter::entry);
+        return formatter.text.toString();
     }
 
     private void line(Object... parts) {
@@ -62,7 +63,7 @@
         } else if (entry instanceof Entry.Gap gap) {
             line("gap", gap.entries());
         } else {
-            throw new AssertionError("an entry that has no text: " + entry);
+            throw new AssertionError("unsupported entry: " + entry);
         }
     }
 
@@ -81,7 +82,7 @@
                     completed.engine(),
                     completed.outcome().ordinal(),
                     completed.durationNs(),
-                    report(completed.loadReport()));
+                    loadReport(completed.loadReport()));
         } else if (event instanceof EndpointsChanged changed) {
             line("  list", changed.kind().ordinal(), changed.endpoints().size());
             changed.endpoints().forEach(this::endpoint);
@@ -96,7 +97,7 @@
                     progress.kind().ordinal(),
                     progress.amount());
         } else {
-            throw new AssertionError("an event that has no text: " + event);
+            throw new AssertionError("unsupported event: " + event);
         }
     }
 
@@ -124,10 +125,10 @@
                 ended.clientAnswered(),
                 ended.workMs(),
                 ended.memoryMb(),
-                report(ended.loadReport()));
+                loadReport(ended.loadReport()));
     }
 
-    private static String report(LoadReport loadReport) {
+    private static String loadReport(LoadReport loadReport) {
         return "("
                 + loadReport.queued()
                 + " "
@@ -153,6 +154,7 @@
     }
 
     // Actions
+
     private void action(Action action) {
         if (action instanceof StartAttempt startAttempt) {
             line("  > send", startAttempt.id(), startAttempt.engine(), startAttempt.timeoutNs());
@@ -173,11 +175,12 @@
         } else if (action instanceof Log log) {
             line("  > log", log.text());
         } else {
-            throw new AssertionError("an action that has no text: " + action);
+            throw new AssertionError("unsupported action: " + action);
         }
     }
 
     // Settings
+
     private void settings(Settings settings) {
         line(
                 "  settings",
@@ -190,7 +193,7 @@
         for (EngineKind kind : settings.kinds()) {
             line("  kind", kind.name(), kind.cores(), kind.memoryMb());
         }
-        allowed(settings.capabilities());
+        capabilities(settings.capabilities());
         limits(settings.limits());
         for (Tenant tenant : settings.tenants()) {
             line("  tenant", tenant.name(), tenant.quotaPerS());
@@ -217,7 +220,7 @@
                 queryClass.waitsForTableLocks());
     }
 
-    private void allowed(Capabilities capabilities) {
+    private void capabilities(Capabilities capabilities) {
         line(
                 "  allowed",
                 capabilities.healthChecks(),
--- a/capture/src/test/java/ashlink/capture/ModuleHashTest.java
+++ b/capture/src/test/java/ashlink/capture/ModuleHashTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The hash of a module depends on all class files of its package, and on nothing else. */
+/** Tests that the hash of a module depends on all class files of its package and nothing else. */
 class ModuleHashTest {
 
     private static final String PACKAGE = "ashlink/decisions";
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void isTheSameForAJarWhateverItsOrder() throws Exception {
+    void isTheSameForJarsWithAnyEntryOrder() throws Exception {
         List<Path> files = regularFiles(directory);
         assertTrue(files.size() > 3, files.size() + " files");
         Path jar = jar("sorted.jar", files);
@@ -85,7 +85,7 @@
             byte[] changed = content.clone();
             changed[changed.length - 1] ^= 1;
             Files.write(file, changed);
-            assertNotEquals(before, hashOf(directory), file + " does not count");
+            assertNotEquals(before, hashOf(directory), file + " does not affect the hash");
             Files.write(file, content);
         }
         assertEquals(before, hashOf(directory));
@@ -120,23 +120,24 @@
                 failure.getMessage());
     }
 
-    /** Hashes the module as if its class had been loaded from a place. */
-    private static String hashOf(Path place) throws IOException {
-        return ModuleHash.of(new FixedSourceLoader().define(DefaultWorkloadManager.class, place));
+    /** Returns the hash of the module with its class defined as loaded from a location. */
+    private static String hashOf(Path location) throws IOException {
+        return ModuleHash.of(
+                new FixedSourceLoader().define(DefaultWorkloadManager.class, location));
     }
 
-    /** Defines a copy of a class that names a given place as its code source. */
+    /** Defines copies of classes with a given location as their code source. */
     private static final class FixedSourceLoader extends ClassLoader {
 
         FixedSourceLoader() {
             super(ModuleHashTest.class.getClassLoader());
         }
 
-        Class<?> define(Class<?> original, Path place) throws IOException {
+        Class<?> define(Class<?> original, Path location) throws IOException {
             String resource = "/" + original.getName().replace('.', '/') + ".class";
             try (InputStream in = original.getResourceAsStream(resource)) {
                 byte[] content = in.readAllBytes();
-                CodeSource source = new CodeSource(place.toUri().toURL(), (Certificate[]) null);
+                CodeSource source = new CodeSource(location.toUri().toURL(), (Certificate[]) null);
                 return defineClass(
                         original.getName(),
                         content,
--- a/capture/src/test/java/ashlink/capture/ScriptedModule.java
+++ b/capture/src/test/java/ashlink/capture/ScriptedModule.java
@@ -35,7 +35,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** A decision module with scripted clients and engines, whose events and actions are recorded. */
+/** Records the events and actions of a decision module with simulated clients and engines. */
 final class ScriptedModule {
 
     private static final long MS = 1_000_000L;
@@ -109,7 +109,7 @@
         random = new SplittableRandom(seed);
     }
 
-    /** Returns a start and the steps that follow, {@code count} entries together. */
+    /** Returns a start and the steps after it, {@code count} entries in total. */
     static List<Entry> record(long seed, int count) {
         ScriptedModule script = new ScriptedModule(seed);
         script.entries.add(
@@ -182,7 +182,7 @@
     private void apply(Action action) {
         if (action instanceof StartAttempt start) {
             inFlight.add(start);
-            attemptNumbers.merge(start.id(), 1, (before, one) -> before + 1);
+            attemptNumbers.merge(start.id(), 1, (attempts, increment) -> attempts + 1);
         } else if (action instanceof SetTimer timer) {
             timers.add(timer);
         } else if (action instanceof CheckHealth check) {
--- a/capture/src/test/java/ashlink/capture/StoredCaptureTest.java
+++ b/capture/src/test/java/ashlink/capture/StoredCaptureTest.java
@@ -28,19 +28,20 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Captures of an earlier build are read as they were written, and replay without a divergence. They
- * are in {@code src/test/resources/stored/capture}, with a README on how they were written.
+ * Tests that captures of an earlier build are still read correctly and replay without divergence.
+ * The captures are in {@code src/test/resources/stored/capture}; a README describes how they were
+ * written.
  *
- * <p>The hash of the decision module in them changes with each build, so no test compares it with
- * that of the current code.
+ * <p>The module hash in the captures differs from the hash of the current code, because the hash
+ * changes with each build. No test compares the two hashes.
  */
 class StoredCaptureTest {
 
     private static final int RECORDED_STEPS = 300;
 
     private static Path stored(String name) throws URISyntaxException {
-        Path folder = Path.of(StoredCaptureTest.class.getResource("/stored/capture").toURI());
-        return folder.resolve(name);
+        Path directory = Path.of(StoredCaptureTest.class.getResource("/stored/capture").toURI());
+        return directory.resolve(name);
     }
 
     private static List<Entry> read(String name) throws IOException, URISyntaxException {
@@ -64,32 +65,33 @@
     @ParameterizedTest
     @ValueSource(strings = {"kinds", "day"})
     void segmentsAreIntactAndConsecutive(String name) throws Exception {
-        List<CaptureReader.SegmentSummary> found =
+        List<CaptureReader.SegmentSummary> segments =
                 new CaptureReader(FolderDisk.reading(stored(name))).read(entry -> {});
-        assertTrue(found.size() > 1, found.toString());
-        for (int i = 0; i < found.size(); i++) {
-            assertEquals(Segment.State.WHOLE, found.get(i).state(), found.get(i).reason());
-            assertEquals(i, found.get(i).number());
-            assertEquals(1_700_000_000_000L, found.get(i).boot());
+        assertTrue(segments.size() > 1, segments.toString());
+        for (int i = 0; i < segments.size(); i++) {
+            assertEquals(Segment.State.WHOLE, segments.get(i).state(), segments.get(i).reason());
+            assertEquals(i, segments.get(i).number());
+            assertEquals(1_700_000_000_000L, segments.get(i).boot());
         }
     }
 
     @Test
     void storedCaptureHasEveryKindOfEventAndAction() throws Exception {
-        Set<Class<?>> seen = new HashSet<>();
+        Set<Class<?>> found = new HashSet<>();
         for (Entry entry : read("kinds")) {
-            seen.add(entry.getClass());
+            found.add(entry.getClass());
             if (entry instanceof Entry.Step step) {
-                seen.add(step.event().getClass());
-                step.actions().forEach(action -> seen.add(action.getClass()));
+                found.add(step.event().getClass());
+                step.actions().forEach(action -> found.add(action.getClass()));
             }
         }
         for (Class<?> sealed : List.of(Entry.class, Event.class, Action.class)) {
-            assertTrue(seen.containsAll(List.of(sealed.getPermittedSubclasses())), seen.toString());
+            assertTrue(
+                    found.containsAll(List.of(sealed.getPermittedSubclasses())), found.toString());
         }
     }
 
-    /** Constants are stored by ordinal, so their order is part of the format. */
+    /** Enum constants are stored as ordinals, so their order is part of the file format. */
     @Test
     void enumConstantsHaveTheirStoredOrdinals() {
         assertEquals(
--- a/capture/src/test/java/ashlink/capture/StoredDataRecorder.java
+++ b/capture/src/test/java/ashlink/capture/StoredDataRecorder.java
@@ -50,32 +50,35 @@
 import java.util.SplittableRandom;
 
 /**
- * Writes the captures that {@link StoredCaptureTest} reads: {@code kinds}, made up, with each kind
- * of event and action and each constant, and {@code day}, decided by the rules, of two starts.
+ * Writes the captures that {@link StoredCaptureTest} reads. {@code kinds} is synthetic and contains
+ * each kind of event and action and each enum constant. {@code day} contains two starts with the
+ * actions of {@link DefaultWorkloadManager}.
  */
 final class StoredDataRecorder {
 
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
     private static final int STEPS = 150;
-    private static final double SIXTY_FOURTH = 1 / 64.0; // such fractions print the same everywhere
+
+    /** Exact binary fraction, so that its multiples are printed identically everywhere. */
+    private static final double SIXTY_FOURTH = 1 / 64.0;
 
     private StoredDataRecorder() {}
 
-    /** Writes both captures and their texts into the folder that is named. */
+    /** Writes both captures and their texts to the directory given as the first argument. */
     public static void main(String[] arguments) throws IOException {
-        Path folder = Path.of(arguments[0]);
-        write(folder, "kinds", kinds(), 600);
-        List<Entry> entries = new ArrayList<>(new ScriptedRouter(tightSettings(), 1).entries());
-        entries.addAll(new ScriptedRouter(wideSettings(), 2).entries());
-        write(folder, "day", entries, 3_000);
+        Path directory = Path.of(arguments[0]);
+        write(directory, "kinds", syntheticEntries(), 600);
+        List<Entry> entries = new ArrayList<>(new ScriptedRouter(firstSettings(), 1).run());
+        entries.addAll(new ScriptedRouter(secondSettings(), 2).run());
+        write(directory, "day", entries, 3_000);
     }
 
-    private static void write(Path folder, String name, List<Entry> entries, long segmentBytes)
+    private static void write(Path directory, String name, List<Entry> entries, long segmentBytes)
             throws IOException {
         try (Recorder recorder =
                 new Recorder(
-                        FolderDisk.writing(folder.resolve(name)),
+                        FolderDisk.writing(directory.resolve(name)),
                         1_700_000_000_000L,
                         segmentBytes,
                         1L << 40,
@@ -86,16 +89,17 @@
             entries.forEach(recorder::record);
         }
         List<Entry> read = new ArrayList<>();
-        new CaptureReader(FolderDisk.reading(folder.resolve(name))).read(read::add);
-        Files.writeString(folder.resolve(name + ".txt"), EntryText.of(read));
+        new CaptureReader(FolderDisk.reading(directory.resolve(name))).read(read::add);
+        Files.writeString(directory.resolve(name + ".txt"), EntryText.of(read));
     }
 
     // Settings
-    private static Set<String> ordered(String... words) {
-        return new LinkedHashSet<>(List.of(words));
+
+    private static Set<String> orderedSet(String... elements) {
+        return new LinkedHashSet<>(List.of(elements));
     }
 
-    private static QueryClass look() {
+    private static QueryClass lookClass() {
         return new QueryClass(
                 "look",
                 500 * MS,
@@ -114,7 +118,7 @@
                 true);
     }
 
-    private static QueryClass load() {
+    private static QueryClass loadClass() {
         return new QueryClass(
                 "load",
                 3 * SECOND,
@@ -126,14 +130,14 @@
                 10,
                 0.5,
                 true,
-                ordered("a", "b"),
+                orderedSet("a", "b"),
                 Set.of(),
                 2,
                 true,
                 false);
     }
 
-    private static QueryClass upsert() {
+    private static QueryClass upsertClass() {
         return new QueryClass(
                 "upsert",
                 SECOND,
@@ -145,20 +149,20 @@
                 4,
                 0.25,
                 false,
-                ordered("b"),
-                ordered("z", "y"),
+                orderedSet("b"),
+                orderedSet("z", "y"),
                 4,
                 false,
                 false);
     }
 
-    private static Settings tightSettings() {
+    private static Settings firstSettings() {
         return new Settings(
                 7,
                 3,
                 1,
                 "z",
-                List.of(look(), load()),
+                List.of(lookClass(), loadClass()),
                 List.of(new EngineKind("a", 8, 16384)),
                 new Capabilities(
                         true, true, 4, 500 * MS, true, true, 0.5, true, 100 * MS, false, true,
@@ -177,13 +181,13 @@
                 0.125);
     }
 
-    private static Settings wideSettings() {
+    private static Settings secondSettings() {
         return new Settings(
                 -9_000_000_000L,
                 1,
                 0,
                 "y",
-                List.of(upsert(), look(), load()),
+                List.of(upsertClass(), lookClass(), loadClass()),
                 List.of(new EngineKind("a", 8, 16384), new EngineKind("b", 64, 262144.5)),
                 new Capabilities(false, false, 2, 0, false, false, 0, false, 0, true, false, true),
                 new PolicyLimits(0, 0, 0, 0, 0, 0, 0, 0, 0),
@@ -191,21 +195,22 @@
                 1);
     }
 
-    // The capture that is made up
-    private static List<Entry> kinds() {
+    // Synthetic capture
+
+    private static List<Entry> syntheticEntries() {
         List<Entry> entries = new ArrayList<>();
-        entries.add(new Entry.Start("0123456789abcdef", tightSettings(), "r1"));
-        long now = 5_000 * SECOND;
+        entries.add(new Entry.Start("0123456789abcdef", firstSettings(), "r1"));
+        long nowNs = 5_000 * SECOND;
         for (Event event : events()) {
-            now += 1_234_567;
-            entries.add(new Entry.Step(event, now, List.of()));
+            nowNs += 1_234_567;
+            entries.add(new Entry.Step(event, nowNs, List.of()));
         }
         entries.add(new Entry.Gap(7));
         for (Action action : actions()) {
-            now += 89 * SECOND;
-            entries.add(new Entry.Step(new TimerFired(now), now, List.of(action)));
+            nowNs += 89 * SECOND;
+            entries.add(new Entry.Step(new TimerFired(nowNs), nowNs, List.of(action)));
         }
-        entries.add(new Entry.Start("fedcba9876543210", wideSettings(), "router-two"));
+        entries.add(new Entry.Start("fedcba9876543210", secondSettings(), "router-two"));
         entries.add(new Entry.Step(new TimerFired(-1), 3, actions()));
         return entries;
     }
@@ -218,23 +223,23 @@
                         2, "load", "customer-1", 511, 5_025 * SECOND, 80 * MS, 100.5, "t"));
         events.add(new QuerySubmitted(3, "load", "customer-1", -1, 1, 1L << 50, 1e12, "mañana"));
         for (Outcome outcome : Outcome.values()) {
-            int number = outcome.ordinal();
+            int ordinal = outcome.ordinal();
             events.add(
                     new AttemptEnded(
                             2,
-                            number,
-                            "q" + number,
+                            ordinal,
+                            "q" + ordinal,
                             outcome,
-                            1L << number,
-                            number % 2 == 0,
-                            120.5 + number,
-                            64 * number,
-                            new LoadReport(number, 0.5, 0.25, Double.NaN, 3)));
+                            1L << ordinal,
+                            ordinal % 2 == 0,
+                            120.5 + ordinal,
+                            64 * ordinal,
+                            new LoadReport(ordinal, 0.5, 0.25, Double.NaN, 3)));
             events.add(
-                    new HealthCheckCompleted("q" + number, outcome, 7 + number, LoadReport.NONE));
+                    new HealthCheckCompleted("q" + ordinal, outcome, 7 + ordinal, LoadReport.NONE));
         }
-        for (EndpointListKind form : EndpointListKind.values()) {
-            events.add(new EndpointsChanged(form, listEntries(form.ordinal())));
+        for (EndpointListKind kind : EndpointListKind.values()) {
+            events.add(new EndpointsChanged(kind, endpoints(kind.ordinal())));
         }
         for (ProgressKind kind : ProgressKind.values()) {
             events.add(new AttemptProgress(3, kind.ordinal(), "q1", kind, -0.75 + kind.ordinal()));
@@ -243,13 +248,14 @@
         return events;
     }
 
-    private static List<Endpoint> listEntries(int count) {
-        List<Endpoint> entries = new ArrayList<>();
+    private static List<Endpoint> endpoints(int count) {
+        List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             String zone = i == 0 ? "z" : "y";
-            entries.add(new Endpoint("q" + i, EndpointState.values()[i], zone, "a", i, i * SECOND));
+            endpoints.add(
+                    new Endpoint("q" + i, EndpointState.values()[i], zone, "a", i, i * SECOND));
         }
-        return entries;
+        return endpoints;
     }
 
     private static List<Action> actions() {
@@ -265,59 +271,60 @@
                 new Log("engine q1 refuses, Größe 5"));
     }
 
-    /** A day that the rules decide, against engines that answer by chance. */
+    /** Runs a decision module against simulated engines with random outcomes. */
     private static final class ScriptedRouter {
         private final Settings settings;
         private final SplittableRandom random;
-        private final WorkloadManager gateway;
+        private final WorkloadManager module;
         private final List<Entry> entries = new ArrayList<>();
-        private final List<Event> due = new ArrayList<>();
-        private final List<StartAttempt> sent = new ArrayList<>();
-        private final Map<Long, Integer> attempts = new HashMap<>();
-        private final PriorityQueue<SetTimer> alarms =
+        private final List<Event> pending = new ArrayList<>();
+        private final List<StartAttempt> inFlight = new ArrayList<>();
+        private final Map<Long, Integer> attemptCounts = new HashMap<>();
+        private final PriorityQueue<SetTimer> timers =
                 new PriorityQueue<>(Comparator.comparingLong(SetTimer::timeNs));
         private long nowNs = 1_000 * SECOND;
-        private long lastRequest;
+        private long lastQueryId;
 
         ScriptedRouter(Settings settings, long seed) {
             this.settings = settings;
             this.random = new SplittableRandom(seed);
-            this.gateway = new DefaultWorkloadManager(settings);
+            this.module = new DefaultWorkloadManager(settings);
         }
 
-        List<Entry> entries() {
+        List<Entry> run() {
             entries.add(
                     new Entry.Start(ModuleHash.of(DefaultWorkloadManager.class), settings, "r1"));
-            due.add(news(EndpointListKind.CACHED, EndpointState.READY));
-            due.add(news(EndpointListKind.SNAPSHOT, EndpointState.READY));
+            pending.add(endpointsChanged(EndpointListKind.CACHED, EndpointState.READY));
+            pending.add(endpointsChanged(EndpointListKind.SNAPSHOT, EndpointState.READY));
             while (entries.size() <= STEPS) {
                 nowNs += random.nextInt(9_000_000);
-                step(next());
+                step(nextEvent());
             }
             return entries;
         }
 
-        private static EndpointsChanged news(EndpointListKind form, EndpointState second) {
+        private static EndpointsChanged endpointsChanged(
+                EndpointListKind kind, EndpointState secondState) {
             return new EndpointsChanged(
-                    form,
+                    kind,
                     List.of(
                             new Endpoint("q1", EndpointState.READY, "z", "a", 0, 0),
-                            new Endpoint("q2", second, "y", "a", 1, 990 * SECOND)));
+                            new Endpoint("q2", secondState, "y", "a", 1, 990 * SECOND)));
         }
 
         private void step(Event event) {
-            List<Action> actions = gateway.onEvent(event, nowNs);
+            List<Action> actions = module.onEvent(event, nowNs);
             entries.add(new Entry.Step(event, nowNs, List.copyOf(actions)));
             for (Action action : actions) {
-                if (action instanceof StartAttempt send) {
-                    sent.add(send);
-                    attempts.merge(send.id(), 1, Integer::sum);
-                } else if (action instanceof SetTimer alarm) {
-                    alarms.add(alarm);
-                } else if (action instanceof CheckHealth probe) {
-                    due.add(
+                if (action instanceof StartAttempt start) {
+                    inFlight.add(start);
+                    attemptCounts.merge(start.id(), 1, Integer::sum);
+                } else if (action instanceof SetTimer timer) {
+                    timers.add(timer);
+                } else if (action instanceof CheckHealth check) {
+                    pending.add(
                             new HealthCheckCompleted(
-                                    probe.engine(),
+                                    check.engine(),
                                     Outcome.SERVED,
                                     1_000,
                                     new LoadReport(0, 0.5, 0.25, Double.NaN, 2)));
@@ -325,38 +332,39 @@
             }
         }
 
-        private Event next() {
-            if (!due.isEmpty()) {
-                return due.remove(0);
-            } else if (!alarms.isEmpty() && alarms.peek().timeNs() <= nowNs) {
-                return new TimerFired(alarms.poll().label());
+        private Event nextEvent() {
+            if (!pending.isEmpty()) {
+                return pending.remove(0);
+            } else if (!timers.isEmpty() && timers.peek().timeNs() <= nowNs) {
+                return new TimerFired(timers.poll().label());
             } else if (entries.size() % 40 == 0) {
-                EndpointState second =
+                EndpointState secondState =
                         entries.size() % 80 == 0 ? EndpointState.READY : EndpointState.DRAINING;
-                return news(EndpointListKind.DELTA, second);
-            } else if (!sent.isEmpty() && random.nextInt(2) == 0) {
-                return ofSent(sent.get(random.nextInt(sent.size())));
+                return endpointsChanged(EndpointListKind.DELTA, secondState);
+            } else if (!inFlight.isEmpty() && random.nextInt(2) == 0) {
+                return attemptEvent(inFlight.get(random.nextInt(inFlight.size())));
             }
-            return request();
+            return submitQuery();
         }
 
-        private Event ofSent(StartAttempt send) {
-            int attempt = attempts.get(send.id()) - 1;
-            int what = random.nextInt(8);
-            if (what == 0) {
+        private Event attemptEvent(StartAttempt start) {
+            int attempt = attemptCounts.get(start.id()) - 1;
+            int choice = random.nextInt(8);
+            if (choice == 0) {
                 return new AttemptProgress(
-                        send.id(), attempt, send.engine(), ProgressKind.FRACTION_DONE, 0.25);
+                        start.id(), attempt, start.engine(), ProgressKind.FRACTION_DONE, 0.25);
             }
-            sent.remove(send);
-            if (what == 1) {
-                return new ClientDisconnected(send.id());
+            inFlight.remove(start);
+            if (choice == 1) {
+                return new ClientDisconnected(start.id());
             }
             Outcome[] outcomes = Outcome.values();
-            Outcome outcome = what < 6 ? Outcome.SERVED : outcomes[random.nextInt(outcomes.length)];
+            Outcome outcome =
+                    choice < 6 ? Outcome.SERVED : outcomes[random.nextInt(outcomes.length)];
             return new AttemptEnded(
-                    send.id(),
+                    start.id(),
                     attempt,
-                    send.engine(),
+                    start.engine(),
                     outcome,
                     random.nextInt(1 << 28),
                     outcome == Outcome.SERVED,
@@ -369,15 +377,16 @@
                             Double.NaN));
         }
 
-        private QuerySubmitted request() {
-            QueryClass ofClass = settings.classes().get(random.nextInt(settings.classes().size()));
-            String key = ofClass.ordered() ? "customer-" + random.nextInt(3) : null;
+        private QuerySubmitted submitQuery() {
+            QueryClass queryClass =
+                    settings.classes().get(random.nextInt(settings.classes().size()));
+            String key = queryClass.ordered() ? "customer-" + random.nextInt(3) : null;
             return new QuerySubmitted(
-                    ++lastRequest,
-                    ofClass.name(),
+                    ++lastQueryId,
+                    queryClass.name(),
                     key,
                     random.nextInt(9),
-                    nowNs + ofClass.deadlineNs(),
+                    nowNs + queryClass.deadlineNs(),
                     random.nextInt(2) * 80 * MS,
                     100,
                     random.nextInt(2) == 0 ? "t" : "");
