--- a/capture/src/main/java/ashlink/capture/CaptureSlice.java
+++ b/capture/src/main/java/ashlink/capture/CaptureSlice.java
@@ -11,9 +11,10 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Writes a part of a capture as a capture of its own. A part that begins with a start can be
- * replayed. Another begins with the last start before it and a gap, and can only be read: a
- * decision module cannot be created in the middle. Not safe for use by several threads.
+ * Writes a range of the entries of a capture as a separate capture. A slice whose first entry is a
+ * start can be replayed. Any other slice is preceded by the last start before it and a gap; such a
+ * slice can be read but not replayed, because the state of a decision module cannot be
+ * reconstructed in the middle of its run. Not thread-safe.
  */
 public final class CaptureSlice implements Consumer<Entry>, AutoCloseable {
 
@@ -22,13 +23,13 @@
 
     private final long firstIndex;
     private final long maxCount;
-    private final SegmentWriter log;
+    private final SegmentWriter segmentWriter;
 
-    /** The keys of a capture are hidden already. */
+    /** Stores keys unchanged: the keys of the source capture are already masked. */
     private final EntryWriter writer = new EntryWriter(UnaryOperator.identity());
 
-    /** The last start before the part, or null. */
-    private Entry start;
+    /** Last start before the slice, or null. */
+    private Entry lastStart;
 
     private long nextIndex;
     private long skippedSinceStart;
@@ -36,31 +37,32 @@
     private boolean frameOpen;
 
     /**
-     * A part of a capture.
+     * Creates a slice of up to {@code maxCount} entries.
      *
-     * @param to directory without a capture, which receives the part
-     * @param boot identifier of the start of the router, for the names of the segments
-     * @param from index of the first entry, from 0
-     * @param count largest number of entries
-     * @throws IOException if the directory has a capture
+     * @param target directory, which must not contain a capture
+     * @param boot identifier of the router start, used in the names of the segments
+     * @param firstIndex index of the first entry, from 0
+     * @param maxCount maximum number of entries
+     * @throws IOException if the target directory already contains a capture
      */
-    public CaptureSlice(Disk to, long boot, long from, long count) throws IOException {
-        if (to.list().stream().anyMatch(Segment::isSegment)) {
-            throw new IOException("there is a capture in that folder already");
+    public CaptureSlice(Disk target, long boot, long firstIndex, long maxCount) throws IOException {
+        if (target.list().stream().anyMatch(Segment::isSegment)) {
+            throw new IOException(
+                    "target directory already contains a capture: expected no segment files");
         }
-        this.firstIndex = from;
-        this.maxCount = count;
-        this.log = new SegmentWriter(to, boot, SEGMENT_BYTES, Long.MAX_VALUE);
+        this.firstIndex = firstIndex;
+        this.maxCount = maxCount;
+        this.segmentWriter = new SegmentWriter(target, boot, SEGMENT_BYTES, Long.MAX_VALUE);
     }
 
-    /** Takes the next entry of the capture, whether or not it belongs to the part. */
+    /** Receives the next entry of the source capture, inside or outside the slice. */
     @Override
     public void accept(Entry entry) {
         long index = nextIndex++;
         if (index < firstIndex) {
             skip(entry);
         } else if (index - firstIndex < maxCount) {
-            if (written == 0 && start != null && !(entry instanceof Entry.Start)) {
+            if (written == 0 && lastStart != null && !(entry instanceof Entry.Start)) {
                 writePrologue();
             }
             write(entry);
@@ -69,7 +71,7 @@
 
     private void skip(Entry entry) {
         if (entry instanceof Entry.Start) {
-            start = entry;
+            lastStart = entry;
             skippedSinceStart = 0;
         } else {
             skippedSinceStart++;
@@ -77,13 +79,13 @@
     }
 
     private void writePrologue() {
-        write(start);
+        write(lastStart);
         if (skippedSinceStart > 0) {
             write(new Entry.Gap(skippedSinceStart));
         }
     }
 
-    /** Returns the number of entries written, including a start and a gap put before the part. */
+    /** Returns the number of written entries, including the start and gap before the slice. */
     public long written() {
         return written;
     }
@@ -91,7 +93,7 @@
     private void write(Entry entry) {
         try {
             if (!frameOpen) {
-                writer.startFrame(log.startsSegment());
+                writer.startFrame(segmentWriter.startsSegment());
                 frameOpen = true;
             }
             writer.write(entry);
@@ -106,7 +108,7 @@
 
     private void flush() throws IOException {
         if (frameOpen) {
-            log.append(writer.bytes(), writer.size(), written);
+            segmentWriter.append(writer.bytes(), writer.size(), written);
             frameOpen = false;
         }
     }
@@ -114,6 +116,6 @@
     @Override
     public void close() throws IOException {
         flush();
-        log.close();
+        segmentWriter.close();
     }
 }
--- a/capture/src/main/java/ashlink/capture/events/EntryWriter.java
+++ b/capture/src/main/java/ashlink/capture/events/EntryWriter.java
@@ -3,8 +3,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Encodes entries into frames. The frames of a segment refer to earlier frames of the same segment,
- * never to another segment. Not safe for use by several threads.
+ * Encodes entries into frames. A frame can depend on earlier frames of the same segment, but never
+ * on another segment. Not thread-safe.
  */
 public final class EntryWriter {
 
@@ -13,18 +13,18 @@
     static final int GAP = 3;
 
     private final FrameEncoder out = new FrameEncoder();
-    private final UnaryOperator<String> hideKey;
+    private final UnaryOperator<String> maskKey;
 
     /**
-     * A writer.
+     * Creates a writer.
      *
-     * @param hideKey replaces each ordering key, so that none is stored
+     * @param maskKey masks an ordering key, so that no key is stored in plain text
      */
-    public EntryWriter(UnaryOperator<String> hideKey) {
-        this.hideKey = hideKey;
+    public EntryWriter(UnaryOperator<String> maskKey) {
+        this.maskKey = maskKey;
     }
 
-    /** Returns the buffer, of which the first {@link #size()} bytes are the current frame. */
+    /** Returns the buffer, whose first {@link #size()} bytes are the current frame. */
     public byte[] bytes() {
         return out.bytes();
     }
@@ -34,7 +34,11 @@
         return out.size();
     }
 
-    /** Starts a frame, which may be the first of a segment. */
+    /**
+     * Starts a frame.
+     *
+     * @param newSegment whether the frame is the first frame of a segment
+     */
     public void startFrame(boolean newSegment) {
         out.startFrame();
         if (newSegment) {
@@ -52,7 +56,7 @@
         } else if (entry instanceof Entry.Step step) {
             out.writeByte(STEP);
             out.writeStepTime(step.nowNs());
-            EventCodec.write(step.event(), out, hideKey);
+            EventCodec.write(step.event(), out, maskKey);
             out.writeUnsigned(step.actions().size());
             step.actions().forEach(action -> ActionCodec.write(action, out));
         } else if (entry instanceof Entry.Gap gap) {
--- a/capture/src/main/java/ashlink/capture/events/EventCodec.java
+++ b/capture/src/main/java/ashlink/capture/events/EventCodec.java
@@ -19,7 +19,7 @@
 import java.util.List;
 import java.util.function.UnaryOperator;
 
-/** The stored form of events: a tag, then the fields in a fixed order. */
+/** Encodes and decodes events: a tag, followed by the fields in a fixed order. */
 final class EventCodec {
 
     private static final int QUERY_SUBMITTED = 1;
@@ -35,12 +35,12 @@
     /**
      * Writes an event.
      *
-     * @param hideKey replaces the ordering key of a query
+     * @param maskKey masks the ordering key of a query
      */
-    static void write(Event event, FrameEncoder out, UnaryOperator<String> hideKey) {
+    static void write(Event event, FrameEncoder out, UnaryOperator<String> maskKey) {
         if (event instanceof QuerySubmitted submitted) {
             out.writeByte(QUERY_SUBMITTED);
-            writeQuerySubmitted(submitted, out, hideKey);
+            writeQuerySubmitted(submitted, out, maskKey);
         } else if (event instanceof AttemptEnded ended) {
             out.writeByte(ATTEMPT_ENDED);
             writeAttemptEnded(ended, out);
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Reads an event; the current step of {@code in} gives its time. */
+    /** Reads an event; times are relative to the time of the current step of {@code in}. */
     static Event read(FrameDecoder in) throws IOException {
         int tag = in.readByte();
         return switch (tag) {
@@ -81,15 +81,18 @@
             case ENDPOINTS_CHANGED -> readEndpointsChanged(in);
             case CLIENT_DISCONNECTED -> new ClientDisconnected(in.readQueryId());
             case ATTEMPT_PROGRESS -> readAttemptProgress(in);
-            default -> throw new IOException("an event of form " + tag + " is unknown");
+            default ->
+                    throw new IOException(
+                            "unknown event tag %d: expected %d to %d"
+                                    .formatted(tag, QUERY_SUBMITTED, ATTEMPT_PROGRESS));
         };
     }
 
     private static void writeQuerySubmitted(
-            QuerySubmitted event, FrameEncoder out, UnaryOperator<String> hideKey) {
+            QuerySubmitted event, FrameEncoder out, UnaryOperator<String> maskKey) {
         out.writeQueryId(event.id());
         out.writeText(event.queryClass());
-        out.writeText(event.key() == null ? null : hideKey.apply(event.key()));
+        out.writeText(event.key() == null ? null : maskKey.apply(event.key()));
         out.writeSigned(event.tableGroup());
         out.writeTime(event.deadlineNs());
         out.writeSigned(event.estimatedWorkNs());
