--- a/background/src/main/java/ashlink/background/BackgroundWork.java
+++ b/background/src/main/java/ashlink/background/BackgroundWork.java
@@ -1,15 +1,16 @@
 package ashlink.background;
 
-/** The body of a background task. */
+/** The code that a background task executes on each run. */
 @FunctionalInterface
 public interface BackgroundWork {
 
     /**
-     * Does the work of one run, on a thread of its own. Calls the lease at safe points, and returns
-     * soon after an interrupt.
+     * Executes one run on a dedicated thread. An implementation calls {@link Lease#checkpoint} at
+     * regular intervals and returns soon after an interrupt.
      *
-     * @throws Exception if the run fails; the scheduler counts and logs it, and a periodic task is
-     *     run again after a backoff
+     * @param lease grants processor time and disk traffic to this run
+     * @throws Exception if the run fails; the scheduler counts and logs the failure, and runs a
+     *     periodic task again after a backoff
      */
     void run(Lease lease) throws Exception;
 }
--- a/background/src/main/java/ashlink/background/Lease.java
+++ b/background/src/main/java/ashlink/background/Lease.java
@@ -3,18 +3,18 @@
 import ashlink.background.plan.Decision.Resource;
 
 /**
- * The right of one run to use processor time and disk traffic within the budgets. Its public
- * methods are called by the thread of the run only.
+ * Grants processor time and disk traffic to one run within the budgets of the scheduler. Only the
+ * thread of the run may call the public methods.
  */
 public final class Lease {
 
-    /** Processor time below which a safe point doesn't call the planner. */
+    /** Processor time below which {@link #checkpoint} doesn't call the planner. */
     private static final long MIN_CHARGE_NS = 1_000_000L;
 
     private final Scheduler scheduler;
     private final long run;
 
-    /** Guarded by this; 0 while no grant is there. */
+    /** Granted amount that the run has not taken yet; 0 for none. Guarded by this. */
     private double granted;
 
     private long chargedNs = Scheduler.threadCpuNs();
@@ -25,10 +25,10 @@
     }
 
     /**
-     * Waits until that many bytes may be read or written. An amount over the burst of the budget is
-     * granted in parts.
+     * Waits until the run may read or write this number of bytes. An amount above the burst size of
+     * the budget is granted in parts.
      *
-     * @throws InterruptedException if the run is cancelled or its time is up
+     * @throws InterruptedException if the run is cancelled or exceeds its time limit
      */
     public void acquireBytes(long count) throws InterruptedException {
         long remaining = count;
@@ -38,9 +38,10 @@
     }
 
     /**
-     * A safe point: waits until the processor time used since the last one fits the budget.
+     * Charges the processor time used since the last checkpoint, and waits until the budget covers
+     * that time.
      *
-     * @throws InterruptedException if the run is cancelled or its time is up
+     * @throws InterruptedException if the run is cancelled or exceeds its time limit
      */
     public void checkpoint() throws InterruptedException {
         long usedNs = unchargedNs();
@@ -60,7 +61,7 @@
         return run;
     }
 
-    /** Processor time in nanoseconds that no safe point has charged. */
+    /** Returns the processor time in nanoseconds that no checkpoint has charged yet. */
     long unchargedNs() {
         return Scheduler.threadCpuNs() - chargedNs;
     }
--- a/background/src/main/java/ashlink/background/Scheduler.java
+++ b/background/src/main/java/ashlink/background/Scheduler.java
@@ -22,9 +22,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries out a planner's decisions, with one thread that decides and one for each run.
+ * Runs background tasks as a {@link Planner} decides: one thread calls the planner, and each run
+ * has a thread of its own.
  *
- * <p>Thread-safe. All threads are daemons.
+ * <p>Thread-safe. All threads are daemon threads.
  */
 public final class Scheduler {
 
@@ -36,7 +37,7 @@
 
     private static final long STOP_POLL_MS = 10;
 
-    /** The thread of a run; the lease is null until that thread has begun. */
+    /** The thread of a run; {@code lease} is null until the thread has started. */
     private record Running(Thread thread, Lease lease) {}
 
     private final String name;
@@ -46,10 +47,10 @@
 
     private final DoubleSupplier pressure;
 
-    /** Work by the name of its task. Guarded by this. */
+    /** Work by task name. Guarded by this. */
     private final Map<String, BackgroundWork> workByTask = new HashMap<>();
 
-    /** Runs in progress by their id. Guarded by this. */
+    /** Runs in progress by run ID. Guarded by this. */
     private final Map<Long, Running> running = new HashMap<>();
 
     private final Thread plannerThread;
@@ -58,19 +59,19 @@
     private final AtomicLong dropped = new AtomicLong();
     private final AtomicLong ended = new AtomicLong();
 
-    /** True if an event arrived after the last decision. Guarded by this. */
+    /** True if an event arrived after the planner last decided. Guarded by this. */
     private boolean signalled;
 
     /** Guarded by this. */
     private boolean killed;
 
     /**
-     * Starts a scheduler.
+     * Creates a scheduler and starts its planner thread.
      *
-     * @param name prefix of the names of its threads
-     * @param seed seed of the jitter of periodic tasks
-     * @param pressure pressure on the service from 0 to 1, read at least ten times a second; called
-     *     by the planner's thread without a lock
+     * @param name prefix of the thread names
+     * @param seed seed of the random jitter of periodic tasks
+     * @param pressure supplies the load pressure on the service, from 0 to 1; the planner thread
+     *     calls it without a lock, at least ten times a second
      */
     public Scheduler(String name, Limits limits, long seed, DoubleSupplier pressure) {
         this.name = name;
@@ -87,10 +88,10 @@
 
     // ---- Tasks
     /**
-     * Adds a task.
+     * Adds a task. May evict a queued task of lower priority.
      *
-     * @return false if the name is in use, the scheduler stops, or the queue is full of tasks that
-     *     are as important
+     * @return false if the name is in use, the scheduler is stopping, or the queue is full of tasks
+     *     of the same or a higher priority
      */
     public synchronized boolean add(TaskSpec spec, BackgroundWork work) {
         List<Decision> decisions = new ArrayList<>();
@@ -103,7 +104,7 @@
         return added;
     }
 
-    /** Removes a task and interrupts its run; an unknown name is ignored. */
+    /** Removes a task and interrupts its run; ignores an unknown name. */
     public synchronized void cancel(String task) {
         List<Decision> decisions = new ArrayList<>();
         planner.cancel(task, System.nanoTime(), decisions);
@@ -112,11 +113,11 @@
     }
 
     /**
-     * Stops: accepts no more tasks, waits for the runs in progress and the final runs up to the
-     * limit, and interrupts the rest.
+     * Stops the scheduler: accepts no more tasks, waits up to the limit for the runs in progress
+     * and the final runs, and interrupts the runs that have not ended by then.
      *
-     * @return true if all runs ended
-     * @throws InterruptedException if the caller is interrupted while it waits
+     * @return true if all runs ended, false if the scheduler left a run behind
+     * @throws InterruptedException if the calling thread is interrupted while it waits
      */
     public boolean stop(long limitNs) throws InterruptedException {
         synchronized (this) {
@@ -133,7 +134,7 @@
         }
     }
 
-    /** Interrupts all threads at once, without waiting or final runs. */
+    /** Interrupts all threads immediately, without waiting and without final runs. */
     public synchronized void kill() {
         killed = true;
         plannerThread.interrupt();
@@ -141,32 +142,32 @@
     }
 
     // ---- Counters
-    /** Runs that ended. */
+    /** Returns the number of runs that ended, whether or not they succeeded. */
     public long ended() {
         return ended.get();
     }
 
-    /** Runs that threw, other than by an interrupt. */
+    /** Returns the number of runs that failed with an exception other than an interrupt. */
     public long failed() {
         return failed.get();
     }
 
-    /** Runs that were abandoned, since they ignored an interrupt. */
+    /** Returns the number of runs that were abandoned because they ignored an interrupt. */
     public long abandoned() {
         return abandoned.get();
     }
 
-    /** Queued runs that were evicted, by more important ones or by the stop. */
+    /** Returns the number of queued tasks evicted by a task of higher priority or by the stop. */
     public long dropped() {
         return dropped.get();
     }
 
-    /** Runs that are due and wait. */
+    /** Returns the number of tasks that are due and wait for a slot. */
     public synchronized int waiting() {
         return planner.waiting();
     }
 
-    // ---- Deciding
+    // ---- Planner thread
     private synchronized void signal() {
         signalled = true;
         notifyAll();
@@ -250,7 +251,11 @@
         }
     }
 
-    /** Waits until the planner grants the run an amount, the requested one or less. */
+    /**
+     * Requests an amount for a run and waits for the grant.
+     *
+     * @return the granted amount, at most the requested one
+     */
     double acquire(Lease lease, Resource resource, double amount) throws InterruptedException {
         synchronized (this) {
             planner.request(lease.run(), resource, amount, System.nanoTime());
--- a/background/src/main/java/ashlink/background/package-info.java
+++ b/background/src/main/java/ashlink/background/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Runs background work beside the service: threads, budgets and an orderly stop. What runs when is
- * decided by {@link ashlink.background.plan.Planner}.
+ * Runs background tasks beside the service on threads of their own, within resource budgets and
+ * with an orderly shutdown. {@link ashlink.background.plan.Planner} decides which task runs when.
  */
 package ashlink.background;
--- a/background/src/main/java/ashlink/background/plan/BackgroundTask.java
+++ b/background/src/main/java/ashlink/background/plan/BackgroundTask.java
@@ -2,30 +2,30 @@
 
 import java.util.Comparator;
 
-/** The state of one task of a {@link Planner}. It has one run at most. */
+/** The state of one task of a {@link Planner}. A task has at most one run at a time. */
 final class BackgroundTask {
 
-    /** Earliest deadline first, ties by name. */
+    /** Orders tasks by deadline, earliest first, and tasks of the same deadline by name. */
     static final Comparator<BackgroundTask> BY_DEADLINE =
             Comparator.comparingLong(BackgroundTask::deadlineNs)
                     .thenComparing(task -> task.spec.name());
 
     final TaskSpec spec;
 
-    /** When the next run is due; of a task with a run, when that run was due. */
+    /** Due time of the next run, or of the run in progress. */
     long dueNs;
 
     int consecutiveFailures;
 
-    /** Periods that passed without a run, since the run before them was late. */
+    /** Number of periods without a run because the previous run was late. */
     long missedRuns;
 
     boolean cancelled;
 
-    /** True while a stopping planner owes the task its final run. */
+    /** True if the planner is stopping and has yet to start the final run of the task. */
     boolean finalRunPending;
 
-    /** The run in progress, abandoned runs included, or null. */
+    /** The run in progress, which may be abandoned; null for none. */
     TaskRun run;
 
     BackgroundTask(TaskSpec spec, long dueNs) {
--- a/background/src/main/java/ashlink/background/plan/Decision.java
+++ b/background/src/main/java/ashlink/background/plan/Decision.java
@@ -1,31 +1,31 @@
 package ashlink.background.plan;
 
-/** An action that the planner decided on; the scheduler carries it out. */
+/** An action that the planner decided on and that the scheduler executes. */
 public sealed interface Decision {
 
-    /** Start a run of the task. */
+    /** Starts a run of the task. */
     record Start(long run, String task) implements Decision {}
 
-    /** Let the run that requested the resource go on, with this amount of it. */
+    /** Grants this amount of a resource to the run that requested it, which then continues. */
     record Grant(long run, Resource resource, double amount) implements Decision {}
 
-    /** Interrupt a run: it reached its time limit, or its task was cancelled. */
+    /** Interrupts a run that reached its time limit or whose task was cancelled. */
     record Interrupt(long run) implements Decision {}
 
     /**
-     * A run ignored its interrupt: its slot is free for others, and its task is not started again
-     * until the run ends.
+     * Abandons a run that ignored an interrupt: the slot of the run becomes free for other tasks,
+     * and the task of the run is not started again until the run ends.
      */
     record Abandon(long run) implements Decision {}
 
-    /** A queued run was evicted, by more important ones or by the stop. */
+    /** Evicts a queued task, because of a task of higher priority or because of the stop. */
     record Drop(String task) implements Decision {}
 
-    /** A resource that runs request in amounts. */
+    /** A budgeted resource that runs request in amounts. */
     enum Resource {
         /** Nanoseconds of processor time. */
         CPU,
-        /** Bytes to and from the disk. */
+        /** Bytes read from and written to the disk. */
         BYTES
     }
 }
--- a/background/src/main/java/ashlink/background/plan/Limits.java
+++ b/background/src/main/java/ashlink/background/plan/Limits.java
@@ -1,18 +1,19 @@
 package ashlink.background.plan;
 
 /**
- * Limits of background work.
+ * Limits of all background work of a planner.
  *
- * @param maxConcurrentRuns runs at a time; if over 1, the last slot is reserved for {@link
- *     Priority#HIGH}
- * @param maxQueued one-time runs that wait; beyond it the least important is evicted
- * @param cpuCores processor time per time, in cores
- * @param cpuBurstNs processor time granted at once, in nanoseconds
- * @param bytesPerSecond to and from the disk
- * @param burstBytes bytes granted at once
- * @param minRateFraction fraction of both rates that remains under the highest pressure, over 0 and
- *     at most 1, so that no work starves for good
- * @param graceNs time between an interrupt and abandoning a run, in nanoseconds
+ * @param maxConcurrentRuns maximum number of concurrent runs; if above 1, the last slot is reserved
+ *     for {@link Priority#HIGH}
+ * @param maxQueued maximum number of waiting one-time tasks; above this limit, a new task evicts
+ *     the task of the lowest priority
+ * @param cpuCores rate of processor time, in cores
+ * @param cpuBurstNs maximum processor time of one grant, in nanoseconds
+ * @param bytesPerSecond rate of disk traffic, reads and writes together
+ * @param burstBytes maximum number of bytes of one grant
+ * @param minRateFraction fraction of both rates that remains available at the highest pressure,
+ *     above 0 and at most 1; prevents permanent starvation
+ * @param graceNs time from the interrupt of a run until the run is abandoned, in nanoseconds
  */
 public record Limits(
         int maxConcurrentRuns,
@@ -24,14 +25,14 @@
         double minRateFraction,
         long graceNs) {
 
-    /** A quarter of a core, 64 MiB a second, two runs at once. */
+    /** Defaults: a quarter of a core, 64 MiB per second, two concurrent runs. */
     public static final Limits DEFAULT =
             new Limits(2, 1_000, 0.25, 20e6, 64 << 20, 8 << 20, 0.1, 1_000_000_000L);
 
     /**
-     * Checks the ranges.
+     * Validates the limits.
      *
-     * @throws IllegalArgumentException if a value is out of its range
+     * @throws IllegalArgumentException if a value is out of range
      */
     public Limits {
         if (maxConcurrentRuns < 1
--- a/background/src/main/java/ashlink/background/plan/Planner.java
+++ b/background/src/main/java/ashlink/background/plan/Planner.java
@@ -9,20 +9,20 @@
 import java.util.List;
 
 /**
- * Decides what background work runs. Takes events with their times and answers with decisions; the
+ * Decides which background tasks run. Receives events with their times and returns decisions; the
  * same events with the same seed give the same decisions.
  *
- * <p>Order: the waiting run with the earliest deadline goes first, which is its due time plus the
- * slack of its priority. So a run waits only for those with earlier deadlines, and no stream of
- * later ones can starve it. A task has one run at most, queued or in progress: periods that passed
- * meanwhile make one run, not many.
+ * <p>Tasks start in order of their deadlines, where the deadline is the due time plus the slack of
+ * the priority. A task therefore waits only for tasks with earlier deadlines, and a stream of later
+ * tasks cannot starve it. A task has at most one run, queued or in progress: missed periods lead to
+ * a single run.
  *
- * <p>Not thread-safe. Times are readings of one clock in nanoseconds; a clock that goes back counts
- * as one that stands still.
+ * <p>Not thread-safe. Times are readings of one clock in nanoseconds; if the clock goes back, the
+ * planner continues with the latest time seen.
  */
 public final class Planner {
 
-    /** Pressure from which on {@link Priority#LOW} is postponed up to its longest delay. */
+    /** Pressure at which {@link Priority#LOW} tasks are postponed, up to their maximum delay. */
     private static final double LOW_PRIORITY_MAX_PRESSURE = 0.5;
 
     private final Limits limits;
@@ -34,7 +34,7 @@
     private boolean stopping;
     private long stopDeadlineNs;
 
-    /** A planner without tasks; {@code seed} gives the jitter of their periods. */
+    /** Creates a planner without tasks; {@code seed} is the seed of the random period jitter. */
     public Planner(Limits limits, long seed) {
         this.limits = limits;
         this.queue = new RunQueue(limits);
@@ -48,10 +48,10 @@
 
     // ---- Events
     /**
-     * Adds a task; a less important one may be evicted for it.
+     * Adds a task. May evict a queued task of lower priority.
      *
-     * @return false if the name is in use, the planner stops, or the queue is full of tasks that
-     *     are as important
+     * @return false if the name is in use, the planner is stopping, or the queue is full of tasks
+     *     of the same or a higher priority
      */
     public boolean add(TaskSpec spec, long now, List<Decision> decisions) {
         advance(now);
@@ -71,7 +71,7 @@
         return true;
     }
 
-    /** Removes a task and interrupts its run; an unknown name is ignored. */
+    /** Removes a task and interrupts its run; ignores an unknown name. */
     public void cancel(String name, long now, List<Decision> decisions) {
         advance(now);
         BackgroundTask task = queue.task(name);
@@ -86,7 +86,9 @@
         }
     }
 
-    /** Sets the pressure on the service, from 0 to 1: it lowers the rates of all resources. */
+    /**
+     * Sets the load pressure on the service, from 0 to 1, which lowers the rate of all resources.
+     */
     public void pressure(double current, long now) {
         advance(now);
         pressure = Math.max(0, Math.min(1, current));
@@ -94,8 +96,8 @@
     }
 
     /**
-     * A run requests an amount before it goes on. A request over the largest amount that is granted
-     * at once is granted that amount.
+     * Requests an amount of a resource for a run, which waits for the grant. A request above the
+     * burst size of the resource is reduced to the burst size.
      */
     public void request(long run, Resource resource, double amount, long now) {
         advance(now);
@@ -105,13 +107,13 @@
         }
     }
 
-    /** A run has used an amount without a request. */
+    /** Charges an amount of a resource that was used without a request. */
     public void charge(Resource resource, double amount, long now) {
         advance(now);
         budgets.charge(resource, amount, nowNs);
     }
 
-    /** A run ended; {@code succeeded} is false if it threw. */
+    /** Records the end of a run; {@code succeeded} is false if the run threw an exception. */
     public void ended(long run, boolean succeeded, long now) {
         advance(now);
         TaskRun ended = queue.removeRun(run);
@@ -123,7 +125,8 @@
         if (task.spec.isOneTime() || task.cancelled || lastOfStop) {
             queue.remove(task);
         } else if (stopping) {
-            // The run began before the stop: work that arrived since then needs a final one.
+            // The run started before the stop, so work that arrived during the run needs a final
+            // run.
             task.finalRunPending = true;
             task.dueNs = nowNs;
         } else {
@@ -131,7 +134,9 @@
         }
     }
 
-    /** Stops: only final runs start from here on, and all runs are interrupted at the limit. */
+    /**
+     * Begins the stop: only final runs start, and all runs are interrupted after {@code limitNs}.
+     */
     public void stop(long now, long limitNs, List<Decision> decisions) {
         advance(now);
         if (stopping) {
@@ -151,7 +156,7 @@
     }
 
     // ---- Decisions
-    /** All decisions that are due now. */
+    /** Returns all decisions that are due now. */
     public List<Decision> decide(long now) {
         advance(now);
         List<Decision> decisions = new ArrayList<>();
@@ -195,7 +200,7 @@
                 TaskRun run = queue.start(task, nowNs, stopping);
                 decisions.add(new Start(run.id, task.spec.name()));
             } else if (task.spec.priority() == Priority.HIGH) {
-                return; // without a slot for high priority there is none for others
+                return; // no slot for high priority means no slot for lower priorities
             }
         }
     }
@@ -219,8 +224,8 @@
 
     // ---- State
     /**
-     * Time in nanoseconds until a decision may be due without a further event; at most {@code
-     * maxWaitNs}.
+     * Returns the time in nanoseconds until a decision may be due without a further event, at most
+     * {@code maxWaitNs}.
      */
     public long waitNs(long now, long maxWaitNs) {
         advance(now);
@@ -243,24 +248,27 @@
         return Math.max(0, nextNs - nowNs);
     }
 
-    /** True once all runs have ended or were abandoned after a stop. */
+    /** Returns true once the planner is stopping and all runs have ended or were abandoned. */
     public boolean isStopped() {
         return stopping
                 && queue.running() == 0
                 && queue.tasks().stream().noneMatch(this::mayRunFinally);
     }
 
-    /** Runs that are due and wait. */
+    /** Returns the number of tasks that are due and wait for a slot. */
     public int waiting() {
         return queue.queued(nowNs);
     }
 
-    /** Runs in progress that were not abandoned. */
+    /** Returns the number of runs in progress, without abandoned runs. */
     public int running() {
         return queue.running();
     }
 
-    /** Periods that passed without a run of that task, as a run was late; 0 for an unknown task. */
+    /**
+     * Returns the number of periods without a run of the task because the previous run was late; 0
+     * for an unknown task.
+     */
     public long missed(String task) {
         BackgroundTask known = queue.task(task);
         return known == null ? 0 : known.missedRuns;
--- a/background/src/main/java/ashlink/background/plan/Priority.java
+++ b/background/src/main/java/ashlink/background/plan/Priority.java
@@ -1,12 +1,12 @@
 package ashlink.background.plan;
 
-/** Priority of a task: how long after its due time later runs may overtake it. */
+/** Priority of a task; defines for how long after the due time other tasks may go first. */
 public enum Priority {
-    /** Upkeep that the service depends on, such as expiry and the endpoint list. */
+    /** Maintenance that the service depends on, such as expiry and the endpoint list. */
     HIGH(0),
-    /** Upkeep that can wait a little, such as journals and retention. */
+    /** Maintenance that tolerates a short delay, such as journals and retention. */
     NORMAL(2_000_000_000L),
-    /** Work for people, such as reports; under pressure postponed up to its longest delay. */
+    /** Work for users, such as reports; postponed under pressure, up to the maximum delay. */
     LOW(20_000_000_000L);
 
     private final long slackNs;
@@ -15,7 +15,7 @@
         this.slackNs = slackNs;
     }
 
-    /** Time from the due time to the deadline by which runs are ordered, in nanoseconds. */
+    /** Returns the time from the due time to the deadline that orders tasks, in nanoseconds. */
     public long slackNs() {
         return slackNs;
     }
--- a/background/src/main/java/ashlink/background/plan/ResourceBudgets.java
+++ b/background/src/main/java/ashlink/background/plan/ResourceBudgets.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Grants processor time and disk traffic to runs, from one token bucket for each resource. */
+/** Grants processor time and disk traffic to runs, with one token bucket per resource. */
 final class ResourceBudgets {
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -24,13 +24,13 @@
         buckets.put(Resource.BYTES, new TokenBucket(limits.burstBytes(), limits.bytesPerSecond()));
     }
 
-    /** Lowers all rates by the pressure on the service, from 0 to 1. */
+    /** Sets all rates according to the load pressure on the service, from 0 to 1. */
     void setPressure(double pressure, long nowNs) {
         double rateFraction = Math.max(minRateFraction, 1 - pressure);
         buckets.values().forEach(bucket -> bucket.setRateFraction(rateFraction, nowNs));
     }
 
-    /** Records a request; one over the capacity is cut to the capacity. */
+    /** Records a request; reduces an amount above the capacity to the capacity. */
     void request(TaskRun run, Resource resource, double amount) {
         run.requests.put(resource, Math.min(amount, buckets.get(resource).capacity()));
     }
@@ -40,8 +40,8 @@
     }
 
     /**
-     * Grants in order of deadlines. None overtakes a request that waits, so that small requests
-     * cannot starve a large one.
+     * Grants requests in order of task deadlines. No request overtakes a waiting one with an
+     * earlier deadline, so that small requests cannot starve a large one.
      */
     void grant(Collection<TaskRun> runs, long nowNs, List<Decision> decisions) {
         for (Resource resource : Resource.values()) {
@@ -57,7 +57,8 @@
     }
 
     /**
-     * The earliest time at which a request may be granted; {@code Long.MAX_VALUE} if none waits.
+     * Returns the earliest time at which a request may be granted, or {@code Long.MAX_VALUE} if no
+     * request waits.
      */
     long nextGrantNs(Collection<TaskRun> runs, long nowNs) {
         long nextNs = Long.MAX_VALUE;
--- a/background/src/main/java/ashlink/background/plan/RunQueue.java
+++ b/background/src/main/java/ashlink/background/plan/RunQueue.java
@@ -9,8 +9,8 @@
 import java.util.function.Predicate;
 
 /**
- * The tasks of a planner, those that wait in order of their deadlines, and the runs that take the
- * slots. Abandoned runs take none.
+ * The tasks of a planner, with waiting tasks in order of their deadlines, and the runs that occupy
+ * the slots. Abandoned runs occupy no slot.
  */
 final class RunQueue {
 
@@ -27,7 +27,7 @@
         return tasks.containsKey(task);
     }
 
-    /** The task of that name, or null. */
+    /** Returns the task of the name, or null. */
     BackgroundTask task(String name) {
         return tasks.get(name);
     }
@@ -44,7 +44,7 @@
         tasks.remove(task.spec.name(), task);
     }
 
-    /** The run of that id, or null. */
+    /** Returns the run of the ID, or null. */
     TaskRun run(long id) {
         return runs.get(id);
     }
@@ -53,7 +53,7 @@
         return runs.values();
     }
 
-    /** Starts a run of a task that has none. */
+    /** Starts a run of a task that has no run. */
     TaskRun start(BackgroundTask task, long nowNs, boolean isFinal) {
         TaskRun run = new TaskRun(++lastRunId, task, nowNs, isFinal);
         task.run = run;
@@ -62,7 +62,7 @@
         return run;
     }
 
-    /** Removes a run and detaches it from its task; null if it is unknown. */
+    /** Removes a run and detaches it from its task; returns null for an unknown ID. */
     TaskRun removeRun(long id) {
         TaskRun run = runs.remove(id);
         if (run != null) {
@@ -71,7 +71,7 @@
         return run;
     }
 
-    /** Tasks that are due and wait. */
+    /** Returns the number of tasks that are due and wait for a slot. */
     int queued(long nowNs) {
         return (int)
                 tasks.values().stream()
@@ -79,12 +79,12 @@
                         .count();
     }
 
-    /** Runs in progress, without those abandoned. */
+    /** Returns the number of runs in progress, without abandoned runs. */
     int running() {
         return (int) runs.values().stream().filter(run -> !run.abandoned).count();
     }
 
-    /** The tasks that qualify, earliest deadline first; a copy. */
+    /** Returns a new list of the tasks that match, earliest deadline first. */
     List<BackgroundTask> inOrder(Predicate<BackgroundTask> qualifies) {
         return new ArrayList<>(
                 tasks.values().stream()
@@ -94,8 +94,9 @@
     }
 
     /**
-     * The waiting one-time task to evict for a new one: of the lowest priority, the one with the
-     * latest deadline. Null if none is less important than the new one.
+     * Returns the waiting one-time task to evict in favor of a new task: among the tasks of the
+     * lowest priority, the task with the latest deadline. Returns null if no task has a lower
+     * priority than the new one.
      */
     BackgroundTask evictionCandidate(Priority newcomer) {
         return tasks.values().stream()
@@ -107,7 +108,10 @@
                 .orElse(null);
     }
 
-    /** True if a run of that priority may take a slot; the last of several is for high priority. */
+    /**
+     * Returns true if a run of the priority may occupy a slot. The last of several slots is
+     * reserved for high priority.
+     */
     boolean hasSlot(Priority priority) {
         int maxRuns = limits.maxConcurrentRuns();
         if (running() >= maxRuns) {
--- a/background/src/main/java/ashlink/background/plan/TaskRun.java
+++ b/background/src/main/java/ashlink/background/plan/TaskRun.java
@@ -13,10 +13,10 @@
     final BackgroundTask task;
     final long startNs;
 
-    /** True if it was started by a stopping planner. */
+    /** True if the planner was stopping when it started the run. */
     final boolean isFinal;
 
-    /** Amounts that the run waits for. */
+    /** Requested amounts that have not been granted yet. */
     final Map<Resource, Double> requests = new EnumMap<>(Resource.class);
 
     boolean abandoned;
@@ -29,7 +29,7 @@
         this.isFinal = isFinal;
     }
 
-    /** When the run reaches its time limit. */
+    /** Returns the time at which the run reaches its time limit. */
     long limitNs() {
         return startNs + task.spec.maxRunNs();
     }
--- a/background/src/main/java/ashlink/background/plan/TaskSpec.java
+++ b/background/src/main/java/ashlink/background/plan/TaskSpec.java
@@ -3,12 +3,12 @@
 /**
  * Specification of a background task.
  *
- * @param name unique in a planner, not empty
- * @param priority order among due runs
- * @param periodNs time between runs in nanoseconds; 0 for a task that runs once
- * @param jitter fraction of the period by which each due time is moved at random, from 0 to 0.5
- * @param maxDelayNs how long after its due time a run starts even under pressure, in nanoseconds
- * @param maxRunNs longest run in nanoseconds; a longer one is interrupted
+ * @param name unique name within a planner, not empty
+ * @param priority priority among due tasks
+ * @param periodNs time between runs in nanoseconds; 0 for a one-time task
+ * @param jitter maximum random offset of each due time as a fraction of the period, from 0 to 0.5
+ * @param maxDelayNs maximum time that pressure postpones a run after its due time, in nanoseconds
+ * @param maxRunNs maximum duration of a run in nanoseconds; a longer run is interrupted
  * @param finalRun true if the task runs once more when the scheduler stops
  */
 public record TaskSpec(
@@ -24,9 +24,9 @@
     private static final int DEFAULT_MAX_DELAY_PERIODS = 4;
 
     /**
-     * Checks the ranges.
+     * Validates the specification.
      *
-     * @throws IllegalArgumentException if a value is out of its range
+     * @throws IllegalArgumentException if a value is out of range
      */
     public TaskSpec {
         if (name.isEmpty()
@@ -48,7 +48,7 @@
         }
     }
 
-    /** A periodic task, with a jitter of a tenth. */
+    /** Returns a periodic task with a jitter of 0.1. */
     public static TaskSpec every(String name, Priority priority, long periodNs, long maxRunNs) {
         return new TaskSpec(
                 name,
@@ -60,17 +60,17 @@
                 false);
     }
 
-    /** A task that is due at once and runs once. */
+    /** Returns a one-time task that is due immediately. */
     public static TaskSpec once(String name, Priority priority, long maxDelayNs, long maxRunNs) {
         return new TaskSpec(name, priority, 0, 0, maxDelayNs, maxRunNs, false);
     }
 
-    /** The same task with a final run when the scheduler stops. */
+    /** Returns a copy of this task with a final run when the scheduler stops. */
     public TaskSpec alsoAtStop() {
         return new TaskSpec(name, priority, periodNs, jitter, maxDelayNs, maxRunNs, true);
     }
 
-    /** True if the task runs once only. */
+    /** Returns true if the task runs only once. */
     boolean isOneTime() {
         return periodNs == 0;
     }
--- a/background/src/main/java/ashlink/background/plan/TaskTimer.java
+++ b/background/src/main/java/ashlink/background/plan/TaskTimer.java
@@ -2,12 +2,12 @@
 
 import java.util.SplittableRandom;
 
-/** Decides when a periodic task is due again: jittered periods, and a backoff after failures. */
+/** Computes due times: periods with random jitter, and an exponential backoff after failures. */
 final class TaskTimer {
 
     private static final int MAX_BACKOFF_DOUBLINGS = 6;
 
-    /** Longest backoff: an hour, or the task's own period if that is longer. */
+    /** Maximum backoff: one hour, or the period of the task if the period is longer. */
     private static final long MAX_BACKOFF_NS = 3_600_000_000_000L;
 
     private final SplittableRandom random;
@@ -16,12 +16,12 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** When a task that is added now is first due. */
+    /** Returns the first due time of a task that is added now. */
     long firstDueNs(TaskSpec spec, long nowNs) {
         return spec.isOneTime() ? nowNs : nowNs + jitteredPeriodNs(spec);
     }
 
-    /** Sets the next due time of a periodic task whose run ended now. */
+    /** Sets the next due time of a periodic task whose run has just ended. */
     void reschedule(BackgroundTask task, boolean succeeded, long nowNs) {
         task.consecutiveFailures = succeeded ? 0 : task.consecutiveFailures + 1;
         if (task.consecutiveFailures > 0) {
--- a/background/src/main/java/ashlink/background/plan/TokenBucket.java
+++ b/background/src/main/java/ashlink/background/plan/TokenBucket.java
@@ -1,12 +1,12 @@
 package ashlink.background.plan;
 
 /**
- * A token bucket: in any window of {@code w} seconds it grants at most {@code capacity + rate * w}
- * tokens, even if the clock jumps or goes back. Use that could not be requested beforehand is
- * charged afterwards and may leave the bucket in debt.
+ * A token bucket. In any window of {@code w} seconds, the bucket grants at most {@code capacity +
+ * rate * w} tokens, even if the clock jumps or goes back. Usage that cannot be requested in advance
+ * is charged afterwards and may make the balance of the bucket negative.
  *
- * <p>Not thread-safe. Times are readings of one clock in nanoseconds; a reading before the last one
- * refills nothing.
+ * <p>Not thread-safe. Times are readings of one clock in nanoseconds; a reading earlier than the
+ * last one refills nothing.
  */
 public final class TokenBucket {
 
@@ -20,11 +20,11 @@
     private boolean started;
 
     /**
-     * A full bucket.
+     * Creates a full bucket.
      *
-     * @param capacity the largest amount that is granted at once, over 0
-     * @param tokensPerSecond refill rate, over 0
-     * @throws IllegalArgumentException if either is not over 0
+     * @param capacity maximum amount of one grant, above 0
+     * @param tokensPerSecond refill rate, above 0
+     * @throws IllegalArgumentException if an argument is not above 0
      */
     public TokenBucket(double capacity, double tokensPerSecond) {
         if (!(capacity > 0 && tokensPerSecond > 0)) {
@@ -41,20 +41,22 @@
             double refilled = tokensPerSecond * rateFraction * (nowNs - lastRefillNs);
             available = Math.min(capacity, available + refilled / NANOS_PER_SECOND);
         }
-        // A clock that goes back must not refill the same time twice.
+        // If the clock goes back, the same interval must not be refilled twice.
         lastRefillNs = started ? Math.max(lastRefillNs, nowNs) : nowNs;
         started = true;
     }
 
-    /** From now on refills at this fraction of the rate, over 0 and at most 1. */
+    /** Sets the fraction of the refill rate that applies from now on, above 0 and at most 1. */
     void setRateFraction(double fraction, long nowNs) {
         refill(nowNs);
         rateFraction = fraction;
     }
 
     /**
-     * Takes the amount if it is available. A caller that needs more than the capacity requests it
-     * in parts.
+     * Takes the amount if enough tokens are available. A caller that needs more than the capacity
+     * makes several calls.
+     *
+     * @return false if too few tokens are available
      */
     public boolean tryAcquire(double amount, long nowNs) {
         refill(nowNs);
@@ -65,19 +67,22 @@
         return true;
     }
 
-    /** Charges what was used without a request; may leave a debt. */
+    /** Charges an amount that is already used; the balance may become negative. */
     public void charge(double amount, long nowNs) {
         refill(nowNs);
         available -= amount;
     }
 
-    /** Returns tokens that were taken and not used; the bucket holds its capacity at most. */
+    /** Puts unused tokens back; the balance never exceeds the capacity. */
     public void refund(double amount, long nowNs) {
         refill(nowNs);
         available = Math.min(capacity, available + amount);
     }
 
-    /** Time in nanoseconds until the amount can be available; at least 1 if it is not yet. */
+    /**
+     * Returns the time in nanoseconds until the amount may be available: 0 if available now, at
+     * least 1 otherwise.
+     */
     public long waitNs(double amount, long nowNs) {
         refill(nowNs);
         double missing = amount - available;
@@ -87,7 +92,7 @@
                         + 1;
     }
 
-    /** The largest amount that is granted at once. */
+    /** Returns the maximum amount of one grant. */
     public double capacity() {
         return capacity;
     }
--- a/background/src/main/java/ashlink/background/plan/package-info.java
+++ b/background/src/main/java/ashlink/background/plan/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The planner of background work: which task runs when, and with how much processor time and disk
- * traffic. Pure state: no I/O, clock, thread or unseeded randomness.
+ * Plans background work: which task runs when, and how much processor time and disk traffic each
+ * run gets. The planner is deterministic: it uses no I/O, clock, thread or unseeded randomness.
  */
 package ashlink.background.plan;
--- a/client/src/main/java/ashlink/client/StatementClient.java
+++ b/client/src/main/java/ashlink/client/StatementClient.java
@@ -33,7 +33,11 @@
     private final URI server;
     private final String authorization;
 
-    /** A client of a server, such as {@code http://127.0.0.1:8123}. */
+    /**
+     * Creates a client with its own connections.
+     *
+     * @param server base URI of the server, such as {@code http://127.0.0.1:8123}
+     */
     public StatementClient(URI server, String user, String password) {
         this(
                 HttpClient.newBuilder()
@@ -46,7 +50,7 @@
                 password);
     }
 
-    /** A client that shares the connections of {@code http} with other clients. */
+    /** Creates a client that shares the connections of {@code http} with other clients. */
     public StatementClient(HttpClient http, URI server, String user, String password) {
         this.http = http;
         this.server = server;
@@ -61,12 +65,13 @@
      * Runs a statement and fetches all pages of its result.
      *
      * @param statement the SQL text
-     * @param settings settings of the statement, by name
-     * @param rows rows of a load; null for none
-     * @param idempotencyKey key under which the statement runs once; null for none
-     * @param timeoutNs time after which the client gives up
-     * @param pages receives each page, and the statement's state while no page is available
-     * @return how the statement ended; failures of the connection are results, not exceptions
+     * @param settings settings of the statement by name
+     * @param rows rows to insert; null for none
+     * @param idempotencyKey key that prevents a second execution of the statement; null for none
+     * @param timeoutNs time in nanoseconds after which the client stops waiting
+     * @param pages receives each page, and the state of the statement while no page is available
+     * @return the outcome of the statement; connection failures are reported as an outcome and not
+     *     as an exception
      */
     public StatementResult run(
             String statement,
@@ -95,13 +100,13 @@
         }
     }
 
-    /** What was received of a statement so far. */
+    /** The progress of one statement so far. */
     private static final class Progress {
         private boolean submitted;
         private long rows;
         private long bytes;
 
-        /** A result without a response of the server. */
+        /** Returns a result without a response from the server. */
         StatementResult result(StatementResult.Kind kind, String detail) {
             return new StatementResult(kind, 0, "", detail, 0, 0, rows, bytes);
         }
@@ -155,7 +160,7 @@
         }
     }
 
-    /** Cancels a statement; returns false if the server does not know it. */
+    /** Cancels a statement; returns false if the statement is unknown to the server. */
     public boolean cancel(String id) throws IOException, InterruptedException {
         return send(request("/v1/statements/" + id, System.nanoTime() + MAX_POLL_NS).DELETE())
                         .statusCode()
--- a/client/src/main/java/ashlink/client/StatementResult.java
+++ b/client/src/main/java/ashlink/client/StatementResult.java
@@ -1,16 +1,16 @@
 package ashlink.client;
 
 /**
- * How a statement ended, as its client saw it.
+ * The outcome of a statement from the point of view of the client.
  *
- * @param kind what the client received
+ * @param kind kind of the outcome
  * @param status HTTP status of the last response; 0 if there was none
- * @param problem last part of the problem's type; empty if there was none
- * @param detail description of the problem or of the connection's failure
- * @param code code of the engine's exception; 0 if there was none
- * @param retryAfterMs time after which to retry; 0 if the server named none
- * @param rows rows received
- * @param bytes bytes of response bodies received
+ * @param problem last path segment of the problem type; empty if there was no problem
+ * @param detail description of the problem or of the connection failure
+ * @param code error code of the engine; 0 if there was none
+ * @param retryAfterMs delay before a retry in milliseconds; 0 if the server sent none
+ * @param rows number of rows received
+ * @param bytes size of all response bodies received
  */
 public record StatementResult(
         Kind kind,
@@ -22,21 +22,21 @@
         long rows,
         long bytes) {
 
-    /** What the client received at the end. */
+    /** Kind of the outcome. */
     public enum Kind {
-        /** All rows of the result. */
+        /** The client received all rows of the result. */
         SERVED,
-        /** A problem description of the server. */
+        /** The server responded with a problem description. */
         PROBLEM,
-        /** Nothing within the client's timeout. */
+        /** The client's timeout elapsed before the statement ended. */
         TIMED_OUT,
-        /** No connection could be made; nothing was sent. */
+        /** No connection could be established; nothing was sent. */
         NOT_SENT,
-        /** The connection broke, or the statement is not known any more. */
+        /** The connection failed, or the server no longer knows the statement. */
         LOST
     }
 
-    /** Whether the server rejected the statement, so that a retry is harmless. */
+    /** Returns true if the server rejected the statement, so that a retry is safe. */
     public boolean isRejected() {
         return kind == Kind.PROBLEM
                 && (status == 503 && problem.equals("refused") || status == 429);
--- a/client/src/main/java/ashlink/client/package-info.java
+++ b/client/src/main/java/ashlink/client/package-info.java
@@ -1,2 +1,2 @@
-/** A client of the statement API over HTTP. */
+/** HTTP client of the statement API. */
 package ashlink.client;
--- a/deploy/archive.sh
+++ b/deploy/archive.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Run by the build from the root: starts a router on loopback, asks it, and archives the classes that it loaded, so that
-# later starts neither parse nor verify them. Without the archive a router starts all the same, only later.
+# Called by the build from the root directory: starts a router on the loopback interface, sends it requests, and writes
+# the loaded classes to a CDS archive, so that later starts neither parse nor verify them. The archive is optional:
+# without it, a router starts more slowly.
 set -e
 archive=cli/target/ashlink.jsa
 rm -f "$archive"
--- a/deploy/serve.sh
+++ b/deploy/serve.sh
@@ -1,7 +1,8 @@
 #!/bin/bash
-# One router on the operators' platform. Shares out the memory limit of its configuration, then becomes the JVM, so that
-# signals reach it. Writes nothing: no perf-data file, no dump, no build. Starts nothing: the platform refuses a fork, so
-# that the configuration is read by the shell itself, in one gulp.
+# Starts one router on the operators' platform. Derives the heap size from the memory limit in the configuration, then
+# replaces the shell with the JVM, so that the JVM receives signals. Writes no files: no perf-data file, no dump, no build.
+# Starts no other program, because the platform does not allow fork; the shell itself therefore reads the whole
+# configuration with one read command.
 IFS= read -r -d '' config < "$LB_CONFIG"
 [[ $config =~ \"memory_mb\"[[:space:]]*:[[:space:]]*([0-9]+) ]]
 memory=${BASH_REMATCH[1]:-192}
--- a/examples/engines.sexp
+++ b/examples/engines.sexp
@@ -1,4 +1,4 @@
-; Emulated engines of examples/r1.sexp to r3.sexp. Run by: ./ashlink engine examples/engines.sexp
+; Emulated engines for the routers of examples/r1.sexp to r3.sexp. Start: ./ashlink engine examples/engines.sexp
 (engines
   (engine q1 (listen 127.0.0.1:9101) (zone halle-1) (kind typ-a) (cores 8) (memory 16GiB)
     (cold-time 14s) (fall-multiple 2.5) (heeds-cancel no))
--- a/examples/r1.sexp
+++ b/examples/r1.sexp
@@ -1,4 +1,4 @@
-; Router 1 of three, in halle-1. Checked by: ./ashlink check examples/r1.sexp
+; Router 1 of 3, in zone halle-1. Validate: ./ashlink check examples/r1.sexp
 (router (name r1) (zone halle-1) (gateways 3) (position 0) (seed 1)
   (listen (native 127.0.0.1:9001) (metrics 127.0.0.1:9201))
   (state-dir "var/r1")
--- a/examples/r2.sexp
+++ b/examples/r2.sexp
@@ -1,4 +1,4 @@
-; Router 2 of three, in halle-2. Checked by: ./ashlink check examples/r2.sexp
+; Router 2 of 3, in zone halle-2. Validate: ./ashlink check examples/r2.sexp
 (router (name r2) (zone halle-2) (gateways 3) (position 1) (seed 2)
   (listen (native 127.0.0.1:9002) (metrics 127.0.0.1:9202))
   (state-dir "var/r2")
--- a/examples/r3.sexp
+++ b/examples/r3.sexp
@@ -1,4 +1,4 @@
-; Router 3 of three, in halle-3. Checked by: ./ashlink check examples/r3.sexp
+; Router 3 of 3, in zone halle-3. Validate: ./ashlink check examples/r3.sexp
 (router (name r3) (zone halle-3) (gateways 3) (position 2) (seed 3)
   (listen (native 127.0.0.1:9003) (metrics 127.0.0.1:9203))
   (state-dir "var/r3")
--- a/report/src/main/java/ashlink/report/CaptureReport.java
+++ b/report/src/main/java/ashlink/report/CaptureReport.java
@@ -19,8 +19,8 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /**
- * One page of a capture: requests by class and end, attempts by engine and outcome, and plots by
- * second.
+ * Renders an HTML page about a capture: requests by class and outcome, attempts by engine and
+ * outcome, and plots over time.
  */
 public final class CaptureReport {
 
@@ -30,7 +30,7 @@
 
     private CaptureReport() {}
 
-    /** Writes the page. */
+    /** Renders the summary as a page with the given title. */
     public static void write(CaptureSummary summary, String title, Writer out) throws IOException {
         Configuration config = new Configuration(Configuration.VERSION_2_3_34);
         config.setClassForTemplateLoading(CaptureReport.class, "/ashlink/report");
--- a/report/src/main/java/ashlink/report/package-info.java
+++ b/report/src/main/java/ashlink/report/package-info.java
@@ -1,2 +1,2 @@
-/** Reports as pages, from templates and plots. */
+/** Renders reports as HTML pages from templates and plots. */
 package ashlink.report;
--- a/simulator/src/main/java/ashlink/simulator/ActionEncoder.java
+++ b/simulator/src/main/java/ashlink/simulator/ActionEncoder.java
@@ -11,7 +11,9 @@
 import ashlink.decisions.api.Action.StartAttempt;
 import ashlink.decisions.api.Action.WatchEndpoints;
 
-/** Encodes the actions of instances as lines of the simulator, appended to one buffer. */
+/**
+ * Encodes the actions of instances as lines of the simulator protocol and appends them to a buffer.
+ */
 final class ActionEncoder {
 
     private final StringBuilder out;
@@ -20,7 +22,7 @@
         this.out = out;
     }
 
-    /** Appends the line of an action. */
+    /** Encodes one action. */
     void encode(long instanceId, Action action) {
         if (action instanceof StartAttempt startAttempt) {
             startAttempt(instanceId, startAttempt);
@@ -68,7 +70,7 @@
         field(WireNames.MEMORY_MB, action.memoryMb());
     }
 
-    /** Appends the line that reports an instance as unusable. */
+    /** Encodes the report that an instance could not be created. */
     void encodeInstanceFailure(long instanceId, String reason) {
         begin(WireNames.INSTANCE_FAILED, instanceId);
         field(WireNames.TEXT, reason);
--- a/simulator/src/main/java/ashlink/simulator/EventDecoder.java
+++ b/simulator/src/main/java/ashlink/simulator/EventDecoder.java
@@ -19,24 +19,23 @@
 import java.util.Map;
 
 /**
- * Decodes the lines of the simulator into events.
+ * Decodes lines of the simulator protocol into events.
  *
- * <p>All methods throw {@link ashlink.config.flat.FieldException} for a field that is missing or
- * not accepted.
+ * <p>All methods throw {@link ashlink.config.flat.FieldException} for a missing or invalid field.
  */
 final class EventDecoder {
 
-    /** The cost of a query is one number: its work in ms times this, plus its memory. */
+    /** Factor of the work in ms in the encoded cost of a query: work * factor + memory. */
     private static final int COST_WORK_FACTOR = 4096;
 
-    /** Unit of the memory in the cost of a query. */
+    /** Unit of the memory in the encoded cost of a query. */
     private static final int COST_MEMORY_UNIT_MB = 4;
 
     private static final char LOAD_REPORT_SEPARATOR = ',';
 
     private EventDecoder() {}
 
-    /** Decodes a line of an endpoint list. */
+    /** Decodes one entry of an endpoint list. */
     static Endpoint endpoint(Fields fields) {
         String state = fields.required(WireNames.ENDPOINT_STATE);
         return new Endpoint(
@@ -49,9 +48,9 @@
     }
 
     /**
-     * Decodes an announcement of endpoints.
+     * Decodes a change of the endpoints.
      *
-     * @param endpoints endpoints of the list that the line refers to
+     * @param endpoints endpoints of the list that the line references
      */
     static EndpointsChanged endpointsChanged(Fields fields, List<Endpoint> endpoints) {
         String kindName = fields.required(WireNames.ENDPOINT_LIST_KIND);
@@ -65,8 +64,8 @@
      * Decodes any other event.
      *
      * @param name first word of the line
-     * @param reportsCost whether the responses of engines carry the cost of a query
-     * @return the event, or null for a line that does not concern the decision module
+     * @param reportsCost whether responses of engines include the cost of a query
+     * @return the event, or null for a line that is not meant for the decision module
      */
     static Event event(String name, Fields fields, boolean reportsCost) {
         return switch (name) {
@@ -141,7 +140,7 @@
     }
 
     /**
-     * Decodes a load report; values of unknown names are skipped.
+     * Decodes a load report. Skips values with unknown names.
      *
      * @param text the report; null, empty or {@link WireNames#NO_LOAD_REPORT} if there is none
      */
--- a/simulator/src/main/java/ashlink/simulator/LineFields.java
+++ b/simulator/src/main/java/ashlink/simulator/LineFields.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Splits a line of the simulator into its name and its fields {@code name=value}. */
+/** Splits a line of the simulator protocol into the line name and {@code name=value} fields. */
 final class LineFields {
 
     private static final char FIELD_SEPARATOR = ' ';
@@ -12,16 +12,16 @@
 
     private LineFields() {}
 
-    /** Returns the name of a line, its first word. */
+    /** Returns the name of a line, which is its first word. */
     static String name(String line) {
         int end = line.indexOf(FIELD_SEPARATOR);
         return end < 0 ? line : line.substring(0, end);
     }
 
     /**
-     * Returns the fields of a line, whose name stands for their source in errors.
+     * Returns the fields of a line. Error texts give the line name as the source of the fields.
      *
-     * @throws SimulatorProtocolException if a word after the name is no field
+     * @throws SimulatorProtocolException if a word after the line name is not a field
      */
     static Fields of(String line) {
         String name = name(line);
--- a/simulator/src/main/java/ashlink/simulator/Main.java
+++ b/simulator/src/main/java/ashlink/simulator/Main.java
@@ -8,10 +8,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Set;
 
-/** The command {@code simulate}: serves the simulator on standard input and output. */
+/** The command {@code simulate}, which serves the simulator on standard input and output. */
 public final class Main {
 
-    /** The command and its former name, which remains as an alias. */
+    /** The command and its alias, which is the former name of the command. */
     private static final Set<String> COMMANDS = Set.of("simulate", "drill");
 
     private static final int BUFFER_CHARS = 1 << 16;
@@ -21,9 +21,9 @@
     private Main() {}
 
     /**
-     * Runs the command until the input ends.
+     * Runs the command until end of input.
      *
-     * <p>Exits with status 2 if the arguments are wrong, and with status 1 if the input violates
+     * <p>Exits with status 2 if the arguments are invalid, and with status 1 if the input violates
      * the protocol.
      */
     public static void main(String[] args) throws IOException {
--- a/simulator/src/main/java/ashlink/simulator/SimulatorAdapter.java
+++ b/simulator/src/main/java/ashlink/simulator/SimulatorAdapter.java
@@ -18,9 +18,8 @@
 import java.util.Map;
 
 /**
- * Serves the protocol of the simulator: reads batches of lines, hands each event to the instance of
- * the decision module that it names, and writes one reply per batch. Not safe for use by several
- * threads.
+ * Serves the simulator protocol: reads batches of lines, passes each event to the instance of the
+ * decision module that the line names, and writes one reply per batch. Not thread-safe.
  */
 final class SimulatorAdapter {
 
@@ -36,9 +35,10 @@
     private long nowNs;
 
     /**
-     * Serves batches until the input ends between two of them.
+     * Serves batches until the input ends after a complete batch.
      *
-     * @throws SimulatorProtocolException naming the line that violates the protocol
+     * @throws SimulatorProtocolException if the input violates the protocol; the message gives the
+     *     line number
      */
     void run(BufferedReader in, Writer out) throws IOException {
         try {
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Reads a batch and writes the reply; returns false at the end of the input. */
+    /** Processes a batch and builds the reply; returns false at end of input. */
     private boolean readBatch(BufferedReader in) throws IOException {
         reply.setLength(0);
         String line = readLine(in);
--- a/simulator/src/main/java/ashlink/simulator/SimulatorProtocolException.java
+++ b/simulator/src/main/java/ashlink/simulator/SimulatorProtocolException.java
@@ -2,7 +2,7 @@
 
 import ashlink.config.flat.FieldException;
 
-/** A line or a batch of the simulator violates the protocol. */
+/** Thrown if input from the simulator violates the protocol. */
 final class SimulatorProtocolException extends FieldException {
 
     private static final long serialVersionUID = 1L;
@@ -11,7 +11,7 @@
         super(message);
     }
 
-    /** A protocol violation at a line of the input, counted from 1. */
+    /** Creates an exception for a line of the input; line numbers start at 1. */
     SimulatorProtocolException(long lineNumber, FieldException cause) {
         super("line " + lineNumber + ": " + cause.getMessage());
         initCause(cause);
--- a/simulator/src/main/java/ashlink/simulator/WireNames.java
+++ b/simulator/src/main/java/ashlink/simulator/WireNames.java
@@ -6,10 +6,10 @@
 import ashlink.decisions.api.ProgressKind;
 import java.util.Map;
 
-/** The names of the simulator's protocol, and the types that its values stand for. */
+/** Names of the simulator protocol, and the types that protocol values map to. */
 final class WireNames {
 
-    // Lines that frame a batch or change the instances.
+    // Lines that delimit a batch, list endpoints, or create and remove instances.
     static final String BATCH_START = "SYNC";
     static final String BATCH_END = "END";
     static final String BATCH_REPLY = "OK";
@@ -39,7 +39,7 @@
     static final String LOG = "REMARK";
     static final String INSTANCE_FAILED = "BAIL_OUT";
 
-    // Fields of more than one line.
+    // Fields of several kinds of lines.
     static final String INSTANCE_ID = "router-id";
     static final String QUERY_ID = "op-id";
     static final String ATTEMPT_NUMBER = "shot";
@@ -52,7 +52,7 @@
     static final String TIMEOUT_NS = "timeout-ns";
     static final String TEXT = "reason-text";
 
-    // Fields of a single line.
+    // Fields of one kind of line.
     static final String TIME_NS = "moment-ns";
     static final String ENDPOINT_COUNT = "lines";
     static final String ENDPOINT_STATE = "phase";
@@ -78,7 +78,7 @@
     static final String TIMER_NS = "time-ns";
     static final String WATCH_ENABLED = "enable";
 
-    /** Value of a load report that the engine did not send. */
+    /** Value that stands for a missing load report. */
     static final String NO_LOAD_REPORT = "-";
 
     static final Map<String, EndpointState> ENDPOINT_STATES =
--- a/simulator/src/main/java/ashlink/simulator/package-info.java
+++ b/simulator/src/main/java/ashlink/simulator/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Adapter between the decision module and the operators' simulator: reads lines of events, hands
- * them to the instances of the decision module, and writes the lines of their actions.
+ * Adapter between the decision module and the operators' simulator: reads events as lines, passes
+ * them to instances of the decision module, and writes the resulting actions as lines.
  */
 package ashlink.simulator;
