--- a/background/src/main/java/ashlink/background/Lease.java
+++ b/background/src/main/java/ashlink/background/Lease.java
@@ -53,7 +53,7 @@
             }
         }
         if (Thread.interrupted()) {
-            throw new InterruptedException("called off");
+            throw new InterruptedException("background run interrupted");
         }
     }
 
--- a/background/src/main/java/ashlink/background/Scheduler.java
+++ b/background/src/main/java/ashlink/background/Scheduler.java
@@ -191,7 +191,7 @@
                 }
             }
         } catch (InterruptedException e) {
-            LOG.debug("background scheduler ends name={}", name);
+            LOG.debug("background scheduler stopped name={}", name);
         }
     }
 
@@ -207,7 +207,8 @@
             } else if (decision instanceof Abandon abandon) {
                 abandoned.incrementAndGet();
                 LOG.warn(
-                        "background run {} does not end; its task is not started until it does",
+                        "background run ignored its interrupt and was abandoned; its task starts"
+                                + " again only after this run ends run={}",
                         abandon.run());
             } else if (decision instanceof Drop drop) {
                 dropped.incrementAndGet();
@@ -239,7 +240,7 @@
             LOG.info("background task interrupted task={}", start.task());
         } catch (Exception | Error e) {
             failed.incrementAndGet();
-            LOG.warn("background task failed task={} error={}", start.task(), e.toString());
+            LOG.warn("background task failed task={} error=\"{}\"", start.task(), e.toString());
         } finally {
             ended.incrementAndGet();
             synchronized (this) {
--- a/background/src/main/java/ashlink/background/plan/Limits.java
+++ b/background/src/main/java/ashlink/background/plan/Limits.java
@@ -41,7 +41,7 @@
                 || !(minRateFraction > 0 && minRateFraction <= 1)
                 || graceNs < 0) {
             throw new IllegalArgumentException(
-                    "limits of background work: maxConcurrentRuns="
+                    "invalid limits of background work: maxConcurrentRuns="
                             + maxConcurrentRuns
                             + " maxQueued="
                             + maxQueued
@@ -50,7 +50,9 @@
                             + " minRateFraction="
                             + minRateFraction
                             + " graceNs="
-                            + graceNs);
+                            + graceNs
+                            + ": maxConcurrentRuns and maxQueued must be at least 1, cpuCores above"
+                            + " 0, minRateFraction above 0 and at most 1, graceNs at least 0");
         }
     }
 }
--- a/background/src/main/java/ashlink/background/plan/TaskSpec.java
+++ b/background/src/main/java/ashlink/background/plan/TaskSpec.java
@@ -35,16 +35,18 @@
                 || maxDelayNs < 0
                 || maxRunNs <= 0) {
             throw new IllegalArgumentException(
-                    "background task "
+                    "invalid background task: name=\""
                             + name
-                            + ": periodNs="
+                            + "\" periodNs="
                             + periodNs
                             + " jitter="
                             + jitter
                             + " maxDelayNs="
                             + maxDelayNs
                             + " maxRunNs="
-                            + maxRunNs);
+                            + maxRunNs
+                            + ": name must not be empty, periodNs and maxDelayNs must be at least"
+                            + " 0, jitter from 0 to 0.5, maxRunNs above 0");
         }
     }
 
--- a/background/src/main/java/ashlink/background/plan/TokenBucket.java
+++ b/background/src/main/java/ashlink/background/plan/TokenBucket.java
@@ -29,7 +29,11 @@
     public TokenBucket(double capacity, double tokensPerSecond) {
         if (!(capacity > 0 && tokensPerSecond > 0)) {
             throw new IllegalArgumentException(
-                    "a budget of " + capacity + " and " + tokensPerSecond + " a second");
+                    "invalid token bucket: capacity="
+                            + capacity
+                            + " tokensPerSecond="
+                            + tokensPerSecond
+                            + ": both must be above 0");
         }
         this.capacity = capacity;
         this.tokensPerSecond = tokensPerSecond;
--- a/client/src/main/java/ashlink/client/StatementClient.java
+++ b/client/src/main/java/ashlink/client/StatementClient.java
@@ -170,7 +170,7 @@
     private HttpRequest.Builder request(String path, long deadlineNs) throws HttpTimeoutException {
         long remainingNs = deadlineNs - System.nanoTime();
         if (remainingNs <= 0) {
-            throw new HttpTimeoutException("the client's timeout has passed");
+            throw new HttpTimeoutException("client timeout elapsed");
         }
         String wait =
                 String.format(Locale.ROOT, "?wait=%.3f", Math.min(remainingNs, MAX_POLL_NS) / 1e9);
--- a/report/src/main/java/ashlink/report/CaptureReport.java
+++ b/report/src/main/java/ashlink/report/CaptureReport.java
@@ -49,7 +49,8 @@
         try {
             config.getTemplate(TEMPLATE).process(model, out);
         } catch (TemplateException e) {
-            throw new IOException("the template of the report fails: " + e.getMessage(), e);
+            throw new IOException(
+                    "failed to render report template " + TEMPLATE + ": " + e.getMessage(), e);
         }
     }
 
@@ -94,7 +95,7 @@
     }
 
     private static XYChart load(CaptureSummary summary) {
-        XYChart chart = chart("Requests", "per second; queued at its end");
+        XYChart chart = chart("Requests", "per second; held: at the end of the second");
         series(chart, "taken", summary, CaptureSummary.Second::getTaken);
         series(chart, "attempts ended", summary, CaptureSummary.Second::getEnded);
         series(chart, "held", summary, CaptureSummary.Second::getHeld);
@@ -102,7 +103,7 @@
     }
 
     private static XYChart inFlight(CaptureSummary summary) {
-        XYChart chart = chart("In flight at each engine", "attempts at the end of the second");
+        XYChart chart = chart("Attempts in flight by engine", "at the end of the second");
         TreeSet<String> engines = new TreeSet<>(summary.getEngines().keySet());
         engines.forEach(
                 engine ->
--- a/simulator/src/main/java/ashlink/simulator/EventDecoder.java
+++ b/simulator/src/main/java/ashlink/simulator/EventDecoder.java
@@ -17,6 +17,7 @@
 import ashlink.decisions.api.ProgressKind;
 import java.util.List;
 import java.util.Map;
+import java.util.TreeSet;
 
 /**
  * Decodes lines of the simulator protocol into events.
@@ -134,7 +135,8 @@
     private static <K, V> V known(Map<K, V> values, K key, String description) {
         V value = values.get(key);
         if (value == null) {
-            throw new SimulatorProtocolException(description + " is unknown");
+            throw new SimulatorProtocolException(
+                    description + " is invalid: accepted are " + new TreeSet<>(values.keySet()));
         }
         return value;
     }
@@ -154,6 +156,6 @@
 
     private static void rejectMalformedPair(String pair) {
         throw new SimulatorProtocolException(
-                "gauge: '" + pair + "' is no name:value pair with a number");
+                "gauge: invalid pair '" + pair + "': expected name:value with a numeric value");
     }
 }
--- a/simulator/src/main/java/ashlink/simulator/LineFields.java
+++ b/simulator/src/main/java/ashlink/simulator/LineFields.java
@@ -33,7 +33,10 @@
             int equals = line.indexOf(VALUE_SEPARATOR, start);
             if (equals < 0 || equals >= end) {
                 throw new SimulatorProtocolException(
-                        name + ": '" + line.substring(start, end) + "' is no name=value pair");
+                        name
+                                + ": invalid field '"
+                                + line.substring(start, end)
+                                + "': expected name=value");
             }
             values.put(line.substring(start, equals), line.substring(equals + 1, end));
             start = end + 1;
--- a/simulator/src/main/java/ashlink/simulator/SimulatorAdapter.java
+++ b/simulator/src/main/java/ashlink/simulator/SimulatorAdapter.java
@@ -79,14 +79,15 @@
     private String requireLine(BufferedReader in) throws IOException {
         String line = readLine(in);
         if (line == null) {
-            throw new SimulatorProtocolException("input ends within a batch");
+            throw new SimulatorProtocolException("unexpected end of input within a batch");
         }
         return line;
     }
 
     private static void requireName(String line, String name) {
         if (!line.startsWith(name + " ")) {
-            throw new SimulatorProtocolException("expected " + name);
+            throw new SimulatorProtocolException(
+                    "unexpected line '" + line + "': expected " + name);
         }
     }
 
