--- a/background/src/main/java/ashlink/background/Lease.java
+++ b/background/src/main/java/ashlink/background/Lease.java
@@ -12,16 +12,16 @@
     private static final long MIN_CHARGE_NS = 1_000_000L;
 
     private final Scheduler scheduler;
-    private final long run;
+    private final long runId;
 
     /** Granted amount that the run has not taken yet; 0 for none. Guarded by this. */
-    private double granted;
+    private double grantedAmount;
 
     private long chargedNs = Scheduler.threadCpuNs();
 
-    Lease(Scheduler scheduler, long run) {
+    Lease(Scheduler scheduler, long runId) {
         this.scheduler = scheduler;
-        this.run = run;
+        this.runId = runId;
     }
 
     /**
@@ -57,8 +57,8 @@
         }
     }
 
-    long run() {
-        return run;
+    long runId() {
+        return runId;
     }
 
     /** Returns the processor time in nanoseconds that no checkpoint has charged yet. */
@@ -67,16 +67,16 @@
     }
 
     synchronized void grant(double amount) {
-        granted = amount;
+        grantedAmount = amount;
         notifyAll();
     }
 
     synchronized double awaitGrant() throws InterruptedException {
-        while (granted == 0) {
+        while (grantedAmount == 0) {
             wait();
         }
-        double amount = granted;
-        granted = 0;
+        double amount = grantedAmount;
+        grantedAmount = 0;
         return amount;
     }
 }
--- a/background/src/main/java/ashlink/background/Scheduler.java
+++ b/background/src/main/java/ashlink/background/Scheduler.java
@@ -2,7 +2,7 @@
 
 import ashlink.background.plan.Decision;
 import ashlink.background.plan.Decision.Abandon;
-import ashlink.background.plan.Decision.Drop;
+import ashlink.background.plan.Decision.Evict;
 import ashlink.background.plan.Decision.Grant;
 import ashlink.background.plan.Decision.Interrupt;
 import ashlink.background.plan.Decision.Resource;
@@ -38,7 +38,7 @@
     private static final long STOP_POLL_MS = 10;
 
     /** The thread of a run; {@code lease} is null until the thread has started. */
-    private record Running(Thread thread, Lease lease) {}
+    private record ActiveRun(Thread thread, Lease lease) {}
 
     private final String name;
 
@@ -51,16 +51,16 @@
     private final Map<String, BackgroundWork> workByTask = new HashMap<>();
 
     /** Runs in progress by run ID. Guarded by this. */
-    private final Map<Long, Running> running = new HashMap<>();
+    private final Map<Long, ActiveRun> activeRuns = new HashMap<>();
 
     private final Thread plannerThread;
     private final AtomicLong failed = new AtomicLong();
     private final AtomicLong abandoned = new AtomicLong();
-    private final AtomicLong dropped = new AtomicLong();
+    private final AtomicLong evicted = new AtomicLong();
     private final AtomicLong ended = new AtomicLong();
 
     /** True if an event arrived after the planner last decided. Guarded by this. */
-    private boolean signalled;
+    private boolean eventPending;
 
     /** Guarded by this. */
     private boolean killed;
@@ -77,7 +77,7 @@
         this.name = name;
         this.planner = new Planner(limits, seed);
         this.pressure = pressure;
-        this.plannerThread = new Thread(null, this::decide, name + "-background", STACK_BYTES);
+        this.plannerThread = new Thread(null, this::runPlanner, name + "-background", STACK_BYTES);
         plannerThread.setDaemon(true);
         plannerThread.start();
     }
@@ -100,7 +100,7 @@
             workByTask.put(spec.name(), work);
         }
         perform(decisions);
-        signal();
+        notifyPlanner();
         return added;
     }
 
@@ -109,7 +109,7 @@
         List<Decision> decisions = new ArrayList<>();
         planner.cancel(task, System.nanoTime(), decisions);
         perform(decisions);
-        signal();
+        notifyPlanner();
     }
 
     /**
@@ -124,11 +124,11 @@
             List<Decision> decisions = new ArrayList<>();
             planner.stop(System.nanoTime(), limitNs, decisions);
             perform(decisions);
-            signal();
+            notifyPlanner();
             while (!planner.isStopped() && !killed) {
                 wait(STOP_POLL_MS);
             }
-            boolean allEnded = running.isEmpty();
+            boolean allEnded = activeRuns.isEmpty();
             kill();
             return allEnded;
         }
@@ -138,7 +138,7 @@
     public synchronized void kill() {
         killed = true;
         plannerThread.interrupt();
-        running.values().forEach(run -> run.thread.interrupt());
+        activeRuns.values().forEach(run -> run.thread.interrupt());
     }
 
     // ---- Counters
@@ -158,8 +158,8 @@
     }
 
     /** Returns the number of queued tasks evicted by a task of higher priority or by the stop. */
-    public long dropped() {
-        return dropped.get();
+    public long evicted() {
+        return evicted.get();
     }
 
     /** Returns the number of tasks that are due and wait for a slot. */
@@ -168,12 +168,12 @@
     }
 
     // ---- Planner thread
-    private synchronized void signal() {
-        signalled = true;
+    private synchronized void notifyPlanner() {
+        eventPending = true;
         notifyAll();
     }
 
-    private void decide() {
+    private void runPlanner() {
         try {
             while (true) {
                 double currentPressure = pressure.getAsDouble();
@@ -181,11 +181,11 @@
                     if (killed) {
                         return;
                     }
-                    signalled = false;
-                    planner.pressure(currentPressure, System.nanoTime());
+                    eventPending = false;
+                    planner.setPressure(currentPressure, System.nanoTime());
                     perform(planner.decide(System.nanoTime()));
                     long waitNs = planner.waitNs(System.nanoTime(), DECISION_INTERVAL_NS);
-                    if (!signalled && waitNs > 0) {
+                    if (!eventPending && waitNs > 0) {
                         wait(waitNs / NANOS_PER_MILLI, (int) (waitNs % NANOS_PER_MILLI));
                     }
                 }
@@ -198,39 +198,43 @@
     private void perform(List<Decision> decisions) {
         for (Decision decision : decisions) {
             if (decision instanceof Start start) {
-                begin(start);
-            } else if (decision instanceof Grant grant && running.containsKey(grant.run())) {
-                running.get(grant.run()).lease.grant(grant.amount());
+                startRun(start);
+            } else if (decision instanceof Grant grant && activeRuns.containsKey(grant.run())) {
+                activeRuns.get(grant.run()).lease.grant(grant.amount());
             } else if (decision instanceof Interrupt interrupt
-                    && running.containsKey(interrupt.run())) {
-                running.get(interrupt.run()).thread.interrupt();
+                    && activeRuns.containsKey(interrupt.run())) {
+                activeRuns.get(interrupt.run()).thread.interrupt();
             } else if (decision instanceof Abandon abandon) {
                 abandoned.incrementAndGet();
                 LOG.warn(
                         "background run ignored its interrupt and was abandoned; its task starts"
                                 + " again only after this run ends run={}",
                         abandon.run());
-            } else if (decision instanceof Drop drop) {
-                dropped.incrementAndGet();
-                workByTask.remove(drop.task());
-                LOG.info("background task evicted task={}", drop.task());
+            } else if (decision instanceof Evict evict) {
+                evicted.incrementAndGet();
+                workByTask.remove(evict.task());
+                LOG.info("background task evicted task={}", evict.task());
             }
         }
     }
 
-    private void begin(Start start) {
+    private void startRun(Start start) {
         BackgroundWork work = workByTask.get(start.task());
         Thread thread =
-                new Thread(null, () -> run(start, work), name + "-" + start.task(), STACK_BYTES);
+                new Thread(
+                        null,
+                        () -> executeRun(start, work),
+                        name + "-" + start.task(),
+                        STACK_BYTES);
         thread.setDaemon(true);
-        running.put(start.run(), new Running(thread, null));
+        activeRuns.put(start.run(), new ActiveRun(thread, null));
         thread.start();
     }
 
-    private void run(Start start, BackgroundWork work) {
+    private void executeRun(Start start, BackgroundWork work) {
         Lease lease = new Lease(this, start.run());
         synchronized (this) {
-            running.put(start.run(), new Running(Thread.currentThread(), lease));
+            activeRuns.put(start.run(), new ActiveRun(Thread.currentThread(), lease));
         }
         boolean succeeded = false;
         try {
@@ -244,10 +248,10 @@
         } finally {
             ended.incrementAndGet();
             synchronized (this) {
-                running.remove(start.run());
+                activeRuns.remove(start.run());
                 planner.charge(Resource.CPU, lease.unchargedNs(), System.nanoTime());
-                planner.ended(start.run(), succeeded, System.nanoTime());
-                signal();
+                planner.runEnded(start.run(), succeeded, System.nanoTime());
+                notifyPlanner();
             }
         }
     }
@@ -259,8 +263,8 @@
      */
     double acquire(Lease lease, Resource resource, double amount) throws InterruptedException {
         synchronized (this) {
-            planner.request(lease.run(), resource, amount, System.nanoTime());
-            signal();
+            planner.request(lease.runId(), resource, amount, System.nanoTime());
+            notifyPlanner();
         }
         return lease.awaitGrant();
     }
--- a/background/src/main/java/ashlink/background/plan/Decision.java
+++ b/background/src/main/java/ashlink/background/plan/Decision.java
@@ -19,7 +19,7 @@
     record Abandon(long run) implements Decision {}
 
     /** Evicts a queued task, because of a task of higher priority or because of the stop. */
-    record Drop(String task) implements Decision {}
+    record Evict(String task) implements Decision {}
 
     /** A budgeted resource that runs request in amounts. */
     enum Resource {
--- a/background/src/main/java/ashlink/background/plan/Planner.java
+++ b/background/src/main/java/ashlink/background/plan/Planner.java
@@ -1,7 +1,7 @@
 package ashlink.background.plan;
 
 import ashlink.background.plan.Decision.Abandon;
-import ashlink.background.plan.Decision.Drop;
+import ashlink.background.plan.Decision.Evict;
 import ashlink.background.plan.Decision.Interrupt;
 import ashlink.background.plan.Decision.Resource;
 import ashlink.background.plan.Decision.Start;
@@ -65,7 +65,7 @@
                 return false;
             }
             queue.remove(evicted);
-            decisions.add(new Drop(evicted.spec.name()));
+            decisions.add(new Evict(evicted.spec.name()));
         }
         queue.add(task);
         return true;
@@ -89,7 +89,7 @@
     /**
      * Sets the load pressure on the service, from 0 to 1, which lowers the rate of all resources.
      */
-    public void pressure(double current, long now) {
+    public void setPressure(double current, long now) {
         advance(now);
         pressure = Math.max(0, Math.min(1, current));
         budgets.setPressure(pressure, nowNs);
@@ -114,15 +114,15 @@
     }
 
     /** Records the end of a run; {@code succeeded} is false if the run threw an exception. */
-    public void ended(long run, boolean succeeded, long now) {
+    public void runEnded(long run, boolean succeeded, long now) {
         advance(now);
         TaskRun ended = queue.removeRun(run);
         if (ended == null) {
             return;
         }
         BackgroundTask task = ended.task;
-        boolean lastOfStop = stopping && (ended.isFinal || !task.spec.finalRun());
-        if (task.spec.isOneTime() || task.cancelled || lastOfStop) {
+        boolean isLastRun = stopping && (ended.isFinal || !task.spec.finalRun());
+        if (task.spec.isOneTime() || task.cancelled || isLastRun) {
             queue.remove(task);
         } else if (stopping) {
             // The run started before the stop, so work that arrived during the run needs a final
@@ -147,7 +147,7 @@
         for (BackgroundTask task : new ArrayList<>(queue.tasks())) {
             if (task.run == null && !task.spec.finalRun()) {
                 queue.remove(task);
-                decisions.add(new Drop(task.spec.name()));
+                decisions.add(new Evict(task.spec.name()));
             } else if (task.run == null) {
                 task.dueNs = Math.min(task.dueNs, nowNs);
                 task.finalRunPending = true;
@@ -168,10 +168,10 @@
 
     private void interruptOverdue(List<Decision> decisions) {
         for (TaskRun run : queue.runs()) {
-            boolean timeIsUp =
+            boolean isOverdue =
                     nowNs - run.startNs >= run.task.spec.maxRunNs()
                             || stopping && nowNs >= stopDeadlineNs;
-            if (timeIsUp) {
+            if (isOverdue) {
                 interrupt(run, decisions);
             }
             if (run.isInterrupted()
@@ -183,7 +183,7 @@
         }
     }
 
-    private long interruptNs(TaskRun run) {
+    private long interruptTimeNs(TaskRun run) {
         return stopping ? Math.min(stopDeadlineNs, run.limitNs()) : run.limitNs();
     }
 
@@ -195,7 +195,7 @@
     }
 
     private void startDue(List<Decision> decisions) {
-        for (BackgroundTask task : queue.inOrder(this::mayStart)) {
+        for (BackgroundTask task : queue.matchingByDeadline(this::mayStart)) {
             if (queue.hasSlot(task.spec.priority())) {
                 TaskRun run = queue.start(task, nowNs, stopping);
                 decisions.add(new Start(run.id, task.spec.name()));
@@ -206,7 +206,7 @@
     }
 
     private boolean mayStart(BackgroundTask task) {
-        if (task.run != null || task.dueNs > nowNs || stopping && !mayRunFinally(task)) {
+        if (task.run != null || task.dueNs > nowNs || stopping && !mayStartFinalRun(task)) {
             return false;
         }
         return !isPostponed(task) || nowNs - task.dueNs >= task.spec.maxDelayNs();
@@ -218,7 +218,7 @@
                 && pressure >= LOW_PRIORITY_MAX_PRESSURE;
     }
 
-    private boolean mayRunFinally(BackgroundTask task) {
+    private boolean mayStartFinalRun(BackgroundTask task) {
         return task.run == null && task.finalRunPending && nowNs < stopDeadlineNs;
     }
 
@@ -233,7 +233,7 @@
         for (BackgroundTask task : queue.tasks()) {
             if (task.run == null
                     && queue.hasSlot(task.spec.priority())
-                    && (!stopping || mayRunFinally(task))) {
+                    && (!stopping || mayStartFinalRun(task))) {
                 long postponedNs = isPostponed(task) ? task.spec.maxDelayNs() : 0;
                 nextNs = Math.min(nextNs, task.dueNs + postponedNs);
             }
@@ -242,7 +242,7 @@
             if (run.isInterrupted() && !run.abandoned) {
                 nextNs = Math.min(nextNs, run.interruptedNs() + limits.graceNs());
             } else if (!run.abandoned) {
-                nextNs = Math.min(nextNs, interruptNs(run));
+                nextNs = Math.min(nextNs, interruptTimeNs(run));
             }
         }
         return Math.max(0, nextNs - nowNs);
@@ -252,12 +252,12 @@
     public boolean isStopped() {
         return stopping
                 && queue.running() == 0
-                && queue.tasks().stream().noneMatch(this::mayRunFinally);
+                && queue.tasks().stream().noneMatch(this::mayStartFinalRun);
     }
 
     /** Returns the number of tasks that are due and wait for a slot. */
     public int waiting() {
-        return queue.queued(nowNs);
+        return queue.waiting(nowNs);
     }
 
     /** Returns the number of runs in progress, without abandoned runs. */
@@ -269,7 +269,7 @@
      * Returns the number of periods without a run of the task because the previous run was late; 0
      * for an unknown task.
      */
-    public long missed(String task) {
+    public long missedRuns(String task) {
         BackgroundTask known = queue.task(task);
         return known == null ? 0 : known.missedRuns;
     }
--- a/background/src/main/java/ashlink/background/plan/ResourceBudgets.java
+++ b/background/src/main/java/ashlink/background/plan/ResourceBudgets.java
@@ -45,7 +45,7 @@
      */
     void grant(Collection<TaskRun> runs, long nowNs, List<Decision> decisions) {
         for (Resource resource : Resource.values()) {
-            for (TaskRun run : requesting(runs, resource)) {
+            for (TaskRun run : requestingRuns(runs, resource)) {
                 double amount = run.requests.get(resource);
                 if (!buckets.get(resource).tryAcquire(amount, nowNs)) {
                     break;
@@ -63,16 +63,16 @@
     long nextGrantNs(Collection<TaskRun> runs, long nowNs) {
         long nextNs = Long.MAX_VALUE;
         for (Resource resource : Resource.values()) {
-            List<TaskRun> requesting = requesting(runs, resource);
-            if (!requesting.isEmpty()) {
-                double amount = requesting.get(0).requests.get(resource);
+            List<TaskRun> waitingRuns = requestingRuns(runs, resource);
+            if (!waitingRuns.isEmpty()) {
+                double amount = waitingRuns.get(0).requests.get(resource);
                 nextNs = Math.min(nextNs, nowNs + buckets.get(resource).waitNs(amount, nowNs));
             }
         }
         return nextNs;
     }
 
-    private static List<TaskRun> requesting(Collection<TaskRun> runs, Resource resource) {
+    private static List<TaskRun> requestingRuns(Collection<TaskRun> runs, Resource resource) {
         return runs.stream()
                 .filter(run -> run.requests.containsKey(resource))
                 .sorted(Comparator.comparing((TaskRun run) -> run.task, BackgroundTask.BY_DEADLINE))
--- a/background/src/main/java/ashlink/background/plan/RunQueue.java
+++ b/background/src/main/java/ashlink/background/plan/RunQueue.java
@@ -72,7 +72,7 @@
     }
 
     /** Returns the number of tasks that are due and wait for a slot. */
-    int queued(long nowNs) {
+    int waiting(long nowNs) {
         return (int)
                 tasks.values().stream()
                         .filter(task -> task.run == null && task.dueNs <= nowNs)
@@ -85,10 +85,10 @@
     }
 
     /** Returns a new list of the tasks that match, earliest deadline first. */
-    List<BackgroundTask> inOrder(Predicate<BackgroundTask> qualifies) {
+    List<BackgroundTask> matchingByDeadline(Predicate<BackgroundTask> matches) {
         return new ArrayList<>(
                 tasks.values().stream()
-                        .filter(qualifies)
+                        .filter(matches)
                         .sorted(BackgroundTask.BY_DEADLINE)
                         .toList());
     }
@@ -98,13 +98,13 @@
      * lowest priority, the task with the latest deadline. Returns null if no task has a lower
      * priority than the new one.
      */
-    BackgroundTask evictionCandidate(Priority newcomer) {
+    BackgroundTask evictionCandidate(Priority newTaskPriority) {
         return tasks.values().stream()
                 .filter(task -> task.run == null && task.spec.isOneTime())
                 .max(
                         Comparator.comparing((BackgroundTask task) -> task.spec.priority())
                                 .thenComparing(BackgroundTask.BY_DEADLINE))
-                .filter(task -> task.spec.priority().compareTo(newcomer) > 0)
+                .filter(task -> task.spec.priority().compareTo(newTaskPriority) > 0)
                 .orElse(null);
     }
 
@@ -120,10 +120,10 @@
         if (priority == Priority.HIGH || maxRuns == 1) {
             return true;
         }
-        long belowHigh =
+        long lowerPriorityRuns =
                 runs.values().stream()
                         .filter(run -> !run.abandoned && run.task.spec.priority() != Priority.HIGH)
                         .count();
-        return belowHigh < maxRuns - 1;
+        return lowerPriorityRuns < maxRuns - 1;
     }
 }
--- a/background/src/main/java/ashlink/background/plan/TaskTimer.java
+++ b/background/src/main/java/ashlink/background/plan/TaskTimer.java
@@ -38,8 +38,8 @@
 
     private static long backoffNs(BackgroundTask task) {
         long periodNs = task.spec.periodNs();
-        long doubledNs = periodNs << Math.min(task.consecutiveFailures, MAX_BACKOFF_DOUBLINGS);
-        return Math.max(periodNs, Math.min(doubledNs, MAX_BACKOFF_NS));
+        long exponentialNs = periodNs << Math.min(task.consecutiveFailures, MAX_BACKOFF_DOUBLINGS);
+        return Math.max(periodNs, Math.min(exponentialNs, MAX_BACKOFF_NS));
     }
 
     private long jitteredPeriodNs(TaskSpec spec) {
--- a/background/src/test/java/ashlink/background/SchedulerTest.java
+++ b/background/src/test/java/ashlink/background/SchedulerTest.java
@@ -12,99 +12,102 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** Runs, budgets and stops of {@link Scheduler}, on real threads. */
+/** Tests runs, budgets and the stop of {@link Scheduler} with real threads. */
 class SchedulerTest {
 
     private static final long MS = 1_000_000L;
-    private static final long S = 1_000 * MS;
+    private static final long SECOND = 1_000 * MS;
 
     private static Scheduler newScheduler(Limits limits) {
         return new Scheduler("test", limits, 1, () -> 0);
     }
 
     @Test
-    void aPeriodicTaskRunsAgainAfterAFailureAndOnceMoreAtTheStop() throws Exception {
+    void periodicTaskRunsAgainAfterFailureAndOnceMoreAtStop() throws Exception {
         Scheduler scheduler = newScheduler(Limits.DEFAULT);
         AtomicInteger runs = new AtomicInteger();
-        CountDownLatch five = new CountDownLatch(5);
+        CountDownLatch fiveRuns = new CountDownLatch(5);
         scheduler.add(
-                TaskSpec.every("work", Priority.HIGH, 5 * MS, S).alsoAtStop(),
+                TaskSpec.every("work", Priority.HIGH, 5 * MS, SECOND).alsoAtStop(),
                 lease -> {
                     runs.incrementAndGet();
-                    five.countDown();
+                    fiveRuns.countDown();
                     if (runs.get() == 2) {
-                        throw new IllegalStateException("once");
+                        throw new IllegalStateException("expected failure of the second run");
                     }
                 });
-        assertTrue(five.await(20, TimeUnit.SECONDS));
+        assertTrue(fiveRuns.await(20, TimeUnit.SECONDS));
         assertEquals(1, scheduler.failed());
-        assertTrue(scheduler.stop(20 * S));
-        int after = runs.get();
-        assertTrue(after >= 6, "a final run at the stop");
-        assertFalse(scheduler.add(TaskSpec.once("late", Priority.HIGH, S, S), lease -> {}));
+        assertTrue(scheduler.stop(20 * SECOND));
+        int runsAtStop = runs.get();
+        assertTrue(runsAtStop >= 6, "the stop includes a final run");
+        assertFalse(
+                scheduler.add(TaskSpec.once("late", Priority.HIGH, SECOND, SECOND), lease -> {}));
         Thread.sleep(30);
-        assertEquals(after, runs.get());
+        assertEquals(runsAtStop, runs.get());
     }
 
     @Test
-    void aRunThatIgnoresItsInterruptIsAbandonedAndOthersGoOn() throws Exception {
+    void runThatIgnoresInterruptIsAbandonedAndOtherTasksContinue() throws Exception {
         Scheduler scheduler = newScheduler(new Limits(1, 10, 0.25, 20e6, 1e6, 1e5, 0.1, 20 * MS));
         CountDownLatch release = new CountDownLatch(1);
         scheduler.add(
-                TaskSpec.once("deaf", Priority.NORMAL, S, 20 * MS),
+                TaskSpec.once("uninterruptible", Priority.NORMAL, SECOND, 20 * MS),
                 lease -> {
                     while (release.getCount() > 0) {
                         try {
                             release.await();
                         } catch (InterruptedException ignored) {
-                            // ignores the interrupt
+                            // This run ignores the interrupt on purpose.
                         }
                     }
                 });
         CountDownLatch other = new CountDownLatch(1);
-        scheduler.add(TaskSpec.once("other", Priority.NORMAL, S, S), lease -> other.countDown());
+        scheduler.add(
+                TaskSpec.once("other", Priority.NORMAL, SECOND, SECOND),
+                lease -> other.countDown());
         assertTrue(other.await(20, TimeUnit.SECONDS));
         assertEquals(1, scheduler.abandoned());
-        assertFalse(scheduler.stop(50 * MS), "a run is left behind, and the stop says so");
+        assertFalse(scheduler.stop(50 * MS), "the stop reports the run that it left behind");
         release.countDown();
     }
 
     @Test
-    void bytesAndProcessorTimeAreWaitedFor() throws Exception {
-        Scheduler scheduler = newScheduler(new Limits(2, 10, 0.05, 2e6, 1e6, 1e5, 0.1, S));
+    void runsWaitForGrantsOfBytesAndProcessorTime() throws Exception {
+        Scheduler scheduler = newScheduler(new Limits(2, 10, 0.05, 2e6, 1e6, 1e5, 0.1, SECOND));
         CountDownLatch done = new CountDownLatch(2);
-        long from = System.nanoTime();
-        long[] took = new long[2];
+        long startNs = System.nanoTime();
+        long[] elapsedNs = new long[2];
         scheduler.add(
-                TaskSpec.once("bytes", Priority.HIGH, S, 60 * S),
+                TaskSpec.once("bytes", Priority.HIGH, SECOND, 60 * SECOND),
                 lease -> {
-                    lease.acquireBytes(300_000); // 100 kB at once, the rest at 1 MB a second
-                    took[0] = System.nanoTime() - from;
+                    lease.acquireBytes(300_000); // 100 kB immediately, the rest at 1 MB per second
+                    elapsedNs[0] = System.nanoTime() - startNs;
                     done.countDown();
                 });
         scheduler.add(
-                TaskSpec.once("cpu", Priority.HIGH, S, 60 * S),
+                TaskSpec.once("cpu", Priority.HIGH, SECOND, 60 * SECOND),
                 lease -> {
-                    long cpu = Scheduler.threadCpuNs();
-                    while (Scheduler.threadCpuNs() - cpu < 15 * MS) {
-                        lease.checkpoint(); // 2 ms at once, the rest at a twentieth of a core
+                    long startCpuNs = Scheduler.threadCpuNs();
+                    while (Scheduler.threadCpuNs() - startCpuNs < 15 * MS) {
+                        lease.checkpoint(); // 2 ms immediately, the rest at a twentieth of a core
                     }
-                    took[1] = System.nanoTime() - from;
+                    elapsedNs[1] = System.nanoTime() - startNs;
                     done.countDown();
                 });
         assertTrue(done.await(60, TimeUnit.SECONDS));
-        assertTrue(took[0] >= 195 * MS, took[0] / MS + " ms for the bytes");
-        assertTrue(took[1] >= 150 * MS, took[1] / MS + " ms for 15 ms of work");
+        assertTrue(elapsedNs[0] >= 195 * MS, elapsedNs[0] / MS + " ms for the bytes");
+        assertTrue(elapsedNs[1] >= 150 * MS, elapsedNs[1] / MS + " ms for 15 ms of work");
         scheduler.kill();
     }
 
     @Test
-    void aRunThatWaitsForItsBudgetCanBeCancelled() throws Exception {
-        Scheduler scheduler = newScheduler(new Limits(2, 10, 0.05, 2e6, 1, 1, 0.1, S));
+    void runThatWaitsForAGrantCanBeCancelled() throws Exception {
+        Scheduler scheduler = newScheduler(new Limits(2, 10, 0.05, 2e6, 1, 1, 0.1, SECOND));
         CountDownLatch started = new CountDownLatch(1);
         CountDownLatch interrupted = new CountDownLatch(1);
         scheduler.add(
-                TaskSpec.once("big", Priority.HIGH, S, 60 * S),
+                TaskSpec.once("big", Priority.HIGH, SECOND, 60 * SECOND),
                 lease -> {
                     started.countDown();
                     try {
--- a/background/src/test/java/ashlink/background/plan/PlannerProperties.java
+++ b/background/src/test/java/ashlink/background/plan/PlannerProperties.java
@@ -14,14 +14,14 @@
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
 
-/** Properties of {@link Planner} over random events. */
+/** Tests properties of {@link Planner} with random events. */
 class PlannerProperties {
 
     private record Added(String name, Priority priority, long atNs) {}
 
     private record Granted(long atNs, double amount) {}
 
-    /** Random runs with requests, on a clock that stands, jumps and goes back. */
+    /** Sends random events to a planner, with a clock that stands still, jumps and goes back. */
     private static final class Replay {
 
         private final SplittableRandom random;
@@ -29,7 +29,9 @@
         private final List<Granted> grants = new ArrayList<>();
         private final List<Long> runs = new ArrayList<>();
         private long now = 1L << 40;
-        private long greatest; // what the planner takes for the time
+
+        /** Latest time seen, which the planner takes as the current time. */
+        private long latest;
 
         Replay(Limits limits, long seed) {
             random = new SplittableRandom(seed);
@@ -43,7 +45,7 @@
                 if (decision instanceof Start start) {
                     runs.add(start.run());
                 } else if (decision instanceof Grant grant) {
-                    grants.add(new Granted(greatest, grant.amount()));
+                    grants.add(new Granted(latest, grant.amount()));
                 }
             }
         }
@@ -54,17 +56,17 @@
                     kind == 0
                             ? -random.nextLong(1L << 32)
                             : kind == 1 ? random.nextLong(1L << 36) : random.nextLong(1L << 24);
-            greatest = Math.max(greatest, now);
+            latest = Math.max(latest, now);
         }
 
         private void sendEvent(int index) {
             switch (random.nextInt(6)) {
                 case 0 -> addTask(index);
-                case 1 -> planner.pressure(random.nextDouble(), now);
+                case 1 -> planner.setPressure(random.nextDouble(), now);
                 case 2 -> {
                     if (!runs.isEmpty() && random.nextInt(4) == 0) {
                         long run = runs.remove(random.nextInt(runs.size()));
-                        planner.ended(run, random.nextBoolean(), now);
+                        planner.runEnded(run, random.nextBoolean(), now);
                     }
                 }
                 default -> {
@@ -83,7 +85,7 @@
         }
     }
 
-    /** All grants of bytes, each with the greatest time seen. */
+    /** Returns all grants of bytes, each with the latest time seen. */
     private static List<Granted> replay(Limits limits, long seed, int steps) {
         Replay replay = new Replay(limits, seed);
         for (int i = 0; i < steps; i++) {
@@ -93,13 +95,16 @@
     }
 
     @Property(tries = 200, seed = "42")
-    void noBudgetIsOverspentInAnyWindow(
+    void grantsStayWithinTheBudgetInAnyWindow(
             @ForAll long seed,
             @ForAll @DoubleRange(min = 1e3, max = 1e7) double rate,
             @ForAll @DoubleRange(min = 1e3, max = 1e6) double burst,
-            @ForAll @IntRange(min = 1, max = 6) int atOnce) {
+            @ForAll @IntRange(min = 1, max = 6) int maxConcurrentRuns) {
         List<Granted> grants =
-                replay(new Limits(atOnce, 50, 0.25, 20e6, rate, burst, 0.1, 1L << 30), seed, 600);
+                replay(
+                        new Limits(maxConcurrentRuns, 50, 0.25, 20e6, rate, burst, 0.1, 1L << 30),
+                        seed,
+                        600);
         for (int i = 0; i < grants.size(); i++) {
             double sum = 0;
             for (int j = i; j < grants.size(); j++) {
@@ -115,29 +120,28 @@
     @Property(tries = 50, seed = "43")
     void sameEventsGiveSameDecisions(@ForAll long seed) {
         Limits limits = new Limits(3, 50, 0.25, 20e6, 1e6, 1e5, 0.1, 1L << 30);
-        List<Granted> once = replay(limits, seed, 300);
-        assertEquals(once, replay(limits, seed, 300));
+        List<Granted> first = replay(limits, seed, 300);
+        assertEquals(first, replay(limits, seed, 300));
     }
 
     @Property(tries = 100, seed = "44")
-    void eachRunStartsWithinItsSlackAndTheRunsAheadOfIt(
-            @ForAll long seed, @ForAll @IntRange(min = 1, max = 4) int atOnce) {
+    void everyTaskStartsWithinItsSlackAndTheRunsAheadOfIt(
+            @ForAll long seed, @ForAll @IntRange(min = 1, max = 4) int maxConcurrentRuns) {
         SplittableRandom random = new SplittableRandom(seed);
-        PlannerTest.Sim sim =
-                new PlannerTest.Sim(
-                        new Limits(atOnce, 10_000, 0.25, 20e6, 1e6, 1e5, 0.1, PlannerTest.S));
+        PlannerTest.PlannerSimulation sim =
+                new PlannerTest.PlannerSimulation(PlannerTest.limits(maxConcurrentRuns, 10_000));
         List<Added> additions = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             Priority priority = Priority.values()[random.nextInt(3)];
             additions.add(new Added("t" + i, priority, sim.now));
             sim.add(
-                    TaskSpec.once("t" + i, priority, 1L << 40, PlannerTest.S),
+                    TaskSpec.once("t" + i, priority, 1L << 40, PlannerTest.SECOND),
                     1 + random.nextLong(20 * PlannerTest.MS));
-            sim.until(sim.now + 1 + random.nextLong(10 * PlannerTest.MS));
+            sim.runUntil(sim.now + 1 + random.nextLong(10 * PlannerTest.MS));
         }
-        sim.until(sim.now + 30 * PlannerTest.S);
+        sim.runUntil(sim.now + 30 * PlannerTest.SECOND);
         for (Added added : additions) {
-            long start = sim.startsOf(added.name).get(0);
+            long start = sim.startTimesOf(added.name).get(0);
             long ahead =
                     additions.stream()
                             .filter(
--- a/client/src/main/java/ashlink/client/StatementClient.java
+++ b/client/src/main/java/ashlink/client/StatementClient.java
@@ -69,7 +69,8 @@
      * @param rows rows to insert; null for none
      * @param idempotencyKey key that prevents a second execution of the statement; null for none
      * @param timeoutNs time in nanoseconds after which the client stops waiting
-     * @param pages receives each page, and the state of the statement while no page is available
+     * @param pageConsumer receives each page, and the state of the statement while no page is
+     *     available
      * @return the outcome of the statement; connection failures are reported as an outcome and not
      *     as an exception
      */
@@ -79,7 +80,7 @@
             JsonNode rows,
             String idempotencyKey,
             long timeoutNs,
-            Consumer<JsonNode> pages)
+            Consumer<JsonNode> pageConsumer)
             throws InterruptedException {
         long deadlineNs = System.nanoTime() + timeoutNs;
         Progress progress = new Progress();
@@ -88,7 +89,7 @@
             if (idempotencyKey != null) {
                 submission.header("Idempotency-Key", idempotencyKey);
             }
-            return fetchAll(send(submission), deadlineNs, pages, progress);
+            return fetchAll(send(submission), deadlineNs, pageConsumer, progress);
         } catch (HttpConnectTimeoutException | ConnectException e) {
             StatementResult.Kind kind =
                     progress.submitted ? StatementResult.Kind.LOST : StatementResult.Kind.NOT_SENT;
@@ -129,7 +130,7 @@
     private StatementResult fetchAll(
             HttpResponse<byte[]> submitted,
             long deadlineNs,
-            Consumer<JsonNode> pages,
+            Consumer<JsonNode> pageConsumer,
             Progress progress)
             throws IOException, InterruptedException {
         HttpResponse<byte[]> response = submitted;
@@ -141,9 +142,9 @@
                             : JSON.readTree(response.body());
             progress.bytes += response.body().length;
             if (response.statusCode() != OK && response.statusCode() != ACCEPTED) {
-                return problem(response.statusCode(), node, progress.rows, progress.bytes);
+                return problemResult(response.statusCode(), node, progress.rows, progress.bytes);
             }
-            pages.accept(node);
+            pageConsumer.accept(node);
             progress.rows += node.path("rows").isArray() ? node.get("rows").size() : 0;
             if (response.statusCode() == OK && !node.has("nextUri")) {
                 return new StatementResult(
@@ -184,7 +185,7 @@
         return http.send(builder.build(), BodyHandlers.ofByteArray());
     }
 
-    private static StatementResult problem(int status, JsonNode node, long rows, long bytes) {
+    private static StatementResult problemResult(int status, JsonNode node, long rows, long bytes) {
         String type = node.path("type").asText().replace("/problems/", "");
         StatementResult.Kind kind =
                 status == NOT_FOUND ? StatementResult.Kind.LOST : StatementResult.Kind.PROBLEM;
--- a/report/src/main/java/ashlink/report/CaptureReport.java
+++ b/report/src/main/java/ashlink/report/CaptureReport.java
@@ -45,7 +45,9 @@
                         "outcomes",
                         outcomes(summary),
                         "plots",
-                        List.of(plot(load(summary)), plot(inFlight(summary))));
+                        List.of(
+                                toBase64Png(requestChart(summary)),
+                                toBase64Png(inFlightChart(summary))));
         try {
             config.getTemplate(TEMPLATE).process(model, out);
         } catch (TemplateException e) {
@@ -55,18 +57,18 @@
     }
 
     private static TreeSet<String> outcomes(CaptureSummary summary) {
-        TreeSet<String> all = new TreeSet<>();
-        summary.getEngines().values().forEach(map -> all.addAll(map.keySet()));
-        return all;
+        TreeSet<String> outcomes = new TreeSet<>();
+        summary.getEngines().values().forEach(counts -> outcomes.addAll(counts.keySet()));
+        return outcomes;
     }
 
-    private static String plot(XYChart chart) throws IOException {
+    private static String toBase64Png(XYChart chart) throws IOException {
         return Base64.getEncoder()
                 .encodeToString(
                         BitmapEncoder.getBitmapBytes(chart, BitmapEncoder.BitmapFormat.PNG));
     }
 
-    private static XYChart chart(String title, String yAxisTitle) {
+    private static XYChart newChart(String title, String yAxisTitle) {
         XYChart chart =
                 new XYChartBuilder()
                         .width(WIDTH)
@@ -81,7 +83,7 @@
         return chart;
     }
 
-    private static void series(
+    private static void addSeries(
             XYChart chart,
             String name,
             CaptureSummary summary,
@@ -94,20 +96,20 @@
         }
     }
 
-    private static XYChart load(CaptureSummary summary) {
-        XYChart chart = chart("Requests", "per second; held: at the end of the second");
-        series(chart, "taken", summary, CaptureSummary.Second::getTaken);
-        series(chart, "attempts ended", summary, CaptureSummary.Second::getEnded);
-        series(chart, "held", summary, CaptureSummary.Second::getHeld);
+    private static XYChart requestChart(CaptureSummary summary) {
+        XYChart chart = newChart("Requests", "per second; held: at the end of the second");
+        addSeries(chart, "taken", summary, CaptureSummary.Second::getTaken);
+        addSeries(chart, "attempts ended", summary, CaptureSummary.Second::getEnded);
+        addSeries(chart, "held", summary, CaptureSummary.Second::getHeld);
         return chart;
     }
 
-    private static XYChart inFlight(CaptureSummary summary) {
-        XYChart chart = chart("Attempts in flight by engine", "at the end of the second");
+    private static XYChart inFlightChart(CaptureSummary summary) {
+        XYChart chart = newChart("Attempts in flight by engine", "at the end of the second");
         TreeSet<String> engines = new TreeSet<>(summary.getEngines().keySet());
         engines.forEach(
                 engine ->
-                        series(
+                        addSeries(
                                 chart,
                                 engine,
                                 summary,
--- a/simulator/src/main/java/ashlink/simulator/EventDecoder.java
+++ b/simulator/src/main/java/ashlink/simulator/EventDecoder.java
@@ -41,7 +41,7 @@
         String state = fields.required(WireNames.ENDPOINT_STATE);
         return new Endpoint(
                 fields.required(WireNames.ENGINE),
-                known(WireNames.ENDPOINT_STATES, state, "M: phase=" + state),
+                requireKnown(WireNames.ENDPOINT_STATES, state, "M: phase=" + state),
                 fields.text(WireNames.ENDPOINT_ZONE, ""),
                 fields.text(WireNames.ENDPOINT_KIND, ""),
                 fields.integer(WireNames.ENDPOINT_CELL, 0),
@@ -56,7 +56,7 @@
     static EndpointsChanged endpointsChanged(Fields fields, List<Endpoint> endpoints) {
         String kindName = fields.required(WireNames.ENDPOINT_LIST_KIND);
         EndpointListKind kind =
-                known(WireNames.ENDPOINT_LIST_KINDS, kindName, "ANNOUNCE: form=" + kindName);
+                requireKnown(WireNames.ENDPOINT_LIST_KINDS, kindName, "ANNOUNCE: form=" + kindName);
         return new EndpointsChanged(
                 kind, kind == EndpointListKind.UNAVAILABLE ? List.of() : endpoints);
     }
@@ -125,14 +125,14 @@
     }
 
     private static ProgressKind progressKind(long number) {
-        return known(WireNames.PROGRESS_KINDS, (int) number, "UPDATE_OF: sort=" + number);
+        return requireKnown(WireNames.PROGRESS_KINDS, (int) number, "UPDATE_OF: sort=" + number);
     }
 
     private static Outcome outcome(String name) {
-        return known(WireNames.OUTCOMES, name, "verdict=" + name);
+        return requireKnown(WireNames.OUTCOMES, name, "verdict=" + name);
     }
 
-    private static <K, V> V known(Map<K, V> values, K key, String description) {
+    private static <K, V> V requireKnown(Map<K, V> values, K key, String description) {
         V value = values.get(key);
         if (value == null) {
             throw new SimulatorProtocolException(
--- a/simulator/src/main/java/ashlink/simulator/SimulatorAdapter.java
+++ b/simulator/src/main/java/ashlink/simulator/SimulatorAdapter.java
@@ -23,7 +23,7 @@
  */
 final class SimulatorAdapter {
 
-    private static final long NO_ID = -1;
+    private static final long MISSING_ID = -1;
 
     private record Instance(WorkloadManager manager, Settings settings) {}
 
@@ -126,7 +126,7 @@
     }
 
     private void handleEvent(String name, Fields fields) {
-        long id = fields.integer(WireNames.INSTANCE_ID, NO_ID);
+        long id = fields.integer(WireNames.INSTANCE_ID, MISSING_ID);
         Instance instance = instances.get(id);
         if (instance == null) {
             return;
@@ -144,7 +144,7 @@
         if (!name.equals(WireNames.ENDPOINTS_CHANGED)) {
             return EventDecoder.event(name, fields, settings.capabilities().reportsCost());
         }
-        long listId = fields.integer(WireNames.ENDPOINT_LIST_ID, NO_ID);
+        long listId = fields.integer(WireNames.ENDPOINT_LIST_ID, MISSING_ID);
         return EventDecoder.endpointsChanged(fields, endpointLists.getOrDefault(listId, List.of()));
     }
 }
