--- a/report/src/test/java/ashlink/report/CaptureReportTest.java
+++ b/report/src/test/java/ashlink/report/CaptureReportTest.java
@@ -14,13 +14,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The report of a capture as a page. */
+/** Tests the HTML page about a capture. */
 class CaptureReportTest {
 
     private static final long NS_PER_SECOND = 1_000_000_000L;
 
     @Test
-    void thePageHasCountsByClassAndEngineAndEscapesNames() throws Exception {
+    void pageShowsCountsByClassAndEngineAndEscapesNames() throws Exception {
         System.setProperty("java.awt.headless", "true");
         CaptureSummary summary = new CaptureSummary();
         summary.accept(
--- a/simulator/src/test/java/ashlink/simulator/DecisionTranscriptTest.java
+++ b/simulator/src/test/java/ashlink/simulator/DecisionTranscriptTest.java
@@ -22,23 +22,23 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Recorded input leads to the recorded decisions, byte for byte. A refactoring must leave this test
- * green; a change of decisions records the transcripts anew with {@link TranscriptRecorder} and
- * says so in its commit.
+ * Checks that recorded input leads to exactly the recorded decisions, byte for byte. This test must
+ * pass unchanged after a refactoring. A change that affects decisions records new transcripts with
+ * {@link TranscriptRecorder} and mentions the new recording in the commit message.
  */
 class DecisionTranscriptTest {
 
     private static final int MIN_EVENTS = 2_000;
     private static final int MIN_ACTIONS = 1_000;
 
-    /** A line of a reply: its place in the file and the virtual time of its batch. */
-    private record Expected(int fileLine, String timeNs, String text) {}
+    /** An expected line of a reply, with the line number in the file and the time of the batch. */
+    private record ExpectedLine(int fileLine, String timeNs, String text) {}
 
     /** Returns the transcripts by file name. */
     static Stream<Named<Path>> transcripts() throws Exception {
-        var folder = DecisionTranscriptTest.class.getResource("/transcripts");
-        assertTrue(folder != null, "no folder transcripts among the test resources");
-        try (Stream<Path> files = Files.list(Path.of(folder.toURI()))) {
+        var directory = DecisionTranscriptTest.class.getResource("/transcripts");
+        assertTrue(directory != null, "directory /transcripts is missing in the test resources");
+        try (Stream<Path> files = Files.list(Path.of(directory.toURI()))) {
             return files
                     .sorted()
                     .map(file -> Named.of(file.getFileName().toString(), file))
@@ -47,9 +47,9 @@
         }
     }
 
-    /** Each scenario has a transcript, and each transcript a scenario. */
+    /** Checks that each scenario has a transcript and each transcript has a scenario. */
     @Test
-    void everyScenarioIsRecorded() throws Exception {
+    void scenariosAndTranscriptsMatch() throws Exception {
         var recorded =
                 transcripts().map(Named::getName).collect(Collectors.toCollection(TreeSet::new));
         var scenarios =
@@ -59,27 +59,36 @@
         assertEquals(scenarios, recorded);
     }
 
-    /** Plays the input of one transcript and compares every line of the replies. */
+    /** Sends the input of one transcript to the adapter and compares every line of the replies. */
     @ParameterizedTest(name = "{0}")
     @MethodSource("transcripts")
-    void decidesAsRecorded(Path file) throws IOException {
+    void decisionsMatchTheTranscript(Path file) throws IOException {
         String name = file.getFileName().toString();
         List<String> lines = Transcript.read(file);
         long events = lines.stream().filter(Transcript::isEvent).count();
-        assertTrue(events >= MIN_EVENTS, name + " has only " + events + " events");
-        List<Expected> expected = expected(lines);
+        assertTrue(
+                events >= MIN_EVENTS,
+                name + " has " + events + " events: at least " + MIN_EVENTS + " are required");
+        List<ExpectedLine> expected = expectedLines(lines);
         long actions = expected.stream().filter(line -> !line.text().equals("OK")).count();
-        assertTrue(actions >= MIN_ACTIONS, name + " expects only " + actions + " actions");
-        compare(name, expected, play(lines));
+        assertTrue(
+                actions >= MIN_ACTIONS,
+                name
+                        + " expects "
+                        + actions
+                        + " actions: at least "
+                        + MIN_ACTIONS
+                        + " are required");
+        compare(name, expected, sendInput(lines));
     }
 
-    private static List<Expected> expected(List<String> lines) {
-        List<Expected> expected = new ArrayList<>();
+    private static List<ExpectedLine> expectedLines(List<String> lines) {
+        List<ExpectedLine> expected = new ArrayList<>();
         String timeNs = "none";
         for (int i = 0; i < lines.size(); i++) {
             String text = lines.get(i).substring(Transcript.IN.length());
             if (lines.get(i).startsWith(Transcript.OUT)) {
-                expected.add(new Expected(i + 1, timeNs, text));
+                expected.add(new ExpectedLine(i + 1, timeNs, text));
             } else if (text.startsWith("SYNC ")) {
                 timeNs = LineFields.of(text).required("moment-ns");
             }
@@ -87,7 +96,7 @@
         return expected;
     }
 
-    private static List<String> play(List<String> lines) throws IOException {
+    private static List<String> sendInput(List<String> lines) throws IOException {
         String input =
                 lines.stream()
                         .filter(line -> line.startsWith(Transcript.IN))
@@ -98,23 +107,23 @@
         return replies.toString().lines().toList();
     }
 
-    private static void compare(String file, List<Expected> expected, List<String> actual) {
-        Expected end = new Expected(-1, "the end", null);
+    private static void compare(String file, List<ExpectedLine> expected, List<String> actual) {
+        ExpectedLine end = new ExpectedLine(-1, "end of transcript", null);
         for (int i = 0; i < Math.max(expected.size(), actual.size()); i++) {
-            Expected want = i < expected.size() ? expected.get(i) : end;
-            String got = i < actual.size() ? actual.get(i) : null;
-            if (!Objects.equals(want.text(), got)) {
+            ExpectedLine expectedLine = i < expected.size() ? expected.get(i) : end;
+            String actualLine = i < actual.size() ? actual.get(i) : null;
+            if (!Objects.equals(expectedLine.text(), actualLine)) {
                 fail(
                         file
                                 + " line "
-                                + want.fileLine()
+                                + expectedLine.fileLine()
                                 + ", at "
-                                + want.timeNs()
+                                + expectedLine.timeNs()
                                 + " ns\n"
                                 + " expected: "
-                                + want.text()
+                                + expectedLine.text()
                                 + "\n actual:   "
-                                + got);
+                                + actualLine);
             }
         }
     }
--- a/simulator/src/test/java/ashlink/simulator/MainTest.java
+++ b/simulator/src/test/java/ashlink/simulator/MainTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The adapter as a process: its arguments, exit status and output. */
+/** Tests the adapter as a process: arguments, exit status and output. */
 class MainTest {
 
     private record Run(int status, String out, String err) {}
@@ -28,7 +28,7 @@
         try (var in = process.getOutputStream()) {
             in.write(input.getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) {
-            // A process with wrong arguments ends before it reads its input.
+            // A process with invalid arguments exits before it reads the input.
         }
         String out = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         String err = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void wrongArgumentsPrintTheUsage() throws Exception {
+    void invalidArgumentsPrintTheUsage() throws Exception {
         for (String[] args : new String[][] {{}, {"other"}, {"drill", "more"}}) {
             Run run = run("", args);
             assertEquals(2, run.status());
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void malformedLineIsNamed() throws Exception {
+    void malformedLineIsReportedWithItsNumber() throws Exception {
         Run run = run("SYNC moment-ns=5\nEND\nSYNC moment-ns=soon\nEND\n", "drill");
         assertEquals(1, run.status());
         assertTrue(run.err().startsWith("ashlink: line 3: "), run.err());
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void formerCommandNameIsAnAlias() throws Exception {
+    void formerCommandNameWorksAsAnAlias() throws Exception {
         String input = "SYNC moment-ns=5\nEND\nSYNC moment-ns=6\nEND\n";
         Run command = run(input, "simulate");
         assertEquals(new Run(0, "OK\nOK\n", ""), command);
--- a/simulator/src/test/java/ashlink/simulator/Scenario.java
+++ b/simulator/src/test/java/ashlink/simulator/Scenario.java
@@ -4,20 +4,20 @@
 import java.util.List;
 
 /**
- * A scenario that is recorded.
+ * A scenario of which a transcript is recorded.
  *
- * @param name name of its transcript
+ * @param name name of the transcript
  * @param seed seed of all random choices
- * @param events event lines after which the recording ends
- * @param instances instances of the decision module
- * @param engines engines of the endpoint list
- * @param queriesPerS mean rate of queries of one instance; the rate varies around it
- * @param faultsPerS rate of faults of engines
- * @param endpointChangesPerS rate of changes of the endpoint list
- * @param externalThreadsPerCore peak load of the engines by other routers
- * @param estimatedFraction fraction of the queries with an estimate of their work
- * @param workMs mean work of each class
- * @param settings settings of the instances, as fields of the protocol
+ * @param events number of event lines after which the recording ends
+ * @param instances number of instances of the decision module
+ * @param engines number of engines in the endpoint list
+ * @param queriesPerS mean query rate of one instance; the actual rate varies
+ * @param faultsPerS rate of engine faults
+ * @param endpointChangesPerS rate of endpoint list changes
+ * @param externalThreadsPerCore peak load that other routers put on the engines
+ * @param estimatedFraction fraction of queries with a work estimate
+ * @param workMs mean work of each class in milliseconds
+ * @param settings settings of the instances, as protocol fields
  */
 record Scenario(
         String name,
@@ -33,12 +33,12 @@
         List<Double> workMs,
         String settings) {
 
-    /** Returns the settings on one line. */
+    /** Returns the settings as a single line. */
     String settingsLine() {
         return settings.strip().replaceAll("\\s+", " ");
     }
 
-    /** Returns the settings by name. */
+    /** Returns the settings as parsed fields. */
     Fields fields() {
         return LineFields.of("NEW_INSTANCE " + settingsLine());
     }
--- a/simulator/src/test/java/ashlink/simulator/Scenarios.java
+++ b/simulator/src/test/java/ashlink/simulator/Scenarios.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 
-/** The recorded scenarios, which together reach the branches of the decision module. */
+/** The recorded scenarios, which together cover the branches of the decision module. */
 final class Scenarios {
 
     private Scenarios() {}
 
-    /** Returns all scenarios in the order of recording. */
+    /** Returns all scenarios in recording order. */
     static List<Scenario> all() {
         return List.of(
                 plainPush(),
--- a/simulator/src/test/java/ashlink/simulator/ScriptedCluster.java
+++ b/simulator/src/test/java/ashlink/simulator/ScriptedCluster.java
@@ -13,9 +13,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Scripted clients, engines and endpoint lists around the adapter, driven by one seed: clients
- * submit queries, engines execute them and have faults, endpoints change, and each action takes
- * effect. Records all lines of the protocol.
+ * Simulates clients, engines and endpoint lists around the adapter, with all random choices derived
+ * from one seed: clients submit queries, engines execute queries and have faults, endpoints change,
+ * and the actions of the decision module take effect. Records all lines of the protocol.
  */
 final class ScriptedCluster {
 
@@ -23,16 +23,16 @@
     private static final long SECOND = 1_000 * MS;
     private static final long START_NS = 5 * SECOND;
 
-    /** Times are rounded to this, so that events share a batch and meet limits exactly. */
+    /** Granularity of times, so that events share a batch and occur exactly at time limits. */
     private static final long TIME_STEP_NS = 2 * MS;
 
-    /** Factors of the rate of queries, three seconds each. */
+    /** Factors of the query rate; each factor applies for three seconds. */
     private static final double[] RATE_FACTORS = {1, 0.4, 3, 0.1, 1.6, 5, 0.7};
 
     private static final int KEYS = 6;
     private static final int TABLE_GROUPS = 4;
 
-    /** Fault of an engine. */
+    /** Fault state of an engine. */
     private enum Fault {
         NONE,
         SLOW,
@@ -43,17 +43,17 @@
         FAILS_QUERIES
     }
 
-    /** An instance of the decision module from its creation to its removal. */
+    /** An instance of the decision module, from creation to removal. */
     private static final class Instance {
         private final long id;
-        private boolean retired;
+        private boolean removed;
 
         Instance(long id) {
             this.id = id;
         }
     }
 
-    /** The state of an engine, of which the instances see a part. */
+    /** The state of an engine; the instances see only a part of the state. */
     private static final class Engine {
         private final String name;
         private final int index;
@@ -76,7 +76,7 @@
         }
     }
 
-    /** A query with its true cost. */
+    /** A query with its actual cost. */
     private static final class Query {
         private final long id;
         private final int classIndex;
@@ -135,7 +135,7 @@
     private long lastListId;
     private int events;
 
-    /** A cluster at its start. */
+    /** Creates a cluster in its initial state. */
     ScriptedCluster(Scenario scenario) {
         this.scenario = scenario;
         this.settings = scenario.fields();
@@ -162,7 +162,7 @@
         engines.put(engine.name, engine);
     }
 
-    /** Plays the scenario and returns the marked lines of the protocol. */
+    /** Runs the scenario and returns the lines of the protocol with their transcript prefixes. */
     List<String> record() throws IOException {
         for (long id = 1; id <= scenario.instances(); id++) {
             long instance = id;
@@ -188,7 +188,7 @@
         scheduler.scheduleAt(timeNs, task);
     }
 
-    /** Schedules a task after a delay in complete steps of time. */
+    /** Schedules a task after a delay, rounded down to time steps and at least one step long. */
     private void scheduleAfter(double delayNs, Runnable task) {
         scheduleAt(nowNs() + Math.max(1, (long) (delayNs / TIME_STEP_NS)) * TIME_STEP_NS, task);
     }
@@ -217,7 +217,7 @@
     }
 
     private void send(Instance instance, String name, String pairs) {
-        if (!instance.retired) {
+        if (!instance.removed) {
             send(name + " router-id=" + instance.id + " " + pairs);
         }
     }
@@ -289,9 +289,9 @@
 
     private void replaceInstance() {
         long id = 1 + random.nextInt(scenario.instances());
-        if (!instances.get(id).retired) {
+        if (!instances.get(id).removed) {
             send("RETIRE router-id=" + id);
-            instances.get(id).retired = true;
+            instances.get(id).removed = true;
             scheduleAfter(300 * MS, () -> startInstance(id));
         }
     }
@@ -308,13 +308,13 @@
         return engines.values().stream().filter(engine -> !engine.state.equals("gone")).toList();
     }
 
-    private void announce(List<Engine> entries, String form, Instance instance) {
-        if (!instance.retired) {
+    private void announce(List<Engine> entries, String listKind, Instance instance) {
+        if (!instance.removed) {
             sendEndpointList(entries);
             send(
                     instance,
                     "ANNOUNCE",
-                    "stamp=" + lastListId + " form=" + form + " list=" + lastListId);
+                    "stamp=" + lastListId + " form=" + listKind + " list=" + lastListId);
         }
     }
 
@@ -396,7 +396,7 @@
     // Clients
 
     private void submitQueries(Instance instance) {
-        if (instance.retired) {
+        if (instance.removed) {
             return;
         }
         submitQuery(instance);
@@ -422,8 +422,8 @@
                                 + " drop-dead-ns="
                                 + (nowNs() + deadlineNs));
         if (chance(scenario.estimatedFraction())) {
-            double guessMs = query.workMs * Math.exp(0.4 * gaussian());
-            pairs.append(" guess-ns=").append((long) (guessMs * MS));
+            double estimatedMs = query.workMs * Math.exp(0.4 * gaussian());
+            pairs.append(" guess-ns=").append((long) (estimatedMs * MS));
         }
         if (query.memoryMb > 0) {
             pairs.append(" want-mb=").append(rounded(query.memoryMb * Math.exp(0.5 * gaussian())));
@@ -445,8 +445,9 @@
     private Query newQuery() {
         int classIndex = random.nextInt((int) settings.integer("classes.count"));
         String[] threadsByClass = settings.text("extra.width-by-class", "").split(",");
-        boolean given = classIndex < threadsByClass.length && !threadsByClass[classIndex].isEmpty();
-        int threads = given ? Integer.parseInt(threadsByClass[classIndex]) : 1;
+        boolean isConfigured =
+                classIndex < threadsByClass.length && !threadsByClass[classIndex].isEmpty();
+        int threads = isConfigured ? Integer.parseInt(threadsByClass[classIndex]) : 1;
         double workMs = scenario.workMs().get(classIndex) * Math.exp(0.5 * gaussian());
         double memoryMb = chance(0.8) ? 4 * Math.exp(4 * random.nextDouble()) * threads : 0;
         Query query = new Query(++lastQueryId, classIndex, threads, workMs, memoryMb);
@@ -476,13 +477,13 @@
 
     // Engines
 
-    private void startAttempt(Instance instance, Fields forward) {
-        Query query = queries.get(forward.integer("op-id"));
-        Engine engine = engines.get(forward.required("engine"));
+    private void startAttempt(Instance instance, Fields fields) {
+        Query query = queries.get(fields.integer("op-id"));
+        Engine engine = engines.get(fields.required("engine"));
         Attempt attempt = new Attempt(instance, query, engine, nowNs());
         engine.running.add(attempt);
         attempt.durationNs = drawDurationNs(attempt);
-        scheduleAfter(forward.integer("timeout-ns"), () -> endAttempt(attempt, "expired"));
+        scheduleAfter(fields.integer("timeout-ns"), () -> endAttempt(attempt, "expired"));
         if (chance(0.005)) {
             scheduleAfter(MS, () -> endAttempt(attempt, "unused"));
         }
@@ -508,17 +509,17 @@
     private long drawDurationNs(Attempt attempt) {
         Query query = attempt.query;
         Engine engine = attempt.engine;
-        double overload = Math.max(1, threadsInUse(engine) / engine.cores);
-        double slow = engine.fault == Fault.SLOW ? 6 : 1;
-        double plan = attempt.number == 0 ? query.firstAttemptSlowdown : 1;
-        double spill = query.grantedMb > 0 && query.grantedMb < query.memoryMb ? 1.5 : 1;
+        double overloadSlowdown = Math.max(1, threadsInUse(engine) / engine.cores);
+        double faultSlowdown = engine.fault == Fault.SLOW ? 6 : 1;
+        double planSlowdown = attempt.number == 0 ? query.firstAttemptSlowdown : 1;
+        double spillSlowdown = query.grantedMb > 0 && query.grantedMb < query.memoryMb ? 1.5 : 1;
         return (long)
                 (query.workMs
                         / query.threads
-                        * overload
-                        * slow
-                        * plan
-                        * spill
+                        * overloadSlowdown
+                        * faultSlowdown
+                        * planSlowdown
+                        * spillSlowdown
                         * Math.exp(0.2 * gaussian())
                         * MS);
     }
@@ -542,14 +543,14 @@
         }
     }
 
-    private void endAttempt(Attempt attempt, String verdict) {
+    private void endAttempt(Attempt attempt, String outcome) {
         if (attempt.ended) {
             return;
         }
         attempt.ended = true;
         attempt.engine.running.remove(attempt);
-        double complete =
-                switch (verdict) {
+        double completeProbability =
+                switch (outcome) {
                     case "delivered" -> 0.98;
                     case "app_error" -> 0.3;
                     default -> 0.02;
@@ -557,11 +558,11 @@
         String pairs =
                 attemptFields(attempt)
                         + " verdict="
-                        + verdict
+                        + outcome
                         + " lag-ns="
                         + (nowNs() - attempt.startedNs)
                         + " complete="
-                        + (chance(complete) ? 1 : 0)
+                        + (chance(completeProbability) ? 1 : 0)
                         + costField(attempt.query)
                         + (reportsInline && chance(0.9)
                                 ? " gauge=" + loadReport(attempt.engine)
@@ -611,8 +612,8 @@
         scheduleAfter(progressIntervalNs, () -> reportProgress(attempt));
     }
 
-    private void sendProgress(Attempt attempt, int sort, double amount) {
-        String pairs = " sort=" + sort + " amount=" + amount;
+    private void sendProgress(Attempt attempt, int kind, double amount) {
+        String pairs = " sort=" + kind + " amount=" + amount;
         send(attempt.instance, "UPDATE_OF", attemptFields(attempt) + pairs);
         if (chance(0.01)) {
             send(attempt.instance, "UPDATE_OF", attemptFields(attempt, attempt.number + 1) + pairs);
@@ -644,7 +645,7 @@
                                 : " verdict=dial_failed"));
     }
 
-    /** A load report: some values noisy, some missing, some impossible. */
+    /** Returns a load report in which some values are noisyValue, missing or out of range. */
     private String loadReport(Engine engine) {
         if (chance(0.04)) {
             return "-";
@@ -664,9 +665,9 @@
 
     private void appendValue(StringBuilder pairs, String name, double value) {
         if (!chance(0.06)) {
-            double noisy = value * random.nextDouble(0.9, 1.1) - (chance(0.02) ? 0.2 : 0);
+            double noisyValue = value * random.nextDouble(0.9, 1.1) - (chance(0.02) ? 0.2 : 0);
             pairs.append(pairs.length() > 0 ? "," : "");
-            pairs.append(name).append(':').append(rounded(noisy));
+            pairs.append(name).append(':').append(rounded(noisyValue));
         }
     }
 }
--- a/simulator/src/test/java/ashlink/simulator/SimulatorProtocolTest.java
+++ b/simulator/src/test/java/ashlink/simulator/SimulatorProtocolTest.java
@@ -25,20 +25,20 @@
 import java.io.StringWriter;
 import org.junit.jupiter.api.Test;
 
-/** Events as they are decoded, actions as they are encoded, and replies to batches of lines. */
+/** Tests the decoding of events, the encoding of actions and the replies to batches. */
 class SimulatorProtocolTest {
 
-    private static final String START =
+    private static final String CREATE_INSTANCE =
             "NEW_INSTANCE router-id=1 nonce64=9 balancers=2 position=0 zone=z classes.count=1"
                 + " classes.0.name=q classes.0.promise-ns=500000000"
                 + " classes.0.deadline-ns=3000000000 classes.0.effect=idempotent classes.0.gain=1"
                 + " host-types=m extra.kind-cores=4 extra.ram-of-kind-mb=4096"
                 + " ceilings.attempts-cap=3 some.new-setting=7";
-    private static final String LIST =
+    private static final String ENDPOINT_LIST =
             "LIST list=2 lines=1\nM stripe=0 share=1 engine=h:1 phase=ready zone=z sku=m\n"
                     + "ANNOUNCE router-id=1 stamp=1 form=remembered list=2\n";
 
-    private static String play(String input) throws IOException {
+    private static String reply(String input) throws IOException {
         StringWriter out = new StringWriter();
         new SimulatorAdapter().run(new BufferedReader(new StringReader(input)), out);
         return out.toString();
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void decodesASubmittedQuery() {
+    void decodesSubmittedQuery() {
         assertEquals(
                 new QuerySubmitted(5, "q", "k.1", 3, 900, 700, 12.5),
                 event(
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void decodesTenantsAndRejectsANegativeQuota() throws IOException {
+    void decodesTenantsAndRejectsNegativeQuota() throws IOException {
         assertEquals(
                 "gold",
                 ((QuerySubmitted)
@@ -67,10 +67,11 @@
                                                 + " tenant=gold"))
                         .tenant());
         assertTrue(
-                play("SYNC moment-ns=1\n"
-                                + START
-                                + " parties.count=1 parties.0.name=gold "
-                                + "parties.0.quota-per-s=-2\nEND\n")
+                reply(
+                                "SYNC moment-ns=1\n"
+                                        + CREATE_INSTANCE
+                                        + " parties.count=1 parties.0.name=gold "
+                                        + "parties.0.quota-per-s=-2\nEND\n")
                         .contains("gold.quotaPerS"));
     }
 
@@ -82,7 +83,7 @@
     }
 
     @Test
-    void toleratesNoisyLoadReportsAndRejectsMalformedOnes() {
+    void ignoresOutOfRangeLoadValuesAndRejectsMalformedReports() {
         assertEquals(
                 new LoadReport(Double.NaN, 0.5, Double.NaN, Double.NaN, 3),
                 EventDecoder.loadReport("pending:-0.1,cpu_share:0.5,x0:NaN,busy_reqs:3,"));
@@ -92,7 +93,7 @@
     }
 
     @Test
-    void decodesAnEndedAttemptWithCostAndLoadReport() {
+    void decodesEndedAttemptWithCostAndLoadReport() {
         assertEquals(
                 new AttemptEnded(
                         5,
@@ -112,7 +113,7 @@
     }
 
     @Test
-    void skipsUnknownLinesAndRejectsMalformedOnes() {
+    void skipsUnknownLinesAndRejectsMalformedLines() {
         assertNull(event("WHISPER router-id=1 neighbour=2 body=00"));
         assertThrows(FieldException.class, () -> event("FIRED router-id=1 label=soon"));
         assertThrows(
@@ -150,13 +151,13 @@
     }
 
     @Test
-    void repliesToABatch() throws IOException {
+    void repliesToBatch() throws IOException {
         String reply =
-                play(
+                reply(
                         "SYNC moment-ns=0\nEND\n\nSYNC moment-ns=5000000\n"
-                                + START
+                                + CREATE_INSTANCE
                                 + "\n"
-                                + LIST
+                                + ENDPOINT_LIST
                                 + "INGRESS router-id=1 op-id=5 class=q drop-dead-ns=3000000000\n"
                                 + "END\n");
         assertTrue(reply.startsWith("OK\nSET_ALARM router-id=1"));
@@ -165,35 +166,39 @@
     }
 
     @Test
-    void namesARejectedSetting() throws IOException {
-        String noWeight = START.replace("classes.0.gain=1 ", "");
+    void reportsTheNameOfARejectedSetting() throws IOException {
+        String withoutWeight = CREATE_INSTANCE.replace("classes.0.gain=1 ", "");
         assertTrue(
-                play("SYNC moment-ns=0\n" + noWeight + "\nEND\n")
+                reply("SYNC moment-ns=0\n" + withoutWeight + "\nEND\n")
                         .startsWith("BAIL_OUT router-id=1 reason-text="));
-        assertTrue(play("SYNC moment-ns=0\n" + noWeight + "\nEND\n").contains("classes.0.gain"));
         assertTrue(
-                play("SYNC moment-ns=0\n" + START.replace("balancers=2", "balancers=0") + "\nEND\n")
+                reply("SYNC moment-ns=0\n" + withoutWeight + "\nEND\n").contains("classes.0.gain"));
+        assertTrue(
+                reply(
+                                "SYNC moment-ns=0\n"
+                                        + CREATE_INSTANCE.replace("balancers=2", "balancers=0")
+                                        + "\nEND\n")
                         .contains("gateways"));
     }
 
     @Test
-    void namesTheMalformedLine() {
+    void reportsTheNumberOfAMalformedLine() {
         SimulatorProtocolException failure =
                 assertThrows(
                         SimulatorProtocolException.class,
-                        () -> play("SYNC moment-ns=0\nEND\nHELLO\n"));
+                        () -> reply("SYNC moment-ns=0\nEND\nHELLO\n"));
         assertTrue(failure.getMessage().startsWith("line 3: "));
-        assertThrows(SimulatorProtocolException.class, () -> play("SYNC moment-ns=0\n"));
+        assertThrows(SimulatorProtocolException.class, () -> reply("SYNC moment-ns=0\n"));
     }
 
     @Test
-    void removesARetiredInstance() throws IOException {
+    void removedInstanceReceivesNoEvents() throws IOException {
         String reply =
-                play(
+                reply(
                         "SYNC moment-ns=5000000\n"
-                                + START
+                                + CREATE_INSTANCE
                                 + "\n"
-                                + LIST
+                                + ENDPOINT_LIST
                                 + "RETIRE router-id=1\n"
                                 + "INGRESS router-id=1 op-id=5 class=q drop-dead-ns=3000000000\n"
                                 + "END\n");
--- a/simulator/src/test/java/ashlink/simulator/Transcript.java
+++ b/simulator/src/test/java/ashlink/simulator/Transcript.java
@@ -9,7 +9,7 @@
 import java.util.zip.GZIPInputStream;
 import java.util.zip.GZIPOutputStream;
 
-/** The format of a transcript: compressed text whose lines are marked as input or output. */
+/** The transcript format: gzip-compressed text with a prefix on each line for input or output. */
 final class Transcript {
 
     /** Suffix of the file name of a transcript. */
@@ -25,21 +25,21 @@
 
     private Transcript() {}
 
-    /** Returns the marked lines of a file. */
+    /** Reads the lines of a file, with their prefixes. */
     static List<String> read(Path file) throws IOException {
         try (var in = new GZIPInputStream(Files.newInputStream(file))) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8).lines().toList();
         }
     }
 
-    /** Writes marked lines to a file. */
+    /** Writes lines with their prefixes to a file. */
     static void write(Path file, List<String> lines) throws IOException {
         try (var out = new GZIPOutputStream(Files.newOutputStream(file))) {
             out.write((String.join("\n", lines) + "\n").getBytes(StandardCharsets.UTF_8));
         }
     }
 
-    /** Tells whether a line carries an event, as opposed to framing a batch or a list. */
+    /** Returns true if a line is an event and not the delimiter of a batch or part of a list. */
     static boolean isEvent(String line) {
         return line.startsWith(IN)
                 && !NON_EVENT_LINES.contains(line.substring(IN.length()).split(" ", 2)[0]);
--- a/simulator/src/test/java/ashlink/simulator/TranscriptRecorder.java
+++ b/simulator/src/test/java/ashlink/simulator/TranscriptRecorder.java
@@ -6,14 +6,14 @@
 import java.util.List;
 
 /**
- * Records the transcripts of {@link DecisionTranscriptTest}. Run by hand, and only when decisions
- * are meant to change.
+ * Records the transcripts of {@link DecisionTranscriptTest}. Run manually, and only for an
+ * intentional change of decisions.
  */
 final class TranscriptRecorder {
 
     private TranscriptRecorder() {}
 
-    /** Records every scenario into the directory {@code args[0]} and prints its size. */
+    /** Records every scenario to the directory {@code args[0]} and prints the transcript sizes. */
     public static void main(String[] args) throws IOException {
         Path directory = Files.createDirectories(Path.of(args[0]));
         for (Scenario scenario : Scenarios.all()) {
--- a/simulator/src/test/java/ashlink/simulator/VirtualScheduler.java
+++ b/simulator/src/test/java/ashlink/simulator/VirtualScheduler.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Runs tasks in the order of virtual time; tasks of one time run in the order of scheduling. */
+/** Runs tasks in virtual time order; tasks of the same time run in scheduling order. */
 final class VirtualScheduler {
 
     private record Task(long timeNs, long sequence, Runnable action) {}
@@ -22,12 +22,12 @@
         return nowNs;
     }
 
-    /** Schedules a task; a time in the past stands for now. */
+    /** Schedules a task; a task with a time in the past runs at the current time. */
     void scheduleAt(long timeNs, Runnable action) {
         tasks.add(new Task(Math.max(nowNs, timeNs), nextSequence++, action));
     }
 
-    /** Advances to the time of the next task, and runs all tasks of that time. */
+    /** Advances to the time of the next task and runs all tasks of that time. */
     void runNext() {
         nowNs = tasks.element().timeNs();
         while (!tasks.isEmpty() && tasks.element().timeNs() == nowNs) {
