--- a/background/src/main/java/ashlink/background/plan/TaskSpec.java
+++ b/background/src/main/java/ashlink/background/plan/TaskSpec.java
@@ -68,7 +68,7 @@
     }
 
     /** Returns a copy of this task with a final run when the scheduler stops. */
-    public TaskSpec alsoAtStop() {
+    public TaskSpec withFinalRun() {
         return new TaskSpec(name, priority, periodNs, jitter, maxDelayNs, maxRunNs, true);
     }
 
--- a/background/src/test/java/ashlink/background/SchedulerTest.java
+++ b/background/src/test/java/ashlink/background/SchedulerTest.java
@@ -28,7 +28,7 @@
         AtomicInteger runs = new AtomicInteger();
         CountDownLatch fiveRuns = new CountDownLatch(5);
         scheduler.add(
-                TaskSpec.every("work", Priority.HIGH, 5 * MS, SECOND).alsoAtStop(),
+                TaskSpec.every("work", Priority.HIGH, 5 * MS, SECOND).withFinalRun(),
                 lease -> {
                     runs.incrementAndGet();
                     fiveRuns.countDown();
--- a/background/src/test/java/ashlink/background/plan/PlannerTest.java
+++ b/background/src/test/java/ashlink/background/plan/PlannerTest.java
@@ -270,7 +270,9 @@
     @Test
     void stopStartsFinalRunsWaitsAndThenInterrupts() {
         PlannerSimulation sim = new PlannerSimulation(limits(3, 10));
-        sim.add(TaskSpec.every("list", Priority.HIGH, 100 * SECOND, SECOND).alsoAtStop(), 10 * MS);
+        sim.add(
+                TaskSpec.every("list", Priority.HIGH, 100 * SECOND, SECOND).withFinalRun(),
+                10 * MS);
         sim.add(TaskSpec.every("clean", Priority.NORMAL, 100 * SECOND, SECOND), 10 * MS);
         sim.add(TaskSpec.once("long", Priority.NORMAL, SECOND, 100 * SECOND), -1);
         sim.runUntil(sim.now + 10 * MS);
--- a/router/src/main/java/ashlink/router/Router.java
+++ b/router/src/main/java/ashlink/router/Router.java
@@ -161,7 +161,7 @@
         engines.start(core::updateEndpoints, cachedEndpoints);
         background.add(
                 TaskSpec.every("list.keep", Priority.HIGH, TASK_INTERVAL_NS, TASK_DEADLINE_NS)
-                        .alsoAtStop(),
+                        .withFinalRun(),
                 lease -> endpointCache.save(engines.endpoints()));
         background.add(
                 TaskSpec.every(
