--- a/background/src/main/java/ashlink/background/Lease.java
+++ b/background/src/main/java/ashlink/background/Lease.java
@@ -3,32 +3,32 @@
 import ashlink.background.plan.Decision.Resource;
 
 /**
- * The right of one run to use processor time and disk traffic within the budgets. Its public
- * methods are called by the thread of the run only.
+ * Grants processor time and disk traffic to one run within the budgets of the scheduler. Only the
+ * thread of the run may call the public methods.
  */
 public final class Lease {
 
-    /** Processor time below which a safe point doesn't call the planner. */
+    /** Processor time below which {@link #checkpoint} doesn't call the planner. */
     private static final long MIN_CHARGE_NS = 1_000_000L;
 
     private final Scheduler scheduler;
-    private final long run;
+    private final long runId;
 
-    /** Guarded by this; 0 while no grant is there. */
-    private double granted;
+    /** Granted amount that the run has not taken yet; 0 for none. Guarded by this. */
+    private double grantedAmount;
 
     private long chargedNs = Scheduler.threadCpuNs();
 
-    Lease(Scheduler scheduler, long run) {
+    Lease(Scheduler scheduler, long runId) {
         this.scheduler = scheduler;
-        this.run = run;
+        this.runId = runId;
     }
 
     /**
-     * Waits until that many bytes may be read or written. An amount over the burst of the budget is
-     * granted in parts.
+     * Waits until the run may read or write this number of bytes. An amount above the burst size of
+     * the budget is granted in parts.
      *
-     * @throws InterruptedException if the run is cancelled or its time is up
+     * @throws InterruptedException if the run is cancelled or exceeds its time limit
      */
     public void acquireBytes(long count) throws InterruptedException {
         long remaining = count;
@@ -38,9 +38,10 @@
     }
 
     /**
-     * A safe point: waits until the processor time used since the last one fits the budget.
+     * Charges the processor time used since the last checkpoint, and waits until the budget covers
+     * that time.
      *
-     * @throws InterruptedException if the run is cancelled or its time is up
+     * @throws InterruptedException if the run is cancelled or exceeds its time limit
      */
     public void checkpoint() throws InterruptedException {
         long usedNs = unchargedNs();
@@ -52,30 +53,30 @@
             }
         }
         if (Thread.interrupted()) {
-            throw new InterruptedException("called off");
+            throw new InterruptedException("background run interrupted");
         }
     }
 
-    long run() {
-        return run;
+    long runId() {
+        return runId;
     }
 
-    /** Processor time in nanoseconds that no safe point has charged. */
+    /** Returns the processor time in nanoseconds that no checkpoint has charged yet. */
     long unchargedNs() {
         return Scheduler.threadCpuNs() - chargedNs;
     }
 
     synchronized void grant(double amount) {
-        granted = amount;
+        grantedAmount = amount;
         notifyAll();
     }
 
     synchronized double awaitGrant() throws InterruptedException {
-        while (granted == 0) {
+        while (grantedAmount == 0) {
             wait();
         }
-        double amount = granted;
-        granted = 0;
+        double amount = grantedAmount;
+        grantedAmount = 0;
         return amount;
     }
 }
--- a/background/src/main/java/ashlink/background/Scheduler.java
+++ b/background/src/main/java/ashlink/background/Scheduler.java
@@ -2,7 +2,7 @@
 
 import ashlink.background.plan.Decision;
 import ashlink.background.plan.Decision.Abandon;
-import ashlink.background.plan.Decision.Drop;
+import ashlink.background.plan.Decision.Evict;
 import ashlink.background.plan.Decision.Grant;
 import ashlink.background.plan.Decision.Interrupt;
 import ashlink.background.plan.Decision.Resource;
@@ -22,9 +22,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries out a planner's decisions, with one thread that decides and one for each run.
+ * Runs background tasks as a {@link Planner} decides: one thread calls the planner, and each run
+ * has a thread of its own.
  *
- * <p>Thread-safe. All threads are daemons.
+ * <p>Thread-safe. All threads are daemon threads.
  */
 public final class Scheduler {
 
@@ -36,8 +37,8 @@
 
     private static final long STOP_POLL_MS = 10;
 
-    /** The thread of a run; the lease is null until that thread has begun. */
-    private record Running(Thread thread, Lease lease) {}
+    /** The thread of a run; {@code lease} is null until the thread has started. */
+    private record ActiveRun(Thread thread, Lease lease) {}
 
     private final String name;
 
@@ -46,37 +47,37 @@
 
     private final DoubleSupplier pressure;
 
-    /** Work by the name of its task. Guarded by this. */
+    /** Work by task name. Guarded by this. */
     private final Map<String, BackgroundWork> workByTask = new HashMap<>();
 
-    /** Runs in progress by their id. Guarded by this. */
-    private final Map<Long, Running> running = new HashMap<>();
+    /** Runs in progress by run ID. Guarded by this. */
+    private final Map<Long, ActiveRun> activeRuns = new HashMap<>();
 
     private final Thread plannerThread;
     private final AtomicLong failed = new AtomicLong();
     private final AtomicLong abandoned = new AtomicLong();
-    private final AtomicLong dropped = new AtomicLong();
+    private final AtomicLong evicted = new AtomicLong();
     private final AtomicLong ended = new AtomicLong();
 
-    /** True if an event arrived after the last decision. Guarded by this. */
-    private boolean signalled;
+    /** True if an event arrived after the planner last decided. Guarded by this. */
+    private boolean eventPending;
 
     /** Guarded by this. */
     private boolean killed;
 
     /**
-     * Starts a scheduler.
+     * Creates a scheduler and starts its planner thread.
      *
-     * @param name prefix of the names of its threads
-     * @param seed seed of the jitter of periodic tasks
-     * @param pressure pressure on the service from 0 to 1, read at least ten times a second; called
-     *     by the planner's thread without a lock
+     * @param name prefix of the thread names
+     * @param seed seed of the random jitter of periodic tasks
+     * @param pressure supplies the load pressure on the service, from 0 to 1; the planner thread
+     *     calls it without a lock, at least ten times a second
      */
     public Scheduler(String name, Limits limits, long seed, DoubleSupplier pressure) {
         this.name = name;
         this.planner = new Planner(limits, seed);
         this.pressure = pressure;
-        this.plannerThread = new Thread(null, this::decide, name + "-background", STACK_BYTES);
+        this.plannerThread = new Thread(null, this::runPlanner, name + "-background", STACK_BYTES);
         plannerThread.setDaemon(true);
         plannerThread.start();
     }
@@ -87,10 +88,10 @@
 
     // ---- Tasks
     /**
-     * Adds a task.
+     * Adds a task. May evict a queued task of lower priority.
      *
-     * @return false if the name is in use, the scheduler stops, or the queue is full of tasks that
-     *     are as important
+     * @return false if the name is in use, the scheduler is stopping, or the queue is full of tasks
+     *     of the same or a higher priority
      */
     public synchronized boolean add(TaskSpec spec, BackgroundWork work) {
         List<Decision> decisions = new ArrayList<>();
@@ -99,80 +100,80 @@
             workByTask.put(spec.name(), work);
         }
         perform(decisions);
-        signal();
+        notifyPlanner();
         return added;
     }
 
-    /** Removes a task and interrupts its run; an unknown name is ignored. */
+    /** Removes a task and interrupts its run; ignores an unknown name. */
     public synchronized void cancel(String task) {
         List<Decision> decisions = new ArrayList<>();
         planner.cancel(task, System.nanoTime(), decisions);
         perform(decisions);
-        signal();
+        notifyPlanner();
     }
 
     /**
-     * Stops: accepts no more tasks, waits for the runs in progress and the final runs up to the
-     * limit, and interrupts the rest.
+     * Stops the scheduler: accepts no more tasks, waits up to the limit for the runs in progress
+     * and the final runs, and interrupts the runs that have not ended by then.
      *
-     * @return true if all runs ended
-     * @throws InterruptedException if the caller is interrupted while it waits
+     * @return true if all runs ended, false if the scheduler left a run behind
+     * @throws InterruptedException if the calling thread is interrupted while it waits
      */
     public boolean stop(long limitNs) throws InterruptedException {
         synchronized (this) {
             List<Decision> decisions = new ArrayList<>();
             planner.stop(System.nanoTime(), limitNs, decisions);
             perform(decisions);
-            signal();
+            notifyPlanner();
             while (!planner.isStopped() && !killed) {
                 wait(STOP_POLL_MS);
             }
-            boolean allEnded = running.isEmpty();
+            boolean allEnded = activeRuns.isEmpty();
             kill();
             return allEnded;
         }
     }
 
-    /** Interrupts all threads at once, without waiting or final runs. */
+    /** Interrupts all threads immediately, without waiting and without final runs. */
     public synchronized void kill() {
         killed = true;
         plannerThread.interrupt();
-        running.values().forEach(run -> run.thread.interrupt());
+        activeRuns.values().forEach(run -> run.thread.interrupt());
     }
 
     // ---- Counters
-    /** Runs that ended. */
+    /** Returns the number of runs that ended, whether or not they succeeded. */
     public long ended() {
         return ended.get();
     }
 
-    /** Runs that threw, other than by an interrupt. */
+    /** Returns the number of runs that failed with an exception other than an interrupt. */
     public long failed() {
         return failed.get();
     }
 
-    /** Runs that were abandoned, since they ignored an interrupt. */
+    /** Returns the number of runs that were abandoned because they ignored an interrupt. */
     public long abandoned() {
         return abandoned.get();
     }
 
-    /** Queued runs that were evicted, by more important ones or by the stop. */
-    public long dropped() {
-        return dropped.get();
+    /** Returns the number of queued tasks evicted by a task of higher priority or by the stop. */
+    public long evicted() {
+        return evicted.get();
     }
 
-    /** Runs that are due and wait. */
+    /** Returns the number of tasks that are due and wait for a slot. */
     public synchronized int waiting() {
         return planner.waiting();
     }
 
-    // ---- Deciding
-    private synchronized void signal() {
-        signalled = true;
+    // ---- Planner thread
+    private synchronized void notifyPlanner() {
+        eventPending = true;
         notifyAll();
     }
 
-    private void decide() {
+    private void runPlanner() {
         try {
             while (true) {
                 double currentPressure = pressure.getAsDouble();
@@ -180,55 +181,60 @@
                     if (killed) {
                         return;
                     }
-                    signalled = false;
-                    planner.pressure(currentPressure, System.nanoTime());
+                    eventPending = false;
+                    planner.setPressure(currentPressure, System.nanoTime());
                     perform(planner.decide(System.nanoTime()));
                     long waitNs = planner.waitNs(System.nanoTime(), DECISION_INTERVAL_NS);
-                    if (!signalled && waitNs > 0) {
+                    if (!eventPending && waitNs > 0) {
                         wait(waitNs / NANOS_PER_MILLI, (int) (waitNs % NANOS_PER_MILLI));
                     }
                 }
             }
         } catch (InterruptedException e) {
-            LOG.debug("background scheduler ends name={}", name);
+            LOG.debug("background scheduler stopped name={}", name);
         }
     }
 
     private void perform(List<Decision> decisions) {
         for (Decision decision : decisions) {
             if (decision instanceof Start start) {
-                begin(start);
-            } else if (decision instanceof Grant grant && running.containsKey(grant.run())) {
-                running.get(grant.run()).lease.grant(grant.amount());
+                startRun(start);
+            } else if (decision instanceof Grant grant && activeRuns.containsKey(grant.run())) {
+                activeRuns.get(grant.run()).lease.grant(grant.amount());
             } else if (decision instanceof Interrupt interrupt
-                    && running.containsKey(interrupt.run())) {
-                running.get(interrupt.run()).thread.interrupt();
+                    && activeRuns.containsKey(interrupt.run())) {
+                activeRuns.get(interrupt.run()).thread.interrupt();
             } else if (decision instanceof Abandon abandon) {
                 abandoned.incrementAndGet();
                 LOG.warn(
-                        "background run {} does not end; its task is not started until it does",
+                        "background run ignored its interrupt and was abandoned; its task starts"
+                                + " again only after this run ends run={}",
                         abandon.run());
-            } else if (decision instanceof Drop drop) {
-                dropped.incrementAndGet();
-                workByTask.remove(drop.task());
-                LOG.info("background task evicted task={}", drop.task());
+            } else if (decision instanceof Evict evict) {
+                evicted.incrementAndGet();
+                workByTask.remove(evict.task());
+                LOG.info("background task evicted task={}", evict.task());
             }
         }
     }
 
-    private void begin(Start start) {
+    private void startRun(Start start) {
         BackgroundWork work = workByTask.get(start.task());
         Thread thread =
-                new Thread(null, () -> run(start, work), name + "-" + start.task(), STACK_BYTES);
+                new Thread(
+                        null,
+                        () -> executeRun(start, work),
+                        name + "-" + start.task(),
+                        STACK_BYTES);
         thread.setDaemon(true);
-        running.put(start.run(), new Running(thread, null));
+        activeRuns.put(start.run(), new ActiveRun(thread, null));
         thread.start();
     }
 
-    private void run(Start start, BackgroundWork work) {
+    private void executeRun(Start start, BackgroundWork work) {
         Lease lease = new Lease(this, start.run());
         synchronized (this) {
-            running.put(start.run(), new Running(Thread.currentThread(), lease));
+            activeRuns.put(start.run(), new ActiveRun(Thread.currentThread(), lease));
         }
         boolean succeeded = false;
         try {
@@ -238,23 +244,27 @@
             LOG.info("background task interrupted task={}", start.task());
         } catch (Exception | Error e) {
             failed.incrementAndGet();
-            LOG.warn("background task failed task={} error={}", start.task(), e.toString());
+            LOG.warn("background task failed task={} error=\"{}\"", start.task(), e.toString());
         } finally {
             ended.incrementAndGet();
             synchronized (this) {
-                running.remove(start.run());
+                activeRuns.remove(start.run());
                 planner.charge(Resource.CPU, lease.unchargedNs(), System.nanoTime());
-                planner.ended(start.run(), succeeded, System.nanoTime());
-                signal();
+                planner.runEnded(start.run(), succeeded, System.nanoTime());
+                notifyPlanner();
             }
         }
     }
 
-    /** Waits until the planner grants the run an amount, the requested one or less. */
+    /**
+     * Requests an amount for a run and waits for the grant.
+     *
+     * @return the granted amount, at most the requested one
+     */
     double acquire(Lease lease, Resource resource, double amount) throws InterruptedException {
         synchronized (this) {
-            planner.request(lease.run(), resource, amount, System.nanoTime());
-            signal();
+            planner.request(lease.runId(), resource, amount, System.nanoTime());
+            notifyPlanner();
         }
         return lease.awaitGrant();
     }
--- a/background/src/main/java/ashlink/background/plan/Planner.java
+++ b/background/src/main/java/ashlink/background/plan/Planner.java
@@ -1,7 +1,7 @@
 package ashlink.background.plan;
 
 import ashlink.background.plan.Decision.Abandon;
-import ashlink.background.plan.Decision.Drop;
+import ashlink.background.plan.Decision.Evict;
 import ashlink.background.plan.Decision.Interrupt;
 import ashlink.background.plan.Decision.Resource;
 import ashlink.background.plan.Decision.Start;
@@ -9,20 +9,20 @@
 import java.util.List;
 
 /**
- * Decides what background work runs. Takes events with their times and answers with decisions; the
+ * Decides which background tasks run. Receives events with their times and returns decisions; the
  * same events with the same seed give the same decisions.
  *
- * <p>Order: the waiting run with the earliest deadline goes first, which is its due time plus the
- * slack of its priority. So a run waits only for those with earlier deadlines, and no stream of
- * later ones can starve it. A task has one run at most, queued or in progress: periods that passed
- * meanwhile make one run, not many.
+ * <p>Tasks start in order of their deadlines, where the deadline is the due time plus the slack of
+ * the priority. A task therefore waits only for tasks with earlier deadlines, and a stream of later
+ * tasks cannot starve it. A task has at most one run, queued or in progress: missed periods lead to
+ * a single run.
  *
- * <p>Not thread-safe. Times are readings of one clock in nanoseconds; a clock that goes back counts
- * as one that stands still.
+ * <p>Not thread-safe. Times are readings of one clock in nanoseconds; if the clock goes back, the
+ * planner continues with the latest time seen.
  */
 public final class Planner {
 
-    /** Pressure from which on {@link Priority#LOW} is postponed up to its longest delay. */
+    /** Pressure at which {@link Priority#LOW} tasks are postponed, up to their maximum delay. */
     private static final double LOW_PRIORITY_MAX_PRESSURE = 0.5;
 
     private final Limits limits;
@@ -34,7 +34,7 @@
     private boolean stopping;
     private long stopDeadlineNs;
 
-    /** A planner without tasks; {@code seed} gives the jitter of their periods. */
+    /** Creates a planner without tasks; {@code seed} is the seed of the random period jitter. */
     public Planner(Limits limits, long seed) {
         this.limits = limits;
         this.queue = new RunQueue(limits);
@@ -48,10 +48,10 @@
 
     // ---- Events
     /**
-     * Adds a task; a less important one may be evicted for it.
+     * Adds a task. May evict a queued task of lower priority.
      *
-     * @return false if the name is in use, the planner stops, or the queue is full of tasks that
-     *     are as important
+     * @return false if the name is in use, the planner is stopping, or the queue is full of tasks
+     *     of the same or a higher priority
      */
     public boolean add(TaskSpec spec, long now, List<Decision> decisions) {
         advance(now);
@@ -65,13 +65,13 @@
                 return false;
             }
             queue.remove(evicted);
-            decisions.add(new Drop(evicted.spec.name()));
+            decisions.add(new Evict(evicted.spec.name()));
         }
         queue.add(task);
         return true;
     }
 
-    /** Removes a task and interrupts its run; an unknown name is ignored. */
+    /** Removes a task and interrupts its run; ignores an unknown name. */
     public void cancel(String name, long now, List<Decision> decisions) {
         advance(now);
         BackgroundTask task = queue.task(name);
@@ -86,16 +86,18 @@
         }
     }
 
-    /** Sets the pressure on the service, from 0 to 1: it lowers the rates of all resources. */
-    public void pressure(double current, long now) {
+    /**
+     * Sets the load pressure on the service, from 0 to 1, which lowers the rate of all resources.
+     */
+    public void setPressure(double current, long now) {
         advance(now);
         pressure = Math.max(0, Math.min(1, current));
         budgets.setPressure(pressure, nowNs);
     }
 
     /**
-     * A run requests an amount before it goes on. A request over the largest amount that is granted
-     * at once is granted that amount.
+     * Requests an amount of a resource for a run, which waits for the grant. A request above the
+     * burst size of the resource is reduced to the burst size.
      */
     public void request(long run, Resource resource, double amount, long now) {
         advance(now);
@@ -105,25 +107,26 @@
         }
     }
 
-    /** A run has used an amount without a request. */
+    /** Charges an amount of a resource that was used without a request. */
     public void charge(Resource resource, double amount, long now) {
         advance(now);
         budgets.charge(resource, amount, nowNs);
     }
 
-    /** A run ended; {@code succeeded} is false if it threw. */
-    public void ended(long run, boolean succeeded, long now) {
+    /** Records the end of a run; {@code succeeded} is false if the run threw an exception. */
+    public void runEnded(long run, boolean succeeded, long now) {
         advance(now);
         TaskRun ended = queue.removeRun(run);
         if (ended == null) {
             return;
         }
         BackgroundTask task = ended.task;
-        boolean lastOfStop = stopping && (ended.isFinal || !task.spec.finalRun());
-        if (task.spec.isOneTime() || task.cancelled || lastOfStop) {
+        boolean isLastRun = stopping && (ended.isFinal || !task.spec.finalRun());
+        if (task.spec.isOneTime() || task.cancelled || isLastRun) {
             queue.remove(task);
         } else if (stopping) {
-            // The run began before the stop: work that arrived since then needs a final one.
+            // The run started before the stop, so work that arrived during the run needs a final
+            // run.
             task.finalRunPending = true;
             task.dueNs = nowNs;
         } else {
@@ -131,7 +134,9 @@
         }
     }
 
-    /** Stops: only final runs start from here on, and all runs are interrupted at the limit. */
+    /**
+     * Begins the stop: only final runs start, and all runs are interrupted after {@code limitNs}.
+     */
     public void stop(long now, long limitNs, List<Decision> decisions) {
         advance(now);
         if (stopping) {
@@ -142,7 +147,7 @@
         for (BackgroundTask task : new ArrayList<>(queue.tasks())) {
             if (task.run == null && !task.spec.finalRun()) {
                 queue.remove(task);
-                decisions.add(new Drop(task.spec.name()));
+                decisions.add(new Evict(task.spec.name()));
             } else if (task.run == null) {
                 task.dueNs = Math.min(task.dueNs, nowNs);
                 task.finalRunPending = true;
@@ -151,7 +156,7 @@
     }
 
     // ---- Decisions
-    /** All decisions that are due now. */
+    /** Returns all decisions that are due now. */
     public List<Decision> decide(long now) {
         advance(now);
         List<Decision> decisions = new ArrayList<>();
@@ -163,10 +168,10 @@
 
     private void interruptOverdue(List<Decision> decisions) {
         for (TaskRun run : queue.runs()) {
-            boolean timeIsUp =
+            boolean isOverdue =
                     nowNs - run.startNs >= run.task.spec.maxRunNs()
                             || stopping && nowNs >= stopDeadlineNs;
-            if (timeIsUp) {
+            if (isOverdue) {
                 interrupt(run, decisions);
             }
             if (run.isInterrupted()
@@ -178,7 +183,7 @@
         }
     }
 
-    private long interruptNs(TaskRun run) {
+    private long interruptTimeNs(TaskRun run) {
         return stopping ? Math.min(stopDeadlineNs, run.limitNs()) : run.limitNs();
     }
 
@@ -190,18 +195,18 @@
     }
 
     private void startDue(List<Decision> decisions) {
-        for (BackgroundTask task : queue.inOrder(this::mayStart)) {
+        for (BackgroundTask task : queue.matchingByDeadline(this::mayStart)) {
             if (queue.hasSlot(task.spec.priority())) {
                 TaskRun run = queue.start(task, nowNs, stopping);
                 decisions.add(new Start(run.id, task.spec.name()));
             } else if (task.spec.priority() == Priority.HIGH) {
-                return; // without a slot for high priority there is none for others
+                return; // no slot for high priority means no slot for lower priorities
             }
         }
     }
 
     private boolean mayStart(BackgroundTask task) {
-        if (task.run != null || task.dueNs > nowNs || stopping && !mayRunFinally(task)) {
+        if (task.run != null || task.dueNs > nowNs || stopping && !mayStartFinalRun(task)) {
             return false;
         }
         return !isPostponed(task) || nowNs - task.dueNs >= task.spec.maxDelayNs();
@@ -213,14 +218,14 @@
                 && pressure >= LOW_PRIORITY_MAX_PRESSURE;
     }
 
-    private boolean mayRunFinally(BackgroundTask task) {
+    private boolean mayStartFinalRun(BackgroundTask task) {
         return task.run == null && task.finalRunPending && nowNs < stopDeadlineNs;
     }
 
     // ---- State
     /**
-     * Time in nanoseconds until a decision may be due without a further event; at most {@code
-     * maxWaitNs}.
+     * Returns the time in nanoseconds until a decision may be due without a further event, at most
+     * {@code maxWaitNs}.
      */
     public long waitNs(long now, long maxWaitNs) {
         advance(now);
@@ -228,7 +233,7 @@
         for (BackgroundTask task : queue.tasks()) {
             if (task.run == null
                     && queue.hasSlot(task.spec.priority())
-                    && (!stopping || mayRunFinally(task))) {
+                    && (!stopping || mayStartFinalRun(task))) {
                 long postponedNs = isPostponed(task) ? task.spec.maxDelayNs() : 0;
                 nextNs = Math.min(nextNs, task.dueNs + postponedNs);
             }
@@ -237,31 +242,34 @@
             if (run.isInterrupted() && !run.abandoned) {
                 nextNs = Math.min(nextNs, run.interruptedNs() + limits.graceNs());
             } else if (!run.abandoned) {
-                nextNs = Math.min(nextNs, interruptNs(run));
+                nextNs = Math.min(nextNs, interruptTimeNs(run));
             }
         }
         return Math.max(0, nextNs - nowNs);
     }
 
-    /** True once all runs have ended or were abandoned after a stop. */
+    /** Returns true once the planner is stopping and all runs have ended or were abandoned. */
     public boolean isStopped() {
         return stopping
                 && queue.running() == 0
-                && queue.tasks().stream().noneMatch(this::mayRunFinally);
+                && queue.tasks().stream().noneMatch(this::mayStartFinalRun);
     }
 
-    /** Runs that are due and wait. */
+    /** Returns the number of tasks that are due and wait for a slot. */
     public int waiting() {
-        return queue.queued(nowNs);
+        return queue.waiting(nowNs);
     }
 
-    /** Runs in progress that were not abandoned. */
+    /** Returns the number of runs in progress, without abandoned runs. */
     public int running() {
         return queue.running();
     }
 
-    /** Periods that passed without a run of that task, as a run was late; 0 for an unknown task. */
-    public long missed(String task) {
+    /**
+     * Returns the number of periods without a run of the task because the previous run was late; 0
+     * for an unknown task.
+     */
+    public long missedRuns(String task) {
         BackgroundTask known = queue.task(task);
         return known == null ? 0 : known.missedRuns;
     }
--- a/background/src/main/java/ashlink/background/plan/RunQueue.java
+++ b/background/src/main/java/ashlink/background/plan/RunQueue.java
@@ -9,8 +9,8 @@
 import java.util.function.Predicate;
 
 /**
- * The tasks of a planner, those that wait in order of their deadlines, and the runs that take the
- * slots. Abandoned runs take none.
+ * The tasks of a planner, with waiting tasks in order of their deadlines, and the runs that occupy
+ * the slots. Abandoned runs occupy no slot.
  */
 final class RunQueue {
 
@@ -27,7 +27,7 @@
         return tasks.containsKey(task);
     }
 
-    /** The task of that name, or null. */
+    /** Returns the task of the name, or null. */
     BackgroundTask task(String name) {
         return tasks.get(name);
     }
@@ -44,7 +44,7 @@
         tasks.remove(task.spec.name(), task);
     }
 
-    /** The run of that id, or null. */
+    /** Returns the run of the ID, or null. */
     TaskRun run(long id) {
         return runs.get(id);
     }
@@ -53,7 +53,7 @@
         return runs.values();
     }
 
-    /** Starts a run of a task that has none. */
+    /** Starts a run of a task that has no run. */
     TaskRun start(BackgroundTask task, long nowNs, boolean isFinal) {
         TaskRun run = new TaskRun(++lastRunId, task, nowNs, isFinal);
         task.run = run;
@@ -62,7 +62,7 @@
         return run;
     }
 
-    /** Removes a run and detaches it from its task; null if it is unknown. */
+    /** Removes a run and detaches it from its task; returns null for an unknown ID. */
     TaskRun removeRun(long id) {
         TaskRun run = runs.remove(id);
         if (run != null) {
@@ -71,43 +71,47 @@
         return run;
     }
 
-    /** Tasks that are due and wait. */
-    int queued(long nowNs) {
+    /** Returns the number of tasks that are due and wait for a slot. */
+    int waiting(long nowNs) {
         return (int)
                 tasks.values().stream()
                         .filter(task -> task.run == null && task.dueNs <= nowNs)
                         .count();
     }
 
-    /** Runs in progress, without those abandoned. */
+    /** Returns the number of runs in progress, without abandoned runs. */
     int running() {
         return (int) runs.values().stream().filter(run -> !run.abandoned).count();
     }
 
-    /** The tasks that qualify, earliest deadline first; a copy. */
-    List<BackgroundTask> inOrder(Predicate<BackgroundTask> qualifies) {
+    /** Returns a new list of the tasks that match, earliest deadline first. */
+    List<BackgroundTask> matchingByDeadline(Predicate<BackgroundTask> matches) {
         return new ArrayList<>(
                 tasks.values().stream()
-                        .filter(qualifies)
+                        .filter(matches)
                         .sorted(BackgroundTask.BY_DEADLINE)
                         .toList());
     }
 
     /**
-     * The waiting one-time task to evict for a new one: of the lowest priority, the one with the
-     * latest deadline. Null if none is less important than the new one.
+     * Returns the waiting one-time task to evict in favor of a new task: among the tasks of the
+     * lowest priority, the task with the latest deadline. Returns null if no task has a lower
+     * priority than the new one.
      */
-    BackgroundTask evictionCandidate(Priority newcomer) {
+    BackgroundTask evictionCandidate(Priority newTaskPriority) {
         return tasks.values().stream()
                 .filter(task -> task.run == null && task.spec.isOneTime())
                 .max(
                         Comparator.comparing((BackgroundTask task) -> task.spec.priority())
                                 .thenComparing(BackgroundTask.BY_DEADLINE))
-                .filter(task -> task.spec.priority().compareTo(newcomer) > 0)
+                .filter(task -> task.spec.priority().compareTo(newTaskPriority) > 0)
                 .orElse(null);
     }
 
-    /** True if a run of that priority may take a slot; the last of several is for high priority. */
+    /**
+     * Returns true if a run of the priority may occupy a slot. The last of several slots is
+     * reserved for high priority.
+     */
     boolean hasSlot(Priority priority) {
         int maxRuns = limits.maxConcurrentRuns();
         if (running() >= maxRuns) {
@@ -116,10 +120,10 @@
         if (priority == Priority.HIGH || maxRuns == 1) {
             return true;
         }
-        long belowHigh =
+        long lowerPriorityRuns =
                 runs.values().stream()
                         .filter(run -> !run.abandoned && run.task.spec.priority() != Priority.HIGH)
                         .count();
-        return belowHigh < maxRuns - 1;
+        return lowerPriorityRuns < maxRuns - 1;
     }
 }
--- a/client/src/main/java/ashlink/client/StatementClient.java
+++ b/client/src/main/java/ashlink/client/StatementClient.java
@@ -33,7 +33,11 @@
     private final URI server;
     private final String authorization;
 
-    /** A client of a server, such as {@code http://127.0.0.1:8123}. */
+    /**
+     * Creates a client with its own connections.
+     *
+     * @param server base URI of the server, such as {@code http://127.0.0.1:8123}
+     */
     public StatementClient(URI server, String user, String password) {
         this(
                 HttpClient.newBuilder()
@@ -46,7 +50,7 @@
                 password);
     }
 
-    /** A client that shares the connections of {@code http} with other clients. */
+    /** Creates a client that shares the connections of {@code http} with other clients. */
     public StatementClient(HttpClient http, URI server, String user, String password) {
         this.http = http;
         this.server = server;
@@ -61,12 +65,14 @@
      * Runs a statement and fetches all pages of its result.
      *
      * @param statement the SQL text
-     * @param settings settings of the statement, by name
-     * @param rows rows of a load; null for none
-     * @param idempotencyKey key under which the statement runs once; null for none
-     * @param timeoutNs time after which the client gives up
-     * @param pages receives each page, and the statement's state while no page is available
-     * @return how the statement ended; failures of the connection are results, not exceptions
+     * @param settings settings of the statement by name
+     * @param rows rows to insert; null for none
+     * @param idempotencyKey key that prevents a second execution of the statement; null for none
+     * @param timeoutNs time in nanoseconds after which the client stops waiting
+     * @param pageConsumer receives each page, and the state of the statement while no page is
+     *     available
+     * @return the outcome of the statement; connection failures are reported as an outcome and not
+     *     as an exception
      */
     public StatementResult run(
             String statement,
@@ -74,7 +80,7 @@
             JsonNode rows,
             String idempotencyKey,
             long timeoutNs,
-            Consumer<JsonNode> pages)
+            Consumer<JsonNode> pageConsumer)
             throws InterruptedException {
         long deadlineNs = System.nanoTime() + timeoutNs;
         Progress progress = new Progress();
@@ -83,7 +89,7 @@
             if (idempotencyKey != null) {
                 submission.header("Idempotency-Key", idempotencyKey);
             }
-            return fetchAll(send(submission), deadlineNs, pages, progress);
+            return fetchAll(send(submission), deadlineNs, pageConsumer, progress);
         } catch (HttpConnectTimeoutException | ConnectException e) {
             StatementResult.Kind kind =
                     progress.submitted ? StatementResult.Kind.LOST : StatementResult.Kind.NOT_SENT;
@@ -95,13 +101,13 @@
         }
     }
 
-    /** What was received of a statement so far. */
+    /** The progress of one statement so far. */
     private static final class Progress {
         private boolean submitted;
         private long rows;
         private long bytes;
 
-        /** A result without a response of the server. */
+        /** Returns a result without a response from the server. */
         StatementResult result(StatementResult.Kind kind, String detail) {
             return new StatementResult(kind, 0, "", detail, 0, 0, rows, bytes);
         }
@@ -124,7 +130,7 @@
     private StatementResult fetchAll(
             HttpResponse<byte[]> submitted,
             long deadlineNs,
-            Consumer<JsonNode> pages,
+            Consumer<JsonNode> pageConsumer,
             Progress progress)
             throws IOException, InterruptedException {
         HttpResponse<byte[]> response = submitted;
@@ -136,9 +142,9 @@
                             : JSON.readTree(response.body());
             progress.bytes += response.body().length;
             if (response.statusCode() != OK && response.statusCode() != ACCEPTED) {
-                return problem(response.statusCode(), node, progress.rows, progress.bytes);
+                return problemResult(response.statusCode(), node, progress.rows, progress.bytes);
             }
-            pages.accept(node);
+            pageConsumer.accept(node);
             progress.rows += node.path("rows").isArray() ? node.get("rows").size() : 0;
             if (response.statusCode() == OK && !node.has("nextUri")) {
                 return new StatementResult(
@@ -155,7 +161,7 @@
         }
     }
 
-    /** Cancels a statement; returns false if the server does not know it. */
+    /** Cancels a statement; returns false if the statement is unknown to the server. */
     public boolean cancel(String id) throws IOException, InterruptedException {
         return send(request("/v1/statements/" + id, System.nanoTime() + MAX_POLL_NS).DELETE())
                         .statusCode()
@@ -165,7 +171,7 @@
     private HttpRequest.Builder request(String path, long deadlineNs) throws HttpTimeoutException {
         long remainingNs = deadlineNs - System.nanoTime();
         if (remainingNs <= 0) {
-            throw new HttpTimeoutException("the client's timeout has passed");
+            throw new HttpTimeoutException("client timeout elapsed");
         }
         String wait =
                 String.format(Locale.ROOT, "?wait=%.3f", Math.min(remainingNs, MAX_POLL_NS) / 1e9);
@@ -179,7 +185,7 @@
         return http.send(builder.build(), BodyHandlers.ofByteArray());
     }
 
-    private static StatementResult problem(int status, JsonNode node, long rows, long bytes) {
+    private static StatementResult problemResult(int status, JsonNode node, long rows, long bytes) {
         String type = node.path("type").asText().replace("/problems/", "");
         StatementResult.Kind kind =
                 status == NOT_FOUND ? StatementResult.Kind.LOST : StatementResult.Kind.PROBLEM;
--- a/report/src/main/java/ashlink/report/CaptureReport.java
+++ b/report/src/main/java/ashlink/report/CaptureReport.java
@@ -19,8 +19,8 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /**
- * One page of a capture: requests by class and end, attempts by engine and outcome, and plots by
- * second.
+ * Renders an HTML page about a capture: requests by class and outcome, attempts by engine and
+ * outcome, and plots over time.
  */
 public final class CaptureReport {
 
@@ -30,7 +30,7 @@
 
     private CaptureReport() {}
 
-    /** Writes the page. */
+    /** Renders the summary as a page with the given title. */
     public static void write(CaptureSummary summary, String title, Writer out) throws IOException {
         Configuration config = new Configuration(Configuration.VERSION_2_3_34);
         config.setClassForTemplateLoading(CaptureReport.class, "/ashlink/report");
@@ -45,27 +45,30 @@
                         "outcomes",
                         outcomes(summary),
                         "plots",
-                        List.of(plot(load(summary)), plot(inFlight(summary))));
+                        List.of(
+                                toBase64Png(requestChart(summary)),
+                                toBase64Png(inFlightChart(summary))));
         try {
             config.getTemplate(TEMPLATE).process(model, out);
         } catch (TemplateException e) {
-            throw new IOException("the template of the report fails: " + e.getMessage(), e);
+            throw new IOException(
+                    "failed to render report template " + TEMPLATE + ": " + e.getMessage(), e);
         }
     }
 
     private static TreeSet<String> outcomes(CaptureSummary summary) {
-        TreeSet<String> all = new TreeSet<>();
-        summary.getEngines().values().forEach(map -> all.addAll(map.keySet()));
-        return all;
+        TreeSet<String> outcomes = new TreeSet<>();
+        summary.getEngines().values().forEach(counts -> outcomes.addAll(counts.keySet()));
+        return outcomes;
     }
 
-    private static String plot(XYChart chart) throws IOException {
+    private static String toBase64Png(XYChart chart) throws IOException {
         return Base64.getEncoder()
                 .encodeToString(
                         BitmapEncoder.getBitmapBytes(chart, BitmapEncoder.BitmapFormat.PNG));
     }
 
-    private static XYChart chart(String title, String yAxisTitle) {
+    private static XYChart newChart(String title, String yAxisTitle) {
         XYChart chart =
                 new XYChartBuilder()
                         .width(WIDTH)
@@ -80,7 +83,7 @@
         return chart;
     }
 
-    private static void series(
+    private static void addSeries(
             XYChart chart,
             String name,
             CaptureSummary summary,
@@ -93,20 +96,20 @@
         }
     }
 
-    private static XYChart load(CaptureSummary summary) {
-        XYChart chart = chart("Requests", "per second; queued at its end");
-        series(chart, "taken", summary, CaptureSummary.Second::getTaken);
-        series(chart, "attempts ended", summary, CaptureSummary.Second::getEndedAttempts);
-        series(chart, "held", summary, CaptureSummary.Second::getQueued);
+    private static XYChart requestChart(CaptureSummary summary) {
+        XYChart chart = newChart("Requests", "per second; held: at the end of the second");
+        addSeries(chart, "taken", summary, CaptureSummary.Second::getTaken);
+        addSeries(chart, "attempts ended", summary, CaptureSummary.Second::getEndedAttempts);
+        addSeries(chart, "held", summary, CaptureSummary.Second::getQueued);
         return chart;
     }
 
-    private static XYChart inFlight(CaptureSummary summary) {
-        XYChart chart = chart("In flight at each engine", "attempts at the end of the second");
+    private static XYChart inFlightChart(CaptureSummary summary) {
+        XYChart chart = newChart("Attempts in flight by engine", "at the end of the second");
         TreeSet<String> engines = new TreeSet<>(summary.getEngines().keySet());
         engines.forEach(
                 engine ->
-                        series(
+                        addSeries(
                                 chart,
                                 engine,
                                 summary,
--- a/simulator/src/main/java/ashlink/simulator/EventDecoder.java
+++ b/simulator/src/main/java/ashlink/simulator/EventDecoder.java
@@ -17,31 +17,31 @@
 import ashlink.decisions.api.ProgressKind;
 import java.util.List;
 import java.util.Map;
+import java.util.TreeSet;
 
 /**
- * Decodes the lines of the simulator into events.
+ * Decodes lines of the simulator protocol into events.
  *
- * <p>All methods throw {@link ashlink.config.flat.FieldException} for a field that is missing or
- * not accepted.
+ * <p>All methods throw {@link ashlink.config.flat.FieldException} for a missing or invalid field.
  */
 final class EventDecoder {
 
-    /** The cost of a query is one number: its work in ms times this, plus its memory. */
+    /** Factor of the work in ms in the encoded cost of a query: work * factor + memory. */
     private static final int COST_WORK_FACTOR = 4096;
 
-    /** Unit of the memory in the cost of a query. */
+    /** Unit of the memory in the encoded cost of a query. */
     private static final int COST_MEMORY_UNIT_MB = 4;
 
     private static final char LOAD_REPORT_SEPARATOR = ',';
 
     private EventDecoder() {}
 
-    /** Decodes a line of an endpoint list. */
+    /** Decodes one entry of an endpoint list. */
     static Endpoint endpoint(Fields fields) {
         String state = fields.required(WireNames.ENDPOINT_STATE);
         return new Endpoint(
                 fields.required(WireNames.ENGINE),
-                known(WireNames.ENDPOINT_STATES, state, "M: phase=" + state),
+                requireKnown(WireNames.ENDPOINT_STATES, state, "M: phase=" + state),
                 fields.text(WireNames.ENDPOINT_ZONE, ""),
                 fields.text(WireNames.ENDPOINT_KIND, ""),
                 fields.integer(WireNames.ENDPOINT_CELL, 0),
@@ -49,14 +49,14 @@
     }
 
     /**
-     * Decodes an announcement of endpoints.
+     * Decodes a change of the endpoints.
      *
-     * @param endpoints endpoints of the list that the line refers to
+     * @param endpoints endpoints of the list that the line references
      */
     static EndpointsChanged endpointsChanged(Fields fields, List<Endpoint> endpoints) {
         String kindName = fields.required(WireNames.ENDPOINT_LIST_KIND);
         EndpointListKind kind =
-                known(WireNames.ENDPOINT_LIST_KINDS, kindName, "ANNOUNCE: form=" + kindName);
+                requireKnown(WireNames.ENDPOINT_LIST_KINDS, kindName, "ANNOUNCE: form=" + kindName);
         return new EndpointsChanged(
                 kind, kind == EndpointListKind.UNAVAILABLE ? List.of() : endpoints);
     }
@@ -65,8 +65,8 @@
      * Decodes any other event.
      *
      * @param name first word of the line
-     * @param reportsCost whether the responses of engines carry the cost of a query
-     * @return the event, or null for a line that does not concern the decision module
+     * @param reportsCost whether responses of engines include the cost of a query
+     * @return the event, or null for a line that is not meant for the decision module
      */
     static Event event(String name, Fields fields, boolean reportsCost) {
         return switch (name) {
@@ -125,23 +125,24 @@
     }
 
     private static ProgressKind progressKind(long number) {
-        return known(WireNames.PROGRESS_KINDS, (int) number, "UPDATE_OF: sort=" + number);
+        return requireKnown(WireNames.PROGRESS_KINDS, (int) number, "UPDATE_OF: sort=" + number);
     }
 
     private static Outcome outcome(String name) {
-        return known(WireNames.OUTCOMES, name, "verdict=" + name);
+        return requireKnown(WireNames.OUTCOMES, name, "verdict=" + name);
     }
 
-    private static <K, V> V known(Map<K, V> values, K key, String description) {
+    private static <K, V> V requireKnown(Map<K, V> values, K key, String description) {
         V value = values.get(key);
         if (value == null) {
-            throw new SimulatorProtocolException(description + " is unknown");
+            throw new SimulatorProtocolException(
+                    description + " is invalid: accepted are " + new TreeSet<>(values.keySet()));
         }
         return value;
     }
 
     /**
-     * Decodes a load report; values of unknown names are skipped.
+     * Decodes a load report. Skips values with unknown names.
      *
      * @param text the report; null, empty or {@link WireNames#NO_LOAD_REPORT} if there is none
      */
@@ -155,6 +156,6 @@
 
     private static void rejectMalformedPair(String pair) {
         throw new SimulatorProtocolException(
-                "gauge: '" + pair + "' is no name:value pair with a number");
+                "gauge: invalid pair '" + pair + "': expected name:value with a numeric value");
     }
 }
--- a/simulator/src/main/java/ashlink/simulator/SimulatorAdapter.java
+++ b/simulator/src/main/java/ashlink/simulator/SimulatorAdapter.java
@@ -18,13 +18,12 @@
 import java.util.Map;
 
 /**
- * Serves the protocol of the simulator: reads batches of lines, hands each event to the instance of
- * the decision module that it names, and writes one reply per batch. Not safe for use by several
- * threads.
+ * Serves the simulator protocol: reads batches of lines, passes each event to the instance of the
+ * decision module that the line names, and writes one reply per batch. Not thread-safe.
  */
 final class SimulatorAdapter {
 
-    private static final long NO_ID = -1;
+    private static final long MISSING_ID = -1;
 
     private record Instance(WorkloadManager manager, Settings settings) {}
 
@@ -36,9 +35,10 @@
     private long nowNs;
 
     /**
-     * Serves batches until the input ends between two of them.
+     * Serves batches until the input ends after a complete batch.
      *
-     * @throws SimulatorProtocolException naming the line that violates the protocol
+     * @throws SimulatorProtocolException if the input violates the protocol; the message gives the
+     *     line number
      */
     void run(BufferedReader in, Writer out) throws IOException {
         try {
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Reads a batch and writes the reply; returns false at the end of the input. */
+    /** Processes a batch and builds the reply; returns false at end of input. */
     private boolean readBatch(BufferedReader in) throws IOException {
         reply.setLength(0);
         String line = readLine(in);
@@ -79,14 +79,15 @@
     private String requireLine(BufferedReader in) throws IOException {
         String line = readLine(in);
         if (line == null) {
-            throw new SimulatorProtocolException("input ends within a batch");
+            throw new SimulatorProtocolException("unexpected end of input within a batch");
         }
         return line;
     }
 
     private static void requireName(String line, String name) {
         if (!line.startsWith(name + " ")) {
-            throw new SimulatorProtocolException("expected " + name);
+            throw new SimulatorProtocolException(
+                    "unexpected line '" + line + "': expected " + name);
         }
     }
 
@@ -125,7 +126,7 @@
     }
 
     private void handleEvent(String name, Fields fields) {
-        long id = fields.integer(WireNames.INSTANCE_ID, NO_ID);
+        long id = fields.integer(WireNames.INSTANCE_ID, MISSING_ID);
         Instance instance = instances.get(id);
         if (instance == null) {
             return;
@@ -143,7 +144,7 @@
         if (!name.equals(WireNames.ENDPOINTS_CHANGED)) {
             return EventDecoder.event(name, fields, settings.capabilities().reportsCost());
         }
-        long listId = fields.integer(WireNames.ENDPOINT_LIST_ID, NO_ID);
+        long listId = fields.integer(WireNames.ENDPOINT_LIST_ID, MISSING_ID);
         return EventDecoder.endpointsChanged(fields, endpointLists.getOrDefault(listId, List.of()));
     }
 }
