--- a/loadtest/src/main/java/ashlink/loadtest/baseline/Baseline.java
+++ b/loadtest/src/main/java/ashlink/loadtest/baseline/Baseline.java
@@ -27,17 +27,18 @@
 import java.util.Map;
 
 /**
- * A plain balancer: queries wait in turn until the policy names an engine. It repeats what its
- * class allows up to the limit of attempts and answers what is out of time; it knows no health, no
- * worth and no cold engines.
+ * A simple load balancer for comparison: queries wait in a FIFO queue until the policy selects an
+ * engine. Failed attempts are retried up to the maximum number of attempts if the query class
+ * allows retries, and queries near their deadline are completed without a result. Engine health,
+ * priority weights and slow start are ignored.
  */
 public final class Baseline implements WorkloadManager {
 
-    /** Policies. */
+    /** Selects the engine of an attempt. */
     public enum Policy {
-        /** Each engine in its turn, at once. */
+        /** Selects the engines in rotation and never queues a query while an engine is allowed. */
         ROUND_ROBIN,
-        /** The engine with fewest of ours out, and at most a fixed number there. */
+        /** Selects the engine with the fewest running threads, up to a limit per engine. */
         LEAST_OUTSTANDING
     }
 
@@ -69,7 +70,7 @@
     private boolean ticking;
     private long now;
 
-    /** A gateway of that policy. */
+    /** Creates the workload manager of one router. */
     public Baseline(Policy policy, Settings settings) {
         this.policy = policy;
         this.settings = settings;
--- a/loadtest/src/main/java/ashlink/loadtest/baseline/package-info.java
+++ b/loadtest/src/main/java/ashlink/loadtest/baseline/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Policies to compare with: they keep placement and effects, and decide by nothing that they learn.
+ * Baseline policies for comparison. They respect placement and cause no duplicate effects, but do
+ * not learn from the responses of the engines.
  */
 package ashlink.loadtest.baseline;
--- a/loadtest/src/main/java/ashlink/loadtest/bench/BackgroundBench.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/BackgroundBench.java
@@ -12,7 +12,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * Short queries with background work that takes all that its budgets give, and without, in turns.
+ * Measures short queries in alternating rounds with and without background tasks that use up their
+ * CPU budget.
  */
 public final class BackgroundBench {
 
@@ -24,13 +25,13 @@
     private final PrintStream out;
     private final long roundNs;
 
-    /** A benchmark whose rounds last that long. */
+    /** Creates a benchmark with rounds of the given duration. */
     public BackgroundBench(PrintStream out, long roundNs) {
         this.out = out;
         this.roundNs = roundNs;
     }
 
-    /** Runs it. */
+    /** Runs the benchmark and prints the result. */
     public void run() throws IOException, InterruptedException {
         EmulatedEngine engine = Figures.engine("q1");
         Router router =
@@ -51,7 +52,7 @@
         double[] with = new double[ROUNDS];
         double[] rate = new double[ROUNDS];
         for (int i = 0; i < ROUNDS; i++) {
-            boolean first = i % 2 == 0; // in turns, so that neither always comes first
+            boolean first = i % 2 == 0; // alternates, so that neither variant always runs first
             Loads.Seen busy = first ? busy(router) : null;
             Loads.Seen idle = Loads.closed(router.address(), CONNECTIONS, n -> SHORT, roundNs);
             busy = first ? busy : busy(router);
--- a/loadtest/src/main/java/ashlink/loadtest/bench/CodecBench.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/CodecBench.java
@@ -25,7 +25,9 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** The codec alone: finding the end of a block of 8,192 rows, and what that rests on. */
+/**
+ * Measures the codec alone: finding the end of a block of 8,192 rows, checksums and type parsing.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.Throughput)
 @OutputTimeUnit(TimeUnit.SECONDS)
@@ -43,7 +45,7 @@
     private byte[] bytes;
     private final ByteBuf tap = new ByteBuf();
 
-    /** Makes the block: a number, a text of 16 bytes, and a float a row. */
+    /** Creates the block; each row has an integer, a string of 16 bytes and a float. */
     @Setup
     public void setup() throws IOException {
         List<Object> numbers = new ArrayList<>();
@@ -68,7 +70,9 @@
         bytes = java.util.Arrays.copyOf(to.array(), to.size());
     }
 
-    /** Finds the end of the block and copies it, as a relay does. */
+    /**
+     * Finds the end of the block and copies its bytes, as the router does when it forwards a block.
+     */
     @Benchmark
     public long skipBlock() throws IOException {
         StreamSource in = new StreamSource(new ByteArrayInputStream(bytes), 128 << 10);
@@ -80,13 +84,13 @@
         return rows + tap.size();
     }
 
-    /** The checksum over the bytes of the block. */
+    /** Computes the checksum of the block's bytes. */
     @Benchmark
     public long checksum() {
         return CityHash.hash128(bytes, 0, bytes.length)[0];
     }
 
-    /** A nested type. */
+    /** Parses a nested type. */
     @Benchmark
     public Object parseType() throws IOException {
         return TypeParser.parse(
--- a/loadtest/src/main/java/ashlink/loadtest/bench/Figures.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/Figures.java
@@ -7,13 +7,14 @@
 import java.net.InetSocketAddress;
 import java.util.Arrays;
 
-/** What benchmarks share: an engine that costs nothing, and figures of this process. */
+/** Helpers of the benchmarks: an engine without a CPU limit, process metrics and statistics. */
 final class Figures {
 
     private Figures() {}
 
     static EmulatedEngine engine(String name) throws IOException {
-        // Cores without number: what is measured is the way to the engine, not the engine.
+        // Practically unlimited cores: the benchmarks measure the path to the engine, not the
+        // engine.
         EmulatedEngine emulatedEngine =
                 new EmulatedEngine(
                         new EngineConfig(
--- a/loadtest/src/main/java/ashlink/loadtest/bench/HttpBench.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/HttpBench.java
@@ -28,7 +28,10 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** Both fronts of one router in one run: clients, router and engines share this process. */
+/**
+ * Compares the native protocol and the HTTP statement API of one router in the same run. Clients,
+ * router and engines share this process.
+ */
 public final class HttpBench {
 
     private static final long S = 1_000_000_000L;
@@ -42,13 +45,13 @@
     private final PrintStream out;
     private final long roundNs;
 
-    /** A benchmark whose rounds last that long. */
+    /** Creates a benchmark with rounds of the given duration. */
     public HttpBench(PrintStream out, long roundNs) {
         this.out = out;
         this.roundNs = roundNs;
     }
 
-    /** Runs all of it. */
+    /** Runs all measurements and prints the results. */
     public void run() throws IOException, InterruptedException {
         EmulatedEngine engine = Figures.engine("q1");
         Path spool = Files.createTempDirectory("ashlink-bench");
@@ -116,8 +119,8 @@
     }
 
     /**
-     * Plain sockets: the JDK's client costs several times what the front does, which is what is
-     * measured.
+     * Sends requests over plain sockets, because the JDK's HTTP client uses several times the CPU
+     * of the server that is measured.
      */
     private double http(URI server, int connections, Histogram times) throws InterruptedException {
         byte[] request =
@@ -160,7 +163,7 @@
         return times.getTotalCount() * (double) S / (System.nanoTime() - from);
     }
 
-    /** Reads an answer; true for the last page of a result. */
+    /** Reads a response; returns true if it has status 200. */
     private static boolean answer(InputStream in) throws IOException {
         boolean good = line(in).contains(" 200");
         int length = 0;
@@ -185,7 +188,7 @@
         return text.toString();
     }
 
-    /** A result of 1 GiB by the native protocol, and by pages of CSV through the spool. */
+    /** Transfers a result of 1 GiB over the native protocol, and as CSV pages through the spool. */
     private void large(Router router, URI server) throws IOException, InterruptedException {
         double[] natives = new double[3];
         double[] pages = new double[3];
@@ -241,7 +244,7 @@
                 most >> 20);
     }
 
-    /** Memory of statements under way that nobody waits for. */
+    /** Measures the heap of running statements that no client polls. */
     private void waiting(Router router, URI server) throws IOException, InterruptedException {
         HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
         System.gc();
@@ -260,8 +263,8 @@
     }
 
     /**
-     * Long polls of one statement on connections of their own: what they cost while they wait, and
-     * how long all take to wake.
+     * Measures long polls of one statement, each on its own connection: threads and CPU while they
+     * wait, and the time until all are answered after the statement has ended.
      */
     private void polls(Router router, URI server) throws IOException, InterruptedException {
         HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
--- a/loadtest/src/main/java/ashlink/loadtest/bench/Loads.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/Loads.java
@@ -14,10 +14,10 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** Closed and open loads of one statement. */
+/** Generates closed-loop and open-loop load. */
 final class Loads {
 
-    /** What a load saw; times in nanoseconds. */
+    /** The result of a load run; response times in nanoseconds. */
     record Seen(double perSecond, Histogram times, long failed, String failure) {}
 
     private static final long S = 1_000_000_000L;
@@ -25,14 +25,16 @@
 
     private Loads() {}
 
-    /** Each of the connections sends the next statement as soon as the last has its answer. */
+    /**
+     * Closed loop: each connection sends its next statement as soon as the last one is answered.
+     */
     static Seen closed(
             InetSocketAddress to, int connections, LongFunction<String> statements, long forNs)
             throws IOException, InterruptedException {
         return run(List.of(to), connections, statements, forNs, 0);
     }
 
-    /** Statements at a fixed rate over all connections; times count from when each was due. */
+    /** Open loop at a fixed total rate; response times start at the scheduled send time. */
     static Seen open(
             List<InetSocketAddress> to, int connections, String statement, long forNs, double rate)
             throws IOException, InterruptedException {
--- a/loadtest/src/main/java/ashlink/loadtest/bench/Relay.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/Relay.java
@@ -9,7 +9,8 @@
 import java.net.Socket;
 
 /**
- * A plain relay of bytes with the router's thread model: what any hop costs, whatever it decides.
+ * A TCP relay with the thread model of the router, which makes no decisions. Measures the cost of a
+ * hop alone.
  */
 final class Relay implements AutoCloseable {
 
@@ -60,7 +61,7 @@
                 out.write(buffer, 0, n);
             }
         } catch (IOException e) {
-            // the other end has gone
+            // The other connection is closed.
         }
     }
 
--- a/loadtest/src/main/java/ashlink/loadtest/bench/RouterBench.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/RouterBench.java
@@ -19,9 +19,9 @@
 import java.util.stream.Stream;
 
 /**
- * The same loads through a direct connection, a plain relay and the router, taken in turns in one
- * run, so that ratios hold on a noisy machine. Engines, clients and router share one process:
- * figures a second are of this machine only.
+ * Runs the same load through a direct connection, a TCP relay and the router in alternating rounds,
+ * so that the ratios are meaningful on a noisy machine. Engines, clients and router share one
+ * process, so rates per second cannot be compared across machines.
  */
 public final class RouterBench {
 
@@ -33,7 +33,7 @@
     private final long roundNs;
     private final AtomicLong decidingNs = new AtomicLong();
 
-    /** A benchmark whose rounds last that long. */
+    /** Creates a benchmark with rounds of the given duration. */
     public RouterBench(PrintStream out, long roundNs) {
         this.out = out;
         this.roundNs = roundNs;
@@ -66,7 +66,7 @@
         return router;
     }
 
-    /** Runs all of it. */
+    /** Runs all measurements and prints the results. */
     public void run() throws IOException, InterruptedException {
         EmulatedEngine engine = Figures.engine("q1");
         try (Relay relay = new Relay(engine.address())) {
@@ -80,7 +80,7 @@
             ways.put("router", router.address());
             ways.put("captured", captured.address());
             for (InetSocketAddress address : ways.values()) {
-                Loads.closed(address, 16, n -> SHORT, roundNs); // warm up
+                Loads.closed(address, 16, n -> SHORT, roundNs); // warm-up
             }
             closed(ways, 1);
             closed(ways, 64);
@@ -154,8 +154,8 @@
     }
 
     /**
-     * The same text each time, which is remembered, against texts that are all new and read each
-     * time.
+     * Compares a statement that is in the router's parse cache with statements that are new and
+     * therefore parsed each time.
      */
     private void reading(InetSocketAddress router) throws IOException, InterruptedException {
         String text =
@@ -195,7 +195,7 @@
                 Figures.most(fresh) - Figures.most(known));
     }
 
-    /** A result of 1 GiB: 1,024 blocks of 1 MiB. */
+    /** Transfers a result of 1 GiB: 1,024 blocks of 1 MiB. */
     private void large(Map<String, InetSocketAddress> ways) throws IOException {
         String statement = "SELECT /* sim work_ms=0.001 rows=1000 width=1035 blocks=1024 */ 1";
         Map<String, double[]> rates = new java.util.LinkedHashMap<>();
@@ -228,7 +228,7 @@
                 peak >> 10);
     }
 
-    /** Memory of idle connections, both their ends in this process. */
+    /** Measures the memory of idle connections, with both ends in this process. */
     private void idle(Router router) throws IOException {
         int n = 2_000;
         System.gc();
@@ -247,7 +247,7 @@
         clients.forEach(NativeClient::close);
     }
 
-    /** 660 queries a second over three routers, and the CPU that a query costs. */
+    /** Sends 660 queries per second through three routers and measures the CPU time per query. */
     private void three() throws IOException, InterruptedException {
         List<EmulatedEngine> engines = new ArrayList<>();
         for (int i = 1; i <= 4; i++) {
--- a/loadtest/src/main/java/ashlink/loadtest/bench/package-info.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/package-info.java
@@ -1,2 +1,2 @@
-/** Measures the router beside a direct connection and a plain relay, in one run. */
+/** Benchmarks of the router, compared with a direct connection and a TCP relay in the same run. */
 package ashlink.loadtest.bench;
--- a/loadtest/src/main/java/ashlink/loadtest/check/InvariantChecker.java
+++ b/loadtest/src/main/java/ashlink/loadtest/check/InvariantChecker.java
@@ -16,24 +16,30 @@
 import java.util.List;
 import java.util.Map;
 
-/** The seven rules of the brief, each by what was seen from outside. */
+/**
+ * Checks the seven invariants of the workload manager against what clients and engines recorded in
+ * a scenario.
+ */
 public final class InvariantChecker {
 
     private static final long MS = 1_000_000L;
 
-    /** Two clocks of one machine, a thread that was late, a look every 10 ms at the stand-in. */
+    /**
+     * Tolerance between the times recorded by clients, routers and engines: threads are scheduled
+     * late, and an emulated engine checks its connections only every 10 ms.
+     */
     private static final long SKEW_NS = 60 * MS;
 
-    /** Time between two sends of a client by which the router took them in that order. */
+    /** Time between two sends of a client after which the router receives them in that order. */
     private static final long PLAIN_ORDER_NS = 100 * MS;
 
-    /** Time before a drain in which the engine was in use by that router. */
+    /** Time before a drain in which a query makes the engine count as used by the router. */
     private static final long IN_USE_NS = 2_000 * MS;
 
     private final ScenarioFacts facts;
     private final Map<String, List<SentQuery>> byTag = new HashMap<>();
 
-    /** A checker of a day. */
+    /** Creates a checker for the records of a scenario. */
     public InvariantChecker(ScenarioFacts facts) {
         this.facts = facts;
         for (SentQuery sentQuery : facts.ledger()) {
@@ -47,7 +53,7 @@
                                                 sentQuery -> sentQuery.beganNs())));
     }
 
-    /** A verdict for each rule, in the order of the brief. */
+    /** Returns a verdict for each invariant, numbered from 1 to 7. */
     public List<Verdict> verdicts() {
         return List.of(
                 oneAnswer(),
@@ -73,10 +79,10 @@
                                                 clientAttempt.reply().endNs()));
     }
 
-    // ---- 1
+    // ---- 1. Single final answer
     /**
-     * At stake where not all went well at once: another attempt, no plain success, or a router
-     * under way to its end.
+     * Counts the cases that were not served by a single attempt. Attempts at a router that crashed
+     * meanwhile are exempt.
      */
     private Verdict oneAnswer() {
         List<String> broken = new ArrayList<>();
@@ -112,10 +118,10 @@
         return new Verdict("1 one final answer in time", stake, broken);
     }
 
-    // ---- 2
+    // ---- 2. No duplicate effects
     /**
-     * At stake where an attempt at an unsafe statement did not end in an answer, or a query had two
-     * attempts.
+     * Counts the attempts of statements that are not safe to repeat and that ended without an
+     * answer, and the further attempts of all queries.
      */
     private Verdict noEffectTwice() {
         List<String> broken = new ArrayList<>();
@@ -165,7 +171,8 @@
         return new Verdict("2 no effect twice", stake, broken);
     }
 
-    // ---- 3
+    // ---- 3. Drain
+    /** Counts the drains of engines that the router used shortly before. */
     private Verdict drainsKept() {
         List<String> broken = new ArrayList<>();
         int stake = 0;
@@ -197,10 +204,11 @@
         return new Verdict("3 drains kept", stake, broken);
     }
 
-    // ---- 4
+    // ---- 4. Slow start
     /**
-     * What all routers together sent in any window stays under the multiple of what the engine
-     * could do then.
+     * The work that all routers together send to a warming engine in any window stays below a
+     * multiple of the engine's capacity at that time. Counts the queries that warming engines
+     * received.
      */
     private Verdict coldEngines() {
         List<String> broken =
@@ -258,8 +266,8 @@
         return new Verdict("4 no cold engine pushed over", stake, broken);
     }
 
-    // ---- 5
-    /** At stake where a client sent a query of a key before another of that key had its answer. */
+    // ---- 5. Key ordering
+    /** Counts the pairs of queries with the same key that were open at the same time. */
     private Verdict order() {
         List<String> broken = new ArrayList<>();
         int stake = 0;
@@ -316,9 +324,10 @@
         }
     }
 
-    // ---- 6
+    // ---- 6. Placement
     /**
-     * At stake in each attempt at a bound class while an engine that it may go to was sick or down.
+     * Counts the attempts of classes with a placement restriction that started while an allowed
+     * engine had a fault or any engine was down.
      */
     private Verdict placement() {
         List<String> broken = new ArrayList<>();
@@ -370,10 +379,10 @@
         return new Verdict("6 placement kept", stake, broken);
     }
 
-    // ---- 7
+    // ---- 7. Retry budget
     /**
-     * In any window further attempts stay within the budget of the router, and those of a query
-     * within their number.
+     * The retries of a router stay within its budget in any window, and the attempts of a query
+     * within their maximum. Counts the retries.
      */
     private Verdict budget() {
         List<String> broken = new ArrayList<>();
--- a/loadtest/src/main/java/ashlink/loadtest/check/Service.java
+++ b/loadtest/src/main/java/ashlink/loadtest/check/Service.java
@@ -13,8 +13,18 @@
 import java.util.TreeMap;
 
 /**
- * Service as the brief counts it: worth answered within the wanted time over worth asked for. A
- * client's retries belong to its first try.
+ * The service level of a scenario: the priority weight earned by served requests divided by the
+ * weight of all requests. A request served after its latency objective earns only the late fraction
+ * of its class. The retries of a client count as one request.
+ *
+ * @param whole service level of the whole scenario
+ * @param worstTenSeconds lowest service level of any window of 10 seconds
+ * @param byClass service level by query class
+ * @param byFront service level by protocol
+ * @param asked number of requests
+ * @param served requests that were served
+ * @param refused requests whose last attempt was rejected
+ * @param failed requests that neither were served nor rejected
  */
 public record Service(
         double whole,
@@ -32,7 +42,7 @@
     private record Earned(
             String queryClass, String front, long atNs, double asked, double earned) {}
 
-    /** The service of a day. */
+    /** Computes the service level of a scenario. */
     public static Service of(ScenarioFacts facts) {
         Map<Long, List<ClientAttempt>> requests = new HashMap<>();
         facts.tries()
--- a/loadtest/src/main/java/ashlink/loadtest/check/Verdict.java
+++ b/loadtest/src/main/java/ashlink/loadtest/check/Verdict.java
@@ -3,14 +3,16 @@
 import java.util.List;
 
 /**
- * What is found of one rule.
+ * The result of checking one invariant.
  *
- * @param atStake cases in which it could have been broken; 0 proves nothing, and fails
- * @param broken what broke it
+ * @param rule name of the invariant
+ * @param atStake number of cases in which the invariant could have been violated; with 0 cases the
+ *     check proves nothing and fails
+ * @param broken descriptions of the violations
  */
 public record Verdict(String rule, int atStake, List<String> broken) {
 
-    /** True if it was at stake and kept. */
+    /** Returns whether the invariant was exercised and not violated. */
     public boolean isKept() {
         return atStake > 0 && broken.isEmpty();
     }
--- a/loadtest/src/main/java/ashlink/loadtest/client/NativeClient.java
+++ b/loadtest/src/main/java/ashlink/loadtest/client/NativeClient.java
@@ -25,7 +25,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** One connection; statements one after the other. */
+/** A connection of the native protocol that runs one statement at a time. */
 public final class NativeClient implements AutoCloseable {
 
     private static final int READ_BYTES = 64 << 10;
@@ -41,17 +41,17 @@
     private int revision;
     private String serverName = "";
 
-    /** Blocks of the last result, where they are kept. */
+    /** Blocks of the last result; null if blocks are not retained. */
     private List<Block> kept;
 
-    /** A client that is not connected; {@code compression} null is none. */
+    /** Creates a client that is not connected; a null {@code compression} disables compression. */
     public NativeClient(Compression compression, int wantedRevision) {
         this.compression = compression;
         this.wanted = wantedRevision;
         this.limits = WireLimits.DEFAULT;
     }
 
-    /** A connected client of the highest revision, without compression. */
+    /** Returns a connected client of the highest revision, without compression. */
     public static NativeClient connect(InetSocketAddress address, String user) throws IOException {
         NativeClient nativeClient = new NativeClient(null, Revision.HIGHEST);
         nativeClient.open(address, user, "", "default", 5_000);
@@ -87,28 +87,28 @@
         }
     }
 
-    /** What the server calls itself. */
+    /** Returns the display name of the server. */
     public String serverName() {
         return serverName;
     }
 
-    /** The raw socket, for tests that misbehave. */
+    /** Returns the socket, for tests that send malformed data. */
     public Socket socket() {
         return socket;
     }
 
-    /** Keeps the blocks of results from now on. */
+    /** Retains the blocks of the following results. */
     public NativeClient keepBlocks() {
         kept = new ArrayList<>();
         return this;
     }
 
-    /** Blocks of the last result. */
+    /** Returns the blocks of the last result. */
     public List<Block> blocks() {
         return kept;
     }
 
-    /** Writes a Query packet and the end of external tables. */
+    /** Writes a Query packet and the block that ends the external tables. */
     public void sendQuery(String id, String statement, Map<String, String> settings)
             throws IOException {
         ByteBuf packet = new ByteBuf();
@@ -131,24 +131,24 @@
         block.write(compression, to);
     }
 
-    /** Writes a block of an insert; {@link Block#END} ends it. */
+    /** Writes a block of an insert; {@link Block#END} ends the insert. */
     public void sendBlock(Block block) throws IOException {
         ByteBuf packet = new ByteBuf();
         data(block, packet);
         packet.writeTo(out);
     }
 
-    /** Writes a packet that has only its kind. */
+    /** Writes a packet without a body. */
     public void sendBare(ClientPacket kind) throws IOException {
         new ByteBuf().putVarUInt(kind.ordinal()).writeTo(out);
     }
 
-    /** Runs a statement and waits for its end, at most for that time. */
+    /** Runs a statement and waits for its end, at most for the timeout. */
     public Reply query(String id, String statement, Map<String, String> settings, long timeoutNs) {
         return insert(id, statement, settings, List.of(), timeoutNs);
     }
 
-    /** Runs a statement; where the server asks for data it gets those blocks and the end. */
+    /** Runs a statement and sends the blocks when the server requests data. */
     public Reply insert(
             String id,
             String statement,
@@ -184,7 +184,7 @@
         return new Reply(kind, 0, String.valueOf(e.getMessage()), rows, bytes, System.nanoTime());
     }
 
-    /** Waits for the end of the statement that was sent. */
+    /** Waits for the end of the statement that was sent last. */
     public Reply await(List<Block> insert, long until) {
         long rows = 0;
         long from = in.consumed();
@@ -251,12 +251,12 @@
         return new BlockReader.Size(block.rows(), block.columns().size());
     }
 
-    /** True if the server has sent something that belongs to no statement. */
+    /** Returns whether the server has sent data after the end of the last statement. */
     public boolean hasStray() throws IOException {
         return in.hasBuffered() || socket.getInputStream().available() > 0;
     }
 
-    /** True if the server has closed the connection, or sent what nobody asked for. */
+    /** Returns whether the server has closed the connection or sent unexpected data. */
     public boolean isClosedByPeer() {
         try {
             socket.setSoTimeout(1);
@@ -274,7 +274,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // it is gone either way
+            // The connection is unusable in either case.
         }
     }
 }
--- a/loadtest/src/main/java/ashlink/loadtest/client/Reply.java
+++ b/loadtest/src/main/java/ashlink/loadtest/client/Reply.java
@@ -1,23 +1,32 @@
 package ashlink.loadtest.client;
 
 /**
- * How a statement ended, as its client saw it.
+ * The end of a statement as seen by its client.
  *
- * @param code of the exception, 0 where there was none
- * @param rows in blocks of the result
+ * @param kind kind of the end
+ * @param code error code of the exception, 0 if there was none
+ * @param message text of the exception or of the I/O error
+ * @param rows number of rows in the blocks of the result
+ * @param bytes bytes received
+ * @param endNs time of the end, from {@link System#nanoTime}
  */
 public record Reply(Kind kind, int code, String message, long rows, long bytes, long endNs) {
 
-    /** Kinds of end. */
+    /** Kinds of the end of a statement. */
     public enum Kind {
+        /** The result was received completely. */
         SERVED,
+        /** The server reported an error. */
         EXCEPTION,
+        /** The connection failed or was closed. */
         LOST,
+        /** The timeout of the client expired. */
         TIMED_OUT,
+        /** The bytes received do not follow the protocol. */
         GARBLED
     }
 
-    /** True for a final answer: the client knows where it stands. */
+    /** Returns whether the server sent a final answer: a complete result or an error. */
     public boolean isFinal() {
         return kind == Kind.SERVED || kind == Kind.EXCEPTION;
     }
--- a/loadtest/src/main/java/ashlink/loadtest/client/package-info.java
+++ b/loadtest/src/main/java/ashlink/loadtest/client/package-info.java
@@ -1,2 +1,2 @@
-/** A client of the native protocol for the rig: keeps its own deadline, and notes what it saw. */
+/** A client of the native protocol that enforces its own deadlines and records the replies. */
 package ashlink.loadtest.client;
--- a/loadtest/src/main/java/ashlink/loadtest/load/ClientAttempt.java
+++ b/loadtest/src/main/java/ashlink/loadtest/load/ClientAttempt.java
@@ -3,13 +3,24 @@
 import ashlink.loadtest.client.Reply;
 
 /**
- * One try of a client, as it noted it. Times are of {@link System#nanoTime}.
+ * An attempt of a client to run a request, as recorded by the client. Times are from {@link
+ * System#nanoTime}.
  *
- * @param tag of the statement, by which engines' ledgers name it
- * @param number of the try, 0 for the first
- * @param sent true once the whole statement was written
- * @param front by which it came: native or http
- * @param stray true if the router sent more after its final answer
+ * @param request number of the request
+ * @param tag tag of the statement, which the ledgers of the engines record
+ * @param number index of the attempt, 0 for the first
+ * @param queryClass name of the class in the load
+ * @param key ordering key, null if the request has none
+ * @param router router that the attempt was sent to
+ * @param workMs work of the query, summed over its threads
+ * @param threads threads of the query
+ * @param firstNs start of the first attempt of the request
+ * @param sentNs start of this attempt
+ * @param deadlineNs time at which the client gives up
+ * @param sent whether the whole statement was written, so that the router may have received it
+ * @param reply end of the attempt
+ * @param stray whether the router sent data after its final answer
+ * @param front protocol: native or http
  */
 public record ClientAttempt(
         long request,
@@ -28,7 +39,7 @@
         boolean stray,
         String front) {
 
-    /** True for an answer that says that trying again is harmless. */
+    /** Returns whether the router rejected the statement and reported that a retry is safe. */
     public boolean isRefused() {
         return reply.kind() == Reply.Kind.EXCEPTION && reply.code() == 202;
     }
--- a/loadtest/src/main/java/ashlink/loadtest/load/HttpLoad.java
+++ b/loadtest/src/main/java/ashlink/loadtest/load/HttpLoad.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Function;
 
-/** Queries of a load that come over HTTP, noted as those of the native protocol are. */
+/** Sends queries over the HTTP statement API and maps the results to native replies. */
 final class HttpLoad {
 
     private static final JsonNode ROWS =
@@ -25,7 +25,7 @@
     private static final int REFUSED = 202;
     private static final int FAILED = 210;
 
-    /** What a client saw; {@code sent} false where nothing can have reached the router. */
+    /** The end of an attempt; {@code sent} is false if nothing can have reached the router. */
     record Seen(Reply reply, boolean sent) {}
 
     private final Function<String, InetSocketAddress> addresses;
--- a/loadtest/src/main/java/ashlink/loadtest/load/LoadConditions.java
+++ b/loadtest/src/main/java/ashlink/loadtest/load/LoadConditions.java
@@ -1,6 +1,9 @@
 package ashlink.loadtest.load;
 
-/** What is unusual about a load at the moment; set by the script, read as each query is drawn. */
+/**
+ * Current deviations from the usual load. Fault injection sets them; the load generator reads them
+ * for each query.
+ */
 public final class LoadConditions {
 
     private volatile double rate = 1;
@@ -10,23 +13,23 @@
     private volatile String hotRouter = "";
     private volatile double hotRouterShare;
 
-    /** So many times the usual rate. */
+    /** Multiplies the arrival rate by the factor. */
     public void rate(double factor) {
         rate = factor;
     }
 
-    /** Queries of that class cost so many times the usual. */
+    /** Multiplies the work of the queries of a class by the factor. */
     public void heavy(String queryClass, double factor) {
         heavyFactor = factor;
         heavyClass = queryClass;
     }
 
-    /** That share of all queries goes to one group of tables. */
+    /** Sends the given fraction of all queries to one table group. */
     public void hotGroup(double share) {
         hotGroupShare = share;
     }
 
-    /** That share of all queries comes to that router. */
+    /** Sends the given fraction of all queries without a key to one router. */
     public void hotRouter(String router, double share) {
         hotRouter = router;
         hotRouterShare = share;
--- a/loadtest/src/main/java/ashlink/loadtest/load/LoadRun.java
+++ b/loadtest/src/main/java/ashlink/loadtest/load/LoadRun.java
@@ -23,8 +23,9 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * An open load: queries arrive by chance at the given rate whatever becomes of earlier ones, and
- * their clients retry as the script says. All that is drawn is drawn ahead from the seed.
+ * Generates open-loop load: queries arrive in a Poisson process at the configured rate,
+ * independently of the completion of earlier queries, and their clients retry as the scenario says.
+ * All random values of a query are drawn from the seed before the query is sent.
  */
 public final class LoadRun {
 
@@ -56,7 +57,7 @@
     private final Map<String, ArrayDeque<NativeClient>> idle = new ConcurrentHashMap<>();
     private final ExecutorService clients;
 
-    /** A load on the routers of a day, under conditions that change meanwhile. */
+    /** Creates a load on the routers of a scenario; the conditions may change during the run. */
     public LoadRun(
             ScenarioConfig day,
             Function<String, InetSocketAddress> addresses,
@@ -76,7 +77,7 @@
                         });
     }
 
-    /** Runs until the day is over and every client has its end; returns what they noted. */
+    /** Runs until the scenario is over and all clients have finished; returns their attempts. */
     public List<ClientAttempt> run() throws InterruptedException {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(day.seed());
         ZigguratSampler.NormalizedGaussian gauss = ZigguratSampler.NormalizedGaussian.of(random);
@@ -130,7 +131,7 @@
                         / (double) MS
                         * Math.exp(cls.spread() * gauss.sample() - cls.spread() * cls.spread() / 2);
         int key = cls.keys() > 0 ? random.nextInt(cls.keys()) : -1;
-        // Those of one key come to one gateway; the others are spread by a plain front layer.
+        // Queries with the same key use the same router; the others are spread at random.
         int router = key >= 0 ? key % routers.size() : random.nextInt(routers.size());
         int hot = routers.indexOf(conditions.hotRouter());
         boolean toHotRouter = random.nextDouble() < conditions.hotRouterShare();
@@ -275,7 +276,7 @@
                 "native");
     }
 
-    /** An idle connection that is still good, else a new one. */
+    /** Returns an idle connection that is still open, or a new one. */
     private NativeClient take(String router, String user) throws IOException {
         while (true) {
             NativeClient nativeClient;
--- a/loadtest/src/main/java/ashlink/loadtest/load/package-info.java
+++ b/loadtest/src/main/java/ashlink/loadtest/load/package-info.java
@@ -1,2 +1,2 @@
-/** Load as the brief tells of it: clients with deadlines and retries, and what they saw. */
+/** Open-loop load from clients with timeouts and retries, and the records of their attempts. */
 package ashlink.loadtest.load;
--- a/loadtest/src/main/java/ashlink/loadtest/package-info.java
+++ b/loadtest/src/main/java/ashlink/loadtest/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The rig: fleets in one process, load, scripted days, the checker of the rules, baselines and
- * benchmarks.
+ * Load test harness: runs routers and emulated engines in one process, generates load, injects
+ * faults, checks the invariants of the workload manager, and measures the router in benchmarks.
  */
 package ashlink.loadtest;
--- a/loadtest/src/main/java/ashlink/loadtest/scenario/FaultCatalog.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/FaultCatalog.java
@@ -6,10 +6,10 @@
 import ashlink.loadtest.fixture.TestSettings;
 import java.util.List;
 
-/** Days of one kind of trouble each, as the operators' pages name them, scaled to one machine. */
+/** Scenarios with one kind of fault each, scaled to one machine. */
 public final class FaultCatalog {
 
-    /** Their names. */
+    /** Names of the scenarios, which are also the names of their resource files. */
     public static final List<String> NAMES =
             List.of(
                     "crash",
@@ -34,7 +34,7 @@
 
     private FaultCatalog() {}
 
-    /** The day of that name; {@code more} is further settings of its routers. */
+    /** Returns the scenario of a name; {@code more} is appended to the settings of its routers. */
     public static ScenarioConfig day(String name, String more) throws ConfigException {
         String text =
                 TestSettings.resource("troubles/base.sexp")
--- a/loadtest/src/main/java/ashlink/loadtest/scenario/ScenarioFacts.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/ScenarioFacts.java
@@ -6,10 +6,19 @@
 import java.util.List;
 
 /**
- * What was seen of a day from outside: by clients, by engines, and by the script itself. Nothing
- * here is a router's word. Times are of {@link System#nanoTime}.
+ * The records of a scenario made by the clients, the engines and the fault injection. Nothing in
+ * the records comes from a router. Times are from {@link System#nanoTime}.
  *
- * @param settings of one of the routers: the classes and figures that the rules go by
+ * @param day scenario that was run
+ * @param settings settings of one of the routers, with the classes and limits to check against
+ * @param fromNs start of the load
+ * @param tries attempts of the clients
+ * @param ledger queries that the engines received
+ * @param drains drains that the routers were notified of
+ * @param routerKills times during which a router was down
+ * @param engineDowns times during which an engine was down
+ * @param sick times during which an engine had a fault
+ * @param fallen engines that crashed by overload during slow start
  */
 public record ScenarioFacts(
         ScenarioConfig day,
@@ -23,13 +32,13 @@
         List<Span> sick,
         List<String> fallen) {
 
-    /** A drain as one router was told of it. */
+    /** A drain of an engine, as announced to one router. */
     public record Drain(String router, String engine, long toldNs, long untilNs) {}
 
-    /** Something that held for a time. */
+    /** A time during which a router or an engine was affected. */
     public record Span(String name, long fromNs, long untilNs) {
 
-        /** True if it overlaps with that time. */
+        /** Returns whether this time overlaps with the given one. */
         public boolean touches(long from, long until) {
             return fromNs <= until && untilNs >= from;
         }
--- a/loadtest/src/main/java/ashlink/loadtest/scenario/ScenarioRunner.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/ScenarioRunner.java
@@ -31,8 +31,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Plays a day: engines and routers in this process, on loopback; each router is killed and started
- * like a process.
+ * Runs a scenario with engines and routers in this process, on loopback. A router is stopped
+ * without a shutdown and started again to emulate the crash of its process.
  */
 public final class ScenarioRunner {
 
@@ -61,13 +61,13 @@
     private volatile long listLagNs;
     private final LoadConditions conditions = new LoadConditions();
 
-    /** A day whose routers decide by that module. */
+    /** Creates a runner whose routers use workload managers of the given factory. */
     public ScenarioRunner(ScenarioConfig day, Function<Settings, WorkloadManager> module) {
         this.day = day;
         this.module = module;
     }
 
-    /** Plays it to its end. */
+    /** Runs the scenario to its end and returns the records. */
     public ScenarioFacts run() throws IOException, InterruptedException {
         for (EngineConfig engineConfig : day.engines().values()) {
             EmulatedEngine emulatedEngine = new EmulatedEngine(engineConfig);
@@ -149,7 +149,7 @@
         }
     }
 
-    // ---- Troubles
+    // ---- Fault injection
     private void schedule(Fault fault) {
         at(fault.startNs(), () -> begin(fault));
         at(fault.startNs() + fault.durationNs(), () -> end(fault));
--- a/loadtest/src/main/java/ashlink/loadtest/scenario/SentQuery.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/SentQuery.java
@@ -3,12 +3,16 @@
 import ashlink.emulator.Ledger;
 
 /**
- * A statement as an engine noted it. Times are of {@link System#nanoTime}.
+ * A statement as recorded by an engine. Times are from {@link System#nanoTime}.
  *
- * @param router that sent it
- * @param tag that its client gave it
- * @param ranNs when the engine had all it needs to run it, 0 if it never had
- * @param outUntilNs when it was over, or its router through with it, as the engine saw it
+ * @param router router that sent the statement
+ * @param tag tag that the client gave to the statement
+ * @param beganNs time at which the engine received the statement
+ * @param ranNs time at which the engine had received everything required to execute the statement,
+ *     0 if it never had
+ * @param outUntilNs time at which the statement ended or the router stopped waiting for it, as the
+ *     engine observed it; {@link Long#MAX_VALUE} if neither happened
+ * @param how how the statement ended at the engine
  */
 public record SentQuery(
         String engine,
@@ -24,7 +28,7 @@
 
     private static final String ROUTER_PREFIX = "ashlink ";
 
-    /** An entry of a ledger. */
+    /** Creates the record of a ledger entry. */
     public static SentQuery of(Ledger.Entry entry) {
         long until = entry.endedNs() > 0 ? entry.endedNs() : Long.MAX_VALUE;
         until = entry.releasedNs() > 0 ? Math.min(until, entry.releasedNs()) : until;
--- a/loadtest/src/main/java/ashlink/loadtest/scenario/package-info.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Scripted days: a fleet under load while things go wrong, and what was seen of it from outside.
- */
+/** Scenarios: a fleet under load with injected faults, and the records of clients and engines. */
 package ashlink.loadtest.scenario;
--- a/loadtest/src/main/resources/ashlink/loadtest/bad-day-quick.sexp
+++ b/loadtest/src/main/resources/ashlink/loadtest/bad-day-quick.sexp
@@ -1,4 +1,4 @@
-; The bad day in 15 s, for tests: the same troubles closer together, and smaller reports and loads.
+; The default scenario in 15 s, for tests: the same faults in quicker succession, and less work per report and insert.
 (day (name bad-day-quick) (duration 15s) (seed 1) (rate 120/s)
   (router r1 (zone halle-1)) (router r2 (zone halle-2)) (router r3 (zone halle-3))
 
--- a/loadtest/src/main/resources/ashlink/loadtest/bad-day.sexp
+++ b/loadtest/src/main/resources/ashlink/loadtest/bad-day.sexp
@@ -1,6 +1,6 @@
-; The shipped bad day: three routers, eight engines and three halls under the brief's mix, with troubles that overlap.
-; Scaled to one machine: 80 queries a second (the brief has about 100) and work at the lower end of its ranges; the
-; engines are models, so their cores cost this machine nothing.
+; The default scenario: three routers and eight engines in three zones under a mixed load, with overlapping faults.
+; Scaled to one machine: 80 queries per second (the target fleet has about 100) and query work at the lower end of
+; its ranges. The engines are emulated, so their cores use no CPU of this machine.
 (day (name bad-day) (duration 60s) (seed 1) (rate 80/s)
   (router r1 (zone halle-1)) (router r2 (zone halle-2)) (router r3 (zone halle-3))
 
--- a/loadtest/src/main/resources/ashlink/loadtest/brief.sexp
+++ b/loadtest/src/main/resources/ashlink/loadtest/brief.sexp
@@ -1,4 +1,5 @@
-; The three halls of the brief: what all routers of a rig share. Name, place, addresses and engines are added to it.
+; Settings that all routers of a test fleet share: three zones, kinds, classes, rules and users. The name, zone,
+; addresses and engines of a router are added to them.
   (zones halle-1 halle-2 halle-3)
   (kind typ-a (cores 8) (memory 16GiB))
   (kind typ-b (cores 8) (memory 16GiB))
--- a/loadtest/src/main/resources/ashlink/loadtest/troubles/base.sexp
+++ b/loadtest/src/main/resources/ashlink/loadtest/troubles/base.sexp
@@ -1,4 +1,5 @@
-; What days of one kind of trouble share: the fleet and the load of the bad day, 20 s, 70 queries a second.
+; Template of the scenarios with one kind of fault: the fleet and load of the default scenario for 20 s, 70 queries
+; per second. The scenario's name and faults are inserted by FaultCatalog.
 (day (name NAME) (duration 20s) (seed 1) (rate 70/s)
   (router r1 (zone halle-1)) (router r2 (zone halle-2)) (router r3 (zone halle-3))
 
