--- a/loadtest/src/main/java/ashlink/loadtest/bench/BackgroundBench.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/BackgroundBench.java
@@ -63,7 +63,7 @@
         }
         out.printf(
                 "short queries, %d connections, %d rounds of %.1f s each way: 99%% %.0f us without"
-                    + " background work, %.0f us with its budgets spent; ratio %.2f [%.2f..%.2f],"
+                    + " background tasks, %.0f us with a spent CPU budget; ratio %.2f [%.2f..%.2f],"
                     + " throughput %.2f [%.2f..%.2f]%n",
                 CONNECTIONS,
                 ROUNDS,
--- a/loadtest/src/main/java/ashlink/loadtest/bench/HttpBench.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/HttpBench.java
@@ -150,7 +150,7 @@
                                         }
                                     }
                                 } catch (IOException e) {
-                                    out.println("  a connection broke: " + e);
+                                    out.println("  connection failed: " + e);
                                 } finally {
                                     done.countDown();
                                 }
@@ -179,7 +179,7 @@
         StringBuilder text = new StringBuilder();
         for (int c = in.read(); c != '\n'; c = in.read()) {
             if (c < 0) {
-                throw new IOException("the connection ended");
+                throw new IOException("connection closed within an HTTP response");
             }
             if (c != '\r') {
                 text.append((char) c);
@@ -217,8 +217,9 @@
                                 BodyHandlers.ofByteArray());
                 if (httpResponse.statusCode() != 200) {
                     throw new IOException(
-                            httpResponse.statusCode()
-                                    + " "
+                            "unexpected HTTP status "
+                                    + httpResponse.statusCode()
+                                    + ": "
                                     + new String(httpResponse.body(), StandardCharsets.UTF_8));
                 }
                 bytes += httpResponse.body().length;
@@ -235,8 +236,8 @@
             pages[i] = bytes / (double) (1 << 20) / ((System.nanoTime() - from) / 1e9);
         }
         out.printf(
-                "result of 1 GiB: native %.0f MiB/s, %d pages of CSV %.0f MiB/s, %.2f of it; %d MiB"
-                        + " on the spool at most%n",
+                "result of 1 GiB: native %.0f MiB/s, %d pages of CSV %.0f MiB/s, ratio %.2f; at"
+                        + " most %d MiB in the spool%n",
                 Figures.median(natives),
                 count,
                 Figures.median(pages),
@@ -258,7 +259,7 @@
         }
         System.gc();
         out.printf(
-                "%d statements that wait: heap %.1f KiB each%n",
+                "%d waiting statements: heap %.1f KiB each%n",
                 router.http().openStatements(), (Figures.used() - heap) / 1024.0 / WAITING);
     }
 
@@ -311,7 +312,7 @@
         }
         out.printf(
                 "%d long polls of one statement: %d more threads, %.1f%% of a core while they wait"
-                    + " (with %d statements under way); %d answered %.0f ms after its end, for %.0f"
+                    + " (with %d running statements); %d answered %.0f ms after its end, with %.0f"
                     + " ms of CPU%n",
                 POLLS,
                 more,
--- a/loadtest/src/main/java/ashlink/loadtest/bench/RouterBench.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/RouterBench.java
@@ -113,7 +113,7 @@
                         seen.times().getValueAtPercentile(50) / 1e3;
                 if (seen.failed() > 0) {
                     out.printf(
-                            "  %s: %d failed, such as: %s%n",
+                            "  %s: %d failed, for example: %s%n",
                             entry.getKey(), seen.failed(), seen.failure());
                 }
             }
@@ -186,8 +186,8 @@
                             / 1e3;
         }
         out.printf(
-                "statement of 200 characters, 1 connection: median %.1f us where its reading is"
-                    + " remembered, %.1f us where it is read anew: %.1f us added [%.1f..%.1f]%n",
+                "statement of 200 characters, 1 connection: median %.1f us with a cached parse"
+                        + " result, %.1f us without: %.1f us added [%.1f..%.1f]%n",
                 Figures.median(known),
                 Figures.median(fresh),
                 Figures.median(fresh) - Figures.median(known),
@@ -209,7 +209,7 @@
                     long from = System.nanoTime();
                     Reply reply = nativeClient.query("", statement, Map.of(), 60 * S);
                     if (reply.kind() != Reply.Kind.SERVED) {
-                        throw new IOException(entry.getKey() + ": " + reply);
+                        throw new IOException("query over " + entry.getKey() + " failed: " + reply);
                     }
                     rates.computeIfAbsent(entry.getKey(), text -> new double[3])[round] =
                             reply.bytes() / (double) (1 << 20) / ((reply.endNs() - from) / 1e9);
@@ -220,7 +220,7 @@
         }
         out.printf(
                 "result of 1 GiB: direct %.0f, relay %.0f, router %.0f MiB/s; router over relay"
-                        + " %.2f; memory left over after it %d KiB at most%n",
+                        + " %.2f; at most %d KiB of heap retained afterwards%n",
                 Figures.median(rates.get("direct")),
                 Figures.median(rates.get("relay")),
                 Figures.median(rates.get("router")),
@@ -265,8 +265,8 @@
         double each = (Figures.cpuNs() - cpu) / 1e3 / seen.times().getTotalCount();
         out.printf(
                 "open load of 660/s over three routers: %.0f/s served, %d failed, median %.0f us,"
-                        + " 99%% %.0f us; CPU a query %.0f us for clients, routers and engines"
-                        + " together, of which the module's decisions %.0f us%n",
+                        + " 99%% %.0f us; CPU per query %.0f us for clients, routers and engines"
+                        + " together, of which workload manager %.0f us%n",
                 seen.perSecond(),
                 seen.failed(),
                 seen.times().getValueAtPercentile(50) / 1e3,
--- a/loadtest/src/main/java/ashlink/loadtest/check/InvariantChecker.java
+++ b/loadtest/src/main/java/ashlink/loadtest/check/InvariantChecker.java
@@ -100,7 +100,7 @@
                         clientAttempt.tag()
                                 + " "
                                 + clientAttempt.queryClass()
-                                + " at "
+                                + " on "
                                 + clientAttempt.router()
                                 + ": "
                                 + clientAttempt.reply().kind()
@@ -112,10 +112,10 @@
                                 + (clientAttempt.deadlineNs() - clientAttempt.sentNs()) / MS
                                 + " ms");
             } else if (clientAttempt.stray()) {
-                broken.add(clientAttempt.tag() + ": something followed its final answer");
+                broken.add(clientAttempt.tag() + ": data received after the final answer");
             }
         }
-        return new Verdict("1 one final answer in time", stake, broken);
+        return new Verdict("1 single final answer", stake, broken);
     }
 
     // ---- 2. No duplicate effects
@@ -148,12 +148,14 @@
                             clientAttempt.tag()
                                     + " "
                                     + clientAttempt.queryClass()
-                                    + " ran "
+                                    + " was executed "
                                     + ran.get(clientAttempt.request())
                                     + " times");
                 }
                 if (clientAttempt.isRefused() && runs > 0) {
-                    broken.add(clientAttempt.tag() + " was refused as harmless, and ran");
+                    broken.add(
+                            clientAttempt.tag()
+                                    + " was rejected as safe to retry but had been executed");
                 }
             }
             for (int i = 1; i < entries.size(); i++) {
@@ -161,14 +163,14 @@
                 if (entries.get(i).beganNs() + SKEW_NS < entries.get(i - 1).outUntilNs()) {
                     broken.add(
                             clientAttempt.tag()
-                                    + " had an attempt at "
+                                    + " had an attempt on "
                                     + entries.get(i).engine()
-                                    + " while one was out at "
+                                    + " while another attempt was open on "
                                     + entries.get(i - 1).engine());
                 }
             }
         }
-        return new Verdict("2 no effect twice", stake, broken);
+        return new Verdict("2 no duplicate effects", stake, broken);
     }
 
     // ---- 3. Drain
@@ -189,19 +191,19 @@
                             && sentQuery.beganNs() < drain.untilNs()) {
                         broken.add(
                                 sentQuery.tag()
-                                        + " began at "
+                                        + " started on "
                                         + sentQuery.engine()
                                         + " "
                                         + (sentQuery.beganNs() - drain.toldNs()) / MS
                                         + " ms after "
                                         + drain.router()
-                                        + " was told of its drain");
+                                        + " was notified of the drain");
                     }
                 }
             }
             stake += used ? 1 : 0;
         }
-        return new Verdict("3 drains kept", stake, broken);
+        return new Verdict("3 drain", stake, broken);
     }
 
     // ---- 4. Slow start
@@ -212,7 +214,10 @@
      */
     private Verdict coldEngines() {
         List<String> broken =
-                new ArrayList<>(facts.fallen().stream().map(text -> text + " fell over").toList());
+                new ArrayList<>(
+                        facts.fallen().stream()
+                                .map(text -> text + " crashed by overload during slow start")
+                                .toList());
         int stake = 0;
         var limits = facts.settings().policyLimits();
         for (Span down : facts.engineDowns()) {
@@ -256,14 +261,15 @@
                             last.tag()
                                     + ": "
                                     + Math.round(work)
-                                    + " ms of work in a window at "
+                                    + " ms of work sent in one window to "
                                     + down.name()
-                                    + ", which can do "
-                                    + Math.round(can * windowMs));
+                                    + ", whose capacity was "
+                                    + Math.round(can * windowMs)
+                                    + " ms");
                 }
             }
         }
-        return new Verdict("4 no cold engine pushed over", stake, broken);
+        return new Verdict("4 slow start", stake, broken);
     }
 
     // ---- 5. Key ordering
@@ -295,7 +301,7 @@
                 }
             }
         }
-        return new Verdict("5 order kept", stake, broken);
+        return new Verdict("5 key ordering", stake, broken);
     }
 
     private void compare(ClientAttempt first, ClientAttempt second, List<String> broken) {
@@ -310,14 +316,14 @@
                                     + second.tag()
                                     + " of key "
                                     + first.key()
-                                    + " were out together");
+                                    + " were open at the same time");
                 } else if (b.beganNs() < a.beganNs()
                         && second.sentNs() - first.sentNs() > PLAIN_ORDER_NS) {
                     broken.add(
                             second.tag()
                                     + " of key "
                                     + first.key()
-                                    + " went before "
+                                    + " started before "
                                     + first.tag());
                 }
             }
@@ -369,14 +375,14 @@
                             clientAttempt.tag()
                                     + " "
                                     + clientAttempt.queryClass()
-                                    + " went to "
+                                    + " was sent to "
                                     + sentQuery.engine()
                                     + " of kind "
                                     + sentQuery.kind());
                 }
             }
         }
-        return new Verdict("6 placement kept", stake, broken);
+        return new Verdict("6 placement", stake, broken);
     }
 
     // ---- 7. Retry budget
@@ -424,13 +430,13 @@
                                         router
                                                 + " made "
                                                 + used
-                                                + " further attempts in a window with "
+                                                + " retries in a window with "
                                                 + had
                                                 + " requests");
                             }
                         }
                     });
         }
-        return new Verdict("7 attempts within budget", stake, broken);
+        return new Verdict("7 retry budget", stake, broken);
     }
 }
--- a/loadtest/src/main/java/ashlink/loadtest/client/NativeClient.java
+++ b/loadtest/src/main/java/ashlink/loadtest/client/NativeClient.java
@@ -76,7 +76,10 @@
             if (kind == ServerPacket.EXCEPTION) {
                 ServerError serverError = ServerError.read(in, limits);
                 throw new IOException(
-                        "login refused: code " + serverError.code() + " " + serverError.message());
+                        "login rejected: error code "
+                                + serverError.code()
+                                + ": "
+                                + serverError.message());
             }
             Hello.Server server = Hello.Server.read(in, limits);
             serverName = server.displayName();
@@ -168,7 +171,7 @@
     private static int leftMs(long until) throws SocketTimeoutException {
         long left = (until - System.nanoTime()) / MS;
         if (left <= 0) {
-            throw new SocketTimeoutException("the client's time is up");
+            throw new SocketTimeoutException("client timeout expired");
         }
         return (int) Math.min(Integer.MAX_VALUE, left);
     }
--- a/loadtest/src/main/java/ashlink/loadtest/load/HttpLoad.java
+++ b/loadtest/src/main/java/ashlink/loadtest/load/HttpLoad.java
@@ -73,7 +73,14 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return new Seen(
-                    new Reply(Reply.Kind.LOST, 0, "interrupted", 0, 0, System.nanoTime()), true);
+                    new Reply(
+                            Reply.Kind.LOST,
+                            0,
+                            "interrupted while waiting for the response",
+                            0,
+                            0,
+                            System.nanoTime()),
+                    true);
         }
     }
 
--- a/loadtest/src/main/java/ashlink/loadtest/scenario/ScenarioRunner.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/ScenarioRunner.java
@@ -171,7 +171,7 @@
                     try {
                         step.run();
                     } catch (Exception e) {
-                        LOG.error("the script's step at {} ms failed", ns / 1_000_000, e);
+                        LOG.error("scenario action failed offsetMs={}", ns / 1_000_000, e);
                     }
                 },
                 ns,
@@ -181,7 +181,7 @@
     private synchronized void begin(Fault fault) throws InterruptedException {
         long now = System.nanoTime();
         EmulatedEngine e = engines.get(fault.target());
-        LOG.info("trouble begins: {} {}", fault.kind(), fault.target());
+        LOG.info("fault started kind={} target={}", fault.kind(), fault.target());
         switch (fault.kind()) {
             case HANG -> e.hang(true);
             case SLOW -> e.speed(fault.factor());
@@ -228,7 +228,7 @@
 
     private synchronized void end(Fault fault) throws IOException {
         EmulatedEngine e = engines.get(fault.target());
-        LOG.info("trouble ends: {} {}", fault.kind(), fault.target());
+        LOG.info("fault ended kind={} target={}", fault.kind(), fault.target());
         switch (fault.kind()) {
             case HANG -> e.hang(false);
             case SLOW, DEGRADATION -> e.speed(1);
