--- a/loadtest/src/main/java/ashlink/loadtest/baseline/Baseline.java
+++ b/loadtest/src/main/java/ashlink/loadtest/baseline/Baseline.java
@@ -42,33 +42,33 @@
         LEAST_OUTSTANDING
     }
 
-    private static final long MS = 1_000_000L;
-    private static final long TICK_NS = 50 * MS;
-    private static final long ANSWER_NS = 60 * MS;
-    private static final long CUT_NS = 10 * MS;
-    private static final int MOST_A_CORE = 2;
+    private static final long NS_PER_MS = 1_000_000L;
+    private static final long TIMER_INTERVAL_NS = 50 * NS_PER_MS;
+    private static final long RESPONSE_MARGIN_NS = 60 * NS_PER_MS;
+    private static final long ATTEMPT_MARGIN_NS = 10 * NS_PER_MS;
+    private static final int MAX_THREADS_PER_CORE = 2;
 
     private static final class Query {
-        QuerySubmitted request;
-        QueryClass cls;
+        QuerySubmitted submission;
+        QueryClass queryClass;
         int attempts;
         boolean mayHaveRun;
-        boolean over;
-        String out;
+        boolean completed;
+        String engine;
     }
 
     private final Policy policy;
     private final Settings settings;
     private final Map<String, QueryClass> classes = new HashMap<>();
     private final Map<String, Endpoint> engines = new LinkedHashMap<>();
-    private final Map<String, Integer> running = new HashMap<>();
+    private final Map<String, Integer> runningThreads = new HashMap<>();
     private final Map<Long, Query> queries = new LinkedHashMap<>();
-    private final ArrayDeque<Query> held = new ArrayDeque<>();
-    private final Map<String, ArrayDeque<Query>> lines = new HashMap<>();
-    private List<Action> out = new ArrayList<>();
-    private int turn;
-    private boolean ticking;
-    private long now;
+    private final ArrayDeque<Query> queuedQueries = new ArrayDeque<>();
+    private final Map<String, ArrayDeque<Query>> queriesByKey = new HashMap<>();
+    private List<Action> actions = new ArrayList<>();
+    private int nextEngineIndex;
+    private boolean timerSet;
+    private long currentTimeNs;
 
     /** Creates the workload manager of one router. */
     public Baseline(Policy policy, Settings settings) {
@@ -79,69 +79,80 @@
 
     @Override
     public List<Action> onEvent(Event event, long nowNs) {
-        out = new ArrayList<>();
-        now = nowNs;
-        if (!ticking) {
-            ticking = true;
-            out.add(new SetTimer(1, now + TICK_NS));
+        actions = new ArrayList<>();
+        currentTimeNs = nowNs;
+        if (!timerSet) {
+            timerSet = true;
+            actions.add(new SetTimer(1, currentTimeNs + TIMER_INTERVAL_NS));
         }
         if (event instanceof QuerySubmitted querySubmitted) {
-            take(querySubmitted);
+            enqueue(querySubmitted);
         } else if (event instanceof AttemptEnded attemptEnded) {
-            ended(attemptEnded);
+            handleAttemptEnded(attemptEnded);
         } else if (event instanceof ClientDisconnected clientDisconnected
                 && queries.containsKey(clientDisconnected.id())) {
-            over(queries.get(clientDisconnected.id()));
+            complete(queries.get(clientDisconnected.id()));
         } else if (event instanceof EndpointsChanged endpointsChanged) {
-            list(endpointsChanged);
+            updateEndpoints(endpointsChanged);
         } else if (event instanceof TimerFired) {
-            out.add(new SetTimer(1, now + TICK_NS));
-            for (Query query : List.copyOf(held)) {
-                if (now + ANSWER_NS >= query.request.deadlineNs()) {
-                    answer(query);
+            actions.add(new SetTimer(1, currentTimeNs + TIMER_INTERVAL_NS));
+            for (Query query : List.copyOf(queuedQueries)) {
+                if (currentTimeNs + RESPONSE_MARGIN_NS >= query.submission.deadlineNs()) {
+                    completeWithoutResult(query);
                 }
             }
         }
-        release();
-        return out;
+        startQueuedQueries();
+        return actions;
     }
 
-    private void take(QuerySubmitted querySubmitted) {
+    private void enqueue(QuerySubmitted querySubmitted) {
         Query query = new Query();
-        query.request = querySubmitted;
-        query.cls = classes.get(querySubmitted.queryClass());
-        if (query.cls == null) {
-            out.add(new Reject(querySubmitted.id(), 0));
+        query.submission = querySubmitted;
+        query.queryClass = classes.get(querySubmitted.queryClass());
+        if (query.queryClass == null) {
+            actions.add(new Reject(querySubmitted.id(), 0));
             return;
         }
         queries.put(querySubmitted.id(), query);
-        held.add(query);
-        if (query.cls.ordered() && querySubmitted.key() != null) {
-            lines.computeIfAbsent(querySubmitted.key(), text -> new ArrayDeque<>()).add(query);
+        queuedQueries.add(query);
+        if (query.queryClass.ordered() && querySubmitted.key() != null) {
+            queriesByKey
+                    .computeIfAbsent(querySubmitted.key(), key -> new ArrayDeque<>())
+                    .add(query);
         }
     }
 
-    private void release() {
-        for (Query query : List.copyOf(held)) {
-            ArrayDeque<Query> line =
-                    query.request.key() == null ? null : lines.get(query.request.key());
-            String engine = line != null && line.peek() != query ? null : choose(query.cls);
+    private void startQueuedQueries() {
+        for (Query query : List.copyOf(queuedQueries)) {
+            ArrayDeque<Query> sameKeyQueries =
+                    query.submission.key() == null
+                            ? null
+                            : queriesByKey.get(query.submission.key());
+            String engine =
+                    sameKeyQueries != null && sameKeyQueries.peek() != query
+                            ? null
+                            : selectEngine(query.queryClass);
             if (engine != null) {
-                held.remove(query);
-                query.out = engine;
+                queuedQueries.remove(query);
+                query.engine = engine;
                 query.attempts++;
-                running.merge(engine, query.cls.threads(), Integer::sum);
-                out.add(
+                runningThreads.merge(engine, query.queryClass.threads(), Integer::sum);
+                actions.add(
                         new StartAttempt(
-                                query.request.id(),
+                                query.submission.id(),
                                 engine,
-                                Math.max(MS, query.request.deadlineNs() - now - CUT_NS)));
+                                Math.max(
+                                        NS_PER_MS,
+                                        query.submission.deadlineNs()
+                                                - currentTimeNs
+                                                - ATTEMPT_MARGIN_NS)));
             }
         }
     }
 
-    private String choose(QueryClass queryClass) {
-        List<String> open = new ArrayList<>();
+    private String selectEngine(QueryClass queryClass) {
+        List<String> candidates = new ArrayList<>();
         for (Endpoint endpoint : engines.values()) {
             boolean allowed =
                     endpoint.state() == EndpointState.READY
@@ -151,73 +162,82 @@
                                     || queryClass.zones().contains(endpoint.zone()));
             if (allowed
                     && (policy == Policy.ROUND_ROBIN
-                            || running.getOrDefault(endpoint.engine(), 0) < most(endpoint))) {
-                open.add(endpoint.engine());
+                            || runningThreads.getOrDefault(endpoint.engine(), 0)
+                                    < maxThreads(endpoint))) {
+                candidates.add(endpoint.engine());
             }
         }
-        if (open.isEmpty()) {
+        if (candidates.isEmpty()) {
             return null;
         }
         if (policy == Policy.ROUND_ROBIN) {
-            return open.get(Math.floorMod(turn++, open.size()));
+            return candidates.get(Math.floorMod(nextEngineIndex++, candidates.size()));
         }
-        return open.stream()
-                .min(java.util.Comparator.comparingInt(text -> running.getOrDefault(text, 0)))
+        return candidates.stream()
+                .min(
+                        java.util.Comparator.comparingInt(
+                                engine -> runningThreads.getOrDefault(engine, 0)))
                 .orElseThrow();
     }
 
-    private int most(Endpoint endpoint) {
+    private int maxThreads(Endpoint endpoint) {
         int cores =
                 settings.kinds().stream()
                         .filter(engineKind -> engineKind.name().equals(endpoint.kind()))
                         .mapToInt(EngineKind::cores)
                         .findFirst()
                         .orElse(1);
-        return Math.max(1, MOST_A_CORE * cores / settings.routerCount());
+        return Math.max(1, MAX_THREADS_PER_CORE * cores / settings.routerCount());
     }
 
-    private void ended(AttemptEnded attemptEnded) {
+    private void handleAttemptEnded(AttemptEnded attemptEnded) {
         Query query = queries.get(attemptEnded.id());
-        if (query == null || query.out == null) {
+        if (query == null || query.engine == null) {
             return;
         }
-        running.merge(query.out, -query.cls.threads(), Integer::sum);
-        query.out = null;
+        runningThreads.merge(query.engine, -query.queryClass.threads(), Integer::sum);
+        query.engine = null;
         query.mayHaveRun |= attemptEnded.outcome().mayHaveRun();
-        if (attemptEnded.clientAnswered() || query.over) {
-            over(query);
-        } else if ((!query.mayHaveRun || query.cls.retrySafety() == RetrySafety.IDEMPOTENT)
+        if (attemptEnded.clientAnswered() || query.completed) {
+            complete(query);
+        } else if ((!query.mayHaveRun || query.queryClass.retrySafety() == RetrySafety.IDEMPOTENT)
                 && query.attempts < settings.capabilities().maxAttempts()
-                && now + ANSWER_NS < query.request.deadlineNs()) {
-            held.addLast(query);
+                && currentTimeNs + RESPONSE_MARGIN_NS < query.submission.deadlineNs()) {
+            queuedQueries.addLast(query);
         } else {
-            answer(query);
+            completeWithoutResult(query);
         }
     }
 
-    private void answer(Query query) {
-        boolean harmless = !query.mayHaveRun || query.cls.retrySafety() == RetrySafety.IDEMPOTENT;
-        out.add(
-                harmless
-                        ? new Reject(query.request.id(), settings.capabilities().maxRetryAfterNs())
-                        : new Fail(query.request.id()));
-        over(query);
+    private void completeWithoutResult(Query query) {
+        boolean retrySafe =
+                !query.mayHaveRun || query.queryClass.retrySafety() == RetrySafety.IDEMPOTENT;
+        actions.add(
+                retrySafe
+                        ? new Reject(
+                                query.submission.id(), settings.capabilities().maxRetryAfterNs())
+                        : new Fail(query.submission.id()));
+        complete(query);
     }
 
-    private void over(Query query) {
-        query.over = true;
-        held.remove(query);
-        if (query.out == null) {
-            queries.remove(query.request.id());
-            ArrayDeque<Query> line =
-                    query.request.key() == null ? null : lines.get(query.request.key());
-            if (line != null && line.remove(query) && line.isEmpty()) {
-                lines.remove(query.request.key());
+    private void complete(Query query) {
+        query.completed = true;
+        queuedQueries.remove(query);
+        if (query.engine == null) {
+            queries.remove(query.submission.id());
+            ArrayDeque<Query> sameKeyQueries =
+                    query.submission.key() == null
+                            ? null
+                            : queriesByKey.get(query.submission.key());
+            if (sameKeyQueries != null
+                    && sameKeyQueries.remove(query)
+                    && sameKeyQueries.isEmpty()) {
+                queriesByKey.remove(query.submission.key());
             }
         }
     }
 
-    private void list(EndpointsChanged endpointsChanged) {
+    private void updateEndpoints(EndpointsChanged endpointsChanged) {
         if (endpointsChanged.kind() == EndpointListKind.SNAPSHOT
                 || endpointsChanged.kind() == EndpointListKind.CACHED) {
             engines.clear();
--- a/loadtest/src/main/java/ashlink/loadtest/bench/BackgroundBench.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/BackgroundBench.java
@@ -17,10 +17,10 @@
  */
 public final class BackgroundBench {
 
-    private static final long S = 1_000_000_000L;
+    private static final long NS_PER_SECOND = 1_000_000_000L;
     private static final int ROUNDS = 9;
     private static final int CONNECTIONS = 16;
-    private static final String SHORT = "SELECT /* sim work_ms=0.001 */ 1";
+    private static final String SHORT_QUERY = "SELECT /* sim work_ms=0.001 */ 1";
 
     private final PrintStream out;
     private final long roundNs;
@@ -33,7 +33,7 @@
 
     /** Runs the benchmark and prints the result. */
     public void run() throws IOException, InterruptedException {
-        EmulatedEngine engine = Figures.engine("q1");
+        EmulatedEngine engine = BenchSupport.startEngine("q1");
         Router router =
                 new Router(
                         TestSettings.of(
@@ -46,20 +46,23 @@
                                 List.of(engine),
                                 "(limits (drain-grace 2s))"));
         router.start();
-        Loads.closed(router.address(), CONNECTIONS, n -> SHORT, 3 * roundNs);
-        double[] ratio = new double[ROUNDS];
-        double[] without = new double[ROUNDS];
-        double[] with = new double[ROUNDS];
-        double[] rate = new double[ROUNDS];
+        LoadGenerator.closedLoop(router.address(), CONNECTIONS, number -> SHORT_QUERY, 3 * roundNs);
+        double[] p99Ratio = new double[ROUNDS];
+        double[] p99WithoutUs = new double[ROUNDS];
+        double[] p99WithUs = new double[ROUNDS];
+        double[] throughputRatio = new double[ROUNDS];
         for (int i = 0; i < ROUNDS; i++) {
-            boolean first = i % 2 == 0; // alternates, so that neither variant always runs first
-            Loads.Seen busy = first ? busy(router) : null;
-            Loads.Seen idle = Loads.closed(router.address(), CONNECTIONS, n -> SHORT, roundNs);
-            busy = first ? busy : busy(router);
-            without[i] = idle.times().getValueAtPercentile(99) / 1e3;
-            with[i] = busy.times().getValueAtPercentile(99) / 1e3;
-            ratio[i] = with[i] / without[i];
-            rate[i] = busy.perSecond() / idle.perSecond();
+            boolean tasksFirst =
+                    i % 2 == 0; // alternates, so that neither variant always runs first
+            LoadGenerator.Result withTasks = tasksFirst ? runWithTasks(router) : null;
+            LoadGenerator.Result withoutTasks =
+                    LoadGenerator.closedLoop(
+                            router.address(), CONNECTIONS, number -> SHORT_QUERY, roundNs);
+            withTasks = tasksFirst ? withTasks : runWithTasks(router);
+            p99WithoutUs[i] = withoutTasks.responseTimes().getValueAtPercentile(99) / 1e3;
+            p99WithUs[i] = withTasks.responseTimes().getValueAtPercentile(99) / 1e3;
+            p99Ratio[i] = p99WithUs[i] / p99WithoutUs[i];
+            throughputRatio[i] = withTasks.requestsPerSecond() / withoutTasks.requestsPerSecond();
         }
         out.printf(
                 "short queries, %d connections, %d rounds of %.1f s each way: 99%% %.0f us without"
@@ -68,38 +71,45 @@
                 CONNECTIONS,
                 ROUNDS,
                 roundNs / 1e9,
-                Figures.median(without),
-                Figures.median(with),
-                Figures.median(ratio),
-                Figures.least(ratio),
-                Figures.most(ratio),
-                Figures.median(rate),
-                Figures.least(rate),
-                Figures.most(rate));
+                BenchSupport.median(p99WithoutUs),
+                BenchSupport.median(p99WithUs),
+                BenchSupport.median(p99Ratio),
+                BenchSupport.min(p99Ratio),
+                BenchSupport.max(p99Ratio),
+                BenchSupport.median(throughputRatio),
+                BenchSupport.min(throughputRatio),
+                BenchSupport.max(throughputRatio));
         router.kill();
         engine.crash();
     }
 
-    private Loads.Seen busy(Router router) throws IOException, InterruptedException {
+    private LoadGenerator.Result runWithTasks(Router router)
+            throws IOException, InterruptedException {
         for (int i = 0; i < 4; i++) {
             router.background()
                     .add(
-                            TaskSpec.once("burn" + i, Priority.NORMAL, 100 * S, 100 * S),
-                            BackgroundBench::burn);
+                            TaskSpec.once(
+                                    "burn" + i,
+                                    Priority.NORMAL,
+                                    100 * NS_PER_SECOND,
+                                    100 * NS_PER_SECOND),
+                            BackgroundBench::useCpu);
         }
-        Loads.Seen seen = Loads.closed(router.address(), CONNECTIONS, n -> SHORT, roundNs);
+        LoadGenerator.Result result =
+                LoadGenerator.closedLoop(
+                        router.address(), CONNECTIONS, number -> SHORT_QUERY, roundNs);
         for (int i = 0; i < 4; i++) {
             router.background().cancel("burn" + i);
         }
-        return seen;
+        return result;
     }
 
-    private static void burn(Lease lease) throws InterruptedException {
-        byte[] bytes = new byte[64 << 10];
-        CRC32C crc = new CRC32C();
+    private static void useCpu(Lease lease) throws InterruptedException {
+        byte[] buffer = new byte[64 << 10];
+        CRC32C checksum = new CRC32C();
         while (true) {
             for (int i = 0; i < 50; i++) {
-                crc.update(bytes);
+                checksum.update(buffer);
             }
             lease.checkpoint();
         }
--- a/loadtest/src/main/java/ashlink/loadtest/bench/Figures.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/BenchSupport.java
@@ -8,14 +8,14 @@
 import java.util.Arrays;
 
 /** Helpers of the benchmarks: an engine without a CPU limit, process metrics and statistics. */
-final class Figures {
+final class BenchSupport {
 
-    private Figures() {}
+    private BenchSupport() {}
 
-    static EmulatedEngine engine(String name) throws IOException {
+    static EmulatedEngine startEngine(String name) throws IOException {
         // Practically unlimited cores: the benchmarks measure the path to the engine, not the
         // engine.
-        EmulatedEngine emulatedEngine =
+        EmulatedEngine engine =
                 new EmulatedEngine(
                         new EngineConfig(
                                 name,
@@ -38,15 +38,15 @@
                                 100_000,
                                 1,
                                 null));
-        emulatedEngine.start();
-        return emulatedEngine;
+        engine.start();
+        return engine;
     }
 
-    static long used() {
+    static long heapUsedBytes() {
         return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
     }
 
-    static long resident() {
+    static long residentBytes() {
         try {
             for (String line :
                     java.nio.file.Files.readAllLines(java.nio.file.Path.of("/proc/self/status"))) {
@@ -60,7 +60,7 @@
         return 0;
     }
 
-    static long cpuNs() {
+    static long processCpuNs() {
         return ((com.sun.management.OperatingSystemMXBean)
                         ManagementFactory.getOperatingSystemMXBean())
                 .getProcessCpuTime();
@@ -72,11 +72,11 @@
         return sorted[sorted.length / 2];
     }
 
-    static double least(double[] values) {
+    static double min(double[] values) {
         return Arrays.stream(values).min().orElse(0);
     }
 
-    static double most(double[] values) {
+    static double max(double[] values) {
         return Arrays.stream(values).max().orElse(0);
     }
 }
--- a/loadtest/src/main/java/ashlink/loadtest/bench/CodecBench.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/CodecBench.java
@@ -42,8 +42,8 @@
     @Param({"plain", "lz4", "zstd"})
     public String compression;
 
-    private byte[] bytes;
-    private final ByteBuf tap = new ByteBuf();
+    private byte[] encodedBlock;
+    private final ByteBuf copy = new ByteBuf();
 
     /** Creates the block; each row has an integer, a string of 16 bytes and a float. */
     @Setup
@@ -56,7 +56,7 @@
             texts.add(String.format("meter-%010d", i * 31));
             floats.add(i * 0.25);
         }
-        ByteBuf to = new ByteBuf();
+        ByteBuf buffer = new ByteBuf();
         Block.of(
                         new Block.Column("id", "UInt64", numbers),
                         new Block.Column("name", "String", texts),
@@ -66,8 +66,8 @@
                                 ? null
                                 : Compression.valueOf(
                                         compression.toUpperCase(java.util.Locale.ROOT)),
-                        to);
-        bytes = java.util.Arrays.copyOf(to.array(), to.size());
+                        buffer);
+        encodedBlock = java.util.Arrays.copyOf(buffer.array(), buffer.size());
     }
 
     /**
@@ -75,19 +75,19 @@
      */
     @Benchmark
     public long skipBlock() throws IOException {
-        StreamSource in = new StreamSource(new ByteArrayInputStream(bytes), 128 << 10);
-        tap.clear();
-        in.startTap(tap);
+        StreamSource in = new StreamSource(new ByteArrayInputStream(encodedBlock), 128 << 10);
+        copy.clear();
+        in.startTap(copy);
         long rows =
                 new BlockReader(in, WireLimits.DEFAULT).skip(!compression.equals("plain")).rows();
         in.endTap();
-        return rows + tap.size();
+        return rows + copy.size();
     }
 
     /** Computes the checksum of the block's bytes. */
     @Benchmark
     public long checksum() {
-        return CityHash.hash128(bytes, 0, bytes.length)[0];
+        return CityHash.hash128(encodedBlock, 0, encodedBlock.length)[0];
     }
 
     /** Parses a nested type. */
--- a/loadtest/src/main/java/ashlink/loadtest/bench/HttpBench.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/HttpBench.java
@@ -34,12 +34,12 @@
  */
 public final class HttpBench {
 
-    private static final long S = 1_000_000_000L;
+    private static final long NS_PER_SECOND = 1_000_000_000L;
     private static final int ROUNDS = 5;
-    private static final int POLLS = 5_000;
-    private static final int WAITING = 2_000;
-    private static final String SHORT = "SELECT /* sim work_ms=0.001 */ 1";
-    private static final String LARGE =
+    private static final int LONG_POLLS = 5_000;
+    private static final int WAITING_STATEMENTS = 2_000;
+    private static final String SHORT_QUERY = "SELECT /* sim work_ms=0.001 */ 1";
+    private static final String LARGE_QUERY =
             "SELECT /* sim work_ms=0.001 rows=1000 width=1035 blocks=1024 */ 1";
 
     private final PrintStream out;
@@ -53,7 +53,7 @@
 
     /** Runs all measurements and prints the results. */
     public void run() throws IOException, InterruptedException {
-        EmulatedEngine engine = Figures.engine("q1");
+        EmulatedEngine engine = BenchSupport.startEngine("q1");
         Path spool = Files.createTempDirectory("ashlink-bench");
         Router router =
                 new Router(
@@ -70,13 +70,13 @@
                                         + spool
                                         + "\") (unpolled 10m) (idle 10m) (longest-wait 9m))"));
         router.start();
-        URI server = URI.create("http://127.0.0.1:" + router.httpAddress().getPort());
-        closed(router, server, 1);
-        closed(router, server, 16);
-        large(router, server);
+        URI serverUri = URI.create("http://127.0.0.1:" + router.httpAddress().getPort());
+        measureClosedLoop(router, serverUri, 1);
+        measureClosedLoop(router, serverUri, 16);
+        measureLargeResult(router, serverUri);
         engine.hang(true);
-        polls(router, server);
-        waiting(router, server);
+        measureLongPolls(router, serverUri);
+        measureWaitingStatements(router, serverUri);
         router.kill();
         engine.crash();
         try (Stream<Path> files = Files.walk(spool)) {
@@ -86,67 +86,71 @@
         }
     }
 
-    private void closed(Router router, URI server, int connections)
+    private void measureClosedLoop(Router router, URI serverUri, int connections)
             throws IOException, InterruptedException {
-        double[] natives = new double[ROUNDS];
-        double[] https = new double[ROUNDS];
+        double[] nativeRates = new double[ROUNDS];
+        double[] httpRates = new double[ROUNDS];
         double[] nativeMedian = new double[ROUNDS];
         double[] httpMedian = new double[ROUNDS];
         double[] ratio = new double[ROUNDS];
         for (int i = -1; i < ROUNDS; i++) {
-            Loads.Seen seen = Loads.closed(router.address(), connections, x -> SHORT, roundNs);
-            Histogram times = new ConcurrentHistogram(60 * S, 3);
-            double perSecond = http(server, connections, times);
+            LoadGenerator.Result result =
+                    LoadGenerator.closedLoop(
+                            router.address(), connections, number -> SHORT_QUERY, roundNs);
+            Histogram responseTimes = new ConcurrentHistogram(60 * NS_PER_SECOND, 3);
+            double requestsPerSecond = runHttpClosedLoop(serverUri, connections, responseTimes);
             if (i >= 0) {
-                natives[i] = seen.perSecond();
-                https[i] = perSecond;
-                ratio[i] = perSecond / seen.perSecond();
-                nativeMedian[i] = seen.times().getValueAtPercentile(50) / 1e3;
-                httpMedian[i] = times.getValueAtPercentile(50) / 1e3;
+                nativeRates[i] = result.requestsPerSecond();
+                httpRates[i] = requestsPerSecond;
+                ratio[i] = requestsPerSecond / result.requestsPerSecond();
+                nativeMedian[i] = result.responseTimes().getValueAtPercentile(50) / 1e3;
+                httpMedian[i] = responseTimes.getValueAtPercentile(50) / 1e3;
             }
         }
         out.printf(
                 "closed load, %d connections, short query: native %.0f/s median %.0f us, HTTP"
                         + " %.0f/s median %.0f us; HTTP over native %.2f [%.2f..%.2f]%n",
                 connections,
-                Figures.median(natives),
-                Figures.median(nativeMedian),
-                Figures.median(https),
-                Figures.median(httpMedian),
-                Figures.median(ratio),
-                Figures.least(ratio),
-                Figures.most(ratio));
+                BenchSupport.median(nativeRates),
+                BenchSupport.median(nativeMedian),
+                BenchSupport.median(httpRates),
+                BenchSupport.median(httpMedian),
+                BenchSupport.median(ratio),
+                BenchSupport.min(ratio),
+                BenchSupport.max(ratio));
     }
 
     /**
      * Sends requests over plain sockets, because the JDK's HTTP client uses several times the CPU
      * of the server that is measured.
      */
-    private double http(URI server, int connections, Histogram times) throws InterruptedException {
+    private double runHttpClosedLoop(URI serverUri, int connections, Histogram responseTimes)
+            throws InterruptedException {
         byte[] request =
                 ("POST /v1/statements?wait=10 HTTP/1.1\r\n"
                                 + "Host: a\r\n"
                                 + "Content-Type: text/plain\r\n"
                                 + "Content-Length: "
-                                + SHORT.length()
+                                + SHORT_QUERY.length()
                                 + "\r\n\r\n"
-                                + SHORT)
+                                + SHORT_QUERY)
                         .getBytes(StandardCharsets.US_ASCII);
         CountDownLatch done = new CountDownLatch(connections);
-        long from = System.nanoTime();
+        long startNs = System.nanoTime();
         for (int i = 0; i < connections; i++) {
             Thread thread =
                     new Thread(
                             () -> {
-                                try (Socket socket = new Socket("127.0.0.1", server.getPort())) {
+                                try (Socket socket = new Socket("127.0.0.1", serverUri.getPort())) {
                                     socket.setTcpNoDelay(true);
                                     InputStream in =
                                             new BufferedInputStream(socket.getInputStream());
-                                    while (System.nanoTime() - from < roundNs) {
-                                        long at = System.nanoTime();
+                                    while (System.nanoTime() - startNs < roundNs) {
+                                        long requestStartNs = System.nanoTime();
                                         socket.getOutputStream().write(request);
-                                        if (answer(in)) {
-                                            times.recordValue(System.nanoTime() - at);
+                                        if (readResponse(in)) {
+                                            responseTimes.recordValue(
+                                                    System.nanoTime() - requestStartNs);
                                         }
                                     }
                                 } catch (IOException e) {
@@ -160,56 +164,60 @@
             thread.start();
         }
         done.await();
-        return times.getTotalCount() * (double) S / (System.nanoTime() - from);
+        return responseTimes.getTotalCount()
+                * (double) NS_PER_SECOND
+                / (System.nanoTime() - startNs);
     }
 
     /** Reads a response; returns true if it has status 200. */
-    private static boolean answer(InputStream in) throws IOException {
-        boolean good = line(in).contains(" 200");
+    private static boolean readResponse(InputStream in) throws IOException {
+        boolean ok = readLine(in).contains(" 200");
         int length = 0;
-        for (String l = line(in); !l.isEmpty(); l = line(in)) {
-            if (l.regionMatches(true, 0, "content-length:", 0, 15)) {
-                length = Integer.parseInt(l.substring(15).trim());
+        for (String header = readLine(in); !header.isEmpty(); header = readLine(in)) {
+            if (header.regionMatches(true, 0, "content-length:", 0, 15)) {
+                length = Integer.parseInt(header.substring(15).trim());
             }
         }
-        return in.readNBytes(length).length == length && good;
+        return in.readNBytes(length).length == length && ok;
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         StringBuilder text = new StringBuilder();
-        for (int c = in.read(); c != '\n'; c = in.read()) {
-            if (c < 0) {
+        for (int next = in.read(); next != '\n'; next = in.read()) {
+            if (next < 0) {
                 throw new IOException("connection closed within an HTTP response");
             }
-            if (c != '\r') {
-                text.append((char) c);
+            if (next != '\r') {
+                text.append((char) next);
             }
         }
         return text.toString();
     }
 
     /** Transfers a result of 1 GiB over the native protocol, and as CSV pages through the spool. */
-    private void large(Router router, URI server) throws IOException, InterruptedException {
-        double[] natives = new double[3];
-        double[] pages = new double[3];
-        long count = 0;
-        long most = 0;
+    private void measureLargeResult(Router router, URI serverUri)
+            throws IOException, InterruptedException {
+        double[] nativeRates = new double[3];
+        double[] httpRates = new double[3];
+        long pageCount = 0;
+        long maxSpooledBytes = 0;
         HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
         for (int i = 0; i < 3; i++) {
             try (NativeClient nativeClient = NativeClient.connect(router.address(), "portal")) {
-                long from = System.nanoTime();
-                Reply reply = nativeClient.query("", LARGE, Map.of(), 60 * S);
-                natives[i] = reply.bytes() / (double) (1 << 20) / ((reply.endNs() - from) / 1e9);
+                long startNs = System.nanoTime();
+                Reply reply = nativeClient.query("", LARGE_QUERY, Map.of(), 60 * NS_PER_SECOND);
+                nativeRates[i] =
+                        reply.bytes() / (double) (1 << 20) / ((reply.endNs() - startNs) / 1e9);
             }
-            long from = System.nanoTime();
+            long startNs = System.nanoTime();
             long bytes = 0;
-            count = 0;
+            pageCount = 0;
             HttpRequest.Builder next =
                     HttpRequest.newBuilder(
-                                    server.resolve(
+                                    serverUri.resolve(
                                             "/v1/statements?wait=60&max_execution_time=60"
                                                     + "&ashlink_class=bericht"))
-                            .POST(HttpRequest.BodyPublishers.ofString(LARGE));
+                            .POST(HttpRequest.BodyPublishers.ofString(LARGE_QUERY));
             while (next != null) {
                 HttpResponse<byte[]> httpResponse =
                         client.send(
@@ -223,67 +231,71 @@
                                     + new String(httpResponse.body(), StandardCharsets.UTF_8));
                 }
                 bytes += httpResponse.body().length;
-                count++;
-                most = Math.max(most, router.http().spooledBytes());
+                pageCount++;
+                maxSpooledBytes = Math.max(maxSpooledBytes, router.http().spooledBytes());
                 String link = httpResponse.headers().firstValue("Link").orElse("");
                 next =
                         link.isEmpty()
                                 ? null
                                 : HttpRequest.newBuilder(
-                                        server.resolve(
+                                        serverUri.resolve(
                                                 link.substring(1, link.indexOf('>')) + "?wait=60"));
             }
-            pages[i] = bytes / (double) (1 << 20) / ((System.nanoTime() - from) / 1e9);
+            httpRates[i] = bytes / (double) (1 << 20) / ((System.nanoTime() - startNs) / 1e9);
         }
         out.printf(
                 "result of 1 GiB: native %.0f MiB/s, %d pages of CSV %.0f MiB/s, ratio %.2f; at"
                         + " most %d MiB in the spool%n",
-                Figures.median(natives),
-                count,
-                Figures.median(pages),
-                Figures.median(pages) / Figures.median(natives),
-                most >> 20);
+                BenchSupport.median(nativeRates),
+                pageCount,
+                BenchSupport.median(httpRates),
+                BenchSupport.median(httpRates) / BenchSupport.median(nativeRates),
+                maxSpooledBytes >> 20);
     }
 
     /** Measures the heap of running statements that no client polls. */
-    private void waiting(Router router, URI server) throws IOException, InterruptedException {
+    private void measureWaitingStatements(Router router, URI serverUri)
+            throws IOException, InterruptedException {
         HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
         System.gc();
-        long heap = Figures.used();
-        for (int i = 0; i < WAITING; i++) {
+        long heapBytes = BenchSupport.heapUsedBytes();
+        for (int i = 0; i < WAITING_STATEMENTS; i++) {
             client.send(
-                    HttpRequest.newBuilder(server.resolve("/v1/statements?ashlink_class=bericht"))
-                            .POST(HttpRequest.BodyPublishers.ofString(SHORT))
+                    HttpRequest.newBuilder(
+                                    serverUri.resolve("/v1/statements?ashlink_class=bericht"))
+                            .POST(HttpRequest.BodyPublishers.ofString(SHORT_QUERY))
                             .build(),
                     BodyHandlers.discarding());
         }
         System.gc();
         out.printf(
                 "%d waiting statements: heap %.1f KiB each%n",
-                router.http().openStatements(), (Figures.used() - heap) / 1024.0 / WAITING);
+                router.http().openStatements(),
+                (BenchSupport.heapUsedBytes() - heapBytes) / 1024.0 / WAITING_STATEMENTS);
     }
 
     /**
      * Measures long polls of one statement, each on its own connection: threads and CPU while they
      * wait, and the time until all are answered after the statement has ended.
      */
-    private void polls(Router router, URI server) throws IOException, InterruptedException {
+    private void measureLongPolls(Router router, URI serverUri)
+            throws IOException, InterruptedException {
         HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
         String body =
                 client.send(
                                 HttpRequest.newBuilder(
-                                                server.resolve(
+                                                serverUri.resolve(
                                                         "/v1/statements?ashlink_class=bericht"))
-                                        .POST(HttpRequest.BodyPublishers.ofString(SHORT))
+                                        .POST(HttpRequest.BodyPublishers.ofString(SHORT_QUERY))
                                         .build(),
                                 BodyHandlers.ofString())
                         .body();
         String id = body.replaceAll(".*\"id\":\"([^\"]+)\".*", "$1");
         int threads = Thread.activeCount();
         List<Socket> sockets = new ArrayList<>();
-        for (int i = 0; i < POLLS; i++) {
+        for (int i = 0; i < LONG_POLLS; i++) {
             Socket socket = new Socket();
-            socket.connect(new InetSocketAddress("127.0.0.1", server.getPort()));
+            socket.connect(new InetSocketAddress("127.0.0.1", serverUri.getPort()));
             socket.getOutputStream()
                     .write(
                             ("GET /v1/statements/"
@@ -293,14 +305,14 @@
             sockets.add(socket);
         }
         Thread.sleep(1_000);
-        int more = Thread.activeCount() - threads;
-        long cpu = Figures.cpuNs();
+        int addedThreads = Thread.activeCount() - threads;
+        long cpuNs = BenchSupport.processCpuNs();
         Thread.sleep(5_000);
-        double share = (Figures.cpuNs() - cpu) / 5e9;
-        cpu = Figures.cpuNs();
-        long from = System.nanoTime();
+        double cpuFraction = (BenchSupport.processCpuNs() - cpuNs) / 5e9;
+        cpuNs = BenchSupport.processCpuNs();
+        long startNs = System.nanoTime();
         client.send(
-                HttpRequest.newBuilder(server.resolve("/v1/statements/" + id)).DELETE().build(),
+                HttpRequest.newBuilder(serverUri.resolve("/v1/statements/" + id)).DELETE().build(),
                 BodyHandlers.discarding());
         int answered = 0;
         for (Socket socket : sockets) {
@@ -314,13 +326,13 @@
                 "%d long polls of one statement: %d more threads, %.1f%% of a core while they wait"
                     + " (with %d running statements); %d answered %.0f ms after its end, with %.0f"
                     + " ms of CPU%n",
-                POLLS,
-                more,
-                share * 100,
+                LONG_POLLS,
+                addedThreads,
+                cpuFraction * 100,
                 router.http().openStatements(),
                 answered,
-                (System.nanoTime() - from) / 1e6,
-                (Figures.cpuNs() - cpu) / 1e6);
+                (System.nanoTime() - startNs) / 1e6,
+                (BenchSupport.processCpuNs() - cpuNs) / 1e6);
         for (Socket socket : sockets) {
             socket.close();
         }
--- a/loadtest/src/main/java/ashlink/loadtest/bench/Loads.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/LoadGenerator.java
@@ -15,50 +15,58 @@
 import org.HdrHistogram.Histogram;
 
 /** Generates closed-loop and open-loop load. */
-final class Loads {
+final class LoadGenerator {
 
     /** The result of a load run; response times in nanoseconds. */
-    record Seen(double perSecond, Histogram times, long failed, String failure) {}
+    record Result(
+            double requestsPerSecond, Histogram responseTimes, long failed, String lastFailure) {}
 
-    private static final long S = 1_000_000_000L;
-    private static final long LONGEST_NS = 60 * S;
+    private static final long NS_PER_SECOND = 1_000_000_000L;
+    private static final long MAX_RESPONSE_TIME_NS = 60 * NS_PER_SECOND;
 
-    private Loads() {}
+    private LoadGenerator() {}
 
     /**
      * Closed loop: each connection sends its next statement as soon as the last one is answered.
      */
-    static Seen closed(
-            InetSocketAddress to, int connections, LongFunction<String> statements, long forNs)
+    static Result closedLoop(
+            InetSocketAddress address,
+            int connections,
+            LongFunction<String> statements,
+            long durationNs)
             throws IOException, InterruptedException {
-        return run(List.of(to), connections, statements, forNs, 0);
+        return run(List.of(address), connections, statements, durationNs, 0);
     }
 
     /** Open loop at a fixed total rate; response times start at the scheduled send time. */
-    static Seen open(
-            List<InetSocketAddress> to, int connections, String statement, long forNs, double rate)
+    static Result openLoop(
+            List<InetSocketAddress> addresses,
+            int connections,
+            String statement,
+            long durationNs,
+            double ratePerSecond)
             throws IOException, InterruptedException {
-        return run(to, connections, n -> statement, forNs, rate);
+        return run(addresses, connections, number -> statement, durationNs, ratePerSecond);
     }
 
-    private static Seen run(
-            List<InetSocketAddress> to,
+    private static Result run(
+            List<InetSocketAddress> addresses,
             int connections,
             LongFunction<String> statements,
-            long forNs,
-            double rate)
+            long durationNs,
+            double ratePerSecond)
             throws IOException, InterruptedException {
-        Histogram times = new ConcurrentHistogram(LONGEST_NS, 3);
+        Histogram responseTimes = new ConcurrentHistogram(MAX_RESPONSE_TIME_NS, 3);
         AtomicLong failed = new AtomicLong();
-        AtomicReference<String> failure = new AtomicReference<>("");
-        AtomicLong due = new AtomicLong();
+        AtomicReference<String> lastFailure = new AtomicReference<>("");
+        AtomicLong scheduled = new AtomicLong();
         AtomicLong sent = new AtomicLong();
         CountDownLatch done = new CountDownLatch(connections);
         List<NativeClient> clients = new ArrayList<>();
         for (int i = 0; i < connections; i++) {
-            clients.add(NativeClient.connect(to.get(i % to.size()), "portal"));
+            clients.add(NativeClient.connect(addresses.get(i % addresses.size()), "portal"));
         }
-        long from = System.nanoTime();
+        long startNs = System.nanoTime();
         for (NativeClient nativeClient : clients) {
             Thread thread =
                     new Thread(
@@ -66,32 +74,35 @@
                             () -> {
                                 try (nativeClient) {
                                     while (true) {
-                                        long at =
-                                                rate > 0
-                                                        ? from
+                                        long requestStartNs =
+                                                ratePerSecond > 0
+                                                        ? startNs
                                                                 + (long)
-                                                                        (due.getAndIncrement()
-                                                                                / rate
-                                                                                * S)
+                                                                        (scheduled.getAndIncrement()
+                                                                                / ratePerSecond
+                                                                                * NS_PER_SECOND)
                                                         : System.nanoTime();
-                                        if (at - from >= forNs) {
+                                        if (requestStartNs - startNs >= durationNs) {
                                             return;
                                         }
-                                        pause(at);
+                                        sleepUntil(requestStartNs);
                                         Reply reply =
                                                 nativeClient.query(
                                                         "",
                                                         statements.apply(sent.getAndIncrement()),
                                                         Map.of(),
-                                                        30 * S);
+                                                        30 * NS_PER_SECOND);
                                         if (reply.kind() == Reply.Kind.SERVED) {
-                                            times.recordValue(
+                                            responseTimes.recordValue(
                                                     Math.min(
-                                                            LONGEST_NS,
-                                                            Math.max(1, reply.endNs() - at)));
+                                                            MAX_RESPONSE_TIME_NS,
+                                                            Math.max(
+                                                                    1,
+                                                                    reply.endNs()
+                                                                            - requestStartNs)));
                                         } else {
                                             failed.incrementAndGet();
-                                            failure.set(reply.kind() + " " + reply.message());
+                                            lastFailure.set(reply.kind() + " " + reply.message());
                                         }
                                     }
                                 } finally {
@@ -104,18 +115,20 @@
             thread.start();
         }
         done.await();
-        return new Seen(
-                times.getTotalCount() * (double) S / (System.nanoTime() - from),
-                times,
+        return new Result(
+                responseTimes.getTotalCount()
+                        * (double) NS_PER_SECOND
+                        / (System.nanoTime() - startNs),
+                responseTimes,
                 failed.get(),
-                failure.get());
+                lastFailure.get());
     }
 
-    private static void pause(long until) {
-        long left = until - System.nanoTime();
-        if (left > 0) {
+    private static void sleepUntil(long timeNs) {
+        long remainingNs = timeNs - System.nanoTime();
+        if (remainingNs > 0) {
             try {
-                Thread.sleep(left / 1_000_000, (int) (left % 1_000_000));
+                Thread.sleep(remainingNs / 1_000_000, (int) (remainingNs % 1_000_000));
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/loadtest/src/main/java/ashlink/loadtest/bench/Relay.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/TcpRelay.java
@@ -12,25 +12,25 @@
  * A TCP relay with the thread model of the router, which makes no decisions. Measures the cost of a
  * hop alone.
  */
-final class Relay implements AutoCloseable {
+final class TcpRelay implements AutoCloseable {
 
     private static final int BUFFER_BYTES = 128 << 10;
     private static final long STACK_BYTES = 256 << 10;
 
     private final ServerSocket server;
-    private final InetSocketAddress to;
+    private final InetSocketAddress target;
 
-    Relay(InetSocketAddress to) throws IOException {
-        this.to = to;
+    TcpRelay(InetSocketAddress target) throws IOException {
+        this.target = target;
         server = new ServerSocket(0, 1024, InetAddress.getLoopbackAddress());
-        thread(this::accept);
+        startThread(this::accept);
     }
 
     InetSocketAddress address() {
         return (InetSocketAddress) server.getLocalSocketAddress();
     }
 
-    private static void thread(Runnable task) {
+    private static void startThread(Runnable task) {
         Thread thread = new Thread(null, task, "relay", STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
@@ -40,25 +40,25 @@
         while (!server.isClosed()) {
             try {
                 Socket in = server.accept();
-                Socket out = new Socket(to.getAddress(), to.getPort());
+                Socket out = new Socket(target.getAddress(), target.getPort());
                 in.setTcpNoDelay(true);
                 out.setTcpNoDelay(true);
-                thread(() -> copy(in, out));
-                thread(() -> copy(out, in));
+                startThread(() -> copy(in, out));
+                startThread(() -> copy(out, in));
             } catch (IOException e) {
                 return;
             }
         }
     }
 
-    private static void copy(Socket from, Socket to) {
+    private static void copy(Socket from, Socket target) {
         byte[] buffer = new byte[BUFFER_BYTES];
         try (from;
-                to) {
+                target) {
             InputStream in = from.getInputStream();
-            OutputStream out = to.getOutputStream();
-            for (int n = in.read(buffer); n >= 0; n = in.read(buffer)) {
-                out.write(buffer, 0, n);
+            OutputStream out = target.getOutputStream();
+            for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
+                out.write(buffer, 0, count);
             }
         } catch (IOException e) {
             // The other connection is closed.
