--- a/cli/src/main/java/ashlink/cli/ScenarioCommand.java
+++ b/cli/src/main/java/ashlink/cli/ScenarioCommand.java
@@ -5,14 +5,14 @@
 import ashlink.decisions.DefaultWorkloadManager;
 import ashlink.loadtest.baseline.Baseline;
 import ashlink.loadtest.check.InvariantChecker;
-import ashlink.loadtest.check.Service;
+import ashlink.loadtest.check.ServiceLevel;
 import ashlink.loadtest.check.Verdict;
 import ashlink.loadtest.fixture.TestSettings;
 import ashlink.loadtest.load.ClientAttempt;
+import ashlink.loadtest.scenario.EngineQuery;
 import ashlink.loadtest.scenario.FaultCatalog;
 import ashlink.loadtest.scenario.ScenarioFacts;
 import ashlink.loadtest.scenario.ScenarioRunner;
-import ashlink.loadtest.scenario.SentQuery;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -79,7 +79,7 @@
         if ("all".equals(trouble)) {
             boolean kept = true;
             for (String name : FaultCatalog.NAMES) {
-                kept &= play(FaultCatalog.day(name, captureSetting(name)), "rules", null);
+                kept &= play(FaultCatalog.scenario(name, captureSetting(name)), "rules", null);
             }
             return kept ? 0 : 1;
         }
@@ -92,36 +92,36 @@
     }
 
     private void write(ScenarioFacts facts, String name) throws java.io.IOException {
-        Map<String, List<SentQuery>> byTag =
-                facts.ledger().stream().collect(Collectors.groupingBy(SentQuery::tag));
+        Map<String, List<EngineQuery>> byTag =
+                facts.engineQueries().stream().collect(Collectors.groupingBy(EngineQuery::tag));
         StringBuilder text =
                 new StringBuilder(
                         "tag\tclass\trouter\tsent_ms\tended_ms\tkind\tcode\twork_ms\tattempts\n");
-        for (ClientAttempt clientAttempt : facts.tries()) {
+        for (ClientAttempt clientAttempt : facts.clientAttempts()) {
             text.append(
                     String.format(
                             "%s\t%s\t%s\t%d\t%d\t%s\t%d\t%.0f",
                             clientAttempt.tag(),
                             clientAttempt.queryClass(),
                             clientAttempt.router(),
-                            (clientAttempt.sentNs() - facts.fromNs()) / MS,
-                            (clientAttempt.reply().endNs() - facts.fromNs()) / MS,
+                            (clientAttempt.sentNs() - facts.startNs()) / MS,
+                            (clientAttempt.reply().endNs() - facts.startNs()) / MS,
                             clientAttempt.reply().kind(),
                             clientAttempt.reply().code(),
                             clientAttempt.workMs()));
-            for (SentQuery sentQuery : byTag.getOrDefault(clientAttempt.tag(), List.of())) {
+            for (EngineQuery engineQuery : byTag.getOrDefault(clientAttempt.tag(), List.of())) {
                 text.append(
                         String.format(
                                 "\t%s:%d-%d:%s",
-                                sentQuery.engine(),
-                                (sentQuery.beganNs() - facts.fromNs()) / MS,
-                                (sentQuery.outUntilNs() - facts.fromNs()) / MS,
-                                sentQuery.how()));
+                                engineQuery.engine(),
+                                (engineQuery.receivedNs() - facts.startNs()) / MS,
+                                (engineQuery.finishedNs() - facts.startNs()) / MS,
+                                engineQuery.outcome()));
             }
             text.append('\n');
         }
         Files.createDirectories(notes);
-        Files.writeString(notes.resolve(facts.day().name() + "-" + name + ".tsv"), text);
+        Files.writeString(notes.resolve(facts.scenario().name() + "-" + name + ".tsv"), text);
     }
 
     private String captureSetting(String name) {
@@ -130,7 +130,7 @@
 
     private ScenarioConfig day() throws Exception {
         if (trouble != null) {
-            return FaultCatalog.day(trouble, captureSetting(trouble));
+            return FaultCatalog.scenario(trouble, captureSetting(trouble));
         }
         String name = quick ? "bad-day-quick.sexp" : "bad-day.sexp";
         ScenarioConfig scenarioConfig =
@@ -159,24 +159,26 @@
                                                 ? new DefaultWorkloadManager(settings)
                                                 : new Baseline(baseline, settings))
                         .run();
-        Service service = Service.of(facts);
+        ServiceLevel service = ServiceLevel.of(facts);
         System.out.printf(
                 "%n%s, seed %d, decided by %s: %d queries, %d served, %d refused, %d failed, %d"
                         + " statements at engines%n",
                 day.name(),
                 day.seed(),
                 name,
-                service.asked(),
+                service.requests(),
                 service.served(),
-                service.refused(),
+                service.rejected(),
                 service.failed(),
-                facts.ledger().size());
+                facts.engineQueries().size());
         System.out.printf(
                 "service %.3f, worst 10 s %.3f, by class %s%s%n",
-                service.whole(),
+                service.total(),
                 service.worstTenSeconds(),
                 shares(service.byClass()),
-                service.byFront().size() > 1 ? ", by front " + shares(service.byFront()) : "");
+                service.byProtocol().size() > 1
+                        ? ", by front " + shares(service.byProtocol())
+                        : "");
         if (notes != null) {
             write(facts, name);
         }
@@ -185,14 +187,16 @@
                 FaultCatalog.NAMES.contains(
                         day.name()); // one kind of trouble puts few rules at stake
         for (Verdict verdict : new InvariantChecker(facts).verdicts()) {
-            kept &= verdict.isKept() || single && verdict.broken().isEmpty();
+            kept &= verdict.isSatisfied() || single && verdict.violations().isEmpty();
             System.out.printf(
                     "  %-30s %-6s at stake %5d, broken %d%n",
                     verdict.rule(),
-                    verdict.isKept() ? "kept" : verdict.atStake() == 0 ? "UNSEEN" : "BROKEN",
-                    verdict.atStake(),
-                    verdict.broken().size());
-            verdict.broken().stream()
+                    verdict.isSatisfied()
+                            ? "kept"
+                            : verdict.exercisedCases() == 0 ? "UNSEEN" : "BROKEN",
+                    verdict.exercisedCases(),
+                    verdict.violations().size());
+            verdict.violations().stream()
                     .limit(SHOWN)
                     .forEach(text -> System.out.println("      " + text));
         }
--- a/loadtest/src/main/java/ashlink/loadtest/check/InvariantChecker.java
+++ b/loadtest/src/main/java/ashlink/loadtest/check/InvariantChecker.java
@@ -6,10 +6,10 @@
 import ashlink.emulator.Ledger.How;
 import ashlink.loadtest.client.Reply;
 import ashlink.loadtest.load.ClientAttempt;
+import ashlink.loadtest.scenario.EngineQuery;
 import ashlink.loadtest.scenario.ScenarioFacts;
 import ashlink.loadtest.scenario.ScenarioFacts.Drain;
-import ashlink.loadtest.scenario.ScenarioFacts.Span;
-import ashlink.loadtest.scenario.SentQuery;
+import ashlink.loadtest.scenario.ScenarioFacts.Interval;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -22,59 +22,62 @@
  */
 public final class InvariantChecker {
 
-    private static final long MS = 1_000_000L;
+    private static final long NS_PER_MS = 1_000_000L;
 
     /**
      * Tolerance between the times recorded by clients, routers and engines: threads are scheduled
      * late, and an emulated engine checks its connections only every 10 ms.
      */
-    private static final long SKEW_NS = 60 * MS;
+    private static final long CLOCK_TOLERANCE_NS = 60 * NS_PER_MS;
 
     /** Time between two sends of a client after which the router receives them in that order. */
-    private static final long PLAIN_ORDER_NS = 100 * MS;
+    private static final long CERTAIN_ORDER_NS = 100 * NS_PER_MS;
 
     /** Time before a drain in which a query makes the engine count as used by the router. */
-    private static final long IN_USE_NS = 2_000 * MS;
+    private static final long ENGINE_USE_WINDOW_NS = 2_000 * NS_PER_MS;
 
     private final ScenarioFacts facts;
-    private final Map<String, List<SentQuery>> byTag = new HashMap<>();
+    private final Map<String, List<EngineQuery>> engineQueriesByTag = new HashMap<>();
 
     /** Creates a checker for the records of a scenario. */
     public InvariantChecker(ScenarioFacts facts) {
         this.facts = facts;
-        for (SentQuery sentQuery : facts.ledger()) {
-            byTag.computeIfAbsent(sentQuery.tag(), text -> new ArrayList<>()).add(sentQuery);
+        for (EngineQuery engineQuery : facts.engineQueries()) {
+            engineQueriesByTag
+                    .computeIfAbsent(engineQuery.tag(), key -> new ArrayList<>())
+                    .add(engineQuery);
         }
-        byTag.values()
+        engineQueriesByTag
+                .values()
                 .forEach(
-                        list ->
-                                list.sort(
+                        queries ->
+                                queries.sort(
                                         Comparator.comparingLong(
-                                                sentQuery -> sentQuery.beganNs())));
+                                                engineQuery -> engineQuery.receivedNs())));
     }
 
     /** Returns a verdict for each invariant, numbered from 1 to 7. */
     public List<Verdict> verdicts() {
         return List.of(
-                oneAnswer(),
-                noEffectTwice(),
-                drainsKept(),
-                coldEngines(),
-                order(),
+                singleFinalAnswer(),
+                noDuplicateEffects(),
+                drain(),
+                slowStart(),
+                keyOrdering(),
                 placement(),
-                budget());
+                retryBudget());
     }
 
-    private QueryClass cls(ClientAttempt clientAttempt) {
+    private QueryClass queryClass(ClientAttempt clientAttempt) {
         return facts.settings().queryClasses().get(clientAttempt.queryClass());
     }
 
-    private boolean routerDied(ClientAttempt clientAttempt) {
-        return facts.routerKills().stream()
+    private boolean routerCrashed(ClientAttempt clientAttempt) {
+        return facts.routerOutages().stream()
                 .anyMatch(
-                        span ->
-                                span.name().equals(clientAttempt.router())
-                                        && span.touches(
+                        interval ->
+                                interval.name().equals(clientAttempt.router())
+                                        && interval.overlaps(
                                                 clientAttempt.sentNs(),
                                                 clientAttempt.reply().endNs()));
     }
@@ -84,19 +87,22 @@
      * Counts the cases that were not served by a single attempt. Attempts at a router that crashed
      * meanwhile are exempt.
      */
-    private Verdict oneAnswer() {
-        List<String> broken = new ArrayList<>();
-        int stake = 0;
-        for (ClientAttempt clientAttempt : facts.tries()) {
-            if (!clientAttempt.sent() || routerDied(clientAttempt)) {
+    private Verdict singleFinalAnswer() {
+        List<String> violations = new ArrayList<>();
+        int exercisedCases = 0;
+        for (ClientAttempt clientAttempt : facts.clientAttempts()) {
+            if (!clientAttempt.sent() || routerCrashed(clientAttempt)) {
                 continue;
             }
-            boolean plain =
+            boolean servedBySingleAttempt =
                     clientAttempt.reply().kind() == Reply.Kind.SERVED
-                            && byTag.getOrDefault(clientAttempt.tag(), List.of()).size() == 1;
-            stake += plain ? 0 : 1;
+                            && engineQueriesByTag
+                                            .getOrDefault(clientAttempt.tag(), List.of())
+                                            .size()
+                                    == 1;
+            exercisedCases += servedBySingleAttempt ? 0 : 1;
             if (!clientAttempt.reply().isFinal()) {
-                broken.add(
+                violations.add(
                         clientAttempt.tag()
                                 + " "
                                 + clientAttempt.queryClass()
@@ -107,15 +113,16 @@
                                 + " "
                                 + clientAttempt.reply().message()
                                 + " after "
-                                + (clientAttempt.reply().endNs() - clientAttempt.sentNs()) / MS
+                                + (clientAttempt.reply().endNs() - clientAttempt.sentNs())
+                                        / NS_PER_MS
                                 + " of "
-                                + (clientAttempt.deadlineNs() - clientAttempt.sentNs()) / MS
+                                + (clientAttempt.deadlineNs() - clientAttempt.sentNs()) / NS_PER_MS
                                 + " ms");
-            } else if (clientAttempt.stray()) {
-                broken.add(clientAttempt.tag() + ": data received after the final answer");
+            } else if (clientAttempt.hasDataAfterReply()) {
+                violations.add(clientAttempt.tag() + ": data received after the final answer");
             }
         }
-        return new Verdict("1 single final answer", stake, broken);
+        return new Verdict("1 single final answer", exercisedCases, violations);
     }
 
     // ---- 2. No duplicate effects
@@ -123,87 +130,97 @@
      * Counts the attempts of statements that are not safe to repeat and that ended without an
      * answer, and the further attempts of all queries.
      */
-    private Verdict noEffectTwice() {
-        List<String> broken = new ArrayList<>();
-        int stake = 0;
-        Map<Long, Integer> ran = new HashMap<>();
-        for (ClientAttempt clientAttempt : facts.tries()) {
-            List<SentQuery> entries = byTag.getOrDefault(clientAttempt.tag(), List.of());
-            boolean unsafe = cls(clientAttempt).retrySafety() == RetrySafety.AT_MOST_ONCE;
-            long runs =
-                    entries.stream()
+    private Verdict noDuplicateEffects() {
+        List<String> violations = new ArrayList<>();
+        int exercisedCases = 0;
+        Map<Long, Integer> executionsByRequest = new HashMap<>();
+        for (ClientAttempt clientAttempt : facts.clientAttempts()) {
+            List<EngineQuery> engineQueries =
+                    engineQueriesByTag.getOrDefault(clientAttempt.tag(), List.of());
+            boolean atMostOnce =
+                    queryClass(clientAttempt).retrySafety() == RetrySafety.AT_MOST_ONCE;
+            long executions =
+                    engineQueries.stream()
                             .filter(
-                                    sentQuery ->
-                                            sentQuery.ranNs() > 0
-                                                    && sentQuery.how() != How.TURNED_AWAY)
+                                    engineQuery ->
+                                            engineQuery.executableNs() > 0
+                                                    && engineQuery.outcome() != How.TURNED_AWAY)
                             .count();
-            if (unsafe) {
-                stake +=
-                        entries.stream().anyMatch(sentQuery -> sentQuery.how() != How.ANSWERED)
+            if (atMostOnce) {
+                exercisedCases +=
+                        engineQueries.stream()
+                                                .anyMatch(
+                                                        engineQuery ->
+                                                                engineQuery.outcome()
+                                                                        != How.ANSWERED)
                                         || clientAttempt.reply().kind() != Reply.Kind.SERVED
                                 ? 1
                                 : 0;
-                if (ran.merge(clientAttempt.request(), (int) runs, Integer::sum) > 1) {
-                    broken.add(
+                if (executionsByRequest.merge(
+                                clientAttempt.request(), (int) executions, Integer::sum)
+                        > 1) {
+                    violations.add(
                             clientAttempt.tag()
                                     + " "
                                     + clientAttempt.queryClass()
                                     + " was executed "
-                                    + ran.get(clientAttempt.request())
+                                    + executionsByRequest.get(clientAttempt.request())
                                     + " times");
                 }
-                if (clientAttempt.isRefused() && runs > 0) {
-                    broken.add(
+                if (clientAttempt.isRejected() && executions > 0) {
+                    violations.add(
                             clientAttempt.tag()
                                     + " was rejected as safe to retry but had been executed");
                 }
             }
-            for (int i = 1; i < entries.size(); i++) {
-                stake++;
-                if (entries.get(i).beganNs() + SKEW_NS < entries.get(i - 1).outUntilNs()) {
-                    broken.add(
+            for (int i = 1; i < engineQueries.size(); i++) {
+                exercisedCases++;
+                if (engineQueries.get(i).receivedNs() + CLOCK_TOLERANCE_NS
+                        < engineQueries.get(i - 1).finishedNs()) {
+                    violations.add(
                             clientAttempt.tag()
                                     + " had an attempt on "
-                                    + entries.get(i).engine()
+                                    + engineQueries.get(i).engine()
                                     + " while another attempt was open on "
-                                    + entries.get(i - 1).engine());
+                                    + engineQueries.get(i - 1).engine());
                 }
             }
         }
-        return new Verdict("2 no duplicate effects", stake, broken);
+        return new Verdict("2 no duplicate effects", exercisedCases, violations);
     }
 
     // ---- 3. Drain
     /** Counts the drains of engines that the router used shortly before. */
-    private Verdict drainsKept() {
-        List<String> broken = new ArrayList<>();
-        int stake = 0;
-        long grace = facts.settings().policyLimits().drainGraceNs();
+    private Verdict drain() {
+        List<String> violations = new ArrayList<>();
+        int exercisedCases = 0;
+        long graceNs = facts.settings().policyLimits().drainGraceNs();
         for (Drain drain : facts.drains()) {
-            boolean used = false;
-            for (SentQuery sentQuery : facts.ledger()) {
-                if (sentQuery.engine().equals(drain.engine())
-                        && sentQuery.router().equals(drain.router())) {
-                    used |=
-                            sentQuery.beganNs() > drain.toldNs() - IN_USE_NS
-                                    && sentQuery.beganNs() < drain.toldNs();
-                    if (sentQuery.beganNs() > drain.toldNs() + grace
-                            && sentQuery.beganNs() < drain.untilNs()) {
-                        broken.add(
-                                sentQuery.tag()
+            boolean usedBefore = false;
+            for (EngineQuery engineQuery : facts.engineQueries()) {
+                if (engineQuery.engine().equals(drain.engine())
+                        && engineQuery.router().equals(drain.router())) {
+                    usedBefore |=
+                            engineQuery.receivedNs() > drain.announcedNs() - ENGINE_USE_WINDOW_NS
+                                    && engineQuery.receivedNs() < drain.announcedNs();
+                    if (engineQuery.receivedNs() > drain.announcedNs() + graceNs
+                            && engineQuery.receivedNs() < drain.endNs()) {
+                        violations.add(
+                                engineQuery.tag()
                                         + " started on "
-                                        + sentQuery.engine()
+                                        + engineQuery.engine()
                                         + " "
-                                        + (sentQuery.beganNs() - drain.toldNs()) / MS
+                                        + (engineQuery.receivedNs() - drain.announcedNs())
+                                                / NS_PER_MS
                                         + " ms after "
                                         + drain.router()
                                         + " was notified of the drain");
                     }
                 }
             }
-            stake += used ? 1 : 0;
+            exercisedCases += usedBefore ? 1 : 0;
         }
-        return new Verdict("3 drain", stake, broken);
+        return new Verdict("3 drain", exercisedCases, violations);
     }
 
     // ---- 4. Slow start
@@ -212,114 +229,119 @@
      * multiple of the engine's capacity at that time. Counts the queries that warming engines
      * received.
      */
-    private Verdict coldEngines() {
-        List<String> broken =
+    private Verdict slowStart() {
+        List<String> violations =
                 new ArrayList<>(
-                        facts.fallen().stream()
-                                .map(text -> text + " crashed by overload during slow start")
+                        facts.overloadedEngines().stream()
+                                .map(engine -> engine + " crashed by overload during slow start")
                                 .toList());
-        int stake = 0;
+        int exercisedCases = 0;
         var limits = facts.settings().policyLimits();
-        for (Span down : facts.engineDowns()) {
-            EngineConfig engineConfig = facts.day().engines().get(down.name());
-            List<SentQuery> sent =
-                    facts.ledger().stream()
+        for (Interval down : facts.engineOutages()) {
+            EngineConfig engineConfig = facts.scenario().engines().get(down.name());
+            List<EngineQuery> sent =
+                    facts.engineQueries().stream()
                             .filter(
-                                    sentQuery ->
-                                            sentQuery.engine().equals(down.name())
-                                                    && sentQuery.beganNs() >= down.untilNs()
-                                                    && sentQuery.beganNs()
-                                                            < down.untilNs() + limits.slowStartNs())
-                            .sorted(Comparator.comparingLong(sentQuery -> sentQuery.beganNs()))
+                                    engineQuery ->
+                                            engineQuery.engine().equals(down.name())
+                                                    && engineQuery.receivedNs() >= down.endNs()
+                                                    && engineQuery.receivedNs()
+                                                            < down.endNs() + limits.slowStartNs())
+                            .sorted(
+                                    Comparator.comparingLong(
+                                            engineQuery -> engineQuery.receivedNs()))
                             .toList();
-            stake += sent.size();
-            double windowMs = limits.slowStartWindowNs() / (double) MS;
-            for (SentQuery last : sent) {
-                double work =
+            exercisedCases += sent.size();
+            double windowMs = limits.slowStartWindowNs() / (double) NS_PER_MS;
+            for (EngineQuery last : sent) {
+                double workMs =
                         sent.stream()
                                 .filter(
-                                        sentQuery ->
-                                                sentQuery.beganNs() <= last.beganNs()
-                                                        && sentQuery.beganNs()
-                                                                > last.beganNs()
+                                        engineQuery ->
+                                                engineQuery.receivedNs() <= last.receivedNs()
+                                                        && engineQuery.receivedNs()
+                                                                > last.receivedNs()
                                                                         - limits
                                                                                 .slowStartWindowNs())
-                                .mapToDouble(sentQuery -> sentQuery.workMs())
+                                .mapToDouble(engineQuery -> engineQuery.workMs())
                                 .sum();
-                double warm =
+                double warmFraction =
                         Math.min(
                                 1,
-                                (last.beganNs() - down.untilNs())
+                                (last.receivedNs() - down.endNs())
                                         / (double) engineConfig.slowStartNs());
-                double can =
+                double capacityCores =
                         engineConfig.cores()
                                 * engineConfig.speed()
                                 * (engineConfig.slowStartFraction()
-                                        + (1 - engineConfig.slowStartFraction()) * warm);
-                if (work > limits.slowStartOverloadFactor() * can * windowMs) {
-                    broken.add(
+                                        + (1 - engineConfig.slowStartFraction()) * warmFraction);
+                if (workMs > limits.slowStartOverloadFactor() * capacityCores * windowMs) {
+                    violations.add(
                             last.tag()
                                     + ": "
-                                    + Math.round(work)
+                                    + Math.round(workMs)
                                     + " ms of work sent in one window to "
                                     + down.name()
                                     + ", whose capacity was "
-                                    + Math.round(can * windowMs)
+                                    + Math.round(capacityCores * windowMs)
                                     + " ms");
                 }
             }
         }
-        return new Verdict("4 slow start", stake, broken);
+        return new Verdict("4 slow start", exercisedCases, violations);
     }
 
     // ---- 5. Key ordering
     /** Counts the pairs of queries with the same key that were open at the same time. */
-    private Verdict order() {
-        List<String> broken = new ArrayList<>();
-        int stake = 0;
-        Map<String, List<ClientAttempt>> lines = new HashMap<>();
-        for (ClientAttempt clientAttempt : facts.tries()) {
+    private Verdict keyOrdering() {
+        List<String> violations = new ArrayList<>();
+        int exercisedCases = 0;
+        Map<String, List<ClientAttempt>> attemptsByKey = new HashMap<>();
+        for (ClientAttempt clientAttempt : facts.clientAttempts()) {
             if (clientAttempt.key() != null
-                    && cls(clientAttempt).ordered()
+                    && queryClass(clientAttempt).ordered()
                     && clientAttempt.sent()) {
-                lines.computeIfAbsent(
+                attemptsByKey
+                        .computeIfAbsent(
                                 clientAttempt.router() + " " + clientAttempt.key(),
-                                text -> new ArrayList<>())
+                                key -> new ArrayList<>())
                         .add(clientAttempt);
             }
         }
-        for (List<ClientAttempt> line : lines.values()) {
-            line.sort(Comparator.comparingLong(ClientAttempt::sentNs));
-            for (int i = 0; i < line.size(); i++) {
+        for (List<ClientAttempt> attempts : attemptsByKey.values()) {
+            attempts.sort(Comparator.comparingLong(ClientAttempt::sentNs));
+            for (int i = 0; i < attempts.size(); i++) {
                 for (int j = i + 1;
-                        j < line.size() && line.get(j).sentNs() < line.get(i).reply().endNs();
+                        j < attempts.size()
+                                && attempts.get(j).sentNs() < attempts.get(i).reply().endNs();
                         j++) {
-                    if (!routerDied(line.get(i)) && !routerDied(line.get(j))) {
-                        stake++;
-                        compare(line.get(i), line.get(j), broken);
+                    if (!routerCrashed(attempts.get(i)) && !routerCrashed(attempts.get(j))) {
+                        exercisedCases++;
+                        checkOrder(attempts.get(i), attempts.get(j), violations);
                     }
                 }
             }
         }
-        return new Verdict("5 key ordering", stake, broken);
+        return new Verdict("5 key ordering", exercisedCases, violations);
     }
 
-    private void compare(ClientAttempt first, ClientAttempt second, List<String> broken) {
-        for (SentQuery a : byTag.getOrDefault(first.tag(), List.of())) {
-            for (SentQuery b : byTag.getOrDefault(second.tag(), List.of())) {
-                if (a.beganNs() <= b.beganNs()
-                        ? b.beganNs() + SKEW_NS < a.outUntilNs()
-                        : a.beganNs() + SKEW_NS < b.outUntilNs()) {
-                    broken.add(
+    private void checkOrder(ClientAttempt first, ClientAttempt second, List<String> violations) {
+        for (EngineQuery firstQuery : engineQueriesByTag.getOrDefault(first.tag(), List.of())) {
+            for (EngineQuery secondQuery :
+                    engineQueriesByTag.getOrDefault(second.tag(), List.of())) {
+                if (firstQuery.receivedNs() <= secondQuery.receivedNs()
+                        ? secondQuery.receivedNs() + CLOCK_TOLERANCE_NS < firstQuery.finishedNs()
+                        : firstQuery.receivedNs() + CLOCK_TOLERANCE_NS < secondQuery.finishedNs()) {
+                    violations.add(
                             first.tag()
                                     + " and "
                                     + second.tag()
                                     + " of key "
                                     + first.key()
                                     + " were open at the same time");
-                } else if (b.beganNs() < a.beganNs()
-                        && second.sentNs() - first.sentNs() > PLAIN_ORDER_NS) {
-                    broken.add(
+                } else if (secondQuery.receivedNs() < firstQuery.receivedNs()
+                        && second.sentNs() - first.sentNs() > CERTAIN_ORDER_NS) {
+                    violations.add(
                             second.tag()
                                     + " of key "
                                     + first.key()
@@ -336,53 +358,54 @@
      * engine had a fault or any engine was down.
      */
     private Verdict placement() {
-        List<String> broken = new ArrayList<>();
-        int stake = 0;
-        for (ClientAttempt clientAttempt : facts.tries()) {
-            QueryClass queryClass = cls(clientAttempt);
+        List<String> violations = new ArrayList<>();
+        int exercisedCases = 0;
+        for (ClientAttempt clientAttempt : facts.clientAttempts()) {
+            QueryClass queryClass = queryClass(clientAttempt);
             if (queryClass.engineKinds().isEmpty() && queryClass.zones().isEmpty()) {
                 continue;
             }
-            for (SentQuery sentQuery : byTag.getOrDefault(clientAttempt.tag(), List.of())) {
-                boolean pressed =
-                        facts.sick().stream()
+            for (EngineQuery engineQuery :
+                    engineQueriesByTag.getOrDefault(clientAttempt.tag(), List.of())) {
+                boolean underFault =
+                        facts.engineFaults().stream()
                                         .anyMatch(
-                                                span ->
-                                                        span.touches(
-                                                                        sentQuery.beganNs(),
-                                                                        sentQuery.beganNs())
+                                                interval ->
+                                                        interval.overlaps(
+                                                                        engineQuery.receivedNs(),
+                                                                        engineQuery.receivedNs())
                                                                 && queryClass
                                                                         .engineKinds()
                                                                         .contains(
-                                                                                facts.day()
+                                                                                facts.scenario()
                                                                                         .engines()
                                                                                         .get(
-                                                                                                span
+                                                                                                interval
                                                                                                         .name())
                                                                                         .kind()))
-                                || facts.engineDowns().stream()
+                                || facts.engineOutages().stream()
                                         .anyMatch(
-                                                span ->
-                                                        span.touches(
-                                                                sentQuery.beganNs(),
-                                                                sentQuery.beganNs()));
-                stake += pressed ? 1 : 0;
+                                                interval ->
+                                                        interval.overlaps(
+                                                                engineQuery.receivedNs(),
+                                                                engineQuery.receivedNs()));
+                exercisedCases += underFault ? 1 : 0;
                 if (!queryClass.engineKinds().isEmpty()
-                                && !queryClass.engineKinds().contains(sentQuery.kind())
+                                && !queryClass.engineKinds().contains(engineQuery.kind())
                         || !queryClass.zones().isEmpty()
-                                && !queryClass.zones().contains(sentQuery.zone())) {
-                    broken.add(
+                                && !queryClass.zones().contains(engineQuery.zone())) {
+                    violations.add(
                             clientAttempt.tag()
                                     + " "
                                     + clientAttempt.queryClass()
                                     + " was sent to "
-                                    + sentQuery.engine()
+                                    + engineQuery.engine()
                                     + " of kind "
-                                    + sentQuery.kind());
+                                    + engineQuery.kind());
                 }
             }
         }
-        return new Verdict("6 placement", stake, broken);
+        return new Verdict("6 placement", exercisedCases, violations);
     }
 
     // ---- 7. Retry budget
@@ -390,53 +413,63 @@
      * The retries of a router stay within its budget in any window, and the attempts of a query
      * within their maximum. Counts the retries.
      */
-    private Verdict budget() {
-        List<String> broken = new ArrayList<>();
-        int stake = 0;
+    private Verdict retryBudget() {
+        List<String> violations = new ArrayList<>();
+        int exercisedCases = 0;
         var limits = facts.settings().policyLimits();
-        Map<String, List<Long>> further = new HashMap<>();
-        for (ClientAttempt clientAttempt : facts.tries()) {
-            List<SentQuery> entries = byTag.getOrDefault(clientAttempt.tag(), List.of());
-            if (entries.size() > facts.settings().capabilities().maxAttempts()) {
-                broken.add(clientAttempt.tag() + " had " + entries.size() + " attempts");
+        Map<String, List<Long>> retriesByRouter = new HashMap<>();
+        for (ClientAttempt clientAttempt : facts.clientAttempts()) {
+            List<EngineQuery> engineQueries =
+                    engineQueriesByTag.getOrDefault(clientAttempt.tag(), List.of());
+            if (engineQueries.size() > facts.settings().capabilities().maxAttempts()) {
+                violations.add(clientAttempt.tag() + " had " + engineQueries.size() + " attempts");
             }
-            for (SentQuery sentQuery :
-                    entries.subList(Math.min(1, entries.size()), entries.size())) {
-                stake++;
-                further.computeIfAbsent(sentQuery.router(), text -> new ArrayList<>())
-                        .add(sentQuery.beganNs());
+            for (EngineQuery engineQuery :
+                    engineQueries.subList(
+                            Math.min(1, engineQueries.size()), engineQueries.size())) {
+                exercisedCases++;
+                retriesByRouter
+                        .computeIfAbsent(engineQuery.router(), key -> new ArrayList<>())
+                        .add(engineQuery.receivedNs());
             }
         }
         if (limits.retryBudgetWindowNs() > 0) {
-            further.forEach(
-                    (router, times) -> {
-                        List<Long> taken =
-                                facts.tries().stream()
+            retriesByRouter.forEach(
+                    (router, retryTimesNs) -> {
+                        List<Long> requestTimesNs =
+                                facts.clientAttempts().stream()
                                         .filter(
                                                 clientAttempt ->
                                                         clientAttempt.router().equals(router)
                                                                 && clientAttempt.sent())
                                         .map(ClientAttempt::sentNs)
                                         .toList();
-                        for (long last : times) {
-                            long from = last - limits.retryBudgetWindowNs();
-                            long used = times.stream().filter(x -> x > from && x <= last).count();
-                            long had =
-                                    taken.stream()
-                                            .filter(x -> x > from - SKEW_NS && x <= last)
+                        for (long lastNs : retryTimesNs) {
+                            long fromNs = lastNs - limits.retryBudgetWindowNs();
+                            long retries =
+                                    retryTimesNs.stream()
+                                            .filter(timeNs -> timeNs > fromNs && timeNs <= lastNs)
                                             .count();
-                            if (used > limits.freeRetries() + limits.retriesPerQuery() * had) {
-                                broken.add(
+                            long requests =
+                                    requestTimesNs.stream()
+                                            .filter(
+                                                    timeNs ->
+                                                            timeNs > fromNs - CLOCK_TOLERANCE_NS
+                                                                    && timeNs <= lastNs)
+                                            .count();
+                            if (retries
+                                    > limits.freeRetries() + limits.retriesPerQuery() * requests) {
+                                violations.add(
                                         router
                                                 + " made "
-                                                + used
+                                                + retries
                                                 + " retries in a window with "
-                                                + had
+                                                + requests
                                                 + " requests");
                             }
                         }
                     });
         }
-        return new Verdict("7 retry budget", stake, broken);
+        return new Verdict("7 retry budget", exercisedCases, violations);
     }
 }
--- /dev/null
+++ b/loadtest/src/main/java/ashlink/loadtest/check/ServiceLevel.java
@@ -0,0 +1,147 @@
+package ashlink.loadtest.check;
+
+import ashlink.decisions.api.QueryClass;
+import ashlink.loadtest.client.Reply;
+import ashlink.loadtest.load.ClientAttempt;
+import ashlink.loadtest.scenario.ScenarioFacts;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+
+/**
+ * The service level of a scenario: the priority weight earned by served requests divided by the
+ * weight of all requests. A request served after its latency objective earns only the late fraction
+ * of its class. The retries of a client count as one request.
+ *
+ * @param total service level of the whole scenario
+ * @param worstTenSeconds lowest service level of any window of 10 seconds
+ * @param byClass service level by query class
+ * @param byProtocol service level by protocol
+ * @param requests number of requests
+ * @param served requests that were served
+ * @param rejected requests whose last attempt was rejected
+ * @param failed requests that neither were served nor rejected
+ */
+public record ServiceLevel(
+        double total,
+        double worstTenSeconds,
+        Map<String, Double> byClass,
+        Map<String, Double> byProtocol,
+        long requests,
+        long served,
+        long rejected,
+        long failed) {
+
+    private static final long WINDOW_NS = 10_000_000_000L;
+    private static final long STEP_NS = 1_000_000_000L;
+
+    private record RequestScore(
+            String queryClass, String protocol, long startNs, double weight, double earnedWeight) {}
+
+    /** Computes the service level of a scenario. */
+    public static ServiceLevel of(ScenarioFacts facts) {
+        Map<Long, List<ClientAttempt>> attemptsByRequest = new HashMap<>();
+        facts.clientAttempts()
+                .forEach(
+                        clientAttempt ->
+                                attemptsByRequest
+                                        .computeIfAbsent(
+                                                clientAttempt.request(),
+                                                request -> new ArrayList<>())
+                                        .add(clientAttempt));
+        List<RequestScore> scores = new ArrayList<>();
+        long served = 0;
+        long rejected = 0;
+        long failed = 0;
+        for (List<ClientAttempt> clientAttempts : attemptsByRequest.values()) {
+            clientAttempts.sort(Comparator.comparingInt(ClientAttempt::index));
+            ClientAttempt last = clientAttempts.get(clientAttempts.size() - 1);
+            QueryClass queryClass = facts.settings().queryClasses().get(last.queryClass());
+            boolean isServed = last.reply().kind() == Reply.Kind.SERVED;
+            served += isServed ? 1 : 0;
+            rejected += !isServed && last.isRejected() ? 1 : 0;
+            failed += !isServed && !last.isRejected() ? 1 : 0;
+            double objectiveNs =
+                    queryClass.latencyObjectiveNs()
+                            + queryClass.objectivePerWork() * last.workMs() / last.threads() * 1e6;
+            boolean isInTime = last.reply().endNs() - last.requestStartNs() <= objectiveNs;
+            scores.add(
+                    new RequestScore(
+                            queryClass.name(),
+                            last.protocol(),
+                            last.requestStartNs(),
+                            queryClass.priorityWeight(),
+                            isServed
+                                    ? queryClass.priorityWeight()
+                                            * (isInTime ? 1 : queryClass.lateWeightFraction())
+                                    : 0));
+        }
+        Map<String, Double> byClass = new LinkedHashMap<>();
+        facts.settings()
+                .queryClasses()
+                .keySet()
+                .forEach(
+                        name ->
+                                byClass.put(
+                                        name,
+                                        serviceLevel(
+                                                scores.stream()
+                                                        .filter(
+                                                                score ->
+                                                                        score.queryClass()
+                                                                                .equals(name))
+                                                        .toList())));
+        Map<String, Double> byProtocol = new TreeMap<>();
+        scores.stream()
+                .map(RequestScore::protocol)
+                .distinct()
+                .forEach(
+                        name ->
+                                byProtocol.put(
+                                        name,
+                                        serviceLevel(
+                                                scores.stream()
+                                                        .filter(
+                                                                score ->
+                                                                        score.protocol()
+                                                                                .equals(name))
+                                                        .toList())));
+        double lowest = 1;
+        for (long windowStartNs = facts.startNs();
+                windowStartNs + WINDOW_NS <= facts.startNs() + facts.scenario().durationNs();
+                windowStartNs += STEP_NS) {
+            long fromNs = windowStartNs;
+            lowest =
+                    Math.min(
+                            lowest,
+                            serviceLevel(
+                                    scores.stream()
+                                            .filter(
+                                                    score ->
+                                                            score.startNs() >= fromNs
+                                                                    && score.startNs()
+                                                                            < fromNs + WINDOW_NS)
+                                            .toList()));
+        }
+        return new ServiceLevel(
+                serviceLevel(scores),
+                lowest,
+                byClass,
+                byProtocol,
+                scores.size(),
+                served,
+                rejected,
+                failed);
+    }
+
+    private static double serviceLevel(List<RequestScore> scores) {
+        double weight = scores.stream().mapToDouble(RequestScore::weight).sum();
+        return weight == 0
+                ? 1
+                : scores.stream().mapToDouble(RequestScore::earnedWeight).sum() / weight;
+    }
+}
--- a/loadtest/src/main/java/ashlink/loadtest/client/NativeClient.java
+++ b/loadtest/src/main/java/ashlink/loadtest/client/NativeClient.java
@@ -29,12 +29,12 @@
 public final class NativeClient implements AutoCloseable {
 
     private static final int READ_BYTES = 64 << 10;
-    private static final long MS = 1_000_000L;
+    private static final long NS_PER_MS = 1_000_000L;
 
     private final Socket socket = new Socket();
     private final WireLimits limits;
     private final Compression compression;
-    private final int wanted;
+    private final int requestedRevision;
     private StreamSource in;
     private BlockReader blocks;
     private OutputStream out;
@@ -42,12 +42,12 @@
     private String serverName = "";
 
     /** Blocks of the last result; null if blocks are not retained. */
-    private List<Block> kept;
+    private List<Block> retainedBlocks;
 
     /** Creates a client that is not connected; a null {@code compression} disables compression. */
-    public NativeClient(Compression compression, int wantedRevision) {
+    public NativeClient(Compression compression, int requestedRevision) {
         this.compression = compression;
-        this.wanted = wantedRevision;
+        this.requestedRevision = requestedRevision;
         this.limits = WireLimits.DEFAULT;
     }
 
@@ -69,9 +69,10 @@
             in = new StreamSource(socket.getInputStream(), READ_BYTES);
             blocks = new BlockReader(in, limits);
             out = socket.getOutputStream();
-            ByteBuf hello = new ByteBuf();
-            new Hello.Client("rig", 1, 0, wanted, database, user, password).write(hello);
-            hello.writeTo(out);
+            ByteBuf packet = new ByteBuf();
+            new Hello.Client("rig", 1, 0, requestedRevision, database, user, password)
+                    .write(packet);
+            packet.writeTo(out);
             ServerPacket kind = ServerPacket.of(in.readVarUInt());
             if (kind == ServerPacket.EXCEPTION) {
                 ServerError serverError = ServerError.read(in, limits);
@@ -83,7 +84,7 @@
             }
             Hello.Server server = Hello.Server.read(in, limits);
             serverName = server.displayName();
-            revision = Math.min(wanted, server.revision());
+            revision = Math.min(requestedRevision, server.revision());
         } catch (IOException e) {
             close();
             throw e;
@@ -101,48 +102,49 @@
     }
 
     /** Retains the blocks of the following results. */
-    public NativeClient keepBlocks() {
-        kept = new ArrayList<>();
+    public NativeClient retainBlocks() {
+        retainedBlocks = new ArrayList<>();
         return this;
     }
 
     /** Returns the blocks of the last result. */
     public List<Block> blocks() {
-        return kept;
+        return retainedBlocks;
     }
 
     /** Writes a Query packet and the block that ends the external tables. */
     public void sendQuery(String id, String statement, Map<String, String> settings)
             throws IOException {
         ByteBuf packet = new ByteBuf();
-        List<Setting> list = new ArrayList<>();
-        settings.forEach((k, v) -> list.add(new Setting(k, 0, v)));
+        List<Setting> settingList = new ArrayList<>();
+        settings.forEach(
+                (settingName, value) -> settingList.add(new Setting(settingName, 0, value)));
         new QueryPacket(
                         id,
                         new ClientInfo("", id, "", "", "", "rig", 1, 0, revision, 0, ""),
-                        list,
+                        settingList,
                         QueryPacket.COMPLETE,
                         compression != null,
                         statement)
                 .write(revision, packet);
-        data(Block.END, packet);
+        writeData(Block.END, packet);
         packet.writeTo(out);
     }
 
-    private void data(Block block, ByteBuf to) throws IOException {
-        to.putVarUInt(ClientPacket.DATA.ordinal()).putString("");
-        block.write(compression, to);
+    private void writeData(Block block, ByteBuf target) throws IOException {
+        target.putVarUInt(ClientPacket.DATA.ordinal()).putString("");
+        block.write(compression, target);
     }
 
     /** Writes a block of an insert; {@link Block#END} ends the insert. */
     public void sendBlock(Block block) throws IOException {
         ByteBuf packet = new ByteBuf();
-        data(block, packet);
+        writeData(block, packet);
         packet.writeTo(out);
     }
 
     /** Writes a packet without a body. */
-    public void sendBare(ClientPacket kind) throws IOException {
+    public void sendPacketType(ClientPacket kind) throws IOException {
         new ByteBuf().putVarUInt(kind.ordinal()).writeTo(out);
     }
 
@@ -158,51 +160,51 @@
             Map<String, String> settings,
             List<Block> rows,
             long timeoutNs) {
-        long until = System.nanoTime() + timeoutNs;
+        long untilNs = System.nanoTime() + timeoutNs;
         try {
-            socket.setSoTimeout(leftMs(until));
+            socket.setSoTimeout(remainingMs(untilNs));
             sendQuery(id, statement, settings);
-            return await(rows, until);
+            return await(rows, untilNs);
         } catch (IOException e) {
-            return lost(e, 0, 0);
+            return failureReply(e, 0, 0);
         }
     }
 
-    private static int leftMs(long until) throws SocketTimeoutException {
-        long left = (until - System.nanoTime()) / MS;
-        if (left <= 0) {
+    private static int remainingMs(long untilNs) throws SocketTimeoutException {
+        long remaining = (untilNs - System.nanoTime()) / NS_PER_MS;
+        if (remaining <= 0) {
             throw new SocketTimeoutException("client timeout expired");
         }
-        return (int) Math.min(Integer.MAX_VALUE, left);
+        return (int) Math.min(Integer.MAX_VALUE, remaining);
     }
 
-    private static Reply lost(IOException e, long rows, long bytes) {
+    private static Reply failureReply(IOException e, long rows, long bytes) {
         Reply.Kind kind =
                 e instanceof SocketTimeoutException
                         ? Reply.Kind.TIMED_OUT
-                        : e instanceof WireException w
-                                        && w.reason() != WireException.Reason.TRUNCATED
+                        : e instanceof WireException wireException
+                                        && wireException.reason() != WireException.Reason.TRUNCATED
                                 ? Reply.Kind.GARBLED
                                 : Reply.Kind.LOST;
         return new Reply(kind, 0, String.valueOf(e.getMessage()), rows, bytes, System.nanoTime());
     }
 
     /** Waits for the end of the statement that was sent last. */
-    public Reply await(List<Block> insert, long until) {
+    public Reply await(List<Block> insert, long untilNs) {
         long rows = 0;
-        long from = in.consumed();
-        boolean fed = insert.isEmpty();
-        if (kept != null) {
-            kept.clear();
+        long firstByte = in.consumed();
+        boolean dataSent = insert.isEmpty();
+        if (retainedBlocks != null) {
+            retainedBlocks.clear();
         }
         try {
             while (true) {
-                socket.setSoTimeout(leftMs(until));
-                int first = in.readByteOrEnd();
-                if (first < 0) {
+                socket.setSoTimeout(remainingMs(untilNs));
+                int packetType = in.readByteOrEnd();
+                if (packetType < 0) {
                     throw new WireException(WireException.Reason.TRUNCATED, "closed");
                 }
-                ServerPacket kind = ServerPacket.of(first);
+                ServerPacket kind = ServerPacket.of(packetType);
                 switch (kind) {
                     case END_OF_STREAM -> {
                         return new Reply(
@@ -210,7 +212,7 @@
                                 0,
                                 "",
                                 rows,
-                                in.consumed() - from,
+                                in.consumed() - firstByte,
                                 System.nanoTime());
                     }
                     case EXCEPTION -> {
@@ -220,7 +222,7 @@
                                 serverError.code(),
                                 serverError.message(),
                                 rows,
-                                in.consumed() - from,
+                                in.consumed() - firstByte,
                                 System.nanoTime());
                     }
                     case PROGRESS, PROFILE_INFO, TABLE_COLUMNS, PONG ->
@@ -230,32 +232,32 @@
                         boolean compressed = kind.isCompressible() && compression != null;
                         BlockReader.Size size = readBlock(kind, compressed);
                         rows += kind == ServerPacket.DATA ? size.rows() : 0;
-                        if (!fed && kind == ServerPacket.DATA && size.rows() == 0) {
+                        if (!dataSent && kind == ServerPacket.DATA && size.rows() == 0) {
                             for (Block block : insert) {
                                 sendBlock(block);
                             }
                             sendBlock(Block.END);
-                            fed = true;
+                            dataSent = true;
                         }
                     }
                 }
             }
         } catch (IOException e) {
-            return lost(e, rows, in.consumed() - from);
+            return failureReply(e, rows, in.consumed() - firstByte);
         }
     }
 
     private BlockReader.Size readBlock(ServerPacket kind, boolean compressed) throws IOException {
-        if (kept == null || kind != ServerPacket.DATA) {
+        if (retainedBlocks == null || kind != ServerPacket.DATA) {
             return blocks.skip(compressed);
         }
         Block block = blocks.read(compressed, 1 << 20);
-        kept.add(block);
+        retainedBlocks.add(block);
         return new BlockReader.Size(block.rows(), block.columns().size());
     }
 
     /** Returns whether the server has sent data after the end of the last statement. */
-    public boolean hasStray() throws IOException {
+    public boolean hasUnexpectedData() throws IOException {
         return in.hasBuffered() || socket.getInputStream().available() > 0;
     }
 
--- a/loadtest/src/main/java/ashlink/loadtest/load/ClientAttempt.java
+++ b/loadtest/src/main/java/ashlink/loadtest/load/ClientAttempt.java
@@ -8,39 +8,42 @@
  *
  * @param request number of the request
  * @param tag tag of the statement, which the ledgers of the engines record
- * @param number index of the attempt, 0 for the first
+ * @param index index of the attempt, 0 for the first
  * @param queryClass name of the class in the load
  * @param key ordering key, null if the request has none
  * @param router router that the attempt was sent to
  * @param workMs work of the query, summed over its threads
  * @param threads threads of the query
- * @param firstNs start of the first attempt of the request
+ * @param requestStartNs start of the first attempt of the request
  * @param sentNs start of this attempt
  * @param deadlineNs time at which the client gives up
  * @param sent whether the whole statement was written, so that the router may have received it
  * @param reply end of the attempt
- * @param stray whether the router sent data after its final answer
- * @param front protocol: native or http
+ * @param hasDataAfterReply whether the router sent data after its final answer
+ * @param protocol protocol: native or http
  */
 public record ClientAttempt(
         long request,
         String tag,
-        int number,
+        int index,
         String queryClass,
         String key,
         String router,
         double workMs,
         int threads,
-        long firstNs,
+        long requestStartNs,
         long sentNs,
         long deadlineNs,
         boolean sent,
         Reply reply,
-        boolean stray,
-        String front) {
+        boolean hasDataAfterReply,
+        String protocol) {
+
+    /** Error code with which a router rejects a statement that is safe to retry. */
+    private static final int REJECTED_CODE = 202;
 
     /** Returns whether the router rejected the statement and reported that a retry is safe. */
-    public boolean isRefused() {
-        return reply.kind() == Reply.Kind.EXCEPTION && reply.code() == 202;
+    public boolean isRejected() {
+        return reply.kind() == Reply.Kind.EXCEPTION && reply.code() == REJECTED_CODE;
     }
 }
--- a/loadtest/src/main/java/ashlink/loadtest/load/HttpLoad.java
+++ b/loadtest/src/main/java/ashlink/loadtest/load/HttpLoad.java
@@ -22,14 +22,14 @@
                     .arrayNode()
                     .add(JsonNodeFactory.instance.arrayNode().add("1").add("a"))
                     .add(JsonNodeFactory.instance.arrayNode().add("2").add("b"));
-    private static final int REFUSED = 202;
-    private static final int FAILED = 210;
+    private static final int REJECTED_CODE = 202;
+    private static final int FAILED_CODE = 210;
 
     /** The end of an attempt; {@code sent} is false if nothing can have reached the router. */
-    record Seen(Reply reply, boolean sent) {}
+    record Result(Reply reply, boolean sent) {}
 
     private final Function<String, InetSocketAddress> addresses;
-    private final HttpClient http =
+    private final HttpClient httpClient =
             HttpClient.newBuilder()
                     .version(HttpClient.Version.HTTP_1_1)
                     .connectTimeout(Duration.ofSeconds(1))
@@ -40,19 +40,19 @@
         this.addresses = addresses;
     }
 
-    Seen run(
+    Result run(
             String router,
             LoadClass loadClass,
             String statement,
             Map<String, String> settings,
-            String key,
-            long patience) {
+            String idempotencyKey,
+            long timeoutNs) {
         StatementClient client =
                 clients.computeIfAbsent(
                         router + "/" + loadClass.user(),
-                        text ->
+                        name ->
                                 new StatementClient(
-                                        http,
+                                        httpClient,
                                         URI.create(
                                                 "http://127.0.0.1:"
                                                         + addresses.apply(router).getPort()),
@@ -64,15 +64,15 @@
                             statement,
                             settings,
                             loadClass.write() ? ROWS : null,
-                            loadClass.write() ? key : null,
-                            patience,
+                            loadClass.write() ? idempotencyKey : null,
+                            timeoutNs,
                             page -> {});
-            return new Seen(
+            return new Result(
                     reply(statementResult),
                     statementResult.kind() != StatementResult.Kind.NOT_SENT);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return new Seen(
+            return new Result(
                     new Reply(
                             Reply.Kind.LOST,
                             0,
@@ -96,8 +96,10 @@
                 statementResult.kind() != StatementResult.Kind.PROBLEM
                         ? 0
                         : statementResult.isRejected()
-                                ? REFUSED
-                                : statementResult.code() != 0 ? statementResult.code() : FAILED;
+                                ? REJECTED_CODE
+                                : statementResult.code() != 0
+                                        ? statementResult.code()
+                                        : FAILED_CODE;
         return new Reply(
                 kind,
                 code,
--- a/loadtest/src/main/java/ashlink/loadtest/load/LoadConditions.java
+++ b/loadtest/src/main/java/ashlink/loadtest/load/LoadConditions.java
@@ -6,52 +6,52 @@
  */
 public final class LoadConditions {
 
-    private volatile double rate = 1;
-    private volatile String heavyClass = "";
-    private volatile double heavyFactor = 1;
-    private volatile double hotGroupShare;
+    private volatile double rateFactor = 1;
+    private volatile String workFactorClass = "";
+    private volatile double workFactor = 1;
+    private volatile double hotTableGroupFraction;
     private volatile String hotRouter = "";
-    private volatile double hotRouterShare;
+    private volatile double hotRouterFraction;
 
     /** Multiplies the arrival rate by the factor. */
-    public void rate(double factor) {
-        rate = factor;
+    public void setRateFactor(double factor) {
+        rateFactor = factor;
     }
 
     /** Multiplies the work of the queries of a class by the factor. */
-    public void heavy(String queryClass, double factor) {
-        heavyFactor = factor;
-        heavyClass = queryClass;
+    public void setWorkFactor(String queryClass, double factor) {
+        workFactor = factor;
+        workFactorClass = queryClass;
     }
 
     /** Sends the given fraction of all queries to one table group. */
-    public void hotGroup(double share) {
-        hotGroupShare = share;
+    public void setHotTableGroup(double fraction) {
+        hotTableGroupFraction = fraction;
     }
 
     /** Sends the given fraction of all queries without a key to one router. */
-    public void hotRouter(String router, double share) {
+    public void setHotRouter(String router, double fraction) {
         hotRouter = router;
-        hotRouterShare = share;
+        hotRouterFraction = fraction;
     }
 
-    double rate() {
-        return rate;
+    double rateFactor() {
+        return rateFactor;
     }
 
-    double work(String queryClass) {
-        return queryClass.equals(heavyClass) ? heavyFactor : 1;
+    double workFactor(String queryClass) {
+        return queryClass.equals(workFactorClass) ? workFactor : 1;
     }
 
-    double hotGroupShare() {
-        return hotGroupShare;
+    double hotTableGroupFraction() {
+        return hotTableGroupFraction;
     }
 
     String hotRouter() {
         return hotRouter;
     }
 
-    double hotRouterShare() {
-        return hotRouterShare;
+    double hotRouterFraction() {
+        return hotRouterFraction;
     }
 }
--- a/loadtest/src/main/java/ashlink/loadtest/load/LoadRun.java
+++ b/loadtest/src/main/java/ashlink/loadtest/load/LoadRun.java
@@ -30,43 +30,43 @@
 public final class LoadRun {
 
     private static final long MS = 1_000_000L;
-    private static final double SHORTEST_PATIENCE = 0.8;
-    private static final int CONNECT_MS = 1_000;
+    private static final double MIN_TIMEOUT_FRACTION = 0.8;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
     private static final Block ROWS =
             Block.of(
                     new Block.Column("id", "UInt64", List.of(1L, 2L)),
                     new Block.Column("value", "String", List.of("a", "b")));
 
     private record Arrival(
-            long request,
-            long atNs,
-            LoadClass cls,
+            long requestNumber,
+            long arrivalNs,
+            LoadClass loadClass,
             double workMs,
-            double patience,
+            double timeoutFraction,
             int router,
             String key,
-            long group,
-            boolean http) {}
+            long tableGroup,
+            boolean overHttp) {}
 
-    private final ScenarioConfig day;
+    private final ScenarioConfig scenario;
     private final List<String> routers;
     private final Function<String, InetSocketAddress> addresses;
-    private final HttpLoad http;
+    private final HttpLoad httpLoad;
     private final LoadConditions conditions;
-    private final List<ClientAttempt> tries = new ArrayList<>();
-    private final Map<String, ArrayDeque<NativeClient>> idle = new ConcurrentHashMap<>();
+    private final List<ClientAttempt> clientAttempts = new ArrayList<>();
+    private final Map<String, ArrayDeque<NativeClient>> idleConnections = new ConcurrentHashMap<>();
     private final ExecutorService clients;
 
     /** Creates a load on the routers of a scenario; the conditions may change during the run. */
     public LoadRun(
-            ScenarioConfig day,
+            ScenarioConfig scenario,
             Function<String, InetSocketAddress> addresses,
             Function<String, InetSocketAddress> httpAddresses,
             LoadConditions conditions) {
-        this.day = day;
-        this.routers = day.routers().stream().map(ScenarioConfig.RouterSpec::name).toList();
+        this.scenario = scenario;
+        this.routers = scenario.routers().stream().map(ScenarioConfig.RouterSpec::name).toList();
         this.addresses = addresses;
-        this.http = new HttpLoad(httpAddresses);
+        this.httpLoad = new HttpLoad(httpAddresses);
         this.conditions = conditions;
         this.clients =
                 Executors.newCachedThreadPool(
@@ -79,167 +79,187 @@
 
     /** Runs until the scenario is over and all clients have finished; returns their attempts. */
     public List<ClientAttempt> run() throws InterruptedException {
-        UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(day.seed());
-        ZigguratSampler.NormalizedGaussian gauss = ZigguratSampler.NormalizedGaussian.of(random);
-        ZigguratSampler.Exponential gaps = ZigguratSampler.Exponential.of(random);
-        long from = System.nanoTime();
-        double at = 0;
-        long request = 0;
-        while (at < day.durationNs()) {
-            double rate = day.ratePerS() * conditions.rate();
-            at += gaps.sample() / rate * 1e9;
-            Arrival arrival = draw(request++, (long) at, random, gauss);
-            long wait = from + arrival.atNs() - System.nanoTime();
+        UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(scenario.seed());
+        ZigguratSampler.NormalizedGaussian gaussian = ZigguratSampler.NormalizedGaussian.of(random);
+        ZigguratSampler.Exponential interarrivalTimes = ZigguratSampler.Exponential.of(random);
+        long startNs = System.nanoTime();
+        double arrivalNs = 0;
+        long requestNumber = 0;
+        while (arrivalNs < scenario.durationNs()) {
+            double rate = scenario.ratePerS() * conditions.rateFactor();
+            arrivalNs += interarrivalTimes.sample() / rate * 1e9;
+            Arrival arrival = drawArrival(requestNumber++, (long) arrivalNs, random, gaussian);
+            long wait = startNs + arrival.arrivalNs() - System.nanoTime();
             if (wait > 0) {
                 TimeUnit.NANOSECONDS.sleep(wait);
             }
-            clients.execute(() -> client(arrival));
+            clients.execute(() -> runClient(arrival));
         }
         clients.shutdown();
-        long longest =
-                day.load().stream()
+        long longestRequestNs =
+                scenario.load().stream()
                         .mapToLong(
                                 loadClass ->
                                         (loadClass.timeoutNs() + loadClass.retryDelayNs())
                                                 * (loadClass.retries() + 1))
                         .max()
                         .orElse(0);
-        clients.awaitTermination(longest + 5_000 * MS, TimeUnit.NANOSECONDS);
-        idle.values().forEach(arrayDeque -> arrayDeque.forEach(NativeClient::close));
-        synchronized (tries) {
-            return new ArrayList<>(tries);
+        clients.awaitTermination(longestRequestNs + 5_000 * MS, TimeUnit.NANOSECONDS);
+        idleConnections.values().forEach(connections -> connections.forEach(NativeClient::close));
+        synchronized (clientAttempts) {
+            return new ArrayList<>(clientAttempts);
         }
     }
 
-    private Arrival draw(
-            long request,
-            long atNs,
+    private Arrival drawArrival(
+            long requestNumber,
+            long arrivalNs,
             UniformRandomProvider random,
-            ZigguratSampler.NormalizedGaussian gauss) {
-        double which = random.nextDouble();
-        LoadClass cls = day.load().get(day.load().size() - 1);
-        for (LoadClass loadClass : day.load()) {
-            which -= loadClass.fraction();
-            if (which < 0) {
-                cls = loadClass;
+            ZigguratSampler.NormalizedGaussian gaussian) {
+        double classSelector = random.nextDouble();
+        LoadClass loadClass = scenario.load().get(scenario.load().size() - 1);
+        for (LoadClass candidate : scenario.load()) {
+            classSelector -= candidate.fraction();
+            if (classSelector < 0) {
+                loadClass = candidate;
                 break;
             }
         }
-        double work =
-                conditions.work(cls.name())
-                        * cls.workNs()
+        double workMs =
+                conditions.workFactor(loadClass.name())
+                        * loadClass.workNs()
                         / (double) MS
-                        * Math.exp(cls.spread() * gauss.sample() - cls.spread() * cls.spread() / 2);
-        int key = cls.keys() > 0 ? random.nextInt(cls.keys()) : -1;
+                        * Math.exp(
+                                loadClass.spread() * gaussian.sample()
+                                        - loadClass.spread() * loadClass.spread() / 2);
+        int key = loadClass.keys() > 0 ? random.nextInt(loadClass.keys()) : -1;
         // Queries with the same key use the same router; the others are spread at random.
         int router = key >= 0 ? key % routers.size() : random.nextInt(routers.size());
-        int hot = routers.indexOf(conditions.hotRouter());
-        boolean toHotRouter = random.nextDouble() < conditions.hotRouterShare();
-        boolean toHotGroup = random.nextDouble() < conditions.hotGroupShare();
-        int group = random.nextInt(cls.tableGroups());
-        router = key < 0 && hot >= 0 && toHotRouter ? hot : router;
-        double patience = SHORTEST_PATIENCE + (1 - SHORTEST_PATIENCE) * random.nextDouble();
-        boolean overHttp = day.httpFraction() > 0 && random.nextDouble() < day.httpFraction();
+        int hotRouter = routers.indexOf(conditions.hotRouter());
+        boolean usesHotRouter = random.nextDouble() < conditions.hotRouterFraction();
+        boolean usesHotTableGroup = random.nextDouble() < conditions.hotTableGroupFraction();
+        int tableGroup = random.nextInt(loadClass.tableGroups());
+        router = key < 0 && hotRouter >= 0 && usesHotRouter ? hotRouter : router;
+        double timeoutFraction =
+                MIN_TIMEOUT_FRACTION + (1 - MIN_TIMEOUT_FRACTION) * random.nextDouble();
+        boolean overHttp =
+                scenario.httpFraction() > 0 && random.nextDouble() < scenario.httpFraction();
         return new Arrival(
-                request,
-                atNs,
-                cls,
-                work,
-                patience,
+                requestNumber,
+                arrivalNs,
+                loadClass,
+                workMs,
+                timeoutFraction,
                 router,
                 key < 0 ? null : "k" + key,
-                toHotGroup ? 0 : group,
+                usesHotTableGroup ? 0 : tableGroup,
                 overHttp);
     }
 
-    private void client(Arrival arrival) {
-        long firstNs = System.nanoTime();
-        for (int n = 0; n <= arrival.cls().retries(); n++) {
+    private void runClient(Arrival arrival) {
+        long requestStartNs = System.nanoTime();
+        for (int attemptIndex = 0; attemptIndex <= arrival.loadClass().retries(); attemptIndex++) {
             String router =
                     routers.get(
-                            (arrival.router() + (arrival.key() == null ? n : 0)) % routers.size());
-            ClientAttempt clientAttempt = attempt(arrival, n, router, firstNs);
-            synchronized (tries) {
-                tries.add(clientAttempt);
+                            (arrival.router() + (arrival.key() == null ? attemptIndex : 0))
+                                    % routers.size());
+            ClientAttempt clientAttempt =
+                    sendAttempt(arrival, attemptIndex, router, requestStartNs);
+            synchronized (clientAttempts) {
+                clientAttempts.add(clientAttempt);
             }
-            boolean harmless = clientAttempt.isRefused() || !clientAttempt.sent();
+            boolean retrySafe = clientAttempt.isRejected() || !clientAttempt.sent();
             if (clientAttempt.reply().kind() == Reply.Kind.SERVED
-                    || arrival.cls().write() && !harmless) {
+                    || arrival.loadClass().write() && !retrySafe) {
                 return;
             }
             try {
-                TimeUnit.NANOSECONDS.sleep(arrival.cls().retryDelayNs());
+                TimeUnit.NANOSECONDS.sleep(arrival.loadClass().retryDelayNs());
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
-    private ClientAttempt attempt(Arrival arrival, int n, String router, long firstNs) {
-        String tag = arrival.request() + "." + n;
-        long patience = (long) (arrival.cls().timeoutNs() * arrival.patience());
-        return arrival.http()
-                ? overHttp(arrival, n, tag, router, firstNs, patience)
-                : overNative(arrival, n, tag, router, firstNs, patience);
+    private ClientAttempt sendAttempt(
+            Arrival arrival, int attemptIndex, String router, long requestStartNs) {
+        String tag = arrival.requestNumber() + "." + attemptIndex;
+        long timeoutNs = (long) (arrival.loadClass().timeoutNs() * arrival.timeoutFraction());
+        return arrival.overHttp()
+                ? sendOverHttp(arrival, attemptIndex, tag, router, requestStartNs, timeoutNs)
+                : sendOverNative(arrival, attemptIndex, tag, router, requestStartNs, timeoutNs);
     }
 
-    private static Map<String, String> settings(Arrival arrival, long patience) {
+    private static Map<String, String> settings(Arrival arrival, long timeoutNs) {
         Map<String, String> settings = new LinkedHashMap<>();
-        settings.put("max_execution_time", String.format(Locale.ROOT, "%.3f", patience / 1e9));
+        settings.put("max_execution_time", String.format(Locale.ROOT, "%.3f", timeoutNs / 1e9));
         settings.put("ashlink_work_ms", String.format(Locale.ROOT, "%.1f", arrival.workMs()));
         settings.put(
-                "ashlink_memory_mb", String.format(Locale.ROOT, "%.0f", arrival.cls().memoryMb()));
-        settings.put("ashlink_tables", Long.toString(arrival.group()));
+                "ashlink_memory_mb",
+                String.format(Locale.ROOT, "%.0f", arrival.loadClass().memoryMb()));
+        settings.put("ashlink_tables", Long.toString(arrival.tableGroup()));
         if (arrival.key() != null) {
             settings.put("ashlink_key", arrival.key());
         }
         return settings;
     }
 
-    private ClientAttempt overHttp(
-            Arrival arrival, int n, String tag, String router, long firstNs, long patience) {
-        long from = System.nanoTime();
-        HttpLoad.Seen seen =
-                http.run(
+    private ClientAttempt sendOverHttp(
+            Arrival arrival,
+            int attemptIndex,
+            String tag,
+            String router,
+            long requestStartNs,
+            long timeoutNs) {
+        long startNs = System.nanoTime();
+        HttpLoad.Result result =
+                httpLoad.run(
                         router,
-                        arrival.cls(),
-                        statement(arrival, tag),
-                        settings(arrival, patience),
-                        "request-" + arrival.request(),
-                        patience);
+                        arrival.loadClass(),
+                        statementText(arrival, tag),
+                        settings(arrival, timeoutNs),
+                        "request-" + arrival.requestNumber(),
+                        timeoutNs);
         return new ClientAttempt(
-                arrival.request(),
+                arrival.requestNumber(),
                 tag,
-                n,
-                arrival.cls().name(),
+                attemptIndex,
+                arrival.loadClass().name(),
                 arrival.key(),
                 router,
                 arrival.workMs(),
-                arrival.cls().threads(),
-                firstNs,
-                from,
-                from + patience,
-                seen.sent(),
-                seen.reply(),
+                arrival.loadClass().threads(),
+                requestStartNs,
+                startNs,
+                startNs + timeoutNs,
+                result.sent(),
+                result.reply(),
                 false,
                 "http");
     }
 
-    private ClientAttempt overNative(
-            Arrival arrival, int n, String tag, String router, long firstNs, long patience) {
-        LoadClass loadClass = arrival.cls();
-        NativeClient client = null;
-        long from = System.nanoTime();
+    private ClientAttempt sendOverNative(
+            Arrival arrival,
+            int attemptIndex,
+            String tag,
+            String router,
+            long requestStartNs,
+            long timeoutNs) {
+        LoadClass loadClass = arrival.loadClass();
+        NativeClient nativeClient = null;
+        long startNs = System.nanoTime();
         Reply reply;
         boolean sent = false;
-        boolean stray = false;
+        boolean hasDataAfterReply = false;
         try {
-            client = take(router, loadClass.user());
-            from = System.nanoTime();
-            client.sendQuery(tag, statement(arrival, tag), settings(arrival, patience));
+            nativeClient = borrowConnection(router, loadClass.user());
+            startNs = System.nanoTime();
+            nativeClient.sendQuery(tag, statementText(arrival, tag), settings(arrival, timeoutNs));
             sent = true;
-            reply = client.await(loadClass.write() ? List.of(ROWS) : List.of(), from + patience);
-            stray = reply.isFinal() && client.hasStray();
+            reply =
+                    nativeClient.await(
+                            loadClass.write() ? List.of(ROWS) : List.of(), startNs + timeoutNs);
+            hasDataAfterReply = reply.isFinal() && nativeClient.hasUnexpectedData();
         } catch (IOException e) {
             reply =
                     new Reply(
@@ -250,44 +270,45 @@
                             0,
                             System.nanoTime());
         }
-        if (client != null && reply.isFinal() && !stray) {
-            idle.computeIfAbsent(router + "/" + loadClass.user(), text -> new ArrayDeque<>());
-            synchronized (idle) {
-                idle.get(router + "/" + loadClass.user()).push(client);
+        if (nativeClient != null && reply.isFinal() && !hasDataAfterReply) {
+            idleConnections.computeIfAbsent(
+                    router + "/" + loadClass.user(), name -> new ArrayDeque<>());
+            synchronized (idleConnections) {
+                idleConnections.get(router + "/" + loadClass.user()).push(nativeClient);
             }
-        } else if (client != null) {
-            client.close();
+        } else if (nativeClient != null) {
+            nativeClient.close();
         }
         return new ClientAttempt(
-                arrival.request(),
+                arrival.requestNumber(),
                 tag,
-                n,
+                attemptIndex,
                 loadClass.name(),
                 arrival.key(),
                 router,
                 arrival.workMs(),
                 loadClass.threads(),
-                firstNs,
-                from,
-                from + patience,
+                requestStartNs,
+                startNs,
+                startNs + timeoutNs,
                 sent,
                 reply,
-                stray,
+                hasDataAfterReply,
                 "native");
     }
 
     /** Returns an idle connection that is still open, or a new one. */
-    private NativeClient take(String router, String user) throws IOException {
+    private NativeClient borrowConnection(String router, String user) throws IOException {
         while (true) {
             NativeClient nativeClient;
-            synchronized (idle) {
-                ArrayDeque<NativeClient> arrayDeque = idle.get(router + "/" + user);
-                nativeClient = arrayDeque == null ? null : arrayDeque.poll();
+            synchronized (idleConnections) {
+                ArrayDeque<NativeClient> connections = idleConnections.get(router + "/" + user);
+                nativeClient = connections == null ? null : connections.poll();
             }
             if (nativeClient == null) {
-                NativeClient fresh = new NativeClient(null, ashlink.wire.Revision.HIGHEST);
-                fresh.open(addresses.apply(router), user, "", "default", CONNECT_MS);
-                return fresh;
+                NativeClient newClient = new NativeClient(null, ashlink.wire.Revision.HIGHEST);
+                newClient.open(addresses.apply(router), user, "", "default", CONNECT_TIMEOUT_MS);
+                return newClient;
             }
             if (!nativeClient.isClosedByPeer()) {
                 return nativeClient;
@@ -296,9 +317,9 @@
         }
     }
 
-    private static String statement(Arrival arrival, String tag) {
-        LoadClass loadClass = arrival.cls();
-        String sim =
+    private static String statementText(Arrival arrival, String tag) {
+        LoadClass loadClass = arrival.loadClass();
+        String hints =
                 String.format(
                         Locale.ROOT,
                         "/* sim tag=%s work_ms=%.1f threads=%d io=%.2f memory_mb=%.0f tables=%d"
@@ -308,12 +329,12 @@
                         loadClass.threads(),
                         loadClass.ioFraction(),
                         loadClass.memoryMb(),
-                        arrival.group(),
+                        arrival.tableGroup(),
                         loadClass.write() ? 1 : 0,
                         loadClass.write() ? 0 : 1,
                         arrival.key() == null ? "" : " key=" + arrival.key());
         return loadClass.write()
-                ? "INSERT " + sim + " INTO readings VALUES"
-                : "SELECT " + sim + " value FROM readings";
+                ? "INSERT " + hints + " INTO readings VALUES"
+                : "SELECT " + hints + " value FROM readings";
     }
 }
--- a/loadtest/src/main/java/ashlink/loadtest/scenario/SentQuery.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/EngineQuery.java
@@ -7,36 +7,36 @@
  *
  * @param router router that sent the statement
  * @param tag tag that the client gave to the statement
- * @param beganNs time at which the engine received the statement
- * @param ranNs time at which the engine had received everything required to execute the statement,
- *     0 if it never had
- * @param outUntilNs time at which the statement ended or the router stopped waiting for it, as the
+ * @param receivedNs time at which the engine received the statement
+ * @param executableNs time at which the engine had received everything required to execute the
+ *     statement, 0 if it never had
+ * @param finishedNs time at which the statement ended or the router stopped waiting for it, as the
  *     engine observed it; {@link Long#MAX_VALUE} if neither happened
- * @param how how the statement ended at the engine
+ * @param outcome how the statement ended at the engine
  */
-public record SentQuery(
+public record EngineQuery(
         String engine,
         String kind,
         String zone,
         String router,
         String tag,
         double workMs,
-        long beganNs,
-        long ranNs,
-        long outUntilNs,
-        Ledger.How how) {
+        long receivedNs,
+        long executableNs,
+        long finishedNs,
+        Ledger.How outcome) {
 
     private static final String ROUTER_PREFIX = "ashlink ";
 
     /** Creates the record of a ledger entry. */
-    public static SentQuery of(Ledger.Entry entry) {
-        long until = entry.endedNs() > 0 ? entry.endedNs() : Long.MAX_VALUE;
-        until = entry.releasedNs() > 0 ? Math.min(until, entry.releasedNs()) : until;
+    public static EngineQuery of(Ledger.Entry entry) {
+        long finishedNs = entry.endedNs() > 0 ? entry.endedNs() : Long.MAX_VALUE;
+        finishedNs = entry.releasedNs() > 0 ? Math.min(finishedNs, entry.releasedNs()) : finishedNs;
         String router =
                 entry.router.startsWith(ROUTER_PREFIX)
                         ? entry.router.substring(ROUTER_PREFIX.length())
                         : entry.router;
-        return new SentQuery(
+        return new EngineQuery(
                 entry.engine,
                 entry.kind,
                 entry.zone,
@@ -45,7 +45,7 @@
                 entry.workMs,
                 entry.beganNs,
                 entry.ranNs(),
-                until,
+                finishedNs,
                 entry.how());
     }
 }
--- a/loadtest/src/main/java/ashlink/loadtest/scenario/FaultCatalog.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/FaultCatalog.java
@@ -34,13 +34,18 @@
 
     private FaultCatalog() {}
 
-    /** Returns the scenario of a name; {@code more} is appended to the settings of its routers. */
-    public static ScenarioConfig day(String name, String more) throws ConfigException {
+    /**
+     * Returns the scenario of a name; {@code extraSettings} is appended to the settings of its
+     * routers.
+     */
+    public static ScenarioConfig scenario(String name, String extraSettings)
+            throws ConfigException {
         String text =
                 TestSettings.resource("troubles/base.sexp")
                         .replace("NAME", name)
                         .replace("TROUBLES", TestSettings.resource("troubles/" + name + ".sexp"));
         ScenarioConfig scenarioConfig = ScenarioConfigReader.read(name, text);
-        return scenarioConfig.with(scenarioConfig.seed(), scenarioConfig.httpFraction(), more);
+        return scenarioConfig.with(
+                scenarioConfig.seed(), scenarioConfig.httpFraction(), extraSettings);
     }
 }
--- a/loadtest/src/main/java/ashlink/loadtest/scenario/ScenarioRunner.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/ScenarioRunner.java
@@ -14,7 +14,7 @@
 import ashlink.loadtest.load.LoadConditions;
 import ashlink.loadtest.load.LoadRun;
 import ashlink.loadtest.scenario.ScenarioFacts.Drain;
-import ashlink.loadtest.scenario.ScenarioFacts.Span;
+import ashlink.loadtest.scenario.ScenarioFacts.Interval;
 import ashlink.router.Router;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -37,102 +37,104 @@
 public final class ScenarioRunner {
 
     private static final Logger LOG = LoggerFactory.getLogger(ScenarioRunner.class);
-    private static final long AGE_STEP_NS = 200_000_000L;
+    private static final long DEGRADATION_STEP_NS = 200_000_000L;
 
-    private final ScenarioConfig day;
-    private final Function<Settings, WorkloadManager> module;
+    private final ScenarioConfig scenario;
+    private final Function<Settings, WorkloadManager> workloadManagerFactory;
     private final Map<String, EmulatedEngine> engines = new LinkedHashMap<>();
     private final Map<String, Router> routers = new ConcurrentHashMap<>();
     private final Map<String, InetSocketAddress> addresses = new ConcurrentHashMap<>();
     private final Map<String, InetSocketAddress> httpAddresses = new ConcurrentHashMap<>();
     private final List<Drain> drains = new ArrayList<>();
-    private final List<Span> kills = new ArrayList<>();
-    private final List<Span> downs = new ArrayList<>();
-    private final List<Span> sick = new ArrayList<>();
-    private final Map<String, Integer> downCount = new LinkedHashMap<>();
-    private final ScheduledExecutorService script =
+    private final List<Interval> routerOutages = new ArrayList<>();
+    private final List<Interval> engineOutages = new ArrayList<>();
+    private final List<Interval> engineFaults = new ArrayList<>();
+    private final Map<String, Integer> outageCounts = new LinkedHashMap<>();
+    private final ScheduledExecutorService scheduler =
             Executors.newScheduledThreadPool(
                     2,
-                    r -> {
-                        Thread t = new Thread(r, "script");
-                        t.setDaemon(true);
-                        return t;
+                    task -> {
+                        Thread thread = new Thread(task, "script");
+                        thread.setDaemon(true);
+                        return thread;
                     });
-    private volatile long listLagNs;
+    private volatile long endpointUpdateDelayNs;
     private final LoadConditions conditions = new LoadConditions();
 
     /** Creates a runner whose routers use workload managers of the given factory. */
-    public ScenarioRunner(ScenarioConfig day, Function<Settings, WorkloadManager> module) {
-        this.day = day;
-        this.module = module;
+    public ScenarioRunner(
+            ScenarioConfig scenario, Function<Settings, WorkloadManager> workloadManagerFactory) {
+        this.scenario = scenario;
+        this.workloadManagerFactory = workloadManagerFactory;
     }
 
     /** Runs the scenario to its end and returns the records. */
     public ScenarioFacts run() throws IOException, InterruptedException {
-        for (EngineConfig engineConfig : day.engines().values()) {
-            EmulatedEngine emulatedEngine = new EmulatedEngine(engineConfig);
-            emulatedEngine.start();
-            engines.put(engineConfig.name(), emulatedEngine);
+        for (EngineConfig engineConfig : scenario.engines().values()) {
+            EmulatedEngine engine = new EmulatedEngine(engineConfig);
+            engine.start();
+            engines.put(engineConfig.name(), engine);
         }
-        int position = 0;
-        for (RouterSpec routerSpec : day.routers()) {
-            startRouter(routerSpec, position++, 0);
+        int routerIndex = 0;
+        for (RouterSpec routerSpec : scenario.routers()) {
+            startRouter(routerSpec, routerIndex++, 0);
         }
-        long from = System.nanoTime();
-        day.faults().forEach(this::schedule);
-        List<ClientAttempt> tries =
-                new LoadRun(day, addresses::get, httpAddresses::get, conditions).run();
-        script.shutdownNow();
-        script.awaitTermination(5, TimeUnit.SECONDS);
+        long startNs = System.nanoTime();
+        scenario.faults().forEach(this::schedule);
+        List<ClientAttempt> clientAttempts =
+                new LoadRun(scenario, addresses::get, httpAddresses::get, conditions).run();
+        scheduler.shutdownNow();
+        scheduler.awaitTermination(5, TimeUnit.SECONDS);
         for (Router router : routers.values()) {
             router.kill();
         }
-        List<String> fallen =
+        List<String> overloadedEngines =
                 engines.values().stream()
                         .filter(EmulatedEngine::hasFallen)
-                        .map(emulatedEngine -> emulatedEngine.config().name())
+                        .map(engine -> engine.config().name())
                         .toList();
-        List<SentQuery> ledger = new ArrayList<>();
-        for (EmulatedEngine emulatedEngine : engines.values()) {
-            emulatedEngine.crash();
-            emulatedEngine.ledger().entries().forEach(entry -> ledger.add(SentQuery.of(entry)));
+        List<EngineQuery> engineQueries = new ArrayList<>();
+        for (EmulatedEngine engine : engines.values()) {
+            engine.crash();
+            engine.ledger().entries().forEach(entry -> engineQueries.add(EngineQuery.of(entry)));
         }
         synchronized (this) {
             return new ScenarioFacts(
-                    day,
-                    settings(day.routers().get(0), 0, 0),
-                    from,
-                    tries,
-                    ledger,
+                    scenario,
+                    routerConfig(scenario.routers().get(0), 0, 0),
+                    startNs,
+                    clientAttempts,
+                    engineQueries,
                     List.copyOf(drains),
-                    List.copyOf(kills),
-                    List.copyOf(downs),
-                    List.copyOf(sick),
-                    fallen);
+                    List.copyOf(routerOutages),
+                    List.copyOf(engineOutages),
+                    List.copyOf(engineFaults),
+                    overloadedEngines);
         }
     }
 
-    private RouterConfig settings(RouterSpec routerSpec, int position, int port) {
+    private RouterConfig routerConfig(RouterSpec routerSpec, int routerIndex, int port) {
         return TestSettings.of(
                 routerSpec.name(),
                 routerSpec.zone(),
-                position,
-                day.routers().size(),
-                day.seed() * 1000 + position,
+                routerIndex,
+                scenario.routers().size(),
+                scenario.seed() * 1000 + routerIndex,
                 port,
                 engines.values(),
-                day.settings().replace("{router}", routerSpec.name()) + http(routerSpec.name()));
+                scenario.settings().replace("{router}", routerSpec.name())
+                        + httpSettings(routerSpec.name()));
     }
 
-    private String http(String router) {
-        InetSocketAddress before = httpAddresses.get(router);
-        return day.httpFraction() == 0
+    private String httpSettings(String router) {
+        InetSocketAddress previous = httpAddresses.get(router);
+        return scenario.httpFraction() == 0
                 ? ""
-                : "(http (listen 127.0.0.1:" + (before == null ? 0 : before.getPort()) + "))";
+                : "(http (listen 127.0.0.1:" + (previous == null ? 0 : previous.getPort()) + "))";
     }
 
-    private void startRouter(RouterSpec spec, int position, int port) throws IOException {
-        Router router = new Router(settings(spec, position, port), module);
+    private void startRouter(RouterSpec spec, int routerIndex, int port) throws IOException {
+        Router router = new Router(routerConfig(spec, routerIndex, port), workloadManagerFactory);
         router.start();
         routers.put(spec.name(), router);
         addresses.put(spec.name(), router.address());
@@ -140,10 +142,10 @@
             httpAddresses.put(spec.name(), router.httpAddress());
         }
         synchronized (this) {
-            long now = System.nanoTime();
+            long nowNs = System.nanoTime();
             for (Drain drain : List.copyOf(drains)) {
-                if (drain.untilNs() > now && !drain.router().equals(spec.name())) {
-                    tellDrain(spec.name(), drain.engine(), drain.untilNs());
+                if (drain.endNs() > nowNs && !drain.router().equals(spec.name())) {
+                    announceDrain(spec.name(), drain.engine(), drain.endNs());
                 }
             }
         }
@@ -151,137 +153,145 @@
 
     // ---- Fault injection
     private void schedule(Fault fault) {
-        at(fault.startNs(), () -> begin(fault));
-        at(fault.startNs() + fault.durationNs(), () -> end(fault));
+        scheduleAt(fault.startNs(), () -> startFault(fault));
+        scheduleAt(fault.startNs() + fault.durationNs(), () -> endFault(fault));
         if (fault.kind() == ScenarioConfig.FaultKind.DEGRADATION) {
-            for (long d = AGE_STEP_NS; d < fault.durationNs(); d += AGE_STEP_NS) {
-                double speed = 1 + (fault.factor() - 1) * d / fault.durationNs();
-                at(fault.startNs() + d, () -> engines.get(fault.target()).speed(speed));
+            for (long elapsedNs = DEGRADATION_STEP_NS;
+                    elapsedNs < fault.durationNs();
+                    elapsedNs += DEGRADATION_STEP_NS) {
+                double speed = 1 + (fault.factor() - 1) * elapsedNs / fault.durationNs();
+                scheduleAt(
+                        fault.startNs() + elapsedNs,
+                        () -> engines.get(fault.target()).speed(speed));
             }
         }
     }
 
-    private interface Step {
+    private interface FaultAction {
         void run() throws Exception;
     }
 
-    private void at(long ns, Step step) {
-        script.schedule(
+    private void scheduleAt(long offsetNs, FaultAction action) {
+        scheduler.schedule(
                 () -> {
                     try {
-                        step.run();
+                        action.run();
                     } catch (Exception e) {
-                        LOG.error("scenario action failed offsetMs={}", ns / 1_000_000, e);
+                        LOG.error("scenario action failed offsetMs={}", offsetNs / 1_000_000, e);
                     }
                 },
-                ns,
+                offsetNs,
                 TimeUnit.NANOSECONDS);
     }
 
-    private synchronized void begin(Fault fault) throws InterruptedException {
-        long now = System.nanoTime();
-        EmulatedEngine e = engines.get(fault.target());
+    private synchronized void startFault(Fault fault) throws InterruptedException {
+        long nowNs = System.nanoTime();
+        EmulatedEngine engine = engines.get(fault.target());
         LOG.info("fault started kind={} target={}", fault.kind(), fault.target());
         switch (fault.kind()) {
-            case HANG -> e.hang(true);
-            case SLOW -> e.speed(fault.factor());
+            case HANG -> engine.hang(true);
+            case SLOW -> engine.speed(fault.factor());
             case DEGRADATION, CONNECTION_REFUSED -> {}
-            case LOST_RESPONSES -> e.faults().loseAnswers(fault.factor());
-            case CRASH -> crash(fault.target(), now + fault.durationNs());
+            case LOST_RESPONSES -> engine.faults().loseAnswers(fault.factor());
+            case CRASH -> crash(fault.target(), nowNs + fault.durationNs());
             case ZONE_OUTAGE ->
                     engines.values().stream()
-                            .filter(x -> x.config().zone().equals(fault.target()))
-                            .forEach(x -> crash(x.config().name(), now + fault.durationNs()));
+                            .filter(zoneEngine -> zoneEngine.config().zone().equals(fault.target()))
+                            .forEach(
+                                    zoneEngine ->
+                                            crash(
+                                                    zoneEngine.config().name(),
+                                                    nowNs + fault.durationNs()));
             case DRAIN ->
                     routers.keySet()
                             .forEach(
-                                    text ->
-                                            script.schedule(
+                                    router ->
+                                            scheduler.schedule(
                                                     () ->
-                                                            tellDrain(
-                                                                    text,
+                                                            announceDrain(
+                                                                    router,
                                                                     fault.target(),
-                                                                    now + fault.durationNs()),
-                                                    listLagNs,
+                                                                    nowNs + fault.durationNs()),
+                                                    endpointUpdateDelayNs,
                                                     TimeUnit.NANOSECONDS));
-            case ENDPOINT_UPDATE_DELAY -> listLagNs = (long) (fault.factor() * 1e9);
+            case ENDPOINT_UPDATE_DELAY -> endpointUpdateDelayNs = (long) (fault.factor() * 1e9);
             case ROUTER_CRASH -> {
-                kills.add(new Span(fault.target(), now, now + fault.durationNs()));
+                routerOutages.add(new Interval(fault.target(), nowNs, nowNs + fault.durationNs()));
                 routers.get(fault.target()).kill();
             }
-            case BURST -> conditions.rate(fault.factor());
-            case HEAVY_TAIL -> conditions.heavy(fault.target(), fault.factor());
-            case HOT_TABLE_GROUP -> conditions.hotGroup(fault.factor());
-            case HOT_ROUTER -> conditions.hotRouter(fault.target(), fault.factor());
+            case BURST -> conditions.setRateFactor(fault.factor());
+            case HEAVY_TAIL -> conditions.setWorkFactor(fault.target(), fault.factor());
+            case HOT_TABLE_GROUP -> conditions.setHotTableGroup(fault.factor());
+            case HOT_ROUTER -> conditions.setHotRouter(fault.target(), fault.factor());
         }
         if (fault.kind() == ScenarioConfig.FaultKind.CONNECTION_REFUSED) {
-            e.faults()
+            engine.faults()
                     .breakAt(
                             ashlink.emulator.FaultInjection.Place.ACCEPT,
                             ashlink.emulator.FaultInjection.Break.CLOSE,
                             Integer.MAX_VALUE);
         }
-        if (e != null) {
-            sick.add(new Span(fault.target(), now, now + fault.durationNs()));
+        if (engine != null) {
+            engineFaults.add(new Interval(fault.target(), nowNs, nowNs + fault.durationNs()));
         }
     }
 
-    private synchronized void end(Fault fault) throws IOException {
-        EmulatedEngine e = engines.get(fault.target());
+    private synchronized void endFault(Fault fault) throws IOException {
+        EmulatedEngine engine = engines.get(fault.target());
         LOG.info("fault ended kind={} target={}", fault.kind(), fault.target());
         switch (fault.kind()) {
-            case HANG -> e.hang(false);
-            case SLOW, DEGRADATION -> e.speed(1);
-            case LOST_RESPONSES, CONNECTION_REFUSED -> e.faults().heal();
+            case HANG -> engine.hang(false);
+            case SLOW, DEGRADATION -> engine.speed(1);
+            case LOST_RESPONSES, CONNECTION_REFUSED -> engine.faults().heal();
             case CRASH -> restart(fault.target());
             case ZONE_OUTAGE -> {
-                for (EmulatedEngine x : engines.values()) {
-                    if (x.config().zone().equals(fault.target())) {
-                        restart(x.config().name());
+                for (EmulatedEngine zoneEngine : engines.values()) {
+                    if (zoneEngine.config().zone().equals(fault.target())) {
+                        restart(zoneEngine.config().name());
                     }
                 }
             }
             case DRAIN ->
-                    script.schedule(
+                    scheduler.schedule(
                             () ->
                                     routers.forEach(
                                             (name, router) ->
                                                     router.setEngineState(
                                                             fault.target(), EndpointState.READY)),
-                            listLagNs,
+                            endpointUpdateDelayNs,
                             TimeUnit.NANOSECONDS);
-            case ENDPOINT_UPDATE_DELAY -> listLagNs = 0;
+            case ENDPOINT_UPDATE_DELAY -> endpointUpdateDelayNs = 0;
             case ROUTER_CRASH -> restartRouter(fault.target());
-            case BURST -> conditions.rate(1);
-            case HEAVY_TAIL -> conditions.heavy("", 1);
-            case HOT_TABLE_GROUP -> conditions.hotGroup(0);
-            case HOT_ROUTER -> conditions.hotRouter("", 0);
+            case BURST -> conditions.setRateFactor(1);
+            case HEAVY_TAIL -> conditions.setWorkFactor("", 1);
+            case HOT_TABLE_GROUP -> conditions.setHotTableGroup(0);
+            case HOT_ROUTER -> conditions.setHotRouter("", 0);
         }
     }
 
-    private void crash(String engine, long until) {
-        if (downCount.merge(engine, 1, Integer::sum) == 1) {
+    private void crash(String engine, long endNs) {
+        if (outageCounts.merge(engine, 1, Integer::sum) == 1) {
             engines.get(engine).crash();
         }
-        downs.add(new Span(engine, System.nanoTime(), until));
+        engineOutages.add(new Interval(engine, System.nanoTime(), endNs));
     }
 
     private void restart(String engine) throws IOException {
-        if (downCount.merge(engine, -1, Integer::sum) == 0) {
+        if (outageCounts.merge(engine, -1, Integer::sum) == 0) {
             engines.get(engine).restart();
         }
     }
 
     private void restartRouter(String name) throws IOException {
-        for (int i = 0; i < day.routers().size(); i++) {
-            if (day.routers().get(i).name().equals(name)) {
-                startRouter(day.routers().get(i), i, addresses.get(name).getPort());
+        for (int i = 0; i < scenario.routers().size(); i++) {
+            if (scenario.routers().get(i).name().equals(name)) {
+                startRouter(scenario.routers().get(i), i, addresses.get(name).getPort());
             }
         }
     }
 
-    private synchronized void tellDrain(String router, String engine, long until) {
+    private synchronized void announceDrain(String router, String engine, long endNs) {
         routers.get(router).setEngineState(engine, EndpointState.DRAINING);
-        drains.add(new Drain(router, engine, System.nanoTime(), until));
+        drains.add(new Drain(router, engine, System.nanoTime(), endNs));
     }
 }
--- a/loadtest/src/test/java/ashlink/loadtest/AnswersTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/AnswersTest.java
@@ -46,7 +46,7 @@
         try (Fleet fleet = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
             fleet.engine("q1").faults().breakAt(Place.ANSWER, how, 100);
             for (int i = 0; i < 6; i++) {
-                NativeClient nativeClient = fleet.client("portal").keepBlocks();
+                NativeClient nativeClient = fleet.client("portal").retainBlocks();
                 Reply reply =
                         nativeClient.query(
                                 "",
@@ -273,7 +273,7 @@
             for (int delay : new int[] {0, 1, 5, 20, 50}) {
                 nativeClient.sendQuery("", "SELECT /* sim work_ms=20 */ 2", Map.of());
                 Thread.sleep(delay);
-                nativeClient.sendBare(ClientPacket.CANCEL);
+                nativeClient.sendPacketType(ClientPacket.CANCEL);
                 Reply reply = nativeClient.await(List.of(), System.nanoTime() + 5 * S);
                 assertTrue(reply.kind() == Kind.SERVED || reply.code() == 394, reply.toString());
             }
@@ -284,7 +284,7 @@
     @Test
     void aQuerySentEarlyWaitsForItsTurn() throws Exception {
         try (Fleet fleet = Fleet.of("q1:typ-a").start()) {
-            NativeClient nativeClient = fleet.client("portal").keepBlocks();
+            NativeClient nativeClient = fleet.client("portal").retainBlocks();
             nativeClient.sendQuery("", "SELECT /* sim work_ms=50 value=first */ 2", Map.of());
             nativeClient.sendQuery("", "SELECT /* sim work_ms=1 value=second */ 2", Map.of());
             assertEquals(
--- a/loadtest/src/test/java/ashlink/loadtest/InsertsTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/InsertsTest.java
@@ -153,7 +153,7 @@
             NativeClient nativeClient = fleet.client("portal");
             nativeClient.sendQuery("", "INSERT /* sim tag=cancelled */ INTO t VALUES", Map.of());
             nativeClient.sendBlock(ROWS);
-            nativeClient.sendBare(ClientPacket.CANCEL);
+            nativeClient.sendPacketType(ClientPacket.CANCEL);
             assertEquals(394, nativeClient.await(List.of(), System.nanoTime() + 5 * S).code());
             Fleet.await("no open requests", () -> fleet.router.core().openRequests() == 0);
             assertEquals(0, fleet.runs("gone") + fleet.runs("cancelled"));
--- a/loadtest/src/test/java/ashlink/loadtest/InvariantCheckerTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/InvariantCheckerTest.java
@@ -15,16 +15,16 @@
 import ashlink.decisions.api.WorkloadManager;
 import ashlink.emulator.Ledger.How;
 import ashlink.loadtest.check.InvariantChecker;
-import ashlink.loadtest.check.Service;
+import ashlink.loadtest.check.ServiceLevel;
 import ashlink.loadtest.check.Verdict;
 import ashlink.loadtest.client.Reply;
 import ashlink.loadtest.fixture.TestSettings;
 import ashlink.loadtest.load.ClientAttempt;
+import ashlink.loadtest.scenario.EngineQuery;
 import ashlink.loadtest.scenario.ScenarioFacts;
 import ashlink.loadtest.scenario.ScenarioFacts.Drain;
-import ashlink.loadtest.scenario.ScenarioFacts.Span;
+import ashlink.loadtest.scenario.ScenarioFacts.Interval;
 import ashlink.loadtest.scenario.ScenarioRunner;
-import ashlink.loadtest.scenario.SentQuery;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -39,11 +39,11 @@
     private static final long MS = 1_000_000L;
     private static final long FROM = 1_000_000 * MS;
     private final List<ClientAttempt> tries = new ArrayList<>();
-    private final List<SentQuery> ledger = new ArrayList<>();
+    private final List<EngineQuery> ledger = new ArrayList<>();
     private final List<Drain> drains = new ArrayList<>();
-    private final List<Span> kills = new ArrayList<>();
-    private final List<Span> downs = new ArrayList<>();
-    private final List<Span> sick = new ArrayList<>();
+    private final List<Interval> kills = new ArrayList<>();
+    private final List<Interval> downs = new ArrayList<>();
+    private final List<Interval> sick = new ArrayList<>();
     private final List<String> fallen = new ArrayList<>();
 
     private void client(
@@ -76,7 +76,7 @@
     private void engine(String tag, String engine, long beganMs, long untilMs, How how) {
         boolean ran = how != How.NO_DATA && how != How.TURNED_AWAY;
         ledger.add(
-                new SentQuery(
+                new EngineQuery(
                         engine,
                         engine.startsWith("a") ? "typ-a" : "typ-b",
                         "halle-1",
@@ -120,9 +120,9 @@
 
     private void expect(int rule, int stake, int broken) throws Exception {
         Verdict v = verdict(rule);
-        assertEquals(stake, v.atStake(), v.toString());
-        assertEquals(broken, v.broken().size(), v.toString());
-        assertEquals(stake > 0 && broken == 0, v.isKept());
+        assertEquals(stake, v.exercisedCases(), v.toString());
+        assertEquals(broken, v.violations().size(), v.toString());
+        assertEquals(stake > 0 && broken == 0, v.isSatisfied());
     }
 
     @Test
@@ -140,7 +140,7 @@
         client("2.0", "abfrage", null, 0, 2000, Reply.Kind.TIMED_OUT, 0);
         client("3.0", "abfrage", null, 0, 50, Reply.Kind.LOST, 0);
         expect(1, 3, 2);
-        kills.add(new Span("r1", FROM + 20 * MS, FROM + 30 * MS));
+        kills.add(new Interval("r1", FROM + 20 * MS, FROM + 30 * MS));
         expect(1, 0, 0);
     }
 
@@ -182,7 +182,7 @@
 
     @Test
     void aColdEngineThatIsSentTooMuchOrFallsOverIsFound() throws Exception {
-        downs.add(new Span("a1", FROM, FROM + 1000 * MS));
+        downs.add(new Interval("a1", FROM, FROM + 1000 * MS));
         for (int i = 0; i < 300; i++) {
             engine(
                     i + ".0",
@@ -192,10 +192,12 @@
                     How.ANSWERED); // 24 s of work in 0.3 s; it bears some 21 to 22
         }
         Verdict v = verdict(4);
-        assertEquals(300, v.atStake());
-        assertTrue(v.broken().size() > 10 && v.broken().size() < 60, v.broken().size() + " broken");
+        assertEquals(300, v.exercisedCases());
+        assertTrue(
+                v.violations().size() > 10 && v.violations().size() < 60,
+                v.violations().size() + " broken");
         fallen.add("a1");
-        assertEquals(v.broken().size() + 1, verdict(4).broken().size());
+        assertEquals(v.violations().size() + 1, verdict(4).violations().size());
     }
 
     @Test
@@ -217,7 +219,7 @@
 
     @Test
     void aReportOnTheWrongKindIsFound() throws Exception {
-        sick.add(new Span("a1", FROM, FROM + 1000 * MS));
+        sick.add(new Interval("a1", FROM, FROM + 1000 * MS));
         client("1.0", "bericht", null, 0, 100, Reply.Kind.SERVED, 0);
         engine("1.0", "a1", 10, 90, How.ANSWERED);
         expect(6, 1, 0);
@@ -257,11 +259,15 @@
         ScenarioFacts facts = new ScenarioRunner(day, InvariantCheckerTest::reckless).run();
         List<Verdict> verdicts = new InvariantChecker(facts).verdicts();
         assertFalse(
-                verdicts.get(1).broken().isEmpty(),
-                "no effect twice: " + verdicts.get(1).atStake());
-        assertFalse(verdicts.get(4).broken().isEmpty(), "order: " + verdicts.get(4).atStake());
-        assertFalse(verdicts.get(5).broken().isEmpty(), "placement: " + verdicts.get(5).atStake());
-        assertTrue(Service.of(facts).asked() > 100);
+                verdicts.get(1).violations().isEmpty(),
+                "no effect twice: " + verdicts.get(1).exercisedCases());
+        assertFalse(
+                verdicts.get(4).violations().isEmpty(),
+                "order: " + verdicts.get(4).exercisedCases());
+        assertFalse(
+                verdicts.get(5).violations().isEmpty(),
+                "placement: " + verdicts.get(5).exercisedCases());
+        assertTrue(ServiceLevel.of(facts).requests() > 100);
     }
 
     /**
