--- a/loadtest/src/test/java/ashlink/loadtest/CaptureScenarioTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/CaptureScenarioTest.java
@@ -15,13 +15,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Captures of real routers under faults, one of them killed in the middle, are decided again
- * exactly.
+ * Captures of routers under faults, one of which crashes during the scenario, are replayed with the
+ * same decisions.
  */
 class CaptureScenarioTest {
 
     @Test
-    void aDayWithAKilledRouterIsReplayedWithoutADifference(@TempDir Path dir) throws Exception {
+    void scenarioWithACrashedRouterIsReplayedWithoutDivergence(@TempDir Path directory)
+            throws Exception {
         new ScenarioRunner(
                         ScenarioConfigReader.read(
                                 "day.sexp",
@@ -37,7 +38,7 @@
                                   (trouble (kind crash) (at 2800ms) (for 400ms) (target q1))
                                   (settings "(capture (dir \\"%s/{router}\\") (segment 32KiB) (sync 20ms))"))\
                                 """
-                                        .formatted(dir)),
+                                        .formatted(directory)),
                         DefaultWorkloadManager::new)
                 .run();
         for (String router : new String[] {"r1", "r2"}) {
@@ -45,7 +46,7 @@
                     new Replay(
                             DefaultWorkloadManager::new,
                             ModuleHash.of(DefaultWorkloadManager.class));
-            new CaptureReader(FolderDisk.reading(dir.resolve(router))).read(replay);
+            new CaptureReader(FolderDisk.reading(directory.resolve(router))).read(replay);
             assertEquals(0, replay.divergentSteps(), router + ": " + replay.divergences());
             assertTrue(
                     replay.replayedSteps() > 300,
--- a/loadtest/src/test/java/ashlink/loadtest/InsertsTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/InsertTest.java
@@ -18,16 +18,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** When has an insert run: only from the end of its data on. */
-class InsertsTest {
+/** An insert may have been executed only after the end of its data was sent. */
+class InsertTest {
 
-    private static final long S = Fleet.S;
+    private static final long NS_PER_SECOND = TestFleet.NS_PER_SECOND;
     private static final Block ROWS =
             Block.of(
                     new Block.Column("id", "UInt64", List.of(1L)),
                     new Block.Column("value", "String", List.of("x")));
 
-    private static Block wide(int bytes) {
+    private static Block wideBlock(int bytes) {
         return Block.of(
                 new Block.Column("id", "UInt64", new ArrayList<>(Collections.nCopies(100, 1L))),
                 new Block.Column(
@@ -40,38 +40,33 @@
     @EnumSource(
             value = Place.class,
             names = {"QUERY", "HEADER", "INSERT"})
-    void anInsertWhoseEngineBreaksBeforeItsDataIsCompleteIsGivenToAnother(Place place)
-            throws Exception {
-        try (Fleet fleet = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
+    void insertWhoseEngineFailsBeforeTheEndOfDataIsRetried(Place place) throws Exception {
+        try (TestFleet fleet = TestFleet.of("q1:typ-a", "q2:typ-a").start()) {
             fleet.engines
                     .values()
-                    .forEach(
-                            emulatedEngine ->
-                                    emulatedEngine.faults().breakAt(place, Break.CLOSE, 1));
+                    .forEach(engine -> engine.faults().breakAt(place, Break.CLOSE, 1));
             NativeClient nativeClient = fleet.client("portal");
             nativeClient.sendQuery("", "INSERT /* sim tag=t */ INTO t VALUES", Map.of());
             for (int i = 0; i < 4; i++) {
                 nativeClient.sendBlock(
-                        ROWS); // spread out, so that the break comes well before the end of the
-                // data
+                        ROWS); // Sent with delays, so that the engine fails well before the end
+                // of the data.
                 Thread.sleep(100);
             }
             nativeClient.sendBlock(Block.END);
-            Reply reply = nativeClient.await(List.of(), System.nanoTime() + 10 * S);
+            Reply reply = nativeClient.await(List.of(), System.nanoTime() + 10 * NS_PER_SECOND);
             assertEquals(Kind.SERVED, reply.kind(), place + ": " + reply.message());
-            assertEquals(1, fleet.runs("t"));
-            assertTrue(fleet.ledger().size() > 1, "no engine broke");
+            assertEquals(1, fleet.executions("t"));
+            assertTrue(fleet.ledger().size() > 1, "no engine failed");
         }
     }
 
     @Test
-    void anInsertWhoseEngineBreaksAfterItsDataIsCompleteIsNotRunAgain() throws Exception {
-        try (Fleet fleet = Fleet.of("q1:typ-a", "q2:typ-a").start()) {
+    void insertWhoseEngineFailsAfterTheEndOfDataIsNotRetried() throws Exception {
+        try (TestFleet fleet = TestFleet.of("q1:typ-a", "q2:typ-a").start()) {
             fleet.engines
                     .values()
-                    .forEach(
-                            emulatedEngine ->
-                                    emulatedEngine.faults().breakAt(Place.RUN, Break.CLOSE, 100));
+                    .forEach(engine -> engine.faults().breakAt(Place.RUN, Break.CLOSE, 100));
             Reply reply =
                     fleet.client("portal")
                             .insert(
@@ -79,22 +74,20 @@
                                     "INSERT /* sim tag=t */ INTO t VALUES",
                                     Map.of(),
                                     List.of(ROWS),
-                                    10 * S);
+                                    10 * NS_PER_SECOND);
             assertEquals(210, reply.code(), reply.message());
-            assertEquals(1, fleet.runs("t"));
+            assertEquals(1, fleet.executions("t"));
         }
     }
 
     @Test
-    void anInsertThatIsTooLargeToKeepIsRefusedWhenItsEngineBreaksAndHasNotRun() throws Exception {
-        try (Fleet fleet =
-                Fleet.of("q1:typ-a", "q2:typ-a").with("(bounds (held-insert 64KiB))").start()) {
+    void insertLargerThanTheBufferIsRejectedUnexecutedWhenItsEngineFails() throws Exception {
+        try (TestFleet fleet =
+                TestFleet.of("q1:typ-a", "q2:typ-a").with("(bounds (held-insert 64KiB))").start()) {
             fleet.engines
                     .values()
-                    .forEach(
-                            emulatedEngine ->
-                                    emulatedEngine.faults().breakAt(Place.INSERT, Break.CLOSE, 1));
-            List<Block> blocks = new ArrayList<>(Collections.nCopies(40, wide(10_000)));
+                    .forEach(engine -> engine.faults().breakAt(Place.INSERT, Break.CLOSE, 1));
+            List<Block> blocks = new ArrayList<>(Collections.nCopies(40, wideBlock(10_000)));
             NativeClient nativeClient = fleet.client("portal");
             Reply reply =
                     nativeClient.insert(
@@ -102,16 +95,17 @@
                             "INSERT /* sim tag=t */ INTO t VALUES",
                             Map.of("max_execution_time", "5"),
                             blocks,
-                            10 * S);
+                            10 * NS_PER_SECOND);
             assertEquals(202, reply.code(), reply.kind() + reply.message());
-            assertEquals(0, fleet.runs("t"));
+            assertEquals(0, fleet.executions("t"));
         }
     }
 
     @Test
-    void aLargeInsertPassesThroughAWindow() throws Exception {
-        try (Fleet fleet = Fleet.of("q1:typ-a").with("(bounds (held-insert 1MiB))").start()) {
-            List<Block> blocks = new ArrayList<>(Collections.nCopies(64, wide(1 << 20)));
+    void insertLargerThanTheBufferIsForwarded() throws Exception {
+        try (TestFleet fleet =
+                TestFleet.of("q1:typ-a").with("(bounds (held-insert 1MiB))").start()) {
+            List<Block> blocks = new ArrayList<>(Collections.nCopies(64, wideBlock(1 << 20)));
             Reply reply =
                     fleet.client("portal")
                             .insert(
@@ -119,50 +113,55 @@
                                     "INSERT /* sim tag=t */ INTO t VALUES",
                                     Map.of(),
                                     blocks,
-                                    20 * S);
+                                    20 * NS_PER_SECOND);
             assertEquals(Kind.SERVED, reply.kind(), reply.message());
-            assertEquals(1, fleet.runs("t"));
+            assertEquals(1, fleet.executions("t"));
         }
     }
 
     @Test
-    void aClientThatStopsInTheMiddleIsAnsweredBeforeItsTimeAndNothingRan() throws Exception {
-        try (Fleet fleet = Fleet.of("q1:typ-a").with("(bounds (answer-margin 700ms))").start()) {
+    void stalledInsertIsRejectedBeforeTheDeadlineWithoutExecution() throws Exception {
+        try (TestFleet fleet =
+                TestFleet.of("q1:typ-a").with("(bounds (answer-margin 700ms))").start()) {
             NativeClient nativeClient = fleet.client("portal");
             nativeClient.sendQuery(
                     "",
                     "INSERT /* sim tag=t */ INTO t VALUES",
                     Map.of("max_execution_time", "1.5"));
             nativeClient.sendBlock(ROWS);
-            Reply reply = nativeClient.await(List.of(), System.nanoTime() + 3 * S / 2);
+            Reply reply = nativeClient.await(List.of(), System.nanoTime() + 3 * NS_PER_SECOND / 2);
             assertEquals(202, reply.code(), reply.kind() + " " + reply.message());
-            assertEquals(0, fleet.runs("t"));
-            nativeClient.sendBlock(Block.END); // what is left of the insert is passed over
-            assertEquals(Kind.SERVED, nativeClient.query("", "SELECT 1", Map.of(), 5 * S).kind());
+            assertEquals(0, fleet.executions("t"));
+            nativeClient.sendBlock(Block.END); // the router skips the rest of the insert
+            assertEquals(
+                    Kind.SERVED,
+                    nativeClient.query("", "SELECT 1", Map.of(), 5 * NS_PER_SECOND).kind());
         }
     }
 
     @Test
-    void aClientThatVanishesOrCancelsInTheMiddleHasRunNothing() throws Exception {
-        try (Fleet fleet = Fleet.of("q1:typ-a").start()) {
-            NativeClient gone = fleet.client("portal");
-            gone.sendQuery("", "INSERT /* sim tag=gone */ INTO t VALUES", Map.of());
-            gone.sendBlock(ROWS);
-            Fleet.await("the insert is at the engine", () -> !fleet.ledger().isEmpty());
-            gone.close();
+    void insertOfADisconnectedOrCancellingClientIsNotExecuted() throws Exception {
+        try (TestFleet fleet = TestFleet.of("q1:typ-a").start()) {
+            NativeClient disconnectingClient = fleet.client("portal");
+            disconnectingClient.sendQuery("", "INSERT /* sim tag=gone */ INTO t VALUES", Map.of());
+            disconnectingClient.sendBlock(ROWS);
+            TestFleet.await("the insert to reach the engine", () -> !fleet.ledger().isEmpty());
+            disconnectingClient.close();
             NativeClient nativeClient = fleet.client("portal");
             nativeClient.sendQuery("", "INSERT /* sim tag=cancelled */ INTO t VALUES", Map.of());
             nativeClient.sendBlock(ROWS);
             nativeClient.sendPacketType(ClientPacket.CANCEL);
-            assertEquals(394, nativeClient.await(List.of(), System.nanoTime() + 5 * S).code());
-            Fleet.await("no open requests", () -> fleet.router.core().openRequests() == 0);
-            assertEquals(0, fleet.runs("gone") + fleet.runs("cancelled"));
+            assertEquals(
+                    394,
+                    nativeClient.await(List.of(), System.nanoTime() + 5 * NS_PER_SECOND).code());
+            TestFleet.await("no open requests", () -> fleet.router.core().openRequests() == 0);
+            assertEquals(0, fleet.executions("gone") + fleet.executions("cancelled"));
         }
     }
 
     @Test
-    void anEngineThatRefusesTheDataEarlyIsTheAnswer() throws Exception {
-        try (Fleet fleet = Fleet.of("q1:typ-a").start()) {
+    void earlyErrorOfTheEngineIsForwarded() throws Exception {
+        try (TestFleet fleet = TestFleet.of("q1:typ-a").start()) {
             Reply reply =
                     fleet.client("portal")
                             .insert(
@@ -170,7 +169,7 @@
                                     "INSERT /* sim tag=t error=60 */ INTO t VALUES",
                                     Map.of(),
                                     List.of(ROWS),
-                                    5 * S);
+                                    5 * NS_PER_SECOND);
             assertEquals(60, reply.code());
         }
     }
--- a/loadtest/src/test/java/ashlink/loadtest/InvariantCheckerTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/InvariantCheckerTest.java
@@ -31,51 +31,52 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Each rule is broken on purpose and the checker finds it; a rule that was never at stake is no
- * proof.
+ * Violates each invariant on purpose and expects the checker to report the violation. An invariant
+ * that was not exercised does not count as satisfied.
  */
 class InvariantCheckerTest {
 
-    private static final long MS = 1_000_000L;
-    private static final long FROM = 1_000_000 * MS;
-    private final List<ClientAttempt> tries = new ArrayList<>();
-    private final List<EngineQuery> ledger = new ArrayList<>();
+    private static final long NS_PER_MS = 1_000_000L;
+    private static final long START_NS = 1_000_000 * NS_PER_MS;
+    private final List<ClientAttempt> clientAttempts = new ArrayList<>();
+    private final List<EngineQuery> engineQueries = new ArrayList<>();
     private final List<Drain> drains = new ArrayList<>();
-    private final List<Interval> kills = new ArrayList<>();
-    private final List<Interval> downs = new ArrayList<>();
-    private final List<Interval> sick = new ArrayList<>();
-    private final List<String> fallen = new ArrayList<>();
+    private final List<Interval> routerOutages = new ArrayList<>();
+    private final List<Interval> engineOutages = new ArrayList<>();
+    private final List<Interval> engineFaults = new ArrayList<>();
+    private final List<String> overloadedEngines = new ArrayList<>();
 
-    private void client(
+    private void recordClientAttempt(
             String tag,
-            String cls,
+            String queryClass,
             String key,
             long sentMs,
             long endMs,
             Reply.Kind kind,
             int code) {
-        tries.add(
+        clientAttempts.add(
                 new ClientAttempt(
                         Long.parseLong(tag.substring(0, tag.indexOf('.'))),
                         tag,
                         0,
-                        cls,
+                        queryClass,
                         key,
                         "r1",
                         80,
                         1,
-                        FROM + sentMs * MS,
-                        FROM + sentMs * MS,
-                        FROM + (sentMs + 2000) * MS,
+                        START_NS + sentMs * NS_PER_MS,
+                        START_NS + sentMs * NS_PER_MS,
+                        START_NS + (sentMs + 2000) * NS_PER_MS,
                         true,
-                        new Reply(kind, code, "", 0, 0, FROM + endMs * MS),
+                        new Reply(kind, code, "", 0, 0, START_NS + endMs * NS_PER_MS),
                         false,
                         "native"));
     }
 
-    private void engine(String tag, String engine, long beganMs, long untilMs, How how) {
-        boolean ran = how != How.NO_DATA && how != How.TURNED_AWAY;
-        ledger.add(
+    private void recordEngineQuery(
+            String tag, String engine, long receivedMs, long finishedMs, How outcome) {
+        boolean executable = outcome != How.NO_DATA && outcome != How.TURNED_AWAY;
+        engineQueries.add(
                 new EngineQuery(
                         engine,
                         engine.startsWith("a") ? "typ-a" : "typ-b",
@@ -83,14 +84,14 @@
                         "r1",
                         tag,
                         80,
-                        FROM + beganMs * MS,
-                        ran ? FROM + beganMs * MS : 0,
-                        FROM + untilMs * MS,
-                        how));
+                        START_NS + receivedMs * NS_PER_MS,
+                        executable ? START_NS + receivedMs * NS_PER_MS : 0,
+                        START_NS + finishedMs * NS_PER_MS,
+                        outcome));
     }
 
-    private Verdict verdict(int rule) throws Exception {
-        ScenarioConfig day =
+    private Verdict verdict(int invariant) throws Exception {
+        ScenarioConfig scenario =
                 ScenarioConfigReader.read(
                         "day.sexp",
                         """
@@ -112,139 +113,147 @@
                                 + " (resend-span 10s))");
         return new InvariantChecker(
                         new ScenarioFacts(
-                                day, settings, FROM, tries, ledger, drains, kills, downs, sick,
-                                fallen))
+                                scenario,
+                                settings,
+                                START_NS,
+                                clientAttempts,
+                                engineQueries,
+                                drains,
+                                routerOutages,
+                                engineOutages,
+                                engineFaults,
+                                overloadedEngines))
                 .verdicts()
-                .get(rule - 1);
+                .get(invariant - 1);
     }
 
-    private void expect(int rule, int stake, int broken) throws Exception {
-        Verdict v = verdict(rule);
-        assertEquals(stake, v.exercisedCases(), v.toString());
-        assertEquals(broken, v.violations().size(), v.toString());
-        assertEquals(stake > 0 && broken == 0, v.isSatisfied());
+    private void assertVerdict(int invariant, int exercisedCases, int violations) throws Exception {
+        Verdict verdict = verdict(invariant);
+        assertEquals(exercisedCases, verdict.exercisedCases(), verdict.toString());
+        assertEquals(violations, verdict.violations().size(), verdict.toString());
+        assertEquals(exercisedCases > 0 && violations == 0, verdict.isSatisfied());
     }
 
     @Test
-    void aDayOnWhichNothingHappensProvesNothing() throws Exception {
-        client("1.0", "abfrage", null, 0, 100, Reply.Kind.SERVED, 0);
-        engine("1.0", "a1", 10, 90, How.ANSWERED);
-        for (int rule = 1; rule <= 7; rule++) {
-            expect(rule, 0, 0);
+    void uneventfulScenarioExercisesNoInvariant() throws Exception {
+        recordClientAttempt("1.0", "abfrage", null, 0, 100, Reply.Kind.SERVED, 0);
+        recordEngineQuery("1.0", "a1", 10, 90, How.ANSWERED);
+        for (int invariant = 1; invariant <= 7; invariant++) {
+            assertVerdict(invariant, 0, 0);
         }
     }
 
     @Test
-    void aMissingAnswerIsFoundUnlessTheRouterDied() throws Exception {
-        client("1.0", "abfrage", null, 0, 100, Reply.Kind.EXCEPTION, 202);
-        client("2.0", "abfrage", null, 0, 2000, Reply.Kind.TIMED_OUT, 0);
-        client("3.0", "abfrage", null, 0, 50, Reply.Kind.LOST, 0);
-        expect(1, 3, 2);
-        kills.add(new Interval("r1", FROM + 20 * MS, FROM + 30 * MS));
-        expect(1, 0, 0);
+    void missingAnswerIsAViolationUnlessTheRouterCrashed() throws Exception {
+        recordClientAttempt("1.0", "abfrage", null, 0, 100, Reply.Kind.EXCEPTION, 202);
+        recordClientAttempt("2.0", "abfrage", null, 0, 2000, Reply.Kind.TIMED_OUT, 0);
+        recordClientAttempt("3.0", "abfrage", null, 0, 50, Reply.Kind.LOST, 0);
+        assertVerdict(1, 3, 2);
+        routerOutages.add(new Interval("r1", START_NS + 20 * NS_PER_MS, START_NS + 30 * NS_PER_MS));
+        assertVerdict(1, 0, 0);
     }
 
     @Test
-    void aSecondRunOfALoadIsFoundAndARefusalOfOneThatRan() throws Exception {
-        client("1.0", "ladung", "k", 0, 900, Reply.Kind.SERVED, 0);
-        engine("1.0", "a1", 10, 100, How.CRASHED);
-        engine("1.0", "b1", 300, 800, How.ANSWERED);
-        client("2.0", "ladung", "k2", 0, 900, Reply.Kind.EXCEPTION, 202);
-        engine("2.0", "a1", 10, 100, How.ANSWER_LOST);
-        expect(2, 3, 2);
+    void secondExecutionOfAWriteAndRejectionOfAnExecutedOneAreViolations() throws Exception {
+        recordClientAttempt("1.0", "ladung", "k", 0, 900, Reply.Kind.SERVED, 0);
+        recordEngineQuery("1.0", "a1", 10, 100, How.CRASHED);
+        recordEngineQuery("1.0", "b1", 300, 800, How.ANSWERED);
+        recordClientAttempt("2.0", "ladung", "k2", 0, 900, Reply.Kind.EXCEPTION, 202);
+        recordEngineQuery("2.0", "a1", 10, 100, How.ANSWER_LOST);
+        assertVerdict(2, 3, 2);
     }
 
     @Test
-    void anInsertWithoutItsDataMayBeGivenToAnother() throws Exception {
-        client("1.0", "ladung", "k", 0, 900, Reply.Kind.SERVED, 0);
-        engine("1.0", "a1", 10, 100, How.NO_DATA);
-        engine("1.0", "b1", 300, 800, How.ANSWERED);
-        expect(2, 2, 0);
+    void insertWithoutItsDataMayBeRetried() throws Exception {
+        recordClientAttempt("1.0", "ladung", "k", 0, 900, Reply.Kind.SERVED, 0);
+        recordEngineQuery("1.0", "a1", 10, 100, How.NO_DATA);
+        recordEngineQuery("1.0", "b1", 300, 800, How.ANSWERED);
+        assertVerdict(2, 2, 0);
     }
 
     @Test
-    void twoAttemptsAtOnceAreFound() throws Exception {
-        client("1.0", "abfrage", null, 0, 900, Reply.Kind.SERVED, 0);
-        engine("1.0", "a1", 10, 700, How.ANSWERED);
-        engine("1.0", "b1", 300, 800, How.ANSWERED);
-        expect(2, 1, 1);
+    void concurrentAttemptsOfAQueryAreAViolation() throws Exception {
+        recordClientAttempt("1.0", "abfrage", null, 0, 900, Reply.Kind.SERVED, 0);
+        recordEngineQuery("1.0", "a1", 10, 700, How.ANSWERED);
+        recordEngineQuery("1.0", "b1", 300, 800, How.ANSWERED);
+        assertVerdict(2, 1, 1);
     }
 
     @Test
-    void newWorkAfterTheGraceOfADrainIsFound() throws Exception {
-        engine("1.0", "a1", 10, 100, How.ANSWERED);
-        drains.add(new Drain("r1", "a1", FROM + 500 * MS, FROM + 9000 * MS));
-        engine("2.0", "a1", 2400, 2500, How.ANSWERED);
-        expect(3, 1, 0);
-        engine("3.0", "a1", 2600, 2700, How.ANSWERED);
-        expect(3, 1, 1);
+    void queryAfterTheDrainGracePeriodIsAViolation() throws Exception {
+        recordEngineQuery("1.0", "a1", 10, 100, How.ANSWERED);
+        drains.add(new Drain("r1", "a1", START_NS + 500 * NS_PER_MS, START_NS + 9000 * NS_PER_MS));
+        recordEngineQuery("2.0", "a1", 2400, 2500, How.ANSWERED);
+        assertVerdict(3, 1, 0);
+        recordEngineQuery("3.0", "a1", 2600, 2700, How.ANSWERED);
+        assertVerdict(3, 1, 1);
     }
 
     @Test
-    void aColdEngineThatIsSentTooMuchOrFallsOverIsFound() throws Exception {
-        downs.add(new Interval("a1", FROM, FROM + 1000 * MS));
+    void overloadedWarmingEngineIsAViolation() throws Exception {
+        engineOutages.add(new Interval("a1", START_NS, START_NS + 1000 * NS_PER_MS));
         for (int i = 0; i < 300; i++) {
-            engine(
+            recordEngineQuery(
                     i + ".0",
                     "a1",
                     1100 + i,
                     1200 + i,
-                    How.ANSWERED); // 24 s of work in 0.3 s; it bears some 21 to 22
+                    How.ANSWERED); // 24 s of work in 0.3 s; the limit is about 21 to 22 s
         }
-        Verdict v = verdict(4);
-        assertEquals(300, v.exercisedCases());
+        Verdict verdict = verdict(4);
+        assertEquals(300, verdict.exercisedCases());
         assertTrue(
-                v.violations().size() > 10 && v.violations().size() < 60,
-                v.violations().size() + " broken");
-        fallen.add("a1");
-        assertEquals(v.violations().size() + 1, verdict(4).violations().size());
+                verdict.violations().size() > 10 && verdict.violations().size() < 60,
+                verdict.violations().size() + " broken");
+        overloadedEngines.add("a1");
+        assertEquals(verdict.violations().size() + 1, verdict(4).violations().size());
     }
 
     @Test
-    void aChangedOrderAndAnOverlapOfOneKeyAreFound() throws Exception {
-        client("1.0", "ladung", "k", 0, 1900, Reply.Kind.SERVED, 0);
-        client("2.0", "ladung", "k", 200, 1900, Reply.Kind.SERVED, 0);
-        engine("1.0", "a1", 10, 600, How.ANSWERED);
-        engine("2.0", "b1", 700, 1000, How.ANSWERED);
-        expect(5, 1, 0);
-        ledger.clear();
-        engine("1.0", "a1", 10, 600, How.ANSWERED);
-        engine("2.0", "b1", 300, 1000, How.ANSWERED);
-        expect(5, 1, 1);
-        ledger.clear();
-        engine("2.0", "b1", 300, 700, How.ANSWERED);
-        engine("1.0", "a1", 800, 1000, How.ANSWERED);
-        expect(5, 1, 1);
+    void changedOrderAndOverlapOfQueriesWithOneKeyAreViolations() throws Exception {
+        recordClientAttempt("1.0", "ladung", "k", 0, 1900, Reply.Kind.SERVED, 0);
+        recordClientAttempt("2.0", "ladung", "k", 200, 1900, Reply.Kind.SERVED, 0);
+        recordEngineQuery("1.0", "a1", 10, 600, How.ANSWERED);
+        recordEngineQuery("2.0", "b1", 700, 1000, How.ANSWERED);
+        assertVerdict(5, 1, 0);
+        engineQueries.clear();
+        recordEngineQuery("1.0", "a1", 10, 600, How.ANSWERED);
+        recordEngineQuery("2.0", "b1", 300, 1000, How.ANSWERED);
+        assertVerdict(5, 1, 1);
+        engineQueries.clear();
+        recordEngineQuery("2.0", "b1", 300, 700, How.ANSWERED);
+        recordEngineQuery("1.0", "a1", 800, 1000, How.ANSWERED);
+        assertVerdict(5, 1, 1);
     }
 
     @Test
-    void aReportOnTheWrongKindIsFound() throws Exception {
-        sick.add(new Interval("a1", FROM, FROM + 1000 * MS));
-        client("1.0", "bericht", null, 0, 100, Reply.Kind.SERVED, 0);
-        engine("1.0", "a1", 10, 90, How.ANSWERED);
-        expect(6, 1, 0);
-        client("2.0", "bericht", null, 0, 100, Reply.Kind.SERVED, 0);
-        engine("2.0", "b1", 10, 90, How.ANSWERED);
-        expect(6, 2, 1);
+    void queryOnADisallowedEngineKindIsAViolation() throws Exception {
+        engineFaults.add(new Interval("a1", START_NS, START_NS + 1000 * NS_PER_MS));
+        recordClientAttempt("1.0", "bericht", null, 0, 100, Reply.Kind.SERVED, 0);
+        recordEngineQuery("1.0", "a1", 10, 90, How.ANSWERED);
+        assertVerdict(6, 1, 0);
+        recordClientAttempt("2.0", "bericht", null, 0, 100, Reply.Kind.SERVED, 0);
+        recordEngineQuery("2.0", "b1", 10, 90, How.ANSWERED);
+        assertVerdict(6, 2, 1);
     }
 
     @Test
-    void tooManyFurtherAttemptsAreFound() throws Exception {
-        client("1.0", "abfrage", null, 0, 900, Reply.Kind.SERVED, 0);
-        engine("1.0", "a1", 10, 100, How.CRASHED);
-        engine("1.0", "b1", 300, 800, How.ANSWERED);
-        expect(7, 1, 0);
-        engine("1.0", "a1", 900, 1000, How.CRASHED);
-        expect(7, 2, 1);
+    void retriesOverTheBudgetAreAViolation() throws Exception {
+        recordClientAttempt("1.0", "abfrage", null, 0, 900, Reply.Kind.SERVED, 0);
+        recordEngineQuery("1.0", "a1", 10, 100, How.CRASHED);
+        recordEngineQuery("1.0", "b1", 300, 800, How.ANSWERED);
+        assertVerdict(7, 1, 0);
+        recordEngineQuery("1.0", "a1", 900, 1000, How.CRASHED);
+        assertVerdict(7, 2, 1);
     }
 
     /**
-     * A short day on real sockets under a router that repeats unsafe work, misplaces and goes on
-     * sending.
+     * Runs a short scenario on real sockets with a router that repeats queries that are not safe to
+     * repeat and ignores placement and ordering.
      */
     @Test
-    void aRouterThatBreaksRulesIsFoundOnRealSockets() throws Exception {
-        ScenarioConfig day =
+    void violationsOfAnUnsafeRouterAreFoundOnRealSockets() throws Exception {
+        ScenarioConfig scenario =
                 ScenarioConfigReader.read(
                         "day.sexp",
                         """
@@ -256,14 +265,15 @@
                           (trouble (kind lost-answers) (at 500ms) (for 3s) (target q2) (factor 0.5))
                           (trouble (kind slow) (at 500ms) (for 3s) (target q1) (factor 0.5)))\
                         """);
-        ScenarioFacts facts = new ScenarioRunner(day, InvariantCheckerTest::reckless).run();
+        ScenarioFacts facts =
+                new ScenarioRunner(scenario, InvariantCheckerTest::unsafeManager).run();
         List<Verdict> verdicts = new InvariantChecker(facts).verdicts();
         assertFalse(
                 verdicts.get(1).violations().isEmpty(),
-                "no effect twice: " + verdicts.get(1).exercisedCases());
+                "no duplicate effects: " + verdicts.get(1).exercisedCases());
         assertFalse(
                 verdicts.get(4).violations().isEmpty(),
-                "order: " + verdicts.get(4).exercisedCases());
+                "key ordering: " + verdicts.get(4).exercisedCases());
         assertFalse(
                 verdicts.get(5).violations().isEmpty(),
                 "placement: " + verdicts.get(5).exercisedCases());
@@ -271,10 +281,10 @@
     }
 
     /**
-     * Rules that were told that everything may be repeated, anywhere and in any order, and that
-     * give up early.
+     * Returns a workload manager whose classes allow retries, all engines and any order, and whose
+     * attempts time out early.
      */
-    private static WorkloadManager reckless(Settings settings) {
+    private static WorkloadManager unsafeManager(Settings settings) {
         List<QueryClass> classes =
                 settings.classes().stream()
                         .map(
@@ -296,7 +306,7 @@
                                                 false,
                                                 false))
                         .toList();
-        WorkloadManager inner =
+        WorkloadManager delegate =
                 new DefaultWorkloadManager(
                         new Settings(
                                 settings.seed(),
@@ -308,14 +318,16 @@
                                 settings.capabilities(),
                                 settings.limits()));
         return (event, now) ->
-                inner.onEvent(event, now).stream()
+                delegate.onEvent(event, now).stream()
                         .map(
                                 action ->
-                                        action instanceof StartAttempt send
+                                        action instanceof StartAttempt startAttempt
                                                 ? new StartAttempt(
-                                                        send.id(),
-                                                        send.engine(),
-                                                        Math.min(send.timeoutNs(), 400 * MS))
+                                                        startAttempt.id(),
+                                                        startAttempt.engine(),
+                                                        Math.min(
+                                                                startAttempt.timeoutNs(),
+                                                                400 * NS_PER_MS))
                                                 : action)
                         .toList();
     }
--- a/loadtest/src/test/java/ashlink/loadtest/LifecycleTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/LifecycleTest.java
@@ -23,14 +23,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Drains, restarts, stops and reloads. */
+/** Drains of engines; restarts, stops and reloads of a router. */
 class LifecycleTest {
 
-    private static final long S = Fleet.S;
+    private static final long NS_PER_SECOND = TestFleet.NS_PER_SECOND;
 
     @Test
-    void nothingNewGoesToAnEngineThatDrainsThoughQueriesWaitForIt() throws Exception {
-        try (Fleet fleet = Fleet.of("q1:typ-a").with("(bounds (engine-connections 4))").start()) {
+    void queuedQueriesAreNotSentToADrainingEngine() throws Exception {
+        try (TestFleet fleet =
+                TestFleet.of("q1:typ-a").with("(bounds (engine-connections 4))").start()) {
             List<NativeClient> clients = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
                 NativeClient nativeClient = fleet.client("portal");
@@ -40,74 +41,90 @@
                         Map.of("max_execution_time", "2"));
                 clients.add(nativeClient);
             }
-            Fleet.await("some run", () -> fleet.ledger().size() >= 4);
+            TestFleet.await("the first queries to run", () -> fleet.ledger().size() >= 4);
             fleet.router.setEngineState("q1", EndpointState.DRAINING);
-            long told = System.nanoTime();
-            int refused = 0;
+            long drainedNs = System.nanoTime();
+            int rejected = 0;
             for (NativeClient nativeClient : clients) {
-                Reply reply = nativeClient.await(List.of(), System.nanoTime() + 3 * S);
+                Reply reply = nativeClient.await(List.of(), System.nanoTime() + 3 * NS_PER_SECOND);
                 assertTrue(reply.kind() == Kind.SERVED || reply.code() == 202, reply.toString());
-                refused += reply.code() == 202 ? 1 : 0;
+                rejected += reply.code() == 202 ? 1 : 0;
             }
-            assertTrue(refused > 0, "nothing was held when the drain came");
-            long late =
+            assertTrue(rejected > 0, "no query was queued at the time of the drain");
+            long lateQueries =
                     fleet.ledger().stream()
-                            .filter(entry -> entry.beganNs > told + 1000 * Fleet.MS)
+                            .filter(entry -> entry.beganNs > drainedNs + 1000 * TestFleet.NS_PER_MS)
                             .count();
-            assertEquals(0, late, "began over 1 s after the drain; the grace is 2 s");
+            assertEquals(
+                    0,
+                    lateQueries,
+                    "queries started more than 1 s after the drain; the grace period is 2 s");
         }
     }
 
     @Test
-    void aRouterThatRestartsRemembersItsListAndSaysSoToTheModule(@TempDir Path dir)
-            throws Exception {
-        String state = "(state-dir \"" + dir + "\")";
-        try (Fleet fleet = Fleet.of("q1:typ-a", "q2:typ-b").with(state).start()) {
+    void restartedRouterReportsItsCachedEndpointListFirst(@TempDir Path dir) throws Exception {
+        String stateSetting = "(state-dir \"" + dir + "\")";
+        try (TestFleet fleet = TestFleet.of("q1:typ-a", "q2:typ-b").with(stateSetting).start()) {
             assertEquals(Kind.SERVED, fleet.query("portal", "SELECT 1").kind());
             fleet.router.setEngineState("q2", EndpointState.DRAINING);
             fleet.router.stop();
-            List<EndpointsChanged> news = Collections.synchronizedList(new ArrayList<>());
-            Router again =
+            List<EndpointsChanged> endpointEvents = Collections.synchronizedList(new ArrayList<>());
+            Router restartedRouter =
                     new Router(
                             TestSettings.of(
-                                    "r1", "halle-1", 0, 1, 7, 0, fleet.engines.values(), state));
-            again.core()
+                                    "r1",
+                                    "halle-1",
+                                    0,
+                                    1,
+                                    7,
+                                    0,
+                                    fleet.engines.values(),
+                                    stateSetting));
+            restartedRouter
+                    .core()
                     .observe(
-                            (event, now, list) -> {
+                            (event, now, actions) -> {
                                 if (event instanceof EndpointsChanged endpointsChanged) {
-                                    news.add(endpointsChanged);
+                                    endpointEvents.add(endpointsChanged);
                                 }
                             });
-            again.start();
-            Fleet.await("the list", () -> news.size() >= 2);
-            again.kill();
-            assertEquals(EndpointListKind.CACHED, news.get(0).kind());
-            assertEquals(EndpointState.DRAINING, news.get(0).endpoints().get(1).state());
-            assertEquals(EndpointListKind.SNAPSHOT, news.get(1).kind());
+            restartedRouter.start();
+            TestFleet.await("the endpoint lists", () -> endpointEvents.size() >= 2);
+            restartedRouter.kill();
+            assertEquals(EndpointListKind.CACHED, endpointEvents.get(0).kind());
+            assertEquals(EndpointState.DRAINING, endpointEvents.get(0).endpoints().get(1).state());
+            assertEquals(EndpointListKind.SNAPSHOT, endpointEvents.get(1).kind());
         }
     }
 
     @Test
-    void aStopLetsWorkFinishAndAnswersTheRest() throws Exception {
-        try (Fleet fleet = Fleet.of("q1:typ-a").with("(bounds (stop 600ms))").start()) {
-            NativeClient quick = fleet.client("portal");
-            NativeClient slow = fleet.client("portal");
-            NativeClient load = fleet.client("portal");
-            quick.sendQuery("", "SELECT /* sim work_ms=300 tag=quick */ 2", Map.of());
-            slow.sendQuery("", "SELECT /* sim work_ms=60000 tag=slow */ 2", Map.of());
-            load.sendQuery("", "INSERT /* sim work_ms=60000 tag=load */ INTO t SELECT 1", Map.of());
-            Fleet.await("all run", () -> fleet.ledger().size() == 3);
+    void stopLetsShortQueriesFinishAndAnswersTheOthers() throws Exception {
+        try (TestFleet fleet = TestFleet.of("q1:typ-a").with("(bounds (stop 600ms))").start()) {
+            NativeClient shortQueryClient = fleet.client("portal");
+            NativeClient longQueryClient = fleet.client("portal");
+            NativeClient insertClient = fleet.client("portal");
+            shortQueryClient.sendQuery("", "SELECT /* sim work_ms=300 tag=quick */ 2", Map.of());
+            longQueryClient.sendQuery("", "SELECT /* sim work_ms=60000 tag=slow */ 2", Map.of());
+            insertClient.sendQuery(
+                    "", "INSERT /* sim work_ms=60000 tag=load */ INTO t SELECT 1", Map.of());
+            TestFleet.await("all queries to run", () -> fleet.ledger().size() == 3);
             fleet.router.stop();
-            assertEquals(Kind.SERVED, quick.await(List.of(), System.nanoTime() + S).kind());
-            assertEquals(202, slow.await(List.of(), System.nanoTime() + S).code());
-            assertEquals(210, load.await(List.of(), System.nanoTime() + S).code());
+            assertEquals(
+                    Kind.SERVED,
+                    shortQueryClient.await(List.of(), System.nanoTime() + NS_PER_SECOND).kind());
+            assertEquals(
+                    202,
+                    longQueryClient.await(List.of(), System.nanoTime() + NS_PER_SECOND).code());
+            assertEquals(
+                    210, insertClient.await(List.of(), System.nanoTime() + NS_PER_SECOND).code());
             assertThrows(java.io.IOException.class, () -> fleet.client("portal"));
         }
     }
 
     @Test
-    void aReloadBringsEnginesAndABadFileChangesNothing(@TempDir Path dir) throws Exception {
-        try (Fleet fleet = Fleet.of("q1:typ-a").start()) {
+    void reloadAddsEnginesAndAnInvalidFileChangesNothing(@TempDir Path dir) throws Exception {
+        try (TestFleet fleet = TestFleet.of("q1:typ-a").start()) {
             Path file = dir.resolve("r1.sexp");
             fleet.engine("q2", "typ-b", true);
             Files.writeString(
--- a/loadtest/src/test/java/ashlink/loadtest/ClassesTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/QueryClassificationTest.java
@@ -13,10 +13,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Classes by what a statement is, at work on sockets: however it is written, its rules hold. */
-class ClassesTest {
+/**
+ * Statements are classified by their parsed content, so the notation of a statement does not change
+ * its class.
+ */
+class QueryClassificationTest {
 
-    private static final String REPORTS =
+    private static final String REPORT_RULE =
             "(rule (class bericht) (kind read) (table \"billing.*\"))";
 
     @ParameterizedTest
@@ -29,24 +32,23 @@
                 "(SELECT 1 /*T*/) UNION ALL (SELECT x FROM readings JOIN billing.periods USING id)",
                 "SELECT /*T*/ * FROM readings WHERE id IN billing.periods"
             })
-    void anOddlyWrittenReportNeverReachesTheOtherKindAlsoWhenItsOwnIsDown(String statement)
-            throws Exception {
-        try (Fleet fleet = Fleet.of("a1:typ-a", "b1:typ-b").with(REPORTS).start()) {
+    void reportInAnyNotationRunsOnlyOnItsEngineKind(String statement) throws Exception {
+        try (TestFleet fleet = TestFleet.of("a1:typ-a", "b1:typ-b").with(REPORT_RULE).start()) {
             for (int i = 0; i < 4; i++) {
-                Reply up =
+                Reply replyBeforeCrash =
                         fleet.query(
                                 "portal", statement.replace("/*T*/", "/* sim tag=up" + i + " */"));
-                assertEquals(Kind.SERVED, up.kind(), up.message());
+                assertEquals(Kind.SERVED, replyBeforeCrash.kind(), replyBeforeCrash.message());
             }
             fleet.engine("a1").crash();
-            Reply down =
+            Reply replyAfterCrash =
                     fleet.client("portal")
                             .query(
                                     "",
                                     statement.replace("/*T*/", "/* sim tag=down */"),
                                     Map.of("max_execution_time", "1"),
-                                    3 * Fleet.S);
-            assertEquals(202, down.code(), down.message());
+                                    3 * TestFleet.NS_PER_SECOND);
+            assertEquals(202, replyAfterCrash.code(), replyAfterCrash.message());
             assertEquals(List.of(), fleet.engine("b1").ledger().entries());
         }
     }
@@ -62,33 +64,31 @@
                 "SELECT * FROM executable('x.sh', CSV, 'a Int8') /*T*/",
                 "SELECT /*T*/ 1 /* a /* b */ c */"
             })
-    void whatIsNoPlainReadIsRunOnceAndKeepsThePlacementOfItsUsersClass(String statement)
+    void statementThatIsNoPlainReadIsExecutedOnceWithThePlacementOfItsUsersClass(String statement)
             throws Exception {
-        try (Fleet fleet = Fleet.of("a1:typ-a", "a2:typ-a", "b1:typ-b").start()) {
+        try (TestFleet fleet = TestFleet.of("a1:typ-a", "a2:typ-a", "b1:typ-b").start()) {
             fleet.engines
                     .values()
-                    .forEach(
-                            emulatedEngine ->
-                                    emulatedEngine.faults().breakAt(Place.RUN, Break.CLOSE, 100));
+                    .forEach(engine -> engine.faults().breakAt(Place.RUN, Break.CLOSE, 100));
             Reply reply = fleet.query("billing", statement.replace("/*T*/", "/* sim tag=t */"));
             assertEquals(210, reply.code(), reply.message());
-            assertEquals(1, fleet.runs("t"));
+            assertEquals(1, fleet.executions("t"));
             assertEquals(List.of(), fleet.engine("b1").ledger().entries());
         }
     }
 
     @Test
-    void readersAndLoadsOfATableMeetOnOneGroup() throws Exception {
-        java.util.Set<Long> groups = java.util.concurrent.ConcurrentHashMap.newKeySet();
-        try (Fleet fleet = Fleet.of("q1:typ-a").start()) {
+    void readsAndWritesOfATableHaveTheSameTableGroup() throws Exception {
+        java.util.Set<Long> tableGroups = java.util.concurrent.ConcurrentHashMap.newKeySet();
+        try (TestFleet fleet = TestFleet.of("q1:typ-a").start()) {
             fleet.router
                     .core()
                     .observe(
-                            (event, now, list) -> {
+                            (event, now, actions) -> {
                                 if (event
                                         instanceof
                                         ashlink.decisions.api.Event.QuerySubmitted querySubmitted) {
-                                    groups.add(querySubmitted.tableGroup());
+                                    tableGroups.add(querySubmitted.tableGroup());
                                 }
                             });
             for (String text :
@@ -98,8 +98,8 @@
                             "select x from `readings`")) {
                 assertEquals(Kind.SERVED, fleet.query("portal", text).kind());
             }
-            assertEquals(1, groups.size(), groups.toString());
-            assertTrue(!groups.contains(0L));
+            assertEquals(1, tableGroups.size(), tableGroups.toString());
+            assertTrue(!tableGroups.contains(0L));
         }
     }
 }
--- a/loadtest/src/test/java/ashlink/loadtest/RegressionScenariosTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/RegressionScenariosTest.java
@@ -18,46 +18,47 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Captures of real routers on days of trouble, each decided again exactly. A change of the
- * decisions shows here first; where it is meant, the captures are recorded anew by {@code ./ashlink
- * badday --trouble NAME --capture DIR}.
+ * Replays captures of routers that were recorded under faults and expects the same decisions. After
+ * an intended change of the decisions, record the captures again with {@code ./ashlink badday
+ * --trouble NAME --capture DIR}.
  */
 class RegressionScenariosTest {
 
     static Stream<Path> captures() throws Exception {
-        URI folder =
+        URI directory =
                 RegressionScenariosTest.class.getResource("/ashlink/loadtest/captures").toURI();
-        try (Stream<Path> days = Files.list(Path.of(folder))) {
-            List<Path> routers =
-                    days.flatMap(
-                                    path -> {
+        try (Stream<Path> scenarios = Files.list(Path.of(directory))) {
+            List<Path> routerCaptures =
+                    scenarios
+                            .flatMap(
+                                    scenario -> {
                                         try {
-                                            return Files.list(path);
+                                            return Files.list(scenario);
                                         } catch (java.io.IOException e) {
                                             throw new java.io.UncheckedIOException(e);
                                         }
                                     })
                             .sorted()
                             .toList();
-            return routers.stream();
+            return routerCaptures.stream();
         }
     }
 
     @ParameterizedTest
     @MethodSource("captures")
-    void isDecidedAgainExactly(Path capture) throws Exception {
+    void replayMakesTheSameDecisions(Path capture) throws Exception {
         Replay replay =
                 new Replay(
                         DefaultWorkloadManager::new, ModuleHash.of(DefaultWorkloadManager.class));
-        List<CaptureReader.SegmentSummary> found =
+        List<CaptureReader.SegmentSummary> segments =
                 new CaptureReader(FolderDisk.reading(capture)).read(replay);
         assertTrue(
-                found.stream()
+                segments.stream()
                         .allMatch(
-                                f ->
-                                        f.state() == Segment.State.WHOLE
-                                                || f.state() == Segment.State.TORN),
-                found.toString());
+                                segment ->
+                                        segment.state() == Segment.State.WHOLE
+                                                || segment.state() == Segment.State.TORN),
+                segments.toString());
         assertEquals(0, replay.divergentSteps(), replay.divergences().toString());
         assertTrue(replay.replayedSteps() > 500, replay.replayedSteps() + " steps");
     }
--- a/loadtest/src/test/java/ashlink/loadtest/SmokeTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/SmokeTest.java
@@ -19,18 +19,19 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/** A router with the engines of the demo serves the native client and the JDBC driver. */
 class SmokeTest {
 
-    private static final long S = 1_000_000_000L;
+    private static final long NS_PER_SECOND = 1_000_000_000L;
 
     @Test
-    void selectsAndInsertsPassThroughARouter() throws Exception {
+    void selectsAndInsertsAreForwarded() throws Exception {
         List<EmulatedEngine> engines = EmulatedEngines.demo();
         Router router = new Router(TestSettings.of("r1", "halle-1", 0, 1, 7, 0, engines, ""));
         router.start();
         try (NativeClient nativeClient = NativeClient.connect(router.address(), "portal")) {
             for (int i = 0; i < 5; i++) {
-                Reply reply = nativeClient.query("a" + i, "SELECT 1", Map.of(), 5 * S);
+                Reply reply = nativeClient.query("a" + i, "SELECT 1", Map.of(), 5 * NS_PER_SECOND);
                 assertEquals(Reply.Kind.SERVED, reply.kind(), reply.message());
                 assertEquals(1, reply.rows());
             }
@@ -40,7 +41,11 @@
                             new Block.Column("value", "String", List.of("x", "y")));
             Reply reply =
                     nativeClient.insert(
-                            "b", "INSERT INTO t VALUES", Map.of(), List.of(rows), 5 * S);
+                            "b",
+                            "INSERT INTO t VALUES",
+                            Map.of(),
+                            List.of(rows),
+                            5 * NS_PER_SECOND);
             assertEquals(Reply.Kind.SERVED, reply.kind(), reply.message());
         } finally {
             router.stop();
@@ -49,7 +54,7 @@
     }
 
     @Test
-    void thePublicJdbcDriverIsServed() throws Exception {
+    void jdbcDriverIsServed() throws Exception {
         List<EmulatedEngine> engines = EmulatedEngines.demo();
         Router router = new Router(TestSettings.of("r1", "halle-1", 0, 1, 7, 0, engines, ""));
         router.start();
--- a/loadtest/src/test/java/ashlink/loadtest/HttpPeer.java
+++ b/loadtest/src/test/java/ashlink/loadtest/StatementApiClient.java
@@ -9,19 +9,19 @@
 import java.net.http.HttpResponse.BodyHandlers;
 import java.time.Duration;
 
-/** A client of the statement API for tests. */
-final class HttpPeer {
+/** A client of the HTTP statement API that checks each response against the OpenAPI description. */
+final class StatementApiClient {
 
-    private static final Described DESCRIBED = new Described();
+    private static final OpenApiDescription DESCRIPTION = new OpenApiDescription();
 
-    private final HttpClient client =
+    private final HttpClient httpClient =
             HttpClient.newBuilder()
                     .version(HttpClient.Version.HTTP_1_1)
                     .connectTimeout(Duration.ofSeconds(10))
                     .build();
     private final InetSocketAddress address;
 
-    HttpPeer(InetSocketAddress address) {
+    StatementApiClient(InetSocketAddress address) {
         this.address = address;
     }
 
@@ -30,16 +30,16 @@
                 .timeout(Duration.ofSeconds(60));
     }
 
-    /** Sends it, and holds the answer against the description. */
+    /** Sends a request and checks the response against the OpenAPI description. */
     HttpResponse<String> send(HttpRequest.Builder builder)
             throws IOException, InterruptedException {
-        HttpResponse<String> answer = client.send(builder.build(), BodyHandlers.ofString());
-        DESCRIBED.check(answer);
-        return answer;
+        HttpResponse<String> response = httpClient.send(builder.build(), BodyHandlers.ofString());
+        DESCRIPTION.check(response);
+        return response;
     }
 
-    HttpClient client() {
-        return client;
+    HttpClient httpClient() {
+        return httpClient;
     }
 
     HttpResponse<String> post(String statement, String parameters, String... headers)
--- a/loadtest/src/test/java/ashlink/loadtest/Fleet.java
+++ b/loadtest/src/test/java/ashlink/loadtest/TestFleet.java
@@ -18,31 +18,31 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Function;
 
-/** A router and stand-ins for one test. */
-final class Fleet implements AutoCloseable {
+/** A router and emulated engines for one test. */
+final class TestFleet implements AutoCloseable {
 
-    static final long S = 1_000_000_000L;
-    static final long MS = 1_000_000L;
+    static final long NS_PER_SECOND = 1_000_000_000L;
+    static final long NS_PER_MS = 1_000_000L;
 
     final Map<String, EmulatedEngine> engines = new LinkedHashMap<>();
     final List<NativeClient> clients = new ArrayList<>();
-    String extra = "";
+    String extraSettings = "";
     Router router;
 
-    /** Engines given as {@code name:kind}. */
-    static Fleet of(String... engines) throws Exception {
-        Fleet fleet = new Fleet();
-        for (String text : engines) {
+    /** Creates a fleet with engines given as {@code name:kind}. */
+    static TestFleet of(String... engines) throws Exception {
+        TestFleet fleet = new TestFleet();
+        for (String nameAndKind : engines) {
             fleet.engine(
-                    text.substring(0, text.indexOf(':')),
-                    text.substring(text.indexOf(':') + 1),
+                    nameAndKind.substring(0, nameAndKind.indexOf(':')),
+                    nameAndKind.substring(nameAndKind.indexOf(':') + 1),
                     true);
         }
         return fleet;
     }
 
-    Fleet engine(String name, String kind, boolean heedsCancel) throws Exception {
-        EmulatedEngine emulatedEngine =
+    TestFleet engine(String name, String kind, boolean supportsCancel) throws Exception {
+        EmulatedEngine engine =
                 new EmulatedEngine(
                         new EngineConfig(
                                 name,
@@ -60,30 +60,31 @@
                                 0.35,
                                 0,
                                 0,
-                                3 * S,
-                                heedsCancel,
+                                3 * NS_PER_SECOND,
+                                supportsCancel,
                                 64,
                                 1,
                                 null));
-        emulatedEngine.start();
-        engines.put(name, emulatedEngine);
+        engine.start();
+        engines.put(name, engine);
         return this;
     }
 
-    Fleet with(String settings) {
-        extra += settings;
+    TestFleet with(String settings) {
+        extraSettings += settings;
         return this;
     }
 
-    Fleet start() throws Exception {
+    TestFleet start() throws Exception {
         return start(DefaultWorkloadManager::new);
     }
 
-    Fleet start(Function<Settings, WorkloadManager> module) throws Exception {
+    TestFleet start(Function<Settings, WorkloadManager> workloadManagerFactory) throws Exception {
         router =
                 new Router(
-                        TestSettings.of("r1", "halle-1", 0, 1, 7, 0, engines.values(), extra),
-                        module);
+                        TestSettings.of(
+                                "r1", "halle-1", 0, 1, 7, 0, engines.values(), extraSettings),
+                        workloadManagerFactory);
         router.start();
         return this;
     }
@@ -95,32 +96,32 @@
     }
 
     Reply query(String user, String statement) throws Exception {
-        return client(user).query("", statement, Map.of(), 30 * S);
+        return client(user).query("", statement, Map.of(), 30 * NS_PER_SECOND);
     }
 
     EmulatedEngine engine(String name) {
         return engines.get(name);
     }
 
-    /** All that engines noted, but probes. */
+    /** Returns the ledger entries of all engines; health checks are not recorded. */
     List<Ledger.Entry> ledger() {
-        List<Ledger.Entry> all = new ArrayList<>();
-        engines.values().forEach(emulatedEngine -> all.addAll(emulatedEngine.ledger().entries()));
-        return all;
+        List<Ledger.Entry> entries = new ArrayList<>();
+        engines.values().forEach(engine -> entries.addAll(engine.ledger().entries()));
+        return entries;
     }
 
-    /** Runs of a tag that had all they needed to run. */
-    long runs(String tag) {
+    /** Returns how often a statement with the tag became executable at an engine. */
+    long executions(String tag) {
         return ledger().stream()
                 .filter(entry -> entry.tag.equals(tag) && entry.ranNs() > 0)
                 .count();
     }
 
-    static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long until = System.nanoTime() + 20 * S;
+    static void await(String description, BooleanSupplier condition) throws InterruptedException {
+        long deadlineNs = System.nanoTime() + 20 * NS_PER_SECOND;
         while (!condition.getAsBoolean()) {
-            if (System.nanoTime() > until) {
-                throw new AssertionError("waited in vain for: " + what);
+            if (System.nanoTime() > deadlineNs) {
+                throw new AssertionError("timed out after 20 s while waiting for: " + description);
             }
             Thread.sleep(5);
         }
