--- a/loadtest/src/main/java/ashlink/loadtest/client/NativeClient.java
+++ b/loadtest/src/main/java/ashlink/loadtest/client/NativeClient.java
@@ -178,15 +178,16 @@
         return (int) Math.min(Integer.MAX_VALUE, remaining);
     }
 
-    private static Reply failureReply(IOException e, long rows, long bytes) {
+    private static Reply failureReply(IOException failure, long rows, long bytes) {
         Reply.Kind kind =
-                e instanceof SocketTimeoutException
+                failure instanceof SocketTimeoutException
                         ? Reply.Kind.TIMED_OUT
-                        : e instanceof WireException wireException
+                        : failure instanceof WireException wireException
                                         && wireException.reason() != WireException.Reason.TRUNCATED
                                 ? Reply.Kind.GARBLED
                                 : Reply.Kind.LOST;
-        return new Reply(kind, 0, String.valueOf(e.getMessage()), rows, bytes, System.nanoTime());
+        return new Reply(
+                kind, 0, String.valueOf(failure.getMessage()), rows, bytes, System.nanoTime());
     }
 
     /** Waits for the end of the statement that was sent last. */
--- a/loadtest/src/main/java/ashlink/loadtest/scenario/ScenarioRunner.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/ScenarioRunner.java
@@ -223,6 +223,7 @@
             case HEAVY_TAIL -> conditions.setWorkFactor(fault.target(), fault.factor());
             case HOT_TABLE_GROUP -> conditions.setHotTableGroup(fault.factor());
             case HOT_ROUTER -> conditions.setHotRouter(fault.target(), fault.factor());
+            default -> throw new IllegalArgumentException("unsupported fault kind " + fault.kind());
         }
         if (fault.kind() == ScenarioConfig.FaultKind.CONNECTION_REFUSED) {
             engine.faults()
@@ -266,6 +267,7 @@
             case HEAVY_TAIL -> conditions.setWorkFactor("", 1);
             case HOT_TABLE_GROUP -> conditions.setHotTableGroup(0);
             case HOT_ROUTER -> conditions.setHotRouter("", 0);
+            default -> throw new IllegalArgumentException("unsupported fault kind " + fault.kind());
         }
     }
 
