--- a/loadtest/src/main/java/ashlink/loadtest/bench/BackgroundBench.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/BackgroundBench.java
@@ -47,6 +47,12 @@
                                 "(limits (drain-grace 2s))"));
         router.start();
         LoadGenerator.closedLoop(router.address(), CONNECTIONS, number -> SHORT_QUERY, 3 * roundNs);
+        measure(router);
+        router.kill();
+        engine.crash();
+    }
+
+    private void measure(Router router) throws IOException, InterruptedException {
         double[] p99Ratio = new double[ROUNDS];
         double[] p99WithoutUs = new double[ROUNDS];
         double[] p99WithUs = new double[ROUNDS];
@@ -79,8 +85,6 @@
                 BenchSupport.median(throughputRatio),
                 BenchSupport.min(throughputRatio),
                 BenchSupport.max(throughputRatio));
-        router.kill();
-        engine.crash();
     }
 
     private LoadGenerator.Result runWithTasks(Router router)
--- a/loadtest/src/main/java/ashlink/loadtest/bench/HttpBench.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/HttpBench.java
@@ -5,7 +5,6 @@
 import ashlink.loadtest.client.Reply;
 import ashlink.loadtest.fixture.TestSettings;
 import ashlink.router.Router;
-import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.PrintStream;
@@ -23,7 +22,6 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
-import java.util.concurrent.CountDownLatch;
 import java.util.stream.Stream;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
@@ -98,7 +96,9 @@
                     LoadGenerator.closedLoop(
                             router.address(), connections, number -> SHORT_QUERY, roundNs);
             Histogram responseTimes = new ConcurrentHistogram(60 * NS_PER_SECOND, 3);
-            double requestsPerSecond = runHttpClosedLoop(serverUri, connections, responseTimes);
+            double requestsPerSecond =
+                    new HttpLoadGenerator(out, serverUri.getPort(), SHORT_QUERY)
+                            .closedLoop(connections, roundNs, responseTimes);
             if (i >= 0) {
                 nativeRates[i] = result.requestsPerSecond();
                 httpRates[i] = requestsPerSecond;
@@ -120,80 +120,6 @@
                 BenchSupport.max(ratio));
     }
 
-    /**
-     * Sends requests over plain sockets, because the JDK's HTTP client uses several times the CPU
-     * of the server that is measured.
-     */
-    private double runHttpClosedLoop(URI serverUri, int connections, Histogram responseTimes)
-            throws InterruptedException {
-        byte[] request =
-                ("POST /v1/statements?wait=10 HTTP/1.1\r\n"
-                                + "Host: a\r\n"
-                                + "Content-Type: text/plain\r\n"
-                                + "Content-Length: "
-                                + SHORT_QUERY.length()
-                                + "\r\n\r\n"
-                                + SHORT_QUERY)
-                        .getBytes(StandardCharsets.US_ASCII);
-        CountDownLatch done = new CountDownLatch(connections);
-        long startNs = System.nanoTime();
-        for (int i = 0; i < connections; i++) {
-            Thread thread =
-                    new Thread(
-                            () -> {
-                                try (Socket socket = new Socket("127.0.0.1", serverUri.getPort())) {
-                                    socket.setTcpNoDelay(true);
-                                    InputStream in =
-                                            new BufferedInputStream(socket.getInputStream());
-                                    while (System.nanoTime() - startNs < roundNs) {
-                                        long requestStartNs = System.nanoTime();
-                                        socket.getOutputStream().write(request);
-                                        if (readResponse(in)) {
-                                            responseTimes.recordValue(
-                                                    System.nanoTime() - requestStartNs);
-                                        }
-                                    }
-                                } catch (IOException e) {
-                                    out.println("  connection failed: " + e);
-                                } finally {
-                                    done.countDown();
-                                }
-                            },
-                            "http-load");
-            thread.setDaemon(true);
-            thread.start();
-        }
-        done.await();
-        return responseTimes.getTotalCount()
-                * (double) NS_PER_SECOND
-                / (System.nanoTime() - startNs);
-    }
-
-    /** Reads a response; returns true if it has status 200. */
-    private static boolean readResponse(InputStream in) throws IOException {
-        boolean ok = readLine(in).contains(" 200");
-        int length = 0;
-        for (String header = readLine(in); !header.isEmpty(); header = readLine(in)) {
-            if (header.regionMatches(true, 0, "content-length:", 0, 15)) {
-                length = Integer.parseInt(header.substring(15).trim());
-            }
-        }
-        return in.readNBytes(length).length == length && ok;
-    }
-
-    private static String readLine(InputStream in) throws IOException {
-        StringBuilder text = new StringBuilder();
-        for (int next = in.read(); next != '\n'; next = in.read()) {
-            if (next < 0) {
-                throw new IOException("connection closed within an HTTP response");
-            }
-            if (next != '\r') {
-                text.append((char) next);
-            }
-        }
-        return text.toString();
-    }
-
     /** Transfers a result of 1 GiB over the native protocol, and as CSV pages through the spool. */
     private void measureLargeResult(Router router, URI serverUri)
             throws IOException, InterruptedException {
@@ -203,12 +129,7 @@
         long maxSpooledBytes = 0;
         HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
         for (int i = 0; i < 3; i++) {
-            try (NativeClient nativeClient = NativeClient.connect(router.address(), "portal")) {
-                long startNs = System.nanoTime();
-                Reply reply = nativeClient.query("", LARGE_QUERY, Map.of(), 60 * NS_PER_SECOND);
-                nativeRates[i] =
-                        reply.bytes() / (double) (1 << 20) / ((reply.endNs() - startNs) / 1e9);
-            }
+            nativeRates[i] = nativeTransferRate(router);
             long startNs = System.nanoTime();
             long bytes = 0;
             pageCount = 0;
@@ -219,27 +140,11 @@
                                                     + "&ashlink_class=bericht"))
                             .POST(HttpRequest.BodyPublishers.ofString(LARGE_QUERY));
             while (next != null) {
-                HttpResponse<byte[]> httpResponse =
-                        client.send(
-                                next.header("Accept", "text/csv").build(),
-                                BodyHandlers.ofByteArray());
-                if (httpResponse.statusCode() != 200) {
-                    throw new IOException(
-                            "unexpected HTTP status "
-                                    + httpResponse.statusCode()
-                                    + ": "
-                                    + new String(httpResponse.body(), StandardCharsets.UTF_8));
-                }
+                HttpResponse<byte[]> httpResponse = fetchPage(client, next);
                 bytes += httpResponse.body().length;
                 pageCount++;
                 maxSpooledBytes = Math.max(maxSpooledBytes, router.http().spooledBytes());
-                String link = httpResponse.headers().firstValue("Link").orElse("");
-                next =
-                        link.isEmpty()
-                                ? null
-                                : HttpRequest.newBuilder(
-                                        serverUri.resolve(
-                                                link.substring(1, link.indexOf('>')) + "?wait=60"));
+                next = nextPage(serverUri, httpResponse);
             }
             httpRates[i] = bytes / (double) (1 << 20) / ((System.nanoTime() - startNs) / 1e9);
         }
@@ -253,6 +158,36 @@
                 maxSpooledBytes >> 20);
     }
 
+    private static double nativeTransferRate(Router router) throws IOException {
+        try (NativeClient nativeClient = NativeClient.connect(router.address(), "portal")) {
+            long startNs = System.nanoTime();
+            Reply reply = nativeClient.query("", LARGE_QUERY, Map.of(), 60 * NS_PER_SECOND);
+            return reply.bytes() / (double) (1 << 20) / ((reply.endNs() - startNs) / 1e9);
+        }
+    }
+
+    private static HttpResponse<byte[]> fetchPage(HttpClient client, HttpRequest.Builder page)
+            throws IOException, InterruptedException {
+        HttpResponse<byte[]> httpResponse =
+                client.send(page.header("Accept", "text/csv").build(), BodyHandlers.ofByteArray());
+        if (httpResponse.statusCode() != 200) {
+            throw new IOException(
+                    "unexpected HTTP status "
+                            + httpResponse.statusCode()
+                            + ": "
+                            + new String(httpResponse.body(), StandardCharsets.UTF_8));
+        }
+        return httpResponse;
+    }
+
+    private static HttpRequest.Builder nextPage(URI serverUri, HttpResponse<byte[]> httpResponse) {
+        String link = httpResponse.headers().firstValue("Link").orElse("");
+        return link.isEmpty()
+                ? null
+                : HttpRequest.newBuilder(
+                        serverUri.resolve(link.substring(1, link.indexOf('>')) + "?wait=60"));
+    }
+
     /** Measures the heap of running statements that no client polls. */
     private void measureWaitingStatements(Router router, URI serverUri)
             throws IOException, InterruptedException {
@@ -281,6 +216,38 @@
     private void measureLongPolls(Router router, URI serverUri)
             throws IOException, InterruptedException {
         HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+        String id = postStatement(client, serverUri);
+        int threads = Thread.activeCount();
+        List<Socket> sockets = openLongPolls(serverUri, id);
+        Thread.sleep(1_000);
+        int addedThreads = Thread.activeCount() - threads;
+        long cpuNs = BenchSupport.processCpuNs();
+        Thread.sleep(5_000);
+        double cpuFraction = (BenchSupport.processCpuNs() - cpuNs) / 5e9;
+        cpuNs = BenchSupport.processCpuNs();
+        long startNs = System.nanoTime();
+        client.send(
+                HttpRequest.newBuilder(serverUri.resolve("/v1/statements/" + id)).DELETE().build(),
+                BodyHandlers.discarding());
+        int answered = countAnswered(sockets);
+        out.printf(
+                "%d long polls of one statement: %d more threads, %.1f%% of a core while they wait"
+                    + " (with %d running statements); %d answered %.0f ms after its end, with %.0f"
+                    + " ms of CPU%n",
+                LONG_POLLS,
+                addedThreads,
+                cpuFraction * 100,
+                router.http().openStatements(),
+                answered,
+                (System.nanoTime() - startNs) / 1e6,
+                (BenchSupport.processCpuNs() - cpuNs) / 1e6);
+        for (Socket socket : sockets) {
+            socket.close();
+        }
+    }
+
+    private static String postStatement(HttpClient client, URI serverUri)
+            throws IOException, InterruptedException {
         String body =
                 client.send(
                                 HttpRequest.newBuilder(
@@ -290,8 +257,10 @@
                                         .build(),
                                 BodyHandlers.ofString())
                         .body();
-        String id = body.replaceAll(".*\"id\":\"([^\"]+)\".*", "$1");
-        int threads = Thread.activeCount();
+        return body.replaceAll(".*\"id\":\"([^\"]+)\".*", "$1");
+    }
+
+    private static List<Socket> openLongPolls(URI serverUri, String id) throws IOException {
         List<Socket> sockets = new ArrayList<>();
         for (int i = 0; i < LONG_POLLS; i++) {
             Socket socket = new Socket();
@@ -304,16 +273,10 @@
                                     .getBytes(StandardCharsets.US_ASCII));
             sockets.add(socket);
         }
-        Thread.sleep(1_000);
-        int addedThreads = Thread.activeCount() - threads;
-        long cpuNs = BenchSupport.processCpuNs();
-        Thread.sleep(5_000);
-        double cpuFraction = (BenchSupport.processCpuNs() - cpuNs) / 5e9;
-        cpuNs = BenchSupport.processCpuNs();
-        long startNs = System.nanoTime();
-        client.send(
-                HttpRequest.newBuilder(serverUri.resolve("/v1/statements/" + id)).DELETE().build(),
-                BodyHandlers.discarding());
+        return sockets;
+    }
+
+    private static int countAnswered(List<Socket> sockets) throws IOException {
         int answered = 0;
         for (Socket socket : sockets) {
             InputStream in = socket.getInputStream();
@@ -322,19 +285,6 @@
                             ? 1
                             : 0;
         }
-        out.printf(
-                "%d long polls of one statement: %d more threads, %.1f%% of a core while they wait"
-                    + " (with %d running statements); %d answered %.0f ms after its end, with %.0f"
-                    + " ms of CPU%n",
-                LONG_POLLS,
-                addedThreads,
-                cpuFraction * 100,
-                router.http().openStatements(),
-                answered,
-                (System.nanoTime() - startNs) / 1e6,
-                (BenchSupport.processCpuNs() - cpuNs) / 1e6);
-        for (Socket socket : sockets) {
-            socket.close();
-        }
+        return answered;
     }
 }
--- a/loadtest/src/main/java/ashlink/loadtest/bench/LoadGenerator.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/LoadGenerator.java
@@ -24,7 +24,21 @@
     private static final long NS_PER_SECOND = 1_000_000_000L;
     private static final long MAX_RESPONSE_TIME_NS = 60 * NS_PER_SECOND;
 
-    private LoadGenerator() {}
+    private final LongFunction<String> statements;
+    private final long durationNs;
+    private final double ratePerSecond;
+    private final Histogram responseTimes = new ConcurrentHistogram(MAX_RESPONSE_TIME_NS, 3);
+    private final AtomicLong failed = new AtomicLong();
+    private final AtomicReference<String> lastFailure = new AtomicReference<>("");
+    private final AtomicLong scheduled = new AtomicLong();
+    private final AtomicLong sent = new AtomicLong();
+    private final long startNs = System.nanoTime();
+
+    private LoadGenerator(LongFunction<String> statements, long durationNs, double ratePerSecond) {
+        this.statements = statements;
+        this.durationNs = durationNs;
+        this.ratePerSecond = ratePerSecond;
+    }
 
     /**
      * Closed loop: each connection sends its next statement as soon as the last one is answered.
@@ -56,55 +70,19 @@
             long durationNs,
             double ratePerSecond)
             throws IOException, InterruptedException {
-        Histogram responseTimes = new ConcurrentHistogram(MAX_RESPONSE_TIME_NS, 3);
-        AtomicLong failed = new AtomicLong();
-        AtomicReference<String> lastFailure = new AtomicReference<>("");
-        AtomicLong scheduled = new AtomicLong();
-        AtomicLong sent = new AtomicLong();
-        CountDownLatch done = new CountDownLatch(connections);
         List<NativeClient> clients = new ArrayList<>();
         for (int i = 0; i < connections; i++) {
             clients.add(NativeClient.connect(addresses.get(i % addresses.size()), "portal"));
         }
-        long startNs = System.nanoTime();
+        LoadGenerator generator = new LoadGenerator(statements, durationNs, ratePerSecond);
+        CountDownLatch done = new CountDownLatch(connections);
         for (NativeClient nativeClient : clients) {
             Thread thread =
                     new Thread(
                             null,
                             () -> {
                                 try (nativeClient) {
-                                    while (true) {
-                                        long requestStartNs =
-                                                ratePerSecond > 0
-                                                        ? startNs
-                                                                + (long)
-                                                                        (scheduled.getAndIncrement()
-                                                                                / ratePerSecond
-                                                                                * NS_PER_SECOND)
-                                                        : System.nanoTime();
-                                        if (requestStartNs - startNs >= durationNs) {
-                                            return;
-                                        }
-                                        sleepUntil(requestStartNs);
-                                        Reply reply =
-                                                nativeClient.query(
-                                                        "",
-                                                        statements.apply(sent.getAndIncrement()),
-                                                        Map.of(),
-                                                        30 * NS_PER_SECOND);
-                                        if (reply.kind() == Reply.Kind.SERVED) {
-                                            responseTimes.recordValue(
-                                                    Math.min(
-                                                            MAX_RESPONSE_TIME_NS,
-                                                            Math.max(
-                                                                    1,
-                                                                    reply.endNs()
-                                                                            - requestStartNs)));
-                                        } else {
-                                            failed.incrementAndGet();
-                                            lastFailure.set(reply.kind() + " " + reply.message());
-                                        }
-                                    }
+                                    generator.sendQueries(nativeClient);
                                 } finally {
                                     done.countDown();
                                 }
@@ -115,6 +93,41 @@
             thread.start();
         }
         done.await();
+        return generator.result();
+    }
+
+    private void sendQueries(NativeClient nativeClient) {
+        while (true) {
+            long requestStartNs =
+                    ratePerSecond > 0
+                            ? startNs
+                                    + (long)
+                                            (scheduled.getAndIncrement()
+                                                    / ratePerSecond
+                                                    * NS_PER_SECOND)
+                            : System.nanoTime();
+            if (requestStartNs - startNs >= durationNs) {
+                return;
+            }
+            sleepUntil(requestStartNs);
+            Reply reply =
+                    nativeClient.query(
+                            "",
+                            statements.apply(sent.getAndIncrement()),
+                            Map.of(),
+                            30 * NS_PER_SECOND);
+            if (reply.kind() == Reply.Kind.SERVED) {
+                responseTimes.recordValue(
+                        Math.min(
+                                MAX_RESPONSE_TIME_NS, Math.max(1, reply.endNs() - requestStartNs)));
+            } else {
+                failed.incrementAndGet();
+                lastFailure.set(reply.kind() + " " + reply.message());
+            }
+        }
+    }
+
+    private Result result() {
         return new Result(
                 responseTimes.getTotalCount()
                         * (double) NS_PER_SECOND
--- a/loadtest/src/main/java/ashlink/loadtest/bench/RouterBench.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/RouterBench.java
@@ -16,6 +16,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicLong;
+import java.util.function.LongFunction;
 import java.util.stream.Stream;
 
 /**
@@ -142,6 +143,10 @@
                                         BenchSupport.min(rates.get(route)),
                                         BenchSupport.max(rates.get(route)),
                                         BenchSupport.median(medians.get(route))));
+        printComparison(rates, medians);
+    }
+
+    private void printComparison(Map<String, double[]> rates, Map<String, double[]> medians) {
         double[] ratio = new double[ROUNDS];
         double[] added = new double[ROUNDS];
         double[] captureRatio = new double[ROUNDS];
@@ -179,25 +184,14 @@
         double[] uncachedUs = new double[ROUNDS];
         AtomicLong statementNumber = new AtomicLong();
         for (int i = 0; i < ROUNDS; i++) {
-            cachedUs[i] =
-                    LoadGenerator.closedLoop(router, 1, number -> text.replace("%d", "1"), roundNs)
-                                    .responseTimes()
-                                    .getValueAtPercentile(50)
-                            / 1e3;
+            cachedUs[i] = medianUs(router, number -> text.replace("%d", "1"));
             uncachedUs[i] =
-                    LoadGenerator.closedLoop(
-                                            router,
-                                            1,
-                                            number ->
-                                                    text.replace(
-                                                            "%d",
-                                                            Long.toString(
-                                                                    statementNumber
-                                                                            .incrementAndGet())),
-                                            roundNs)
-                                    .responseTimes()
-                                    .getValueAtPercentile(50)
-                            / 1e3;
+                    medianUs(
+                            router,
+                            number ->
+                                    text.replace(
+                                            "%d",
+                                            Long.toString(statementNumber.incrementAndGet())));
         }
         out.printf(
                 "statement of 200 characters, 1 connection: median %.1f us with a cached parse"
@@ -209,23 +203,30 @@
                 BenchSupport.max(uncachedUs) - BenchSupport.max(cachedUs));
     }
 
+    private double medianUs(InetSocketAddress router, LongFunction<String> statements)
+            throws IOException, InterruptedException {
+        return LoadGenerator.closedLoop(router, 1, statements, roundNs)
+                        .responseTimes()
+                        .getValueAtPercentile(50)
+                / 1e3;
+    }
+
     /** Transfers a result of 1 GiB: 1,024 blocks of 1 MiB. */
     private void measureLargeResult(Map<String, InetSocketAddress> routes) throws IOException {
         String statement = "SELECT /* sim work_ms=0.001 rows=1000 width=1035 blocks=1024 */ 1";
         Map<String, double[]> rates = new java.util.LinkedHashMap<>();
-        long heapBefore = 0;
         long maxRetained = 0;
         for (int round = 0; round < 3; round++) {
             for (Map.Entry<String, InetSocketAddress> entry : routes.entrySet()) {
                 System.gc();
-                heapBefore = BenchSupport.heapUsedBytes();
+                long heapBefore = BenchSupport.heapUsedBytes();
                 try (NativeClient nativeClient = NativeClient.connect(entry.getValue(), "portal")) {
                     long startNs = System.nanoTime();
                     Reply reply = nativeClient.query("", statement, Map.of(), 60 * NS_PER_SECOND);
                     if (reply.kind() != Reply.Kind.SERVED) {
                         throw new IOException("query over " + entry.getKey() + " failed: " + reply);
                     }
-                    rates.computeIfAbsent(entry.getKey(), text -> new double[3])[round] =
+                    rates.computeIfAbsent(entry.getKey(), route -> new double[3])[round] =
                             reply.bytes() / (double) (1 << 20) / ((reply.endNs() - startNs) / 1e9);
                 }
                 System.gc();
--- a/loadtest/src/main/java/ashlink/loadtest/check/ServiceLevel.java
+++ b/loadtest/src/main/java/ashlink/loadtest/check/ServiceLevel.java
@@ -11,6 +11,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.function.Predicate;
 
 /**
  * The service level of a scenario: the priority weight earned by served requests divided by the
@@ -44,57 +45,69 @@
 
     /** Computes the service level of a scenario. */
     public static ServiceLevel of(ScenarioFacts facts) {
-        Map<Long, List<ClientAttempt>> attemptsByRequest = new HashMap<>();
-        facts.clientAttempts()
-                .forEach(
-                        clientAttempt ->
-                                attemptsByRequest
-                                        .computeIfAbsent(
-                                                clientAttempt.request(),
-                                                request -> new ArrayList<>())
-                                        .add(clientAttempt));
         List<RequestScore> scores = new ArrayList<>();
         long served = 0;
         long rejected = 0;
         long failed = 0;
-        for (List<ClientAttempt> clientAttempts : attemptsByRequest.values()) {
+        for (List<ClientAttempt> clientAttempts : attemptsByRequest(facts).values()) {
             clientAttempts.sort(Comparator.comparingInt(ClientAttempt::index));
             ClientAttempt last = clientAttempts.get(clientAttempts.size() - 1);
-            QueryClass queryClass = facts.settings().queryClasses().get(last.queryClass());
             boolean isServed = last.reply().kind() == Reply.Kind.SERVED;
             served += isServed ? 1 : 0;
             rejected += !isServed && last.isRejected() ? 1 : 0;
             failed += !isServed && !last.isRejected() ? 1 : 0;
-            double objectiveNs =
-                    queryClass.latencyObjectiveNs()
-                            + queryClass.objectivePerWork() * last.workMs() / last.threads() * 1e6;
-            boolean isInTime = last.reply().endNs() - last.requestStartNs() <= objectiveNs;
-            scores.add(
-                    new RequestScore(
-                            queryClass.name(),
-                            last.protocol(),
-                            last.requestStartNs(),
-                            queryClass.priorityWeight(),
-                            isServed
-                                    ? queryClass.priorityWeight()
-                                            * (isInTime ? 1 : queryClass.lateWeightFraction())
-                                    : 0));
+            scores.add(score(facts, last, isServed));
         }
-        Map<String, Double> byClass = new LinkedHashMap<>();
-        facts.settings()
-                .queryClasses()
-                .keySet()
+        return new ServiceLevel(
+                serviceLevel(scores),
+                lowestOfWindows(facts, scores),
+                byClass(facts, scores),
+                byProtocol(scores),
+                scores.size(),
+                served,
+                rejected,
+                failed);
+    }
+
+    private static Map<Long, List<ClientAttempt>> attemptsByRequest(ScenarioFacts facts) {
+        Map<Long, List<ClientAttempt>> attemptsByRequest = new HashMap<>();
+        facts.clientAttempts()
                 .forEach(
-                        name ->
-                                byClass.put(
-                                        name,
-                                        serviceLevel(
-                                                scores.stream()
-                                                        .filter(
-                                                                score ->
-                                                                        score.queryClass()
-                                                                                .equals(name))
-                                                        .toList())));
+                        clientAttempt ->
+                                attemptsByRequest
+                                        .computeIfAbsent(
+                                                clientAttempt.request(),
+                                                request -> new ArrayList<>())
+                                        .add(clientAttempt));
+        return attemptsByRequest;
+    }
+
+    private static RequestScore score(ScenarioFacts facts, ClientAttempt last, boolean isServed) {
+        QueryClass queryClass = facts.settings().queryClasses().get(last.queryClass());
+        double objectiveNs =
+                queryClass.latencyObjectiveNs()
+                        + queryClass.objectivePerWork() * last.workMs() / last.threads() * 1e6;
+        boolean isInTime = last.reply().endNs() - last.requestStartNs() <= objectiveNs;
+        return new RequestScore(
+                queryClass.name(),
+                last.protocol(),
+                last.requestStartNs(),
+                queryClass.priorityWeight(),
+                isServed
+                        ? queryClass.priorityWeight()
+                                * (isInTime ? 1 : queryClass.lateWeightFraction())
+                        : 0);
+    }
+
+    private static Map<String, Double> byClass(ScenarioFacts facts, List<RequestScore> scores) {
+        Map<String, Double> byClass = new LinkedHashMap<>();
+        for (String name : facts.settings().queryClasses().keySet()) {
+            byClass.put(name, serviceLevel(scores, score -> score.queryClass().equals(name)));
+        }
+        return byClass;
+    }
+
+    private static Map<String, Double> byProtocol(List<RequestScore> scores) {
         Map<String, Double> byProtocol = new TreeMap<>();
         scores.stream()
                 .map(RequestScore::protocol)
@@ -104,38 +117,30 @@
                                 byProtocol.put(
                                         name,
                                         serviceLevel(
-                                                scores.stream()
-                                                        .filter(
-                                                                score ->
-                                                                        score.protocol()
-                                                                                .equals(name))
-                                                        .toList())));
+                                                scores, score -> score.protocol().equals(name))));
+        return byProtocol;
+    }
+
+    private static double lowestOfWindows(ScenarioFacts facts, List<RequestScore> scores) {
         double lowest = 1;
         for (long windowStartNs = facts.startNs();
                 windowStartNs + WINDOW_NS <= facts.startNs() + facts.scenario().durationNs();
                 windowStartNs += STEP_NS) {
             long fromNs = windowStartNs;
-            lowest =
-                    Math.min(
-                            lowest,
-                            serviceLevel(
-                                    scores.stream()
-                                            .filter(
-                                                    score ->
-                                                            score.startNs() >= fromNs
-                                                                    && score.startNs()
-                                                                            < fromNs + WINDOW_NS)
-                                            .toList()));
+            double level =
+                    serviceLevel(
+                            scores,
+                            score ->
+                                    score.startNs() >= fromNs
+                                            && score.startNs() < fromNs + WINDOW_NS);
+            lowest = Math.min(lowest, level);
         }
-        return new ServiceLevel(
-                serviceLevel(scores),
-                lowest,
-                byClass,
-                byProtocol,
-                scores.size(),
-                served,
-                rejected,
-                failed);
+        return lowest;
+    }
+
+    private static double serviceLevel(
+            List<RequestScore> scores, Predicate<RequestScore> selected) {
+        return serviceLevel(scores.stream().filter(selected).toList());
     }
 
     private static double serviceLevel(List<RequestScore> scores) {
--- a/loadtest/src/main/java/ashlink/loadtest/client/NativeClient.java
+++ b/loadtest/src/main/java/ashlink/loadtest/client/NativeClient.java
@@ -200,44 +200,27 @@
         }
         try {
             while (true) {
-                socket.setSoTimeout(remainingMs(untilNs));
-                int packetType = in.readByteOrEnd();
-                if (packetType < 0) {
-                    throw new WireException(WireException.Reason.TRUNCATED, "closed");
-                }
-                ServerPacket kind = ServerPacket.of(packetType);
+                ServerPacket kind = readPacketType(untilNs);
                 switch (kind) {
                     case END_OF_STREAM -> {
-                        return new Reply(
-                                Reply.Kind.SERVED,
-                                0,
-                                "",
-                                rows,
-                                in.consumed() - firstByte,
-                                System.nanoTime());
+                        return reply(Reply.Kind.SERVED, 0, "", rows, firstByte);
                     }
                     case EXCEPTION -> {
                         ServerError serverError = ServerError.read(in, limits);
-                        return new Reply(
+                        return reply(
                                 Reply.Kind.EXCEPTION,
                                 serverError.code(),
                                 serverError.message(),
                                 rows,
-                                in.consumed() - firstByte,
-                                System.nanoTime());
+                                firstByte);
                     }
                     case PROGRESS, PROFILE_INFO, TABLE_COLUMNS, PONG ->
                             PlainPackets.skip(kind, in, revision, limits);
                     default -> {
-                        in.readString("table", limits.nameBytes());
-                        boolean compressed = kind.isCompressible() && compression != null;
-                        BlockReader.Size size = readBlock(kind, compressed);
+                        BlockReader.Size size = readBlock(kind);
                         rows += kind == ServerPacket.DATA ? size.rows() : 0;
                         if (!dataSent && kind == ServerPacket.DATA && size.rows() == 0) {
-                            for (Block block : insert) {
-                                sendBlock(block);
-                            }
-                            sendBlock(Block.END);
+                            sendData(insert);
                             dataSent = true;
                         }
                     }
@@ -248,7 +231,29 @@
         }
     }
 
-    private BlockReader.Size readBlock(ServerPacket kind, boolean compressed) throws IOException {
+    private Reply reply(Reply.Kind kind, int code, String message, long rows, long firstByte) {
+        return new Reply(kind, code, message, rows, in.consumed() - firstByte, System.nanoTime());
+    }
+
+    private void sendData(List<Block> insert) throws IOException {
+        for (Block block : insert) {
+            sendBlock(block);
+        }
+        sendBlock(Block.END);
+    }
+
+    private ServerPacket readPacketType(long untilNs) throws IOException {
+        socket.setSoTimeout(remainingMs(untilNs));
+        int packetType = in.readByteOrEnd();
+        if (packetType < 0) {
+            throw new WireException(WireException.Reason.TRUNCATED, "closed");
+        }
+        return ServerPacket.of(packetType);
+    }
+
+    private BlockReader.Size readBlock(ServerPacket kind) throws IOException {
+        in.readString("table", limits.nameBytes());
+        boolean compressed = kind.isCompressible() && compression != null;
         if (retainedBlocks == null || kind != ServerPacket.DATA) {
             return blocks.skip(compressed);
         }
--- a/loadtest/src/main/java/ashlink/loadtest/load/LoadRun.java
+++ b/loadtest/src/main/java/ashlink/loadtest/load/LoadRun.java
@@ -2,18 +2,10 @@
 
 import ashlink.config.ScenarioConfig;
 import ashlink.config.ScenarioConfig.LoadClass;
-import ashlink.loadtest.client.NativeClient;
 import ashlink.loadtest.client.Reply;
-import ashlink.wire.Block;
-import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
-import java.util.Map;
-import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
@@ -31,30 +23,13 @@
 
     private static final long MS = 1_000_000L;
     private static final double MIN_TIMEOUT_FRACTION = 0.8;
-    private static final int CONNECT_TIMEOUT_MS = 1_000;
-    private static final Block ROWS =
-            Block.of(
-                    new Block.Column("id", "UInt64", List.of(1L, 2L)),
-                    new Block.Column("value", "String", List.of("a", "b")));
-
-    private record Arrival(
-            long requestNumber,
-            long arrivalNs,
-            LoadClass loadClass,
-            double workMs,
-            double timeoutFraction,
-            int router,
-            String key,
-            long tableGroup,
-            boolean overHttp) {}
 
     private final ScenarioConfig scenario;
     private final List<String> routers;
-    private final Function<String, InetSocketAddress> addresses;
+    private final NativeLoad nativeLoad;
     private final HttpLoad httpLoad;
     private final LoadConditions conditions;
     private final List<ClientAttempt> clientAttempts = new ArrayList<>();
-    private final Map<String, ArrayDeque<NativeClient>> idleConnections = new ConcurrentHashMap<>();
     private final ExecutorService clients;
 
     /** Creates a load on the routers of a scenario; the conditions may change during the run. */
@@ -65,7 +40,7 @@
             LoadConditions conditions) {
         this.scenario = scenario;
         this.routers = scenario.routers().stream().map(ScenarioConfig.RouterSpec::name).toList();
-        this.addresses = addresses;
+        this.nativeLoad = new NativeLoad(addresses);
         this.httpLoad = new HttpLoad(httpAddresses);
         this.conditions = conditions;
         this.clients =
@@ -105,7 +80,7 @@
                         .max()
                         .orElse(0);
         clients.awaitTermination(longestRequestNs + 5_000 * MS, TimeUnit.NANOSECONDS);
-        idleConnections.values().forEach(connections -> connections.forEach(NativeClient::close));
+        nativeLoad.close();
         synchronized (clientAttempts) {
             return new ArrayList<>(clientAttempts);
         }
@@ -190,20 +165,6 @@
                 : sendOverNative(arrival, attemptIndex, tag, router, requestStartNs, timeoutNs);
     }
 
-    private static Map<String, String> settings(Arrival arrival, long timeoutNs) {
-        Map<String, String> settings = new LinkedHashMap<>();
-        settings.put("max_execution_time", String.format(Locale.ROOT, "%.3f", timeoutNs / 1e9));
-        settings.put("ashlink_work_ms", String.format(Locale.ROOT, "%.1f", arrival.workMs()));
-        settings.put(
-                "ashlink_memory_mb",
-                String.format(Locale.ROOT, "%.0f", arrival.loadClass().memoryMb()));
-        settings.put("ashlink_tables", Long.toString(arrival.tableGroup()));
-        if (arrival.key() != null) {
-            settings.put("ashlink_key", arrival.key());
-        }
-        return settings;
-    }
-
     private ClientAttempt sendOverHttp(
             Arrival arrival,
             int attemptIndex,
@@ -216,8 +177,8 @@
                 httpLoad.run(
                         router,
                         arrival.loadClass(),
-                        statementText(arrival, tag),
-                        settings(arrival, timeoutNs),
+                        arrival.statementText(tag),
+                        arrival.settings(timeoutNs),
                         "request-" + arrival.requestNumber(),
                         timeoutNs);
         return new ClientAttempt(
@@ -245,96 +206,22 @@
             String router,
             long requestStartNs,
             long timeoutNs) {
-        LoadClass loadClass = arrival.loadClass();
-        NativeClient nativeClient = null;
-        long startNs = System.nanoTime();
-        Reply reply;
-        boolean sent = false;
-        boolean hasDataAfterReply = false;
-        try {
-            nativeClient = borrowConnection(router, loadClass.user());
-            startNs = System.nanoTime();
-            nativeClient.sendQuery(tag, statementText(arrival, tag), settings(arrival, timeoutNs));
-            sent = true;
-            reply =
-                    nativeClient.await(
-                            loadClass.write() ? List.of(ROWS) : List.of(), startNs + timeoutNs);
-            hasDataAfterReply = reply.isFinal() && nativeClient.hasUnexpectedData();
-        } catch (IOException e) {
-            reply =
-                    new Reply(
-                            Reply.Kind.LOST,
-                            0,
-                            String.valueOf(e.getMessage()),
-                            0,
-                            0,
-                            System.nanoTime());
-        }
-        if (nativeClient != null && reply.isFinal() && !hasDataAfterReply) {
-            idleConnections.computeIfAbsent(
-                    router + "/" + loadClass.user(), name -> new ArrayDeque<>());
-            synchronized (idleConnections) {
-                idleConnections.get(router + "/" + loadClass.user()).push(nativeClient);
-            }
-        } else if (nativeClient != null) {
-            nativeClient.close();
-        }
+        NativeLoad.Result result = nativeLoad.run(router, arrival, tag, timeoutNs);
         return new ClientAttempt(
                 arrival.requestNumber(),
                 tag,
                 attemptIndex,
-                loadClass.name(),
+                arrival.loadClass().name(),
                 arrival.key(),
                 router,
                 arrival.workMs(),
-                loadClass.threads(),
+                arrival.loadClass().threads(),
                 requestStartNs,
-                startNs,
-                startNs + timeoutNs,
-                sent,
-                reply,
-                hasDataAfterReply,
+                result.startNs(),
+                result.startNs() + timeoutNs,
+                result.sent(),
+                result.reply(),
+                result.hasDataAfterReply(),
                 "native");
     }
-
-    /** Returns an idle connection that is still open, or a new one. */
-    private NativeClient borrowConnection(String router, String user) throws IOException {
-        while (true) {
-            NativeClient nativeClient;
-            synchronized (idleConnections) {
-                ArrayDeque<NativeClient> connections = idleConnections.get(router + "/" + user);
-                nativeClient = connections == null ? null : connections.poll();
-            }
-            if (nativeClient == null) {
-                NativeClient newClient = new NativeClient(null, ashlink.wire.Revision.HIGHEST);
-                newClient.open(addresses.apply(router), user, "", "default", CONNECT_TIMEOUT_MS);
-                return newClient;
-            }
-            if (!nativeClient.isClosedByPeer()) {
-                return nativeClient;
-            }
-            nativeClient.close();
-        }
-    }
-
-    private static String statementText(Arrival arrival, String tag) {
-        LoadClass loadClass = arrival.loadClass();
-        String hints =
-                String.format(
-                        Locale.ROOT,
-                        "/* sim tag=%s work_ms=%.1f threads=%d io=%.2f memory_mb=%.0f tables=%d"
-                                + " holds=%d waits=%d%s */",
-                        tag,
-                        arrival.workMs(),
-                        loadClass.threads(),
-                        loadClass.ioFraction(),
-                        loadClass.memoryMb(),
-                        arrival.tableGroup(),
-                        loadClass.write() ? 1 : 0,
-                        loadClass.write() ? 0 : 1,
-                        arrival.key() == null ? "" : " key=" + arrival.key());
-        return loadClass.write()
-                ? "INSERT " + hints + " INTO readings VALUES"
-                : "SELECT " + hints + " value FROM readings";
-    }
 }
--- a/loadtest/src/main/java/ashlink/loadtest/scenario/ScenarioRunner.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/ScenarioRunner.java
@@ -9,6 +9,7 @@
 import ashlink.decisions.api.Settings;
 import ashlink.decisions.api.WorkloadManager;
 import ashlink.emulator.EmulatedEngine;
+import ashlink.emulator.FaultInjection;
 import ashlink.loadtest.fixture.TestSettings;
 import ashlink.loadtest.load.ClientAttempt;
 import ashlink.loadtest.load.LoadConditions;
@@ -47,9 +48,8 @@
     private final Map<String, InetSocketAddress> httpAddresses = new ConcurrentHashMap<>();
     private final List<Drain> drains = new ArrayList<>();
     private final List<Interval> routerOutages = new ArrayList<>();
-    private final List<Interval> engineOutages = new ArrayList<>();
+    private final EngineOutages engineOutages = new EngineOutages(engines);
     private final List<Interval> engineFaults = new ArrayList<>();
-    private final Map<String, Integer> outageCounts = new LinkedHashMap<>();
     private final ScheduledExecutorService scheduler =
             Executors.newScheduledThreadPool(
                     2,
@@ -88,16 +88,8 @@
         for (Router router : routers.values()) {
             router.kill();
         }
-        List<String> overloadedEngines =
-                engines.values().stream()
-                        .filter(EmulatedEngine::hasFallen)
-                        .map(engine -> engine.config().name())
-                        .toList();
-        List<EngineQuery> engineQueries = new ArrayList<>();
-        for (EmulatedEngine engine : engines.values()) {
-            engine.crash();
-            engine.ledger().entries().forEach(entry -> engineQueries.add(EngineQuery.of(entry)));
-        }
+        List<String> overloadedEngines = overloadedEngines();
+        List<EngineQuery> engineQueries = stopEngines();
         synchronized (this) {
             return new ScenarioFacts(
                     scenario,
@@ -107,12 +99,29 @@
                     engineQueries,
                     List.copyOf(drains),
                     List.copyOf(routerOutages),
-                    List.copyOf(engineOutages),
+                    engineOutages.intervals(),
                     List.copyOf(engineFaults),
                     overloadedEngines);
         }
     }
 
+    private List<String> overloadedEngines() {
+        return engines.values().stream()
+                .filter(EmulatedEngine::hasFallen)
+                .map(engine -> engine.config().name())
+                .toList();
+    }
+
+    /** Stops the engines and returns the queries that they received. */
+    private List<EngineQuery> stopEngines() {
+        List<EngineQuery> engineQueries = new ArrayList<>();
+        for (EmulatedEngine engine : engines.values()) {
+            engine.crash();
+            engine.ledger().entries().forEach(entry -> engineQueries.add(EngineQuery.of(entry)));
+        }
+        return engineQueries;
+    }
+
     private RouterConfig routerConfig(RouterSpec routerSpec, int routerIndex, int port) {
         return TestSettings.of(
                 routerSpec.name(),
@@ -193,27 +202,9 @@
             case SLOW -> engine.speed(fault.factor());
             case DEGRADATION, CONNECTION_REFUSED -> {}
             case LOST_RESPONSES -> engine.faults().loseAnswers(fault.factor());
-            case CRASH -> crash(fault.target(), nowNs + fault.durationNs());
-            case ZONE_OUTAGE ->
-                    engines.values().stream()
-                            .filter(zoneEngine -> zoneEngine.config().zone().equals(fault.target()))
-                            .forEach(
-                                    zoneEngine ->
-                                            crash(
-                                                    zoneEngine.config().name(),
-                                                    nowNs + fault.durationNs()));
-            case DRAIN ->
-                    routers.keySet()
-                            .forEach(
-                                    router ->
-                                            scheduler.schedule(
-                                                    () ->
-                                                            announceDrain(
-                                                                    router,
-                                                                    fault.target(),
-                                                                    nowNs + fault.durationNs()),
-                                                    endpointUpdateDelayNs,
-                                                    TimeUnit.NANOSECONDS));
+            case CRASH -> engineOutages.start(fault.target(), nowNs + fault.durationNs());
+            case ZONE_OUTAGE -> crashZone(fault.target(), nowNs + fault.durationNs());
+            case DRAIN -> scheduleDrain(fault.target(), nowNs + fault.durationNs());
             case ENDPOINT_UPDATE_DELAY -> endpointUpdateDelayNs = (long) (fault.factor() * 1e9);
             case ROUTER_CRASH -> {
                 routerOutages.add(new Interval(fault.target(), nowNs, nowNs + fault.durationNs()));
@@ -226,17 +217,35 @@
             default -> throw new IllegalArgumentException("unsupported fault kind " + fault.kind());
         }
         if (fault.kind() == ScenarioConfig.FaultKind.CONNECTION_REFUSED) {
-            engine.faults()
-                    .breakAt(
-                            ashlink.emulator.FaultInjection.Place.ACCEPT,
-                            ashlink.emulator.FaultInjection.Break.CLOSE,
-                            Integer.MAX_VALUE);
+            refuseConnections(engine);
         }
         if (engine != null) {
             engineFaults.add(new Interval(fault.target(), nowNs, nowNs + fault.durationNs()));
         }
     }
 
+    private void crashZone(String zone, long endNs) {
+        engines.values().stream()
+                .filter(engine -> engine.config().zone().equals(zone))
+                .forEach(engine -> engineOutages.start(engine.config().name(), endNs));
+    }
+
+    private void scheduleDrain(String engine, long endNs) {
+        routers.keySet()
+                .forEach(
+                        router ->
+                                scheduler.schedule(
+                                        () -> announceDrain(router, engine, endNs),
+                                        endpointUpdateDelayNs,
+                                        TimeUnit.NANOSECONDS));
+    }
+
+    private static void refuseConnections(EmulatedEngine engine) {
+        engine.faults()
+                .breakAt(
+                        FaultInjection.Place.ACCEPT, FaultInjection.Break.CLOSE, Integer.MAX_VALUE);
+    }
+
     private synchronized void endFault(Fault fault) throws IOException {
         EmulatedEngine engine = engines.get(fault.target());
         LOG.info("fault ended kind={} target={}", fault.kind(), fault.target());
@@ -244,11 +253,11 @@
             case HANG -> engine.hang(false);
             case SLOW, DEGRADATION -> engine.speed(1);
             case LOST_RESPONSES, CONNECTION_REFUSED -> engine.faults().heal();
-            case CRASH -> restart(fault.target());
+            case CRASH -> engineOutages.end(fault.target());
             case ZONE_OUTAGE -> {
                 for (EmulatedEngine zoneEngine : engines.values()) {
                     if (zoneEngine.config().zone().equals(fault.target())) {
-                        restart(zoneEngine.config().name());
+                        engineOutages.end(zoneEngine.config().name());
                     }
                 }
             }
@@ -271,19 +280,6 @@
         }
     }
 
-    private void crash(String engine, long endNs) {
-        if (outageCounts.merge(engine, 1, Integer::sum) == 1) {
-            engines.get(engine).crash();
-        }
-        engineOutages.add(new Interval(engine, System.nanoTime(), endNs));
-    }
-
-    private void restart(String engine) throws IOException {
-        if (outageCounts.merge(engine, -1, Integer::sum) == 0) {
-            engines.get(engine).restart();
-        }
-    }
-
     private void restartRouter(String name) throws IOException {
         for (int i = 0; i < scenario.routers().size(); i++) {
             if (scenario.routers().get(i).name().equals(name)) {
