--- a/loadtest/src/test/java/ashlink/loadtest/InvariantCheckerTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/InvariantCheckerTest.java
@@ -286,26 +286,7 @@
      */
     private static WorkloadManager unsafeManager(Settings settings) {
         List<QueryClass> classes =
-                settings.classes().stream()
-                        .map(
-                                queryClass ->
-                                        new QueryClass(
-                                                queryClass.name(),
-                                                queryClass.latencyObjectiveNs(),
-                                                queryClass.objectivePerWork(),
-                                                queryClass.deadlineNs(),
-                                                RetrySafety.IDEMPOTENT,
-                                                queryClass.deduplicationScope(),
-                                                0,
-                                                queryClass.priorityWeight(),
-                                                queryClass.lateWeightFraction(),
-                                                false,
-                                                Set.of(),
-                                                Set.of(),
-                                                queryClass.threads(),
-                                                false,
-                                                false))
-                        .toList();
+                settings.classes().stream().map(InvariantCheckerTest::unsafeClass).toList();
         WorkloadManager delegate =
                 new DefaultWorkloadManager(
                         new Settings(
@@ -331,4 +312,23 @@
                                                 : action)
                         .toList();
     }
+
+    private static QueryClass unsafeClass(QueryClass queryClass) {
+        return new QueryClass(
+                queryClass.name(),
+                queryClass.latencyObjectiveNs(),
+                queryClass.objectivePerWork(),
+                queryClass.deadlineNs(),
+                RetrySafety.IDEMPOTENT,
+                queryClass.deduplicationScope(),
+                0,
+                queryClass.priorityWeight(),
+                queryClass.lateWeightFraction(),
+                false,
+                Set.of(),
+                Set.of(),
+                queryClass.threads(),
+                false,
+                false);
+    }
 }
--- a/loadtest/src/test/java/ashlink/loadtest/MisbehavingHttpClientsTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/MisbehavingHttpClientsTest.java
@@ -287,18 +287,7 @@
             String statement = "SELECT /* sim rows=20000 blocks=2 width=500 */ 1";
             List<Socket> slowSockets = new ArrayList<>();
             for (int i = 0; i < 2; i++) {
-                Socket socket = new Socket();
-                socket.setReceiveBufferSize(4096);
-                socket.connect(
-                        new InetSocketAddress("127.0.0.1", fleet.router.httpAddress().getPort()),
-                        10_000);
-                write(
-                        socket,
-                        "POST /v1/statements?wait=10 HTTP/1.1\r\nHost: a\r\nContent-Length: "
-                                + statement.length()
-                                + "\r\n\r\n"
-                                + statement);
-                slowSockets.add(socket);
+                slowSockets.add(postWithSmallReceiveBuffer(fleet, statement));
             }
             List<CompletableFuture<HttpResponse<String>>> otherResponses = new ArrayList<>();
             for (int i = 0; i < 50; i++) {
@@ -328,4 +317,19 @@
             }
         }
     }
+
+    private static Socket postWithSmallReceiveBuffer(TestFleet fleet, String statement)
+            throws IOException {
+        Socket socket = new Socket();
+        socket.setReceiveBufferSize(4096);
+        socket.connect(
+                new InetSocketAddress("127.0.0.1", fleet.router.httpAddress().getPort()), 10_000);
+        write(
+                socket,
+                "POST /v1/statements?wait=10 HTTP/1.1\r\nHost: a\r\nContent-Length: "
+                        + statement.length()
+                        + "\r\n\r\n"
+                        + statement);
+        return socket;
+    }
 }
--- a/loadtest/src/test/java/ashlink/loadtest/MisbehavingPeersTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/MisbehavingPeersTest.java
@@ -79,23 +79,14 @@
                                     queryPacket("SELECT 1"),
                                     dataPacket().putVarUInt(100_000).putVarUInt(1))
                             .code());
-            for (int depth : new int[] {100, 9_000, 10_000}) {
-                String nestedType = "Array(".repeat(depth) + "UInt8" + ")".repeat(depth);
-                Reply nestedReply =
-                        replyAfter(
-                                fleet,
-                                queryPacket("SELECT 1"),
-                                dataPacket()
-                                        .putVarUInt(1)
-                                        .putVarUInt(1)
-                                        .putString("x")
-                                        .putString(nestedType));
-                assertEquals(
-                        depth < 10_000 ? 101 : 307,
-                        nestedReply.code(),
-                        nestedReply.message()); // the last type name is over the length limit
-            }
-            Reply unknownTypeReply =
+            assertMalformedBlocksGetAnError(fleet);
+        }
+    }
+
+    private static void assertMalformedBlocksGetAnError(TestFleet fleet) throws Exception {
+        for (int depth : new int[] {100, 9_000, 10_000}) {
+            String nestedType = "Array(".repeat(depth) + "UInt8" + ")".repeat(depth);
+            Reply nestedReply =
                     replyAfter(
                             fleet,
                             queryPacket("SELECT 1"),
@@ -103,19 +94,28 @@
                                     .putVarUInt(1)
                                     .putVarUInt(1)
                                     .putString("x")
-                                    .putString("Quark"));
-            assertEquals(50, unknownTypeReply.code(), unknownTypeReply.message());
-            Reply hugeBlockReply =
-                    replyAfter(
-                            fleet,
-                            queryPacket("SELECT 1"),
-                            dataPacket()
-                                    .putVarUInt(1)
-                                    .putVarUInt(1L << 62)
-                                    .putString("x")
-                                    .putString("UInt64"));
-            assertEquals(307, hugeBlockReply.code(), hugeBlockReply.message());
+                                    .putString(nestedType));
+            assertEquals(
+                    depth < 10_000 ? 101 : 307,
+                    nestedReply.code(),
+                    nestedReply.message()); // the last type name is over the length limit
         }
+        Reply unknownTypeReply =
+                replyAfter(
+                        fleet,
+                        queryPacket("SELECT 1"),
+                        dataPacket().putVarUInt(1).putVarUInt(1).putString("x").putString("Quark"));
+        assertEquals(50, unknownTypeReply.code(), unknownTypeReply.message());
+        Reply hugeBlockReply =
+                replyAfter(
+                        fleet,
+                        queryPacket("SELECT 1"),
+                        dataPacket()
+                                .putVarUInt(1)
+                                .putVarUInt(1L << 62)
+                                .putString("x")
+                                .putString("UInt64"));
+        assertEquals(307, hugeBlockReply.code(), hugeBlockReply.message());
     }
 
     @Test
--- a/loadtest/src/test/java/ashlink/loadtest/StatementApiTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/StatementApiTest.java
@@ -258,18 +258,7 @@
                 httpResponse = client.get(json(httpResponse).get("nextUri").asText() + "?wait=10");
                 assertEquals(200, httpResponse.statusCode(), httpResponse.body());
                 String expected = httpResponse.body();
-                List<CompletableFuture<HttpResponse<String>>> concurrentResponses =
-                        new ArrayList<>();
-                for (int i = 0; i < 8; i++) {
-                    concurrentResponses.add(
-                            client.httpClient()
-                                    .sendAsync(
-                                            client.request(uris.get(uris.size() - 1)).GET().build(),
-                                            BodyHandlers.ofString()));
-                }
-                for (CompletableFuture<HttpResponse<String>> response : concurrentResponses) {
-                    assertEquals(expected, response.get().body());
-                }
+                assertConcurrentResponses(client, uris.get(uris.size() - 1), expected);
                 assertEquals(
                         rowsAndNextUri(bodies.get(bodies.size() - 1)),
                         rowsAndNextUri(client.get(uris.get(uris.size() - 2)).body()),
@@ -290,6 +279,19 @@
         }
     }
 
+    private static void assertConcurrentResponses(
+            StatementApiClient client, String uri, String expected) throws Exception {
+        List<CompletableFuture<HttpResponse<String>>> concurrentResponses = new ArrayList<>();
+        for (int i = 0; i < 8; i++) {
+            concurrentResponses.add(
+                    client.httpClient()
+                            .sendAsync(client.request(uri).GET().build(), BodyHandlers.ofString()));
+        }
+        for (CompletableFuture<HttpResponse<String>> response : concurrentResponses) {
+            assertEquals(expected, response.get().body());
+        }
+    }
+
     /** Returns the parts of a page that do not change; its state may change to finished. */
     private static String rowsAndNextUri(String body) throws Exception {
         return JSON.readTree(body).get("rows") + " " + JSON.readTree(body).path("nextUri");
@@ -582,23 +584,12 @@
                             .get("nextUri")
                             .asText();
             CompletableFuture<HttpResponse<String>> waitingResponse =
-                    client.httpClient()
-                            .sendAsync(
-                                    client.request(slowUri + "?wait=20").GET().build(),
-                                    BodyHandlers.ofString());
+                    getAsync(client, slowUri + "?wait=20");
             String unpolledUri =
                     json(client.post(selectStatement("rows=3 work_ms=1"), ""))
                             .get("nextUri")
                             .asText();
-            CompletableFuture<Void> stop =
-                    CompletableFuture.runAsync(
-                            () -> {
-                                try {
-                                    fleet.router.stop();
-                                } catch (InterruptedException e) {
-                                    throw new IllegalStateException(e);
-                                }
-                            });
+            CompletableFuture<Void> stop = stopAsync(fleet);
             TestFleet.await(
                     "new statements to be rejected",
                     () -> {
@@ -611,14 +602,7 @@
             assertEquals(
                     200, waitingResponse.get().statusCode(), "the waiting client got no result");
             CompletableFuture<HttpResponse<String>> missingPageResponse =
-                    client.httpClient()
-                            .sendAsync(
-                                    client.request(
-                                                    unpolledUri.replaceAll("[0-9]+$", "1")
-                                                            + "?wait=20")
-                                            .GET()
-                                            .build(),
-                                    BodyHandlers.ofString());
+                    getAsync(client, unpolledUri.replaceAll("[0-9]+$", "1") + "?wait=20");
             assertTrue(
                     missingPageResponse
                             .handle(
@@ -630,4 +614,21 @@
             stop.get();
         }
     }
+
+    private static CompletableFuture<HttpResponse<String>> getAsync(
+            StatementApiClient client, String uri) {
+        return client.httpClient()
+                .sendAsync(client.request(uri).GET().build(), BodyHandlers.ofString());
+    }
+
+    private static CompletableFuture<Void> stopAsync(TestFleet fleet) {
+        return CompletableFuture.runAsync(
+                () -> {
+                    try {
+                        fleet.router.stop();
+                    } catch (InterruptedException e) {
+                        throw new IllegalStateException(e);
+                    }
+                });
+    }
 }
