--- a/loadtest/src/main/java/ashlink/loadtest/baseline/Baseline.java
+++ b/loadtest/src/main/java/ashlink/loadtest/baseline/Baseline.java
@@ -21,6 +21,7 @@
 import ashlink.decisions.api.WorkloadManager;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -43,9 +44,17 @@
     }
 
     private static final long NS_PER_MS = 1_000_000L;
+
+    /** Interval at which queued queries are checked for their deadline. */
     private static final long TIMER_INTERVAL_NS = 50 * NS_PER_MS;
+
+    /** Time before its deadline at which a queued query is completed without a result. */
     private static final long RESPONSE_MARGIN_NS = 60 * NS_PER_MS;
+
+    /** Time before the deadline of its query at which an attempt times out. */
     private static final long ATTEMPT_MARGIN_NS = 10 * NS_PER_MS;
+
+    /** Running threads per core of an engine, over all routers. */
     private static final int MAX_THREADS_PER_CORE = 2;
 
     private static final class Query {
@@ -174,9 +183,7 @@
             return candidates.get(Math.floorMod(nextEngineIndex++, candidates.size()));
         }
         return candidates.stream()
-                .min(
-                        java.util.Comparator.comparingInt(
-                                engine -> runningThreads.getOrDefault(engine, 0)))
+                .min(Comparator.comparingInt(engine -> runningThreads.getOrDefault(engine, 0)))
                 .orElseThrow();
     }
 
--- a/loadtest/src/main/java/ashlink/loadtest/bench/CodecBench.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/CodecBench.java
@@ -11,7 +11,9 @@
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
+import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
@@ -64,10 +66,9 @@
                 .write(
                         compression.equals("plain")
                                 ? null
-                                : Compression.valueOf(
-                                        compression.toUpperCase(java.util.Locale.ROOT)),
+                                : Compression.valueOf(compression.toUpperCase(Locale.ROOT)),
                         buffer);
-        encodedBlock = java.util.Arrays.copyOf(buffer.array(), buffer.size());
+        encodedBlock = Arrays.copyOf(buffer.array(), buffer.size());
     }
 
     /**
--- a/loadtest/src/main/java/ashlink/loadtest/load/LoadRun.java
+++ b/loadtest/src/main/java/ashlink/loadtest/load/LoadRun.java
@@ -21,7 +21,9 @@
  */
 public final class LoadRun {
 
-    private static final long MS = 1_000_000L;
+    private static final long NS_PER_MS = 1_000_000L;
+
+    /** A client gives up after a random fraction of its timeout, from this value to 1. */
     private static final double MIN_TIMEOUT_FRACTION = 0.8;
 
     private final ScenarioConfig scenario;
@@ -64,9 +66,9 @@
             double rate = scenario.ratePerS() * conditions.rateFactor();
             arrivalNs += interarrivalTimes.sample() / rate * 1e9;
             Arrival arrival = drawArrival(requestNumber++, (long) arrivalNs, random, gaussian);
-            long wait = startNs + arrival.arrivalNs() - System.nanoTime();
-            if (wait > 0) {
-                TimeUnit.NANOSECONDS.sleep(wait);
+            long delayNs = startNs + arrival.arrivalNs() - System.nanoTime();
+            if (delayNs > 0) {
+                TimeUnit.NANOSECONDS.sleep(delayNs);
             }
             clients.execute(() -> runClient(arrival));
         }
@@ -79,7 +81,7 @@
                                                 * (loadClass.retries() + 1))
                         .max()
                         .orElse(0);
-        clients.awaitTermination(longestRequestNs + 5_000 * MS, TimeUnit.NANOSECONDS);
+        clients.awaitTermination(longestRequestNs + 5_000 * NS_PER_MS, TimeUnit.NANOSECONDS);
         nativeLoad.close();
         synchronized (clientAttempts) {
             return new ArrayList<>(clientAttempts);
@@ -103,7 +105,7 @@
         double workMs =
                 conditions.workFactor(loadClass.name())
                         * loadClass.workNs()
-                        / (double) MS
+                        / (double) NS_PER_MS
                         * Math.exp(
                                 loadClass.spread() * gaussian.sample()
                                         - loadClass.spread() * loadClass.spread() / 2);
--- a/loadtest/src/main/java/ashlink/loadtest/load/NativeLoad.java
+++ b/loadtest/src/main/java/ashlink/loadtest/load/NativeLoad.java
@@ -4,6 +4,7 @@
 import ashlink.loadtest.client.NativeClient;
 import ashlink.loadtest.client.Reply;
 import ashlink.wire.Block;
+import ashlink.wire.Revision;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -81,7 +82,7 @@
                 nativeClient = connections == null ? null : connections.poll();
             }
             if (nativeClient == null) {
-                NativeClient newClient = new NativeClient(null, ashlink.wire.Revision.HIGHEST);
+                NativeClient newClient = new NativeClient(null, Revision.HIGHEST);
                 newClient.open(addresses.apply(router), user, "", "default", CONNECT_TIMEOUT_MS);
                 return newClient;
             }
--- a/loadtest/src/main/java/ashlink/loadtest/scenario/FaultCatalog.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/FaultCatalog.java
@@ -40,11 +40,11 @@
      */
     public static ScenarioConfig scenario(String name, String extraSettings)
             throws ConfigException {
-        String text =
+        String scenarioText =
                 TestSettings.resource("troubles/base.sexp")
                         .replace("NAME", name)
                         .replace("TROUBLES", TestSettings.resource("troubles/" + name + ".sexp"));
-        ScenarioConfig scenarioConfig = ScenarioConfigReader.read(name, text);
+        ScenarioConfig scenarioConfig = ScenarioConfigReader.read(name, scenarioText);
         return scenarioConfig.with(
                 scenarioConfig.seed(), scenarioConfig.httpFraction(), extraSettings);
     }
--- a/loadtest/src/main/java/ashlink/loadtest/scenario/ScenarioRunner.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/ScenarioRunner.java
@@ -38,6 +38,8 @@
 public final class ScenarioRunner {
 
     private static final Logger LOG = LoggerFactory.getLogger(ScenarioRunner.class);
+
+    /** Interval at which the speed of a degrading engine is lowered. */
     private static final long DEGRADATION_STEP_NS = 200_000_000L;
 
     private final ScenarioConfig scenario;
