--- a/loadtest/src/main/java/ashlink/loadtest/bench/CodecBench.java
+++ b/loadtest/src/main/java/ashlink/loadtest/bench/CodecBench.java
@@ -11,7 +11,9 @@
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
+import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
@@ -25,7 +27,9 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** The codec alone: finding the end of a block of 8,192 rows, and what that rests on. */
+/**
+ * Measures the codec alone: finding the end of a block of 8,192 rows, checksums and type parsing.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.Throughput)
 @OutputTimeUnit(TimeUnit.SECONDS)
@@ -40,10 +44,10 @@
     @Param({"plain", "lz4", "zstd"})
     public String compression;
 
-    private byte[] bytes;
-    private final ByteBuf tap = new ByteBuf();
+    private byte[] encodedBlock;
+    private final ByteBuf copy = new ByteBuf();
 
-    /** Makes the block: a number, a text of 16 bytes, and a float a row. */
+    /** Creates the block; each row has an integer, a string of 16 bytes and a float. */
     @Setup
     public void setup() throws IOException {
         List<Object> numbers = new ArrayList<>();
@@ -54,7 +58,7 @@
             texts.add(String.format("meter-%010d", i * 31));
             floats.add(i * 0.25);
         }
-        ByteBuf to = new ByteBuf();
+        ByteBuf buffer = new ByteBuf();
         Block.of(
                         new Block.Column("id", "UInt64", numbers),
                         new Block.Column("name", "String", texts),
@@ -62,31 +66,32 @@
                 .write(
                         compression.equals("plain")
                                 ? null
-                                : Compression.valueOf(
-                                        compression.toUpperCase(java.util.Locale.ROOT)),
-                        to);
-        bytes = java.util.Arrays.copyOf(to.array(), to.size());
+                                : Compression.valueOf(compression.toUpperCase(Locale.ROOT)),
+                        buffer);
+        encodedBlock = Arrays.copyOf(buffer.array(), buffer.size());
     }
 
-    /** Finds the end of the block and copies it, as a relay does. */
+    /**
+     * Finds the end of the block and copies its bytes, as the router does when it forwards a block.
+     */
     @Benchmark
     public long skipBlock() throws IOException {
-        StreamSource in = new StreamSource(new ByteArrayInputStream(bytes), 128 << 10);
-        tap.clear();
-        in.startTap(tap);
+        StreamSource in = new StreamSource(new ByteArrayInputStream(encodedBlock), 128 << 10);
+        copy.clear();
+        in.startTap(copy);
         long rows =
                 new BlockReader(in, WireLimits.DEFAULT).skip(!compression.equals("plain")).rows();
         in.endTap();
-        return rows + tap.size();
+        return rows + copy.size();
     }
 
-    /** The checksum over the bytes of the block. */
+    /** Computes the checksum of the block's bytes. */
     @Benchmark
     public long checksum() {
-        return CityHash.hash128(bytes, 0, bytes.length)[0];
+        return CityHash.hash128(encodedBlock, 0, encodedBlock.length)[0];
     }
 
-    /** A nested type. */
+    /** Parses a nested type. */
     @Benchmark
     public Object parseType() throws IOException {
         return TypeParser.parse(
--- a/loadtest/src/main/java/ashlink/loadtest/client/NativeClient.java
+++ b/loadtest/src/main/java/ashlink/loadtest/client/NativeClient.java
@@ -25,33 +25,33 @@
 import java.util.List;
 import java.util.Map;
 
-/** One connection; statements one after the other. */
+/** A connection of the native protocol that runs one statement at a time. */
 public final class NativeClient implements AutoCloseable {
 
     private static final int READ_BYTES = 64 << 10;
-    private static final long MS = 1_000_000L;
+    private static final long NS_PER_MS = 1_000_000L;
 
     private final Socket socket = new Socket();
     private final WireLimits limits;
     private final Compression compression;
-    private final int wanted;
+    private final int requestedRevision;
     private StreamSource in;
     private BlockReader blocks;
     private OutputStream out;
     private int revision;
     private String serverName = "";
 
-    /** Blocks of the last result, where they are kept. */
-    private List<Block> kept;
+    /** Blocks of the last result; null if blocks are not retained. */
+    private List<Block> retainedBlocks;
 
-    /** A client that is not connected; {@code compression} null is none. */
-    public NativeClient(Compression compression, int wantedRevision) {
+    /** Creates a client that is not connected; a null {@code compression} disables compression. */
+    public NativeClient(Compression compression, int requestedRevision) {
         this.compression = compression;
-        this.wanted = wantedRevision;
+        this.requestedRevision = requestedRevision;
         this.limits = WireLimits.DEFAULT;
     }
 
-    /** A connected client of the highest revision, without compression. */
+    /** Returns a connected client of the highest revision, without compression. */
     public static NativeClient connect(InetSocketAddress address, String user) throws IOException {
         NativeClient nativeClient = new NativeClient(null, Revision.HIGHEST);
         nativeClient.open(address, user, "", "default", 5_000);
@@ -69,194 +69,205 @@
             in = new StreamSource(socket.getInputStream(), READ_BYTES);
             blocks = new BlockReader(in, limits);
             out = socket.getOutputStream();
-            ByteBuf hello = new ByteBuf();
-            new Hello.Client("rig", 1, 0, wanted, database, user, password).write(hello);
-            hello.writeTo(out);
+            ByteBuf packet = new ByteBuf();
+            new Hello.Client("rig", 1, 0, requestedRevision, database, user, password)
+                    .write(packet);
+            packet.writeTo(out);
             ServerPacket kind = ServerPacket.of(in.readVarUInt());
             if (kind == ServerPacket.EXCEPTION) {
                 ServerError serverError = ServerError.read(in, limits);
                 throw new IOException(
-                        "login refused: code " + serverError.code() + " " + serverError.message());
+                        "login rejected: error code "
+                                + serverError.code()
+                                + ": "
+                                + serverError.message());
             }
             Hello.Server server = Hello.Server.read(in, limits);
             serverName = server.displayName();
-            revision = Math.min(wanted, server.revision());
+            revision = Math.min(requestedRevision, server.revision());
         } catch (IOException e) {
             close();
             throw e;
         }
     }
 
-    /** What the server calls itself. */
+    /** Returns the display name of the server. */
     public String serverName() {
         return serverName;
     }
 
-    /** The raw socket, for tests that misbehave. */
+    /** Returns the socket, for tests that send malformed data. */
     public Socket socket() {
         return socket;
     }
 
-    /** Keeps the blocks of results from now on. */
-    public NativeClient keepBlocks() {
-        kept = new ArrayList<>();
+    /** Retains the blocks of the following results. */
+    public NativeClient retainBlocks() {
+        retainedBlocks = new ArrayList<>();
         return this;
     }
 
-    /** Blocks of the last result. */
+    /** Returns the blocks of the last result. */
     public List<Block> blocks() {
-        return kept;
+        return retainedBlocks;
     }
 
-    /** Writes a Query packet and the end of external tables. */
+    /** Writes a Query packet and the block that ends the external tables. */
     public void sendQuery(String id, String statement, Map<String, String> settings)
             throws IOException {
         ByteBuf packet = new ByteBuf();
-        List<Setting> list = new ArrayList<>();
-        settings.forEach((k, v) -> list.add(new Setting(k, 0, v)));
+        List<Setting> settingList = new ArrayList<>();
+        settings.forEach(
+                (settingName, value) -> settingList.add(new Setting(settingName, 0, value)));
         new QueryPacket(
                         id,
                         new ClientInfo("", id, "", "", "", "rig", 1, 0, revision, 0, ""),
-                        list,
+                        settingList,
                         QueryPacket.COMPLETE,
                         compression != null,
                         statement)
                 .write(revision, packet);
-        data(Block.END, packet);
+        writeData(Block.END, packet);
         packet.writeTo(out);
     }
 
-    private void data(Block block, ByteBuf to) throws IOException {
-        to.putVarUInt(ClientPacket.DATA.ordinal()).putString("");
-        block.write(compression, to);
+    private void writeData(Block block, ByteBuf target) throws IOException {
+        target.putVarUInt(ClientPacket.DATA.ordinal()).putString("");
+        block.write(compression, target);
     }
 
-    /** Writes a block of an insert; {@link Block#END} ends it. */
+    /** Writes a block of an insert; {@link Block#END} ends the insert. */
     public void sendBlock(Block block) throws IOException {
         ByteBuf packet = new ByteBuf();
-        data(block, packet);
+        writeData(block, packet);
         packet.writeTo(out);
     }
 
-    /** Writes a packet that has only its kind. */
-    public void sendBare(ClientPacket kind) throws IOException {
+    /** Writes a packet without a body. */
+    public void sendPacketType(ClientPacket kind) throws IOException {
         new ByteBuf().putVarUInt(kind.ordinal()).writeTo(out);
     }
 
-    /** Runs a statement and waits for its end, at most for that time. */
+    /** Runs a statement and waits for its end, at most for the timeout. */
     public Reply query(String id, String statement, Map<String, String> settings, long timeoutNs) {
         return insert(id, statement, settings, List.of(), timeoutNs);
     }
 
-    /** Runs a statement; where the server asks for data it gets those blocks and the end. */
+    /** Runs a statement and sends the blocks when the server requests data. */
     public Reply insert(
             String id,
             String statement,
             Map<String, String> settings,
             List<Block> rows,
             long timeoutNs) {
-        long until = System.nanoTime() + timeoutNs;
+        long untilNs = System.nanoTime() + timeoutNs;
         try {
-            socket.setSoTimeout(leftMs(until));
+            socket.setSoTimeout(remainingMs(untilNs));
             sendQuery(id, statement, settings);
-            return await(rows, until);
+            return await(rows, untilNs);
         } catch (IOException e) {
-            return lost(e, 0, 0);
+            return failureReply(e, 0, 0);
         }
     }
 
-    private static int leftMs(long until) throws SocketTimeoutException {
-        long left = (until - System.nanoTime()) / MS;
-        if (left <= 0) {
-            throw new SocketTimeoutException("the client's time is up");
+    private static int remainingMs(long untilNs) throws SocketTimeoutException {
+        long remaining = (untilNs - System.nanoTime()) / NS_PER_MS;
+        if (remaining <= 0) {
+            throw new SocketTimeoutException("client timeout expired");
         }
-        return (int) Math.min(Integer.MAX_VALUE, left);
+        return (int) Math.min(Integer.MAX_VALUE, remaining);
     }
 
-    private static Reply lost(IOException e, long rows, long bytes) {
+    private static Reply failureReply(IOException failure, long rows, long bytes) {
         Reply.Kind kind =
-                e instanceof SocketTimeoutException
+                failure instanceof SocketTimeoutException
                         ? Reply.Kind.TIMED_OUT
-                        : e instanceof WireException w
-                                        && w.reason() != WireException.Reason.TRUNCATED
+                        : failure instanceof WireException wireException
+                                        && wireException.reason() != WireException.Reason.TRUNCATED
                                 ? Reply.Kind.GARBLED
                                 : Reply.Kind.LOST;
-        return new Reply(kind, 0, String.valueOf(e.getMessage()), rows, bytes, System.nanoTime());
+        return new Reply(
+                kind, 0, String.valueOf(failure.getMessage()), rows, bytes, System.nanoTime());
     }
 
-    /** Waits for the end of the statement that was sent. */
-    public Reply await(List<Block> insert, long until) {
+    /** Waits for the end of the statement that was sent last. */
+    public Reply await(List<Block> insert, long untilNs) {
         long rows = 0;
-        long from = in.consumed();
-        boolean fed = insert.isEmpty();
-        if (kept != null) {
-            kept.clear();
+        long firstByte = in.consumed();
+        boolean dataSent = insert.isEmpty();
+        if (retainedBlocks != null) {
+            retainedBlocks.clear();
         }
         try {
             while (true) {
-                socket.setSoTimeout(leftMs(until));
-                int first = in.readByteOrEnd();
-                if (first < 0) {
-                    throw new WireException(WireException.Reason.TRUNCATED, "closed");
-                }
-                ServerPacket kind = ServerPacket.of(first);
+                ServerPacket kind = readPacketType(untilNs);
                 switch (kind) {
                     case END_OF_STREAM -> {
-                        return new Reply(
-                                Reply.Kind.SERVED,
-                                0,
-                                "",
-                                rows,
-                                in.consumed() - from,
-                                System.nanoTime());
+                        return reply(Reply.Kind.SERVED, 0, "", rows, firstByte);
                     }
                     case EXCEPTION -> {
                         ServerError serverError = ServerError.read(in, limits);
-                        return new Reply(
+                        return reply(
                                 Reply.Kind.EXCEPTION,
                                 serverError.code(),
                                 serverError.message(),
                                 rows,
-                                in.consumed() - from,
-                                System.nanoTime());
+                                firstByte);
                     }
                     case PROGRESS, PROFILE_INFO, TABLE_COLUMNS, PONG ->
                             PlainPackets.skip(kind, in, revision, limits);
                     default -> {
-                        in.readString("table", limits.nameBytes());
-                        boolean compressed = kind.isCompressible() && compression != null;
-                        BlockReader.Size size = readBlock(kind, compressed);
+                        BlockReader.Size size = readBlock(kind);
                         rows += kind == ServerPacket.DATA ? size.rows() : 0;
-                        if (!fed && kind == ServerPacket.DATA && size.rows() == 0) {
-                            for (Block block : insert) {
-                                sendBlock(block);
-                            }
-                            sendBlock(Block.END);
-                            fed = true;
+                        if (!dataSent && kind == ServerPacket.DATA && size.rows() == 0) {
+                            sendData(insert);
+                            dataSent = true;
                         }
                     }
                 }
             }
         } catch (IOException e) {
-            return lost(e, rows, in.consumed() - from);
+            return failureReply(e, rows, in.consumed() - firstByte);
+        }
+    }
+
+    private Reply reply(Reply.Kind kind, int code, String message, long rows, long firstByte) {
+        return new Reply(kind, code, message, rows, in.consumed() - firstByte, System.nanoTime());
+    }
+
+    private void sendData(List<Block> insert) throws IOException {
+        for (Block block : insert) {
+            sendBlock(block);
+        }
+        sendBlock(Block.END);
+    }
+
+    private ServerPacket readPacketType(long untilNs) throws IOException {
+        socket.setSoTimeout(remainingMs(untilNs));
+        int packetType = in.readByteOrEnd();
+        if (packetType < 0) {
+            throw new WireException(WireException.Reason.TRUNCATED, "closed");
         }
+        return ServerPacket.of(packetType);
     }
 
-    private BlockReader.Size readBlock(ServerPacket kind, boolean compressed) throws IOException {
-        if (kept == null || kind != ServerPacket.DATA) {
+    private BlockReader.Size readBlock(ServerPacket kind) throws IOException {
+        in.readString("table", limits.nameBytes());
+        boolean compressed = kind.isCompressible() && compression != null;
+        if (retainedBlocks == null || kind != ServerPacket.DATA) {
             return blocks.skip(compressed);
         }
         Block block = blocks.read(compressed, 1 << 20);
-        kept.add(block);
+        retainedBlocks.add(block);
         return new BlockReader.Size(block.rows(), block.columns().size());
     }
 
-    /** True if the server has sent something that belongs to no statement. */
-    public boolean hasStray() throws IOException {
+    /** Returns whether the server has sent data after the end of the last statement. */
+    public boolean hasUnexpectedData() throws IOException {
         return in.hasBuffered() || socket.getInputStream().available() > 0;
     }
 
-    /** True if the server has closed the connection, or sent what nobody asked for. */
+    /** Returns whether the server has closed the connection or sent unexpected data. */
     public boolean isClosedByPeer() {
         try {
             socket.setSoTimeout(1);
@@ -274,7 +285,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // it is gone either way
+            // The connection is unusable in either case.
         }
     }
 }
--- a/loadtest/src/main/java/ashlink/loadtest/load/LoadConditions.java
+++ b/loadtest/src/main/java/ashlink/loadtest/load/LoadConditions.java
@@ -1,54 +1,57 @@
 package ashlink.loadtest.load;
 
-/** What is unusual about a load at the moment; set by the script, read as each query is drawn. */
+/**
+ * Current deviations from the usual load. Fault injection sets them; the load generator reads them
+ * for each query.
+ */
 public final class LoadConditions {
 
-    private volatile double rate = 1;
-    private volatile String heavyClass = "";
-    private volatile double heavyFactor = 1;
-    private volatile double hotGroupShare;
+    private volatile double rateFactor = 1;
+    private volatile String workFactorClass = "";
+    private volatile double workFactor = 1;
+    private volatile double hotTableGroupFraction;
     private volatile String hotRouter = "";
-    private volatile double hotRouterShare;
+    private volatile double hotRouterFraction;
 
-    /** So many times the usual rate. */
-    public void rate(double factor) {
-        rate = factor;
+    /** Multiplies the arrival rate by the factor. */
+    public void setRateFactor(double factor) {
+        rateFactor = factor;
     }
 
-    /** Queries of that class cost so many times the usual. */
-    public void heavy(String queryClass, double factor) {
-        heavyFactor = factor;
-        heavyClass = queryClass;
+    /** Multiplies the work of the queries of a class by the factor. */
+    public void setWorkFactor(String queryClass, double factor) {
+        workFactor = factor;
+        workFactorClass = queryClass;
     }
 
-    /** That share of all queries goes to one group of tables. */
-    public void hotGroup(double share) {
-        hotGroupShare = share;
+    /** Sends the given fraction of all queries to one table group. */
+    public void setHotTableGroup(double fraction) {
+        hotTableGroupFraction = fraction;
     }
 
-    /** That share of all queries comes to that router. */
-    public void hotRouter(String router, double share) {
+    /** Sends the given fraction of all queries without a key to one router. */
+    public void setHotRouter(String router, double fraction) {
         hotRouter = router;
-        hotRouterShare = share;
+        hotRouterFraction = fraction;
     }
 
-    double rate() {
-        return rate;
+    double rateFactor() {
+        return rateFactor;
     }
 
-    double work(String queryClass) {
-        return queryClass.equals(heavyClass) ? heavyFactor : 1;
+    double workFactor(String queryClass) {
+        return queryClass.equals(workFactorClass) ? workFactor : 1;
     }
 
-    double hotGroupShare() {
-        return hotGroupShare;
+    double hotTableGroupFraction() {
+        return hotTableGroupFraction;
     }
 
     String hotRouter() {
         return hotRouter;
     }
 
-    double hotRouterShare() {
-        return hotRouterShare;
+    double hotRouterFraction() {
+        return hotRouterFraction;
     }
 }
--- a/loadtest/src/main/java/ashlink/loadtest/scenario/ScenarioFacts.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/ScenarioFacts.java
@@ -6,32 +6,41 @@
 import java.util.List;
 
 /**
- * What was seen of a day from outside: by clients, by engines, and by the script itself. Nothing
- * here is a router's word. Times are of {@link System#nanoTime}.
+ * The records of a scenario made by the clients, the engines and the fault injection. Nothing in
+ * the records comes from a router. Times are from {@link System#nanoTime}.
  *
- * @param settings of one of the routers: the classes and figures that the rules go by
+ * @param scenario scenario that was run
+ * @param settings settings of one of the routers, with the classes and limits to check against
+ * @param startNs start of the load
+ * @param clientAttempts attempts of the clients
+ * @param engineQueries queries that the engines received
+ * @param drains drains that the routers were notified of
+ * @param routerOutages times during which a router was down
+ * @param engineOutages times during which an engine was down
+ * @param engineFaults times during which an engine had a fault
+ * @param overloadedEngines engines that crashed by overload during slow start
  */
 public record ScenarioFacts(
-        ScenarioConfig day,
+        ScenarioConfig scenario,
         RouterConfig settings,
-        long fromNs,
-        List<ClientAttempt> tries,
-        List<SentQuery> ledger,
+        long startNs,
+        List<ClientAttempt> clientAttempts,
+        List<EngineQuery> engineQueries,
         List<Drain> drains,
-        List<Span> routerKills,
-        List<Span> engineDowns,
-        List<Span> sick,
-        List<String> fallen) {
+        List<Interval> routerOutages,
+        List<Interval> engineOutages,
+        List<Interval> engineFaults,
+        List<String> overloadedEngines) {
 
-    /** A drain as one router was told of it. */
-    public record Drain(String router, String engine, long toldNs, long untilNs) {}
+    /** A drain of an engine, as announced to one router. */
+    public record Drain(String router, String engine, long announcedNs, long endNs) {}
 
-    /** Something that held for a time. */
-    public record Span(String name, long fromNs, long untilNs) {
+    /** A time during which a router or an engine was affected. */
+    public record Interval(String name, long startNs, long endNs) {
 
-        /** True if it overlaps with that time. */
-        public boolean touches(long from, long until) {
-            return fromNs <= until && untilNs >= from;
+        /** Returns whether this time overlaps with the given one. */
+        public boolean overlaps(long otherStartNs, long otherEndNs) {
+            return startNs <= otherEndNs && endNs >= otherStartNs;
         }
     }
 }
