--- a/emulator/src/main/java/ashlink/emulator/EmulatedEngine.java
+++ b/emulator/src/main/java/ashlink/emulator/EmulatedEngine.java
@@ -18,8 +18,9 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A stand-in engine: a listener, a thread for each connection, and the model that says how long
- * work takes. Faults are set on {@link #faults}; {@link #crash} and {@link #restart} keep the port.
+ * Emulated engine: a listener, a thread per connection, and a model that determines how long
+ * statements take. Faults are set with {@link #faults}. The port stays the same after {@link
+ * #crash} and {@link #restart}.
  */
 public final class EmulatedEngine {
 
@@ -43,7 +44,7 @@
     private int incarnation;
     private boolean down = true;
 
-    /** An engine that is not started. */
+    /** Creates an engine without starting it. */
     public EmulatedEngine(EngineConfig config) throws IOException {
         this.config = config;
         this.ledger = new Ledger(config.ledger());
@@ -51,12 +52,12 @@
                 RandomSource.XO_RO_SHI_RO_128_PP.create(config.seed() ^ config.name().hashCode());
     }
 
-    /** Starts it; warm as if it had run for long. */
+    /** Starts the engine as if it had been running for a long time, so that it is warm. */
     public void start() throws IOException {
         begin(nowMs() - LONG_AGO_MS);
     }
 
-    /** Starts it again after a crash: cold. */
+    /** Starts the engine after a crash, so that it is cold. */
     public void restart() throws IOException {
         begin(nowMs());
     }
@@ -77,8 +78,8 @@
     }
 
     /**
-     * Binds; the port of a crashed listener is free only once the thread that accepted there has
-     * noticed.
+     * Opens a listener. Retries for a while if the address is in use, because the port of a closed
+     * listener is released only when its accept thread has returned.
      */
     private static ServerSocketChannel bind(InetSocketAddress to) throws IOException {
         long until = System.nanoTime() + REBIND_NS;
@@ -106,8 +107,8 @@
     }
 
     /**
-     * Ends at once: connections break, work is lost, connects are refused until it is started
-     * again.
+     * Simulates a crash: resets all connections, discards the work, and refuses new connections
+     * until {@link #restart}.
      */
     public void crash() {
         List<Runnable> hooks;
@@ -125,7 +126,7 @@
         try {
             server.close();
         } catch (IOException e) {
-            // closed all the same
+            // The channel is closed even if close() throws.
         }
         sockets.forEach(EmulatedEngine::close);
         hooks.forEach(Runnable::run);
@@ -135,10 +136,10 @@
         try {
             socketChannel.setOption(
                     java.net.StandardSocketOptions.SO_LINGER,
-                    0); // a reset, as of a process that died
+                    0); // close() sends a reset, as when a process dies
             socketChannel.close();
         } catch (IOException e) {
-            // closed all the same
+            // The channel is closed even if close() throws.
         }
     }
 
@@ -165,7 +166,7 @@
         }
     }
 
-    // ---- The model, on one thread's clock
+    // ---- Model
     static double nowMs() {
         return System.nanoTime() / MS;
     }
@@ -201,8 +202,8 @@
     }
 
     /**
-     * Takes a job; {@code done} runs once it is done or the engine has crashed. Null: it takes no
-     * more at once.
+     * Submits a job. {@code done} runs when the job is done or the engine crashes. Returns null if
+     * the engine is down or has its maximum number of jobs.
      */
     synchronized Job submit(Job.Demand demand, Runnable done) {
         if (down || model.inHand() >= config.maxSessions()) {
@@ -215,7 +216,7 @@
         return job;
     }
 
-    /** Moves the model to the present; the ticker tells of what is done. */
+    /** Advances the model to the current time; the model thread then reports the completed jobs. */
     private void catchUp() {
         late.addAll(model.advance(nowMs()));
     }
@@ -228,19 +229,19 @@
     }
 
     // ---- Faults
-    /** What is wrong with its connections. */
+    /** Returns the faults of the engine's connections. */
     public FaultInjection faults() {
         return faults;
     }
 
-    /** Works at that multiple of its speed. */
+    /** Sets the speed as a multiple of the configured speed. */
     public synchronized void speed(double multiple) {
         catchUp();
         model.speed(multiple);
         notifyAll();
     }
 
-    /** Takes work and does none, and says nothing; or goes on. */
+    /** Starts or ends a hang: work is accepted but not executed, and nothing is sent. */
     public synchronized void hang(boolean hangs) {
         catchUp();
         faults.hang(hangs);
@@ -248,33 +249,33 @@
         notifyAll();
     }
 
-    // ---- What it tells
-    /** Its settings. */
+    // ---- State
+    /** Returns the settings. */
     public EngineConfig config() {
         return config;
     }
 
-    /** Where it listens, once it was started. */
+    /** Returns the listen address; null before the first start. */
     public synchronized InetSocketAddress address() {
         return address;
     }
 
-    /** What it was sent and did. */
+    /** Returns the record of the statements that the engine received. */
     public Ledger ledger() {
         return ledger;
     }
 
-    /** True if it was pushed over while it was cold. */
+    /** Returns true if the engine collapsed because it was overloaded while it was cold. */
     public synchronized boolean hasFallen() {
         return model.hasFallen();
     }
 
-    /** True while it is down. */
+    /** Returns true before the first start and after a crash. */
     public synchronized boolean isDown() {
         return down;
     }
 
-    /** Gauges by name. */
+    /** Returns the gauges by name. */
     synchronized Map<String, Double> gauges() {
         catchUp();
         if (!late.isEmpty()) {
--- a/emulator/src/main/java/ashlink/emulator/EngineSession.java
+++ b/emulator/src/main/java/ashlink/emulator/EngineSession.java
@@ -31,7 +31,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** One connection to a stand-in. */
+/** A client connection to an emulated engine. */
 final class EngineSession {
 
     private static final int LOOK_MS = 10;
@@ -41,7 +41,7 @@
     private static final int HIGHEST_PRIORITY = 4;
     private static final WireLimits LIMITS = WireLimits.DEFAULT;
 
-    /** The connection is to break here, as a fault wants it. */
+    /** Signals that the connection breaks because of an injected fault, a cancel or a crash. */
     private static final class Broken extends IOException {
         Broken() {
             super("broken on purpose", null);
@@ -58,7 +58,7 @@
     private String client = "";
     private Entry entry;
 
-    /** True while the client has nothing to send but a Cancel. */
+    /** True while the client can send only a Cancel. */
     private boolean quiet;
 
     EngineSession(EmulatedEngine engine, SocketChannel channel) {
@@ -85,7 +85,7 @@
                 }
             }
         } catch (IOException | InterruptedException e) {
-            // the other end sees it
+            // The client sees the closed connection.
         } finally {
             if (entry != null) {
                 engine.ledger().end(entry, engine.isDown() ? How.CRASHED : How.CONNECTION_LOST);
@@ -163,11 +163,11 @@
         return readData(compressed);
     }
 
-    // ---- A statement
+    // ---- Statement
     private void query() throws IOException, InterruptedException {
         QueryPacket queryPacket = QueryPacket.read(in, revision, LIMITS);
         while (!readNextData(queryPacket.compressed()).isEnd()) {
-            // external tables
+            // Skips the external tables.
         }
         WorkHints hints = new WorkHints(queryPacket.statement());
         String text = queryPacket.statement().replaceAll("(?s)/\\*.*?\\*/", " ").strip();
@@ -243,10 +243,10 @@
         }
     }
 
-    // ---- Its work
+    // ---- Execution
     /**
-     * Works until the statement is done; false where it has ended otherwise, which is answered or
-     * noted.
+     * Executes the statement and waits until it is done. Returns false if the engine rejected the
+     * statement, after sending the error.
      */
     private boolean work(QueryPacket queryPacket, WorkHints hints)
             throws IOException, InterruptedException {
@@ -302,7 +302,7 @@
                 workHints.whole("waits", 0) > 0);
     }
 
-    /** True once the client has closed, or asks to cancel. */
+    /** Returns true if the client closed the connection or sent a Cancel. */
     private boolean clientHasGone() {
         try {
             if (in.hasBuffered()) {
@@ -311,13 +311,13 @@
             channel.configureBlocking(false);
             int n = channel.read(ByteBuffer.allocate(1));
             channel.configureBlocking(true);
-            return n != 0; // closed, or a byte that can only be a Cancel
+            return n != 0; // end of stream, or a byte that can only be a Cancel
         } catch (IOException e) {
             return true;
         }
     }
 
-    // ---- Its answer
+    // ---- Response
     private void answerMetrics(QueryPacket queryPacket) throws IOException {
         Map<String, Double> gauges = engine.gauges();
         ByteBuf packet = new ByteBuf();
@@ -345,7 +345,7 @@
         long rows = 0;
         boolean insert =
                 upper.startsWith(
-                        "INSERT"); // at these revisions it ends with the end of the stream alone
+                        "INSERT"); // at these revisions, END_OF_STREAM alone ends an INSERT
         if (!insert) {
             rows = data(hints, text, compression, packet);
         }
@@ -364,7 +364,7 @@
         send(packet);
     }
 
-    /** Appends and sends blocks of the result; the last stay in the packet. */
+    /** Writes the result blocks and sends them when the packet is large; the rest stays in it. */
     private long data(WorkHints hints, String text, Compression compression, ByteBuf packet)
             throws IOException, InterruptedException {
         long blocksWanted = hints.whole("blocks", 1);
--- a/emulator/src/main/java/ashlink/emulator/FaultInjection.java
+++ b/emulator/src/main/java/ashlink/emulator/FaultInjection.java
@@ -1,9 +1,9 @@
 package ashlink.emulator;
 
-/** What is wrong with a stand-in, set by command while it runs. */
+/** Faults of an emulated engine, set and removed while the engine runs. */
 public final class FaultInjection {
 
-    /** Places at which a connection can be made to break. */
+    /** Points in a connection's life at which a fault can be injected. */
     public enum Place {
         NOWHERE,
         ACCEPT,
@@ -16,7 +16,7 @@
         END
     }
 
-    /** How it breaks there. */
+    /** Ways in which a connection breaks. */
     public enum Break {
         CLOSE,
         SILENCE,
@@ -31,26 +31,26 @@
     private volatile double lostAnswers;
     private volatile boolean hung;
 
-    /** Breaks connections at that place, that many times. */
+    /** Breaks the given number of connections at a point, one each time the point is reached. */
     public synchronized void breakAt(Place at, Break by, int count) {
         place = at;
         how = by;
         times = count;
     }
 
-    /** Ends all that {@link #breakAt} began. */
+    /** Removes all faults. */
     public synchronized void heal() {
         place = Place.NOWHERE;
         lostAnswers = 0;
         hung = false;
     }
 
-    /** Loses that share of answers though the work is done. */
+    /** Loses a fraction of the responses after the work is done. */
     public void loseAnswers(double share) {
         lostAnswers = share;
     }
 
-    /** Takes connections and queries, and never says anything. */
+    /** Starts or ends a hang: connections and queries are accepted, and nothing is sent. */
     public void hang(boolean hangs) {
         hung = hangs;
     }
@@ -67,7 +67,7 @@
         return place == at && times > 0;
     }
 
-    /** How to break here, or null. */
+    /** Returns how to break the connection at a point and counts the break; null for no fault. */
     synchronized Break here(Place at) {
         if (place != at || times <= 0) {
             return null;
--- a/emulator/src/main/java/ashlink/emulator/Ledger.java
+++ b/emulator/src/main/java/ashlink/emulator/Ledger.java
@@ -11,12 +11,12 @@
 import java.util.List;
 
 /**
- * What an engine was sent and did, noted by itself as it happens. Times are of {@link
- * System#nanoTime}.
+ * Record of the statements that an emulated engine received and executed, written by the engine
+ * when each event happens. Times are values of {@link System#nanoTime}.
  */
 public final class Ledger {
 
-    /** How a statement ended at the engine. */
+    /** Outcome of a statement at the engine. */
     public enum How {
         OPEN,
         ANSWERED,
@@ -29,10 +29,7 @@
         NO_DATA
     }
 
-    /**
-     * A statement at an engine; {@code ranNs} is when it had all it needs to run, 0 if it never
-     * had.
-     */
+    /** A statement that an engine received. */
     public static final class Entry {
         public final String engine;
         public final String kind;
@@ -68,27 +65,30 @@
             this.beganNs = beganNs;
         }
 
-        /** When it had all it needs to run, 0 if it never had. */
+        /** Returns the time at which the statement's input was complete; 0 if it never was. */
         public long ranNs() {
             return ranNs;
         }
 
-        /** When its work was done, 0 if it never was. */
+        /** Returns the time at which the statement's work was done; 0 if it was not. */
         public long effectNs() {
             return effectNs;
         }
 
-        /** When the engine was through with it, 0 while it is not. */
+        /** Returns the time at which the engine finished the statement; 0 while it has not. */
         public long endedNs() {
             return endedNs;
         }
 
-        /** When the engine saw that nobody waited for it any more, 0 if it did not. */
+        /**
+         * Returns the time at which the engine noticed that the client no longer waits for the
+         * statement; 0 if it did not.
+         */
         public long releasedNs() {
             return releasedNs;
         }
 
-        /** How it ended. */
+        /** Returns the outcome; {@link How#OPEN} until the statement ends. */
         public How how() {
             return how;
         }
@@ -111,7 +111,10 @@
     private final List<Entry> entries = new ArrayList<>();
     private final BufferedWriter file;
 
-    /** A ledger in memory, and in a file where one is named. */
+    /**
+     * Creates a ledger in memory, and in a file if {@code path} is not null. An existing file is
+     * appended to.
+     */
     public Ledger(Path path) throws IOException {
         file =
                 path == null
@@ -166,7 +169,7 @@
         }
     }
 
-    /** All entries so far, in order of their beginning. */
+    /** Returns a copy of all entries, in the order in which the statements arrived. */
     public synchronized List<Entry> entries() {
         return new ArrayList<>(entries);
     }
--- a/emulator/src/main/java/ashlink/emulator/WorkHints.java
+++ b/emulator/src/main/java/ashlink/emulator/WorkHints.java
@@ -6,15 +6,15 @@
 import java.util.regex.Pattern;
 
 /**
- * What a statement asks of a stand-in: {@code name=value} pairs in a comment that starts with
- * {@code sim}, as in {@code /* sim work_ms=120 threads=1 rows=10 *}{@code /}.
+ * Instructions of a statement to an emulated engine: {@code name=value} pairs in a SQL comment that
+ * starts with {@code sim}, as in {@code /* sim work_ms=120 threads=1 rows=10 *}{@code /}.
  */
 public final class WorkHints {
 
     private static final Pattern COMMENT = Pattern.compile("/\\*\\s*sim\\s([^*]*)\\*/");
     private final Map<String, String> values = new HashMap<>();
 
-    /** Reads the comment of a statement, where it has one. */
+    /** Reads the instructions from the first {@code sim} comment of a statement, if there is one. */
     public WorkHints(String statement) {
         Matcher matcher = COMMENT.matcher(statement);
         if (matcher.find()) {
@@ -27,12 +27,12 @@
         }
     }
 
-    /** A text. */
+    /** Returns a value as text, or the default value if it is absent. */
     public String text(String name, String absent) {
         return values.getOrDefault(name, absent);
     }
 
-    /** A number; one that cannot be read counts as absent. */
+    /** Returns a value as a number, or the default value if it is absent or not a number. */
     public double number(String name, double absent) {
         try {
             return Double.parseDouble(values.getOrDefault(name, ""));
@@ -41,7 +41,7 @@
         }
     }
 
-    /** A whole number. */
+    /** Returns a value as an integer, or the default value if it is absent or not a number. */
     public long whole(String name, long absent) {
         return (long) number(name, absent);
     }
--- a/emulator/src/main/java/ashlink/emulator/model/EngineModel.java
+++ b/emulator/src/main/java/ashlink/emulator/model/EngineModel.java
@@ -6,23 +6,23 @@
 import java.util.List;
 
 /**
- * An engine that runs all it is sent at once. Jobs share cores by their threads and priorities, and
- * disks by the part of their work that reads or writes; beyond the knee of threads a core the total
- * falls. Times are milliseconds of the caller; {@link #advance} moves them on. Not safe for
- * threads: its owner locks.
+ * Model of an engine that executes all its statements concurrently. Jobs share the cores by thread
+ * count and priority, and the disks by the fraction of their work that is I/O. Above a limit of
+ * threads per core, the total throughput decreases. Times are in milliseconds on the caller's
+ * clock; {@link #advance} sets the current time. Not thread-safe: the caller synchronizes access.
  */
 public final class EngineModel {
 
-    /**
-     * Longest step over which rates are taken as constant while they change: a cold engine warms
-     * up.
-     */
+    /** Longest step with constant rates while the engine warms up and its speed increases. */
     private static final double RAMP_STEP_MS = 20;
 
-    /** Shares of priorities 0 to 3 when cores or disks are short. */
+    /** Weights of priorities 0 to 3 when the jobs have more threads than the engine has cores. */
     private static final double[] WEIGHTS = {1, 4, 8, 16};
 
+    /** Grant as a multiple of the needed memory if the client does not request an amount. */
     private static final double OWN_CHOICE = 1.25;
+
+    /** Largest grant as a fraction of the engine's memory. */
     private static final double MOST_GRANT = 0.4;
 
     private final EngineConfig config;
@@ -35,7 +35,13 @@
     private boolean fallen;
     private long sequence;
 
-    /** An engine that started at that time; a long time ago where it is warm. */
+    /**
+     * Creates a model.
+     *
+     * @param config settings of the engine
+     * @param startedMs start time; a time long before {@code nowMs} models a warm engine
+     * @param nowMs current time
+     */
     public EngineModel(EngineConfig config, double startedMs, double nowMs) {
         this.config = config;
         this.startedMs = startedMs;
@@ -43,26 +49,26 @@
     }
 
     // ---- Faults
-    /** Works at that multiple of its speed from now on. */
+    /** Sets the speed as a multiple of the configured speed, from the current time on. */
     public void speed(double multiple) {
         speed = multiple;
     }
 
-    /** Stops, or goes on, with all work. */
+    /** Pauses or resumes all jobs. */
     public void paused(boolean p) {
         paused = p;
     }
 
     /**
-     * True once it was sent too much while it was cold; it does nothing more until it is started
-     * again.
+     * Returns true if the engine collapsed because it received too much work while it was cold. A
+     * collapsed engine executes nothing until it is restarted.
      */
     public boolean hasFallen() {
         return fallen;
     }
 
     // ---- Work
-    /** Takes a job at the present time. */
+    /** Adds a job at the current time. */
     public Job submit(Job.Demand demand) {
         Job job = new Job(demand, sequence++);
         noteArrival(demand.workMs());
@@ -72,7 +78,7 @@
         return job;
     }
 
-    /** Gives a job up. */
+    /** Removes a job that is not to be completed. */
     public void drop(Job job) {
         if (jobs.remove(job)) {
             job.state(Job.State.DROPPED);
@@ -80,7 +86,7 @@
         }
     }
 
-    /** Moves on to a time; returns the jobs done by then. */
+    /** Advances the current time and returns the jobs that are completed by then. */
     public List<Job> advance(double toMs) {
         List<Job> done = new ArrayList<>();
         while (now < toMs && !paused && !fallen) {
@@ -108,8 +114,8 @@
     }
 
     /**
-     * Time from now until a job ends or the rates change, in milliseconds; infinite where nothing
-     * runs.
+     * Returns the time from now until a job ends or the rates change, in milliseconds; infinite if
+     * no job runs.
      */
     public double nextChangeMs() {
         double[] rates = rates();
@@ -122,38 +128,38 @@
         return warmth() < 1 ? Math.min(next, RAMP_STEP_MS) : next;
     }
 
-    // ---- What it tells
-    /** Jobs in hand. */
+    // ---- Gauges
+    /** Returns the number of jobs that are running or waiting. */
     public int inHand() {
         return jobs.size();
     }
 
-    /** Jobs that wait for memory. */
+    /** Returns the number of jobs that wait for memory. */
     public int waiting() {
         return (int) jobs.stream().filter(job -> job.state() == Job.State.WAITS_FOR_MEMORY).count();
     }
 
-    /** Share of its memory that is granted. */
+    /** Returns the granted fraction of the engine's memory. */
     public double memoryGranted() {
         return jobs.stream().mapToDouble(Job::grantedMb).sum() / config.memoryMb();
     }
 
-    /** Share of its cores that are busy. */
+    /** Returns the fraction of the engine's cores that are busy. */
     public double coresBusy() {
         return Math.min(1, threads() / config.cores());
     }
 
-    /** Share of its disks that are busy. */
+    /** Returns the fraction of the engine's disk bandwidth that is in use. */
     public double disksBusy() {
         return Math.min(1, reading() / (config.diskThreadFraction() * config.cores()));
     }
 
-    /** Time up, in milliseconds. */
+    /** Returns the time since the start, in milliseconds. */
     public double upMs() {
         return now - startedMs;
     }
 
-    /** Milliseconds of work that it can do in one, as warm as it is. */
+    /** Returns the work per millisecond that the engine can do at its current warm-up state. */
     public double capacity() {
         return config.cores() * config.speed() * warmth();
     }
@@ -181,7 +187,7 @@
     }
 
     // ---- Rates
-    /** Milliseconds of work a millisecond that each job gets done now. */
+    /** Returns the current rate of each job, in milliseconds of work per millisecond. */
     private double[] rates() {
         double[] rates = new double[jobs.size()];
         double threads = threads();
@@ -220,7 +226,10 @@
     }
 
     // ---- Memory and tables
-    /** Lets in what may run now: memory by priority and turn, tables by turn. */
+    /**
+     * Starts the jobs that can run now. Memory is granted by priority and then in the order of
+     * arrival, table locks in the order of arrival.
+     */
     private void admit() {
         List<Job> line = new ArrayList<>(jobs);
         line.sort(
@@ -253,7 +262,7 @@
         return true;
     }
 
-    /** True while a load that came before holds the tables. */
+    /** Returns true while another job that started or arrived earlier locks the job's tables. */
     private boolean isBarred(Job j) {
         if (!j.demand().waits() && !j.demand().holds()) {
             return false;
@@ -269,7 +278,10 @@
                                                         && o.sequence() < j.sequence()));
     }
 
-    /** A cold engine falls over when, over the window, it was sent a multiple of what it can do. */
+    /**
+     * Records an arrival. A cold engine collapses if the work that arrived within the window exceeds
+     * a configured multiple of its capacity.
+     */
     private void noteArrival(double workMs) {
         if (config.crashLoadMultiple() <= 0 || warmth() >= 1) {
             arrivals.clear();
--- a/emulator/src/main/java/ashlink/emulator/model/Job.java
+++ b/emulator/src/main/java/ashlink/emulator/model/Job.java
@@ -1,9 +1,21 @@
 package ashlink.emulator.model;
 
-/** A statement that an engine works on. */
+/** A statement that an engine executes. */
 public final class Job {
 
-    /** What a statement asks of an engine; {@code grantMb} 0 is the engine's own choice. */
+    /**
+     * Resources that a statement needs.
+     *
+     * @param workMs processor time at normal speed, in milliseconds
+     * @param threads threads that execute the statement
+     * @param ioShare fraction of the work that reads from or writes to disk
+     * @param memoryMb memory that the statement needs to run without spilling
+     * @param grantMb memory that the client requests; 0 leaves the grant to the engine
+     * @param priority scheduling priority, 0 (lowest) to 3
+     * @param tables group of tables that the statement uses
+     * @param holds whether the statement locks the tables
+     * @param waits whether the statement waits for locks on the tables
+     */
     public record Demand(
             double workMs,
             int threads,
@@ -15,7 +27,7 @@
             boolean holds,
             boolean waits) {}
 
-    /** Where a job stands. */
+    /** State of a job. */
     public enum State {
         WAITS_FOR_MEMORY,
         WAITS_FOR_TABLES,
@@ -36,12 +48,12 @@
         this.leftMs = demand.workMs();
     }
 
-    /** What it asks. */
+    /** Returns the resources that the job needs. */
     public Demand demand() {
         return demand;
     }
 
-    /** Where it stands. */
+    /** Returns the current state. */
     public State state() {
         return state;
     }
--- a/emulator/src/main/java/ashlink/emulator/model/package-info.java
+++ b/emulator/src/main/java/ashlink/emulator/model/package-info.java
@@ -1,5 +1,5 @@
 /**
- * How an engine works off what it is given: cores, disks, memory, held tables, warming up, falling
- * over. No I/O, no clock.
+ * Performance model of an engine: cores, disks, memory, locked tables, warm-up and collapse under
+ * overload. Has no I/O and no clock.
  */
 package ashlink.emulator.model;
