--- a/emulator/src/main/java/ashlink/emulator/EmulatedEngine.java
+++ b/emulator/src/main/java/ashlink/emulator/EmulatedEngine.java
@@ -64,7 +64,7 @@
 
     private synchronized void begin(double startedMs) throws IOException {
         if (!down) {
-            throw new IllegalStateException(config.name() + " runs");
+            throw new IllegalStateException("engine " + config.name() + " is already running");
         }
         ServerSocketChannel channel = bind(address == null ? config.listen() : address);
         address = (InetSocketAddress) channel.getLocalAddress();
--- a/emulator/src/main/java/ashlink/emulator/EngineSession.java
+++ b/emulator/src/main/java/ashlink/emulator/EngineSession.java
@@ -44,7 +44,7 @@
     /** Signals that the connection breaks because of an injected fault, a cancel or a crash. */
     private static final class Broken extends IOException {
         Broken() {
-            super("broken on purpose", null);
+            super("connection broken by the emulated engine", null);
         }
     }
 
@@ -81,7 +81,7 @@
                     case QUERY -> query();
                     case DATA -> readData(false);
                     case CANCEL -> {}
-                    default -> throw new IOException("a second Hello");
+                    default -> throw new IOException("unexpected Hello packet after login");
                 }
             }
         } catch (IOException | InterruptedException e) {
@@ -138,7 +138,7 @@
 
     private void hello() throws IOException, InterruptedException {
         if (in.readByte() != ClientPacket.HELLO.ordinal()) {
-            throw new IOException("no Hello");
+            throw new IOException("first packet is not a Hello packet");
         }
         Hello.Client hello = Hello.Client.read(in, WireLimits.LOGIN);
         breakHere(Place.HELLO, null);
@@ -158,7 +158,7 @@
 
     private BlockReader.Size readNextData(boolean compressed) throws IOException {
         if (in.readByte() != ClientPacket.DATA.ordinal()) {
-            throw new IOException("no Data");
+            throw new IOException("unexpected packet instead of a Data packet");
         }
         return readData(compressed);
     }
@@ -196,7 +196,7 @@
         }
         entry.ran();
         if (hints.whole("error", 0) > 0) {
-            sendError((int) hints.whole("error", 0), "as the statement asks");
+            sendError((int) hints.whole("error", 0), "error requested by the statement");
             return;
         }
         if (!work(queryPacket, hints)) {
@@ -253,7 +253,9 @@
         CountDownLatch done = new CountDownLatch(1);
         Job job = engine.submit(demand(queryPacket, hints), done::countDown);
         if (job == null) {
-            sendError(TURNED_AWAY, "too many queries at once");
+            sendError(
+                    TURNED_AWAY,
+                    "too many concurrent queries: at most " + config.maxSessions());
             return false;
         }
         boolean gone = false;
@@ -351,7 +353,9 @@
         }
         if (hints.whole("error_mid", 0) > 0) {
             send(packet);
-            sendError((int) hints.whole("error_mid", 0), "in mid-result, as the statement asks");
+            sendError(
+                    (int) hints.whole("error_mid", 0),
+                    "error requested by the statement within the result");
             return;
         }
         if (!insert) {
--- a/emulator/src/main/java/ashlink/emulator/Ledger.java
+++ b/emulator/src/main/java/ashlink/emulator/Ledger.java
@@ -128,7 +128,7 @@
 
     synchronized void begin(Entry entry) {
         if (entries.size() >= MOST_ENTRIES) {
-            throw new IllegalStateException("a ledger holds " + MOST_ENTRIES + " entries at most");
+            throw new IllegalStateException("ledger is full: at most " + MOST_ENTRIES + " entries");
         }
         entries.add(entry);
         write("begin", entry);
