--- a/emulator/src/main/java/ashlink/emulator/EmulatedEngine.java
+++ b/emulator/src/main/java/ashlink/emulator/EmulatedEngine.java
@@ -24,23 +24,23 @@
  */
 public final class EmulatedEngine {
 
-    private static final double MS = 1e6;
+    private static final double NS_PER_MS = 1e6;
     private static final int BACKLOG = 1024;
-    private static final long REBIND_NS = 2_000_000_000L;
+    private static final long BIND_TIMEOUT_NS = 2_000_000_000L;
     private static final long STACK_BYTES = 256 << 10;
-    private static final double LONG_AGO_MS = 1e9;
+    private static final double WARM_UPTIME_MS = 1e9;
 
     private final EngineConfig config;
     private final Ledger ledger;
     private final FaultInjection faults = new FaultInjection();
     private final UniformRandomProvider random;
-    private final Map<Job, Runnable> doneHooks = new HashMap<>();
-    private final List<Job> late = new ArrayList<>();
-    private final Set<SocketChannel> sockets = ConcurrentHashMap.newKeySet();
+    private final Map<Job, Runnable> completionCallbacks = new HashMap<>();
+    private final List<Job> completedJobs = new ArrayList<>();
+    private final Set<SocketChannel> connections = ConcurrentHashMap.newKeySet();
     private EngineModel model;
-    private ServerSocketChannel server;
+    private ServerSocketChannel listener;
     private InetSocketAddress address;
-    private Thread ticker;
+    private Thread modelThread;
     private int incarnation;
     private boolean down = true;
 
@@ -54,44 +54,44 @@
 
     /** Starts the engine as if it had been running for a long time, so that it is warm. */
     public void start() throws IOException {
-        begin(nowMs() - LONG_AGO_MS);
+        start(nowMs() - WARM_UPTIME_MS);
     }
 
     /** Starts the engine after a crash, so that it is cold. */
     public void restart() throws IOException {
-        begin(nowMs());
+        start(nowMs());
     }
 
-    private synchronized void begin(double startedMs) throws IOException {
+    private synchronized void start(double startedMs) throws IOException {
         if (!down) {
             throw new IllegalStateException("engine " + config.name() + " is already running");
         }
-        ServerSocketChannel channel = bind(address == null ? config.listen() : address);
+        ServerSocketChannel channel = openListener(address == null ? config.listen() : address);
         address = (InetSocketAddress) channel.getLocalAddress();
-        server = channel;
+        listener = channel;
         model = new EngineModel(config, startedMs, nowMs());
         down = false;
         incarnation++;
-        int mine = incarnation;
-        thread(config.name() + "-accept", () -> accept(channel));
-        ticker = thread(config.name() + "-model", () -> tick(mine));
+        int ownIncarnation = incarnation;
+        startThread(config.name() + "-accept", () -> acceptConnections(channel));
+        modelThread = startThread(config.name() + "-model", () -> runModel(ownIncarnation));
     }
 
     /**
      * Opens a listener. Retries for a while if the address is in use, because the port of a closed
      * listener is released only when its accept thread has returned.
      */
-    private static ServerSocketChannel bind(InetSocketAddress to) throws IOException {
-        long until = System.nanoTime() + REBIND_NS;
+    private static ServerSocketChannel openListener(InetSocketAddress address) throws IOException {
+        long deadlineNs = System.nanoTime() + BIND_TIMEOUT_NS;
         while (true) {
             ServerSocketChannel channel = ServerSocketChannel.open();
             try {
                 channel.setOption(java.net.StandardSocketOptions.SO_REUSEADDR, true);
-                channel.bind(to, BACKLOG);
+                channel.bind(address, BACKLOG);
                 return channel;
             } catch (BindException e) {
                 channel.close();
-                if (System.nanoTime() > until) {
+                if (System.nanoTime() > deadlineNs) {
                     throw e;
                 }
                 Thread.onSpinWait();
@@ -99,7 +99,7 @@
         }
     }
 
-    private static Thread thread(String name, Runnable task) {
+    private static Thread startThread(String name, Runnable task) {
         Thread thread = new Thread(null, task, name, STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
@@ -111,25 +111,25 @@
      * until {@link #restart}.
      */
     public void crash() {
-        List<Runnable> hooks;
+        List<Runnable> callbacks;
         synchronized (this) {
             if (down) {
                 return;
             }
             down = true;
             incarnation++;
-            hooks = new ArrayList<>(doneHooks.values());
-            doneHooks.clear();
-            late.clear();
+            callbacks = new ArrayList<>(completionCallbacks.values());
+            completionCallbacks.clear();
+            completedJobs.clear();
             notifyAll();
         }
         try {
-            server.close();
+            listener.close();
         } catch (IOException e) {
             // The channel is closed even if close() throws.
         }
-        sockets.forEach(EmulatedEngine::close);
-        hooks.forEach(Runnable::run);
+        connections.forEach(EmulatedEngine::close);
+        callbacks.forEach(Runnable::run);
     }
 
     private static void close(SocketChannel socketChannel) {
@@ -143,23 +143,23 @@
         }
     }
 
-    private void accept(ServerSocketChannel from) {
-        while (from.isOpen()) {
+    private void acceptConnections(ServerSocketChannel acceptor) {
+        while (acceptor.isOpen()) {
             try {
-                SocketChannel socketChannel = from.accept();
+                SocketChannel socketChannel = acceptor.accept();
                 socketChannel.setOption(java.net.StandardSocketOptions.TCP_NODELAY, true);
-                sockets.add(socketChannel);
-                thread(
+                connections.add(socketChannel);
+                startThread(
                         config.name() + "-session",
                         () -> {
                             try {
                                 new EngineSession(this, socketChannel).run();
                             } finally {
-                                sockets.remove(socketChannel);
+                                connections.remove(socketChannel);
                             }
                         });
             } catch (IOException e) {
-                if (from.isOpen()) {
+                if (acceptor.isOpen()) {
                     Thread.onSpinWait();
                 }
             }
@@ -168,63 +168,63 @@
 
     // ---- Model
     static double nowMs() {
-        return System.nanoTime() / MS;
+        return System.nanoTime() / NS_PER_MS;
     }
 
-    private void tick(int mine) {
+    private void runModel(int ownIncarnation) {
         while (true) {
-            List<Runnable> hooks = new ArrayList<>();
+            List<Runnable> callbacks = new ArrayList<>();
             synchronized (this) {
-                if (incarnation != mine) {
+                if (incarnation != ownIncarnation) {
                     return;
                 }
-                catchUp();
-                List<Job> done = List.copyOf(late);
-                late.clear();
+                advanceModel();
+                List<Job> done = List.copyOf(completedJobs);
+                completedJobs.clear();
                 for (Job job : done) {
-                    Runnable hook = doneHooks.remove(job);
-                    if (hook != null) {
-                        hooks.add(hook);
+                    Runnable callback = completionCallbacks.remove(job);
+                    if (callback != null) {
+                        callbacks.add(callback);
                     }
                 }
-                if (hooks.isEmpty()) {
-                    double wait = Math.min(1000, model.nextChangeMs());
+                if (callbacks.isEmpty()) {
+                    double waitMs = Math.min(1000, model.nextChangeMs());
                     try {
-                        long ns = (long) (wait * MS);
-                        wait(ns / 1_000_000, (int) (ns % 1_000_000));
+                        long waitNs = (long) (waitMs * NS_PER_MS);
+                        wait(waitNs / 1_000_000, (int) (waitNs % 1_000_000));
                     } catch (InterruptedException e) {
                         return;
                     }
                 }
             }
-            hooks.forEach(Runnable::run);
+            callbacks.forEach(Runnable::run);
         }
     }
 
     /**
-     * Submits a job. {@code done} runs when the job is done or the engine crashes. Returns null if
-     * the engine is down or has its maximum number of jobs.
+     * Submits a job. {@code onCompletion} runs when the job is done or the engine crashes. Returns
+     * null if the engine is down or has its maximum number of jobs.
      */
-    synchronized Job submit(Job.Demand demand, Runnable done) {
-        if (down || model.inHand() >= config.maxSessions()) {
+    synchronized Job submit(Job.Demand demand, Runnable onCompletion) {
+        if (down || model.activeJobs() >= config.maxSessions()) {
             return null;
         }
-        catchUp();
+        advanceModel();
         Job job = model.submit(demand);
-        doneHooks.put(job, done);
+        completionCallbacks.put(job, onCompletion);
         notifyAll();
         return job;
     }
 
     /** Advances the model to the current time; the model thread then reports the completed jobs. */
-    private void catchUp() {
-        late.addAll(model.advance(nowMs()));
+    private void advanceModel() {
+        completedJobs.addAll(model.advance(nowMs()));
     }
 
-    synchronized void drop(Job job) {
-        catchUp();
-        model.drop(job);
-        doneHooks.remove(job);
+    synchronized void cancel(Job job) {
+        advanceModel();
+        model.cancel(job);
+        completionCallbacks.remove(job);
         notifyAll();
     }
 
@@ -236,16 +236,16 @@
 
     /** Sets the speed as a multiple of the configured speed. */
     public synchronized void speed(double multiple) {
-        catchUp();
-        model.speed(multiple);
+        advanceModel();
+        model.setSpeed(multiple);
         notifyAll();
     }
 
     /** Starts or ends a hang: work is accepted but not executed, and nothing is sent. */
-    public synchronized void hang(boolean hangs) {
-        catchUp();
-        faults.hang(hangs);
-        model.paused(hangs);
+    public synchronized void hang(boolean hung) {
+        advanceModel();
+        faults.hang(hung);
+        model.setPaused(hung);
         notifyAll();
     }
 
@@ -266,8 +266,8 @@
     }
 
     /** Returns true if the engine collapsed because it was overloaded while it was cold. */
-    public synchronized boolean hasFallen() {
-        return model.hasFallen();
+    public synchronized boolean hasCollapsed() {
+        return model.hasCollapsed();
     }
 
     /** Returns true before the first start and after a crash. */
@@ -277,26 +277,26 @@
 
     /** Returns the gauges by name. */
     synchronized Map<String, Double> gauges() {
-        catchUp();
-        if (!late.isEmpty()) {
+        advanceModel();
+        if (!completedJobs.isEmpty()) {
             notifyAll();
         }
         return Map.of(
                 "QueriesWaiting",
-                (double) model.waiting(),
+                (double) model.jobsWaitingForMemory(),
                 "CoresBusy",
-                model.coresBusy(),
+                model.busyCoreFraction(),
                 "MemoryGranted",
-                model.memoryGranted(),
+                model.grantedMemoryFraction(),
                 "DisksBusy",
-                model.disksBusy(),
+                model.busyDiskFraction(),
                 "QueriesInHand",
-                (double) model.inHand(),
+                (double) model.activeJobs(),
                 "Uptime",
-                model.upMs() / 1000);
+                model.uptimeMs() / 1000);
     }
 
-    synchronized double drawn() {
+    synchronized double nextRandom() {
         return random.nextDouble();
     }
 }
--- a/emulator/src/main/java/ashlink/emulator/EngineSession.java
+++ b/emulator/src/main/java/ashlink/emulator/EngineSession.java
@@ -34,16 +34,16 @@
 /** A client connection to an emulated engine. */
 final class EngineSession {
 
-    private static final int LOOK_MS = 10;
+    private static final int POLL_MS = 10;
     private static final int READ_BYTES = 64 << 10;
-    private static final int TURNED_AWAY = 202;
-    private static final int CANCELLED = 394;
+    private static final int TOO_MANY_QUERIES = 202;
+    private static final int QUERY_CANCELLED = 394;
     private static final int HIGHEST_PRIORITY = 4;
     private static final WireLimits LIMITS = WireLimits.DEFAULT;
 
     /** Signals that the connection breaks because of an injected fault, a cancel or a crash. */
-    private static final class Broken extends IOException {
-        Broken() {
+    private static final class BrokenConnectionException extends IOException {
+        BrokenConnectionException() {
             super("connection broken by the emulated engine", null);
         }
     }
@@ -59,7 +59,7 @@
     private Entry entry;
 
     /** True while the client can send only a Cancel. */
-    private boolean quiet;
+    private boolean onlyCancelExpected;
 
     EngineSession(EmulatedEngine engine, SocketChannel channel) {
         this.engine = engine;
@@ -72,13 +72,13 @@
             in = new StreamSource(channel.socket().getInputStream(), READ_BYTES);
             blocks = new BlockReader(in, LIMITS);
             out = channel.socket().getOutputStream();
-            breakHere(Place.ACCEPT, null);
-            hello();
-            int kind;
-            while ((kind = in.readByteOrEnd()) >= 0) {
-                switch (ClientPacket.of(kind)) {
+            injectFault(Place.ACCEPT, null);
+            login();
+            int packetNumber;
+            while ((packetNumber = in.readByteOrEnd()) >= 0) {
+                switch (ClientPacket.of(packetNumber)) {
                     case PING -> send(new ByteBuf().putVarUInt(ServerPacket.PONG.ordinal()));
-                    case QUERY -> query();
+                    case QUERY -> handleQuery();
                     case DATA -> readData(false);
                     case CANCEL -> {}
                     default -> throw new IOException("unexpected Hello packet after login");
@@ -97,24 +97,26 @@
         bytes.writeTo(out);
     }
 
-    private void breakHere(Place place, ByteBuf packet) throws IOException, InterruptedException {
-        while (engine.faults().isHung() && place != Place.ACCEPT) {
-            Thread.sleep(LOOK_MS);
+    private void injectFault(Place point, ByteBuf packet) throws IOException, InterruptedException {
+        while (engine.faults().isHung() && point != Place.ACCEPT) {
+            Thread.sleep(POLL_MS);
             if (engine.isDown()) {
-                throw new Broken();
+                throw new BrokenConnectionException();
             }
-            if (entry != null && quiet && entry.releasedNs() == 0 && clientHasGone()) {
-                entry.released();
+            if (entry != null && onlyCancelExpected && entry.releasedNs() == 0 && clientIsGone()) {
+                entry.markReleased();
             }
         }
-        Break b = engine.faults().here(place);
-        if (b == null) {
+        Break kind = engine.faults().nextBreak(point);
+        if (kind == null) {
             return;
         }
-        switch (b) {
+        switch (kind) {
             case SILENCE -> {
-                while (engine.faults().lostAnswers() >= 0 && channel.isOpen() && !engine.isDown()) {
-                    Thread.sleep(LOOK_MS);
+                while (engine.faults().lostAnswerFraction() >= 0
+                        && channel.isOpen()
+                        && !engine.isDown()) {
+                    Thread.sleep(POLL_MS);
                 }
             }
             case GARBAGE ->
@@ -133,21 +135,21 @@
             }
             default -> {}
         }
-        throw new Broken();
+        throw new BrokenConnectionException();
     }
 
-    private void hello() throws IOException, InterruptedException {
+    private void login() throws IOException, InterruptedException {
         if (in.readByte() != ClientPacket.HELLO.ordinal()) {
             throw new IOException("first packet is not a Hello packet");
         }
         Hello.Client hello = Hello.Client.read(in, WireLimits.LOGIN);
-        breakHere(Place.HELLO, null);
+        injectFault(Place.HELLO, null);
         revision = Math.min(Revision.HIGHEST, hello.revision());
         client = hello.name();
-        ByteBuf answer = new ByteBuf();
+        ByteBuf response = new ByteBuf();
         new Hello.Server("stand-in", 22, 4, Revision.HIGHEST, "UTC", config.name(), 0)
-                .write(revision, answer);
-        send(answer);
+                .write(revision, response);
+        send(response);
     }
 
     /** Reads the rest of a Data packet. */
@@ -164,7 +166,7 @@
     }
 
     // ---- Statement
-    private void query() throws IOException, InterruptedException {
+    private void handleQuery() throws IOException, InterruptedException {
         QueryPacket queryPacket = QueryPacket.read(in, revision, LIMITS);
         while (!readNextData(queryPacket.compressed()).isEnd()) {
             // Skips the external tables.
@@ -172,8 +174,8 @@
         WorkHints hints = new WorkHints(queryPacket.statement());
         String text = queryPacket.statement().replaceAll("(?s)/\\*.*?\\*/", " ").strip();
         if (text.contains("system.metrics")) {
-            breakHere(Place.RUN, null);
-            answerMetrics(queryPacket);
+            injectFault(Place.RUN, null);
+            sendMetrics(queryPacket);
             return;
         }
         entry =
@@ -186,24 +188,25 @@
                         hints,
                         System.nanoTime());
         engine.ledger().begin(entry);
-        String upper = text.toUpperCase(Locale.ROOT);
-        boolean takesData = upper.startsWith("INSERT") && !upper.contains("SELECT");
-        quiet = !takesData;
-        breakHere(Place.QUERY, null);
-        if (takesData) {
+        String upperCaseText = text.toUpperCase(Locale.ROOT);
+        boolean hasInlineData =
+                upperCaseText.startsWith("INSERT") && !upperCaseText.contains("SELECT");
+        onlyCancelExpected = !hasInlineData;
+        injectFault(Place.QUERY, null);
+        if (hasInlineData) {
             readInsert(queryPacket, hints);
-            quiet = true;
+            onlyCancelExpected = true;
         }
-        entry.ran();
-        if (hints.whole("error", 0) > 0) {
-            sendError((int) hints.whole("error", 0), "error requested by the statement");
+        entry.markRan();
+        if (hints.integer("error", 0) > 0) {
+            sendError((int) hints.integer("error", 0), "error requested by the statement");
             return;
         }
-        if (!work(queryPacket, hints)) {
+        if (!execute(queryPacket, hints)) {
             return;
         }
-        entry.effect();
-        answer(queryPacket, hints, text, upper);
+        entry.markEffect();
+        respond(queryPacket, hints, text, upperCaseText);
         entry = null;
     }
 
@@ -211,10 +214,13 @@
         engine.ledger().end(entry, how);
     }
 
-    private void sendError(int code, String why) throws IOException {
+    private void sendError(int code, String reason) throws IOException {
         ByteBuf packet = new ByteBuf();
-        new ServerError(code, "StandIn::Exception", config.name() + ": " + why).write(packet);
-        end(code == TURNED_AWAY ? How.TURNED_AWAY : code == CANCELLED ? How.DROPPED : How.ERROR);
+        new ServerError(code, "StandIn::Exception", config.name() + ": " + reason).write(packet);
+        end(
+                code == TOO_MANY_QUERIES
+                        ? How.TURNED_AWAY
+                        : code == QUERY_CANCELLED ? How.DROPPED : How.ERROR);
         entry = null;
         send(packet);
     }
@@ -236,10 +242,10 @@
         }
         header.putVarUInt(ServerPacket.DATA.ordinal()).putString("");
         new Block(columns, 0).write(queryPacket.compressed() ? Compression.LZ4 : null, header);
-        breakHere(Place.HEADER, header);
+        injectFault(Place.HEADER, header);
         send(header);
         while (!readNextData(queryPacket.compressed()).isEnd()) {
-            breakHere(Place.INSERT, null);
+            injectFault(Place.INSERT, null);
         }
     }
 
@@ -248,85 +254,85 @@
      * Executes the statement and waits until it is done. Returns false if the engine rejected the
      * statement, after sending the error.
      */
-    private boolean work(QueryPacket queryPacket, WorkHints hints)
+    private boolean execute(QueryPacket queryPacket, WorkHints hints)
             throws IOException, InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
         Job job = engine.submit(demand(queryPacket, hints), done::countDown);
         if (job == null) {
             sendError(
-                    TURNED_AWAY,
+                    TOO_MANY_QUERIES,
                     "too many concurrent queries: at most " + config.maxSessions());
             return false;
         }
-        boolean gone = false;
-        while (!done.await(LOOK_MS, TimeUnit.MILLISECONDS)) {
-            if (!gone && clientHasGone()) {
-                gone = true;
-                entry.released();
+        boolean clientGone = false;
+        while (!done.await(POLL_MS, TimeUnit.MILLISECONDS)) {
+            if (!clientGone && clientIsGone()) {
+                clientGone = true;
+                entry.markReleased();
                 if (config.stopsOnCancel()) {
-                    engine.drop(job);
+                    engine.cancel(job);
                     end(How.DROPPED);
-                    throw new Broken();
+                    throw new BrokenConnectionException();
                 }
             }
         }
         if (job.state() != Job.State.DONE) {
             end(How.CRASHED);
-            throw new Broken();
+            throw new BrokenConnectionException();
         }
-        breakHere(Place.RUN, null);
-        if (engine.drawn() < engine.faults().lostAnswers()) {
-            entry.effect();
+        injectFault(Place.RUN, null);
+        if (engine.nextRandom() < engine.faults().lostAnswerFraction()) {
+            entry.markEffect();
             end(How.ANSWER_LOST);
-            while (!clientHasGone() && !engine.isDown()) {
-                Thread.sleep(LOOK_MS);
+            while (!clientIsGone() && !engine.isDown()) {
+                Thread.sleep(POLL_MS);
             }
-            entry.released();
-            throw new Broken();
+            entry.markReleased();
+            throw new BrokenConnectionException();
         }
         return true;
     }
 
-    private static Job.Demand demand(QueryPacket queryPacket, WorkHints workHints) {
+    private static Job.Demand demand(QueryPacket queryPacket, WorkHints hints) {
         String grant = queryPacket.setting("max_memory_usage");
         String priority = queryPacket.setting("priority");
         double grantMb = grant == null ? 0 : Double.parseDouble(grant) / (1 << 20);
-        int p = priority == null ? 1 : HIGHEST_PRIORITY - Integer.parseInt(priority);
+        int modelPriority = priority == null ? 1 : HIGHEST_PRIORITY - Integer.parseInt(priority);
         return new Job.Demand(
-                workHints.number("work_ms", 1),
-                (int) workHints.whole("threads", 1),
-                workHints.number("io", 0),
-                workHints.number("memory_mb", 1),
+                hints.number("work_ms", 1),
+                (int) hints.integer("threads", 1),
+                hints.number("io", 0),
+                hints.number("memory_mb", 1),
                 grantMb,
-                p,
-                workHints.whole("tables", 0),
-                workHints.whole("holds", 0) > 0,
-                workHints.whole("waits", 0) > 0);
+                modelPriority,
+                hints.integer("tables", 0),
+                hints.integer("holds", 0) > 0,
+                hints.integer("waits", 0) > 0);
     }
 
     /** Returns true if the client closed the connection or sent a Cancel. */
-    private boolean clientHasGone() {
+    private boolean clientIsGone() {
         try {
             if (in.hasBuffered()) {
                 return in.readByte() == ClientPacket.CANCEL.ordinal();
             }
             channel.configureBlocking(false);
-            int n = channel.read(ByteBuffer.allocate(1));
+            int count = channel.read(ByteBuffer.allocate(1));
             channel.configureBlocking(true);
-            return n != 0; // end of stream, or a byte that can only be a Cancel
+            return count != 0; // end of stream, or a byte that can only be a Cancel
         } catch (IOException e) {
             return true;
         }
     }
 
     // ---- Response
-    private void answerMetrics(QueryPacket queryPacket) throws IOException {
+    private void sendMetrics(QueryPacket queryPacket) throws IOException {
         Map<String, Double> gauges = engine.gauges();
         ByteBuf packet = new ByteBuf();
         packet.putVarUInt(ServerPacket.DATA.ordinal()).putString("");
         List<Object> names = new ArrayList<>(gauges.keySet());
         List<Object> values = new ArrayList<>();
-        names.forEach(n -> values.add(gauges.get(n)));
+        names.forEach(name -> values.add(gauges.get(name)));
         Block.of(
                         new Block.Column("metric", "String", names),
                         new Block.Column("value", "Float64", values))
@@ -335,7 +341,8 @@
         send(packet);
     }
 
-    private void answer(QueryPacket queryPacket, WorkHints hints, String text, String upper)
+    private void respond(
+            QueryPacket queryPacket, WorkHints hints, String text, String upperCaseText)
             throws IOException, InterruptedException {
         ByteBuf packet = new ByteBuf();
         Compression compression =
@@ -345,41 +352,41 @@
                                 ? Compression.ZSTD
                                 : Compression.LZ4;
         long rows = 0;
-        boolean insert =
-                upper.startsWith(
+        boolean isInsert =
+                upperCaseText.startsWith(
                         "INSERT"); // at these revisions, END_OF_STREAM alone ends an INSERT
-        if (!insert) {
-            rows = data(hints, text, compression, packet);
+        if (!isInsert) {
+            rows = writeBlocks(hints, text, compression, packet);
         }
-        if (hints.whole("error_mid", 0) > 0) {
+        if (hints.integer("error_mid", 0) > 0) {
             send(packet);
             sendError(
-                    (int) hints.whole("error_mid", 0),
+                    (int) hints.integer("error_mid", 0),
                     "error requested by the statement within the result");
             return;
         }
-        if (!insert) {
+        if (!isInsert) {
             new ProfileInfo(rows, 1, 0, false, 0, false).write(packet);
-            events(hints, packet);
+            writeProfileEvents(hints, packet);
         }
-        breakHere(Place.END, packet);
+        injectFault(Place.END, packet);
         packet.putVarUInt(ServerPacket.END_OF_STREAM.ordinal());
         end(How.ANSWERED);
         send(packet);
     }
 
     /** Writes the result blocks and sends them when the packet is large; the rest stays in it. */
-    private long data(WorkHints hints, String text, Compression compression, ByteBuf packet)
+    private long writeBlocks(WorkHints hints, String text, Compression compression, ByteBuf packet)
             throws IOException, InterruptedException {
-        long blocksWanted = hints.whole("blocks", 1);
-        int rows = (int) hints.whole("rows", 1);
+        long blockCount = hints.integer("blocks", 1);
+        int rows = (int) hints.integer("rows", 1);
         Block block =
                 text.equalsIgnoreCase("SELECT 1")
                         ? Block.of(new Block.Column("1", "UInt8", List.of(1L)))
-                        : made(hints, rows);
-        ByteBuf one = new ByteBuf();
-        one.putVarUInt(ServerPacket.DATA.ordinal()).putString("");
-        block.write(compression, one);
+                        : resultBlock(hints, rows);
+        ByteBuf blockPacket = new ByteBuf();
+        blockPacket.putVarUInt(ServerPacket.DATA.ordinal()).putString("");
+        block.write(compression, blockPacket);
         ByteBuf header = new ByteBuf();
         header.putVarUInt(ServerPacket.DATA.ordinal()).putString("");
         new Block(
@@ -393,76 +400,78 @@
                 .write(compression, header);
         packet.append(header.array(), 0, header.size());
         new Progress(rows, 0, 0, 0, 0).write(revision, packet);
-        for (long i = 0; i < blocksWanted && block.rows() > 0; i++) {
-            if (i == blocksWanted / 2) {
-                breakAnswer(one, packet);
+        for (long i = 0; i < blockCount && block.rows() > 0; i++) {
+            if (i == blockCount / 2) {
+                injectAnswerFault(blockPacket, packet);
             }
-            packet.append(one.array(), 0, one.size());
+            packet.append(blockPacket.array(), 0, blockPacket.size());
             if (packet.size() > READ_BYTES) {
                 send(packet);
                 packet.clear();
             }
         }
-        return rows * blocksWanted;
+        return rows * blockCount;
     }
 
-    private void breakAnswer(ByteBuf one, ByteBuf before) throws IOException, InterruptedException {
-        if (engine.faults().isAt(Place.ANSWER)) {
-            breakHere(
+    private void injectAnswerFault(ByteBuf blockPacket, ByteBuf precedingBytes)
+            throws IOException, InterruptedException {
+        if (engine.faults().isPending(Place.ANSWER)) {
+            injectFault(
                     Place.ANSWER,
                     new ByteBuf()
-                            .append(before.array(), 0, before.size())
-                            .append(one.array(), 0, one.size()));
+                            .append(precedingBytes.array(), 0, precedingBytes.size())
+                            .append(blockPacket.array(), 0, blockPacket.size()));
         }
     }
 
-    private Block made(WorkHints hints, int rows) {
+    private Block resultBlock(WorkHints hints, int rows) {
         List<Object> ids = new ArrayList<>();
-        List<Object> texts = new ArrayList<>();
+        List<Object> values = new ArrayList<>();
         String value = hints.text("value", config.name());
-        int width = (int) hints.whole("width", 0);
-        String wide =
+        int width = (int) hints.integer("width", 0);
+        String paddedValue =
                 width > 0
                         ? value.repeat(width / Math.max(1, value.length()) + 1).substring(0, width)
                         : value;
         for (int i = 0; i < rows; i++) {
             ids.add((long) i);
-            texts.add(wide);
+            values.add(paddedValue);
         }
         return Block.of(
-                new Block.Column("id", "UInt64", ids), new Block.Column("value", "String", texts));
+                new Block.Column("id", "UInt64", ids), new Block.Column("value", "String", values));
     }
 
-    private void events(WorkHints hints, ByteBuf packet) throws IOException {
+    private void writeProfileEvents(WorkHints hints, ByteBuf packet) throws IOException {
         if (!Revision.hasProfileEvents(revision)) {
             return;
         }
         Map<String, Double> gauges = engine.gauges();
         List<Object> names = new ArrayList<>(List.of("WorkMilliseconds", "MemoryMegabytes"));
         List<Object> values =
-                new ArrayList<>(List.of(hints.whole("work_ms", 1), hints.whole("memory_mb", 1)));
+                new ArrayList<>(
+                        List.of(hints.integer("work_ms", 1), hints.integer("memory_mb", 1)));
         gauges.forEach(
-                (text, v) -> {
-                    names.add(text + "Permille");
-                    values.add((long) (v * 1000));
+                (name, value) -> {
+                    names.add(name + "Permille");
+                    values.add((long) (value * 1000));
                 });
         int rows = names.size();
         packet.putVarUInt(ServerPacket.PROFILE_EVENTS.ordinal()).putString("");
         Block.of(
-                        new Block.Column("host_name", "String", repeated(config.name(), rows)),
+                        new Block.Column("host_name", "String", repeat(config.name(), rows)),
                         new Block.Column(
                                 "current_time",
                                 "DateTime",
-                                repeated(System.currentTimeMillis() / 1000, rows)),
-                        new Block.Column("thread_id", "UInt64", repeated(1L, rows)),
+                                repeat(System.currentTimeMillis() / 1000, rows)),
+                        new Block.Column("thread_id", "UInt64", repeat(1L, rows)),
                         new Block.Column(
-                                "type", "Enum8('increment' = 1, 'gauge' = 2)", repeated(2L, rows)),
+                                "type", "Enum8('increment' = 1, 'gauge' = 2)", repeat(2L, rows)),
                         new Block.Column("name", "String", names),
                         new Block.Column("value", "Int64", values))
                 .write(null, packet);
     }
 
-    private static List<Object> repeated(Object value, int times) {
+    private static List<Object> repeat(Object value, int times) {
         return new ArrayList<>(java.util.Collections.nCopies(times, value));
     }
 }
--- a/emulator/src/main/java/ashlink/emulator/FaultInjection.java
+++ b/emulator/src/main/java/ashlink/emulator/FaultInjection.java
@@ -26,53 +26,53 @@
     }
 
     private volatile Place place = Place.NOWHERE;
-    private volatile Break how = Break.CLOSE;
-    private volatile int times = Integer.MAX_VALUE;
-    private volatile double lostAnswers;
+    private volatile Break breakKind = Break.CLOSE;
+    private volatile int remainingBreaks = Integer.MAX_VALUE;
+    private volatile double lostAnswerFraction;
     private volatile boolean hung;
 
     /** Breaks the given number of connections at a point, one each time the point is reached. */
-    public synchronized void breakAt(Place at, Break by, int count) {
-        place = at;
-        how = by;
-        times = count;
+    public synchronized void breakAt(Place point, Break kind, int count) {
+        place = point;
+        breakKind = kind;
+        remainingBreaks = count;
     }
 
     /** Removes all faults. */
     public synchronized void heal() {
         place = Place.NOWHERE;
-        lostAnswers = 0;
+        lostAnswerFraction = 0;
         hung = false;
     }
 
     /** Loses a fraction of the responses after the work is done. */
-    public void loseAnswers(double share) {
-        lostAnswers = share;
+    public void loseAnswers(double fraction) {
+        lostAnswerFraction = fraction;
     }
 
     /** Starts or ends a hang: connections and queries are accepted, and nothing is sent. */
-    public void hang(boolean hangs) {
-        hung = hangs;
+    public void hang(boolean value) {
+        hung = value;
     }
 
-    double lostAnswers() {
-        return lostAnswers;
+    double lostAnswerFraction() {
+        return lostAnswerFraction;
     }
 
     boolean isHung() {
         return hung;
     }
 
-    synchronized boolean isAt(Place at) {
-        return place == at && times > 0;
+    synchronized boolean isPending(Place point) {
+        return place == point && remainingBreaks > 0;
     }
 
     /** Returns how to break the connection at a point and counts the break; null for no fault. */
-    synchronized Break here(Place at) {
-        if (place != at || times <= 0) {
+    synchronized Break nextBreak(Place point) {
+        if (place != point || remainingBreaks <= 0) {
             return null;
         }
-        times--;
-        return how;
+        remainingBreaks--;
+        return breakKind;
     }
 }
--- a/emulator/src/main/java/ashlink/emulator/Ledger.java
+++ b/emulator/src/main/java/ashlink/emulator/Ledger.java
@@ -93,20 +93,20 @@
             return how;
         }
 
-        void ran() {
+        void markRan() {
             ranNs = System.nanoTime();
         }
 
-        void released() {
+        void markReleased() {
             releasedNs = releasedNs == 0 ? System.nanoTime() : releasedNs;
         }
 
-        void effect() {
+        void markEffect() {
             effectNs = System.nanoTime();
         }
     }
 
-    private static final int MOST_ENTRIES = 5_000_000;
+    private static final int MAX_ENTRIES = 5_000_000;
 
     private final List<Entry> entries = new ArrayList<>();
     private final BufferedWriter file;
@@ -127,8 +127,8 @@
     }
 
     synchronized void begin(Entry entry) {
-        if (entries.size() >= MOST_ENTRIES) {
-            throw new IllegalStateException("ledger is full: at most " + MOST_ENTRIES + " entries");
+        if (entries.size() >= MAX_ENTRIES) {
+            throw new IllegalStateException("ledger is full: at most " + MAX_ENTRIES + " entries");
         }
         entries.add(entry);
         write("begin", entry);
@@ -142,13 +142,13 @@
         }
     }
 
-    private synchronized void write(String what, Entry entry) {
+    private synchronized void write(String event, Entry entry) {
         if (file != null) {
             try {
                 file.write(
                         System.currentTimeMillis()
                                 + "\t"
-                                + what
+                                + event
                                 + "\t"
                                 + entry.engine
                                 + "\t"
@@ -163,8 +163,8 @@
                                 + entry.how
                                 + "\n");
                 file.flush();
-            } catch (IOException ex) {
-                throw new UncheckedIOException(ex);
+            } catch (IOException e) {
+                throw new UncheckedIOException(e);
             }
         }
     }
--- a/emulator/src/main/java/ashlink/emulator/model/EngineModel.java
+++ b/emulator/src/main/java/ashlink/emulator/model/EngineModel.java
@@ -14,25 +14,25 @@
 public final class EngineModel {
 
     /** Longest step with constant rates while the engine warms up and its speed increases. */
-    private static final double RAMP_STEP_MS = 20;
+    private static final double WARM_UP_STEP_MS = 20;
 
     /** Weights of priorities 0 to 3 when the jobs have more threads than the engine has cores. */
-    private static final double[] WEIGHTS = {1, 4, 8, 16};
+    private static final double[] PRIORITY_WEIGHTS = {1, 4, 8, 16};
 
     /** Grant as a multiple of the needed memory if the client does not request an amount. */
-    private static final double OWN_CHOICE = 1.25;
+    private static final double DEFAULT_GRANT_FACTOR = 1.25;
 
     /** Largest grant as a fraction of the engine's memory. */
-    private static final double MOST_GRANT = 0.4;
+    private static final double MAX_GRANT_FRACTION = 0.4;
 
     private final EngineConfig config;
     private final List<Job> jobs = new ArrayList<>();
     private final List<double[]> arrivals = new ArrayList<>();
-    private double now;
+    private double nowMs;
     private double startedMs;
     private double speed = 1;
     private boolean paused;
-    private boolean fallen;
+    private boolean collapsed;
     private long sequence;
 
     /**
@@ -45,71 +45,71 @@
     public EngineModel(EngineConfig config, double startedMs, double nowMs) {
         this.config = config;
         this.startedMs = startedMs;
-        this.now = nowMs;
+        this.nowMs = nowMs;
     }
 
     // ---- Faults
     /** Sets the speed as a multiple of the configured speed, from the current time on. */
-    public void speed(double multiple) {
+    public void setSpeed(double multiple) {
         speed = multiple;
     }
 
     /** Pauses or resumes all jobs. */
-    public void paused(boolean p) {
-        paused = p;
+    public void setPaused(boolean value) {
+        paused = value;
     }
 
     /**
      * Returns true if the engine collapsed because it received too much work while it was cold. A
      * collapsed engine executes nothing until it is restarted.
      */
-    public boolean hasFallen() {
-        return fallen;
+    public boolean hasCollapsed() {
+        return collapsed;
     }
 
     // ---- Work
     /** Adds a job at the current time. */
     public Job submit(Job.Demand demand) {
         Job job = new Job(demand, sequence++);
-        noteArrival(demand.workMs());
+        recordArrival(demand.workMs());
         jobs.add(job);
-        job.state(Job.State.WAITS_FOR_MEMORY);
-        admit();
+        job.setState(Job.State.WAITS_FOR_MEMORY);
+        startRunnableJobs();
         return job;
     }
 
     /** Removes a job that is not to be completed. */
-    public void drop(Job job) {
+    public void cancel(Job job) {
         if (jobs.remove(job)) {
-            job.state(Job.State.DROPPED);
-            admit();
+            job.setState(Job.State.CANCELLED);
+            startRunnableJobs();
         }
     }
 
     /** Advances the current time and returns the jobs that are completed by then. */
-    public List<Job> advance(double toMs) {
+    public List<Job> advance(double untilMs) {
         List<Job> done = new ArrayList<>();
-        while (now < toMs && !paused && !fallen) {
-            double step = Math.min(toMs - now, nextChangeMs());
+        while (nowMs < untilMs && !paused && !collapsed) {
+            double step = Math.min(untilMs - nowMs, nextChangeMs());
             double[] rates = rates();
             for (int i = 0; i < jobs.size(); i++) {
-                jobs.get(i).work(rates[i] * step);
+                jobs.get(i).execute(rates[i] * step);
             }
-            now += step;
-            boolean any = false;
+            nowMs += step;
+            boolean anyDone = false;
             for (Job job : List.copyOf(jobs)) {
-                if (job.state() == Job.State.RUNS && job.leftMs() <= 1e-6) {
+                if (job.state() == Job.State.RUNS && job.remainingMs() <= 1e-6) {
                     jobs.remove(job);
-                    job.state(Job.State.DONE);
+                    job.setState(Job.State.DONE);
                     done.add(job);
-                    any = true;
+                    anyDone = true;
                 }
             }
-            if (any) {
-                admit();
+            if (anyDone) {
+                startRunnableJobs();
             }
         }
-        now = Math.max(now, toMs);
+        nowMs = Math.max(nowMs, untilMs);
         return done;
     }
 
@@ -122,64 +122,65 @@
         double next = Double.POSITIVE_INFINITY;
         for (int i = 0; i < jobs.size(); i++) {
             if (rates[i] > 0) {
-                next = Math.min(next, Math.max(1e-6, jobs.get(i).leftMs() / rates[i]));
+                next = Math.min(next, Math.max(1e-6, jobs.get(i).remainingMs() / rates[i]));
             }
         }
-        return warmth() < 1 ? Math.min(next, RAMP_STEP_MS) : next;
+        return warmUpFraction() < 1 ? Math.min(next, WARM_UP_STEP_MS) : next;
     }
 
     // ---- Gauges
     /** Returns the number of jobs that are running or waiting. */
-    public int inHand() {
+    public int activeJobs() {
         return jobs.size();
     }
 
     /** Returns the number of jobs that wait for memory. */
-    public int waiting() {
+    public int jobsWaitingForMemory() {
         return (int) jobs.stream().filter(job -> job.state() == Job.State.WAITS_FOR_MEMORY).count();
     }
 
     /** Returns the granted fraction of the engine's memory. */
-    public double memoryGranted() {
+    public double grantedMemoryFraction() {
         return jobs.stream().mapToDouble(Job::grantedMb).sum() / config.memoryMb();
     }
 
     /** Returns the fraction of the engine's cores that are busy. */
-    public double coresBusy() {
-        return Math.min(1, threads() / config.cores());
+    public double busyCoreFraction() {
+        return Math.min(1, runningThreads() / config.cores());
     }
 
     /** Returns the fraction of the engine's disk bandwidth that is in use. */
-    public double disksBusy() {
-        return Math.min(1, reading() / (config.diskThreadFraction() * config.cores()));
+    public double busyDiskFraction() {
+        return Math.min(1, ioThreads() / (config.diskThreadFraction() * config.cores()));
     }
 
     /** Returns the time since the start, in milliseconds. */
-    public double upMs() {
-        return now - startedMs;
+    public double uptimeMs() {
+        return nowMs - startedMs;
     }
 
     /** Returns the work per millisecond that the engine can do at its current warm-up state. */
     public double capacity() {
-        return config.cores() * config.speed() * warmth();
+        return config.cores() * config.speed() * warmUpFraction();
     }
 
-    private double warmth() {
-        double coldMs = config.slowStartNs() / 1e6;
-        double up = now - startedMs;
-        return coldMs <= 0 || up >= coldMs
+    private double warmUpFraction() {
+        double warmUpMs = config.slowStartNs() / 1e6;
+        double uptimeMs = nowMs - startedMs;
+        return warmUpMs <= 0 || uptimeMs >= warmUpMs
                 ? 1
-                : config.slowStartFraction() + (1 - config.slowStartFraction()) * up / coldMs;
+                : config.slowStartFraction()
+                        + (1 - config.slowStartFraction()) * uptimeMs / warmUpMs;
     }
 
-    private double threads() {
+    private double runningThreads() {
         return jobs.stream()
                 .filter(job -> job.state() == Job.State.RUNS)
                 .mapToDouble(job -> job.demand().threads())
                 .sum();
     }
 
-    private double reading() {
+    private double ioThreads() {
         return jobs.stream()
                 .filter(job -> job.state() == Job.State.RUNS)
                 .mapToDouble(job -> job.demand().threads() * job.demand().ioShare())
@@ -190,21 +191,21 @@
     /** Returns the current rate of each job, in milliseconds of work per millisecond. */
     private double[] rates() {
         double[] rates = new double[jobs.size()];
-        double threads = threads();
-        if (threads == 0 || paused || fallen) {
+        double threads = runningThreads();
+        if (threads == 0 || paused || collapsed) {
             return rates;
         }
-        double aCore = threads / config.cores();
-        double over = Math.max(0, aCore / config.kneeThreadsPerCore() - 1);
-        double efficiency = 1 / (1 + over * config.thrash() / (1 - config.thrash()));
-        double each = config.speed() * speed * warmth() * efficiency;
+        double threadsPerCore = threads / config.cores();
+        double excess = Math.max(0, threadsPerCore / config.kneeThreadsPerCore() - 1);
+        double efficiency = 1 / (1 + excess * config.thrash() / (1 - config.thrash()));
+        double speedPerThread = config.speed() * speed * warmUpFraction() * efficiency;
         double cores = config.cores();
-        double disks = Math.max(1e-9, config.diskThreadFraction() * config.cores());
-        double weights = 0;
+        double ioThreadLimit = Math.max(1e-9, config.diskThreadFraction() * config.cores());
+        double totalWeight = 0;
         for (Job job : jobs) {
-            weights += job.state() == Job.State.RUNS ? weight(job) : 0;
+            totalWeight += job.state() == Job.State.RUNS ? weight(job) : 0;
         }
-        double diskShort = Math.max(1, reading() / disks);
+        double ioSlowdown = Math.max(1, ioThreads() / ioThreadLimit);
         for (int i = 0; i < rates.length; i++) {
             Job job = jobs.get(i);
             if (job.state() == Job.State.RUNS) {
@@ -213,16 +214,17 @@
                                 job.demand().threads(),
                                 threads <= cores
                                         ? job.demand().threads()
-                                        : cores * weight(job) / weights);
-                double io = job.demand().ioShare();
-                rates[i] = each * share / (1 - io + io * diskShort);
+                                        : cores * weight(job) / totalWeight);
+                double ioShare = job.demand().ioShare();
+                rates[i] = speedPerThread * share / (1 - ioShare + ioShare * ioSlowdown);
             }
         }
         return rates;
     }
 
     private static double weight(Job job) {
-        return job.demand().threads() * WEIGHTS[Math.max(0, Math.min(3, job.demand().priority()))];
+        return job.demand().threads()
+                * PRIORITY_WEIGHTS[Math.max(0, Math.min(3, job.demand().priority()))];
     }
 
     // ---- Memory and tables
@@ -230,67 +232,67 @@
      * Starts the jobs that can run now. Memory is granted by priority and then in the order of
      * arrival, table locks in the order of arrival.
      */
-    private void admit() {
-        List<Job> line = new ArrayList<>(jobs);
-        line.sort(
+    private void startRunnableJobs() {
+        List<Job> queue = new ArrayList<>(jobs);
+        queue.sort(
                 Comparator.comparingInt((Job job) -> -job.demand().priority())
                         .thenComparingLong(Job::sequence));
-        boolean shortOfMemory = false;
-        for (Job job : line) {
-            if (job.state() == Job.State.WAITS_FOR_MEMORY && !shortOfMemory) {
-                shortOfMemory = !grant(job);
+        boolean memoryExhausted = false;
+        for (Job job : queue) {
+            if (job.state() == Job.State.WAITS_FOR_MEMORY && !memoryExhausted) {
+                memoryExhausted = !tryGrant(job);
             }
         }
         jobs.stream()
-                .filter(job -> job.state() == Job.State.WAITS_FOR_TABLES && !isBarred(job))
-                .forEach(job -> job.state(Job.State.RUNS));
+                .filter(job -> job.state() == Job.State.WAITS_FOR_TABLES && !waitsForTableLock(job))
+                .forEach(job -> job.setState(Job.State.RUNS));
     }
 
-    private boolean grant(Job job) {
-        double wanted =
+    private boolean tryGrant(Job job) {
+        double grantMb =
                 Math.min(
-                        MOST_GRANT * config.memoryMb(),
+                        MAX_GRANT_FRACTION * config.memoryMb(),
                         job.demand().grantMb() > 0
                                 ? job.demand().grantMb()
-                                : OWN_CHOICE * job.demand().memoryMb());
-        double free = config.memoryMb() * (1 - memoryGranted());
-        if (wanted > free && config.memoryQueue() && memoryGranted() > 0) {
+                                : DEFAULT_GRANT_FACTOR * job.demand().memoryMb());
+        double freeMb = config.memoryMb() * (1 - grantedMemoryFraction());
+        if (grantMb > freeMb && config.memoryQueue() && grantedMemoryFraction() > 0) {
             return false;
         }
-        job.grant(Math.min(wanted, Math.max(0, free)), config.spill());
-        job.state(isBarred(job) ? Job.State.WAITS_FOR_TABLES : Job.State.RUNS);
+        job.setGrant(Math.min(grantMb, Math.max(0, freeMb)), config.spill());
+        job.setState(waitsForTableLock(job) ? Job.State.WAITS_FOR_TABLES : Job.State.RUNS);
         return true;
     }
 
     /** Returns true while another job that started or arrived earlier locks the job's tables. */
-    private boolean isBarred(Job j) {
-        if (!j.demand().waits() && !j.demand().holds()) {
+    private boolean waitsForTableLock(Job job) {
+        if (!job.demand().waitsForTableLocks() && !job.demand().locksTables()) {
             return false;
         }
         return jobs.stream()
                 .anyMatch(
-                        o ->
-                                o != j
-                                        && o.demand().holds()
-                                        && o.demand().tables() == j.demand().tables()
-                                        && (o.state() == Job.State.RUNS
-                                                || o.state() == Job.State.WAITS_FOR_TABLES
-                                                        && o.sequence() < j.sequence()));
+                        other ->
+                                other != job
+                                        && other.demand().locksTables()
+                                        && other.demand().tableGroup() == job.demand().tableGroup()
+                                        && (other.state() == Job.State.RUNS
+                                                || other.state() == Job.State.WAITS_FOR_TABLES
+                                                        && other.sequence() < job.sequence()));
     }
 
     /**
-     * Records an arrival. A cold engine collapses if the work that arrived within the window exceeds
-     * a configured multiple of its capacity.
+     * Records an arrival. A cold engine collapses if the work that arrived within the window
+     * exceeds a configured multiple of its capacity.
      */
-    private void noteArrival(double workMs) {
-        if (config.crashLoadMultiple() <= 0 || warmth() >= 1) {
+    private void recordArrival(double workMs) {
+        if (config.crashLoadMultiple() <= 0 || warmUpFraction() >= 1) {
             arrivals.clear();
             return;
         }
-        double window = config.crashWindowNs() / 1e6;
-        arrivals.add(new double[] {now, workMs});
-        arrivals.removeIf(a -> a[0] < now - window);
-        double sent = arrivals.stream().mapToDouble(a -> a[1]).sum();
-        fallen |= sent > config.crashLoadMultiple() * capacity() * window;
+        double windowMs = config.crashWindowNs() / 1e6;
+        arrivals.add(new double[] {nowMs, workMs});
+        arrivals.removeIf(arrival -> arrival[0] < nowMs - windowMs);
+        double arrivedMs = arrivals.stream().mapToDouble(arrival -> arrival[1]).sum();
+        collapsed |= arrivedMs > config.crashLoadMultiple() * capacity() * windowMs;
     }
 }
--- a/emulator/src/main/java/ashlink/emulator/model/Job.java
+++ b/emulator/src/main/java/ashlink/emulator/model/Job.java
@@ -12,9 +12,9 @@
      * @param memoryMb memory that the statement needs to run without spilling
      * @param grantMb memory that the client requests; 0 leaves the grant to the engine
      * @param priority scheduling priority, 0 (lowest) to 3
-     * @param tables group of tables that the statement uses
-     * @param holds whether the statement locks the tables
-     * @param waits whether the statement waits for locks on the tables
+     * @param tableGroup number of the group of tables that the statement uses
+     * @param locksTables whether the statement locks the tables
+     * @param waitsForTableLocks whether the statement waits for locks on the tables
      */
     public record Demand(
             double workMs,
@@ -23,9 +23,9 @@
             double memoryMb,
             double grantMb,
             int priority,
-            long tables,
-            boolean holds,
-            boolean waits) {}
+            long tableGroup,
+            boolean locksTables,
+            boolean waitsForTableLocks) {}
 
     /** State of a job. */
     public enum State {
@@ -33,19 +33,19 @@
         WAITS_FOR_TABLES,
         RUNS,
         DONE,
-        DROPPED
+        CANCELLED
     }
 
     private final Demand demand;
     private final long sequence;
     private State state;
-    private double leftMs;
+    private double remainingMs;
     private double grantedMb;
 
     Job(Demand demand, long sequence) {
         this.demand = demand;
         this.sequence = sequence;
-        this.leftMs = demand.workMs();
+        this.remainingMs = demand.workMs();
     }
 
     /** Returns the resources that the job needs. */
@@ -62,25 +62,25 @@
         return sequence;
     }
 
-    double leftMs() {
-        return leftMs;
+    double remainingMs() {
+        return remainingMs;
     }
 
     double grantedMb() {
         return grantedMb;
     }
 
-    void state(State s) {
-        state = s;
+    void setState(State newState) {
+        state = newState;
     }
 
-    void grant(double mb, double spill) {
-        grantedMb = mb;
-        double lacks = Math.max(0, 1 - mb / Math.max(1e-9, demand.memoryMb()));
-        leftMs = demand.workMs() * (1 + spill * lacks);
+    void setGrant(double grantMb, double spillCost) {
+        grantedMb = grantMb;
+        double missingFraction = Math.max(0, 1 - grantMb / Math.max(1e-9, demand.memoryMb()));
+        remainingMs = demand.workMs() * (1 + spillCost * missingFraction);
     }
 
-    void work(double ms) {
-        leftMs -= ms;
+    void execute(double workMs) {
+        remainingMs -= workMs;
     }
 }
