--- a/cli/src/main/java/ashlink/cli/BenchCommand.java
+++ b/cli/src/main/java/ashlink/cli/BenchCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Benchmarks. */
+/** Runs the benchmarks. */
 @Command(
         name = "bench",
         mixinStandardHelpOptions = true,
--- a/cli/src/main/java/ashlink/cli/CaptureCommand.java
+++ b/cli/src/main/java/ashlink/cli/CaptureCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Looks at captures. */
+/** Reads captures: parent of the capture subcommands. */
 @Command(
         name = "capture",
         mixinStandardHelpOptions = true,
@@ -44,7 +44,7 @@
         return new CaptureReader(FolderDisk.reading(folder)).read(entry -> {});
     }
 
-    /** A part of a capture. */
+    /** Options that select a range of entries of a capture. */
     static final class Part {
         @picocli.CommandLine.Option(
                 names = "--from",
@@ -55,7 +55,7 @@
         private long count = Long.MAX_VALUE;
     }
 
-    /** Lists segments. */
+    /** Lists the segments of a capture. */
     @Command(
             name = "ls",
             mixinStandardHelpOptions = true,
@@ -83,7 +83,7 @@
         }
     }
 
-    /** Verifies segments. */
+    /** Verifies the segments of a capture. */
     @Command(
             name = "verify",
             mixinStandardHelpOptions = true,
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Exports entries. */
+    /** Exports entries as JSON. */
     @Command(
             name = "export",
             mixinStandardHelpOptions = true,
@@ -131,7 +131,7 @@
         }
     }
 
-    /** Writes a part as a capture of its own. */
+    /** Writes a range of entries as a separate capture. */
     @Command(
             name = "cut",
             mixinStandardHelpOptions = true,
@@ -166,7 +166,7 @@
         }
     }
 
-    /** Prints entries for people. */
+    /** Prints entries in readable form. */
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
@@ -214,7 +214,7 @@
         }
     }
 
-    /** Writes a report. */
+    /** Writes an HTML report of a capture. */
     @Command(
             name = "report",
             mixinStandardHelpOptions = true,
--- a/cli/src/main/java/ashlink/cli/CheckCommand.java
+++ b/cli/src/main/java/ashlink/cli/CheckCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Checks settings. */
+/** Checks the settings of a router. */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
--- a/cli/src/main/java/ashlink/cli/DemoCommand.java
+++ b/cli/src/main/java/ashlink/cli/DemoCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Three stand-ins in two halls and a router, in this process. */
+/** Runs three emulated engines in two zones and a router, all in this process. */
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
--- a/cli/src/main/java/ashlink/cli/EngineCommand.java
+++ b/cli/src/main/java/ashlink/cli/EngineCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Runs stand-in engines until it is told to stop. */
+/** Runs emulated engines until the process is terminated. */
 @Command(
         name = "engine",
         mixinStandardHelpOptions = true,
--- a/cli/src/main/java/ashlink/cli/ExplainCommand.java
+++ b/cli/src/main/java/ashlink/cli/ExplainCommand.java
@@ -14,7 +14,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Says what is read of a statement, and which class it gets. */
+/** Prints the analysis of a statement and the query class that the router assigns to it. */
 @Command(
         name = "explain",
         mixinStandardHelpOptions = true,
--- a/cli/src/main/java/ashlink/cli/FleetCommand.java
+++ b/cli/src/main/java/ashlink/cli/FleetCommand.java
@@ -30,7 +30,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Handles the routers of a fleet together. */
+/** Manages the routers of a fleet: parent of the fleet subcommands. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
@@ -64,7 +64,7 @@
                 "status, drain, undrain, start, stop, restart, logs or top is missing");
     }
 
-    /** What all sub-commands take. */
+    /** Options that all subcommands have. */
     static final class Common {
         @Option(
                 names = "--inventory",
@@ -126,7 +126,10 @@
                     (int) (timeout * 1e3));
         }
 
-        /** Prints a row a router, and gives the status of the command. */
+        /**
+         * Prints a row for each router and returns the exit status: 0 if all results are good, 3 if
+         * some are, 4 if none is.
+         */
         int show(Map<String, Result> results, Predicate<Result> good, Row row) throws Exception {
             ArrayNode all = new ObjectMapper().createArrayNode();
             long did = 0;
@@ -171,7 +174,7 @@
         }
     }
 
-    /** Adds what there is to tell of one router. */
+    /** Adds the fields of one router's row. */
     interface Row {
         void add(Result result, ObjectNode to) throws IOException;
     }
@@ -214,7 +217,7 @@
         }
     }
 
-    /** State of all. */
+    /** Shows the state of all routers. */
     @Command(
             name = "status",
             mixinStandardHelpOptions = true,
@@ -231,7 +234,7 @@
         }
     }
 
-    /** State of all, again and again. */
+    /** Shows the state of all routers repeatedly. */
     @Command(
             name = "top",
             mixinStandardHelpOptions = true,
@@ -262,7 +265,7 @@
         }
     }
 
-    /** What commands that issue a notice share. */
+    /** Base of the subcommands that issue operator commands. */
     private abstract static class Issue implements Callable<Integer> {
         @Mixin Common common;
 
@@ -355,7 +358,7 @@
         }
     }
 
-    /** Drains. */
+    /** Drains an engine or a router. */
     @Command(
             name = "drain",
             mixinStandardHelpOptions = true,
@@ -374,7 +377,7 @@
         }
     }
 
-    /** Withdraws drains. */
+    /** Withdraws the drain of an engine or a router. */
     @Command(
             name = "undrain",
             mixinStandardHelpOptions = true,
@@ -454,7 +457,7 @@
         }
     }
 
-    /** Stops one router: it drains, ends, and is gone; false where it did not within the time. */
+    /** Stops one router; returns false if the router is still reachable after the timeout. */
     private static boolean stop(Common common, Member member, long timeoutNs) throws Exception {
         try (FleetClient fleetClient = common.tool(List.of(member))) {
             Map<String, Result> known = fleetClient.status();
@@ -476,7 +479,7 @@
         }
     }
 
-    /** Stops routers. */
+    /** Stops routers of the fleet. */
     @Command(
             name = "stop",
             mixinStandardHelpOptions = true,
@@ -505,7 +508,7 @@
         }
     }
 
-    /** Rolls. */
+    /** Restarts routers one after the other. */
     @Command(
             name = "restart",
             mixinStandardHelpOptions = true,
@@ -579,7 +582,7 @@
         }
     }
 
-    /** Shows logs. */
+    /** Shows the logs of routers on this machine. */
     @Command(
             name = "logs",
             mixinStandardHelpOptions = true,
@@ -603,7 +606,7 @@
             return 0;
         }
 
-        /** The lines of the last 256 KiB. */
+        /** Returns the lines within the last 256 KiB of a log file. */
         private static List<String> tail(Path log) throws IOException {
             try (java.io.RandomAccessFile file = new java.io.RandomAccessFile(log.toFile(), "r")) {
                 long from = Math.max(0, file.length() - (256 << 10));
--- a/cli/src/main/java/ashlink/cli/FleetRouter.java
+++ b/cli/src/main/java/ashlink/cli/FleetRouter.java
@@ -11,7 +11,7 @@
 import java.security.GeneralSecurityException;
 import java.util.Set;
 
-/** A router as its node sees it. */
+/** Gives a fleet member control over the router of its process. */
 final class FleetRouter implements RouterControl {
 
     private final Router router;
@@ -24,8 +24,8 @@
     }
 
     /**
-     * Makes the node of a router that is not started, with the notices that it knows from before in
-     * force; null where the settings have no control channel.
+     * Creates the fleet member of a router that is not started yet, and applies the stored operator
+     * commands. Returns null if the settings have no control channel.
      */
     static FleetMember of(RouterConfig config, Router router, Runnable stop)
             throws IOException, GeneralSecurityException {
--- a/cli/src/main/java/ashlink/cli/HashPasswordCommand.java
+++ b/cli/src/main/java/ashlink/cli/HashPasswordCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Hashes a password for the settings. */
+/** Hashes a password for the settings of a router. */
 @Command(
         name = "hash-password",
         mixinStandardHelpOptions = true,
--- a/cli/src/main/java/ashlink/cli/KeysCommand.java
+++ b/cli/src/main/java/ashlink/cli/KeysCommand.java
@@ -19,7 +19,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Keys of a fleet. */
+/** Manages the keys and certificates of a fleet: parent of the key subcommands. */
 @Command(
         name = "keys",
         mixinStandardHelpOptions = true,
@@ -42,7 +42,7 @@
                 spec.commandLine(), "authority, retire, issue or show is missing");
     }
 
-    /** Makes an authority. */
+    /** Creates a certificate authority. */
     @Command(
             name = "authority",
             mixinStandardHelpOptions = true,
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Ends a change-over. */
+    /** Removes trust in all authorities but the newest, at the end of a rotation. */
     @Command(
             name = "retire",
             mixinStandardHelpOptions = true,
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Issues certificates. */
+    /** Issues certificates for routers and operators. */
     @Command(
             name = "issue",
             mixinStandardHelpOptions = true,
@@ -115,7 +115,7 @@
         }
     }
 
-    /** Shows certificates. */
+    /** Shows the certificates of a directory. */
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
--- a/cli/src/main/java/ashlink/cli/Logs.java
+++ b/cli/src/main/java/ashlink/cli/Logs.java
@@ -10,7 +10,7 @@
 import net.logstash.logback.encoder.LogstashEncoder;
 import org.slf4j.LoggerFactory;
 
-/** Sets the log up: a line an event on standard error, plain or JSON. */
+/** Configures logging: one line per event on standard error, in plain text or JSON. */
 final class Logs {
 
     private static final String PLAIN = "%d{HH:mm:ss.SSS} %-5level %logger{0} - %msg %kvp%n";
--- a/cli/src/main/java/ashlink/cli/Main.java
+++ b/cli/src/main/java/ashlink/cli/Main.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code ashlink}: sub-commands and what all of them share. */
+/** Entry point of the {@code ashlink} command: its subcommands and their common options. */
 @Command(
         name = "ashlink",
         mixinStandardHelpOptions = true,
@@ -33,7 +33,7 @@
         })
 public final class Main implements Runnable {
 
-    /** Forms of the log. */
+    /** Output formats of the log. */
     enum LogForm {
         PLAIN,
         JSON
@@ -54,7 +54,7 @@
             scope = CommandLine.ScopeType.INHERIT)
     private String level;
 
-    /** Runs a sub-command and ends the process with its status. */
+    /** Runs a subcommand and exits with its status. */
     public static void main(String[] args) {
         Main main = new Main();
         CommandLine line = new CommandLine(main);
--- a/cli/src/main/java/ashlink/cli/PlatformMain.java
+++ b/cli/src/main/java/ashlink/cli/PlatformMain.java
@@ -1,14 +1,17 @@
 package ashlink.cli;
 
 /**
- * Entry of a router on the operators' platform: no command line, nothing loaded that it does not
- * use.
+ * Entry point of a router on the operators' platform. Does not parse a command line, so that only
+ * the classes that the router uses are loaded.
  */
 public final class PlatformMain {
 
     private PlatformMain() {}
 
-    /** Sets the log up and runs the router; {@code ASHLINK_LOG} names another level than INFO. */
+    /**
+     * Configures logging and runs the router. The environment variable {@code ASHLINK_LOG} sets the
+     * log level, which is INFO by default.
+     */
     public static void main(String[] args) throws Exception {
         Logs.configure(Main.LogForm.PLAIN, System.getenv().getOrDefault("ASHLINK_LOG", "INFO"));
         ashlink.platform.Main.main(args);
--- a/cli/src/main/java/ashlink/cli/QueryCommand.java
+++ b/cli/src/main/java/ashlink/cli/QueryCommand.java
@@ -14,7 +14,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Runs a statement by the statement API and prints its rows. */
+/** Runs a statement through the HTTP statement API and prints its rows. */
 @Command(
         name = "query",
         mixinStandardHelpOptions = true,
@@ -112,7 +112,7 @@
                 : statementResult.problem().equals("statement-error") ? 1 : MAYBE;
     }
 
-    /** Interrupted: nobody will ask for the answer. */
+    /** Cancels the statement, because no client will fetch its result. */
     private static void cancel(StatementClient client, String id) {
         try {
             if (id != null) {
@@ -126,7 +126,7 @@
     private void show(JsonNode n) {
         for (JsonNode row : n.path("rows")) {
             if (!row.isArray()) {
-                break; // the count of rows, where there is no page yet
+                break; // before the first page, "rows" is the number of rows
             }
             StringBuilder line = new StringBuilder();
             for (JsonNode v : row) {
--- a/cli/src/main/java/ashlink/cli/ReplayCommand.java
+++ b/cli/src/main/java/ashlink/cli/ReplayCommand.java
@@ -18,7 +18,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Decides captures again. */
+/** Replays captures through a decision module and compares the decisions. */
 @Command(
         name = "replay",
         mixinStandardHelpOptions = true,
@@ -44,7 +44,10 @@
             description = "Class of the module in that jar, made from Settings: ${DEFAULT-VALUE}.")
     private String moduleClass;
 
-    /** The module of another build runs beside ours: only the interface is shared. */
+    /**
+     * Loads the decision module of another build. The decision API and all classes outside this
+     * project come from this build; all other classes come from the jar.
+     */
     private static final class OtherBuild extends URLClassLoader {
         OtherBuild(Path jar) throws java.net.MalformedURLException {
             super(new URL[] {jar.toUri().toURL()}, ReplayCommand.class.getClassLoader());
--- a/cli/src/main/java/ashlink/cli/RouteCommand.java
+++ b/cli/src/main/java/ashlink/cli/RouteCommand.java
@@ -21,7 +21,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Runs a router. */
+/** Runs a router until the process is told to stop. */
 @Command(
         name = "route",
         mixinStandardHelpOptions = true,
@@ -44,7 +44,7 @@
                 FleetRouter.of(
                         config,
                         router,
-                        told::countDown); // what it knows of drains holds before the first query
+                        told::countDown); // stored drains apply before the first query
         CountDownLatch ended = new CountDownLatch(1);
         router.start();
         if (node != null) {
@@ -86,7 +86,8 @@
     }
 
     /**
-     * One process a state folder: {@code router.pid} has its number, and is locked while it lives.
+     * Locks a state directory, which only one process can use. The file {@code router.pid} contains
+     * the process ID and is locked while the process runs.
      */
     private static FileLock lock(Path dir) throws IOException {
         Files.createDirectories(dir);
--- a/cli/src/main/java/ashlink/cli/ScenarioCommand.java
+++ b/cli/src/main/java/ashlink/cli/ScenarioCommand.java
@@ -23,7 +23,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Plays a scripted day and checks the rules by what crossed the sockets. */
+/** Runs a scripted scenario and checks the rules against the traffic on the sockets. */
 @Command(
         name = "scenario",
         aliases = "badday",
@@ -183,7 +183,7 @@
         boolean kept = true;
         boolean single =
                 FaultCatalog.NAMES.contains(
-                        day.name()); // one kind of trouble puts few rules at stake
+                        day.name()); // a single kind of fault tests only some of the rules
         for (Verdict verdict : new InvariantChecker(facts).verdicts()) {
             kept &= verdict.isKept() || single && verdict.broken().isEmpty();
             System.out.printf(
--- a/cli/src/main/java/ashlink/cli/SimulatorCommand.java
+++ b/cli/src/main/java/ashlink/cli/SimulatorCommand.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** The adapter of the simulator's wire. */
+/** Runs the adapter to the simulator's protocol on standard input and output. */
 @Command(
         name = "simulate",
         aliases = "drill",
--- a/cli/src/main/java/ashlink/cli/SuperviseCommand.java
+++ b/cli/src/main/java/ashlink/cli/SuperviseCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Keeps a router running. */
+/** Runs a router in a child process and restarts it when it fails. */
 @Command(
         name = "supervise",
         mixinStandardHelpOptions = true,
@@ -28,7 +28,7 @@
     private volatile Process child;
     private volatile boolean asked;
 
-    /** The command line of this program, for a sub-command. */
+    /** Returns the command line that runs this program with the given arguments. */
     static List<String> ownCommand(String... arguments) {
         List<String> command =
                 new java.util.ArrayList<>(
--- a/cli/src/main/java/ashlink/cli/WhyCommand.java
+++ b/cli/src/main/java/ashlink/cli/WhyCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** The story of one request. */
+/** Prints the history of one request from a capture. */
 @Command(
         name = "why",
         mixinStandardHelpOptions = true,
--- a/cli/src/main/java/ashlink/cli/package-info.java
+++ b/cli/src/main/java/ashlink/cli/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The command line. Each sub-command exits 0 for success, 1 for a failed run, 2 for a wrong call or
- * bad settings.
+ * Command line interface. Each subcommand exits with status 0 on success, 1 if the run failed, and 2
+ * for invalid arguments or settings.
  */
 package ashlink.cli;
