--- a/cli/src/main/java/ashlink/cli/BenchCommand.java
+++ b/cli/src/main/java/ashlink/cli/BenchCommand.java
@@ -15,22 +15,26 @@
         name = "bench",
         mixinStandardHelpOptions = true,
         description =
-                "Measures the router beside a direct connection and a plain relay, in one run on"
-                        + " loopback.")
+                "Benchmarks the router against a direct connection and a plain TCP relay, in one"
+                        + " run on the loopback interface.")
 final class BenchCommand implements Callable<Integer> {
 
-    @Option(names = "--round", description = "Seconds of each round.", defaultValue = "1")
+    @Option(
+            names = "--round",
+            description = "Duration of each round, in seconds.",
+            defaultValue = "1")
     private double round;
 
-    @Option(names = "--codec", description = "Measure the codec alone, with JMH.")
+    @Option(names = "--codec", description = "Benchmark only the codec, with JMH.")
     private boolean codec;
 
-    @Option(names = "--http", description = "Measure the front over HTTP beside the native one.")
+    @Option(names = "--http", description = "Benchmark HTTP against the native protocol.")
     private boolean http;
 
     @Option(
             names = "--background",
-            description = "Measure short queries with and without background work at its limits.")
+            description =
+                    "Benchmark short queries with and without background tasks at their limits.")
     private boolean background;
 
     @Override
--- a/cli/src/main/java/ashlink/cli/CaptureCommand.java
+++ b/cli/src/main/java/ashlink/cli/CaptureCommand.java
@@ -21,7 +21,7 @@
 @Command(
         name = "capture",
         mixinStandardHelpOptions = true,
-        description = "Lists, shows, verifies, cuts and exports captures.",
+        description = "Lists, shows, verifies, cuts, exports and reports on captures.",
         subcommands = {
             CaptureCommand.List_.class,
             CaptureCommand.Verify.class,
@@ -37,7 +37,8 @@
     @Override
     public Integer call() {
         throw new picocli.CommandLine.ParameterException(
-                spec.commandLine(), "ls, show, verify, cut, export or report is missing");
+                spec.commandLine(),
+                "missing subcommand: expected ls, show, verify, cut, export or report");
     }
 
     private static List<CaptureReader.SegmentSummary> found(Path folder) throws Exception {
@@ -48,10 +49,12 @@
     static final class Part {
         @picocli.CommandLine.Option(
                 names = "--from",
-                description = "Number of the first entry, 0 for the first of the folder.")
+                description = "Number of the first entry, counted from 0.")
         private long from;
 
-        @picocli.CommandLine.Option(names = "--count", description = "Entries at most.")
+        @picocli.CommandLine.Option(
+                names = "--count",
+                description = "Maximum number of entries; all if not given.")
         private long count = Long.MAX_VALUE;
     }
 
@@ -68,8 +71,8 @@
         public Integer call() throws Exception {
             for (CaptureReader.SegmentSummary f : found(folder)) {
                 System.out.printf(
-                        "%s  start of %tFT%<tT  first entry %d, %d entries, %d bytes, %.1f bytes an"
-                                + " entry, %s %s%n",
+                        "%s  router started %tFT%<tT  first entry %d, %d entries, %d bytes, %.1f"
+                                + " bytes per entry, %s %s%n",
                         f.name(),
                         f.boot(),
                         f.firstEntry(),
@@ -87,7 +90,9 @@
     @Command(
             name = "verify",
             mixinStandardHelpOptions = true,
-            description = "Checks every byte of a capture; 1 if any is wrong.")
+            description =
+                    "Verifies all bytes of a capture. Exit status: 0 intact, 1 a segment is"
+                            + " incomplete or corrupt.")
     static final class Verify implements Callable<Integer> {
         @Parameters(paramLabel = "CAPTURE")
         private Path folder;
@@ -107,7 +112,7 @@
     @Command(
             name = "export",
             mixinStandardHelpOptions = true,
-            description = "Writes a capture as JSON, one entry a line.")
+            description = "Writes a capture to standard output as JSON, one entry per line.")
     static final class Export implements Callable<Integer> {
         @Parameters(paramLabel = "CAPTURE")
         private Path folder;
@@ -136,8 +141,8 @@
             name = "cut",
             mixinStandardHelpOptions = true,
             description =
-                    "Writes a part of a capture as one of its own; "
-                            + "it replays if it begins with a start of the router.")
+                    "Writes a range of entries as a separate capture. "
+                            + "It can be replayed if it begins with a start of the router.")
     static final class Cut implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "CAPTURE")
         private Path folder;
@@ -145,7 +150,7 @@
         @Parameters(
                 index = "1",
                 paramLabel = "FOLDER",
-                description = "Where the part goes: a folder without a capture.")
+                description = "Target folder, which must not contain a capture.")
         private Path to;
 
         @picocli.CommandLine.Mixin private Part part;
@@ -170,19 +175,19 @@
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
-            description = "Prints entries: number, time, event, actions.")
+            description = "Prints entries with number, time, event and actions.")
     static final class Show implements Callable<Integer> {
         @Parameters(paramLabel = "CAPTURE")
         private Path folder;
 
         @picocli.CommandLine.Option(
                 names = "--from",
-                description = "Number of the first entry, 0 for the first of the folder.")
+                description = "Number of the first entry, counted from 0.")
         private long from;
 
         @picocli.CommandLine.Option(
                 names = "--count",
-                description = "Entries at most, ${DEFAULT-VALUE} if not given.")
+                description = "Maximum number of entries; ${DEFAULT-VALUE} if not given.")
         private long count = 100;
 
         @Override
@@ -218,12 +223,12 @@
     @Command(
             name = "report",
             mixinStandardHelpOptions = true,
-            description = "Writes a page of a capture: counts and plots.")
+            description = "Writes an HTML report of a capture, with counts and charts.")
     static final class Report implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "CAPTURE")
         private Path folder;
 
-        @Parameters(index = "1", paramLabel = "FILE", description = "The page, HTML.")
+        @Parameters(index = "1", paramLabel = "FILE", description = "HTML file to write.")
         private Path page;
 
         @Override
--- a/cli/src/main/java/ashlink/cli/CheckCommand.java
+++ b/cli/src/main/java/ashlink/cli/CheckCommand.java
@@ -12,10 +12,10 @@
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
-        description = "Checks the settings of a router and tells all that is wrong with them.")
+        description = "Checks the settings of a router and reports all problems.")
 final class CheckCommand implements Callable<Integer> {
 
-    @Parameters(paramLabel = "CONFIG", description = "Settings of the router.")
+    @Parameters(paramLabel = "CONFIG", description = "Settings file of the router.")
     private Path file;
 
     @Override
--- a/cli/src/main/java/ashlink/cli/DemoCommand.java
+++ b/cli/src/main/java/ashlink/cli/DemoCommand.java
@@ -22,25 +22,25 @@
         name = "demo",
         mixinStandardHelpOptions = true,
         description =
-                "Runs three stand-in engines in two halls and a router on loopback, shows a few"
-                        + " queries, and stays.")
+                "Runs three emulated engines in two zones and a router on the loopback interface,"
+                        + " sends a few queries, and keeps running.")
 final class DemoCommand implements Callable<Integer> {
 
     private static final long S = 1_000_000_000L;
 
     @Option(
             names = "--port",
-            description = "Port of the router; 0 is any free one.",
+            description = "Port of the router; 0 selects a free port.",
             defaultValue = "0")
     private int port;
 
     @Option(
             names = "--http-port",
-            description = "Port of the router's HTTP front; 0 is any free one.",
+            description = "HTTP port of the router; 0 selects a free port.",
             defaultValue = "0")
     private int httpPort;
 
-    @Option(names = "--once", description = "End after the queries that are shown.")
+    @Option(names = "--once", description = "Exit after the example queries.")
     private boolean once;
 
     @Override
@@ -60,16 +60,15 @@
         router.start();
         boolean good = show(router, engines);
         System.out.println(
-                "The router listens on 127.0.0.1:"
+                "The router accepts native protocol connections on 127.0.0.1:"
                         + router.address().getPort()
-                        + " for any client of the native protocol; users: default, portal, billing"
-                        + " (no password).");
+                        + "; users without password: default, portal, billing.");
         System.out.println(
-                "Statements over HTTP: curl 'http://127.0.0.1:"
+                "To run a statement over HTTP: curl 'http://127.0.0.1:"
                         + router.httpAddress().getPort()
                         + "/v1/statements?wait=10' -d 'SELECT 1'");
         if (!once) {
-            System.out.println("Stop it with Ctrl-C.");
+            System.out.println("Press Ctrl-C to stop.");
             new CountDownLatch(1).await();
         }
         router.stop();
--- a/cli/src/main/java/ashlink/cli/EngineCommand.java
+++ b/cli/src/main/java/ashlink/cli/EngineCommand.java
@@ -14,10 +14,11 @@
         name = "engine",
         mixinStandardHelpOptions = true,
         description =
-                "Runs the stand-in engines of a file: for trials and tests, they hold no data.")
+                "Runs the emulated engines of a settings file, for trials and tests. They store no"
+                        + " data.")
 final class EngineCommand implements Callable<Integer> {
 
-    @Parameters(paramLabel = "CONFIG", description = "Settings of the engines.")
+    @Parameters(paramLabel = "CONFIG", description = "Settings file of the engines.")
     private Path file;
 
     @Override
--- a/cli/src/main/java/ashlink/cli/ExplainCommand.java
+++ b/cli/src/main/java/ashlink/cli/ExplainCommand.java
@@ -19,20 +19,23 @@
         name = "explain",
         mixinStandardHelpOptions = true,
         description =
-                "Says what is read of a statement, which rule matches, and what the decisions are"
-                        + " told.")
+                "Prints the analysis of a statement, the rule that matches, and the resulting query"
+                        + " class.")
 final class ExplainCommand implements Callable<Integer> {
 
-    @Parameters(paramLabel = "CONFIG", description = "Settings of the router.")
+    @Parameters(paramLabel = "CONFIG", description = "Settings file of the router.")
     private Path file;
 
     @Option(
             names = "--sql",
             required = true,
-            description = "The statement; - reads it from standard input.")
+            description = "SQL text of the statement; - reads the text from standard input.")
     private String sql;
 
-    @Option(names = "--user", defaultValue = "default", description = "User that sends it.")
+    @Option(
+            names = "--user",
+            defaultValue = "default",
+            description = "User that sends the statement.")
     private String user;
 
     @Option(
@@ -41,7 +44,7 @@
             description = "Default database of the connection.")
     private String database;
 
-    @Option(names = "--setting", description = "Settings that come with it, as NAME=VALUE.")
+    @Option(names = "--setting", description = "Setting of the statement, as NAME=VALUE.")
     private Map<String, String> settings = new HashMap<>();
 
     @Override
@@ -72,7 +75,7 @@
         System.out.println(
                 "harmless     "
                         + (statementAnalysis.harmless() ? "yes" : "no")
-                        + (statementAnalysis.unstable() ? ", differs at each call" : ""));
+                        + (statementAnalysis.unstable() ? ", result may differ between runs" : ""));
         System.out.println(
                 "data         " + (statementAnalysis.takesData() ? "from the client" : "none"));
         System.out.println("settings     " + statementAnalysis.settings());
@@ -80,14 +83,16 @@
         System.out.println("normal text  " + statementAnalysis.normalizedSql());
         System.out.println(
                 "rule         "
-                        + (decision.rule() == 0 ? "none, the default" : "number " + decision.rule())
-                        + (decision.downgraded() ? ", made stricter: it is no plain read" : ""));
+                        + (decision.rule() == 0
+                                ? "none, default class"
+                                : "number " + decision.rule())
+                        + (decision.downgraded() ? ", restricted: not a plain read" : ""));
         System.out.println(
                 "class        "
                         + decision.queryClass().name()
-                        + ", repeat "
+                        + ", retry safety "
                         + decision.queryClass().retrySafety()
-                        + ", kinds "
+                        + ", engine kinds "
                         + decision.queryClass().engineKinds()
                         + ", zones "
                         + decision.queryClass().zones());
--- a/cli/src/main/java/ashlink/cli/FleetCommand.java
+++ b/cli/src/main/java/ashlink/cli/FleetCommand.java
@@ -35,8 +35,8 @@
         name = "fleet",
         mixinStandardHelpOptions = true,
         description = {
-            "Handles the routers of a fleet together.",
-            "Status: 0 all did, 3 some did, 4 none did."
+            "Manages the routers of a fleet.",
+            "Exit status: 0 success on all routers, 3 on some routers, 4 on no router."
         },
         subcommands = {
             FleetCommand.Status.class,
@@ -61,33 +61,38 @@
     public Integer call() {
         throw new CommandLine.ParameterException(
                 spec.commandLine(),
-                "status, drain, undrain, start, stop, restart, logs or top is missing");
+                "missing subcommand: expected status, drain, undrain, start, stop, restart, logs or"
+                        + " top");
     }
 
     /** Options that all subcommands have. */
     static final class Common {
         @Option(
                 names = "--inventory",
-                description = "The fleet's routers, ${DEFAULT-VALUE} if not given.")
+                description = "File that lists the routers; ${DEFAULT-VALUE} if not given.")
         private Path inventory = Path.of("fleet.sexp");
 
-        @Option(names = "--router", description = "Only these routers; may be repeated.")
+        @Option(names = "--router", description = "Select this router; may be repeated.")
         private List<String> only = List.of();
 
         @Option(
                 names = "--at-once",
-                description = "Routers that are asked in parallel, ${DEFAULT-VALUE} if not given.")
+                description =
+                        "Maximum number of parallel requests to routers; ${DEFAULT-VALUE} if not"
+                                + " given.")
         private int atOnce = 32;
 
         @Option(
                 names = "--timeout",
-                description = "Seconds for each router's answer, ${DEFAULT-VALUE} if not given.")
+                description =
+                        "Response timeout for each router, in seconds; ${DEFAULT-VALUE} if not"
+                                + " given.")
         private double timeout = 2;
 
-        @Option(names = "--json", description = "JSON in place of a table.")
+        @Option(names = "--json", description = "Print JSON instead of a table.")
         private boolean json;
 
-        @Option(names = "--dry-run", description = "Show what would be done, and do nothing.")
+        @Option(names = "--dry-run", description = "Print the actions without performing them.")
         private boolean dryRun;
 
         private FleetConfig fleet;
@@ -98,11 +103,11 @@
                 for (String text : only) {
                     if (!fleet.routers().containsKey(text)) {
                         throw new IOException(
-                                "router "
+                                "unknown router "
                                         + text
-                                        + " is not in "
+                                        + " in "
                                         + inventory
-                                        + "; there are "
+                                        + ": expected one of "
                                         + fleet.routers().keySet());
                     }
                 }
@@ -221,7 +226,8 @@
     @Command(
             name = "status",
             mixinStandardHelpOptions = true,
-            description = "Shows each router: work, members it misses, notices.")
+            description =
+                    "Shows the state of each router: requests, missing members, operator commands.")
     static final class Status implements Callable<Integer> {
         @Mixin private Common common;
 
@@ -238,11 +244,11 @@
     @Command(
             name = "top",
             mixinStandardHelpOptions = true,
-            description = "Shows the state of all routers each second.")
+            description = "Shows the state of all routers every second.")
     static final class Top implements Callable<Integer> {
         @Mixin private Common common;
 
-        @Option(names = "--count", description = "How often; for ever if not given.")
+        @Option(names = "--count", description = "Number of updates; unlimited if not given.")
         private int count = Integer.MAX_VALUE;
 
         @Override
@@ -269,27 +275,25 @@
     private abstract static class Issue implements Callable<Integer> {
         @Mixin Common common;
 
-        @Parameters(paramLabel = "SUBJECT", description = "Name of an engine, or router:NAME.")
+        @Parameters(paramLabel = "SUBJECT", description = "Engine name, or router:NAME.")
         private String subject;
 
-        @Option(
-                names = "--for",
-                description = "Hours that it holds, ${DEFAULT-VALUE} if not given.")
+        @Option(names = "--for", description = "Validity in hours; ${DEFAULT-VALUE} if not given.")
         private double hours = 24;
 
-        @Option(names = "--why", description = "For people.")
+        @Option(names = "--why", description = "Reason, shown to other operators.")
         private String why = "";
 
         @Option(
                 names = "--wait",
                 description =
-                        "Share of the routers that must know it before this ends, ${DEFAULT-VALUE}"
-                                + " if not given.")
+                        "Fraction of the routers that must have received the command before this"
+                                + " program exits; ${DEFAULT-VALUE} if not given.")
         private double share = 1;
 
         @Option(
                 names = "--wait-timeout",
-                description = "Seconds to wait for that, ${DEFAULT-VALUE} if not given.")
+                description = "Timeout of --wait, in seconds; ${DEFAULT-VALUE} if not given.")
         private double waitTimeout = 10;
 
         String subject() {
@@ -309,7 +313,7 @@
                     notices.add(fleetClient.nextCommand(subject(), owner, intent(), why, known));
                 }
                 System.err.printf(
-                        "%s %s: %d notices to %d routers, %d of them reached now%n",
+                        "%s %s: %d commands for %d routers, %d of them reachable%n",
                         intent().name().toLowerCase(),
                         subject(),
                         notices.size(),
@@ -350,8 +354,8 @@
                                 });
                 if (status != 0 && now.values().stream().anyMatch(knows)) {
                     System.err.println(
-                            "those that know it tell the others when they reach them: each compares"
-                                    + " with one a second");
+                            "routers that have the command forward it to the others: each compares"
+                                    + " its commands with one other router per second");
                 }
                 return status;
             }
@@ -363,8 +367,8 @@
             name = "drain",
             mixinStandardHelpOptions = true,
             description =
-                    "Tells all routers that an engine gets no fresh work (or that router:NAME takes"
-                            + " none).")
+                    "Drains an engine, so that no router sends it new queries, or with router:NAME"
+                            + " a router, so that it accepts none.")
     static final class Drain extends Issue {
         @Override
         List<String> owners(Map<String, Result> known, String operator) {
@@ -381,9 +385,11 @@
     @Command(
             name = "undrain",
             mixinStandardHelpOptions = true,
-            description = "Withdraws the operator's own drain.")
+            description = "Withdraws a drain that the operator issued.")
     static final class Undrain extends Issue {
-        @Option(names = "--all-owners", description = "Withdraw the drains of others too.")
+        @Option(
+                names = "--all-owners",
+                description = "Also withdraw the drains of other operators.")
         private boolean all;
 
         @Override
@@ -391,9 +397,9 @@
             List<String> owners = FleetClient.activeOwners(subject(), known);
             if (!all && owners.stream().anyMatch(text -> !text.equals(operator))) {
                 System.err.println(
-                        "it stays drained by "
+                        "still drained by "
                                 + owners.stream().filter(text -> !text.equals(operator)).toList()
-                                + "; --all-owners overrules them");
+                                + "; use --all-owners to withdraw these drains too");
             }
             return all ? owners : List.of(operator);
         }
@@ -421,14 +427,14 @@
             name = "start",
             mixinStandardHelpOptions = true,
             description =
-                    "Starts routers on this machine under supervision, and waits until they are"
-                            + " ready.")
+                    "Starts routers on this machine, each with a supervisor, and waits until they"
+                            + " are ready.")
     static final class Start implements Callable<Integer> {
         @Mixin private Common common;
 
         @Option(
                 names = "--wait-timeout",
-                description = "Seconds to wait, ${DEFAULT-VALUE} if not given.")
+                description = "Timeout in seconds; ${DEFAULT-VALUE} if not given.")
         private double waitTimeout = 30;
 
         @Override
@@ -440,8 +446,8 @@
                     System.err.println(
                             member.name()
                                     + (up
-                                            ? " runs already"
-                                            : " is started with " + member.config()));
+                                            ? ": already running"
+                                            : ": starting with " + member.config()));
                     if (!up && !common.dryRun) {
                         launch(member);
                     }
@@ -483,13 +489,15 @@
     @Command(
             name = "stop",
             mixinStandardHelpOptions = true,
-            description = "Stops routers: each finishes its work within its limit.")
+            description =
+                    "Stops routers. Each finishes its open requests within its configured time"
+                            + " limit.")
     static final class Stop implements Callable<Integer> {
         @Mixin private Common common;
 
         @Option(
                 names = "--wait-timeout",
-                description = "Seconds to wait for each, ${DEFAULT-VALUE} if not given.")
+                description = "Timeout for each router, in seconds; ${DEFAULT-VALUE} if not given.")
         private double waitTimeout = 30;
 
         @Override
@@ -501,8 +509,8 @@
                 System.out.println(
                         member.name()
                                 + (common.dryRun
-                                        ? " would be stopped"
-                                        : down ? " is down" : " did not stop in time"));
+                                        ? ": would be stopped"
+                                        : down ? ": stopped" : ": not stopped before the timeout"));
             }
             return did == common.routers().size() ? 0 : did > 0 ? SOME : NONE;
         }
@@ -513,22 +521,23 @@
             name = "restart",
             mixinStandardHelpOptions = true,
             description =
-                    "Restarts routers one after the other, hall by hall; stops where one does not"
-                            + " come back, or where fewer routers than the wanted share are up.")
+                    "Restarts routers one after the other, zone by zone. Aborts if a router does"
+                            + " not become ready, or if fewer routers are up than --up requires.")
     static final class Restart implements Callable<Integer> {
         @Mixin private Common common;
 
         @Option(
                 names = "--up",
                 description =
-                        "Share of all routers that must be up before the next, ${DEFAULT-VALUE} if"
-                                + " not given.")
+                        "Fraction of all routers that must be up before each restart;"
+                                + " ${DEFAULT-VALUE} if not given.")
         private double up = 0.9;
 
         @Option(
                 names = "--wait-timeout",
                 description =
-                        "Seconds for each to stop and to be ready, ${DEFAULT-VALUE} if not given.")
+                        "Timeout for each router to stop and to become ready, in seconds;"
+                                + " ${DEFAULT-VALUE} if not given.")
         private double waitTimeout = 30;
 
         @Override
@@ -536,7 +545,7 @@
             List<Member> plan = new ArrayList<>(common.routers());
             plan.sort(java.util.Comparator.comparing(Member::hall).thenComparing(Member::name));
             System.err.println(
-                    "in this order: "
+                    "restart order: "
                             + plan.stream()
                                     .map(member -> member.name() + " (" + member.hall() + ")")
                                     .toList());
@@ -544,16 +553,16 @@
             for (Member member : common.dryRun ? List.<Member>of() : plan) {
                 if (!enough()) {
                     System.err.println(
-                            "stopped before "
+                            "aborted before "
                                     + member.name()
-                                    + ": fewer than "
-                                    + up
-                                    + " of all routers are up");
+                                    + ": the fraction of routers that are up is below "
+                                    + up);
                     break;
                 }
                 boolean down = stop(common, member, (long) (waitTimeout * S));
                 if (!down) {
-                    System.err.println(member.name() + " did not stop in time; the roll ends here");
+                    System.err.println(
+                            member.name() + ": not stopped before the timeout, restart aborted");
                     break;
                 }
                 launch(member);
@@ -563,12 +572,12 @@
                             .get(member.name())
                             .isReached()) {
                         System.err.println(
-                                member.name() + " did not come back in time; the roll ends here");
+                                member.name() + ": not ready before the timeout, restart aborted");
                         break;
                     }
                 }
                 did++;
-                System.out.println(member.name() + " is back");
+                System.out.println(member.name() + ": restarted");
             }
             return common.dryRun || did == plan.size() ? 0 : did > 0 ? SOME : NONE;
         }
@@ -586,11 +595,13 @@
     @Command(
             name = "logs",
             mixinStandardHelpOptions = true,
-            description = "Prints the ends of the logs of routers on this machine.")
+            description = "Prints the last log lines of routers on this machine.")
     static final class Logs implements Callable<Integer> {
         @Mixin private Common common;
 
-        @Option(names = "--lines", description = "Lines of each, ${DEFAULT-VALUE} if not given.")
+        @Option(
+                names = "--lines",
+                description = "Number of lines per router; ${DEFAULT-VALUE} if not given.")
         private int lines = 20;
 
         @Override
--- a/cli/src/main/java/ashlink/cli/HashPasswordCommand.java
+++ b/cli/src/main/java/ashlink/cli/HashPasswordCommand.java
@@ -11,13 +11,13 @@
         name = "hash-password",
         mixinStandardHelpOptions = true,
         description =
-                "Reads a password from the terminal, or a line of standard input, and prints its"
-                        + " salted hash.")
+                "Reads a password from the terminal or from a line of standard input, and prints a"
+                        + " salted hash of the password.")
 final class HashPasswordCommand implements Callable<Integer> {
 
     @Option(
             names = "--cost",
-            description = "Cost of a check, doubled by each step: 4 to 31.",
+            description = "Cost factor, 4 to 31; each step doubles the time to check a password.",
             defaultValue = "10")
     private int cost;
 
--- a/cli/src/main/java/ashlink/cli/KeysCommand.java
+++ b/cli/src/main/java/ashlink/cli/KeysCommand.java
@@ -23,7 +23,7 @@
 @Command(
         name = "keys",
         mixinStandardHelpOptions = true,
-        description = "Makes and shows the keys of a fleet's control channel.",
+        description = "Creates and shows the keys and certificates of a fleet's control channel.",
         subcommands = {
             KeysCommand.Renew.class,
             KeysCommand.Retire.class,
@@ -39,7 +39,8 @@
     @Override
     public Integer call() {
         throw new CommandLine.ParameterException(
-                spec.commandLine(), "authority, retire, issue or show is missing");
+                spec.commandLine(),
+                "missing subcommand: expected authority, retire, issue or show");
     }
 
     /** Creates a certificate authority. */
@@ -47,13 +48,13 @@
             name = "authority",
             mixinStandardHelpOptions = true,
             description =
-                    "Makes an authority; those before stay trusted until 'keys retire', so that"
-                            + " certificates can be changed over.")
+                    "Creates a certificate authority. Earlier authorities stay trusted until 'keys"
+                            + " retire', so that certificates can be replaced in the meantime.")
     static final class Renew implements Callable<Integer> {
         @Parameters(paramLabel = "DIR")
         private Path dir;
 
-        @Option(names = "--days", description = "How long it lasts, ${DEFAULT-VALUE} if not given.")
+        @Option(names = "--days", description = "Validity in days; ${DEFAULT-VALUE} if not given.")
         private int days = 3650;
 
         @Override
@@ -67,7 +68,7 @@
     @Command(
             name = "retire",
             mixinStandardHelpOptions = true,
-            description = "Trusts only the newest authority from here on.")
+            description = "Removes trust in all certificate authorities except the newest.")
     static final class Retire implements Callable<Integer> {
         @Parameters(paramLabel = "DIR")
         private Path dir;
@@ -83,7 +84,7 @@
     @Command(
             name = "issue",
             mixinStandardHelpOptions = true,
-            description = "Makes a key and certificate for each name.")
+            description = "Creates a key and a certificate for each name.")
     static final class Issue implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "DIR")
         private Path dir;
@@ -94,12 +95,11 @@
         @Option(
                 names = "--role",
                 required = true,
-                description = "router, or for operators observe, drain, stop; may be repeated.")
+                description =
+                        "Role: router; or for operators observe, drain or stop. May be repeated.")
         private List<Role> roles;
 
-        @Option(
-                names = "--days",
-                description = "How long they last, ${DEFAULT-VALUE} if not given.")
+        @Option(names = "--days", description = "Validity in days; ${DEFAULT-VALUE} if not given.")
         private int days = 365;
 
         @Override
@@ -120,9 +120,10 @@
             name = "show",
             mixinStandardHelpOptions = true,
             description =
-                    "Shows names, roles and ends of all certificates; 1 if one ends within "
+                    "Shows the names, roles and expiry dates of all certificates. Exit status: 1 if"
+                            + " a certificate expires within "
                             + SOON_DAYS
-                            + " days.")
+                            + " days, otherwise 0.")
     static final class Show implements Callable<Integer> {
         @Parameters(paramLabel = "DIR")
         private Path dir;
@@ -146,7 +147,7 @@
                                     .toDays();
                     soon |= days < SOON_DAYS;
                     System.out.printf(
-                            "%-24s %-28s ends %tF, in %d days%s%n",
+                            "%-24s %-28s expires %tF, in %d days%s%n",
                             Identity.name(x509Certificate),
                             Identity.roles(x509Certificate).stream().map(Role::word).toList(),
                             x509Certificate.getNotAfter(),
--- a/cli/src/main/java/ashlink/cli/Main.java
+++ b/cli/src/main/java/ashlink/cli/Main.java
@@ -9,7 +9,7 @@
         name = "ashlink",
         mixinStandardHelpOptions = true,
         version = "ashlink 0.2.0",
-        description = "Admits queries and routes them to analytic engines.",
+        description = "Workload manager that admits queries and routes them to analytic engines.",
         exitCodeOnInvalidInput = 2,
         exitCodeOnExecutionException = 1,
         synopsisSubcommandLabel = "COMMAND",
@@ -43,14 +43,16 @@
 
     @Option(
             names = "--log",
-            description = "Form of the log on standard error: ${COMPLETION-CANDIDATES}.",
+            description = "Format of the log on standard error: ${COMPLETION-CANDIDATES}.",
             defaultValue = "PLAIN",
             scope = CommandLine.ScopeType.INHERIT)
     private LogForm log;
 
     @Option(
             names = "--log-level",
-            description = "ERROR, WARN, INFO or DEBUG; INFO where a daemon runs, else WARN.",
+            description =
+                    "Log level: ERROR, WARN, INFO or DEBUG. Default: INFO for route, engine and"
+                            + " supervise, otherwise WARN.",
             scope = CommandLine.ScopeType.INHERIT)
     private String level;
 
@@ -90,6 +92,6 @@
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
+        throw new CommandLine.ParameterException(spec.commandLine(), "missing subcommand");
     }
 }
--- a/cli/src/main/java/ashlink/cli/QueryCommand.java
+++ b/cli/src/main/java/ashlink/cli/QueryCommand.java
@@ -19,10 +19,10 @@
         name = "query",
         mixinStandardHelpOptions = true,
         description = {
-            "Posts a statement to a router and prints its rows, "
+            "Sends a statement to a router over HTTP and prints the rows of the result, "
                     + "tab-separated, with progress on a terminal.",
-            "Status: 0 served, 1 the engine's error, 3 refused (not run, trying again is harmless),"
-                    + " 4 may have run."
+            "Exit status: 0 success, 1 error of the engine, 3 rejected (not executed, safe to"
+                    + " retry), 4 unknown (may have been executed)."
         })
 final class QueryCommand implements Callable<Integer> {
 
@@ -32,35 +32,33 @@
 
     @Option(
             names = "--server",
-            description = "Address of the router's HTTP front, ${DEFAULT-VALUE} if not given.")
+            description = "HTTP address of the router; ${DEFAULT-VALUE} if not given.")
     private URI server = URI.create("http://127.0.0.1:8123");
 
-    @Option(names = "--user", description = "User, default if not given.")
+    @Option(names = "--user", description = "User name; default if not given.")
     private String user = "default";
 
     @Option(
             names = "--password",
-            description = "Password; asked for where no value is given.",
+            description = "Password; prompts if the option has no value.",
             interactive = true,
             arity = "0..1")
     private char[] password = new char[0];
 
     @Option(
             names = "--setting",
-            description = "A setting of the statement, NAME=VALUE; may be repeated.")
+            description = "Setting of the statement, as NAME=VALUE; may be repeated.")
     private Map<String, String> settings = new LinkedHashMap<>();
 
-    @Option(names = "--rows", description = "Rows of a load, as a JSON array of arrays.")
+    @Option(names = "--rows", description = "Rows to insert, as a JSON array of arrays.")
     private String rows;
 
     @Option(
             names = "--key",
-            description = "A key under which the statement runs once, however often it is sent.")
+            description = "Idempotency key: statements with the same key run only once.")
     private String key;
 
-    @Option(
-            names = "--timeout",
-            description = "Seconds until this client gives up, ${DEFAULT-VALUE} if not given.")
+    @Option(names = "--timeout", description = "Timeout in seconds; ${DEFAULT-VALUE} if not given.")
     private double timeout = 300;
 
     @Parameters(paramLabel = "STATEMENT")
@@ -100,7 +98,7 @@
                                 + ": "
                                 + statementResult.detail()
                                 + (statementResult.retryAfterMs() > 0
-                                        ? "; come back in " + statementResult.retryAfterMs() + " ms"
+                                        ? "; retry after " + statementResult.retryAfterMs() + " ms"
                                         : "")
                         : statementResult.kind() + " " + statementResult.detail());
         if (statementResult.kind() == StatementResult.Kind.TIMED_OUT) {
@@ -119,7 +117,7 @@
                 client.cancel(id);
             }
         } catch (java.io.IOException | InterruptedException e) {
-            System.err.println("the statement could not be called off: " + e);
+            System.err.println("failed to cancel statement " + id + ": " + e);
         }
     }
 
--- a/cli/src/main/java/ashlink/cli/ReplayCommand.java
+++ b/cli/src/main/java/ashlink/cli/ReplayCommand.java
@@ -22,26 +22,30 @@
 @Command(
         name = "replay",
         mixinStandardHelpOptions = true,
-        description = "Decides captures again by a fresh module and says whether it does the same.")
+        description =
+                "Replays captures through a new decision module and reports whether the decisions"
+                        + " are identical.")
 final class ReplayCommand implements Callable<Integer> {
 
     private static final double S = 1e9;
 
-    @Parameters(paramLabel = "CAPTURE", arity = "1..*", description = "Folders of captures.")
+    @Parameters(paramLabel = "CAPTURE", arity = "1..*", description = "Capture folders.")
     private List<Path> folders;
 
     @Option(
             names = "--baseline",
-            description = "Decide by a baseline instead: ${COMPLETION-CANDIDATES}.")
+            description = "Use a baseline policy instead: ${COMPLETION-CANDIDATES}.")
     private Baseline.Policy baseline;
 
-    @Option(names = "--with", description = "Jar of another build, whose module decides instead.")
+    @Option(names = "--with", description = "Use the module of another build, from this jar.")
     private Path jar;
 
     @Option(
             names = "--module",
             defaultValue = "ashlink.decisions.DefaultWorkloadManager",
-            description = "Class of the module in that jar, made from Settings: ${DEFAULT-VALUE}.")
+            description =
+                    "Class name of the module in the jar; its constructor takes Settings."
+                            + " ${DEFAULT-VALUE} if not given.")
     private String moduleClass;
 
     /**
@@ -89,7 +93,9 @@
                                 : type.getConstructor(Settings.class).newInstance(settings);
                     } catch (ReflectiveOperationException e) {
                         throw new IllegalStateException(
-                                "class " + moduleClass + " is no module that is made from settings",
+                                "class "
+                                        + type.getName()
+                                        + " has no usable constructor with a Settings parameter",
                                 e);
                     }
                 };
@@ -101,8 +107,8 @@
                     new CaptureReader(FolderDisk.reading(folder)).read(replay);
             double took = (System.nanoTime() - from) / S;
             System.out.printf(
-                    "%s: %d starts, %d steps decided again in %.2f s (%.0f times real time), %d"
-                            + " after gaps passed over%n",
+                    "%s: %d starts, %d steps replayed in %.2f s (%.0f times real time), %d steps"
+                            + " after gaps skipped%n",
                     folder,
                     replay.starts(),
                     replay.replayedSteps(),
@@ -115,14 +121,15 @@
                 }
             }
             if (replay.hashesDiffer()) {
-                System.out.println("  the captured module's code was another");
+                System.out.println(
+                        "  the code of the module differs from the code at capture time");
             }
             if (replay.divergentSteps() == 0) {
                 System.out.println("  identical");
             } else {
                 System.out.printf(
-                        "  %d steps differ; outcomes are those recorded, so all after the first is"
-                                + " open loop%n",
+                        "  %d steps differ; events are replayed as recorded, so steps after the"
+                                + " first difference do not reflect it%n",
                         replay.divergentSteps());
                 for (Replay.Divergence divergence : replay.divergences()) {
                     System.out.printf(
--- a/cli/src/main/java/ashlink/cli/RouteCommand.java
+++ b/cli/src/main/java/ashlink/cli/RouteCommand.java
@@ -25,12 +25,12 @@
 @Command(
         name = "route",
         mixinStandardHelpOptions = true,
-        description = "Runs a router until SIGTERM or SIGINT; SIGHUP reads its settings again.")
+        description = "Runs a router until SIGTERM or SIGINT; SIGHUP reloads the settings.")
 final class RouteCommand implements Callable<Integer> {
 
     private static final Logger LOG = LoggerFactory.getLogger(RouteCommand.class);
 
-    @Parameters(paramLabel = "CONFIG", description = "Settings of the router.")
+    @Parameters(paramLabel = "CONFIG", description = "Settings file of the router.")
     private Path file;
 
     private final CountDownLatch told = new CountDownLatch(1);
@@ -65,10 +65,10 @@
         Signals.handle("HUP", () -> reload(router));
         System.out.println("listening on " + router.address());
         if (router.httpAddress() != null) {
-            System.out.println("statements over HTTP on " + router.httpAddress());
+            System.out.println("listening for HTTP on " + router.httpAddress());
         }
         if (node != null) {
-            System.out.println("control on " + node.address());
+            System.out.println("listening for control on " + node.address());
         }
         try {
             told.await();
@@ -99,7 +99,7 @@
         FileLock lock = pid.tryLock();
         if (lock == null) {
             pid.close();
-            throw new IOException("another router runs on " + dir);
+            throw new IOException("state directory " + dir + " is in use by another router");
         }
         pid.truncate(0);
         pid.write(
@@ -113,7 +113,10 @@
         try {
             router.reload(RouterConfigReader.read(file));
         } catch (ConfigException e) {
-            LOG.error("reload refused, the old settings stay:\n{}", e.getMessage());
+            LOG.error(
+                    "settings reload failed, keeping the current settings file={} error=\"{}\"",
+                    file,
+                    e.getMessage());
         }
     }
 }
--- a/cli/src/main/java/ashlink/cli/ScenarioCommand.java
+++ b/cli/src/main/java/ashlink/cli/ScenarioCommand.java
@@ -29,8 +29,8 @@
         aliases = "badday",
         mixinStandardHelpOptions = true,
         description =
-                "Plays a scripted bad day on loopback and prints the verdict on each rule, and the"
-                        + " service.")
+                "Runs a scripted fault scenario on the loopback interface and prints the verdict on"
+                        + " each rule and the service level.")
 final class ScenarioCommand implements Callable<Integer> {
 
     private static final int SHOWN = 10;
@@ -39,39 +39,39 @@
     @Parameters(
             paramLabel = "SCRIPT",
             arity = "0..1",
-            description = "The day; without it the shipped one.")
+            description = "Scenario file; the built-in scenario if not given.")
     private Path script;
 
-    @Option(names = "--quick", description = "The shipped day in 15 s.")
+    @Option(names = "--quick", description = "Run the built-in scenario of 15 s.")
     private boolean quick;
 
     @Option(
             names = "--baseline",
-            description = "Also play the day under a baseline: ${COMPLETION-CANDIDATES}.",
+            description = "Also run the scenario with a baseline policy: ${COMPLETION-CANDIDATES}.",
             arity = "1")
     private List<Baseline.Policy> baselines = List.of();
 
-    @Option(names = "--seed", description = "Seed of the load, in place of the script's.")
+    @Option(names = "--seed", description = "Seed of the load; overrides the seed of the scenario.")
     private Long seed;
 
     @Option(
             names = "--http",
-            description = "Share of queries that come over HTTP, in place of the script's.")
+            description = "Fraction of queries over HTTP; overrides the value of the scenario.")
     private Double http;
 
     @Option(
             names = "--trouble",
             description =
-                    "A day of one kind of trouble in place of the shipped one, or all for each in"
-                            + " turn.")
+                    "Run a scenario with this single kind of fault, or with 'all' one scenario for"
+                            + " each kind.")
     private String trouble;
 
-    @Option(names = "--capture", description = "Folder for captures of the routers.")
+    @Option(names = "--capture", description = "Folder for the routers' captures.")
     private Path capture;
 
     @Option(
             names = "--notes",
-            description = "Folder for what clients and engines noted, as tab-separated text.")
+            description = "Folder for the records of clients and engines, as tab-separated text.")
     private Path notes;
 
     @Override
@@ -161,8 +161,8 @@
                         .run();
         Service service = Service.of(facts);
         System.out.printf(
-                "%n%s, seed %d, decided by %s: %d queries, %d served, %d refused, %d failed, %d"
-                        + " statements at engines%n",
+                "%n%s, seed %d, policy %s: %d queries, %d served, %d rejected, %d failed, %d"
+                        + " statements on engines%n",
                 day.name(),
                 day.seed(),
                 name,
@@ -172,11 +172,11 @@
                 service.failed(),
                 facts.ledger().size());
         System.out.printf(
-                "service %.3f, worst 10 s %.3f, by class %s%s%n",
+                "service level %.3f, worst 10 s %.3f, by class %s%s%n",
                 service.whole(),
                 service.worstTenSeconds(),
                 shares(service.byClass()),
-                service.byFront().size() > 1 ? ", by front " + shares(service.byFront()) : "");
+                service.byFront().size() > 1 ? ", by protocol " + shares(service.byFront()) : "");
         if (notes != null) {
             write(facts, name);
         }
@@ -187,7 +187,7 @@
         for (Verdict verdict : new InvariantChecker(facts).verdicts()) {
             kept &= verdict.isKept() || single && verdict.broken().isEmpty();
             System.out.printf(
-                    "  %-30s %-6s at stake %5d, broken %d%n",
+                    "  %-30s %-6s cases %5d, violations %d%n",
                     verdict.rule(),
                     verdict.isKept() ? "kept" : verdict.atStake() == 0 ? "UNSEEN" : "BROKEN",
                     verdict.atStake(),
--- a/cli/src/main/java/ashlink/cli/SimulatorCommand.java
+++ b/cli/src/main/java/ashlink/cli/SimulatorCommand.java
@@ -8,7 +8,7 @@
         name = "simulate",
         aliases = "drill",
         mixinStandardHelpOptions = true,
-        description = "Plays the simulator's wire on standard input and output (the bench).")
+        description = "Serves the simulator's protocol on standard input and output.")
 final class SimulatorCommand implements Callable<Integer> {
 
     @Override
--- a/cli/src/main/java/ashlink/cli/SuperviseCommand.java
+++ b/cli/src/main/java/ashlink/cli/SuperviseCommand.java
@@ -16,13 +16,14 @@
         name = "supervise",
         mixinStandardHelpOptions = true,
         description =
-                "Runs a router, and starts it again when it dies: at once after a good while, later"
-                        + " and later after short runs. Ends when the router ends as it was told.")
+                "Runs a router and restarts it when it fails: immediately after a long run, with an"
+                        + " increasing delay after short runs. Exits when the router stops on"
+                        + " request.")
 final class SuperviseCommand implements Callable<Integer> {
 
     private static final Logger LOG = LoggerFactory.getLogger(SuperviseCommand.class);
 
-    @Parameters(paramLabel = "CONFIG", description = "Settings of the router.")
+    @Parameters(paramLabel = "CONFIG", description = "Settings file of the router.")
     private Path file;
 
     private volatile Process child;
@@ -55,20 +56,19 @@
                     return 0;
                 }
                 case GIVE_UP -> {
-                    LOG.error("the router does not start with these settings");
+                    LOG.error("router rejected its settings, not restarted file={}", file);
                     return 2;
                 }
                 case RESTART ->
                         LOG.warn(
-                                "the router died with status {}; it starts again in {} ms",
+                                "router failed, restarting statusCode={} delayMs={}",
                                 status,
                                 decision.backoffNs() / 1_000_000);
                 case CRASH_LOOP ->
                         LOG.error(
-                                "the router dies again and again, now with status {}; next start in"
-                                        + " {} s",
+                                "router crash loop, restarting statusCode={} delayMs={}",
                                 status,
-                                TimeUnit.NANOSECONDS.toSeconds(decision.backoffNs()));
+                                TimeUnit.NANOSECONDS.toMillis(decision.backoffNs()));
             }
             TimeUnit.NANOSECONDS.sleep(decision.backoffNs());
         }
--- a/cli/src/main/java/ashlink/cli/WhyCommand.java
+++ b/cli/src/main/java/ashlink/cli/WhyCommand.java
@@ -14,17 +14,14 @@
         name = "why",
         mixinStandardHelpOptions = true,
         description =
-                "Tells the story of a request in a capture: what was known of each engine, its"
-                        + " attempts, its end.")
+                "Prints the history of a request in a capture: the known state of each engine, the"
+                        + " attempts, and the outcome.")
 final class WhyCommand implements Callable<Integer> {
 
-    @Parameters(index = "0", paramLabel = "CAPTURE", description = "Folder of the capture.")
+    @Parameters(index = "0", paramLabel = "CAPTURE", description = "Capture folder.")
     private Path folder;
 
-    @Parameters(
-            index = "1",
-            paramLabel = "REQUEST",
-            description = "Number of the request, as the log names it.")
+    @Parameters(index = "1", paramLabel = "REQUEST", description = "Request number, as in the log.")
     private long request;
 
     @Override
@@ -34,7 +31,7 @@
         List<String> lines = story.lines();
         lines.forEach(System.out::println);
         if (lines.isEmpty()) {
-            System.out.println("request " + request + " is not in this capture");
+            System.out.println("request " + request + " not found in capture " + folder);
         }
         return lines.isEmpty() ? 1 : 0;
     }
