--- a/emulator/src/main/java/ashlink/emulator/EmulatedEngine.java
+++ b/emulator/src/main/java/ashlink/emulator/EmulatedEngine.java
@@ -54,15 +54,15 @@
 
     /** Starts the engine as if it had been running for a long time, so that it is warm. */
     public void start() throws IOException {
-        start(nowMs() - WARM_UPTIME_MS);
+        startAt(nowMs() - WARM_UPTIME_MS);
     }
 
     /** Starts the engine after a crash, so that it is cold. */
     public void restart() throws IOException {
-        start(nowMs());
+        startAt(nowMs());
     }
 
-    private synchronized void start(double startedMs) throws IOException {
+    private synchronized void startAt(double startedMs) throws IOException {
         if (!down) {
             throw new IllegalStateException("engine " + config.name() + " is already running");
         }
--- a/loadtest/src/main/java/ashlink/loadtest/scenario/ScenarioRunner.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/ScenarioRunner.java
@@ -89,7 +89,7 @@
         }
         List<String> fallen =
                 engines.values().stream()
-                        .filter(EmulatedEngine::hasFallen)
+                        .filter(EmulatedEngine::hasCollapsed)
                         .map(emulatedEngine -> emulatedEngine.config().name())
                         .toList();
         List<SentQuery> ledger = new ArrayList<>();
