--- a/cli/src/main/java/ashlink/cli/BenchCommand.java
+++ b/cli/src/main/java/ashlink/cli/BenchCommand.java
@@ -23,7 +23,7 @@
             names = "--round",
             description = "Duration of each round, in seconds.",
             defaultValue = "1")
-    private double round;
+    private double roundSeconds;
 
     @Option(names = "--codec", description = "Benchmark only the codec, with JMH.")
     private boolean codec;
@@ -44,14 +44,14 @@
             return 0;
         }
         if (http) {
-            new HttpBench(System.out, (long) (round * 1e9)).run();
+            new HttpBench(System.out, (long) (roundSeconds * 1e9)).run();
             return 0;
         }
         if (background) {
-            new BackgroundBench(System.out, (long) (round * 1e9)).run();
+            new BackgroundBench(System.out, (long) (roundSeconds * 1e9)).run();
             return 0;
         }
-        new RouterBench(System.out, (long) (round * 1e9)).run();
+        new RouterBench(System.out, (long) (roundSeconds * 1e9)).run();
         return 0;
     }
 }
--- a/cli/src/main/java/ashlink/cli/CaptureCommand.java
+++ b/cli/src/main/java/ashlink/cli/CaptureCommand.java
@@ -23,7 +23,7 @@
         mixinStandardHelpOptions = true,
         description = "Lists, shows, verifies, cuts, exports and reports on captures.",
         subcommands = {
-            CaptureCommand.List_.class,
+            CaptureCommand.ListSegments.class,
             CaptureCommand.Verify.class,
             CaptureCommand.Export.class,
             CaptureCommand.Report.class,
@@ -41,16 +41,16 @@
                 "missing subcommand: expected ls, show, verify, cut, export or report");
     }
 
-    private static List<CaptureReader.SegmentSummary> found(Path folder) throws Exception {
+    private static List<CaptureReader.SegmentSummary> readSegments(Path folder) throws Exception {
         return new CaptureReader(FolderDisk.reading(folder)).read(entry -> {});
     }
 
     /** Options that select a range of entries of a capture. */
-    static final class Part {
+    static final class EntryRange {
         @picocli.CommandLine.Option(
                 names = "--from",
                 description = "Number of the first entry, counted from 0.")
-        private long from;
+        private long first;
 
         @picocli.CommandLine.Option(
                 names = "--count",
@@ -63,24 +63,24 @@
             name = "ls",
             mixinStandardHelpOptions = true,
             description = "Lists the segments of a capture.")
-    static final class List_ implements Callable<Integer> {
+    static final class ListSegments implements Callable<Integer> {
         @Parameters(paramLabel = "CAPTURE")
         private Path folder;
 
         @Override
         public Integer call() throws Exception {
-            for (CaptureReader.SegmentSummary f : found(folder)) {
+            for (CaptureReader.SegmentSummary segment : readSegments(folder)) {
                 System.out.printf(
                         "%s  router started %tFT%<tT  first entry %d, %d entries, %d bytes, %.1f"
                                 + " bytes per entry, %s %s%n",
-                        f.name(),
-                        f.boot(),
-                        f.firstEntry(),
-                        f.entries(),
-                        f.bytes(),
-                        f.bytes() / (double) Math.max(1, f.entries()),
-                        f.state(),
-                        f.reason());
+                        segment.name(),
+                        segment.boot(),
+                        segment.firstEntry(),
+                        segment.entries(),
+                        segment.bytes(),
+                        segment.bytes() / (double) Math.max(1, segment.entries()),
+                        segment.state(),
+                        segment.reason());
             }
             return 0;
         }
@@ -99,12 +99,12 @@
 
         @Override
         public Integer call() throws Exception {
-            boolean whole = true;
-            for (CaptureReader.SegmentSummary f : found(folder)) {
-                whole &= f.state() == Segment.State.WHOLE;
-                System.out.println(f.name() + " " + f.state() + " " + f.reason());
+            boolean intact = true;
+            for (CaptureReader.SegmentSummary segment : readSegments(folder)) {
+                intact &= segment.state() == Segment.State.WHOLE;
+                System.out.println(segment.name() + " " + segment.state() + " " + segment.reason());
             }
-            return whole ? 0 : 1;
+            return intact ? 0 : 1;
         }
     }
 
@@ -117,17 +117,18 @@
         @Parameters(paramLabel = "CAPTURE")
         private Path folder;
 
-        @picocli.CommandLine.Mixin private Part part;
+        @picocli.CommandLine.Mixin private EntryRange range;
 
         @Override
         public Integer call() throws Exception {
             try (JsonExport out = new JsonExport(new BufferedOutputStream(System.out))) {
-                long[] number = new long[1];
+                long[] nextNumber = new long[1];
                 new CaptureReader(FolderDisk.reading(folder))
                         .read(
                                 entry -> {
-                                    long n = number[0]++;
-                                    if (n >= part.from && n - part.from < part.count) {
+                                    long number = nextNumber[0]++;
+                                    if (number >= range.first
+                                            && number - range.first < range.count) {
                                         out.accept(entry);
                                     }
                                 });
@@ -151,22 +152,23 @@
                 index = "1",
                 paramLabel = "FOLDER",
                 description = "Target folder, which must not contain a capture.")
-        private Path to;
+        private Path target;
 
-        @picocli.CommandLine.Mixin private Part part;
+        @picocli.CommandLine.Mixin private EntryRange range;
 
         @Override
         public Integer call() throws Exception {
-            List<CaptureReader.SegmentSummary> segments = found(folder);
-            long boot = segments.isEmpty() ? 0 : segments.get(0).boot();
+            List<CaptureReader.SegmentSummary> segments = readSegments(folder);
+            long bootTime = segments.isEmpty() ? 0 : segments.get(0).boot();
             long written;
-            Files.createDirectories(to);
-            try (FolderDisk disk = FolderDisk.writing(to);
-                    CaptureSlice cut = new CaptureSlice(disk, boot, part.from, part.count)) {
-                new CaptureReader(FolderDisk.reading(folder)).read(cut);
-                written = cut.written();
+            Files.createDirectories(target);
+            try (FolderDisk disk = FolderDisk.writing(target);
+                    CaptureSlice slice =
+                            new CaptureSlice(disk, bootTime, range.first, range.count)) {
+                new CaptureReader(FolderDisk.reading(folder)).read(slice);
+                written = slice.written();
             }
-            System.out.println(written + " entries written to " + to);
+            System.out.println(written + " entries written to " + target);
             return written > 0 ? 0 : 1;
         }
     }
@@ -183,7 +185,7 @@
         @picocli.CommandLine.Option(
                 names = "--from",
                 description = "Number of the first entry, counted from 0.")
-        private long from;
+        private long first;
 
         @picocli.CommandLine.Option(
                 names = "--count",
@@ -192,18 +194,18 @@
 
         @Override
         public Integer call() throws Exception {
-            long[] number = new long[1];
+            long[] nextNumber = new long[1];
             new CaptureReader(FolderDisk.reading(folder))
                     .read(
                             entry -> {
-                                long n = number[0]++;
-                                if (n < from || n - from >= count) {
+                                long number = nextNumber[0]++;
+                                if (number < first || number - first >= count) {
                                     return;
                                 }
                                 if (entry instanceof Entry.Step step) {
                                     System.out.printf(
                                             "%8d %14.3f ms  %s%n",
-                                            n, step.nowNs() / 1e6, step.event());
+                                            number, step.nowNs() / 1e6, step.event());
                                     step.actions()
                                             .forEach(
                                                     action ->
@@ -212,7 +214,7 @@
                                                                             + "-> "
                                                                             + action));
                                 } else {
-                                    System.out.printf("%8d %s%n", n, entry);
+                                    System.out.printf("%8d %s%n", number, entry);
                                 }
                             });
             return 0;
@@ -229,14 +231,14 @@
         private Path folder;
 
         @Parameters(index = "1", paramLabel = "FILE", description = "HTML file to write.")
-        private Path page;
+        private Path reportFile;
 
         @Override
         public Integer call() throws Exception {
             System.setProperty("java.awt.headless", "true");
             CaptureSummary summary = new CaptureSummary();
             new CaptureReader(FolderDisk.reading(folder)).read(summary);
-            try (Writer out = Files.newBufferedWriter(page)) {
+            try (Writer out = Files.newBufferedWriter(reportFile)) {
                 CaptureReport.write(summary, "Capture " + folder.getFileName(), out);
             }
             return 0;
--- a/cli/src/main/java/ashlink/cli/CheckCommand.java
+++ b/cli/src/main/java/ashlink/cli/CheckCommand.java
@@ -20,22 +20,22 @@
 
     @Override
     public Integer call() throws Exception {
-        RouterConfig routerConfig = RouterConfigReader.read(file);
-        for (String warning : UnreachableRules.of(routerConfig)) {
+        RouterConfig config = RouterConfigReader.read(file);
+        for (String warning : UnreachableRules.of(config)) {
             System.out.println(file + ": warning: " + warning);
         }
         System.out.println(
                 file
                         + ": router "
-                        + routerConfig.name()
+                        + config.name()
                         + ", "
-                        + routerConfig.engines().size()
+                        + config.engines().size()
                         + " engines, "
-                        + routerConfig.queryClasses().size()
+                        + config.queryClasses().size()
                         + " classes, "
-                        + routerConfig.rules().size()
+                        + config.rules().size()
                         + " rules, "
-                        + routerConfig.users().size()
+                        + config.users().size()
                         + " users: accepted");
         return 0;
     }
--- a/cli/src/main/java/ashlink/cli/DemoCommand.java
+++ b/cli/src/main/java/ashlink/cli/DemoCommand.java
@@ -26,7 +26,7 @@
                         + " sends a few queries, and keeps running.")
 final class DemoCommand implements Callable<Integer> {
 
-    private static final long S = 1_000_000_000L;
+    private static final long NS_PER_SECOND = 1_000_000_000L;
 
     @Option(
             names = "--port",
@@ -58,7 +58,7 @@
                                 engines,
                                 "(http (listen 127.0.0.1:" + httpPort + "))"));
         router.start();
-        boolean good = show(router, engines);
+        boolean allServed = runExamples(router, engines);
         System.out.println(
                 "The router accepts native protocol connections on 127.0.0.1:"
                         + router.address().getPort()
@@ -72,32 +72,33 @@
             new CountDownLatch(1).await();
         }
         router.stop();
-        return good ? 0 : 1;
+        return allServed ? 0 : 1;
     }
 
-    private static boolean show(Router router, List<EmulatedEngine> engines) throws Exception {
-        boolean good = true;
+    private static boolean runExamples(Router router, List<EmulatedEngine> engines)
+            throws Exception {
+        boolean allServed = true;
         try (NativeClient portal = NativeClient.connect(router.address(), "portal");
                 NativeClient billing = NativeClient.connect(router.address(), "billing")) {
-            good &=
+            allServed &=
                     run(
                             portal,
                             "look-up",
                             "SELECT /* sim work_ms=20 */ value FROM readings WHERE meter = 7");
-            good &=
+            allServed &=
                     run(
                             billing,
                             "report",
                             "SELECT /* sim work_ms=80 threads=4 rows=12 */ sum(value) FROM"
                                     + " readings");
-            good &=
+            allServed &=
                     run(
                             portal,
                             "load",
                             "INSERT /* sim work_ms=60 threads=2 */ INTO readings SELECT * FROM"
                                     + " inbox");
         }
-        StatementResult statementResult =
+        StatementResult result =
                 new StatementClient(
                                 URI.create("http://127.0.0.1:" + router.httpAddress().getPort()),
                                 "portal",
@@ -108,35 +109,32 @@
                                 Map.of(),
                                 null,
                                 null,
-                                10 * S,
+                                10 * NS_PER_SECOND,
                                 page -> {});
         System.out.printf(
                 "%-8s %-9s %3d rows over HTTP   %s%n",
-                "look-up",
-                statementResult.kind(),
-                statementResult.rows(),
-                statementResult.detail());
-        good &= statementResult.kind() == StatementResult.Kind.SERVED;
-        for (EmulatedEngine emulatedEngine : engines) {
-            for (Ledger.Entry entry : emulatedEngine.ledger().entries()) {
+                "look-up", result.kind(), result.rows(), result.detail());
+        allServed &= result.kind() == StatementResult.Kind.SERVED;
+        for (EmulatedEngine engine : engines) {
+            for (Ledger.Entry entry : engine.ledger().entries()) {
                 System.out.printf(
                         "  engine %s (%s, %s) ran %s: %s%n",
-                        emulatedEngine.config().name(),
-                        emulatedEngine.config().kind(),
-                        emulatedEngine.config().zone(),
+                        engine.config().name(),
+                        engine.config().kind(),
+                        engine.config().zone(),
                         entry.queryId,
                         entry.how());
             }
         }
-        return good;
+        return allServed;
     }
 
     private static boolean run(NativeClient client, String name, String statement) {
-        long from = System.nanoTime();
-        Reply reply = client.query(name, statement, Map.of(), 10 * S);
+        long startNs = System.nanoTime();
+        Reply reply = client.query(name, statement, Map.of(), 10 * NS_PER_SECOND);
         System.out.printf(
                 "%-8s %-9s %3d rows in %5.1f ms   %s%n",
-                name, reply.kind(), reply.rows(), (reply.endNs() - from) / 1e6, reply.message());
+                name, reply.kind(), reply.rows(), (reply.endNs() - startNs) / 1e6, reply.message());
         return reply.kind() == Reply.Kind.SERVED;
     }
 }
--- a/cli/src/main/java/ashlink/cli/EngineCommand.java
+++ b/cli/src/main/java/ashlink/cli/EngineCommand.java
@@ -23,10 +23,10 @@
 
     @Override
     public Integer call() throws Exception {
-        for (EngineConfig engineConfig : EngineConfigReader.read(file)) {
-            EmulatedEngine emulatedEngine = new EmulatedEngine(engineConfig);
-            emulatedEngine.start();
-            System.out.println(engineConfig.name() + " listening on " + emulatedEngine.address());
+        for (EngineConfig config : EngineConfigReader.read(file)) {
+            EmulatedEngine engine = new EmulatedEngine(config);
+            engine.start();
+            System.out.println(config.name() + " listening on " + engine.address());
         }
         new CountDownLatch(1).await();
         return 0;
--- a/cli/src/main/java/ashlink/cli/ExplainCommand.java
+++ b/cli/src/main/java/ashlink/cli/ExplainCommand.java
@@ -54,48 +54,45 @@
                 sql.equals("-")
                         ? new String(System.in.readAllBytes(), StandardCharsets.UTF_8)
                         : sql;
-        StatementAnalysis statementAnalysis = new StatementReader().read(text, database);
-        Classifier.Classification decision =
-                new Classifier(config).classify(user, database, statementAnalysis, settings);
+        StatementAnalysis analysis = new StatementReader().read(text, database);
+        Classifier.Classification classification =
+                new Classifier(config).classify(user, database, analysis, settings);
         System.out.println(
                 "kind         "
-                        + statementAnalysis.kind().name().toLowerCase(java.util.Locale.ROOT)
-                        + (statementAnalysis.reason().isEmpty()
+                        + analysis.kind().name().toLowerCase(java.util.Locale.ROOT)
+                        + (analysis.reason().isEmpty()
                                 ? ""
                                 : ": "
-                                        + statementAnalysis.reason()
-                                        + (statementAnalysis.offset() < 0
+                                        + analysis.reason()
+                                        + (analysis.offset() < 0
                                                 ? ""
-                                                : " at character " + statementAnalysis.offset())));
+                                                : " at character " + analysis.offset())));
         System.out.println(
-                "reads        "
-                        + statementAnalysis.reads()
-                        + (statementAnalysis.allTables() ? "" : " and others"));
-        System.out.println("writes       " + statementAnalysis.writes());
+                "reads        " + analysis.reads() + (analysis.allTables() ? "" : " and others"));
+        System.out.println("writes       " + analysis.writes());
         System.out.println(
                 "harmless     "
-                        + (statementAnalysis.harmless() ? "yes" : "no")
-                        + (statementAnalysis.unstable() ? ", result may differ between runs" : ""));
-        System.out.println(
-                "data         " + (statementAnalysis.takesData() ? "from the client" : "none"));
-        System.out.println("settings     " + statementAnalysis.settings());
-        System.out.println("fingerprint  " + statementAnalysis.fingerprint());
-        System.out.println("normal text  " + statementAnalysis.normalizedSql());
+                        + (analysis.harmless() ? "yes" : "no")
+                        + (analysis.unstable() ? ", result may differ between runs" : ""));
+        System.out.println("data         " + (analysis.takesData() ? "from the client" : "none"));
+        System.out.println("settings     " + analysis.settings());
+        System.out.println("fingerprint  " + analysis.fingerprint());
+        System.out.println("normal text  " + analysis.normalizedSql());
         System.out.println(
                 "rule         "
-                        + (decision.rule() == 0
+                        + (classification.rule() == 0
                                 ? "none, default class"
-                                : "number " + decision.rule())
-                        + (decision.downgraded() ? ", restricted: not a plain read" : ""));
+                                : "number " + classification.rule())
+                        + (classification.downgraded() ? ", restricted: not a plain read" : ""));
         System.out.println(
                 "class        "
-                        + decision.queryClass().name()
+                        + classification.queryClass().name()
                         + ", retry safety "
-                        + decision.queryClass().retrySafety()
+                        + classification.queryClass().retrySafety()
                         + ", engine kinds "
-                        + decision.queryClass().engineKinds()
+                        + classification.queryClass().engineKinds()
                         + ", zones "
-                        + decision.queryClass().zones());
+                        + classification.queryClass().zones());
         return 0;
     }
 }
--- a/cli/src/main/java/ashlink/cli/FleetCommand.java
+++ b/cli/src/main/java/ashlink/cli/FleetCommand.java
@@ -50,10 +50,10 @@
         })
 final class FleetCommand implements Callable<Integer> {
 
-    private static final int SOME = 3;
-    private static final int NONE = 4;
-    private static final long S = 1_000_000_000L;
-    private static final long STOP_MS = 60_000;
+    private static final int SOME_ROUTERS = 3;
+    private static final int NO_ROUTER = 4;
+    private static final long NS_PER_SECOND = 1_000_000_000L;
+    private static final long STOP_TTL_MS = 60_000;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -66,28 +66,28 @@
     }
 
     /** Options that all subcommands have. */
-    static final class Common {
+    static final class FleetOptions {
         @Option(
                 names = "--inventory",
                 description = "File that lists the routers; ${DEFAULT-VALUE} if not given.")
         private Path inventory = Path.of("fleet.sexp");
 
         @Option(names = "--router", description = "Select this router; may be repeated.")
-        private List<String> only = List.of();
+        private List<String> routerNames = List.of();
 
         @Option(
                 names = "--at-once",
                 description =
                         "Maximum number of parallel requests to routers; ${DEFAULT-VALUE} if not"
                                 + " given.")
-        private int atOnce = 32;
+        private int maxParallel = 32;
 
         @Option(
                 names = "--timeout",
                 description =
                         "Response timeout for each router, in seconds; ${DEFAULT-VALUE} if not"
                                 + " given.")
-        private double timeout = 2;
+        private double timeoutSeconds = 2;
 
         @Option(names = "--json", description = "Print JSON instead of a table.")
         private boolean json;
@@ -100,11 +100,11 @@
         FleetConfig fleet() throws Exception {
             if (fleet == null) {
                 fleet = FleetConfig.read(inventory);
-                for (String text : only) {
-                    if (!fleet.routers().containsKey(text)) {
+                for (String name : routerNames) {
+                    if (!fleet.routers().containsKey(name)) {
                         throw new IOException(
                                 "unknown router "
-                                        + text
+                                        + name
                                         + " in "
                                         + inventory
                                         + ": expected one of "
@@ -117,47 +117,48 @@
 
         List<Member> routers() throws Exception {
             return fleet().routers().values().stream()
-                    .filter(member -> only.isEmpty() || only.contains(member.name()))
+                    .filter(member -> routerNames.isEmpty() || routerNames.contains(member.name()))
                     .toList();
         }
 
-        FleetClient tool(List<Member> of) throws Exception {
-            Map<String, InetSocketAddress> at = new LinkedHashMap<>();
-            of.forEach(member -> at.put(member.name(), member.control()));
+        FleetClient connect(List<Member> members) throws Exception {
+            Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
+            members.forEach(member -> addresses.put(member.name(), member.control()));
             return new FleetClient(
                     new Identity(fleet().keys(), fleet().operator()),
-                    at,
-                    atOnce,
-                    (int) (timeout * 1e3));
+                    addresses,
+                    maxParallel,
+                    (int) (timeoutSeconds * 1e3));
         }
 
         /**
          * Prints a row for each router and returns the exit status: 0 if all results are good, 3 if
          * some are, 4 if none is.
          */
-        int show(Map<String, Result> results, Predicate<Result> good, Row row) throws Exception {
-            ArrayNode all = new ObjectMapper().createArrayNode();
-            long did = 0;
+        int printResults(Map<String, Result> results, Predicate<Result> isGood, RowWriter rowWriter)
+                throws Exception {
+            ArrayNode rows = new ObjectMapper().createArrayNode();
+            long goodCount = 0;
             for (Result result : results.values()) {
-                boolean ok = good.test(result);
-                did += ok ? 1 : 0;
-                ObjectNode objectNode =
-                        all.addObject()
+                boolean ok = isGood.test(result);
+                goodCount += ok ? 1 : 0;
+                ObjectNode row =
+                        rows.addObject()
                                 .put("router", result.router())
                                 .put("hall", fleet().routers().get(result.router()).hall())
                                 .put("ok", ok);
                 if (!result.isReached()) {
-                    objectNode.put("error", result.error());
+                    row.put("error", result.error());
                 }
-                row.add(result, objectNode);
+                rowWriter.addFields(result, row);
             }
             if (json) {
                 System.out.println(
                         new ObjectMapper()
                                 .writerWithDefaultPrettyPrinter()
-                                .writeValueAsString(all));
+                                .writeValueAsString(rows));
             } else {
-                for (JsonNode node : all) {
+                for (JsonNode node : rows) {
                     StringBuilder line = new StringBuilder();
                     node.properties()
                             .forEach(
@@ -175,50 +176,48 @@
                     System.out.println(line);
                 }
             }
-            return did == results.size() ? 0 : did > 0 ? SOME : NONE;
+            return goodCount == results.size() ? 0 : goodCount > 0 ? SOME_ROUTERS : NO_ROUTER;
         }
     }
 
     /** Adds the fields of one router's row. */
-    interface Row {
-        void add(Result result, ObjectNode to) throws IOException;
+    interface RowWriter {
+        void addFields(Result result, ObjectNode row) throws IOException;
     }
 
-    private static void rowOfState(Result result, ObjectNode objectNode) throws IOException {
+    private static void addState(Result result, ObjectNode row) throws IOException {
         if (!result.isReached()) {
             return;
         }
-        objectNode
-                .put("up", result.answer().path("upMs").asLong() / 1000 + "s")
+        row.put("up", result.answer().path("upMs").asLong() / 1000 + "s")
                 .put("open", result.answer().path("openRequests").asInt())
                 .put("queued", result.answer().path("queued").asInt());
-        int gone = 0;
+        int missing = 0;
         for (JsonNode node : result.answer().path("members")) {
-            gone += node.path("state").asText().equals("ALIVE") ? 0 : 1;
+            missing += node.path("state").asText().equals("ALIVE") ? 0 : 1;
         }
-        objectNode.put("missing", gone);
-        List<String> wants = new ArrayList<>();
-        for (CommandWithTtl ttl : ControlCodec.commands(result.answer())) {
-            if (ttl.ttlMs() > 0 && ttl.command().intent() != Intent.NONE) {
-                wants.add(
-                        ttl.command().intent().name().toLowerCase()
+        row.put("missing", missing);
+        List<String> commands = new ArrayList<>();
+        for (CommandWithTtl entry : ControlCodec.commands(result.answer())) {
+            if (entry.ttlMs() > 0 && entry.command().intent() != Intent.NONE) {
+                commands.add(
+                        entry.command().intent().name().toLowerCase()
                                 + " "
-                                + ttl.command().subject()
+                                + entry.command().subject()
                                 + " by "
-                                + ttl.command().owner()
+                                + entry.command().owner()
                                 + " for "
-                                + ttl.ttlMs() / 1000
+                                + entry.ttlMs() / 1000
                                 + "s");
             }
         }
-        objectNode
-                .put("notices", String.join(", ", wants))
+        row.put("notices", String.join(", ", commands))
                 .put("durable", result.answer().path("durable").asBoolean());
         long days =
                 (result.answer().path("certificateEndsMs").asLong() - System.currentTimeMillis())
                         / 86_400_000L;
         if (days < 30) {
-            objectNode.put("certificate", "ends in " + days + " days");
+            row.put("certificate", "ends in " + days + " days");
         }
     }
 
@@ -229,13 +228,13 @@
             description =
                     "Shows the state of each router: requests, missing members, operator commands.")
     static final class Status implements Callable<Integer> {
-        @Mixin private Common common;
+        @Mixin private FleetOptions options;
 
         @Override
         public Integer call() throws Exception {
-            try (FleetClient fleetClient = common.tool(common.routers())) {
-                return common.show(
-                        fleetClient.status(), Result::isReached, FleetCommand::rowOfState);
+            try (FleetClient client = options.connect(options.routers())) {
+                return options.printResults(
+                        client.status(), Result::isReached, FleetCommand::addState);
             }
         }
     }
@@ -246,7 +245,7 @@
             mixinStandardHelpOptions = true,
             description = "Shows the state of all routers every second.")
     static final class Top implements Callable<Integer> {
-        @Mixin private Common common;
+        @Mixin private FleetOptions options;
 
         @Option(names = "--count", description = "Number of updates; unlimited if not given.")
         private int count = Integer.MAX_VALUE;
@@ -254,14 +253,12 @@
         @Override
         public Integer call() throws Exception {
             int status = 0;
-            try (FleetClient fleetClient = common.tool(common.routers())) {
+            try (FleetClient client = options.connect(options.routers())) {
                 for (int i = 0; i < count; i++) {
                     System.out.print(System.console() != null ? "\033[H\033[2J" : "");
                     status =
-                            common.show(
-                                    fleetClient.status(),
-                                    Result::isReached,
-                                    FleetCommand::rowOfState);
+                            options.printResults(
+                                    client.status(), Result::isReached, FleetCommand::addState);
                     if (i + 1 < count) {
                         TimeUnit.SECONDS.sleep(1);
                     }
@@ -272,87 +269,88 @@
     }
 
     /** Base of the subcommands that issue operator commands. */
-    private abstract static class Issue implements Callable<Integer> {
-        @Mixin Common common;
+    private abstract static class IssueCommand implements Callable<Integer> {
+        @Mixin FleetOptions options;
 
         @Parameters(paramLabel = "SUBJECT", description = "Engine name, or router:NAME.")
         private String subject;
 
         @Option(names = "--for", description = "Validity in hours; ${DEFAULT-VALUE} if not given.")
-        private double hours = 24;
+        private double validityHours = 24;
 
         @Option(names = "--why", description = "Reason, shown to other operators.")
-        private String why = "";
+        private String reason = "";
 
         @Option(
                 names = "--wait",
                 description =
                         "Fraction of the routers that must have received the command before this"
                                 + " program exits; ${DEFAULT-VALUE} if not given.")
-        private double share = 1;
+        private double requiredFraction = 1;
 
         @Option(
                 names = "--wait-timeout",
                 description = "Timeout of --wait, in seconds; ${DEFAULT-VALUE} if not given.")
-        private double waitTimeout = 10;
+        private double waitTimeoutSeconds = 10;
 
         String subject() {
             return subject.startsWith("router:") ? subject : OperatorCommand.engine(subject);
         }
 
-        abstract List<String> owners(Map<String, Result> known, String operator) throws IOException;
+        abstract List<String> owners(Map<String, Result> statuses, String operator)
+                throws IOException;
 
         abstract Intent intent();
 
         @Override
         public Integer call() throws Exception {
-            try (FleetClient fleetClient = common.tool(common.routers())) {
-                Map<String, Result> known = fleetClient.status();
-                List<OperatorCommand> notices = new ArrayList<>();
-                for (String owner : owners(known, common.fleet().operator())) {
-                    notices.add(fleetClient.nextCommand(subject(), owner, intent(), why, known));
+            try (FleetClient client = options.connect(options.routers())) {
+                Map<String, Result> statuses = client.status();
+                List<OperatorCommand> commands = new ArrayList<>();
+                for (String owner : owners(statuses, options.fleet().operator())) {
+                    commands.add(client.nextCommand(subject(), owner, intent(), reason, statuses));
                 }
                 System.err.printf(
                         "%s %s: %d commands for %d routers, %d of them reachable%n",
                         intent().name().toLowerCase(),
                         subject(),
-                        notices.size(),
-                        known.size(),
-                        known.values().stream().filter(Result::isReached).count());
-                if (common.dryRun || notices.isEmpty()) {
+                        commands.size(),
+                        statuses.size(),
+                        statuses.values().stream().filter(Result::isReached).count());
+                if (options.dryRun || commands.isEmpty()) {
                     return 0;
                 }
-                Map<String, Result> told = new LinkedHashMap<>();
-                for (OperatorCommand operatorCommand : notices) {
-                    told.putAll(fleetClient.submit(operatorCommand, (long) (hours * 3_600_000)));
+                Map<String, Result> responses = new LinkedHashMap<>();
+                for (OperatorCommand command : commands) {
+                    responses.putAll(client.submit(command, (long) (validityHours * 3_600_000)));
                 }
-                Predicate<Result> knows =
+                Predicate<Result> hasCommands =
                         result ->
-                                notices.stream()
+                                commands.stream()
                                         .allMatch(
-                                                operatorCommand ->
-                                                        FleetClient.hasCommand(
-                                                                result, operatorCommand));
-                Map<String, Result> now =
-                        fleetClient.awaitStatus(share, (long) (waitTimeout * S), knows);
+                                                command -> FleetClient.hasCommand(result, command));
+                Map<String, Result> finalStatuses =
+                        client.awaitStatus(
+                                requiredFraction,
+                                (long) (waitTimeoutSeconds * NS_PER_SECOND),
+                                hasCommands);
                 int status =
-                        common.show(
-                                now,
-                                knows,
-                                (result, objectNode) -> {
-                                    Result t1 = told.get(result.router());
-                                    objectNode
-                                            .put("told", t1.isReached())
-                                            .put("knows", knows.test(result));
-                                    if (t1.isReached()) {
-                                        objectNode.put("toldAtMs", t1.atMs());
+                        options.printResults(
+                                finalStatuses,
+                                hasCommands,
+                                (result, row) -> {
+                                    Result response = responses.get(result.router());
+                                    row.put("told", response.isReached())
+                                            .put("knows", hasCommands.test(result));
+                                    if (response.isReached()) {
+                                        row.put("toldAtMs", response.atMs());
                                     }
                                     if (result.isReached()
                                             && !result.answer().path("durable").asBoolean()) {
-                                        objectNode.put("durable", false);
+                                        row.put("durable", false);
                                     }
                                 });
-                if (status != 0 && now.values().stream().anyMatch(knows)) {
+                if (status != 0 && finalStatuses.values().stream().anyMatch(hasCommands)) {
                     System.err.println(
                             "routers that have the command forward it to the others: each compares"
                                     + " its commands with one other router per second");
@@ -369,9 +367,9 @@
             description =
                     "Drains an engine, so that no router sends it new queries, or with router:NAME"
                             + " a router, so that it accepts none.")
-    static final class Drain extends Issue {
+    static final class Drain extends IssueCommand {
         @Override
-        List<String> owners(Map<String, Result> known, String operator) {
+        List<String> owners(Map<String, Result> statuses, String operator) {
             return List.of(operator);
         }
 
@@ -386,22 +384,22 @@
             name = "undrain",
             mixinStandardHelpOptions = true,
             description = "Withdraws a drain that the operator issued.")
-    static final class Undrain extends Issue {
+    static final class Undrain extends IssueCommand {
         @Option(
                 names = "--all-owners",
                 description = "Also withdraw the drains of other operators.")
-        private boolean all;
+        private boolean allOwners;
 
         @Override
-        List<String> owners(Map<String, Result> known, String operator) throws IOException {
-            List<String> owners = FleetClient.activeOwners(subject(), known);
-            if (!all && owners.stream().anyMatch(text -> !text.equals(operator))) {
+        List<String> owners(Map<String, Result> statuses, String operator) throws IOException {
+            List<String> owners = FleetClient.activeOwners(subject(), statuses);
+            if (!allOwners && owners.stream().anyMatch(owner -> !owner.equals(operator))) {
                 System.err.println(
                         "still drained by "
-                                + owners.stream().filter(text -> !text.equals(operator)).toList()
+                                + owners.stream().filter(owner -> !owner.equals(operator)).toList()
                                 + "; use --all-owners to withdraw these drains too");
             }
-            return all ? owners : List.of(operator);
+            return allOwners ? owners : List.of(operator);
         }
 
         @Override
@@ -411,10 +409,10 @@
     }
 
     // ---- Processes
-    private static void launch(Member member) throws IOException {
+    private static void startSupervisor(Member member) throws IOException {
         Files.createDirectories(member.log().getParent());
         new ProcessBuilder(
-                        SuperviseCommand.ownCommand(
+                        SuperviseCommand.commandLine(
                                 "--log", "json", "supervise", member.config().toString()))
                 .redirectInput(ProcessBuilder.Redirect.from(new java.io.File("/dev/null")))
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(member.log().toFile()))
@@ -430,56 +428,58 @@
                     "Starts routers on this machine, each with a supervisor, and waits until they"
                             + " are ready.")
     static final class Start implements Callable<Integer> {
-        @Mixin private Common common;
+        @Mixin private FleetOptions options;
 
         @Option(
                 names = "--wait-timeout",
                 description = "Timeout in seconds; ${DEFAULT-VALUE} if not given.")
-        private double waitTimeout = 30;
+        private double waitTimeoutSeconds = 30;
 
         @Override
         public Integer call() throws Exception {
-            try (FleetClient fleetClient = common.tool(common.routers())) {
-                Map<String, Result> before = fleetClient.status();
-                for (Member member : common.routers()) {
-                    boolean up = before.get(member.name()).isReached();
+            try (FleetClient client = options.connect(options.routers())) {
+                Map<String, Result> statuses = client.status();
+                for (Member member : options.routers()) {
+                    boolean running = statuses.get(member.name()).isReached();
                     System.err.println(
                             member.name()
-                                    + (up
+                                    + (running
                                             ? ": already running"
                                             : ": starting with " + member.config()));
-                    if (!up && !common.dryRun) {
-                        launch(member);
+                    if (!running && !options.dryRun) {
+                        startSupervisor(member);
                     }
                 }
-                return common.dryRun
+                return options.dryRun
                         ? 0
-                        : common.show(
-                                fleetClient.awaitStatus(
-                                        1, (long) (waitTimeout * S), Result::isReached),
+                        : options.printResults(
+                                client.awaitStatus(
+                                        1,
+                                        (long) (waitTimeoutSeconds * NS_PER_SECOND),
+                                        Result::isReached),
                                 Result::isReached,
-                                FleetCommand::rowOfState);
+                                FleetCommand::addState);
             }
         }
     }
 
     /** Stops one router; returns false if the router is still reachable after the timeout. */
-    private static boolean stop(Common common, Member member, long timeoutNs) throws Exception {
-        try (FleetClient fleetClient = common.tool(List.of(member))) {
-            Map<String, Result> known = fleetClient.status();
-            if (!known.get(member.name()).isReached()) {
+    private static boolean stop(FleetOptions options, Member member, long timeoutNs)
+            throws Exception {
+        try (FleetClient client = options.connect(List.of(member))) {
+            Map<String, Result> statuses = client.status();
+            if (!statuses.get(member.name()).isReached()) {
                 return true;
             }
-            fleetClient.submit(
-                    fleetClient.nextCommand(
+            client.submit(
+                    client.nextCommand(
                             OperatorCommand.router(member.name()),
-                            common.fleet().operator(),
+                            options.fleet().operator(),
                             Intent.STOP,
                             "stop",
-                            known),
-                    STOP_MS);
-            return !fleetClient
-                    .awaitStatus(1, timeoutNs, result -> !result.isReached())
+                            statuses),
+                    STOP_TTL_MS);
+            return !client.awaitStatus(1, timeoutNs, result -> !result.isReached())
                     .get(member.name())
                     .isReached();
         }
@@ -493,26 +493,35 @@
                     "Stops routers. Each finishes its open requests within its configured time"
                             + " limit.")
     static final class Stop implements Callable<Integer> {
-        @Mixin private Common common;
+        @Mixin private FleetOptions options;
 
         @Option(
                 names = "--wait-timeout",
                 description = "Timeout for each router, in seconds; ${DEFAULT-VALUE} if not given.")
-        private double waitTimeout = 30;
+        private double waitTimeoutSeconds = 30;
 
         @Override
         public Integer call() throws Exception {
-            int did = 0;
-            for (Member member : common.routers()) {
-                boolean down = common.dryRun || stop(common, member, (long) (waitTimeout * S));
-                did += down ? 1 : 0;
+            int doneCount = 0;
+            for (Member member : options.routers()) {
+                boolean stopped =
+                        options.dryRun
+                                || stop(
+                                        options,
+                                        member,
+                                        (long) (waitTimeoutSeconds * NS_PER_SECOND));
+                doneCount += stopped ? 1 : 0;
                 System.out.println(
                         member.name()
-                                + (common.dryRun
+                                + (options.dryRun
                                         ? ": would be stopped"
-                                        : down ? ": stopped" : ": not stopped before the timeout"));
+                                        : stopped
+                                                ? ": stopped"
+                                                : ": not stopped before the timeout"));
             }
-            return did == common.routers().size() ? 0 : did > 0 ? SOME : NONE;
+            return doneCount == options.routers().size()
+                    ? 0
+                    : doneCount > 0 ? SOME_ROUTERS : NO_ROUTER;
         }
     }
 
@@ -524,51 +533,54 @@
                     "Restarts routers one after the other, zone by zone. Aborts if a router does"
                             + " not become ready, or if fewer routers are up than --up requires.")
     static final class Restart implements Callable<Integer> {
-        @Mixin private Common common;
+        @Mixin private FleetOptions options;
 
         @Option(
                 names = "--up",
                 description =
                         "Fraction of all routers that must be up before each restart;"
                                 + " ${DEFAULT-VALUE} if not given.")
-        private double up = 0.9;
+        private double minUpFraction = 0.9;
 
         @Option(
                 names = "--wait-timeout",
                 description =
                         "Timeout for each router to stop and to become ready, in seconds;"
                                 + " ${DEFAULT-VALUE} if not given.")
-        private double waitTimeout = 30;
+        private double waitTimeoutSeconds = 30;
 
         @Override
         public Integer call() throws Exception {
-            List<Member> plan = new ArrayList<>(common.routers());
-            plan.sort(java.util.Comparator.comparing(Member::hall).thenComparing(Member::name));
+            List<Member> members = new ArrayList<>(options.routers());
+            members.sort(java.util.Comparator.comparing(Member::hall).thenComparing(Member::name));
             System.err.println(
                     "restart order: "
-                            + plan.stream()
+                            + members.stream()
                                     .map(member -> member.name() + " (" + member.hall() + ")")
                                     .toList());
-            int did = 0;
-            for (Member member : common.dryRun ? List.<Member>of() : plan) {
-                if (!enough()) {
+            int doneCount = 0;
+            for (Member member : options.dryRun ? List.<Member>of() : members) {
+                if (!enoughRoutersUp()) {
                     System.err.println(
                             "aborted before "
                                     + member.name()
                                     + ": the fraction of routers that are up is below "
-                                    + up);
+                                    + minUpFraction);
                     break;
                 }
-                boolean down = stop(common, member, (long) (waitTimeout * S));
-                if (!down) {
+                boolean stopped =
+                        stop(options, member, (long) (waitTimeoutSeconds * NS_PER_SECOND));
+                if (!stopped) {
                     System.err.println(
                             member.name() + ": not stopped before the timeout, restart aborted");
                     break;
                 }
-                launch(member);
-                try (FleetClient fleetClient = common.tool(List.of(member))) {
-                    if (!fleetClient
-                            .awaitStatus(1, (long) (waitTimeout * S), Result::isReached)
+                startSupervisor(member);
+                try (FleetClient client = options.connect(List.of(member))) {
+                    if (!client.awaitStatus(
+                                    1,
+                                    (long) (waitTimeoutSeconds * NS_PER_SECOND),
+                                    Result::isReached)
                             .get(member.name())
                             .isReached()) {
                         System.err.println(
@@ -576,17 +588,19 @@
                         break;
                     }
                 }
-                did++;
+                doneCount++;
                 System.out.println(member.name() + ": restarted");
             }
-            return common.dryRun || did == plan.size() ? 0 : did > 0 ? SOME : NONE;
+            return options.dryRun || doneCount == members.size()
+                    ? 0
+                    : doneCount > 0 ? SOME_ROUTERS : NO_ROUTER;
         }
 
-        private boolean enough() throws Exception {
-            List<Member> all = List.copyOf(common.fleet().routers().values());
-            try (FleetClient fleetClient = common.tool(all)) {
-                return fleetClient.status().values().stream().filter(Result::isReached).count()
-                        >= Math.floor(up * all.size());
+        private boolean enoughRoutersUp() throws Exception {
+            List<Member> allMembers = List.copyOf(options.fleet().routers().values());
+            try (FleetClient client = options.connect(allMembers)) {
+                return client.status().values().stream().filter(Result::isReached).count()
+                        >= Math.floor(minUpFraction * allMembers.size());
             }
         }
     }
@@ -597,7 +611,7 @@
             mixinStandardHelpOptions = true,
             description = "Prints the last log lines of routers on this machine.")
     static final class Logs implements Callable<Integer> {
-        @Mixin private Common common;
+        @Mixin private FleetOptions options;
 
         @Option(
                 names = "--lines",
@@ -606,11 +620,11 @@
 
         @Override
         public Integer call() throws Exception {
-            for (Member member : common.routers()) {
+            for (Member member : options.routers()) {
                 System.out.println("==> " + member.name() + " <==");
                 if (Files.exists(member.log())) {
-                    List<String> all = tail(member.log());
-                    all.subList(Math.max(0, all.size() - lines), all.size())
+                    List<String> tail = readTail(member.log());
+                    tail.subList(Math.max(0, tail.size() - lines), tail.size())
                             .forEach(System.out::println);
                 }
             }
@@ -618,11 +632,11 @@
         }
 
         /** Returns the lines within the last 256 KiB of a log file. */
-        private static List<String> tail(Path log) throws IOException {
+        private static List<String> readTail(Path log) throws IOException {
             try (java.io.RandomAccessFile file = new java.io.RandomAccessFile(log.toFile(), "r")) {
-                long from = Math.max(0, file.length() - (256 << 10));
-                byte[] bytes = new byte[(int) (file.length() - from)];
-                file.seek(from);
+                long offset = Math.max(0, file.length() - (256 << 10));
+                byte[] bytes = new byte[(int) (file.length() - offset)];
+                file.seek(offset);
                 file.readFully(bytes);
                 return new String(bytes, java.nio.charset.StandardCharsets.UTF_8).lines().toList();
             }
--- a/cli/src/main/java/ashlink/cli/FleetRouter.java
+++ b/cli/src/main/java/ashlink/cli/FleetRouter.java
@@ -15,19 +15,19 @@
 final class FleetRouter implements RouterControl {
 
     private final Router router;
-    private final Runnable stop;
+    private final Runnable stopRequest;
     private final long startedMs = System.currentTimeMillis();
 
-    private FleetRouter(Router router, Runnable stop) {
+    private FleetRouter(Router router, Runnable stopRequest) {
         this.router = router;
-        this.stop = stop;
+        this.stopRequest = stopRequest;
     }
 
     /**
      * Creates the fleet member of a router that is not started yet, and applies the stored operator
      * commands. Returns null if the settings have no control channel.
      */
-    static FleetMember of(RouterConfig config, Router router, Runnable stop)
+    static FleetMember createMember(RouterConfig config, Router router, Runnable stopRequest)
             throws IOException, GeneralSecurityException {
         if (config.control().listen() == null) {
             return null;
@@ -43,7 +43,7 @@
         return new FleetMember(
                 spec,
                 new Identity(config.control().keys(), config.name()),
-                new FleetRouter(router, stop));
+                new FleetRouter(router, stopRequest));
     }
 
     @Override
@@ -52,23 +52,23 @@
     }
 
     @Override
-    public void setRejecting(boolean refuses) {
-        router.rejectNewRequests(refuses);
+    public void setRejecting(boolean rejecting) {
+        router.rejectNewRequests(rejecting);
     }
 
     @Override
     public void stop() {
-        stop.run();
+        stopRequest.run();
     }
 
     @Override
-    public void addStatus(ObjectNode to) {
-        to.put("address", String.valueOf(router.address()))
+    public void addStatus(ObjectNode status) {
+        status.put("address", String.valueOf(router.address()))
                 .put("openRequests", router.core().openRequests())
                 .put("queued", router.core().queuedEvents())
                 .put("upMs", System.currentTimeMillis() - startedMs);
         if (router.httpAddress() != null) {
-            to.put("http", String.valueOf(router.httpAddress()));
+            status.put("http", String.valueOf(router.httpAddress()));
         }
     }
 }
--- a/cli/src/main/java/ashlink/cli/KeysCommand.java
+++ b/cli/src/main/java/ashlink/cli/KeysCommand.java
@@ -25,14 +25,14 @@
         mixinStandardHelpOptions = true,
         description = "Creates and shows the keys and certificates of a fleet's control channel.",
         subcommands = {
-            KeysCommand.Renew.class,
+            KeysCommand.Authority.class,
             KeysCommand.Retire.class,
             KeysCommand.Issue.class,
             KeysCommand.Show.class
         })
 final class KeysCommand implements Callable<Integer> {
 
-    private static final int SOON_DAYS = 30;
+    private static final int RENEWAL_DAYS = 30;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -50,16 +50,16 @@
             description =
                     "Creates a certificate authority. Earlier authorities stay trusted until 'keys"
                             + " retire', so that certificates can be replaced in the meantime.")
-    static final class Renew implements Callable<Integer> {
+    static final class Authority implements Callable<Integer> {
         @Parameters(paramLabel = "DIR")
-        private Path dir;
+        private Path directory;
 
         @Option(names = "--days", description = "Validity in days; ${DEFAULT-VALUE} if not given.")
         private int days = 3650;
 
         @Override
         public Integer call() throws Exception {
-            new CertificateAuthority(dir).renew(Duration.ofDays(days));
+            new CertificateAuthority(directory).renew(Duration.ofDays(days));
             return 0;
         }
     }
@@ -71,11 +71,11 @@
             description = "Removes trust in all certificate authorities except the newest.")
     static final class Retire implements Callable<Integer> {
         @Parameters(paramLabel = "DIR")
-        private Path dir;
+        private Path directory;
 
         @Override
         public Integer call() throws Exception {
-            new CertificateAuthority(dir).retire();
+            new CertificateAuthority(directory).retire();
             return 0;
         }
     }
@@ -87,7 +87,7 @@
             description = "Creates a key and a certificate for each name.")
     static final class Issue implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "DIR")
-        private Path dir;
+        private Path directory;
 
         @Parameters(index = "1..*", arity = "1..*", paramLabel = "NAME")
         private List<String> names;
@@ -104,12 +104,13 @@
 
         @Override
         public Integer call() throws Exception {
-            Set<Role> of = EnumSet.copyOf(roles);
-            if (of.contains(Role.DRAIN) || of.contains(Role.STOP)) {
-                of.add(Role.OBSERVE);
+            Set<Role> grantedRoles = EnumSet.copyOf(roles);
+            if (grantedRoles.contains(Role.DRAIN) || grantedRoles.contains(Role.STOP)) {
+                grantedRoles.add(Role.OBSERVE);
             }
             for (String name : names) {
-                new CertificateAuthority(dir).issue(name, of, Duration.ofDays(days));
+                new CertificateAuthority(directory)
+                        .issue(name, grantedRoles, Duration.ofDays(days));
             }
             return 0;
         }
@@ -122,40 +123,38 @@
             description =
                     "Shows the names, roles and expiry dates of all certificates. Exit status: 1 if"
                             + " a certificate expires within "
-                            + SOON_DAYS
+                            + RENEWAL_DAYS
                             + " days, otherwise 0.")
     static final class Show implements Callable<Integer> {
         @Parameters(paramLabel = "DIR")
-        private Path dir;
+        private Path directory;
 
         @Override
         public Integer call() throws Exception {
-            boolean soon = false;
+            boolean renewalDue = false;
             List<Path> files;
-            try (Stream<Path> all = Files.list(dir)) {
-                files = all.filter(path -> path.toString().endsWith(".crt")).sorted().toList();
+            try (Stream<Path> entries = Files.list(directory)) {
+                files = entries.filter(path -> path.toString().endsWith(".crt")).sorted().toList();
             }
-            for (Path path : files) {
-                for (X509Certificate x509Certificate :
-                        path.endsWith("ca.crt")
-                                ? Pem.certificates(path)
-                                : Pem.certificates(path).subList(0, 1)) {
+            for (Path file : files) {
+                for (X509Certificate certificate :
+                        file.endsWith("ca.crt")
+                                ? Pem.certificates(file)
+                                : Pem.certificates(file).subList(0, 1)) {
                     long days =
-                            Duration.between(
-                                            Instant.now(),
-                                            x509Certificate.getNotAfter().toInstant())
+                            Duration.between(Instant.now(), certificate.getNotAfter().toInstant())
                                     .toDays();
-                    soon |= days < SOON_DAYS;
+                    renewalDue |= days < RENEWAL_DAYS;
                     System.out.printf(
                             "%-24s %-28s expires %tF, in %d days%s%n",
-                            Identity.name(x509Certificate),
-                            Identity.roles(x509Certificate).stream().map(Role::word).toList(),
-                            x509Certificate.getNotAfter(),
+                            Identity.name(certificate),
+                            Identity.roles(certificate).stream().map(Role::word).toList(),
+                            certificate.getNotAfter(),
                             days,
-                            days < SOON_DAYS ? "  RENEW" : "");
+                            days < RENEWAL_DAYS ? "  RENEW" : "");
                 }
             }
-            return soon ? 1 : 0;
+            return renewalDue ? 1 : 0;
         }
     }
 }
--- a/cli/src/main/java/ashlink/cli/Logs.java
+++ b/cli/src/main/java/ashlink/cli/LogSetup.java
@@ -11,17 +11,18 @@
 import org.slf4j.LoggerFactory;
 
 /** Configures logging: one line per event on standard error, in plain text or JSON. */
-final class Logs {
+final class LogSetup {
 
-    private static final String PLAIN = "%d{HH:mm:ss.SSS} %-5level %logger{0} - %msg %kvp%n";
+    private static final String PLAIN_PATTERN =
+            "%d{HH:mm:ss.SSS} %-5level %logger{0} - %msg %kvp%n";
 
-    private Logs() {}
+    private LogSetup() {}
 
-    static void configure(Main.LogForm form, String level) {
+    static void configure(Main.LogFormat format, String level) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
         Encoder<ILoggingEvent> encoder;
-        if (form == Main.LogForm.JSON) {
+        if (format == Main.LogFormat.JSON) {
             LogstashEncoder json = new LogstashEncoder();
             json.setContext(context);
             json.start();
@@ -29,7 +30,7 @@
         } else {
             PatternLayoutEncoder plain = new PatternLayoutEncoder();
             plain.setContext(context);
-            plain.setPattern(PLAIN);
+            plain.setPattern(PLAIN_PATTERN);
             plain.start();
             encoder = plain;
         }
--- a/cli/src/main/java/ashlink/cli/Main.java
+++ b/cli/src/main/java/ashlink/cli/Main.java
@@ -34,7 +34,7 @@
 public final class Main implements Runnable {
 
     /** Output formats of the log. */
-    enum LogForm {
+    enum LogFormat {
         PLAIN,
         JSON
     }
@@ -46,7 +46,7 @@
             description = "Format of the log on standard error: ${COMPLETION-CANDIDATES}.",
             defaultValue = "PLAIN",
             scope = CommandLine.ScopeType.INHERIT)
-    private LogForm log;
+    private LogFormat logFormat;
 
     @Option(
             names = "--log-level",
@@ -54,40 +54,41 @@
                     "Log level: ERROR, WARN, INFO or DEBUG. Default: INFO for route, engine and"
                             + " supervise, otherwise WARN.",
             scope = CommandLine.ScopeType.INHERIT)
-    private String level;
+    private String logLevel;
 
     /** Runs a subcommand and exits with its status. */
     public static void main(String[] args) {
         Main main = new Main();
-        CommandLine line = new CommandLine(main);
-        line.setCaseInsensitiveEnumValuesAllowed(true);
-        line.setExecutionStrategy(
+        CommandLine commandLine = new CommandLine(main);
+        commandLine.setCaseInsensitiveEnumValuesAllowed(true);
+        commandLine.setExecutionStrategy(
                 parsed -> {
-                    String name =
+                    String subcommand =
                             parsed.subcommand() == null
                                     ? ""
                                     : parsed.subcommand().commandSpec().name();
                     boolean daemon =
-                            name.equals("route")
-                                    || name.equals("engine")
-                                    || name.equals("supervise");
-                    Logs.configure(
-                            main.log, main.level != null ? main.level : daemon ? "INFO" : "WARN");
+                            subcommand.equals("route")
+                                    || subcommand.equals("engine")
+                                    || subcommand.equals("supervise");
+                    LogSetup.configure(
+                            main.logFormat,
+                            main.logLevel != null ? main.logLevel : daemon ? "INFO" : "WARN");
                     return new CommandLine.RunLast().execute(parsed);
                 });
-        line.setExecutionExceptionHandler(
-                (failure, commandLine, parsed) -> {
+        commandLine.setExecutionExceptionHandler(
+                (failure, command, parsed) -> {
                     if (failure instanceof ashlink.config.ConfigException) {
-                        commandLine.getErr().println(failure.getMessage());
+                        command.getErr().println(failure.getMessage());
                         return 2;
                     }
-                    commandLine.getErr().println("ashlink: " + failure);
-                    if ("DEBUG".equalsIgnoreCase(main.level)) {
-                        failure.printStackTrace(commandLine.getErr());
+                    command.getErr().println("ashlink: " + failure);
+                    if ("DEBUG".equalsIgnoreCase(main.logLevel)) {
+                        failure.printStackTrace(command.getErr());
                     }
                     return 1;
                 });
-        System.exit(line.execute(args));
+        System.exit(commandLine.execute(args));
     }
 
     @Override
--- a/cli/src/main/java/ashlink/cli/PlatformMain.java
+++ b/cli/src/main/java/ashlink/cli/PlatformMain.java
@@ -13,7 +13,8 @@
      * log level, which is INFO by default.
      */
     public static void main(String[] args) throws Exception {
-        Logs.configure(Main.LogForm.PLAIN, System.getenv().getOrDefault("ASHLINK_LOG", "INFO"));
+        LogSetup.configure(
+                Main.LogFormat.PLAIN, System.getenv().getOrDefault("ASHLINK_LOG", "INFO"));
         ashlink.platform.Main.main(args);
     }
 }
--- a/cli/src/main/java/ashlink/cli/QueryCommand.java
+++ b/cli/src/main/java/ashlink/cli/QueryCommand.java
@@ -26,9 +26,9 @@
         })
 final class QueryCommand implements Callable<Integer> {
 
-    private static final int REFUSED = 3;
-    private static final int MAYBE = 4;
-    private static final long SHOW_NS = 200_000_000L;
+    private static final int REJECTED = 3;
+    private static final int OUTCOME_UNKNOWN = 4;
+    private static final long PROGRESS_INTERVAL_NS = 200_000_000L;
 
     @Option(
             names = "--server",
@@ -59,55 +59,54 @@
     private String key;
 
     @Option(names = "--timeout", description = "Timeout in seconds; ${DEFAULT-VALUE} if not given.")
-    private double timeout = 300;
+    private double timeoutSeconds = 300;
 
     @Parameters(paramLabel = "STATEMENT")
     private String statement;
 
     private final PrintStream terminal = System.console() != null ? System.err : null;
-    private long shownNs;
+    private long lastProgressNs;
 
     @Override
     public Integer call() throws Exception {
         StatementClient client = new StatementClient(server, user, new String(password));
-        AtomicReference<String> id = new AtomicReference<>();
-        Thread hook = new Thread(() -> cancel(client, id.get()));
-        Runtime.getRuntime().addShutdownHook(hook);
-        JsonNode data = rows == null ? null : new ObjectMapper().readTree(rows);
-        StatementResult statementResult =
+        AtomicReference<String> statementId = new AtomicReference<>();
+        Thread cancelHook = new Thread(() -> cancel(client, statementId.get()));
+        Runtime.getRuntime().addShutdownHook(cancelHook);
+        JsonNode insertRows = rows == null ? null : new ObjectMapper().readTree(rows);
+        StatementResult result =
                 client.run(
                         statement,
                         settings,
-                        data,
+                        insertRows,
                         key,
-                        (long) (timeout * 1e9),
+                        (long) (timeoutSeconds * 1e9),
                         node -> {
-                            id.set(node.path("id").asText(null));
-                            show(node);
+                            statementId.set(node.path("id").asText(null));
+                            printUpdate(node);
                         });
-        Runtime.getRuntime().removeShutdownHook(hook);
+        Runtime.getRuntime().removeShutdownHook(cancelHook);
         if (terminal != null) {
             terminal.print("\r\033[K");
         }
-        if (statementResult.kind() == StatementResult.Kind.SERVED) {
+        if (result.kind() == StatementResult.Kind.SERVED) {
             return 0;
         }
         System.err.println(
-                statementResult.kind() == StatementResult.Kind.PROBLEM
-                        ? statementResult.problem()
+                result.kind() == StatementResult.Kind.PROBLEM
+                        ? result.problem()
                                 + ": "
-                                + statementResult.detail()
-                                + (statementResult.retryAfterMs() > 0
-                                        ? "; retry after " + statementResult.retryAfterMs() + " ms"
+                                + result.detail()
+                                + (result.retryAfterMs() > 0
+                                        ? "; retry after " + result.retryAfterMs() + " ms"
                                         : "")
-                        : statementResult.kind() + " " + statementResult.detail());
-        if (statementResult.kind() == StatementResult.Kind.TIMED_OUT) {
-            cancel(client, id.get());
+                        : result.kind() + " " + result.detail());
+        if (result.kind() == StatementResult.Kind.TIMED_OUT) {
+            cancel(client, statementId.get());
         }
-        return statementResult.isRejected()
-                        || statementResult.kind() == StatementResult.Kind.NOT_SENT
-                ? REFUSED
-                : statementResult.problem().equals("statement-error") ? 1 : MAYBE;
+        return result.isRejected() || result.kind() == StatementResult.Kind.NOT_SENT
+                ? REJECTED
+                : result.problem().equals("statement-error") ? 1 : OUTCOME_UNKNOWN;
     }
 
     /** Cancels the statement, because no client will fetch its result. */
@@ -121,26 +120,31 @@
         }
     }
 
-    private void show(JsonNode n) {
-        for (JsonNode row : n.path("rows")) {
+    private void printUpdate(JsonNode update) {
+        for (JsonNode row : update.path("rows")) {
             if (!row.isArray()) {
                 break; // before the first page, "rows" is the number of rows
             }
             StringBuilder line = new StringBuilder();
-            for (JsonNode v : row) {
+            for (JsonNode value : row) {
                 line.append(line.length() > 0 ? "\t" : "")
-                        .append(v.isNull() ? "\\N" : v.isTextual() ? v.textValue() : v.toString());
+                        .append(
+                                value.isNull()
+                                        ? "\\N"
+                                        : value.isTextual() ? value.textValue() : value.toString());
             }
             System.out.println(line);
         }
-        long now = System.nanoTime();
-        if (terminal != null && n.has("progress") && now - shownNs > SHOW_NS) {
-            shownNs = now;
+        long nowNs = System.nanoTime();
+        if (terminal != null
+                && update.has("progress")
+                && nowNs - lastProgressNs > PROGRESS_INTERVAL_NS) {
+            lastProgressNs = nowNs;
             terminal.printf(
                     "\r\033[K%s, %.1f s, %d rows read",
-                    n.path("state").asText(),
-                    n.path("elapsedMs").asLong() / 1e3,
-                    n.path("progress").path("rows").asLong());
+                    update.path("state").asText(),
+                    update.path("elapsedMs").asLong() / 1e3,
+                    update.path("progress").path("rows").asLong());
         }
     }
 }
--- a/cli/src/main/java/ashlink/cli/ReplayCommand.java
+++ b/cli/src/main/java/ashlink/cli/ReplayCommand.java
@@ -27,7 +27,7 @@
                         + " are identical.")
 final class ReplayCommand implements Callable<Integer> {
 
-    private static final double S = 1e9;
+    private static final double NS_PER_SECOND = 1e9;
 
     @Parameters(paramLabel = "CAPTURE", arity = "1..*", description = "Capture folders.")
     private List<Path> folders;
@@ -52,15 +52,15 @@
      * Loads the decision module of another build. The decision API and all classes outside this
      * project come from this build; all other classes come from the jar.
      */
-    private static final class OtherBuild extends URLClassLoader {
-        OtherBuild(Path jar) throws java.net.MalformedURLException {
+    private static final class ModuleClassLoader extends URLClassLoader {
+        ModuleClassLoader(Path jar) throws java.net.MalformedURLException {
             super(new URL[] {jar.toUri().toURL()}, ReplayCommand.class.getClassLoader());
         }
 
         @Override
         public URL getResource(String name) {
-            URL own = findResource(name);
-            return own != null ? own : super.getResource(name);
+            URL resource = findResource(name);
+            return resource != null ? resource : super.getResource(name);
         }
 
         @Override
@@ -68,24 +68,24 @@
             boolean shared =
                     !name.startsWith("ashlink.") || name.startsWith("ashlink.decisions.api.");
             synchronized (getClassLoadingLock(name)) {
-                Class<?> c = shared ? super.loadClass(name, resolve) : findLoadedClass(name);
-                return c != null ? c : findClass(name);
+                Class<?> loaded = shared ? super.loadClass(name, resolve) : findLoadedClass(name);
+                return loaded != null ? loaded : findClass(name);
             }
         }
     }
 
-    private Class<? extends WorkloadManager> module() throws Exception {
+    private Class<? extends WorkloadManager> moduleType() throws Exception {
         if (jar == null) {
             return baseline == null ? DefaultWorkloadManager.class : Baseline.class;
         }
-        return new OtherBuild(jar).loadClass(moduleClass).asSubclass(WorkloadManager.class);
+        return new ModuleClassLoader(jar).loadClass(moduleClass).asSubclass(WorkloadManager.class);
     }
 
     @Override
     public Integer call() throws Exception {
-        boolean same = true;
-        Class<? extends WorkloadManager> type = module();
-        Function<Settings, WorkloadManager> module =
+        boolean identical = true;
+        Class<? extends WorkloadManager> type = moduleType();
+        Function<Settings, WorkloadManager> moduleFactory =
                 settings -> {
                     try {
                         return baseline != null && jar == null
@@ -101,23 +101,25 @@
                 };
         String hash = ModuleHash.of(type);
         for (Path folder : folders) {
-            Replay replay = new Replay(module, hash);
-            long from = System.nanoTime();
-            List<CaptureReader.SegmentSummary> found =
+            Replay replay = new Replay(moduleFactory, hash);
+            long startNs = System.nanoTime();
+            List<CaptureReader.SegmentSummary> segments =
                     new CaptureReader(FolderDisk.reading(folder)).read(replay);
-            double took = (System.nanoTime() - from) / S;
+            double durationS = (System.nanoTime() - startNs) / NS_PER_SECOND;
             System.out.printf(
                     "%s: %d starts, %d steps replayed in %.2f s (%.0f times real time), %d steps"
                             + " after gaps skipped%n",
                     folder,
                     replay.starts(),
                     replay.replayedSteps(),
-                    took,
-                    replay.spanNs() / S / took,
+                    durationS,
+                    replay.spanNs() / NS_PER_SECOND / durationS,
                     replay.skippedSteps());
-            for (CaptureReader.SegmentSummary f : found) {
-                if (f.state() != ashlink.capture.log.Segment.State.WHOLE) {
-                    System.out.printf("  segment %s is %s: %s%n", f.name(), f.state(), f.reason());
+            for (CaptureReader.SegmentSummary segment : segments) {
+                if (segment.state() != ashlink.capture.log.Segment.State.WHOLE) {
+                    System.out.printf(
+                            "  segment %s is %s: %s%n",
+                            segment.name(), segment.state(), segment.reason());
                 }
             }
             if (replay.hashesDiffer()) {
@@ -135,15 +137,15 @@
                     System.out.printf(
                             "  entry %d at %.3f s: %s%n    recorded %s%n    replayed %s%n",
                             divergence.entry(),
-                            divergence.recorded().nowNs() / S,
+                            divergence.recorded().nowNs() / NS_PER_SECOND,
                             divergence.recorded().event(),
                             divergence.recorded().actions(),
                             divergence.replayed());
                 }
-                same = false;
+                identical = false;
             }
-            same &= replay.replayedSteps() > 0;
+            identical &= replay.replayedSteps() > 0;
         }
-        return same ? 0 : 1;
+        return identical ? 0 : 1;
     }
 }
--- a/cli/src/main/java/ashlink/cli/RouteCommand.java
+++ b/cli/src/main/java/ashlink/cli/RouteCommand.java
@@ -33,30 +33,30 @@
     @Parameters(paramLabel = "CONFIG", description = "Settings file of the router.")
     private Path file;
 
-    private final CountDownLatch told = new CountDownLatch(1);
+    private final CountDownLatch stopRequested = new CountDownLatch(1);
 
     @Override
     public Integer call() throws Exception {
         RouterConfig config = RouterConfigReader.read(file);
         FileLock lock = config.stateDir() == null ? null : lock(config.stateDir());
         Router router = new Router(config);
-        FleetMember node =
-                FleetRouter.of(
+        FleetMember member =
+                FleetRouter.createMember(
                         config,
                         router,
-                        told::countDown); // stored drains apply before the first query
-        CountDownLatch ended = new CountDownLatch(1);
+                        stopRequested::countDown); // stored drains apply before the first query
+        CountDownLatch stopped = new CountDownLatch(1);
         router.start();
-        if (node != null) {
-            node.start();
+        if (member != null) {
+            member.start();
         }
         Runtime.getRuntime()
                 .addShutdownHook(
                         new Thread(
                                 () -> {
-                                    told.countDown();
+                                    stopRequested.countDown();
                                     try {
-                                        ended.await();
+                                        stopped.await();
                                     } catch (InterruptedException e) {
                                         Thread.currentThread().interrupt();
                                     }
@@ -67,20 +67,20 @@
         if (router.httpAddress() != null) {
             System.out.println("listening for HTTP on " + router.httpAddress());
         }
-        if (node != null) {
-            System.out.println("listening for control on " + node.address());
+        if (member != null) {
+            System.out.println("listening for control on " + member.address());
         }
         try {
-            told.await();
+            stopRequested.await();
             router.stop();
-            if (node != null) {
-                node.close();
+            if (member != null) {
+                member.close();
             }
             if (lock != null) {
                 lock.channel().close();
             }
         } finally {
-            ended.countDown();
+            stopped.countDown();
         }
         return 0;
     }
@@ -89,20 +89,20 @@
      * Locks a state directory, which only one process can use. The file {@code router.pid} contains
      * the process ID and is locked while the process runs.
      */
-    private static FileLock lock(Path dir) throws IOException {
-        Files.createDirectories(dir);
-        FileChannel pid =
+    private static FileLock lock(Path directory) throws IOException {
+        Files.createDirectories(directory);
+        FileChannel pidFile =
                 FileChannel.open(
-                        dir.resolve("router.pid"),
+                        directory.resolve("router.pid"),
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE);
-        FileLock lock = pid.tryLock();
+        FileLock lock = pidFile.tryLock();
         if (lock == null) {
-            pid.close();
-            throw new IOException("state directory " + dir + " is in use by another router");
+            pidFile.close();
+            throw new IOException("state directory " + directory + " is in use by another router");
         }
-        pid.truncate(0);
-        pid.write(
+        pidFile.truncate(0);
+        pidFile.write(
                 ByteBuffer.wrap(
                         (ProcessHandle.current().pid() + "\n")
                                 .getBytes(StandardCharsets.US_ASCII)));
--- a/cli/src/main/java/ashlink/cli/ScenarioCommand.java
+++ b/cli/src/main/java/ashlink/cli/ScenarioCommand.java
@@ -33,8 +33,8 @@
                         + " each rule and the service level.")
 final class ScenarioCommand implements Callable<Integer> {
 
-    private static final int SHOWN = 10;
-    private static final long MS = 1_000_000L;
+    private static final int MAX_PRINTED_VIOLATIONS = 10;
+    private static final long NS_PER_MS = 1_000_000L;
 
     @Parameters(
             paramLabel = "SCRIPT",
@@ -57,103 +57,105 @@
     @Option(
             names = "--http",
             description = "Fraction of queries over HTTP; overrides the value of the scenario.")
-    private Double http;
+    private Double httpFraction;
 
     @Option(
             names = "--trouble",
             description =
                     "Run a scenario with this single kind of fault, or with 'all' one scenario for"
                             + " each kind.")
-    private String trouble;
+    private String fault;
 
     @Option(names = "--capture", description = "Folder for the routers' captures.")
-    private Path capture;
+    private Path captureFolder;
 
     @Option(
             names = "--notes",
             description = "Folder for the records of clients and engines, as tab-separated text.")
-    private Path notes;
+    private Path recordsFolder;
 
     @Override
     public Integer call() throws Exception {
-        if ("all".equals(trouble)) {
-            boolean kept = true;
+        if ("all".equals(fault)) {
+            boolean allKept = true;
             for (String name : FaultCatalog.NAMES) {
-                kept &= play(FaultCatalog.day(name, captureSetting(name)), "rules", null);
+                allKept &= runScenario(FaultCatalog.day(name, captureSetting(name)), "rules", null);
             }
-            return kept ? 0 : 1;
+            return allKept ? 0 : 1;
         }
-        ScenarioConfig day = day();
-        boolean kept = play(day, "rules", null);
+        ScenarioConfig scenario = readScenario();
+        boolean allKept = runScenario(scenario, "rules", null);
         for (Baseline.Policy policy : baselines) {
-            play(day, policy.name().toLowerCase(java.util.Locale.ROOT), policy);
+            runScenario(scenario, policy.name().toLowerCase(java.util.Locale.ROOT), policy);
         }
-        return kept ? 0 : 1;
+        return allKept ? 0 : 1;
     }
 
-    private void write(ScenarioFacts facts, String name) throws java.io.IOException {
+    private void writeRecords(ScenarioFacts facts, String name) throws java.io.IOException {
         Map<String, List<SentQuery>> byTag =
                 facts.ledger().stream().collect(Collectors.groupingBy(SentQuery::tag));
         StringBuilder text =
                 new StringBuilder(
                         "tag\tclass\trouter\tsent_ms\tended_ms\tkind\tcode\twork_ms\tattempts\n");
-        for (ClientAttempt clientAttempt : facts.tries()) {
+        for (ClientAttempt attempt : facts.tries()) {
             text.append(
                     String.format(
                             "%s\t%s\t%s\t%d\t%d\t%s\t%d\t%.0f",
-                            clientAttempt.tag(),
-                            clientAttempt.queryClass(),
-                            clientAttempt.router(),
-                            (clientAttempt.sentNs() - facts.fromNs()) / MS,
-                            (clientAttempt.reply().endNs() - facts.fromNs()) / MS,
-                            clientAttempt.reply().kind(),
-                            clientAttempt.reply().code(),
-                            clientAttempt.workMs()));
-            for (SentQuery sentQuery : byTag.getOrDefault(clientAttempt.tag(), List.of())) {
+                            attempt.tag(),
+                            attempt.queryClass(),
+                            attempt.router(),
+                            (attempt.sentNs() - facts.fromNs()) / NS_PER_MS,
+                            (attempt.reply().endNs() - facts.fromNs()) / NS_PER_MS,
+                            attempt.reply().kind(),
+                            attempt.reply().code(),
+                            attempt.workMs()));
+            for (SentQuery query : byTag.getOrDefault(attempt.tag(), List.of())) {
                 text.append(
                         String.format(
                                 "\t%s:%d-%d:%s",
-                                sentQuery.engine(),
-                                (sentQuery.beganNs() - facts.fromNs()) / MS,
-                                (sentQuery.outUntilNs() - facts.fromNs()) / MS,
-                                sentQuery.how()));
+                                query.engine(),
+                                (query.beganNs() - facts.fromNs()) / NS_PER_MS,
+                                (query.outUntilNs() - facts.fromNs()) / NS_PER_MS,
+                                query.how()));
             }
             text.append('\n');
         }
-        Files.createDirectories(notes);
-        Files.writeString(notes.resolve(facts.day().name() + "-" + name + ".tsv"), text);
+        Files.createDirectories(recordsFolder);
+        Files.writeString(recordsFolder.resolve(facts.day().name() + "-" + name + ".tsv"), text);
     }
 
     private String captureSetting(String name) {
-        return capture == null ? "" : " (capture (dir \"" + capture.resolve(name) + "/{router}\"))";
+        return captureFolder == null
+                ? ""
+                : " (capture (dir \"" + captureFolder.resolve(name) + "/{router}\"))";
     }
 
-    private ScenarioConfig day() throws Exception {
-        if (trouble != null) {
-            return FaultCatalog.day(trouble, captureSetting(trouble));
+    private ScenarioConfig readScenario() throws Exception {
+        if (fault != null) {
+            return FaultCatalog.day(fault, captureSetting(fault));
         }
         String name = quick ? "bad-day-quick.sexp" : "bad-day.sexp";
-        ScenarioConfig scenarioConfig =
+        ScenarioConfig config =
                 script != null
                         ? ScenarioConfigReader.read(script)
                         : ScenarioConfigReader.read(name, TestSettings.resource(name));
-        return scenarioConfig.with(
-                seed == null ? scenarioConfig.seed() : seed,
-                http == null ? scenarioConfig.httpFraction() : http,
-                captureSetting(scenarioConfig.name()));
+        return config.with(
+                seed == null ? config.seed() : seed,
+                httpFraction == null ? config.httpFraction() : httpFraction,
+                captureSetting(config.name()));
     }
 
-    private static List<String> shares(Map<String, Double> of) {
-        return of.entrySet().stream()
+    private static List<String> formatFractions(Map<String, Double> fractions) {
+        return fractions.entrySet().stream()
                 .map(entry -> String.format("%s %.3f", entry.getKey(), entry.getValue()))
                 .toList();
     }
 
-    private boolean play(ScenarioConfig day, String name, Baseline.Policy baseline)
+    private boolean runScenario(ScenarioConfig scenario, String name, Baseline.Policy baseline)
             throws Exception {
         ScenarioFacts facts =
                 new ScenarioRunner(
-                                day,
+                                scenario,
                                 settings ->
                                         baseline == null
                                                 ? new DefaultWorkloadManager(settings)
@@ -163,8 +165,8 @@
         System.out.printf(
                 "%n%s, seed %d, policy %s: %d queries, %d served, %d rejected, %d failed, %d"
                         + " statements on engines%n",
-                day.name(),
-                day.seed(),
+                scenario.name(),
+                scenario.seed(),
                 name,
                 service.asked(),
                 service.served(),
@@ -175,17 +177,19 @@
                 "service level %.3f, worst 10 s %.3f, by class %s%s%n",
                 service.whole(),
                 service.worstTenSeconds(),
-                shares(service.byClass()),
-                service.byFront().size() > 1 ? ", by protocol " + shares(service.byFront()) : "");
-        if (notes != null) {
-            write(facts, name);
+                formatFractions(service.byClass()),
+                service.byFront().size() > 1
+                        ? ", by protocol " + formatFractions(service.byFront())
+                        : "");
+        if (recordsFolder != null) {
+            writeRecords(facts, name);
         }
-        boolean kept = true;
-        boolean single =
+        boolean allKept = true;
+        boolean singleFault =
                 FaultCatalog.NAMES.contains(
-                        day.name()); // a single kind of fault tests only some of the rules
+                        scenario.name()); // a single kind of fault tests only some of the rules
         for (Verdict verdict : new InvariantChecker(facts).verdicts()) {
-            kept &= verdict.isKept() || single && verdict.broken().isEmpty();
+            allKept &= verdict.isKept() || singleFault && verdict.broken().isEmpty();
             System.out.printf(
                     "  %-30s %-6s cases %5d, violations %d%n",
                     verdict.rule(),
@@ -193,9 +197,9 @@
                     verdict.atStake(),
                     verdict.broken().size());
             verdict.broken().stream()
-                    .limit(SHOWN)
+                    .limit(MAX_PRINTED_VIOLATIONS)
                     .forEach(text -> System.out.println("      " + text));
         }
-        return kept;
+        return allKept;
     }
 }
--- a/cli/src/main/java/ashlink/cli/SuperviseCommand.java
+++ b/cli/src/main/java/ashlink/cli/SuperviseCommand.java
@@ -27,10 +27,10 @@
     private Path file;
 
     private volatile Process child;
-    private volatile boolean asked;
+    private volatile boolean stopRequested;
 
     /** Returns the command line that runs this program with the given arguments. */
-    static List<String> ownCommand(String... arguments) {
+    static List<String> commandLine(String... arguments) {
         List<String> command =
                 new java.util.ArrayList<>(
                         List.of(
@@ -44,13 +44,14 @@
 
     @Override
     public Integer call() throws Exception {
-        RestartPolicy restarts = new RestartPolicy(RestartPolicy.RestartLimits.DEFAULT);
-        Runtime.getRuntime().addShutdownHook(new Thread(this::end, "end"));
+        RestartPolicy restartPolicy = new RestartPolicy(RestartPolicy.RestartLimits.DEFAULT);
+        Runtime.getRuntime().addShutdownHook(new Thread(this::stopChild, "end"));
         while (true) {
-            long from = System.nanoTime();
-            child = new ProcessBuilder(ownCommand("route", file.toString())).inheritIO().start();
+            long startNs = System.nanoTime();
+            child = new ProcessBuilder(commandLine("route", file.toString())).inheritIO().start();
             int status = child.waitFor();
-            Decision decision = restarts.onExit(from, System.nanoTime(), status, asked);
+            Decision decision =
+                    restartPolicy.onExit(startNs, System.nanoTime(), status, stopRequested);
             switch (decision.action()) {
                 case NONE -> {
                     return 0;
@@ -74,8 +75,8 @@
         }
     }
 
-    private void end() {
-        asked = true;
+    private void stopChild() {
+        stopRequested = true;
         Process process = child;
         if (process != null) {
             process.destroy();
--- a/cli/src/main/java/ashlink/cli/WhyCommand.java
+++ b/cli/src/main/java/ashlink/cli/WhyCommand.java
@@ -26,9 +26,9 @@
 
     @Override
     public Integer call() throws Exception {
-        QueryTimeline story = new QueryTimeline(request);
-        new CaptureReader(FolderDisk.reading(folder)).read(story);
-        List<String> lines = story.lines();
+        QueryTimeline timeline = new QueryTimeline(request);
+        new CaptureReader(FolderDisk.reading(folder)).read(timeline);
+        List<String> lines = timeline.lines();
         lines.forEach(System.out::println);
         if (lines.isEmpty()) {
             System.out.println("request " + request + " not found in capture " + folder);
--- a/cli/src/test/java/ashlink/cli/FleetProcessTest.java
+++ b/cli/src/test/java/ashlink/cli/FleetProcessTest.java
@@ -120,7 +120,7 @@
 
     private Process launch(Path dir, int i) throws IOException {
         return new ProcessBuilder(
-                        SuperviseCommand.ownCommand(
+                        SuperviseCommand.commandLine(
                                 "--log-level",
                                 "ERROR",
                                 "route",
