--- a/cli/src/test/java/ashlink/cli/ArchitectureTest.java
+++ b/cli/src/test/java/ashlink/cli/ArchitectureTest.java
@@ -10,14 +10,14 @@
 import com.tngtech.archunit.lang.ArchRule;
 
 /**
- * The arrows between the parts; Maven's modules keep most of them, this test those within modules
- * too.
+ * Checks the dependencies between packages. The Maven modules enforce most of them; this test also
+ * checks packages within a module.
  */
 @AnalyzeClasses(packages = "ashlink", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
 
     @ArchTest
-    static final ArchRule ARROWS =
+    static final ArchRule LAYER_DEPENDENCIES =
             layeredArchitecture()
                     .consideringOnlyDependenciesInLayers()
                     .layer("decisions")
@@ -160,7 +160,7 @@
                     .whereLayer("cli")
                     .mayNotBeAccessedByAnyLayer();
 
-    /** The core knows requests and sinks; nothing of any protocol, socket or file. */
+    /** The router core depends on no protocol, socket or file. */
     @ArchTest
     static final ArchRule CORE_HAS_NO_IO =
             noClasses()
@@ -170,7 +170,7 @@
                     .dependOnClassesThat()
                     .resideInAnyPackage("java.net..", "java.io..", "java.nio..", "ashlink.wire..");
 
-    /** Codecs are pure: bytes in, frames or answers out. */
+    /** Codecs only convert between bytes and messages. */
     @ArchTest
     static final ArchRule CODECS_HAVE_NO_SOCKETS =
             noClasses()
@@ -182,7 +182,7 @@
                     .dependOnClassesThat()
                     .resideInAnyPackage("java.net..", "java.io..", "java.util.concurrent..");
 
-    /** What decides has no I/O, clock or unseeded randomness. */
+    /** Decision logic has no I/O and reads no clock. */
     @ArchTest
     static final ArchRule DECISIONS_ARE_PURE =
             noClasses()
--- a/cli/src/test/java/ashlink/cli/FleetProcessTest.java
+++ b/cli/src/test/java/ashlink/cli/FleetProcessTest.java
@@ -31,51 +31,52 @@
 import picocli.CommandLine;
 
 /**
- * Routers as processes of their own, under load, handled by the tool: a drain that reaches half of
- * them, one of which is killed at once; the engines' ledgers tell when the last fresh work came.
+ * Runs routers as separate processes under load and manages them with the fleet commands. A drain
+ * that reaches only half of the routers must stop new work on all of them, even if a router is
+ * killed or paused meanwhile. The engines' ledgers record when the last new work arrived.
  */
 class FleetProcessTest {
 
     private static final int ROUTERS = Integer.getInteger("ashlink.routers", 4);
     private static final int DRAINS = Integer.getInteger("ashlink.drains", 2);
-    private static final long S = 1_000_000_000L;
+    private static final long NS_PER_SECOND = 1_000_000_000L;
 
     /**
-     * The rule is 2 s; where the test runs beside others on a machine that may be starved, it asks
-     * for less.
+     * Time within which a drain must apply everywhere. The requirement is 2 s; the short run allows
+     * 4 s, because it runs beside other tests on a machine that may be overloaded.
      */
-    private static final long GRACE_NS = DRAINS > 2 ? 2 * S : 4 * S;
+    private static final long GRACE_NS = DRAINS > 2 ? 2 * NS_PER_SECOND : 4 * NS_PER_SECOND;
 
     private static final Duration DAY = Duration.ofDays(1);
 
     private final List<Integer> ports = new ArrayList<>();
     private final List<Process> processes = new ArrayList<>();
-    private final AtomicBoolean over = new AtomicBoolean();
+    private final AtomicBoolean ended = new AtomicBoolean();
 
-    private static final ByteArrayOutputStream SAID = new ByteArrayOutputStream();
+    private static final ByteArrayOutputStream OUTPUT = new ByteArrayOutputStream();
 
-    private static int[] free(int count) throws IOException {
-        List<ServerSocket> held = new ArrayList<>();
+    private static int[] freePorts(int count) throws IOException {
+        List<ServerSocket> sockets = new ArrayList<>();
         int[] ports = new int[count];
         for (int i = 0; i < count; i++) {
-            held.add(new ServerSocket(0));
-            ports[i] = held.get(i).getLocalPort();
+            sockets.add(new ServerSocket(0));
+            ports[i] = sockets.get(i).getLocalPort();
         }
-        for (ServerSocket serverSocket : held) {
-            serverSocket.close();
+        for (ServerSocket socket : sockets) {
+            socket.close();
         }
         return ports;
     }
 
-    /** Keys, settings of so many routers, and the inventory. */
+    /** Writes the keys, the settings of the given number of routers, and the inventory. */
     private void setUp(Path dir, List<EmulatedEngine> engines, int routers) throws Exception {
         CertificateAuthority authority = new CertificateAuthority(dir.resolve("keys"));
         authority.renew(DAY);
         authority.issue("ann", Set.of(Role.OBSERVE, Role.DRAIN, Role.STOP), DAY);
-        int[] free = free(2 * routers);
+        int[] freePorts = freePorts(2 * routers);
         StringBuilder inventory = new StringBuilder("(fleet (keys \"keys\") (operator ann)\n");
         for (int i = 0; i < routers; i++) {
-            ports.add(free[2 * i]);
+            ports.add(freePorts[2 * i]);
             authority.issue("r" + i, Set.of(Role.ROUTER), DAY);
             StringBuilder peers = new StringBuilder();
             for (int j = 0; j < routers; j++) {
@@ -83,7 +84,7 @@
                     peers.append(" (peer r")
                             .append(j)
                             .append(" (address 127.0.0.1:")
-                            .append(free[2 * j + 1])
+                            .append(freePorts[2 * j + 1])
                             .append("))");
                 }
             }
@@ -95,12 +96,12 @@
                             i,
                             routers,
                             7 + i,
-                            free[2 * i],
+                            freePorts[2 * i],
                             engines,
                             "(state-dir \""
                                     + dir.resolve("r" + i)
                                     + "\") (control (listen 127.0.0.1:"
-                                    + free[2 * i + 1]
+                                    + freePorts[2 * i + 1]
                                     + ") (keys \""
                                     + dir.resolve("keys")
                                     + "\")"
@@ -112,53 +113,52 @@
                     .append(" (hall halle-")
                     .append(1 + i % 3)
                     .append(") (control 127.0.0.1:")
-                    .append(free[2 * i + 1])
+                    .append(freePorts[2 * i + 1])
                     .append("))\n");
         }
         Files.writeString(dir.resolve("fleet.sexp"), inventory.append(")\n").toString());
     }
 
-    private Process launch(Path dir, int i) throws IOException {
+    private Process startRouter(Path dir, int index) throws IOException {
         return new ProcessBuilder(
                         SuperviseCommand.commandLine(
                                 "--log-level",
                                 "ERROR",
                                 "route",
-                                dir.resolve("r" + i + ".sexp").toString()))
+                                dir.resolve("r" + index + ".sexp").toString()))
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
                 .start();
     }
 
-    private static int fleet(Path dir, String... arguments) {
-        List<String> all = new ArrayList<>(List.of("fleet"));
-        all.addAll(List.of(arguments));
-        all.addAll(List.of("--inventory", dir.resolve("fleet.sexp").toString()));
-        PrintStream out = System.out;
+    private static int runFleetCommand(Path dir, String... arguments) {
+        List<String> commandLine = new ArrayList<>(List.of("fleet"));
+        commandLine.addAll(List.of(arguments));
+        commandLine.addAll(List.of("--inventory", dir.resolve("fleet.sexp").toString()));
+        PrintStream standardOutput = System.out;
         try {
-            SAID.reset();
-            System.setOut(new PrintStream(SAID));
+            OUTPUT.reset();
+            System.setOut(new PrintStream(OUTPUT));
             return new CommandLine(new Main())
                     .setCaseInsensitiveEnumValuesAllowed(true)
-                    .execute(all.toArray(new String[0]));
+                    .execute(commandLine.toArray(new String[0]));
         } finally {
-            System.setOut(out);
+            System.setOut(standardOutput);
         }
     }
 
-    /** Short queries on all routers, until it is over; connections that break are made again. */
-    private void load(int i) {
-        while (!over.get()) {
-            try (NativeClient nativeClient =
+    /** Sends short queries to a router until the test ends. Reconnects after failures. */
+    private void sendQueries(int index) {
+        while (!ended.get()) {
+            try (NativeClient client =
                     NativeClient.connect(
-                            new InetSocketAddress("127.0.0.1", ports.get(i)), "portal")) {
-                while (!over.get()
-                        && nativeClient
-                                .query(
+                            new InetSocketAddress("127.0.0.1", ports.get(index)), "portal")) {
+                while (!ended.get()
+                        && client.query(
                                         "",
                                         "SELECT /* sim tag=load work_ms=10 */ 1",
                                         Map.of(),
-                                        5 * S)
+                                        5 * NS_PER_SECOND)
                                 .isFinal()) {
                     Thread.sleep(4);
                 }
@@ -178,29 +178,32 @@
         }
     }
 
-    /** When the last fresh work came there: of that router, or of all others. */
-    private static long lastFresh(EmulatedEngine emulatedEngine, String router, boolean of) {
-        return emulatedEngine.ledger().entries().stream()
+    /**
+     * Returns the time at which the engine received the last query: from the given router, or from
+     * all others.
+     */
+    private static long lastReceivedNs(EmulatedEngine engine, String router, boolean fromRouter) {
+        return engine.ledger().entries().stream()
                 .filter(
                         entry ->
                                 entry.tag.equals("load")
-                                        && entry.router.equals("ashlink " + router) == of)
+                                        && entry.router.equals("ashlink " + router) == fromRouter)
                 .mapToLong(entry -> entry.beganNs)
                 .max()
                 .orElse(0);
     }
 
-    /** When the first router had the notice, by the tool's own record. */
-    private static long firstToldNs() throws IOException {
-        long first = Long.MAX_VALUE;
-        for (JsonNode node : new ObjectMapper().readTree(SAID.toByteArray())) {
-            first = Math.min(first, node.path("toldAtMs").asLong(Long.MAX_VALUE));
+    /** Returns the time at which the first router received the command, from the JSON output. */
+    private static long firstReceivedNs() throws IOException {
+        long firstMs = Long.MAX_VALUE;
+        for (JsonNode node : new ObjectMapper().readTree(OUTPUT.toByteArray())) {
+            firstMs = Math.min(firstMs, node.path("toldAtMs").asLong(Long.MAX_VALUE));
         }
-        return System.nanoTime() - (System.currentTimeMillis() - first) * 1_000_000;
+        return System.nanoTime() - (System.currentTimeMillis() - firstMs) * 1_000_000;
     }
 
-    /** Sends a signal to the process of a router; an empty name is none. */
-    private void signal(String name, String router) throws IOException, InterruptedException {
+    /** Sends a signal to the process of a router; does nothing if the router's name is empty. */
+    private void sendSignal(String name, String router) throws IOException, InterruptedException {
         if (!router.isEmpty()) {
             long pid = processes.get(Integer.parseInt(router.substring(1))).pid();
             assertEquals(
@@ -210,80 +213,89 @@
     }
 
     @Test
-    void noFreshWorkTwoSecondsAfterADrainThatReachedHalf(@TempDir Path dir) throws Exception {
+    void drainThatReachesHalfOfTheRoutersStopsNewWorkOnAll(@TempDir Path dir) throws Exception {
         List<EmulatedEngine> engines = EmulatedEngines.demo();
         setUp(dir, engines, ROUTERS);
         List<Thread> clients = new ArrayList<>();
-        List<Long> times = new ArrayList<>();
+        List<Long> lastReceivedMs = new ArrayList<>();
         try {
             for (int i = 0; i < ROUTERS; i++) {
-                processes.add(launch(dir, i));
+                processes.add(startRouter(dir, i));
             }
-            long until = System.nanoTime() + 90 * S;
-            while (fleet(dir, "status") != 0 && System.nanoTime() < until) {
+            long deadlineNs = System.nanoTime() + 90 * NS_PER_SECOND;
+            while (runFleetCommand(dir, "status") != 0 && System.nanoTime() < deadlineNs) {
                 Thread.sleep(200);
             }
             for (int i = 0; i < ROUTERS; i++) {
-                int n = i;
-                Thread thread = new Thread(() -> load(n), "load");
+                int index = i;
+                Thread thread = new Thread(() -> sendQueries(index), "load");
                 thread.setDaemon(true);
                 thread.start();
                 clients.add(thread);
             }
-            for (int d = 0; d < DRAINS; d++) {
+            for (int drain = 0; drain < DRAINS; drain++) {
                 EmulatedEngine engine = busiest(engines);
                 String name = engine.config().name();
-                List<String> half =
+                List<String> arguments =
                         new ArrayList<>(List.of("drain", name, "--wait", "0", "--for", "1"));
                 for (int i = 0; i < (ROUTERS + 1) / 2; i++) {
-                    half.addAll(List.of("--router", "r" + i));
+                    arguments.addAll(List.of("--router", "r" + i));
                 }
-                String paused = d % 2 == 0 ? "" : "r" + (ROUTERS - 1);
-                signal("STOP", paused);
-                half.add("--json");
-                fleet(dir, half.toArray(new String[0]));
-                long noticeNs = firstToldNs();
-                long toldNs = noticeNs;
+                String paused = drain % 2 == 0 ? "" : "r" + (ROUTERS - 1);
+                sendSignal("STOP", paused);
+                arguments.add("--json");
+                runFleetCommand(dir, arguments.toArray(new String[0]));
+                long drainedNs = firstReceivedNs();
+                long receivedNs = drainedNs;
                 if (paused.isEmpty()) {
-                    processes.get(0).destroyForcibly(); // it knew of the drain
+                    processes.get(0).destroyForcibly(); // received the drain
                     processes.get(0).waitFor(20, TimeUnit.SECONDS);
-                    processes.set(0, launch(dir, 0)); // and is back while it holds
+                    processes.set(0, startRouter(dir, 0)); // restarts while the drain is valid
                 } else {
-                    Thread.sleep(3_000); // it stood still, and comes back with old beliefs
-                    toldNs = System.nanoTime();
-                    signal("CONT", paused);
+                    Thread.sleep(3_000); // the paused router resumes with outdated state
+                    receivedNs = System.nanoTime();
+                    sendSignal("CONT", paused);
                 }
                 Thread.sleep(4_500);
-                long last = lastFresh(engine, paused, false);
-                times.add((last - noticeNs) / 1_000_000);
+                long lastNs = lastReceivedNs(engine, paused, false);
+                lastReceivedMs.add((lastNs - drainedNs) / 1_000_000);
                 assertTrue(
-                        last < noticeNs + GRACE_NS,
+                        lastNs < drainedNs + GRACE_NS,
                         () ->
-                                "fresh work at "
+                                "new work at "
                                         + name
-                                        + " after the notice, in ms by router: "
+                                        + " after the drain, in ms by router: "
                                         + engine.ledger().entries().stream()
                                                 .filter(
                                                         entry ->
                                                                 entry.tag.equals("load")
-                                                                        && entry.beganNs > noticeNs)
+                                                                        && entry.beganNs
+                                                                                > drainedNs)
                                                 .map(
                                                         entry ->
                                                                 entry.router
                                                                         + " "
-                                                                        + (entry.beganNs - noticeNs)
+                                                                        + (entry.beganNs
+                                                                                        - drainedNs)
                                                                                 / 1_000_000)
                                                 .toList());
                 assertTrue(
-                        lastFresh(engine, paused, true) < toldNs + GRACE_NS,
-                        "of the one that stood still");
-                assertEquals(0, fleet(dir, "undrain", name), "all know that it is over");
+                        lastReceivedNs(engine, paused, true) < receivedNs + GRACE_NS,
+                        "new work from the paused router");
+                assertEquals(
+                        0,
+                        runFleetCommand(dir, "undrain", name),
+                        "all routers received the undrain");
             }
             processes.get(1).destroyForcibly().waitFor(20, TimeUnit.SECONDS);
-            assertEquals(3, fleet(dir, "status", "--timeout", "1"), "some, not all");
-            assertEquals(4, fleet(dir, "status", "--timeout", "1", "--router", "r1"), "none");
+            assertEquals(
+                    3, runFleetCommand(dir, "status", "--timeout", "1"), "some routers reached");
+            assertEquals(
+                    4,
+                    runFleetCommand(dir, "status", "--timeout", "1", "--router", "r1"),
+                    "no router reached");
         } finally {
-            over.set(true);
+            ended.set(true);
             for (Thread thread : clients) {
                 thread.join(10_000);
             }
@@ -293,10 +305,10 @@
             engines.forEach(EmulatedEngine::crash);
         }
         System.out.printf(
-                "%d routers, %d drains that reached half of them, one of these killed at once or"
-                    + " one of the others paused for 3 s: last fresh work after the notice, in ms:"
+                "%d routers, %d drains that reached half of them, one of these killed immediately"
+                    + " or one of the others paused for 3 s: last new work after the drain, in ms:"
                     + " %s%n",
-                ROUTERS, DRAINS, times);
+                ROUTERS, DRAINS, lastReceivedMs);
     }
 
     private static long pid(Path dir, String router) throws IOException {
@@ -305,78 +317,85 @@
     }
 
     @Test
-    void routersAreStartedRolledRevivedAndStopped(@TempDir Path dir) throws Exception {
+    void routersAreStartedRestartedSupervisedAndStopped(@TempDir Path dir) throws Exception {
         List<EmulatedEngine> engines = EmulatedEngines.demo();
         setUp(dir, engines, 2);
         Set<ProcessHandle> before =
                 ProcessHandle.current().descendants().collect(Collectors.toSet());
         try {
-            assertEquals(0, fleet(dir, "start", "--wait-timeout", "60"));
-            long first = pid(dir, "r0");
-            Process twin = launch(dir, 0);
-            assertTrue(twin.waitFor(60, TimeUnit.SECONDS));
-            assertEquals(1, twin.exitValue(), "one a state folder");
-            assertEquals(0, fleet(dir, "restart", "--wait-timeout", "60", "--up", "1"));
-            long second = pid(dir, "r0");
-            assertTrue(first != second && ProcessHandle.of(first).isEmpty(), "another process");
-            assertTrue(second > 0);
-            ProcessHandle.of(second).orElseThrow().destroyForcibly();
-            long until = System.nanoTime() + 60 * S;
-            while ((pid(dir, "r0") == second || fleet(dir, "status") != 0)
-                    && System.nanoTime() < until) {
+            assertEquals(0, runFleetCommand(dir, "start", "--wait-timeout", "60"));
+            long firstPid = pid(dir, "r0");
+            Process duplicate = startRouter(dir, 0);
+            assertTrue(duplicate.waitFor(60, TimeUnit.SECONDS));
+            assertEquals(1, duplicate.exitValue(), "only one process per state directory");
+            assertEquals(0, runFleetCommand(dir, "restart", "--wait-timeout", "60", "--up", "1"));
+            long secondPid = pid(dir, "r0");
+            assertTrue(
+                    firstPid != secondPid && ProcessHandle.of(firstPid).isEmpty(),
+                    "restarted as another process");
+            assertTrue(secondPid > 0);
+            ProcessHandle.of(secondPid).orElseThrow().destroyForcibly();
+            long deadlineNs = System.nanoTime() + 60 * NS_PER_SECOND;
+            while ((pid(dir, "r0") == secondPid || runFleetCommand(dir, "status") != 0)
+                    && System.nanoTime() < deadlineNs) {
                 Thread.sleep(100);
             }
-            assertTrue(pid(dir, "r0") != second, "its supervisor started it again");
-            assertEquals(0, fleet(dir, "stop", "--wait-timeout", "60"));
-            assertEquals(4, fleet(dir, "status", "--timeout", "1"));
-            until = System.nanoTime() + 60 * S;
-            while (left(before) > 0 && System.nanoTime() < until) {
+            assertTrue(pid(dir, "r0") != secondPid, "the supervisor restarted the router");
+            assertEquals(0, runFleetCommand(dir, "stop", "--wait-timeout", "60"));
+            assertEquals(4, runFleetCommand(dir, "status", "--timeout", "1"));
+            deadlineNs = System.nanoTime() + 60 * NS_PER_SECOND;
+            while (remainingProcesses(before) > 0 && System.nanoTime() < deadlineNs) {
                 Thread.sleep(100);
             }
-            assertEquals(0, left(before), "supervisors end with routers that were told to");
+            assertEquals(
+                    0,
+                    remainingProcesses(before),
+                    "supervisors exit when their routers are stopped");
         } finally {
             ProcessHandle.current()
                     .descendants()
-                    .filter(processHandle -> !before.contains(processHandle))
+                    .filter(process -> !before.contains(process))
                     .forEach(ProcessHandle::destroyForcibly);
             engines.forEach(EmulatedEngine::crash);
         }
     }
 
-    private static long left(Set<ProcessHandle> before) {
+    private static long remainingProcesses(Set<ProcessHandle> before) {
         return ProcessHandle.current()
                 .descendants()
-                .filter(processHandle -> !before.contains(processHandle))
+                .filter(process -> !before.contains(process))
                 .count();
     }
 
-    /** The engine with the most work of the last second: it is at stake. */
+    /** Returns the engine that received the most queries in the last second. */
     private static EmulatedEngine busiest(List<EmulatedEngine> engines)
             throws InterruptedException {
-        long until = System.nanoTime() + 60 * S;
+        long deadlineNs = System.nanoTime() + 60 * NS_PER_SECOND;
         while (true) {
             Thread.sleep(1_000);
-            long since = System.nanoTime() - S;
-            EmulatedEngine most = null;
-            long count = 20;
-            for (EmulatedEngine emulatedEngine : engines) {
-                long n =
-                        emulatedEngine.ledger().entries().stream()
-                                .filter(entry -> entry.tag.equals("load") && entry.beganNs > since)
+            long sinceNs = System.nanoTime() - NS_PER_SECOND;
+            EmulatedEngine busiest = null;
+            long maxCount = 20;
+            for (EmulatedEngine engine : engines) {
+                long count =
+                        engine.ledger().entries().stream()
+                                .filter(
+                                        entry ->
+                                                entry.tag.equals("load") && entry.beganNs > sinceNs)
                                 .count();
-                if (n > count) {
-                    most = emulatedEngine;
-                    count = n;
+                if (count > maxCount) {
+                    busiest = engine;
+                    maxCount = count;
                 }
             }
-            if (most != null) {
-                return most;
+            if (busiest != null) {
+                return busiest;
             }
             assertTrue(
-                    System.nanoTime() < until,
-                    "no engine gets work: "
+                    System.nanoTime() < deadlineNs,
+                    "no engine receives enough queries: "
                             + engines.stream()
-                                    .map(emulatedEngine -> emulatedEngine.ledger().entries().size())
+                                    .map(engine -> engine.ledger().entries().size())
                                     .toList());
         }
     }
--- a/cli/src/test/java/ashlink/cli/KilledRouterTest.java
+++ b/cli/src/test/java/ashlink/cli/KilledRouterTest.java
@@ -25,16 +25,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A router as a process of its own, killed at moments drawn from a seed: its capture opens and is
- * decided again exactly.
+ * Kills a router process at pseudorandom times and checks that the capture can be read and that a
+ * replay makes the same decisions.
  */
 class KilledRouterTest {
 
     private static final int KILLS = 3;
-    private static final long S = 1_000_000_000L;
+    private static final long NS_PER_SECOND = 1_000_000_000L;
 
     @Test
-    void aKilledProcessLeavesACaptureThatReplays(@TempDir Path dir) throws Exception {
+    void captureOfAKilledRouterIsReplayedIdentically(@TempDir Path dir) throws Exception {
         List<EmulatedEngine> engines = EmulatedEngines.demo();
         Path config = dir.resolve("r1.sexp");
         Files.writeString(
@@ -53,7 +53,7 @@
                                 + dir.resolve("capture")
                                 + "\") (sync 5ms))"));
         SplittableRandom random = new SplittableRandom(5);
-        int answers = 0;
+        int answerCount = 0;
         for (int kill = 0; kill < KILLS; kill++) {
             Process process =
                     new ProcessBuilder(
@@ -72,16 +72,15 @@
                                 .readLine();
                 int port = Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
                 int queries = 20 + random.nextInt(200);
-                try (NativeClient nativeClient =
+                try (NativeClient client =
                         NativeClient.connect(new InetSocketAddress("127.0.0.1", port), "portal")) {
                     for (int i = 0; i < queries; i++) {
-                        answers +=
-                                nativeClient
-                                                .query(
+                        answerCount +=
+                                client.query(
                                                         "",
                                                         "SELECT /* sim work_ms=1 */ 1",
                                                         Map.of(),
-                                                        5 * S)
+                                                        5 * NS_PER_SECOND)
                                                 .isFinal()
                                         ? 1
                                         : 0;
@@ -100,7 +99,7 @@
         assertEquals(KILLS, replay.starts());
         assertEquals(0, replay.divergentSteps(), replay.divergences().toString());
         assertTrue(
-                answers > 60 && replay.replayedSteps() > answers,
-                replay.replayedSteps() + " steps for " + answers + " answers");
+                answerCount > 60 && replay.replayedSteps() > answerCount,
+                replay.replayedSteps() + " steps for " + answerCount + " answers");
     }
 }
--- a/cli/src/test/java/ashlink/cli/KilledStatementsTest.java
+++ b/cli/src/test/java/ashlink/cli/KilledStatementsTest.java
@@ -35,8 +35,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A router as a process of its own, killed at moments drawn from a seed while loads come under keys
- * and results fill the spool. {@code -Dashlink.kills=200} is the long run.
+ * Kills a router process at pseudorandom times while inserts with idempotency keys arrive and
+ * results fill the spool. No insert may run twice, no acknowledged key may be lost, and no spool
+ * file may remain. {@code -Dashlink.kills=200} selects the long run.
  */
 class KilledStatementsTest {
 
@@ -64,35 +65,35 @@
                 BodyHandlers.ofString());
     }
 
-    private static String load(String key) {
+    private static String insertStatement(String key) {
         return "INSERT /* sim tag=" + key + " work_ms=40 */ INTO readings SELECT * FROM inbox";
     }
 
-    /** Posts loads until the router is gone. */
-    private void client(int round, int number) {
+    /** Posts inserts until the router is killed. */
+    private void postInserts(int round, int clientNumber) {
         try {
             for (int i = 0; ; i++) {
-                String key = "k" + round + "-" + number + "-" + i;
+                String key = "k" + round + "-" + clientNumber + "-" + i;
                 posted.add(key);
-                HttpResponse<String> httpResponse = post(key, load(key));
-                JsonNode node = JSON.readTree(httpResponse.body());
-                if (httpResponse.statusCode() == 200 || httpResponse.statusCode() == 202) {
+                HttpResponse<String> response = post(key, insertStatement(key));
+                JsonNode node = JSON.readTree(response.body());
+                if (response.statusCode() == 200 || response.statusCode() == 202) {
                     acknowledged.put(key, node.get("id").asText());
                 }
                 post(null, "SELECT /* sim rows=500 blocks=4 */ 1");
             }
         } catch (IOException e) {
-            // the router is gone
+            // The router was killed.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     @Test
-    void noLoadRunsTwiceNoKeyIsLostAndNoFileStays(@TempDir Path dir) throws Exception {
+    void noInsertRunsTwiceNoKeyIsLostAndNoSpoolFileRemains(@TempDir Path dir) throws Exception {
         List<EmulatedEngine> engines = EmulatedEngines.demo();
-        try (ServerSocket free = new ServerSocket(0)) {
-            port = free.getLocalPort();
+        try (ServerSocket socket = new ServerSocket(0)) {
+            port = socket.getLocalPort();
         }
         Path spool = dir.resolve("spool");
         Path config = dir.resolve("r1.sexp");
@@ -114,9 +115,9 @@
                                 + spool
                                 + "\") (page 4KiB) (memory 0B))"));
         SplittableRandom random = new SplittableRandom(11);
-        Map<String, Integer> verdicts = new HashMap<>();
-        int leftBehind = 0;
-        Set<String> asked = new HashSet<>();
+        Map<String, Integer> outcomes = new HashMap<>();
+        int leftoverFiles = 0;
+        Set<String> repeatedKeys = new HashSet<>();
         for (int round = 0; round <= KILLS; round++) {
             Process process =
                     new ProcessBuilder(
@@ -132,24 +133,25 @@
                             .start();
             try {
                 new BufferedReader(new InputStreamReader(process.getInputStream())).readLine();
-                Set<String> before = new HashSet<>(posted);
-                before.removeAll(asked);
-                for (String key : before) {
-                    asked.add(key);
-                    again(key, verdicts);
+                Set<String> postedBeforeKill = new HashSet<>(posted);
+                postedBeforeKill.removeAll(repeatedKeys);
+                for (String key : postedBeforeKill) {
+                    repeatedKeys.add(key);
+                    repeatInsert(key, outcomes);
                 }
                 if (round < KILLS) {
                     List<Thread> clients = new ArrayList<>();
                     for (int c = 0; c < 4; c++) {
-                        int r = round;
-                        int number = c;
-                        clients.add(new Thread(() -> client(r, number)));
+                        int currentRound = round;
+                        int clientNumber = c;
+                        clients.add(new Thread(() -> postInserts(currentRound, clientNumber)));
                     }
                     clients.forEach(Thread::start);
-                    int known = acknowledged.size();
-                    long begun = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-                    while (acknowledged.size() < known + 4 && System.nanoTime() < begun) {
-                        Thread.sleep(5); // under way, however slow the start was
+                    int acknowledgedBefore = acknowledged.size();
+                    long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+                    while (acknowledged.size() < acknowledgedBefore + 4
+                            && System.nanoTime() < deadlineNs) {
+                        Thread.sleep(5); // waits until inserts are acknowledged, however slow
                     }
                     Thread.sleep(random.nextInt(400));
                     process.destroyForcibly();
@@ -157,13 +159,13 @@
                     for (Thread thread : clients) {
                         thread.join(30_000);
                     }
-                    leftBehind += pages(spool);
+                    leftoverFiles += pageFiles(spool);
                 } else {
-                    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-                    while (pages(spool) > 0 && System.nanoTime() < until) {
+                    long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+                    while (pageFiles(spool) > 0 && System.nanoTime() < deadlineNs) {
                         Thread.sleep(20);
                     }
-                    assertEquals(0, pages(spool), "files of earlier starts");
+                    assertEquals(0, pageFiles(spool), "spool files of earlier starts");
                 }
             } finally {
                 process.destroyForcibly();
@@ -171,52 +173,53 @@
             }
         }
         Map<String, Integer> runs = new HashMap<>();
-        for (EmulatedEngine emulatedEngine : engines) {
-            for (Ledger.Entry x : emulatedEngine.ledger().entries()) {
-                if (x.ranNs() > 0 && x.how() != Ledger.How.TURNED_AWAY) {
-                    runs.merge(x.tag, 1, Integer::sum);
+        for (EmulatedEngine engine : engines) {
+            for (Ledger.Entry entry : engine.ledger().entries()) {
+                if (entry.ranNs() > 0 && entry.how() != Ledger.How.TURNED_AWAY) {
+                    runs.merge(entry.tag, 1, Integer::sum);
                 }
             }
-            emulatedEngine.crash();
+            engine.crash();
         }
         runs.remove("");
         System.out.printf(
-                "%d kills: %d loads posted under keys, %d acknowledged, %d ran, after the kill %s;"
+                "%d kills: %d inserts posted with keys, %d acknowledged, %d ran, after the kill %s;"
                         + " %d files left behind by kills, 0 after the next start%n",
-                KILLS, posted.size(), acknowledged.size(), runs.size(), verdicts, leftBehind);
+                KILLS, posted.size(), acknowledged.size(), runs.size(), outcomes, leftoverFiles);
         assertEquals(
                 List.of(),
                 runs.entrySet().stream()
-                        .filter(e -> e.getValue() > 1 && posted.contains(e.getKey()))
+                        .filter(run -> run.getValue() > 1 && posted.contains(run.getKey()))
                         .toList());
         assertTrue(
-                leftBehind > 0
-                        && verdicts.getOrDefault("fate-unknown", 0) > 0
+                leftoverFiles > 0
+                        && outcomes.getOrDefault("fate-unknown", 0) > 0
                         && acknowledged.size() > KILLS,
-                "not at stake: " + verdicts + ", " + leftBehind + " files");
+                "too few cases: " + outcomes + ", " + leftoverFiles + " files");
     }
 
     /**
-     * The same load under the same key, after the kill: what was acknowledged is known by its id.
+     * Posts the same insert with the same key again after the kill. An acknowledged statement must
+     * be reported with its ID.
      */
-    private void again(String key, Map<String, Integer> verdicts) throws Exception {
-        HttpResponse<String> httpResponse = post(key, load(key));
-        JsonNode node = JSON.readTree(httpResponse.body());
+    private void repeatInsert(String key, Map<String, Integer> outcomes) throws Exception {
+        HttpResponse<String> response = post(key, insertStatement(key));
+        JsonNode node = JSON.readTree(response.body());
         String id = acknowledged.get(key);
-        String verdict =
-                httpResponse.statusCode() < 300
+        String outcome =
+                response.statusCode() < 300
                         ? "run now"
                         : node.path("type").asText().replace("/problems/", "");
-        verdicts.merge(verdict, 1, Integer::sum);
+        outcomes.merge(outcome, 1, Integer::sum);
         if (id != null) {
             assertTrue(
-                    httpResponse.statusCode() == 410 || httpResponse.statusCode() == 502,
-                    key + " was acknowledged, and is answered " + httpResponse.body());
+                    response.statusCode() == 410 || response.statusCode() == 502,
+                    key + " was acknowledged, but the response is " + response.body());
             assertEquals(id, node.get("statement").asText());
         }
     }
 
-    private static int pages(Path spool) throws IOException {
+    private static int pageFiles(Path spool) throws IOException {
         try (Stream<Path> files = Files.list(spool)) {
             return (int) files.filter(path -> path.toString().endsWith(".page")).count();
         }
