--- a/cli/src/main/java/ashlink/cli/SuperviseCommand.java
+++ b/cli/src/main/java/ashlink/cli/SuperviseCommand.java
@@ -70,6 +70,9 @@
                                 "router crash loop, restarting statusCode={} delayMs={}",
                                 status,
                                 TimeUnit.NANOSECONDS.toMillis(decision.backoffNs()));
+                default ->
+                        throw new IllegalStateException(
+                                "unknown restart action " + decision.action());
             }
             TimeUnit.NANOSECONDS.sleep(decision.backoffNs());
         }
