--- a/emulator/src/main/java/ashlink/emulator/EmulatedEngine.java
+++ b/emulator/src/main/java/ashlink/emulator/EmulatedEngine.java
@@ -4,7 +4,6 @@
 import ashlink.emulator.model.EngineModel;
 import ashlink.emulator.model.Job;
 import java.io.IOException;
-import java.net.BindException;
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
@@ -25,8 +24,6 @@
 public final class EmulatedEngine {
 
     private static final double NS_PER_MS = 1e6;
-    private static final int BACKLOG = 1024;
-    private static final long BIND_TIMEOUT_NS = 2_000_000_000L;
     private static final long STACK_BYTES = 256 << 10;
     private static final double WARM_UPTIME_MS = 1e9;
 
@@ -66,7 +63,8 @@
         if (!down) {
             throw new IllegalStateException("engine " + config.name() + " is already running");
         }
-        ServerSocketChannel channel = openListener(address == null ? config.listen() : address);
+        ServerSocketChannel channel =
+                EngineSockets.listen(address == null ? config.listen() : address);
         address = (InetSocketAddress) channel.getLocalAddress();
         listener = channel;
         model = new EngineModel(config, startedMs, nowMs());
@@ -77,28 +75,6 @@
         modelThread = startThread(config.name() + "-model", () -> runModel(ownIncarnation));
     }
 
-    /**
-     * Opens a listener. Retries for a while if the address is in use, because the port of a closed
-     * listener is released only when its accept thread has returned.
-     */
-    private static ServerSocketChannel openListener(InetSocketAddress address) throws IOException {
-        long deadlineNs = System.nanoTime() + BIND_TIMEOUT_NS;
-        while (true) {
-            ServerSocketChannel channel = ServerSocketChannel.open();
-            try {
-                channel.setOption(java.net.StandardSocketOptions.SO_REUSEADDR, true);
-                channel.bind(address, BACKLOG);
-                return channel;
-            } catch (BindException e) {
-                channel.close();
-                if (System.nanoTime() > deadlineNs) {
-                    throw e;
-                }
-                Thread.onSpinWait();
-            }
-        }
-    }
-
     private static Thread startThread(String name, Runnable task) {
         Thread thread = new Thread(null, task, name, STACK_BYTES);
         thread.setDaemon(true);
@@ -128,21 +104,10 @@
         } catch (IOException e) {
             // The channel is closed even if close() throws.
         }
-        connections.forEach(EmulatedEngine::close);
+        connections.forEach(EngineSockets::reset);
         callbacks.forEach(Runnable::run);
     }
 
-    private static void close(SocketChannel socketChannel) {
-        try {
-            socketChannel.setOption(
-                    java.net.StandardSocketOptions.SO_LINGER,
-                    0); // close() sends a reset, as when a process dies
-            socketChannel.close();
-        } catch (IOException e) {
-            // The channel is closed even if close() throws.
-        }
-    }
-
     private void acceptConnections(ServerSocketChannel acceptor) {
         while (acceptor.isOpen()) {
             try {
--- a/emulator/src/main/java/ashlink/emulator/EngineSession.java
+++ b/emulator/src/main/java/ashlink/emulator/EngineSession.java
@@ -7,7 +7,6 @@
 import ashlink.emulator.Ledger.How;
 import ashlink.emulator.model.Job;
 import ashlink.wire.Block;
-import ashlink.wire.BlockReader;
 import ashlink.wire.ByteBuf;
 import ashlink.wire.ClientPacket;
 import ashlink.wire.Compression;
@@ -18,16 +17,10 @@
 import ashlink.wire.Revision;
 import ashlink.wire.ServerError;
 import ashlink.wire.ServerPacket;
-import ashlink.wire.StreamSource;
 import ashlink.wire.WireLimits;
 import java.io.IOException;
-import java.io.OutputStream;
-import java.nio.ByteBuffer;
 import java.nio.channels.SocketChannel;
-import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
-import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
@@ -35,25 +28,13 @@
 final class EngineSession {
 
     private static final int POLL_MS = 10;
-    private static final int READ_BYTES = 64 << 10;
     private static final int TOO_MANY_QUERIES = 202;
     private static final int QUERY_CANCELLED = 394;
-    private static final int HIGHEST_PRIORITY = 4;
-    private static final WireLimits LIMITS = WireLimits.DEFAULT;
-
-    /** Signals that the connection breaks because of an injected fault, a cancel or a crash. */
-    private static final class BrokenConnectionException extends IOException {
-        BrokenConnectionException() {
-            super("connection broken by the emulated engine", null);
-        }
-    }
 
     private final EmulatedEngine engine;
     private final EngineConfig config;
     private final SocketChannel channel;
-    private StreamSource in;
-    private BlockReader blocks;
-    private OutputStream out;
+    private PacketChannel packets;
     private int revision;
     private String client = "";
     private Entry entry;
@@ -69,17 +50,16 @@
 
     void run() {
         try (channel) {
-            in = new StreamSource(channel.socket().getInputStream(), READ_BYTES);
-            blocks = new BlockReader(in, LIMITS);
-            out = channel.socket().getOutputStream();
+            packets = new PacketChannel(channel);
             injectFault(Place.ACCEPT, null);
             login();
             int packetNumber;
-            while ((packetNumber = in.readByteOrEnd()) >= 0) {
+            while ((packetNumber = packets.in().readByteOrEnd()) >= 0) {
                 switch (ClientPacket.of(packetNumber)) {
-                    case PING -> send(new ByteBuf().putVarUInt(ServerPacket.PONG.ordinal()));
+                    case PING ->
+                            packets.send(new ByteBuf().putVarUInt(ServerPacket.PONG.ordinal()));
                     case QUERY -> handleQuery();
-                    case DATA -> readData(false);
+                    case DATA -> packets.readData(false);
                     case CANCEL -> {}
                     default -> throw new IOException("unexpected Hello packet after login");
                 }
@@ -93,17 +73,16 @@
         }
     }
 
-    private void send(ByteBuf bytes) throws IOException {
-        bytes.writeTo(out);
-    }
-
     private void injectFault(Place point, ByteBuf packet) throws IOException, InterruptedException {
         while (engine.faults().isHung() && point != Place.ACCEPT) {
             Thread.sleep(POLL_MS);
             if (engine.isDown()) {
                 throw new BrokenConnectionException();
             }
-            if (entry != null && onlyCancelExpected && entry.releasedNs() == 0 && clientIsGone()) {
+            if (entry != null
+                    && onlyCancelExpected
+                    && entry.releasedNs() == 0
+                    && packets.clientIsGone()) {
                 entry.markReleased();
             }
         }
@@ -111,73 +90,45 @@
         if (kind == null) {
             return;
         }
-        switch (kind) {
-            case SILENCE -> {
-                while (engine.faults().lostAnswerFraction() >= 0
-                        && channel.isOpen()
-                        && !engine.isDown()) {
-                    Thread.sleep(POLL_MS);
-                }
-            }
-            case GARBAGE ->
-                    out.write(new byte[] {99, 98, 97, 96, (byte) 255, (byte) 255, (byte) 255});
-            case HALF_PACKET -> {
-                if (packet != null) {
-                    out.write(packet.array(), 0, packet.size() / 2);
-                }
-            }
-            case CORRUPT_FRAME -> {
-                if (packet != null) {
-                    byte[] bytes = java.util.Arrays.copyOf(packet.array(), packet.size());
-                    bytes[bytes.length - 1] ^= 1;
-                    out.write(bytes);
-                }
+        if (kind == Break.SILENCE) {
+            while (engine.faults().lostAnswerFraction() >= 0
+                    && packets.isOpen()
+                    && !engine.isDown()) {
+                Thread.sleep(POLL_MS);
             }
-            default -> {}
+        } else {
+            packets.sendDamaged(kind, packet);
         }
         throw new BrokenConnectionException();
     }
 
     private void login() throws IOException, InterruptedException {
-        if (in.readByte() != ClientPacket.HELLO.ordinal()) {
+        if (packets.in().readByte() != ClientPacket.HELLO.ordinal()) {
             throw new IOException("first packet is not a Hello packet");
         }
-        Hello.Client hello = Hello.Client.read(in, WireLimits.LOGIN);
+        Hello.Client hello = Hello.Client.read(packets.in(), WireLimits.LOGIN);
         injectFault(Place.HELLO, null);
         revision = Math.min(Revision.HIGHEST, hello.revision());
         client = hello.name();
         ByteBuf response = new ByteBuf();
         new Hello.Server("stand-in", 22, 4, Revision.HIGHEST, "UTC", config.name(), 0)
                 .write(revision, response);
-        send(response);
-    }
-
-    /** Reads the rest of a Data packet. */
-    private BlockReader.Size readData(boolean compressed) throws IOException {
-        in.readString("table", LIMITS.nameBytes());
-        return blocks.skip(compressed);
-    }
-
-    private BlockReader.Size readNextData(boolean compressed) throws IOException {
-        if (in.readByte() != ClientPacket.DATA.ordinal()) {
-            throw new IOException("unexpected packet instead of a Data packet");
-        }
-        return readData(compressed);
+        packets.send(response);
     }
 
     // ---- Statement
     private void handleQuery() throws IOException, InterruptedException {
-        QueryPacket queryPacket = QueryPacket.read(in, revision, LIMITS);
-        while (!readNextData(queryPacket.compressed()).isEnd()) {
+        QueryPacket queryPacket = QueryPacket.read(packets.in(), revision, PacketChannel.LIMITS);
+        while (!packets.readNextData(queryPacket.compressed()).isEnd()) {
             // Skips the external tables.
         }
-        WorkHints hints = new WorkHints(queryPacket.statement());
-        String text = queryPacket.statement().replaceAll("(?s)/\\*.*?\\*/", " ").strip();
-        if (text.contains("system.metrics")) {
+        EngineStatement statement = new EngineStatement(queryPacket);
+        if (statement.readsMetrics()) {
             injectFault(Place.RUN, null);
-            sendMetrics(queryPacket);
+            packets.send(ResponseBlocks.metrics(queryPacket, engine.gauges()));
             return;
         }
+        WorkHints hints = statement.hints();
         entry =
                 new Entry(
                         config.name(),
@@ -188,13 +139,10 @@
                         hints,
                         System.nanoTime());
         engine.ledger().begin(entry);
-        String upperCaseText = text.toUpperCase(Locale.ROOT);
-        boolean hasInlineData =
-                upperCaseText.startsWith("INSERT") && !upperCaseText.contains("SELECT");
-        onlyCancelExpected = !hasInlineData;
+        onlyCancelExpected = !statement.hasInlineData();
         injectFault(Place.QUERY, null);
-        if (hasInlineData) {
-            readInsert(queryPacket, hints);
+        if (statement.hasInlineData()) {
+            readInsert(statement);
             onlyCancelExpected = true;
         }
         entry.markRan();
@@ -202,11 +150,11 @@
             sendError((int) hints.integer("error", 0), "error requested by the statement");
             return;
         }
-        if (!execute(queryPacket, hints)) {
+        if (!execute(statement)) {
             return;
         }
         entry.markEffect();
-        respond(queryPacket, hints, text, upperCaseText);
+        respond(statement);
         entry = null;
     }
 
@@ -222,29 +170,15 @@
                         ? How.TURNED_AWAY
                         : code == QUERY_CANCELLED ? How.DROPPED : How.ERROR);
         entry = null;
-        send(packet);
+        packets.send(packet);
     }
 
-    private void readInsert(QueryPacket queryPacket, WorkHints hints)
-            throws IOException, InterruptedException {
-        ByteBuf header = new ByteBuf();
-        if (Revision.hasTableColumns(revision)) {
-            header.putVarUInt(ServerPacket.TABLE_COLUMNS.ordinal())
-                    .putString("")
-                    .putString("columns format version: 1\n");
-        }
-        List<Block.Column> columns = new ArrayList<>();
-        for (String text : hints.text("columns", "id:UInt64,value:String").split(",")) {
-            int colon = text.indexOf(':');
-            columns.add(
-                    new Block.Column(
-                            text.substring(0, colon), text.substring(colon + 1), List.of()));
-        }
-        header.putVarUInt(ServerPacket.DATA.ordinal()).putString("");
-        new Block(columns, 0).write(queryPacket.compressed() ? Compression.LZ4 : null, header);
+    private void readInsert(EngineStatement statement) throws IOException, InterruptedException {
+        boolean compressed = statement.packet().compressed();
+        ByteBuf header = ResponseBlocks.insertHeader(statement, revision);
         injectFault(Place.HEADER, header);
-        send(header);
-        while (!readNextData(queryPacket.compressed()).isEnd()) {
+        packets.send(header);
+        while (!packets.readNextData(compressed).isEnd()) {
             injectFault(Place.INSERT, null);
         }
     }
@@ -254,10 +188,9 @@
      * Executes the statement and waits until it is done. Returns false if the engine rejected the
      * statement, after sending the error.
      */
-    private boolean execute(QueryPacket queryPacket, WorkHints hints)
-            throws IOException, InterruptedException {
+    private boolean execute(EngineStatement statement) throws IOException, InterruptedException {
         CountDownLatch done = new CountDownLatch(1);
-        Job job = engine.submit(demand(queryPacket, hints), done::countDown);
+        Job job = engine.submit(statement.demand(), done::countDown);
         if (job == null) {
             sendError(
                     TOO_MANY_QUERIES,
@@ -266,7 +199,7 @@
         }
         boolean clientGone = false;
         while (!done.await(POLL_MS, TimeUnit.MILLISECONDS)) {
-            if (!clientGone && clientIsGone()) {
+            if (!clientGone && packets.clientIsGone()) {
                 clientGone = true;
                 entry.markReleased();
                 if (config.stopsOnCancel()) {
@@ -284,7 +217,7 @@
         if (engine.nextRandom() < engine.faults().lostAnswerFraction()) {
             entry.markEffect();
             end(How.ANSWER_LOST);
-            while (!clientIsGone() && !engine.isDown()) {
+            while (!packets.clientIsGone() && !engine.isDown()) {
                 Thread.sleep(POLL_MS);
             }
             entry.markReleased();
@@ -293,73 +226,17 @@
         return true;
     }
 
-    private static Job.Demand demand(QueryPacket queryPacket, WorkHints hints) {
-        String grant = queryPacket.setting("max_memory_usage");
-        String priority = queryPacket.setting("priority");
-        double grantMb = grant == null ? 0 : Double.parseDouble(grant) / (1 << 20);
-        int modelPriority = priority == null ? 1 : HIGHEST_PRIORITY - Integer.parseInt(priority);
-        return new Job.Demand(
-                hints.number("work_ms", 1),
-                (int) hints.integer("threads", 1),
-                hints.number("io", 0),
-                hints.number("memory_mb", 1),
-                grantMb,
-                modelPriority,
-                hints.integer("tables", 0),
-                hints.integer("holds", 0) > 0,
-                hints.integer("waits", 0) > 0);
-    }
-
-    /** Returns true if the client closed the connection or sent a Cancel. */
-    private boolean clientIsGone() {
-        try {
-            if (in.hasBuffered()) {
-                return in.readByte() == ClientPacket.CANCEL.ordinal();
-            }
-            channel.configureBlocking(false);
-            int count = channel.read(ByteBuffer.allocate(1));
-            channel.configureBlocking(true);
-            return count != 0; // end of stream, or a byte that can only be a Cancel
-        } catch (IOException e) {
-            return true;
-        }
-    }
-
     // ---- Response
-    private void sendMetrics(QueryPacket queryPacket) throws IOException {
-        Map<String, Double> gauges = engine.gauges();
-        ByteBuf packet = new ByteBuf();
-        packet.putVarUInt(ServerPacket.DATA.ordinal()).putString("");
-        List<Object> names = new ArrayList<>(gauges.keySet());
-        List<Object> values = new ArrayList<>();
-        names.forEach(name -> values.add(gauges.get(name)));
-        Block.of(
-                        new Block.Column("metric", "String", names),
-                        new Block.Column("value", "Float64", values))
-                .write(queryPacket.compressed() ? Compression.LZ4 : null, packet);
-        packet.putVarUInt(ServerPacket.END_OF_STREAM.ordinal());
-        send(packet);
-    }
-
-    private void respond(
-            QueryPacket queryPacket, WorkHints hints, String text, String upperCaseText)
-            throws IOException, InterruptedException {
+    private void respond(EngineStatement statement) throws IOException, InterruptedException {
+        WorkHints hints = statement.hints();
         ByteBuf packet = new ByteBuf();
-        Compression compression =
-                !queryPacket.compressed()
-                        ? null
-                        : hints.text("compression", "lz4").equals("zstd")
-                                ? Compression.ZSTD
-                                : Compression.LZ4;
         long rows = 0;
-        boolean isInsert =
-                upperCaseText.startsWith(
-                        "INSERT"); // at these revisions, END_OF_STREAM alone ends an INSERT
+        boolean isInsert = statement.isInsert(); // at these revisions, END_OF_STREAM alone ends it
         if (!isInsert) {
-            rows = writeBlocks(hints, text, compression, packet);
+            rows = writeBlocks(statement, packet);
         }
         if (hints.integer("error_mid", 0) > 0) {
-            send(packet);
+            packets.send(packet);
             sendError(
                     (int) hints.integer("error_mid", 0),
                     "error requested by the statement within the result");
@@ -367,37 +244,30 @@
         }
         if (!isInsert) {
             new ProfileInfo(rows, 1, 0, false, 0, false).write(packet);
-            writeProfileEvents(hints, packet);
+            if (Revision.hasProfileEvents(revision)) {
+                ResponseBlocks.writeProfileEvents(hints, config.name(), engine.gauges(), packet);
+            }
         }
         injectFault(Place.END, packet);
         packet.putVarUInt(ServerPacket.END_OF_STREAM.ordinal());
         end(How.ANSWERED);
-        send(packet);
+        packets.send(packet);
     }
 
     /** Writes the result blocks and sends them when the packet is large; the rest stays in it. */
-    private long writeBlocks(WorkHints hints, String text, Compression compression, ByteBuf packet)
+    private long writeBlocks(EngineStatement statement, ByteBuf packet)
             throws IOException, InterruptedException {
-        long blockCount = hints.integer("blocks", 1);
-        int rows = (int) hints.integer("rows", 1);
+        Compression compression = statement.resultCompression();
+        long blockCount = statement.hints().integer("blocks", 1);
+        int rows = (int) statement.hints().integer("rows", 1);
         Block block =
-                text.equalsIgnoreCase("SELECT 1")
+                statement.text().equalsIgnoreCase("SELECT 1")
                         ? Block.of(new Block.Column("1", "UInt8", List.of(1L)))
-                        : resultBlock(hints, rows);
+                        : ResponseBlocks.result(statement.hints(), config.name(), rows);
         ByteBuf blockPacket = new ByteBuf();
         blockPacket.putVarUInt(ServerPacket.DATA.ordinal()).putString("");
         block.write(compression, blockPacket);
-        ByteBuf header = new ByteBuf();
-        header.putVarUInt(ServerPacket.DATA.ordinal()).putString("");
-        new Block(
-                        block.columns().stream()
-                                .map(
-                                        column ->
-                                                new Block.Column(
-                                                        column.name(), column.type(), List.of()))
-                                .toList(),
-                        0)
-                .write(compression, header);
+        ByteBuf header = ResponseBlocks.resultHeader(block, compression);
         packet.append(header.array(), 0, header.size());
         new Progress(rows, 0, 0, 0, 0).write(revision, packet);
         for (long i = 0; i < blockCount && block.rows() > 0; i++) {
@@ -405,8 +275,8 @@
                 injectAnswerFault(blockPacket, packet);
             }
             packet.append(blockPacket.array(), 0, blockPacket.size());
-            if (packet.size() > READ_BYTES) {
-                send(packet);
+            if (packet.size() > PacketChannel.BUFFER_BYTES) {
+                packets.send(packet);
                 packet.clear();
             }
         }
@@ -423,55 +293,4 @@
                             .append(blockPacket.array(), 0, blockPacket.size()));
         }
     }
-
-    private Block resultBlock(WorkHints hints, int rows) {
-        List<Object> ids = new ArrayList<>();
-        List<Object> values = new ArrayList<>();
-        String value = hints.text("value", config.name());
-        int width = (int) hints.integer("width", 0);
-        String paddedValue =
-                width > 0
-                        ? value.repeat(width / Math.max(1, value.length()) + 1).substring(0, width)
-                        : value;
-        for (int i = 0; i < rows; i++) {
-            ids.add((long) i);
-            values.add(paddedValue);
-        }
-        return Block.of(
-                new Block.Column("id", "UInt64", ids), new Block.Column("value", "String", values));
-    }
-
-    private void writeProfileEvents(WorkHints hints, ByteBuf packet) throws IOException {
-        if (!Revision.hasProfileEvents(revision)) {
-            return;
-        }
-        Map<String, Double> gauges = engine.gauges();
-        List<Object> names = new ArrayList<>(List.of("WorkMilliseconds", "MemoryMegabytes"));
-        List<Object> values =
-                new ArrayList<>(
-                        List.of(hints.integer("work_ms", 1), hints.integer("memory_mb", 1)));
-        gauges.forEach(
-                (name, value) -> {
-                    names.add(name + "Permille");
-                    values.add((long) (value * 1000));
-                });
-        int rows = names.size();
-        packet.putVarUInt(ServerPacket.PROFILE_EVENTS.ordinal()).putString("");
-        Block.of(
-                        new Block.Column("host_name", "String", repeat(config.name(), rows)),
-                        new Block.Column(
-                                "current_time",
-                                "DateTime",
-                                repeat(System.currentTimeMillis() / 1000, rows)),
-                        new Block.Column("thread_id", "UInt64", repeat(1L, rows)),
-                        new Block.Column(
-                                "type", "Enum8('increment' = 1, 'gauge' = 2)", repeat(2L, rows)),
-                        new Block.Column("name", "String", names),
-                        new Block.Column("value", "Int64", values))
-                .write(null, packet);
-    }
-
-    private static List<Object> repeat(Object value, int times) {
-        return new ArrayList<>(java.util.Collections.nCopies(times, value));
-    }
 }
