--- a/cli/src/main/java/ashlink/cli/DemoCommand.java
+++ b/cli/src/main/java/ashlink/cli/DemoCommand.java
@@ -98,6 +98,21 @@
                             "INSERT /* sim work_ms=60 threads=2 */ INTO readings SELECT * FROM"
                                     + " inbox");
         }
+        allServed &= runOverHttp(router);
+        printLedgers(engines);
+        return allServed;
+    }
+
+    private static boolean run(NativeClient client, String name, String statement) {
+        long startNs = System.nanoTime();
+        Reply reply = client.query(name, statement, Map.of(), 10 * NS_PER_SECOND);
+        System.out.printf(
+                "%-8s %-9s %3d rows in %5.1f ms   %s%n",
+                name, reply.kind(), reply.rows(), (reply.endNs() - startNs) / 1e6, reply.message());
+        return reply.kind() == Reply.Kind.SERVED;
+    }
+
+    private static boolean runOverHttp(Router router) throws Exception {
         StatementResult result =
                 new StatementClient(
                                 URI.create("http://127.0.0.1:" + router.httpAddress().getPort()),
@@ -114,7 +129,10 @@
         System.out.printf(
                 "%-8s %-9s %3d rows over HTTP   %s%n",
                 "look-up", result.kind(), result.rows(), result.detail());
-        allServed &= result.kind() == StatementResult.Kind.SERVED;
+        return result.kind() == StatementResult.Kind.SERVED;
+    }
+
+    private static void printLedgers(List<EmulatedEngine> engines) {
         for (EmulatedEngine engine : engines) {
             for (Ledger.Entry entry : engine.ledger().entries()) {
                 System.out.printf(
@@ -126,15 +144,5 @@
                         entry.how());
             }
         }
-        return allServed;
-    }
-
-    private static boolean run(NativeClient client, String name, String statement) {
-        long startNs = System.nanoTime();
-        Reply reply = client.query(name, statement, Map.of(), 10 * NS_PER_SECOND);
-        System.out.printf(
-                "%-8s %-9s %3d rows in %5.1f ms   %s%n",
-                name, reply.kind(), reply.rows(), (reply.endNs() - startNs) / 1e6, reply.message());
-        return reply.kind() == Reply.Kind.SERVED;
     }
 }
--- a/cli/src/main/java/ashlink/cli/ExplainCommand.java
+++ b/cli/src/main/java/ashlink/cli/ExplainCommand.java
@@ -57,6 +57,12 @@
         StatementAnalysis analysis = new StatementReader().read(text, database);
         Classifier.Classification classification =
                 new Classifier(config).classify(user, database, analysis, settings);
+        printAnalysis(analysis);
+        printClassification(classification);
+        return 0;
+    }
+
+    private static void printAnalysis(StatementAnalysis analysis) {
         System.out.println(
                 "kind         "
                         + analysis.kind().name().toLowerCase(java.util.Locale.ROOT)
@@ -78,6 +84,9 @@
         System.out.println("settings     " + analysis.settings());
         System.out.println("fingerprint  " + analysis.fingerprint());
         System.out.println("normal text  " + analysis.normalizedSql());
+    }
+
+    private static void printClassification(Classifier.Classification classification) {
         System.out.println(
                 "rule         "
                         + (classification.rule() == 0
@@ -93,6 +102,5 @@
                         + classification.queryClass().engineKinds()
                         + ", zones "
                         + classification.queryClass().zones());
-        return 0;
     }
 }
--- a/cli/src/main/java/ashlink/cli/ReplayCommand.java
+++ b/cli/src/main/java/ashlink/cli/ReplayCommand.java
@@ -81,24 +81,28 @@
         return new ModuleClassLoader(jar).loadClass(moduleClass).asSubclass(WorkloadManager.class);
     }
 
+    private Function<Settings, WorkloadManager> moduleFactory(
+            Class<? extends WorkloadManager> type) {
+        return settings -> {
+            try {
+                return baseline != null && jar == null
+                        ? new Baseline(baseline, settings)
+                        : type.getConstructor(Settings.class).newInstance(settings);
+            } catch (ReflectiveOperationException e) {
+                throw new IllegalStateException(
+                        "class "
+                                + type.getName()
+                                + " has no usable constructor with a Settings parameter",
+                        e);
+            }
+        };
+    }
+
     @Override
     public Integer call() throws Exception {
         boolean identical = true;
         Class<? extends WorkloadManager> type = moduleType();
-        Function<Settings, WorkloadManager> moduleFactory =
-                settings -> {
-                    try {
-                        return baseline != null && jar == null
-                                ? new Baseline(baseline, settings)
-                                : type.getConstructor(Settings.class).newInstance(settings);
-                    } catch (ReflectiveOperationException e) {
-                        throw new IllegalStateException(
-                                "class "
-                                        + type.getName()
-                                        + " has no usable constructor with a Settings parameter",
-                                e);
-                    }
-                };
+        Function<Settings, WorkloadManager> moduleFactory = moduleFactory(type);
         String hash = ModuleHash.of(type);
         for (Path folder : folders) {
             Replay replay = new Replay(moduleFactory, hash);
@@ -126,26 +130,30 @@
                 System.out.println(
                         "  the code of the module differs from the code at capture time");
             }
-            if (replay.divergentSteps() == 0) {
-                System.out.println("  identical");
-            } else {
-                System.out.printf(
-                        "  %d steps differ; events are replayed as recorded, so steps after the"
-                                + " first difference do not reflect it%n",
-                        replay.divergentSteps());
-                for (Replay.Divergence divergence : replay.divergences()) {
-                    System.out.printf(
-                            "  entry %d at %.3f s: %s%n    recorded %s%n    replayed %s%n",
-                            divergence.entry(),
-                            divergence.recorded().nowNs() / NS_PER_SECOND,
-                            divergence.recorded().event(),
-                            divergence.recorded().actions(),
-                            divergence.replayed());
-                }
-                identical = false;
-            }
+            printDivergences(replay);
+            identical &= replay.divergentSteps() == 0;
             identical &= replay.replayedSteps() > 0;
         }
         return identical ? 0 : 1;
     }
+
+    private static void printDivergences(Replay replay) {
+        if (replay.divergentSteps() == 0) {
+            System.out.println("  identical");
+            return;
+        }
+        System.out.printf(
+                "  %d steps differ; events are replayed as recorded, so steps after the first"
+                        + " difference do not reflect it%n",
+                replay.divergentSteps());
+        for (Replay.Divergence divergence : replay.divergences()) {
+            System.out.printf(
+                    "  entry %d at %.3f s: %s%n    recorded %s%n    replayed %s%n",
+                    divergence.entry(),
+                    divergence.recorded().nowNs() / NS_PER_SECOND,
+                    divergence.recorded().event(),
+                    divergence.recorded().actions(),
+                    divergence.replayed());
+        }
+    }
 }
--- a/cli/src/main/java/ashlink/cli/RouteCommand.java
+++ b/cli/src/main/java/ashlink/cli/RouteCommand.java
@@ -50,18 +50,7 @@
         if (member != null) {
             member.start();
         }
-        Runtime.getRuntime()
-                .addShutdownHook(
-                        new Thread(
-                                () -> {
-                                    stopRequested.countDown();
-                                    try {
-                                        stopped.await();
-                                    } catch (InterruptedException e) {
-                                        Thread.currentThread().interrupt();
-                                    }
-                                },
-                                "stop"));
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> requestStopAndWait(stopped), "stop"));
         Signals.handle("HUP", () -> reload(router));
         System.out.println("listening on " + router.address());
         if (router.httpAddress() != null) {
@@ -85,6 +74,15 @@
         return 0;
     }
 
+    private void requestStopAndWait(CountDownLatch stopped) {
+        stopRequested.countDown();
+        try {
+            stopped.await();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
     /**
      * Locks a state directory, which only one process can use. The file {@code router.pid} contains
      * the process ID and is locked while the process runs.
--- a/cli/src/main/java/ashlink/cli/ScenarioCommand.java
+++ b/cli/src/main/java/ashlink/cli/ScenarioCommand.java
@@ -151,16 +151,7 @@
                 .toList();
     }
 
-    private boolean runScenario(ScenarioConfig scenario, String name, Baseline.Policy baseline)
-            throws Exception {
-        ScenarioFacts facts =
-                new ScenarioRunner(
-                                scenario,
-                                settings ->
-                                        baseline == null
-                                                ? new DefaultWorkloadManager(settings)
-                                                : new Baseline(baseline, settings))
-                        .run();
+    private static void printService(ScenarioConfig scenario, ScenarioFacts facts, String name) {
         Service service = Service.of(facts);
         System.out.printf(
                 "%n%s, seed %d, policy %s: %d queries, %d served, %d rejected, %d failed, %d"
@@ -181,6 +172,19 @@
                 service.byFront().size() > 1
                         ? ", by protocol " + formatFractions(service.byFront())
                         : "");
+    }
+
+    private boolean runScenario(ScenarioConfig scenario, String name, Baseline.Policy baseline)
+            throws Exception {
+        ScenarioFacts facts =
+                new ScenarioRunner(
+                                scenario,
+                                settings ->
+                                        baseline == null
+                                                ? new DefaultWorkloadManager(settings)
+                                                : new Baseline(baseline, settings))
+                        .run();
+        printService(scenario, facts, name);
         if (recordsFolder != null) {
             writeRecords(facts, name);
         }
