--- a/cli/src/test/java/ashlink/cli/FleetProcessTest.java
+++ b/cli/src/test/java/ashlink/cli/FleetProcessTest.java
@@ -78,35 +78,8 @@
         for (int i = 0; i < routers; i++) {
             ports.add(freePorts[2 * i]);
             authority.issue("r" + i, Set.of(Role.ROUTER), DAY);
-            StringBuilder peers = new StringBuilder();
-            for (int j = 0; j < routers; j++) {
-                if (j != i) {
-                    peers.append(" (peer r")
-                            .append(j)
-                            .append(" (address 127.0.0.1:")
-                            .append(freePorts[2 * j + 1])
-                            .append("))");
-                }
-            }
             Files.writeString(
-                    dir.resolve("r" + i + ".sexp"),
-                    TestSettings.text(
-                            "r" + i,
-                            "halle-1",
-                            i,
-                            routers,
-                            7 + i,
-                            freePorts[2 * i],
-                            engines,
-                            "(state-dir \""
-                                    + dir.resolve("r" + i)
-                                    + "\") (control (listen 127.0.0.1:"
-                                    + freePorts[2 * i + 1]
-                                    + ") (keys \""
-                                    + dir.resolve("keys")
-                                    + "\")"
-                                    + peers
-                                    + ")"));
+                    dir.resolve("r" + i + ".sexp"), settings(dir, engines, i, routers, freePorts));
             inventory
                     .append("  (router r")
                     .append(i)
@@ -119,6 +92,38 @@
         Files.writeString(dir.resolve("fleet.sexp"), inventory.append(")\n").toString());
     }
 
+    private static String settings(
+            Path dir, List<EmulatedEngine> engines, int index, int routers, int[] freePorts)
+            throws Exception {
+        StringBuilder peers = new StringBuilder();
+        for (int j = 0; j < routers; j++) {
+            if (j != index) {
+                peers.append(" (peer r")
+                        .append(j)
+                        .append(" (address 127.0.0.1:")
+                        .append(freePorts[2 * j + 1])
+                        .append("))");
+            }
+        }
+        return TestSettings.text(
+                "r" + index,
+                "halle-1",
+                index,
+                routers,
+                7 + index,
+                freePorts[2 * index],
+                engines,
+                "(state-dir \""
+                        + dir.resolve("r" + index)
+                        + "\") (control (listen 127.0.0.1:"
+                        + freePorts[2 * index + 1]
+                        + ") (keys \""
+                        + dir.resolve("keys")
+                        + "\")"
+                        + peers
+                        + ")");
+    }
+
     private Process startRouter(Path dir, int index) throws IOException {
         return new ProcessBuilder(
                         SuperviseCommand.commandLine(
@@ -212,6 +217,75 @@
         }
     }
 
+    private void startRoutersUnderLoad(Path dir, List<Thread> clients) throws Exception {
+        for (int i = 0; i < ROUTERS; i++) {
+            processes.add(startRouter(dir, i));
+        }
+        long deadlineNs = System.nanoTime() + 90 * NS_PER_SECOND;
+        while (runFleetCommand(dir, "status") != 0 && System.nanoTime() < deadlineNs) {
+            Thread.sleep(200);
+        }
+        for (int i = 0; i < ROUTERS; i++) {
+            int index = i;
+            Thread thread = new Thread(() -> sendQueries(index), "load");
+            thread.setDaemon(true);
+            thread.start();
+            clients.add(thread);
+        }
+    }
+
+    /**
+     * Drains an engine through half of the routers while one router is paused or killed, and checks
+     * that no router sends it new work. Returns the time of the last new work after the drain, in
+     * milliseconds.
+     *
+     * @param paused router to pause; empty to kill a router that received the drain
+     */
+    private long checkDrain(Path dir, EmulatedEngine engine, String paused) throws Exception {
+        String name = engine.config().name();
+        sendSignal("STOP", paused);
+        drainHalf(dir, name);
+        long drainedNs = firstReceivedNs();
+        long receivedNs = drainedNs;
+        if (paused.isEmpty()) {
+            processes.get(0).destroyForcibly(); // received the drain
+            processes.get(0).waitFor(20, TimeUnit.SECONDS);
+            processes.set(0, startRouter(dir, 0)); // restarts while the drain is valid
+        } else {
+            Thread.sleep(3_000); // the paused router resumes with outdated state
+            receivedNs = System.nanoTime();
+            sendSignal("CONT", paused);
+        }
+        Thread.sleep(4_500);
+        long lastNs = lastReceivedNs(engine, paused, false);
+        assertTrue(lastNs < drainedNs + GRACE_NS, () -> newWorkAfter(engine, drainedNs));
+        assertTrue(
+                lastReceivedNs(engine, paused, true) < receivedNs + GRACE_NS,
+                "new work from the paused router");
+        assertEquals(0, runFleetCommand(dir, "undrain", name), "all routers received the undrain");
+        return (lastNs - drainedNs) / 1_000_000;
+    }
+
+    private static void drainHalf(Path dir, String name) {
+        List<String> arguments =
+                new ArrayList<>(List.of("drain", name, "--wait", "0", "--for", "1"));
+        for (int i = 0; i < (ROUTERS + 1) / 2; i++) {
+            arguments.addAll(List.of("--router", "r" + i));
+        }
+        arguments.add("--json");
+        runFleetCommand(dir, arguments.toArray(new String[0]));
+    }
+
+    private static String newWorkAfter(EmulatedEngine engine, long drainedNs) {
+        return "new work at "
+                + engine.config().name()
+                + " after the drain, in ms by router: "
+                + engine.ledger().entries().stream()
+                        .filter(entry -> entry.tag.equals("load") && entry.beganNs > drainedNs)
+                        .map(entry -> entry.router + " " + (entry.beganNs - drainedNs) / 1_000_000)
+                        .toList();
+    }
+
     @Test
     void drainThatReachesHalfOfTheRoutersStopsNewWorkOnAll(@TempDir Path dir) throws Exception {
         List<EmulatedEngine> engines = EmulatedEngines.demo();
@@ -219,73 +293,10 @@
         List<Thread> clients = new ArrayList<>();
         List<Long> lastReceivedMs = new ArrayList<>();
         try {
-            for (int i = 0; i < ROUTERS; i++) {
-                processes.add(startRouter(dir, i));
-            }
-            long deadlineNs = System.nanoTime() + 90 * NS_PER_SECOND;
-            while (runFleetCommand(dir, "status") != 0 && System.nanoTime() < deadlineNs) {
-                Thread.sleep(200);
-            }
-            for (int i = 0; i < ROUTERS; i++) {
-                int index = i;
-                Thread thread = new Thread(() -> sendQueries(index), "load");
-                thread.setDaemon(true);
-                thread.start();
-                clients.add(thread);
-            }
+            startRoutersUnderLoad(dir, clients);
             for (int drain = 0; drain < DRAINS; drain++) {
-                EmulatedEngine engine = busiest(engines);
-                String name = engine.config().name();
-                List<String> arguments =
-                        new ArrayList<>(List.of("drain", name, "--wait", "0", "--for", "1"));
-                for (int i = 0; i < (ROUTERS + 1) / 2; i++) {
-                    arguments.addAll(List.of("--router", "r" + i));
-                }
                 String paused = drain % 2 == 0 ? "" : "r" + (ROUTERS - 1);
-                sendSignal("STOP", paused);
-                arguments.add("--json");
-                runFleetCommand(dir, arguments.toArray(new String[0]));
-                long drainedNs = firstReceivedNs();
-                long receivedNs = drainedNs;
-                if (paused.isEmpty()) {
-                    processes.get(0).destroyForcibly(); // received the drain
-                    processes.get(0).waitFor(20, TimeUnit.SECONDS);
-                    processes.set(0, startRouter(dir, 0)); // restarts while the drain is valid
-                } else {
-                    Thread.sleep(3_000); // the paused router resumes with outdated state
-                    receivedNs = System.nanoTime();
-                    sendSignal("CONT", paused);
-                }
-                Thread.sleep(4_500);
-                long lastNs = lastReceivedNs(engine, paused, false);
-                lastReceivedMs.add((lastNs - drainedNs) / 1_000_000);
-                assertTrue(
-                        lastNs < drainedNs + GRACE_NS,
-                        () ->
-                                "new work at "
-                                        + name
-                                        + " after the drain, in ms by router: "
-                                        + engine.ledger().entries().stream()
-                                                .filter(
-                                                        entry ->
-                                                                entry.tag.equals("load")
-                                                                        && entry.beganNs
-                                                                                > drainedNs)
-                                                .map(
-                                                        entry ->
-                                                                entry.router
-                                                                        + " "
-                                                                        + (entry.beganNs
-                                                                                        - drainedNs)
-                                                                                / 1_000_000)
-                                                .toList());
-                assertTrue(
-                        lastReceivedNs(engine, paused, true) < receivedNs + GRACE_NS,
-                        "new work from the paused router");
-                assertEquals(
-                        0,
-                        runFleetCommand(dir, "undrain", name),
-                        "all routers received the undrain");
+                lastReceivedMs.add(checkDrain(dir, busiest(engines), paused));
             }
             processes.get(1).destroyForcibly().waitFor(20, TimeUnit.SECONDS);
             assertEquals(
@@ -352,14 +363,18 @@
                     remainingProcesses(before),
                     "supervisors exit when their routers are stopped");
         } finally {
-            ProcessHandle.current()
-                    .descendants()
-                    .filter(process -> !before.contains(process))
-                    .forEach(ProcessHandle::destroyForcibly);
+            destroyProcesses(before);
             engines.forEach(EmulatedEngine::crash);
         }
     }
 
+    private static void destroyProcesses(Set<ProcessHandle> before) {
+        ProcessHandle.current()
+                .descendants()
+                .filter(process -> !before.contains(process))
+                .forEach(ProcessHandle::destroyForcibly);
+    }
+
     private static long remainingProcesses(Set<ProcessHandle> before) {
         return ProcessHandle.current()
                 .descendants()
--- a/cli/src/test/java/ashlink/cli/KilledRouterTest.java
+++ b/cli/src/test/java/ashlink/cli/KilledRouterTest.java
@@ -13,6 +13,7 @@
 import ashlink.loadtest.fixture.EmulatedEngines;
 import ashlink.loadtest.fixture.TestSettings;
 import java.io.BufferedReader;
+import java.io.IOException;
 import java.io.InputStreamReader;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -33,9 +34,7 @@
     private static final int KILLS = 3;
     private static final long NS_PER_SECOND = 1_000_000_000L;
 
-    @Test
-    void captureOfAKilledRouterIsReplayedIdentically(@TempDir Path dir) throws Exception {
-        List<EmulatedEngine> engines = EmulatedEngines.demo();
+    private static Path writeSettings(Path dir, List<EmulatedEngine> engines) throws Exception {
         Path config = dir.resolve("r1.sexp");
         Files.writeString(
                 config,
@@ -52,20 +51,41 @@
                                 + "\") (capture (dir \""
                                 + dir.resolve("capture")
                                 + "\") (sync 5ms))"));
+        return config;
+    }
+
+    private static Process startRouter(Path config) throws IOException {
+        return new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "ashlink.cli.Main",
+                        "route",
+                        config.toString())
+                .redirectError(ProcessBuilder.Redirect.DISCARD)
+                .start();
+    }
+
+    private static int countAnswers(NativeClient client, int queries) {
+        int answerCount = 0;
+        for (int i = 0; i < queries; i++) {
+            answerCount +=
+                    client.query("", "SELECT /* sim work_ms=1 */ 1", Map.of(), 5 * NS_PER_SECOND)
+                                    .isFinal()
+                            ? 1
+                            : 0;
+        }
+        return answerCount;
+    }
+
+    @Test
+    void captureOfAKilledRouterIsReplayedIdentically(@TempDir Path dir) throws Exception {
+        List<EmulatedEngine> engines = EmulatedEngines.demo();
+        Path config = writeSettings(dir, engines);
         SplittableRandom random = new SplittableRandom(5);
         int answerCount = 0;
         for (int kill = 0; kill < KILLS; kill++) {
-            Process process =
-                    new ProcessBuilder(
-                                    Path.of(System.getProperty("java.home"), "bin", "java")
-                                            .toString(),
-                                    "-cp",
-                                    System.getProperty("java.class.path"),
-                                    "ashlink.cli.Main",
-                                    "route",
-                                    config.toString())
-                            .redirectError(ProcessBuilder.Redirect.DISCARD)
-                            .start();
+            Process process = startRouter(config);
             try {
                 String line =
                         new BufferedReader(new InputStreamReader(process.getInputStream()))
@@ -74,17 +94,7 @@
                 int queries = 20 + random.nextInt(200);
                 try (NativeClient client =
                         NativeClient.connect(new InetSocketAddress("127.0.0.1", port), "portal")) {
-                    for (int i = 0; i < queries; i++) {
-                        answerCount +=
-                                client.query(
-                                                        "",
-                                                        "SELECT /* sim work_ms=1 */ 1",
-                                                        Map.of(),
-                                                        5 * NS_PER_SECOND)
-                                                .isFinal()
-                                        ? 1
-                                        : 0;
-                    }
+                    answerCount += countAnswers(client, queries);
                 }
             } finally {
                 process.destroyForcibly();
--- a/cli/src/test/java/ashlink/cli/KilledStatementsTest.java
+++ b/cli/src/test/java/ashlink/cli/KilledStatementsTest.java
@@ -89,13 +89,8 @@
         }
     }
 
-    @Test
-    void noInsertRunsTwiceNoKeyIsLostAndNoSpoolFileRemains(@TempDir Path dir) throws Exception {
-        List<EmulatedEngine> engines = EmulatedEngines.demo();
-        try (ServerSocket socket = new ServerSocket(0)) {
-            port = socket.getLocalPort();
-        }
-        Path spool = dir.resolve("spool");
+    private Path writeSettings(Path dir, Path spool, List<EmulatedEngine> engines)
+            throws Exception {
         Path config = dir.resolve("r1.sexp");
         Files.writeString(
                 config,
@@ -114,83 +109,109 @@
                                 + ") (spool \""
                                 + spool
                                 + "\") (page 4KiB) (memory 0B))"));
+        return config;
+    }
+
+    private static Process startRouter(Path config) throws IOException {
+        return new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-XX:TieredStopAtLevel=1",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "ashlink.cli.Main",
+                        "route",
+                        config.toString())
+                .redirectError(ProcessBuilder.Redirect.DISCARD)
+                .start();
+    }
+
+    /** Kills a router at a pseudorandom time while clients post inserts. */
+    private void killUnderLoad(Process process, int round, SplittableRandom random)
+            throws InterruptedException {
+        List<Thread> clients = new ArrayList<>();
+        for (int c = 0; c < 4; c++) {
+            int clientNumber = c;
+            clients.add(new Thread(() -> postInserts(round, clientNumber)));
+        }
+        clients.forEach(Thread::start);
+        int acknowledgedBefore = acknowledged.size();
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        while (acknowledged.size() < acknowledgedBefore + 4 && System.nanoTime() < deadlineNs) {
+            Thread.sleep(5); // waits until inserts are acknowledged, however slow
+        }
+        Thread.sleep(random.nextInt(400));
+        process.destroyForcibly();
+        assertTrue(process.waitFor(20, TimeUnit.SECONDS));
+        for (Thread thread : clients) {
+            thread.join(30_000);
+        }
+    }
+
+    private static void awaitEmptySpool(Path spool) throws IOException, InterruptedException {
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        while (pageFiles(spool) > 0 && System.nanoTime() < deadlineNs) {
+            Thread.sleep(20);
+        }
+        assertEquals(0, pageFiles(spool), "spool files of earlier starts");
+    }
+
+    /** Returns how often each tagged statement ran on the engines. */
+    private static Map<String, Integer> runsByTag(List<EmulatedEngine> engines) {
+        Map<String, Integer> runs = new HashMap<>();
+        for (EmulatedEngine engine : engines) {
+            for (Ledger.Entry entry : engine.ledger().entries()) {
+                if (entry.ranNs() > 0 && entry.how() != Ledger.How.TURNED_AWAY) {
+                    runs.merge(entry.tag, 1, Integer::sum);
+                }
+            }
+        }
+        runs.remove("");
+        return runs;
+    }
+
+    private void assertNoInsertRanTwice(Map<String, Integer> runs) {
+        assertEquals(
+                List.of(),
+                runs.entrySet().stream()
+                        .filter(run -> run.getValue() > 1 && posted.contains(run.getKey()))
+                        .toList());
+    }
+
+    @Test
+    void noInsertRunsTwiceNoKeyIsLostAndNoSpoolFileRemains(@TempDir Path dir) throws Exception {
+        List<EmulatedEngine> engines = EmulatedEngines.demo();
+        try (ServerSocket socket = new ServerSocket(0)) {
+            port = socket.getLocalPort();
+        }
+        Path spool = dir.resolve("spool");
+        Path config = writeSettings(dir, spool, engines);
         SplittableRandom random = new SplittableRandom(11);
         Map<String, Integer> outcomes = new HashMap<>();
         int leftoverFiles = 0;
         Set<String> repeatedKeys = new HashSet<>();
         for (int round = 0; round <= KILLS; round++) {
-            Process process =
-                    new ProcessBuilder(
-                                    Path.of(System.getProperty("java.home"), "bin", "java")
-                                            .toString(),
-                                    "-XX:TieredStopAtLevel=1",
-                                    "-cp",
-                                    System.getProperty("java.class.path"),
-                                    "ashlink.cli.Main",
-                                    "route",
-                                    config.toString())
-                            .redirectError(ProcessBuilder.Redirect.DISCARD)
-                            .start();
+            Process process = startRouter(config);
             try {
                 new BufferedReader(new InputStreamReader(process.getInputStream())).readLine();
-                Set<String> postedBeforeKill = new HashSet<>(posted);
-                postedBeforeKill.removeAll(repeatedKeys);
-                for (String key : postedBeforeKill) {
-                    repeatedKeys.add(key);
-                    repeatInsert(key, outcomes);
-                }
+                repeatInserts(repeatedKeys, outcomes);
                 if (round < KILLS) {
-                    List<Thread> clients = new ArrayList<>();
-                    for (int c = 0; c < 4; c++) {
-                        int currentRound = round;
-                        int clientNumber = c;
-                        clients.add(new Thread(() -> postInserts(currentRound, clientNumber)));
-                    }
-                    clients.forEach(Thread::start);
-                    int acknowledgedBefore = acknowledged.size();
-                    long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-                    while (acknowledged.size() < acknowledgedBefore + 4
-                            && System.nanoTime() < deadlineNs) {
-                        Thread.sleep(5); // waits until inserts are acknowledged, however slow
-                    }
-                    Thread.sleep(random.nextInt(400));
-                    process.destroyForcibly();
-                    assertTrue(process.waitFor(20, TimeUnit.SECONDS));
-                    for (Thread thread : clients) {
-                        thread.join(30_000);
-                    }
+                    killUnderLoad(process, round, random);
                     leftoverFiles += pageFiles(spool);
                 } else {
-                    long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-                    while (pageFiles(spool) > 0 && System.nanoTime() < deadlineNs) {
-                        Thread.sleep(20);
-                    }
-                    assertEquals(0, pageFiles(spool), "spool files of earlier starts");
+                    awaitEmptySpool(spool);
                 }
             } finally {
                 process.destroyForcibly();
                 process.waitFor(20, TimeUnit.SECONDS);
             }
         }
-        Map<String, Integer> runs = new HashMap<>();
-        for (EmulatedEngine engine : engines) {
-            for (Ledger.Entry entry : engine.ledger().entries()) {
-                if (entry.ranNs() > 0 && entry.how() != Ledger.How.TURNED_AWAY) {
-                    runs.merge(entry.tag, 1, Integer::sum);
-                }
-            }
-            engine.crash();
-        }
-        runs.remove("");
+        Map<String, Integer> runs = runsByTag(engines);
+        engines.forEach(EmulatedEngine::crash);
         System.out.printf(
                 "%d kills: %d inserts posted with keys, %d acknowledged, %d ran, after the kill %s;"
                         + " %d files left behind by kills, 0 after the next start%n",
                 KILLS, posted.size(), acknowledged.size(), runs.size(), outcomes, leftoverFiles);
-        assertEquals(
-                List.of(),
-                runs.entrySet().stream()
-                        .filter(run -> run.getValue() > 1 && posted.contains(run.getKey()))
-                        .toList());
+        assertNoInsertRanTwice(runs);
         assertTrue(
                 leftoverFiles > 0
                         && outcomes.getOrDefault("fate-unknown", 0) > 0
@@ -198,6 +219,17 @@
                 "too few cases: " + outcomes + ", " + leftoverFiles + " files");
     }
 
+    /** Repeats the inserts that were posted before the last kill. */
+    private void repeatInserts(Set<String> repeatedKeys, Map<String, Integer> outcomes)
+            throws Exception {
+        Set<String> postedBeforeKill = new HashSet<>(posted);
+        postedBeforeKill.removeAll(repeatedKeys);
+        for (String key : postedBeforeKill) {
+            repeatedKeys.add(key);
+            repeatInsert(key, outcomes);
+        }
+    }
+
     /**
      * Posts the same insert with the same key again after the kill. An acknowledged statement must
      * be reported with its ID.
