--- a/cli/src/main/java/ashlink/cli/DemoCommand.java
+++ b/cli/src/main/java/ashlink/cli/DemoCommand.java
@@ -141,7 +141,7 @@
                         engine.config().kind(),
                         engine.config().zone(),
                         entry.queryId,
-                        entry.how());
+                        entry.outcome());
             }
         }
     }
--- a/cli/src/test/java/ashlink/cli/KilledStatementsTest.java
+++ b/cli/src/test/java/ashlink/cli/KilledStatementsTest.java
@@ -160,7 +160,7 @@
         Map<String, Integer> runs = new HashMap<>();
         for (EmulatedEngine engine : engines) {
             for (Ledger.Entry entry : engine.ledger().entries()) {
-                if (entry.ranNs() > 0 && entry.how() != Ledger.How.TURNED_AWAY) {
+                if (entry.ranNs() > 0 && entry.outcome() != Ledger.Outcome.TURNED_AWAY) {
                     runs.merge(entry.tag, 1, Integer::sum);
                 }
             }
--- a/emulator/src/main/java/ashlink/emulator/EngineSession.java
+++ b/emulator/src/main/java/ashlink/emulator/EngineSession.java
@@ -4,7 +4,7 @@
 import ashlink.emulator.FaultInjection.Break;
 import ashlink.emulator.FaultInjection.Place;
 import ashlink.emulator.Ledger.Entry;
-import ashlink.emulator.Ledger.How;
+import ashlink.emulator.Ledger.Outcome;
 import ashlink.emulator.model.Job;
 import ashlink.wire.Block;
 import ashlink.wire.ByteBuf;
@@ -68,7 +68,8 @@
             // The client sees the closed connection.
         } finally {
             if (entry != null) {
-                engine.ledger().end(entry, engine.isDown() ? How.CRASHED : How.CONNECTION_LOST);
+                engine.ledger()
+                        .end(entry, engine.isDown() ? Outcome.CRASHED : Outcome.CONNECTION_LOST);
             }
         }
     }
@@ -158,8 +159,8 @@
         entry = null;
     }
 
-    private void end(How how) {
-        engine.ledger().end(entry, how);
+    private void end(Outcome outcome) {
+        engine.ledger().end(entry, outcome);
     }
 
     private void sendError(int code, String reason) throws IOException {
@@ -167,8 +168,8 @@
         new ServerError(code, "StandIn::Exception", config.name() + ": " + reason).write(packet);
         end(
                 code == TOO_MANY_QUERIES
-                        ? How.TURNED_AWAY
-                        : code == QUERY_CANCELLED ? How.DROPPED : How.ERROR);
+                        ? Outcome.TURNED_AWAY
+                        : code == QUERY_CANCELLED ? Outcome.DROPPED : Outcome.ERROR);
         entry = null;
         packets.send(packet);
     }
@@ -204,19 +205,19 @@
                 entry.markReleased();
                 if (config.stopsOnCancel()) {
                     engine.cancel(job);
-                    end(How.DROPPED);
+                    end(Outcome.DROPPED);
                     throw new BrokenConnectionException();
                 }
             }
         }
         if (job.state() != Job.State.DONE) {
-            end(How.CRASHED);
+            end(Outcome.CRASHED);
             throw new BrokenConnectionException();
         }
         injectFault(Place.RUN, null);
         if (engine.nextRandom() < engine.faults().lostAnswerFraction()) {
             entry.markEffect();
-            end(How.ANSWER_LOST);
+            end(Outcome.ANSWER_LOST);
             while (!packets.clientIsGone() && !engine.isDown()) {
                 Thread.sleep(POLL_MS);
             }
@@ -250,7 +251,7 @@
         }
         injectFault(Place.END, packet);
         packet.putVarUInt(ServerPacket.END_OF_STREAM.ordinal());
-        end(How.ANSWERED);
+        end(Outcome.ANSWERED);
         packets.send(packet);
     }
 
--- a/emulator/src/main/java/ashlink/emulator/Ledger.java
+++ b/emulator/src/main/java/ashlink/emulator/Ledger.java
@@ -17,7 +17,7 @@
 public final class Ledger {
 
     /** Outcome of a statement at the engine. */
-    public enum How {
+    public enum Outcome {
         OPEN,
         ANSWERED,
         ERROR,
@@ -44,7 +44,7 @@
         private volatile long effectNs;
         private volatile long endedNs;
         private volatile long releasedNs;
-        private volatile How how = How.OPEN;
+        private volatile Outcome outcome = Outcome.OPEN;
 
         Entry(
                 String engine,
@@ -88,9 +88,9 @@
             return releasedNs;
         }
 
-        /** Returns the outcome; {@link How#OPEN} until the statement ends. */
-        public How how() {
-            return how;
+        /** Returns the outcome; {@link Outcome#OPEN} until the statement ends. */
+        public Outcome outcome() {
+            return outcome;
         }
 
         void markRan() {
@@ -134,9 +134,9 @@
         write("begin", entry);
     }
 
-    void end(Entry entry, How how) {
-        if (entry.how == How.OPEN) {
-            entry.how = how;
+    void end(Entry entry, Outcome outcome) {
+        if (entry.outcome == Outcome.OPEN) {
+            entry.outcome = outcome;
             entry.endedNs = System.nanoTime();
             write("end", entry);
         }
@@ -160,7 +160,7 @@
                                 + "\t"
                                 + (entry.ranNs > 0 ? "ran" : "not run")
                                 + "\t"
-                                + entry.how
+                                + entry.outcome
                                 + "\n");
                 file.flush();
             } catch (IOException e) {
--- a/loadtest/src/main/java/ashlink/loadtest/check/InvariantChecker.java
+++ b/loadtest/src/main/java/ashlink/loadtest/check/InvariantChecker.java
@@ -3,7 +3,7 @@
 import ashlink.config.EngineConfig;
 import ashlink.decisions.api.QueryClass;
 import ashlink.decisions.api.RetrySafety;
-import ashlink.emulator.Ledger.How;
+import ashlink.emulator.Ledger.Outcome;
 import ashlink.loadtest.client.Reply;
 import ashlink.loadtest.load.ClientAttempt;
 import ashlink.loadtest.scenario.ScenarioFacts;
@@ -129,11 +129,11 @@
                             .filter(
                                     sentQuery ->
                                             sentQuery.ranNs() > 0
-                                                    && sentQuery.how() != How.TURNED_AWAY)
+                                                    && sentQuery.how() != Outcome.TURNED_AWAY)
                             .count();
             if (unsafe) {
                 stake +=
-                        entries.stream().anyMatch(sentQuery -> sentQuery.how() != How.ANSWERED)
+                        entries.stream().anyMatch(sentQuery -> sentQuery.how() != Outcome.ANSWERED)
                                         || clientAttempt.reply().kind() != Reply.Kind.SERVED
                                 ? 1
                                 : 0;
--- a/loadtest/src/main/java/ashlink/loadtest/scenario/SentQuery.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/SentQuery.java
@@ -20,7 +20,7 @@
         long beganNs,
         long ranNs,
         long outUntilNs,
-        Ledger.How how) {
+        Ledger.Outcome how) {
 
     private static final String ROUTER_PREFIX = "ashlink ";
 
@@ -42,6 +42,6 @@
                 entry.beganNs,
                 entry.ranNs(),
                 until,
-                entry.how());
+                entry.outcome());
     }
 }
--- a/loadtest/src/test/java/ashlink/loadtest/InvariantCheckerTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/InvariantCheckerTest.java
@@ -13,7 +13,7 @@
 import ashlink.decisions.api.RetrySafety;
 import ashlink.decisions.api.Settings;
 import ashlink.decisions.api.WorkloadManager;
-import ashlink.emulator.Ledger.How;
+import ashlink.emulator.Ledger.Outcome;
 import ashlink.loadtest.check.InvariantChecker;
 import ashlink.loadtest.check.Service;
 import ashlink.loadtest.check.Verdict;
@@ -73,8 +73,8 @@
                         "native"));
     }
 
-    private void engine(String tag, String engine, long beganMs, long untilMs, How how) {
-        boolean ran = how != How.NO_DATA && how != How.TURNED_AWAY;
+    private void engine(String tag, String engine, long beganMs, long untilMs, Outcome how) {
+        boolean ran = how != Outcome.NO_DATA && how != Outcome.TURNED_AWAY;
         ledger.add(
                 new SentQuery(
                         engine,
@@ -128,7 +128,7 @@
     @Test
     void aDayOnWhichNothingHappensProvesNothing() throws Exception {
         client("1.0", "abfrage", null, 0, 100, Reply.Kind.SERVED, 0);
-        engine("1.0", "a1", 10, 90, How.ANSWERED);
+        engine("1.0", "a1", 10, 90, Outcome.ANSWERED);
         for (int rule = 1; rule <= 7; rule++) {
             expect(rule, 0, 0);
         }
@@ -147,36 +147,36 @@
     @Test
     void aSecondRunOfALoadIsFoundAndARefusalOfOneThatRan() throws Exception {
         client("1.0", "ladung", "k", 0, 900, Reply.Kind.SERVED, 0);
-        engine("1.0", "a1", 10, 100, How.CRASHED);
-        engine("1.0", "b1", 300, 800, How.ANSWERED);
+        engine("1.0", "a1", 10, 100, Outcome.CRASHED);
+        engine("1.0", "b1", 300, 800, Outcome.ANSWERED);
         client("2.0", "ladung", "k2", 0, 900, Reply.Kind.EXCEPTION, 202);
-        engine("2.0", "a1", 10, 100, How.ANSWER_LOST);
+        engine("2.0", "a1", 10, 100, Outcome.ANSWER_LOST);
         expect(2, 3, 2);
     }
 
     @Test
     void anInsertWithoutItsDataMayBeGivenToAnother() throws Exception {
         client("1.0", "ladung", "k", 0, 900, Reply.Kind.SERVED, 0);
-        engine("1.0", "a1", 10, 100, How.NO_DATA);
-        engine("1.0", "b1", 300, 800, How.ANSWERED);
+        engine("1.0", "a1", 10, 100, Outcome.NO_DATA);
+        engine("1.0", "b1", 300, 800, Outcome.ANSWERED);
         expect(2, 2, 0);
     }
 
     @Test
     void twoAttemptsAtOnceAreFound() throws Exception {
         client("1.0", "abfrage", null, 0, 900, Reply.Kind.SERVED, 0);
-        engine("1.0", "a1", 10, 700, How.ANSWERED);
-        engine("1.0", "b1", 300, 800, How.ANSWERED);
+        engine("1.0", "a1", 10, 700, Outcome.ANSWERED);
+        engine("1.0", "b1", 300, 800, Outcome.ANSWERED);
         expect(2, 1, 1);
     }
 
     @Test
     void newWorkAfterTheGraceOfADrainIsFound() throws Exception {
-        engine("1.0", "a1", 10, 100, How.ANSWERED);
+        engine("1.0", "a1", 10, 100, Outcome.ANSWERED);
         drains.add(new Drain("r1", "a1", FROM + 500 * MS, FROM + 9000 * MS));
-        engine("2.0", "a1", 2400, 2500, How.ANSWERED);
+        engine("2.0", "a1", 2400, 2500, Outcome.ANSWERED);
         expect(3, 1, 0);
-        engine("3.0", "a1", 2600, 2700, How.ANSWERED);
+        engine("3.0", "a1", 2600, 2700, Outcome.ANSWERED);
         expect(3, 1, 1);
     }
 
@@ -189,7 +189,7 @@
                     "a1",
                     1100 + i,
                     1200 + i,
-                    How.ANSWERED); // 24 s of work in 0.3 s; it bears some 21 to 22
+                    Outcome.ANSWERED); // 24 s of work in 0.3 s; it bears some 21 to 22
         }
         Verdict v = verdict(4);
         assertEquals(300, v.atStake());
@@ -202,16 +202,16 @@
     void aChangedOrderAndAnOverlapOfOneKeyAreFound() throws Exception {
         client("1.0", "ladung", "k", 0, 1900, Reply.Kind.SERVED, 0);
         client("2.0", "ladung", "k", 200, 1900, Reply.Kind.SERVED, 0);
-        engine("1.0", "a1", 10, 600, How.ANSWERED);
-        engine("2.0", "b1", 700, 1000, How.ANSWERED);
+        engine("1.0", "a1", 10, 600, Outcome.ANSWERED);
+        engine("2.0", "b1", 700, 1000, Outcome.ANSWERED);
         expect(5, 1, 0);
         ledger.clear();
-        engine("1.0", "a1", 10, 600, How.ANSWERED);
-        engine("2.0", "b1", 300, 1000, How.ANSWERED);
+        engine("1.0", "a1", 10, 600, Outcome.ANSWERED);
+        engine("2.0", "b1", 300, 1000, Outcome.ANSWERED);
         expect(5, 1, 1);
         ledger.clear();
-        engine("2.0", "b1", 300, 700, How.ANSWERED);
-        engine("1.0", "a1", 800, 1000, How.ANSWERED);
+        engine("2.0", "b1", 300, 700, Outcome.ANSWERED);
+        engine("1.0", "a1", 800, 1000, Outcome.ANSWERED);
         expect(5, 1, 1);
     }
 
@@ -219,20 +219,20 @@
     void aReportOnTheWrongKindIsFound() throws Exception {
         sick.add(new Span("a1", FROM, FROM + 1000 * MS));
         client("1.0", "bericht", null, 0, 100, Reply.Kind.SERVED, 0);
-        engine("1.0", "a1", 10, 90, How.ANSWERED);
+        engine("1.0", "a1", 10, 90, Outcome.ANSWERED);
         expect(6, 1, 0);
         client("2.0", "bericht", null, 0, 100, Reply.Kind.SERVED, 0);
-        engine("2.0", "b1", 10, 90, How.ANSWERED);
+        engine("2.0", "b1", 10, 90, Outcome.ANSWERED);
         expect(6, 2, 1);
     }
 
     @Test
     void tooManyFurtherAttemptsAreFound() throws Exception {
         client("1.0", "abfrage", null, 0, 900, Reply.Kind.SERVED, 0);
-        engine("1.0", "a1", 10, 100, How.CRASHED);
-        engine("1.0", "b1", 300, 800, How.ANSWERED);
+        engine("1.0", "a1", 10, 100, Outcome.CRASHED);
+        engine("1.0", "b1", 300, 800, Outcome.ANSWERED);
         expect(7, 1, 0);
-        engine("1.0", "a1", 900, 1000, How.CRASHED);
+        engine("1.0", "a1", 900, 1000, Outcome.CRASHED);
         expect(7, 2, 1);
     }
 
