--- a/cli/src/main/java/ashlink/cli/BenchCommand.java
+++ b/cli/src/main/java/ashlink/cli/BenchCommand.java
@@ -10,27 +10,31 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Benchmarks. */
+/** Runs the benchmarks. */
 @Command(
         name = "bench",
         mixinStandardHelpOptions = true,
         description =
-                "Measures the router beside a direct connection and a plain relay, in one run on"
-                        + " loopback.")
+                "Benchmarks the router against a direct connection and a plain TCP relay, in one"
+                        + " run on the loopback interface.")
 final class BenchCommand implements Callable<Integer> {
 
-    @Option(names = "--round", description = "Seconds of each round.", defaultValue = "1")
-    private double round;
+    @Option(
+            names = "--round",
+            description = "Duration of each round, in seconds.",
+            defaultValue = "1")
+    private double roundSeconds;
 
-    @Option(names = "--codec", description = "Measure the codec alone, with JMH.")
+    @Option(names = "--codec", description = "Benchmark only the codec, with JMH.")
     private boolean codec;
 
-    @Option(names = "--http", description = "Measure the front over HTTP beside the native one.")
+    @Option(names = "--http", description = "Benchmark HTTP against the native protocol.")
     private boolean http;
 
     @Option(
             names = "--background",
-            description = "Measure short queries with and without background work at its limits.")
+            description =
+                    "Benchmark short queries with and without background tasks at their limits.")
     private boolean background;
 
     @Override
@@ -40,14 +44,14 @@
             return 0;
         }
         if (http) {
-            new HttpBench(System.out, (long) (round * 1e9)).run();
+            new HttpBench(System.out, (long) (roundSeconds * 1e9)).run();
             return 0;
         }
         if (background) {
-            new BackgroundBench(System.out, (long) (round * 1e9)).run();
+            new BackgroundBench(System.out, (long) (roundSeconds * 1e9)).run();
             return 0;
         }
-        new RouterBench(System.out, (long) (round * 1e9)).run();
+        new RouterBench(System.out, (long) (roundSeconds * 1e9)).run();
         return 0;
     }
 }
--- a/cli/src/main/java/ashlink/cli/CaptureCommand.java
+++ b/cli/src/main/java/ashlink/cli/CaptureCommand.java
@@ -17,13 +17,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Looks at captures. */
+/** Reads captures: parent of the capture subcommands. */
 @Command(
         name = "capture",
         mixinStandardHelpOptions = true,
-        description = "Lists, shows, verifies, cuts and exports captures.",
+        description = "Lists, shows, verifies, cuts, exports and reports on captures.",
         subcommands = {
-            CaptureCommand.List_.class,
+            CaptureCommand.ListSegments.class,
             CaptureCommand.Verify.class,
             CaptureCommand.Export.class,
             CaptureCommand.Report.class,
@@ -37,92 +37,98 @@
     @Override
     public Integer call() {
         throw new picocli.CommandLine.ParameterException(
-                spec.commandLine(), "ls, show, verify, cut, export or report is missing");
+                spec.commandLine(),
+                "missing subcommand: expected ls, show, verify, cut, export or report");
     }
 
-    private static List<CaptureReader.SegmentSummary> found(Path folder) throws Exception {
+    private static List<CaptureReader.SegmentSummary> readSegments(Path folder) throws Exception {
         return new CaptureReader(FolderDisk.reading(folder)).read(entry -> {});
     }
 
-    /** A part of a capture. */
-    static final class Part {
+    /** Options that select a range of entries of a capture. */
+    static final class EntryRange {
         @picocli.CommandLine.Option(
                 names = "--from",
-                description = "Number of the first entry, 0 for the first of the folder.")
-        private long from;
+                description = "Number of the first entry, counted from 0.")
+        private long first;
 
-        @picocli.CommandLine.Option(names = "--count", description = "Entries at most.")
+        @picocli.CommandLine.Option(
+                names = "--count",
+                description = "Maximum number of entries; all if not given.")
         private long count = Long.MAX_VALUE;
     }
 
-    /** Lists segments. */
+    /** Lists the segments of a capture. */
     @Command(
             name = "ls",
             mixinStandardHelpOptions = true,
             description = "Lists the segments of a capture.")
-    static final class List_ implements Callable<Integer> {
+    static final class ListSegments implements Callable<Integer> {
         @Parameters(paramLabel = "CAPTURE")
         private Path folder;
 
         @Override
         public Integer call() throws Exception {
-            for (CaptureReader.SegmentSummary f : found(folder)) {
+            for (CaptureReader.SegmentSummary segment : readSegments(folder)) {
                 System.out.printf(
-                        "%s  start of %tFT%<tT  first entry %d, %d entries, %d bytes, %.1f bytes an"
-                                + " entry, %s %s%n",
-                        f.name(),
-                        f.boot(),
-                        f.firstEntry(),
-                        f.entries(),
-                        f.bytes(),
-                        f.bytes() / (double) Math.max(1, f.entries()),
-                        f.state(),
-                        f.reason());
+                        "%s  router started %tFT%<tT  first entry %d, %d entries, %d bytes, %.1f"
+                                + " bytes per entry, %s %s%n",
+                        segment.name(),
+                        segment.boot(),
+                        segment.firstEntry(),
+                        segment.entries(),
+                        segment.bytes(),
+                        segment.bytes() / (double) Math.max(1, segment.entries()),
+                        segment.state(),
+                        segment.reason());
             }
             return 0;
         }
     }
 
-    /** Verifies segments. */
+    /** Verifies the segments of a capture. */
     @Command(
             name = "verify",
             mixinStandardHelpOptions = true,
-            description = "Checks every byte of a capture; 1 if any is wrong.")
+            description =
+                    "Verifies all bytes of a capture. Exit status: 0 intact, 1 a segment is"
+                            + " incomplete or corrupt.")
     static final class Verify implements Callable<Integer> {
         @Parameters(paramLabel = "CAPTURE")
         private Path folder;
 
         @Override
         public Integer call() throws Exception {
-            boolean whole = true;
-            for (CaptureReader.SegmentSummary f : found(folder)) {
-                whole &= f.state() == Segment.State.WHOLE;
-                System.out.println(f.name() + " " + f.state() + " " + f.reason());
+            boolean intact = true;
+            for (CaptureReader.SegmentSummary segment : readSegments(folder)) {
+                intact &= segment.state() == Segment.State.WHOLE;
+                System.out.println(segment.name() + " " + segment.state() + " " + segment.reason());
             }
-            return whole ? 0 : 1;
+            return intact ? 0 : 1;
         }
     }
 
-    /** Exports entries. */
+    /** Exports entries as JSON. */
     @Command(
             name = "export",
             mixinStandardHelpOptions = true,
-            description = "Writes a capture as JSON, one entry a line.")
+            description = "Writes a capture to standard output as JSON, one entry per line.")
     static final class Export implements Callable<Integer> {
         @Parameters(paramLabel = "CAPTURE")
         private Path folder;
 
-        @picocli.CommandLine.Mixin private Part part;
+        @picocli.CommandLine.Mixin private EntryRange range;
 
         @Override
         public Integer call() throws Exception {
             try (JsonExport out = new JsonExport(new BufferedOutputStream(System.out))) {
-                long[] number = new long[1];
+                long[] nextNumber = new long[1];
                 new CaptureReader(FolderDisk.reading(folder))
                         .read(
                                 entry -> {
-                                    long n = number[0]++;
-                                    if (n >= part.from && n - part.from < part.count) {
+                                    long number = nextNumber[0]++;
+                                    if (number >= range.first
+                                            && number - range.first < range.count) {
                                         out.accept(entry);
                                     }
                                 });
@@ -131,13 +137,13 @@
         }
     }
 
-    /** Writes a part as a capture of its own. */
+    /** Writes a range of entries as a separate capture. */
     @Command(
             name = "cut",
             mixinStandardHelpOptions = true,
             description =
-                    "Writes a part of a capture as one of its own; "
-                            + "it replays if it begins with a start of the router.")
+                    "Writes a range of entries as a separate capture. "
+                            + "It can be replayed if it begins with a start of the router.")
     static final class Cut implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "CAPTURE")
         private Path folder;
@@ -145,60 +151,61 @@
         @Parameters(
                 index = "1",
                 paramLabel = "FOLDER",
-                description = "Where the part goes: a folder without a capture.")
-        private Path to;
+                description = "Target folder, which must not contain a capture.")
+        private Path target;
 
-        @picocli.CommandLine.Mixin private Part part;
+        @picocli.CommandLine.Mixin private EntryRange range;
 
         @Override
         public Integer call() throws Exception {
-            List<CaptureReader.SegmentSummary> segments = found(folder);
-            long boot = segments.isEmpty() ? 0 : segments.get(0).boot();
+            List<CaptureReader.SegmentSummary> segments = readSegments(folder);
+            long bootTime = segments.isEmpty() ? 0 : segments.get(0).boot();
             long written;
-            Files.createDirectories(to);
-            try (FolderDisk disk = FolderDisk.writing(to);
-                    CaptureSlice cut = new CaptureSlice(disk, boot, part.from, part.count)) {
-                new CaptureReader(FolderDisk.reading(folder)).read(cut);
-                written = cut.written();
+            Files.createDirectories(target);
+            try (FolderDisk disk = FolderDisk.writing(target);
+                    CaptureSlice slice =
+                            new CaptureSlice(disk, bootTime, range.first, range.count)) {
+                new CaptureReader(FolderDisk.reading(folder)).read(slice);
+                written = slice.written();
             }
-            System.out.println(written + " entries written to " + to);
+            System.out.println(written + " entries written to " + target);
             return written > 0 ? 0 : 1;
         }
     }
 
-    /** Prints entries for people. */
+    /** Prints entries in readable form. */
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
-            description = "Prints entries: number, time, event, actions.")
+            description = "Prints entries with number, time, event and actions.")
     static final class Show implements Callable<Integer> {
         @Parameters(paramLabel = "CAPTURE")
         private Path folder;
 
         @picocli.CommandLine.Option(
                 names = "--from",
-                description = "Number of the first entry, 0 for the first of the folder.")
-        private long from;
+                description = "Number of the first entry, counted from 0.")
+        private long first;
 
         @picocli.CommandLine.Option(
                 names = "--count",
-                description = "Entries at most, ${DEFAULT-VALUE} if not given.")
+                description = "Maximum number of entries; ${DEFAULT-VALUE} if not given.")
         private long count = 100;
 
         @Override
         public Integer call() throws Exception {
-            long[] number = new long[1];
+            long[] nextNumber = new long[1];
             new CaptureReader(FolderDisk.reading(folder))
                     .read(
                             entry -> {
-                                long n = number[0]++;
-                                if (n < from || n - from >= count) {
+                                long number = nextNumber[0]++;
+                                if (number < first || number - first >= count) {
                                     return;
                                 }
                                 if (entry instanceof Entry.Step step) {
                                     System.out.printf(
                                             "%8d %14.3f ms  %s%n",
-                                            n, step.nowNs() / 1e6, step.event());
+                                            number, step.nowNs() / 1e6, step.event());
                                     step.actions()
                                             .forEach(
                                                     action ->
@@ -207,31 +214,31 @@
                                                                             + "-> "
                                                                             + action));
                                 } else {
-                                    System.out.printf("%8d %s%n", n, entry);
+                                    System.out.printf("%8d %s%n", number, entry);
                                 }
                             });
             return 0;
         }
     }
 
-    /** Writes a report. */
+    /** Writes an HTML report of a capture. */
     @Command(
             name = "report",
             mixinStandardHelpOptions = true,
-            description = "Writes a page of a capture: counts and plots.")
+            description = "Writes an HTML report of a capture, with counts and charts.")
     static final class Report implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "CAPTURE")
         private Path folder;
 
-        @Parameters(index = "1", paramLabel = "FILE", description = "The page, HTML.")
-        private Path page;
+        @Parameters(index = "1", paramLabel = "FILE", description = "HTML file to write.")
+        private Path reportFile;
 
         @Override
         public Integer call() throws Exception {
             System.setProperty("java.awt.headless", "true");
             CaptureSummary summary = new CaptureSummary();
             new CaptureReader(FolderDisk.reading(folder)).read(summary);
-            try (Writer out = Files.newBufferedWriter(page)) {
+            try (Writer out = Files.newBufferedWriter(reportFile)) {
                 CaptureReport.write(summary, "Capture " + folder.getFileName(), out);
             }
             return 0;
--- a/cli/src/main/java/ashlink/cli/CheckCommand.java
+++ b/cli/src/main/java/ashlink/cli/CheckCommand.java
@@ -8,34 +8,34 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Checks settings. */
+/** Checks the settings of a router. */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
-        description = "Checks the settings of a router and tells all that is wrong with them.")
+        description = "Checks the settings of a router and reports all problems.")
 final class CheckCommand implements Callable<Integer> {
 
-    @Parameters(paramLabel = "CONFIG", description = "Settings of the router.")
+    @Parameters(paramLabel = "CONFIG", description = "Settings file of the router.")
     private Path file;
 
     @Override
     public Integer call() throws Exception {
-        RouterConfig routerConfig = RouterConfigReader.read(file);
-        for (String warning : UnreachableRules.of(routerConfig)) {
+        RouterConfig config = RouterConfigReader.read(file);
+        for (String warning : UnreachableRules.of(config)) {
             System.out.println(file + ": warning: " + warning);
         }
         System.out.println(
                 file
                         + ": router "
-                        + routerConfig.name()
+                        + config.name()
                         + ", "
-                        + routerConfig.engines().size()
+                        + config.engines().size()
                         + " engines, "
-                        + routerConfig.queryClasses().size()
+                        + config.queryClasses().size()
                         + " classes, "
-                        + routerConfig.rules().size()
+                        + config.rules().size()
                         + " rules, "
-                        + routerConfig.users().size()
+                        + config.users().size()
                         + " users: accepted");
         return 0;
     }
--- a/cli/src/main/java/ashlink/cli/DemoCommand.java
+++ b/cli/src/main/java/ashlink/cli/DemoCommand.java
@@ -17,30 +17,30 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Three stand-ins in two halls and a router, in this process. */
+/** Runs three emulated engines in two zones and a router, all in this process. */
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
         description =
-                "Runs three stand-in engines in two halls and a router on loopback, shows a few"
-                        + " queries, and stays.")
+                "Runs three emulated engines in two zones and a router on the loopback interface,"
+                        + " sends a few queries, and keeps running.")
 final class DemoCommand implements Callable<Integer> {
 
-    private static final long S = 1_000_000_000L;
+    private static final long NS_PER_SECOND = 1_000_000_000L;
 
     @Option(
             names = "--port",
-            description = "Port of the router; 0 is any free one.",
+            description = "Port of the router; 0 selects a free port.",
             defaultValue = "0")
     private int port;
 
     @Option(
             names = "--http-port",
-            description = "Port of the router's HTTP front; 0 is any free one.",
+            description = "HTTP port of the router; 0 selects a free port.",
             defaultValue = "0")
     private int httpPort;
 
-    @Option(names = "--once", description = "End after the queries that are shown.")
+    @Option(names = "--once", description = "Exit after the example queries.")
     private boolean once;
 
     @Override
@@ -58,47 +58,62 @@
                                 engines,
                                 "(http (listen 127.0.0.1:" + httpPort + "))"));
         router.start();
-        boolean good = show(router, engines);
+        boolean allServed = runExamples(router, engines);
         System.out.println(
-                "The router listens on 127.0.0.1:"
+                "The router accepts native protocol connections on 127.0.0.1:"
                         + router.address().getPort()
-                        + " for any client of the native protocol; users: default, portal, billing"
-                        + " (no password).");
+                        + "; users without password: default, portal, billing.");
         System.out.println(
-                "Statements over HTTP: curl 'http://127.0.0.1:"
+                "To run a statement over HTTP: curl 'http://127.0.0.1:"
                         + router.httpAddress().getPort()
                         + "/v1/statements?wait=10' -d 'SELECT 1'");
         if (!once) {
-            System.out.println("Stop it with Ctrl-C.");
+            System.out.println("Press Ctrl-C to stop.");
             new CountDownLatch(1).await();
         }
         router.stop();
-        return good ? 0 : 1;
+        return allServed ? 0 : 1;
     }
 
-    private static boolean show(Router router, List<EmulatedEngine> engines) throws Exception {
-        boolean good = true;
+    private static boolean runExamples(Router router, List<EmulatedEngine> engines)
+            throws Exception {
+        boolean allServed = true;
         try (NativeClient portal = NativeClient.connect(router.address(), "portal");
                 NativeClient billing = NativeClient.connect(router.address(), "billing")) {
-            good &=
+            allServed &=
                     run(
                             portal,
                             "look-up",
                             "SELECT /* sim work_ms=20 */ value FROM readings WHERE meter = 7");
-            good &=
+            allServed &=
                     run(
                             billing,
                             "report",
                             "SELECT /* sim work_ms=80 threads=4 rows=12 */ sum(value) FROM"
                                     + " readings");
-            good &=
+            allServed &=
                     run(
                             portal,
                             "load",
                             "INSERT /* sim work_ms=60 threads=2 */ INTO readings SELECT * FROM"
                                     + " inbox");
         }
-        StatementResult statementResult =
+        allServed &= runOverHttp(router);
+        printLedgers(engines);
+        return allServed;
+    }
+
+    private static boolean run(NativeClient client, String name, String statement) {
+        long startNs = System.nanoTime();
+        Reply reply = client.query(name, statement, Map.of(), 10 * NS_PER_SECOND);
+        System.out.printf(
+                "%-8s %-9s %3d rows in %5.1f ms   %s%n",
+                name, reply.kind(), reply.rows(), (reply.endNs() - startNs) / 1e6, reply.message());
+        return reply.kind() == Reply.Kind.SERVED;
+    }
+
+    private static boolean runOverHttp(Router router) throws Exception {
+        StatementResult result =
                 new StatementClient(
                                 URI.create("http://127.0.0.1:" + router.httpAddress().getPort()),
                                 "portal",
@@ -109,35 +124,25 @@
                                 Map.of(),
                                 null,
                                 null,
-                                10 * S,
+                                10 * NS_PER_SECOND,
                                 page -> {});
         System.out.printf(
                 "%-8s %-9s %3d rows over HTTP   %s%n",
-                "look-up",
-                statementResult.kind(),
-                statementResult.rows(),
-                statementResult.detail());
-        good &= statementResult.kind() == StatementResult.Kind.SERVED;
-        for (EmulatedEngine emulatedEngine : engines) {
-            for (Ledger.Entry entry : emulatedEngine.ledger().entries()) {
+                "look-up", result.kind(), result.rows(), result.detail());
+        return result.kind() == StatementResult.Kind.SERVED;
+    }
+
+    private static void printLedgers(List<EmulatedEngine> engines) {
+        for (EmulatedEngine engine : engines) {
+            for (Ledger.Entry entry : engine.ledger().entries()) {
                 System.out.printf(
                         "  engine %s (%s, %s) ran %s: %s%n",
-                        emulatedEngine.config().name(),
-                        emulatedEngine.config().kind(),
-                        emulatedEngine.config().zone(),
+                        engine.config().name(),
+                        engine.config().kind(),
+                        engine.config().zone(),
                         entry.queryId,
-                        entry.how());
+                        entry.outcome());
             }
         }
-        return good;
-    }
-
-    private static boolean run(NativeClient client, String name, String statement) {
-        long from = System.nanoTime();
-        Reply reply = client.query(name, statement, Map.of(), 10 * S);
-        System.out.printf(
-                "%-8s %-9s %3d rows in %5.1f ms   %s%n",
-                name, reply.kind(), reply.rows(), (reply.endNs() - from) / 1e6, reply.message());
-        return reply.kind() == Reply.Kind.SERVED;
     }
 }
--- a/cli/src/main/java/ashlink/cli/EngineCommand.java
+++ b/cli/src/main/java/ashlink/cli/EngineCommand.java
@@ -9,23 +9,24 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Runs stand-in engines until it is told to stop. */
+/** Runs emulated engines until the process is terminated. */
 @Command(
         name = "engine",
         mixinStandardHelpOptions = true,
         description =
-                "Runs the stand-in engines of a file: for trials and tests, they hold no data.")
+                "Runs the emulated engines of a settings file, for trials and tests. They store no"
+                        + " data.")
 final class EngineCommand implements Callable<Integer> {
 
-    @Parameters(paramLabel = "CONFIG", description = "Settings of the engines.")
+    @Parameters(paramLabel = "CONFIG", description = "Settings file of the engines.")
     private Path file;
 
     @Override
     public Integer call() throws Exception {
-        for (EngineConfig engineConfig : EngineConfigReader.read(file)) {
-            EmulatedEngine emulatedEngine = new EmulatedEngine(engineConfig);
-            emulatedEngine.start();
-            System.out.println(engineConfig.name() + " listening on " + emulatedEngine.address());
+        for (EngineConfig config : EngineConfigReader.read(file)) {
+            EmulatedEngine engine = new EmulatedEngine(config);
+            engine.start();
+            System.out.println(config.name() + " listening on " + engine.address());
         }
         new CountDownLatch(1).await();
         return 0;
--- a/cli/src/main/java/ashlink/cli/ExplainCommand.java
+++ b/cli/src/main/java/ashlink/cli/ExplainCommand.java
@@ -14,25 +14,28 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Says what is read of a statement, and which class it gets. */
+/** Prints the analysis of a statement and the query class that the router assigns to it. */
 @Command(
         name = "explain",
         mixinStandardHelpOptions = true,
         description =
-                "Says what is read of a statement, which rule matches, and what the decisions are"
-                        + " told.")
+                "Prints the analysis of a statement, the rule that matches, and the resulting query"
+                        + " class.")
 final class ExplainCommand implements Callable<Integer> {
 
-    @Parameters(paramLabel = "CONFIG", description = "Settings of the router.")
+    @Parameters(paramLabel = "CONFIG", description = "Settings file of the router.")
     private Path file;
 
     @Option(
             names = "--sql",
             required = true,
-            description = "The statement; - reads it from standard input.")
+            description = "SQL text of the statement; - reads the text from standard input.")
     private String sql;
 
-    @Option(names = "--user", defaultValue = "default", description = "User that sends it.")
+    @Option(
+            names = "--user",
+            defaultValue = "default",
+            description = "User that sends the statement.")
     private String user;
 
     @Option(
@@ -41,7 +44,7 @@
             description = "Default database of the connection.")
     private String database;
 
-    @Option(names = "--setting", description = "Settings that come with it, as NAME=VALUE.")
+    @Option(names = "--setting", description = "Setting of the statement, as NAME=VALUE.")
     private Map<String, String> settings = new HashMap<>();
 
     @Override
@@ -51,46 +54,53 @@
                 sql.equals("-")
                         ? new String(System.in.readAllBytes(), StandardCharsets.UTF_8)
                         : sql;
-        StatementAnalysis statementAnalysis = new StatementReader().read(text, database);
-        Classifier.Classification decision =
-                new Classifier(config).classify(user, database, statementAnalysis, settings);
+        StatementAnalysis analysis = new StatementReader().read(text, database);
+        Classifier.Classification classification =
+                new Classifier(config).classify(user, database, analysis, settings);
+        printAnalysis(analysis);
+        printClassification(classification);
+        return 0;
+    }
+
+    private static void printAnalysis(StatementAnalysis analysis) {
         System.out.println(
                 "kind         "
-                        + statementAnalysis.kind().name().toLowerCase(java.util.Locale.ROOT)
-                        + (statementAnalysis.reason().isEmpty()
+                        + analysis.kind().name().toLowerCase(java.util.Locale.ROOT)
+                        + (analysis.reason().isEmpty()
                                 ? ""
                                 : ": "
-                                        + statementAnalysis.reason()
-                                        + (statementAnalysis.offset() < 0
+                                        + analysis.reason()
+                                        + (analysis.offset() < 0
                                                 ? ""
-                                                : " at character " + statementAnalysis.offset())));
+                                                : " at character " + analysis.offset())));
         System.out.println(
-                "reads        "
-                        + statementAnalysis.reads()
-                        + (statementAnalysis.allTables() ? "" : " and others"));
-        System.out.println("writes       " + statementAnalysis.writes());
+                "reads        " + analysis.reads() + (analysis.allTables() ? "" : " and others"));
+        System.out.println("writes       " + analysis.writes());
         System.out.println(
                 "harmless     "
-                        + (statementAnalysis.harmless() ? "yes" : "no")
-                        + (statementAnalysis.unstable() ? ", differs at each call" : ""));
-        System.out.println(
-                "data         " + (statementAnalysis.takesData() ? "from the client" : "none"));
-        System.out.println("settings     " + statementAnalysis.settings());
-        System.out.println("fingerprint  " + statementAnalysis.fingerprint());
-        System.out.println("normal text  " + statementAnalysis.normalizedSql());
+                        + (analysis.harmless() ? "yes" : "no")
+                        + (analysis.unstable() ? ", result may differ between runs" : ""));
+        System.out.println("data         " + (analysis.takesData() ? "from the client" : "none"));
+        System.out.println("settings     " + analysis.settings());
+        System.out.println("fingerprint  " + analysis.fingerprint());
+        System.out.println("normal text  " + analysis.normalizedSql());
+    }
+
+    private static void printClassification(Classifier.Classification classification) {
         System.out.println(
                 "rule         "
-                        + (decision.rule() == 0 ? "none, the default" : "number " + decision.rule())
-                        + (decision.downgraded() ? ", made stricter: it is no plain read" : ""));
+                        + (classification.rule() == 0
+                                ? "none, default class"
+                                : "number " + classification.rule())
+                        + (classification.downgraded() ? ", restricted: not a plain read" : ""));
         System.out.println(
                 "class        "
-                        + decision.queryClass().name()
-                        + ", repeat "
-                        + decision.queryClass().retrySafety()
-                        + ", kinds "
-                        + decision.queryClass().engineKinds()
+                        + classification.queryClass().name()
+                        + ", retry safety "
+                        + classification.queryClass().retrySafety()
+                        + ", engine kinds "
+                        + classification.queryClass().engineKinds()
                         + ", zones "
-                        + decision.queryClass().zones());
-        return 0;
+                        + classification.queryClass().zones());
     }
 }
--- a/cli/src/main/java/ashlink/cli/KeysCommand.java
+++ b/cli/src/main/java/ashlink/cli/KeysCommand.java
@@ -19,74 +19,75 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Keys of a fleet. */
+/** Manages the keys and certificates of a fleet: parent of the key subcommands. */
 @Command(
         name = "keys",
         mixinStandardHelpOptions = true,
-        description = "Makes and shows the keys of a fleet's control channel.",
+        description = "Creates and shows the keys and certificates of a fleet's control channel.",
         subcommands = {
-            KeysCommand.Renew.class,
+            KeysCommand.Authority.class,
             KeysCommand.Retire.class,
             KeysCommand.Issue.class,
             KeysCommand.Show.class
         })
 final class KeysCommand implements Callable<Integer> {
 
-    private static final int SOON_DAYS = 30;
+    private static final int RENEWAL_DAYS = 30;
 
     @CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
     @Override
     public Integer call() {
         throw new CommandLine.ParameterException(
-                spec.commandLine(), "authority, retire, issue or show is missing");
+                spec.commandLine(),
+                "missing subcommand: expected authority, retire, issue or show");
     }
 
-    /** Makes an authority. */
+    /** Creates a certificate authority. */
     @Command(
             name = "authority",
             mixinStandardHelpOptions = true,
             description =
-                    "Makes an authority; those before stay trusted until 'keys retire', so that"
-                            + " certificates can be changed over.")
-    static final class Renew implements Callable<Integer> {
+                    "Creates a certificate authority. Earlier authorities stay trusted until 'keys"
+                            + " retire', so that certificates can be replaced in the meantime.")
+    static final class Authority implements Callable<Integer> {
         @Parameters(paramLabel = "DIR")
-        private Path dir;
+        private Path directory;
 
-        @Option(names = "--days", description = "How long it lasts, ${DEFAULT-VALUE} if not given.")
+        @Option(names = "--days", description = "Validity in days; ${DEFAULT-VALUE} if not given.")
         private int days = 3650;
 
         @Override
         public Integer call() throws Exception {
-            new CertificateAuthority(dir).renew(Duration.ofDays(days));
+            new CertificateAuthority(directory).renew(Duration.ofDays(days));
             return 0;
         }
     }
 
-    /** Ends a change-over. */
+    /** Removes trust in all authorities but the newest, at the end of a rotation. */
     @Command(
             name = "retire",
             mixinStandardHelpOptions = true,
-            description = "Trusts only the newest authority from here on.")
+            description = "Removes trust in all certificate authorities except the newest.")
     static final class Retire implements Callable<Integer> {
         @Parameters(paramLabel = "DIR")
-        private Path dir;
+        private Path directory;
 
         @Override
         public Integer call() throws Exception {
-            new CertificateAuthority(dir).retire();
+            new CertificateAuthority(directory).retire();
             return 0;
         }
     }
 
-    /** Issues certificates. */
+    /** Issues certificates for routers and operators. */
     @Command(
             name = "issue",
             mixinStandardHelpOptions = true,
-            description = "Makes a key and certificate for each name.")
+            description = "Creates a key and a certificate for each name.")
     static final class Issue implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "DIR")
-        private Path dir;
+        private Path directory;
 
         @Parameters(index = "1..*", arity = "1..*", paramLabel = "NAME")
         private List<String> names;
@@ -94,67 +95,66 @@
         @Option(
                 names = "--role",
                 required = true,
-                description = "router, or for operators observe, drain, stop; may be repeated.")
+                description =
+                        "Role: router; or for operators observe, drain or stop. May be repeated.")
         private List<Role> roles;
 
-        @Option(
-                names = "--days",
-                description = "How long they last, ${DEFAULT-VALUE} if not given.")
+        @Option(names = "--days", description = "Validity in days; ${DEFAULT-VALUE} if not given.")
         private int days = 365;
 
         @Override
         public Integer call() throws Exception {
-            Set<Role> of = EnumSet.copyOf(roles);
-            if (of.contains(Role.DRAIN) || of.contains(Role.STOP)) {
-                of.add(Role.OBSERVE);
+            Set<Role> grantedRoles = EnumSet.copyOf(roles);
+            if (grantedRoles.contains(Role.DRAIN) || grantedRoles.contains(Role.STOP)) {
+                grantedRoles.add(Role.OBSERVE);
             }
             for (String name : names) {
-                new CertificateAuthority(dir).issue(name, of, Duration.ofDays(days));
+                new CertificateAuthority(directory)
+                        .issue(name, grantedRoles, Duration.ofDays(days));
             }
             return 0;
         }
     }
 
-    /** Shows certificates. */
+    /** Shows the certificates of a directory. */
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
             description =
-                    "Shows names, roles and ends of all certificates; 1 if one ends within "
-                            + SOON_DAYS
-                            + " days.")
+                    "Shows the names, roles and expiry dates of all certificates. Exit status: 1 if"
+                            + " a certificate expires within "
+                            + RENEWAL_DAYS
+                            + " days, otherwise 0.")
     static final class Show implements Callable<Integer> {
         @Parameters(paramLabel = "DIR")
-        private Path dir;
+        private Path directory;
 
         @Override
         public Integer call() throws Exception {
-            boolean soon = false;
+            boolean renewalDue = false;
             List<Path> files;
-            try (Stream<Path> all = Files.list(dir)) {
-                files = all.filter(path -> path.toString().endsWith(".crt")).sorted().toList();
+            try (Stream<Path> entries = Files.list(directory)) {
+                files = entries.filter(path -> path.toString().endsWith(".crt")).sorted().toList();
             }
-            for (Path path : files) {
-                for (X509Certificate x509Certificate :
-                        path.endsWith("ca.crt")
-                                ? Pem.certificates(path)
-                                : Pem.certificates(path).subList(0, 1)) {
+            for (Path file : files) {
+                for (X509Certificate certificate :
+                        file.endsWith("ca.crt")
+                                ? Pem.certificates(file)
+                                : Pem.certificates(file).subList(0, 1)) {
                     long days =
-                            Duration.between(
-                                            Instant.now(),
-                                            x509Certificate.getNotAfter().toInstant())
+                            Duration.between(Instant.now(), certificate.getNotAfter().toInstant())
                                     .toDays();
-                    soon |= days < SOON_DAYS;
+                    renewalDue |= days < RENEWAL_DAYS;
                     System.out.printf(
-                            "%-24s %-28s ends %tF, in %d days%s%n",
-                            Identity.name(x509Certificate),
-                            Identity.roles(x509Certificate).stream().map(Role::word).toList(),
-                            x509Certificate.getNotAfter(),
+                            "%-24s %-28s expires %tF, in %d days%s%n",
+                            Identity.name(certificate),
+                            Identity.roles(certificate).stream().map(Role::word).toList(),
+                            certificate.getNotAfter(),
                             days,
-                            days < SOON_DAYS ? "  RENEW" : "");
+                            days < RENEWAL_DAYS ? "  RENEW" : "");
                 }
             }
-            return soon ? 1 : 0;
+            return renewalDue ? 1 : 0;
         }
     }
 }
--- a/cli/src/main/java/ashlink/cli/Main.java
+++ b/cli/src/main/java/ashlink/cli/Main.java
@@ -4,12 +4,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code ashlink}: sub-commands and what all of them share. */
+/** Entry point of the {@code ashlink} command: its subcommands and their common options. */
 @Command(
         name = "ashlink",
         mixinStandardHelpOptions = true,
         version = "ashlink 0.2.0",
-        description = "Admits queries and routes them to analytic engines.",
+        description = "Workload manager that admits queries and routes them to analytic engines.",
         exitCodeOnInvalidInput = 2,
         exitCodeOnExecutionException = 1,
         synopsisSubcommandLabel = "COMMAND",
@@ -33,8 +33,8 @@
         })
 public final class Main implements Runnable {
 
-    /** Forms of the log. */
-    enum LogForm {
+    /** Output formats of the log. */
+    enum LogFormat {
         PLAIN,
         JSON
     }
@@ -43,53 +43,56 @@
 
     @Option(
             names = "--log",
-            description = "Form of the log on standard error: ${COMPLETION-CANDIDATES}.",
+            description = "Format of the log on standard error: ${COMPLETION-CANDIDATES}.",
             defaultValue = "PLAIN",
             scope = CommandLine.ScopeType.INHERIT)
-    private LogForm log;
+    private LogFormat logFormat;
 
     @Option(
             names = "--log-level",
-            description = "ERROR, WARN, INFO or DEBUG; INFO where a daemon runs, else WARN.",
+            description =
+                    "Log level: ERROR, WARN, INFO or DEBUG. Default: INFO for route, engine and"
+                            + " supervise, otherwise WARN.",
             scope = CommandLine.ScopeType.INHERIT)
-    private String level;
+    private String logLevel;
 
-    /** Runs a sub-command and ends the process with its status. */
+    /** Runs a subcommand and exits with its status. */
     public static void main(String[] args) {
         Main main = new Main();
-        CommandLine line = new CommandLine(main);
-        line.setCaseInsensitiveEnumValuesAllowed(true);
-        line.setExecutionStrategy(
+        CommandLine commandLine = new CommandLine(main);
+        commandLine.setCaseInsensitiveEnumValuesAllowed(true);
+        commandLine.setExecutionStrategy(
                 parsed -> {
-                    String name =
+                    String subcommand =
                             parsed.subcommand() == null
                                     ? ""
                                     : parsed.subcommand().commandSpec().name();
                     boolean daemon =
-                            name.equals("route")
-                                    || name.equals("engine")
-                                    || name.equals("supervise");
-                    Logs.configure(
-                            main.log, main.level != null ? main.level : daemon ? "INFO" : "WARN");
+                            subcommand.equals("route")
+                                    || subcommand.equals("engine")
+                                    || subcommand.equals("supervise");
+                    LogSetup.configure(
+                            main.logFormat,
+                            main.logLevel != null ? main.logLevel : daemon ? "INFO" : "WARN");
                     return new CommandLine.RunLast().execute(parsed);
                 });
-        line.setExecutionExceptionHandler(
-                (failure, commandLine, parsed) -> {
+        commandLine.setExecutionExceptionHandler(
+                (failure, command, parsed) -> {
                     if (failure instanceof ashlink.config.ConfigException) {
-                        commandLine.getErr().println(failure.getMessage());
+                        command.getErr().println(failure.getMessage());
                         return 2;
                     }
-                    commandLine.getErr().println("ashlink: " + failure);
-                    if ("DEBUG".equalsIgnoreCase(main.level)) {
-                        failure.printStackTrace(commandLine.getErr());
+                    command.getErr().println("ashlink: " + failure);
+                    if ("DEBUG".equalsIgnoreCase(main.logLevel)) {
+                        failure.printStackTrace(command.getErr());
                     }
                     return 1;
                 });
-        System.exit(line.execute(args));
+        System.exit(commandLine.execute(args));
     }
 
     @Override
     public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing");
+        throw new CommandLine.ParameterException(spec.commandLine(), "missing subcommand");
     }
 }
--- a/cli/src/main/java/ashlink/cli/ReplayCommand.java
+++ b/cli/src/main/java/ashlink/cli/ReplayCommand.java
@@ -18,42 +18,49 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Decides captures again. */
+/** Replays captures through a decision module and compares the decisions. */
 @Command(
         name = "replay",
         mixinStandardHelpOptions = true,
-        description = "Decides captures again by a fresh module and says whether it does the same.")
+        description =
+                "Replays captures through a new decision module and reports whether the decisions"
+                        + " are identical.")
 final class ReplayCommand implements Callable<Integer> {
 
-    private static final double S = 1e9;
+    private static final double NS_PER_SECOND = 1e9;
 
-    @Parameters(paramLabel = "CAPTURE", arity = "1..*", description = "Folders of captures.")
+    @Parameters(paramLabel = "CAPTURE", arity = "1..*", description = "Capture folders.")
     private List<Path> folders;
 
     @Option(
             names = "--baseline",
-            description = "Decide by a baseline instead: ${COMPLETION-CANDIDATES}.")
+            description = "Use a baseline policy instead: ${COMPLETION-CANDIDATES}.")
     private Baseline.Policy baseline;
 
-    @Option(names = "--with", description = "Jar of another build, whose module decides instead.")
+    @Option(names = "--with", description = "Use the module of another build, from this jar.")
     private Path jar;
 
     @Option(
             names = "--module",
             defaultValue = "ashlink.decisions.DefaultWorkloadManager",
-            description = "Class of the module in that jar, made from Settings: ${DEFAULT-VALUE}.")
+            description =
+                    "Class name of the module in the jar; its constructor takes Settings."
+                            + " ${DEFAULT-VALUE} if not given.")
     private String moduleClass;
 
-    /** The module of another build runs beside ours: only the interface is shared. */
-    private static final class OtherBuild extends URLClassLoader {
-        OtherBuild(Path jar) throws java.net.MalformedURLException {
+    /**
+     * Loads the decision module of another build. The decision API and all classes outside this
+     * project come from this build; all other classes come from the jar.
+     */
+    private static final class ModuleClassLoader extends URLClassLoader {
+        ModuleClassLoader(Path jar) throws java.net.MalformedURLException {
             super(new URL[] {jar.toUri().toURL()}, ReplayCommand.class.getClassLoader());
         }
 
         @Override
         public URL getResource(String name) {
-            URL own = findResource(name);
-            return own != null ? own : super.getResource(name);
+            URL resource = findResource(name);
+            return resource != null ? resource : super.getResource(name);
         }
 
         @Override
@@ -61,79 +68,92 @@
             boolean shared =
                     !name.startsWith("ashlink.") || name.startsWith("ashlink.decisions.api.");
             synchronized (getClassLoadingLock(name)) {
-                Class<?> c = shared ? super.loadClass(name, resolve) : findLoadedClass(name);
-                return c != null ? c : findClass(name);
+                Class<?> loaded = shared ? super.loadClass(name, resolve) : findLoadedClass(name);
+                return loaded != null ? loaded : findClass(name);
             }
         }
     }
 
-    private Class<? extends WorkloadManager> module() throws Exception {
+    private Class<? extends WorkloadManager> moduleType() throws Exception {
         if (jar == null) {
             return baseline == null ? DefaultWorkloadManager.class : Baseline.class;
         }
-        return new OtherBuild(jar).loadClass(moduleClass).asSubclass(WorkloadManager.class);
+        return new ModuleClassLoader(jar).loadClass(moduleClass).asSubclass(WorkloadManager.class);
+    }
+
+    private Function<Settings, WorkloadManager> moduleFactory(
+            Class<? extends WorkloadManager> type) {
+        return settings -> {
+            try {
+                return baseline != null && jar == null
+                        ? new Baseline(baseline, settings)
+                        : type.getConstructor(Settings.class).newInstance(settings);
+            } catch (ReflectiveOperationException e) {
+                throw new IllegalStateException(
+                        "class "
+                                + type.getName()
+                                + " has no usable constructor with a Settings parameter",
+                        e);
+            }
+        };
     }
 
     @Override
     public Integer call() throws Exception {
-        boolean same = true;
-        Class<? extends WorkloadManager> type = module();
-        Function<Settings, WorkloadManager> module =
-                settings -> {
-                    try {
-                        return baseline != null && jar == null
-                                ? new Baseline(baseline, settings)
-                                : type.getConstructor(Settings.class).newInstance(settings);
-                    } catch (ReflectiveOperationException e) {
-                        throw new IllegalStateException(
-                                "class " + moduleClass + " is no module that is made from settings",
-                                e);
-                    }
-                };
+        boolean identical = true;
+        Class<? extends WorkloadManager> type = moduleType();
+        Function<Settings, WorkloadManager> moduleFactory = moduleFactory(type);
         String hash = ModuleHash.of(type);
         for (Path folder : folders) {
-            Replay replay = new Replay(module, hash);
-            long from = System.nanoTime();
-            List<CaptureReader.SegmentSummary> found =
+            Replay replay = new Replay(moduleFactory, hash);
+            long startNs = System.nanoTime();
+            List<CaptureReader.SegmentSummary> segments =
                     new CaptureReader(FolderDisk.reading(folder)).read(replay);
-            double took = (System.nanoTime() - from) / S;
+            double durationS = (System.nanoTime() - startNs) / NS_PER_SECOND;
             System.out.printf(
-                    "%s: %d starts, %d steps decided again in %.2f s (%.0f times real time), %d"
-                            + " after gaps passed over%n",
+                    "%s: %d starts, %d steps replayed in %.2f s (%.0f times real time), %d steps"
+                            + " after gaps skipped%n",
                     folder,
                     replay.starts(),
                     replay.replayedSteps(),
-                    took,
-                    replay.spanNs() / S / took,
+                    durationS,
+                    replay.spanNs() / NS_PER_SECOND / durationS,
                     replay.skippedSteps());
-            for (CaptureReader.SegmentSummary f : found) {
-                if (f.state() != ashlink.capture.log.Segment.State.WHOLE) {
-                    System.out.printf("  segment %s is %s: %s%n", f.name(), f.state(), f.reason());
+            for (CaptureReader.SegmentSummary segment : segments) {
+                if (segment.state() != ashlink.capture.log.Segment.State.WHOLE) {
+                    System.out.printf(
+                            "  segment %s is %s: %s%n",
+                            segment.name(), segment.state(), segment.reason());
                 }
             }
             if (replay.hashesDiffer()) {
-                System.out.println("  the captured module's code was another");
-            }
-            if (replay.divergentSteps() == 0) {
-                System.out.println("  identical");
-            } else {
-                System.out.printf(
-                        "  %d steps differ; outcomes are those recorded, so all after the first is"
-                                + " open loop%n",
-                        replay.divergentSteps());
-                for (Replay.Divergence divergence : replay.divergences()) {
-                    System.out.printf(
-                            "  entry %d at %.3f s: %s%n    recorded %s%n    replayed %s%n",
-                            divergence.entry(),
-                            divergence.recorded().nowNs() / S,
-                            divergence.recorded().event(),
-                            divergence.recorded().actions(),
-                            divergence.replayed());
-                }
-                same = false;
+                System.out.println(
+                        "  the code of the module differs from the code at capture time");
             }
-            same &= replay.replayedSteps() > 0;
+            printDivergences(replay);
+            identical &= replay.divergentSteps() == 0;
+            identical &= replay.replayedSteps() > 0;
+        }
+        return identical ? 0 : 1;
+    }
+
+    private static void printDivergences(Replay replay) {
+        if (replay.divergentSteps() == 0) {
+            System.out.println("  identical");
+            return;
+        }
+        System.out.printf(
+                "  %d steps differ; events are replayed as recorded, so steps after the first"
+                        + " difference do not reflect it%n",
+                replay.divergentSteps());
+        for (Replay.Divergence divergence : replay.divergences()) {
+            System.out.printf(
+                    "  entry %d at %.3f s: %s%n    recorded %s%n    replayed %s%n",
+                    divergence.entry(),
+                    divergence.recorded().nowNs() / NS_PER_SECOND,
+                    divergence.recorded().event(),
+                    divergence.recorded().actions(),
+                    divergence.replayed());
         }
-        return same ? 0 : 1;
     }
 }
--- a/cli/src/main/java/ashlink/cli/RouteCommand.java
+++ b/cli/src/main/java/ashlink/cli/RouteCommand.java
@@ -21,87 +21,86 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Runs a router. */
+/** Runs a router until the process is told to stop. */
 @Command(
         name = "route",
         mixinStandardHelpOptions = true,
-        description = "Runs a router until SIGTERM or SIGINT; SIGHUP reads its settings again.")
+        description = "Runs a router until SIGTERM or SIGINT; SIGHUP reloads the settings.")
 final class RouteCommand implements Callable<Integer> {
 
     private static final Logger LOG = LoggerFactory.getLogger(RouteCommand.class);
 
-    @Parameters(paramLabel = "CONFIG", description = "Settings of the router.")
+    @Parameters(paramLabel = "CONFIG", description = "Settings file of the router.")
     private Path file;
 
-    private final CountDownLatch told = new CountDownLatch(1);
+    private final CountDownLatch stopRequested = new CountDownLatch(1);
 
     @Override
     public Integer call() throws Exception {
         RouterConfig config = RouterConfigReader.read(file);
         FileLock lock = config.stateDir() == null ? null : lock(config.stateDir());
         Router router = new Router(config);
-        FleetMember node =
-                FleetRouter.of(
+        FleetMember member =
+                FleetRouter.createMember(
                         config,
                         router,
-                        told::countDown); // what it knows of drains holds before the first query
-        CountDownLatch ended = new CountDownLatch(1);
+                        stopRequested::countDown); // stored drains apply before the first query
+        CountDownLatch stopped = new CountDownLatch(1);
         router.start();
-        if (node != null) {
-            node.start();
+        if (member != null) {
+            member.start();
         }
-        Runtime.getRuntime()
-                .addShutdownHook(
-                        new Thread(
-                                () -> {
-                                    told.countDown();
-                                    try {
-                                        ended.await();
-                                    } catch (InterruptedException e) {
-                                        Thread.currentThread().interrupt();
-                                    }
-                                },
-                                "stop"));
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> requestStopAndWait(stopped), "stop"));
         Signals.handle("HUP", () -> reload(router));
         System.out.println("listening on " + router.address());
         if (router.httpAddress() != null) {
-            System.out.println("statements over HTTP on " + router.httpAddress());
+            System.out.println("listening for HTTP on " + router.httpAddress());
         }
-        if (node != null) {
-            System.out.println("control on " + node.address());
+        if (member != null) {
+            System.out.println("listening for control on " + member.address());
         }
         try {
-            told.await();
+            stopRequested.await();
             router.stop();
-            if (node != null) {
-                node.close();
+            if (member != null) {
+                member.close();
             }
             if (lock != null) {
                 lock.channel().close();
             }
         } finally {
-            ended.countDown();
+            stopped.countDown();
         }
         return 0;
     }
 
+    private void requestStopAndWait(CountDownLatch stopped) {
+        stopRequested.countDown();
+        try {
+            stopped.await();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
     /**
-     * One process a state folder: {@code router.pid} has its number, and is locked while it lives.
+     * Locks a state directory, which only one process can use. The file {@code router.pid} contains
+     * the process ID and is locked while the process runs.
      */
-    private static FileLock lock(Path dir) throws IOException {
-        Files.createDirectories(dir);
-        FileChannel pid =
+    private static FileLock lock(Path directory) throws IOException {
+        Files.createDirectories(directory);
+        FileChannel pidFile =
                 FileChannel.open(
-                        dir.resolve("router.pid"),
+                        directory.resolve("router.pid"),
                         StandardOpenOption.CREATE,
                         StandardOpenOption.WRITE);
-        FileLock lock = pid.tryLock();
+        FileLock lock = pidFile.tryLock();
         if (lock == null) {
-            pid.close();
-            throw new IOException("another router runs on " + dir);
+            pidFile.close();
+            throw new IOException("state directory " + directory + " is in use by another router");
         }
-        pid.truncate(0);
-        pid.write(
+        pidFile.truncate(0);
+        pidFile.write(
                 ByteBuffer.wrap(
                         (ProcessHandle.current().pid() + "\n")
                                 .getBytes(StandardCharsets.US_ASCII)));
@@ -112,7 +111,10 @@
         try {
             router.reload(RouterConfigReader.read(file));
         } catch (ConfigException e) {
-            LOG.error("reload refused, the old settings stay:\n{}", e.getMessage());
+            LOG.error(
+                    "settings reload failed, keeping the current settings file={} error=\"{}\"",
+                    file,
+                    e.getMessage());
         }
     }
 }
--- a/cli/src/main/java/ashlink/cli/ScenarioCommand.java
+++ b/cli/src/main/java/ashlink/cli/ScenarioCommand.java
@@ -23,148 +23,144 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Plays a scripted day and checks the rules by what crossed the sockets. */
+/** Runs a scripted scenario and checks the rules against the traffic on the sockets. */
 @Command(
         name = "scenario",
         aliases = "badday",
         mixinStandardHelpOptions = true,
         description =
-                "Plays a scripted bad day on loopback and prints the verdict on each rule, and the"
-                        + " service.")
+                "Runs a scripted fault scenario on the loopback interface and prints the verdict on"
+                        + " each rule and the service level.")
 final class ScenarioCommand implements Callable<Integer> {
 
-    private static final int SHOWN = 10;
-    private static final long MS = 1_000_000L;
+    private static final int MAX_PRINTED_VIOLATIONS = 10;
+    private static final long NS_PER_MS = 1_000_000L;
 
     @Parameters(
             paramLabel = "SCRIPT",
             arity = "0..1",
-            description = "The day; without it the shipped one.")
+            description = "Scenario file; the built-in scenario if not given.")
     private Path script;
 
-    @Option(names = "--quick", description = "The shipped day in 15 s.")
+    @Option(names = "--quick", description = "Run the built-in scenario of 15 s.")
     private boolean quick;
 
     @Option(
             names = "--baseline",
-            description = "Also play the day under a baseline: ${COMPLETION-CANDIDATES}.",
+            description = "Also run the scenario with a baseline policy: ${COMPLETION-CANDIDATES}.",
             arity = "1")
     private List<Baseline.Policy> baselines = List.of();
 
-    @Option(names = "--seed", description = "Seed of the load, in place of the script's.")
+    @Option(names = "--seed", description = "Seed of the load; overrides the seed of the scenario.")
     private Long seed;
 
     @Option(
             names = "--http",
-            description = "Share of queries that come over HTTP, in place of the script's.")
-    private Double http;
+            description = "Fraction of queries over HTTP; overrides the value of the scenario.")
+    private Double httpFraction;
 
     @Option(
             names = "--trouble",
             description =
-                    "A day of one kind of trouble in place of the shipped one, or all for each in"
-                            + " turn.")
-    private String trouble;
+                    "Run a scenario with this single kind of fault, or with 'all' one scenario for"
+                            + " each kind.")
+    private String fault;
 
-    @Option(names = "--capture", description = "Folder for captures of the routers.")
-    private Path capture;
+    @Option(names = "--capture", description = "Folder for the routers' captures.")
+    private Path captureFolder;
 
     @Option(
             names = "--notes",
-            description = "Folder for what clients and engines noted, as tab-separated text.")
-    private Path notes;
+            description = "Folder for the records of clients and engines, as tab-separated text.")
+    private Path recordsFolder;
 
     @Override
     public Integer call() throws Exception {
-        if ("all".equals(trouble)) {
-            boolean kept = true;
+        if ("all".equals(fault)) {
+            boolean allKept = true;
             for (String name : FaultCatalog.NAMES) {
-                kept &= play(FaultCatalog.scenario(name, captureSetting(name)), "rules", null);
+                allKept &=
+                        runScenario(
+                                FaultCatalog.scenario(name, captureSetting(name)), "rules", null);
             }
-            return kept ? 0 : 1;
+            return allKept ? 0 : 1;
         }
-        ScenarioConfig day = day();
-        boolean kept = play(day, "rules", null);
+        ScenarioConfig scenario = readScenario();
+        boolean allKept = runScenario(scenario, "rules", null);
         for (Baseline.Policy policy : baselines) {
-            play(day, policy.name().toLowerCase(java.util.Locale.ROOT), policy);
+            runScenario(scenario, policy.name().toLowerCase(java.util.Locale.ROOT), policy);
         }
-        return kept ? 0 : 1;
+        return allKept ? 0 : 1;
     }
 
-    private void write(ScenarioFacts facts, String name) throws java.io.IOException {
+    private void writeRecords(ScenarioFacts facts, String name) throws java.io.IOException {
         Map<String, List<EngineQuery>> byTag =
                 facts.engineQueries().stream().collect(Collectors.groupingBy(EngineQuery::tag));
         StringBuilder text =
                 new StringBuilder(
                         "tag\tclass\trouter\tsent_ms\tended_ms\tkind\tcode\twork_ms\tattempts\n");
-        for (ClientAttempt clientAttempt : facts.clientAttempts()) {
+        for (ClientAttempt attempt : facts.clientAttempts()) {
             text.append(
                     String.format(
                             "%s\t%s\t%s\t%d\t%d\t%s\t%d\t%.0f",
-                            clientAttempt.tag(),
-                            clientAttempt.queryClass(),
-                            clientAttempt.router(),
-                            (clientAttempt.sentNs() - facts.startNs()) / MS,
-                            (clientAttempt.reply().endNs() - facts.startNs()) / MS,
-                            clientAttempt.reply().kind(),
-                            clientAttempt.reply().code(),
-                            clientAttempt.workMs()));
-            for (EngineQuery engineQuery : byTag.getOrDefault(clientAttempt.tag(), List.of())) {
+                            attempt.tag(),
+                            attempt.queryClass(),
+                            attempt.router(),
+                            (attempt.sentNs() - facts.startNs()) / NS_PER_MS,
+                            (attempt.reply().endNs() - facts.startNs()) / NS_PER_MS,
+                            attempt.reply().kind(),
+                            attempt.reply().code(),
+                            attempt.workMs()));
+            for (EngineQuery query : byTag.getOrDefault(attempt.tag(), List.of())) {
                 text.append(
                         String.format(
                                 "\t%s:%d-%d:%s",
-                                engineQuery.engine(),
-                                (engineQuery.receivedNs() - facts.startNs()) / MS,
-                                (engineQuery.finishedNs() - facts.startNs()) / MS,
-                                engineQuery.outcome()));
+                                query.engine(),
+                                (query.receivedNs() - facts.startNs()) / NS_PER_MS,
+                                (query.finishedNs() - facts.startNs()) / NS_PER_MS,
+                                query.outcome()));
             }
             text.append('\n');
         }
-        Files.createDirectories(notes);
-        Files.writeString(notes.resolve(facts.scenario().name() + "-" + name + ".tsv"), text);
+        Files.createDirectories(recordsFolder);
+        Files.writeString(
+                recordsFolder.resolve(facts.scenario().name() + "-" + name + ".tsv"), text);
     }
 
     private String captureSetting(String name) {
-        return capture == null ? "" : " (capture (dir \"" + capture.resolve(name) + "/{router}\"))";
+        return captureFolder == null
+                ? ""
+                : " (capture (dir \"" + captureFolder.resolve(name) + "/{router}\"))";
     }
 
-    private ScenarioConfig day() throws Exception {
-        if (trouble != null) {
-            return FaultCatalog.scenario(trouble, captureSetting(trouble));
+    private ScenarioConfig readScenario() throws Exception {
+        if (fault != null) {
+            return FaultCatalog.scenario(fault, captureSetting(fault));
         }
         String name = quick ? "bad-day-quick.sexp" : "bad-day.sexp";
-        ScenarioConfig scenarioConfig =
+        ScenarioConfig config =
                 script != null
                         ? ScenarioConfigReader.read(script)
                         : ScenarioConfigReader.read(name, TestSettings.resource(name));
-        return scenarioConfig.with(
-                seed == null ? scenarioConfig.seed() : seed,
-                http == null ? scenarioConfig.httpFraction() : http,
-                captureSetting(scenarioConfig.name()));
+        return config.with(
+                seed == null ? config.seed() : seed,
+                httpFraction == null ? config.httpFraction() : httpFraction,
+                captureSetting(config.name()));
     }
 
-    private static List<String> shares(Map<String, Double> of) {
-        return of.entrySet().stream()
+    private static List<String> formatFractions(Map<String, Double> fractions) {
+        return fractions.entrySet().stream()
                 .map(entry -> String.format("%s %.3f", entry.getKey(), entry.getValue()))
                 .toList();
     }
 
-    private boolean play(ScenarioConfig day, String name, Baseline.Policy baseline)
-            throws Exception {
-        ScenarioFacts facts =
-                new ScenarioRunner(
-                                day,
-                                settings ->
-                                        baseline == null
-                                                ? new DefaultWorkloadManager(settings)
-                                                : new Baseline(baseline, settings))
-                        .run();
+    private static void printService(ScenarioConfig scenario, ScenarioFacts facts, String name) {
         ServiceLevel service = ServiceLevel.of(facts);
         System.out.printf(
-                "%n%s, seed %d, decided by %s: %d queries, %d served, %d refused, %d failed, %d"
-                        + " statements at engines%n",
-                day.name(),
-                day.seed(),
+                "%n%s, seed %d, policy %s: %d queries, %d served, %d rejected, %d failed, %d"
+                        + " statements on engines%n",
+                scenario.name(),
+                scenario.seed(),
                 name,
                 service.requests(),
                 service.served(),
@@ -172,24 +168,37 @@
                 service.failed(),
                 facts.engineQueries().size());
         System.out.printf(
-                "service %.3f, worst 10 s %.3f, by class %s%s%n",
+                "service level %.3f, worst 10 s %.3f, by class %s%s%n",
                 service.total(),
                 service.worstTenSeconds(),
-                shares(service.byClass()),
+                formatFractions(service.byClass()),
                 service.byProtocol().size() > 1
-                        ? ", by front " + shares(service.byProtocol())
+                        ? ", by protocol " + formatFractions(service.byProtocol())
                         : "");
-        if (notes != null) {
-            write(facts, name);
+    }
+
+    private boolean runScenario(ScenarioConfig scenario, String name, Baseline.Policy baseline)
+            throws Exception {
+        ScenarioFacts facts =
+                new ScenarioRunner(
+                                scenario,
+                                settings ->
+                                        baseline == null
+                                                ? new DefaultWorkloadManager(settings)
+                                                : new Baseline(baseline, settings))
+                        .run();
+        printService(scenario, facts, name);
+        if (recordsFolder != null) {
+            writeRecords(facts, name);
         }
-        boolean kept = true;
-        boolean single =
+        boolean allKept = true;
+        boolean singleFault =
                 FaultCatalog.NAMES.contains(
-                        day.name()); // one kind of trouble puts few rules at stake
+                        scenario.name()); // a single kind of fault tests only some of the rules
         for (Verdict verdict : new InvariantChecker(facts).verdicts()) {
-            kept &= verdict.isSatisfied() || single && verdict.violations().isEmpty();
+            allKept &= verdict.isSatisfied() || singleFault && verdict.violations().isEmpty();
             System.out.printf(
-                    "  %-30s %-6s at stake %5d, broken %d%n",
+                    "  %-30s %-6s cases %5d, violations %d%n",
                     verdict.rule(),
                     verdict.isSatisfied()
                             ? "kept"
@@ -197,9 +206,9 @@
                     verdict.exercisedCases(),
                     verdict.violations().size());
             verdict.violations().stream()
-                    .limit(SHOWN)
+                    .limit(MAX_PRINTED_VIOLATIONS)
                     .forEach(text -> System.out.println("      " + text));
         }
-        return kept;
+        return allKept;
     }
 }
--- a/cli/src/main/java/ashlink/cli/SimulatorCommand.java
+++ b/cli/src/main/java/ashlink/cli/SimulatorCommand.java
@@ -3,12 +3,12 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** The adapter of the simulator's wire. */
+/** Runs the adapter to the simulator's protocol on standard input and output. */
 @Command(
         name = "simulate",
         aliases = "drill",
         mixinStandardHelpOptions = true,
-        description = "Plays the simulator's wire on standard input and output (the bench).")
+        description = "Serves the simulator's protocol on standard input and output.")
 final class SimulatorCommand implements Callable<Integer> {
 
     @Override
--- a/cli/src/main/java/ashlink/cli/SuperviseCommand.java
+++ b/cli/src/main/java/ashlink/cli/SuperviseCommand.java
@@ -11,25 +11,26 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Keeps a router running. */
+/** Runs a router in a child process and restarts it when it fails. */
 @Command(
         name = "supervise",
         mixinStandardHelpOptions = true,
         description =
-                "Runs a router, and starts it again when it dies: at once after a good while, later"
-                        + " and later after short runs. Ends when the router ends as it was told.")
+                "Runs a router and restarts it when it fails: immediately after a long run, with an"
+                        + " increasing delay after short runs. Exits when the router stops on"
+                        + " request.")
 final class SuperviseCommand implements Callable<Integer> {
 
     private static final Logger LOG = LoggerFactory.getLogger(SuperviseCommand.class);
 
-    @Parameters(paramLabel = "CONFIG", description = "Settings of the router.")
+    @Parameters(paramLabel = "CONFIG", description = "Settings file of the router.")
     private Path file;
 
     private volatile Process child;
-    private volatile boolean asked;
+    private volatile boolean stopRequested;
 
-    /** The command line of this program, for a sub-command. */
-    static List<String> ownCommand(String... arguments) {
+    /** Returns the command line that runs this program with the given arguments. */
+    static List<String> commandLine(String... arguments) {
         List<String> command =
                 new java.util.ArrayList<>(
                         List.of(
@@ -43,39 +44,42 @@
 
     @Override
     public Integer call() throws Exception {
-        RestartPolicy restarts = new RestartPolicy(RestartPolicy.RestartLimits.DEFAULT);
-        Runtime.getRuntime().addShutdownHook(new Thread(this::end, "end"));
+        RestartPolicy restartPolicy = new RestartPolicy(RestartPolicy.RestartLimits.DEFAULT);
+        Runtime.getRuntime().addShutdownHook(new Thread(this::stopChild, "end"));
         while (true) {
-            long from = System.nanoTime();
-            child = new ProcessBuilder(ownCommand("route", file.toString())).inheritIO().start();
+            long startNs = System.nanoTime();
+            child = new ProcessBuilder(commandLine("route", file.toString())).inheritIO().start();
             int status = child.waitFor();
-            Decision decision = restarts.onExit(from, System.nanoTime(), status, asked);
+            Decision decision =
+                    restartPolicy.onExit(startNs, System.nanoTime(), status, stopRequested);
             switch (decision.action()) {
                 case NONE -> {
                     return 0;
                 }
                 case GIVE_UP -> {
-                    LOG.error("the router does not start with these settings");
+                    LOG.error("router rejected its settings, not restarted file={}", file);
                     return 2;
                 }
                 case RESTART ->
                         LOG.warn(
-                                "the router died with status {}; it starts again in {} ms",
+                                "router failed, restarting statusCode={} delayMs={}",
                                 status,
                                 decision.backoffNs() / 1_000_000);
                 case CRASH_LOOP ->
                         LOG.error(
-                                "the router dies again and again, now with status {}; next start in"
-                                        + " {} s",
+                                "router crash loop, restarting statusCode={} delayMs={}",
                                 status,
-                                TimeUnit.NANOSECONDS.toSeconds(decision.backoffNs()));
+                                TimeUnit.NANOSECONDS.toMillis(decision.backoffNs()));
+                default ->
+                        throw new IllegalStateException(
+                                "unknown restart action " + decision.action());
             }
             TimeUnit.NANOSECONDS.sleep(decision.backoffNs());
         }
     }
 
-    private void end() {
-        asked = true;
+    private void stopChild() {
+        stopRequested = true;
         Process process = child;
         if (process != null) {
             process.destroy();
--- a/cli/src/main/java/ashlink/cli/WhyCommand.java
+++ b/cli/src/main/java/ashlink/cli/WhyCommand.java
@@ -9,32 +9,29 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** The story of one request. */
+/** Prints the history of one request from a capture. */
 @Command(
         name = "why",
         mixinStandardHelpOptions = true,
         description =
-                "Tells the story of a request in a capture: what was known of each engine, its"
-                        + " attempts, its end.")
+                "Prints the history of a request in a capture: the known state of each engine, the"
+                        + " attempts, and the outcome.")
 final class WhyCommand implements Callable<Integer> {
 
-    @Parameters(index = "0", paramLabel = "CAPTURE", description = "Folder of the capture.")
+    @Parameters(index = "0", paramLabel = "CAPTURE", description = "Capture folder.")
     private Path folder;
 
-    @Parameters(
-            index = "1",
-            paramLabel = "REQUEST",
-            description = "Number of the request, as the log names it.")
+    @Parameters(index = "1", paramLabel = "REQUEST", description = "Request number, as in the log.")
     private long request;
 
     @Override
     public Integer call() throws Exception {
-        QueryTimeline story = new QueryTimeline(request);
-        new CaptureReader(FolderDisk.reading(folder)).read(story);
-        List<String> lines = story.lines();
+        QueryTimeline timeline = new QueryTimeline(request);
+        new CaptureReader(FolderDisk.reading(folder)).read(timeline);
+        List<String> lines = timeline.lines();
         lines.forEach(System.out::println);
         if (lines.isEmpty()) {
-            System.out.println("request " + request + " is not in this capture");
+            System.out.println("request " + request + " not found in capture " + folder);
         }
         return lines.isEmpty() ? 1 : 0;
     }
--- a/emulator/src/main/java/ashlink/emulator/EmulatedEngine.java
+++ b/emulator/src/main/java/ashlink/emulator/EmulatedEngine.java
@@ -4,7 +4,6 @@
 import ashlink.emulator.model.EngineModel;
 import ashlink.emulator.model.Job;
 import java.io.IOException;
-import java.net.BindException;
 import java.net.InetSocketAddress;
 import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
@@ -18,32 +17,31 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A stand-in engine: a listener, a thread for each connection, and the model that says how long
- * work takes. Faults are set on {@link #faults}; {@link #crash} and {@link #restart} keep the port.
+ * Emulated engine: a listener, a thread per connection, and a model that determines how long
+ * statements take. Faults are set with {@link #faults}. The port stays the same after {@link
+ * #crash} and {@link #restart}.
  */
 public final class EmulatedEngine {
 
-    private static final double MS = 1e6;
-    private static final int BACKLOG = 1024;
-    private static final long REBIND_NS = 2_000_000_000L;
+    private static final double NS_PER_MS = 1e6;
     private static final long STACK_BYTES = 256 << 10;
-    private static final double LONG_AGO_MS = 1e9;
+    private static final double WARM_UPTIME_MS = 1e9;
 
     private final EngineConfig config;
     private final Ledger ledger;
     private final FaultInjection faults = new FaultInjection();
     private final UniformRandomProvider random;
-    private final Map<Job, Runnable> doneHooks = new HashMap<>();
-    private final List<Job> late = new ArrayList<>();
-    private final Set<SocketChannel> sockets = ConcurrentHashMap.newKeySet();
+    private final Map<Job, Runnable> completionCallbacks = new HashMap<>();
+    private final List<Job> completedJobs = new ArrayList<>();
+    private final Set<SocketChannel> connections = ConcurrentHashMap.newKeySet();
     private EngineModel model;
-    private ServerSocketChannel server;
+    private ServerSocketChannel listener;
     private InetSocketAddress address;
-    private Thread ticker;
+    private Thread modelThread;
     private int incarnation;
     private boolean down = true;
 
-    /** An engine that is not started. */
+    /** Creates an engine without starting it. */
     public EmulatedEngine(EngineConfig config) throws IOException {
         this.config = config;
         this.ledger = new Ledger(config.ledger());
@@ -51,54 +49,33 @@
                 RandomSource.XO_RO_SHI_RO_128_PP.create(config.seed() ^ config.name().hashCode());
     }
 
-    /** Starts it; warm as if it had run for long. */
+    /** Starts the engine as if it had been running for a long time, so that it is warm. */
     public void start() throws IOException {
-        begin(nowMs() - LONG_AGO_MS);
+        startAt(nowMs() - WARM_UPTIME_MS);
     }
 
-    /** Starts it again after a crash: cold. */
+    /** Starts the engine after a crash, so that it is cold. */
     public void restart() throws IOException {
-        begin(nowMs());
+        startAt(nowMs());
     }
 
-    private synchronized void begin(double startedMs) throws IOException {
+    private synchronized void startAt(double startedMs) throws IOException {
         if (!down) {
-            throw new IllegalStateException(config.name() + " runs");
+            throw new IllegalStateException("engine " + config.name() + " is already running");
         }
-        ServerSocketChannel channel = bind(address == null ? config.listen() : address);
+        ServerSocketChannel channel =
+                EngineSockets.listen(address == null ? config.listen() : address);
         address = (InetSocketAddress) channel.getLocalAddress();
-        server = channel;
+        listener = channel;
         model = new EngineModel(config, startedMs, nowMs());
         down = false;
         incarnation++;
-        int mine = incarnation;
-        thread(config.name() + "-accept", () -> accept(channel));
-        ticker = thread(config.name() + "-model", () -> tick(mine));
+        int ownIncarnation = incarnation;
+        startThread(config.name() + "-accept", () -> acceptConnections(channel));
+        modelThread = startThread(config.name() + "-model", () -> runModel(ownIncarnation));
     }
 
-    /**
-     * Binds; the port of a crashed listener is free only once the thread that accepted there has
-     * noticed.
-     */
-    private static ServerSocketChannel bind(InetSocketAddress to) throws IOException {
-        long until = System.nanoTime() + REBIND_NS;
-        while (true) {
-            ServerSocketChannel channel = ServerSocketChannel.open();
-            try {
-                channel.setOption(java.net.StandardSocketOptions.SO_REUSEADDR, true);
-                channel.bind(to, BACKLOG);
-                return channel;
-            } catch (BindException e) {
-                channel.close();
-                if (System.nanoTime() > until) {
-                    throw e;
-                }
-                Thread.onSpinWait();
-            }
-        }
-    }
-
-    private static Thread thread(String name, Runnable task) {
+    private static Thread startThread(String name, Runnable task) {
         Thread thread = new Thread(null, task, name, STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
@@ -106,196 +83,185 @@
     }
 
     /**
-     * Ends at once: connections break, work is lost, connects are refused until it is started
-     * again.
+     * Simulates a crash: resets all connections, discards the work, and refuses new connections
+     * until {@link #restart}.
      */
     public void crash() {
-        List<Runnable> hooks;
+        List<Runnable> callbacks;
         synchronized (this) {
             if (down) {
                 return;
             }
             down = true;
             incarnation++;
-            hooks = new ArrayList<>(doneHooks.values());
-            doneHooks.clear();
-            late.clear();
+            callbacks = new ArrayList<>(completionCallbacks.values());
+            completionCallbacks.clear();
+            completedJobs.clear();
             notifyAll();
         }
         try {
-            server.close();
-        } catch (IOException e) {
-            // closed all the same
-        }
-        sockets.forEach(EmulatedEngine::close);
-        hooks.forEach(Runnable::run);
-    }
-
-    private static void close(SocketChannel socketChannel) {
-        try {
-            socketChannel.setOption(
-                    java.net.StandardSocketOptions.SO_LINGER,
-                    0); // a reset, as of a process that died
-            socketChannel.close();
+            listener.close();
         } catch (IOException e) {
-            // closed all the same
+            // The channel is closed even if close() throws.
         }
+        connections.forEach(EngineSockets::reset);
+        callbacks.forEach(Runnable::run);
     }
 
-    private void accept(ServerSocketChannel from) {
-        while (from.isOpen()) {
+    private void acceptConnections(ServerSocketChannel acceptor) {
+        while (acceptor.isOpen()) {
             try {
-                SocketChannel socketChannel = from.accept();
+                SocketChannel socketChannel = acceptor.accept();
                 socketChannel.setOption(java.net.StandardSocketOptions.TCP_NODELAY, true);
-                sockets.add(socketChannel);
-                thread(
+                connections.add(socketChannel);
+                startThread(
                         config.name() + "-session",
                         () -> {
                             try {
                                 new EngineSession(this, socketChannel).run();
                             } finally {
-                                sockets.remove(socketChannel);
+                                connections.remove(socketChannel);
                             }
                         });
             } catch (IOException e) {
-                if (from.isOpen()) {
+                if (acceptor.isOpen()) {
                     Thread.onSpinWait();
                 }
             }
         }
     }
 
-    // ---- The model, on one thread's clock
+    // ---- Model
     static double nowMs() {
-        return System.nanoTime() / MS;
+        return System.nanoTime() / NS_PER_MS;
     }
 
-    private void tick(int mine) {
+    private void runModel(int ownIncarnation) {
         while (true) {
-            List<Runnable> hooks = new ArrayList<>();
+            List<Runnable> callbacks = new ArrayList<>();
             synchronized (this) {
-                if (incarnation != mine) {
+                if (incarnation != ownIncarnation) {
                     return;
                 }
-                catchUp();
-                List<Job> done = List.copyOf(late);
-                late.clear();
+                advanceModel();
+                List<Job> done = List.copyOf(completedJobs);
+                completedJobs.clear();
                 for (Job job : done) {
-                    Runnable hook = doneHooks.remove(job);
-                    if (hook != null) {
-                        hooks.add(hook);
+                    Runnable callback = completionCallbacks.remove(job);
+                    if (callback != null) {
+                        callbacks.add(callback);
                     }
                 }
-                if (hooks.isEmpty()) {
-                    double wait = Math.min(1000, model.nextChangeMs());
+                if (callbacks.isEmpty()) {
+                    double waitMs = Math.min(1000, model.nextChangeMs());
                     try {
-                        long ns = (long) (wait * MS);
-                        wait(ns / 1_000_000, (int) (ns % 1_000_000));
+                        long waitNs = (long) (waitMs * NS_PER_MS);
+                        wait(waitNs / 1_000_000, (int) (waitNs % 1_000_000));
                     } catch (InterruptedException e) {
                         return;
                     }
                 }
             }
-            hooks.forEach(Runnable::run);
+            callbacks.forEach(Runnable::run);
         }
     }
 
     /**
-     * Takes a job; {@code done} runs once it is done or the engine has crashed. Null: it takes no
-     * more at once.
+     * Submits a job. {@code onCompletion} runs when the job is done or the engine crashes. Returns
+     * null if the engine is down or has its maximum number of jobs.
      */
-    synchronized Job submit(Job.Demand demand, Runnable done) {
-        if (down || model.inHand() >= config.maxSessions()) {
+    synchronized Job submit(Job.Demand demand, Runnable onCompletion) {
+        if (down || model.activeJobs() >= config.maxSessions()) {
             return null;
         }
-        catchUp();
+        advanceModel();
         Job job = model.submit(demand);
-        doneHooks.put(job, done);
+        completionCallbacks.put(job, onCompletion);
         notifyAll();
         return job;
     }
 
-    /** Moves the model to the present; the ticker tells of what is done. */
-    private void catchUp() {
-        late.addAll(model.advance(nowMs()));
+    /** Advances the model to the current time; the model thread then reports the completed jobs. */
+    private void advanceModel() {
+        completedJobs.addAll(model.advance(nowMs()));
     }
 
-    synchronized void drop(Job job) {
-        catchUp();
-        model.drop(job);
-        doneHooks.remove(job);
+    synchronized void cancel(Job job) {
+        advanceModel();
+        model.cancel(job);
+        completionCallbacks.remove(job);
         notifyAll();
     }
 
     // ---- Faults
-    /** What is wrong with its connections. */
+    /** Returns the faults of the engine's connections. */
     public FaultInjection faults() {
         return faults;
     }
 
-    /** Works at that multiple of its speed. */
+    /** Sets the speed as a multiple of the configured speed. */
     public synchronized void speed(double multiple) {
-        catchUp();
-        model.speed(multiple);
+        advanceModel();
+        model.setSpeed(multiple);
         notifyAll();
     }
 
-    /** Takes work and does none, and says nothing; or goes on. */
-    public synchronized void hang(boolean hangs) {
-        catchUp();
-        faults.hang(hangs);
-        model.paused(hangs);
+    /** Starts or ends a hang: work is accepted but not executed, and nothing is sent. */
+    public synchronized void hang(boolean hung) {
+        advanceModel();
+        faults.hang(hung);
+        model.setPaused(hung);
         notifyAll();
     }
 
-    // ---- What it tells
-    /** Its settings. */
+    // ---- State
+    /** Returns the settings. */
     public EngineConfig config() {
         return config;
     }
 
-    /** Where it listens, once it was started. */
+    /** Returns the listen address; null before the first start. */
     public synchronized InetSocketAddress address() {
         return address;
     }
 
-    /** What it was sent and did. */
+    /** Returns the record of the statements that the engine received. */
     public Ledger ledger() {
         return ledger;
     }
 
-    /** True if it was pushed over while it was cold. */
-    public synchronized boolean hasFallen() {
-        return model.hasFallen();
+    /** Returns true if the engine collapsed because it was overloaded while it was cold. */
+    public synchronized boolean hasCollapsed() {
+        return model.hasCollapsed();
     }
 
-    /** True while it is down. */
+    /** Returns true before the first start and after a crash. */
     public synchronized boolean isDown() {
         return down;
     }
 
-    /** Gauges by name. */
+    /** Returns the gauges by name. */
     synchronized Map<String, Double> gauges() {
-        catchUp();
-        if (!late.isEmpty()) {
+        advanceModel();
+        if (!completedJobs.isEmpty()) {
             notifyAll();
         }
         return Map.of(
                 "QueriesWaiting",
-                (double) model.waiting(),
+                (double) model.jobsWaitingForMemory(),
                 "CoresBusy",
-                model.coresBusy(),
+                model.busyCoreFraction(),
                 "MemoryGranted",
-                model.memoryGranted(),
+                model.grantedMemoryFraction(),
                 "DisksBusy",
-                model.disksBusy(),
+                model.busyDiskFraction(),
                 "QueriesInHand",
-                (double) model.inHand(),
+                (double) model.activeJobs(),
                 "Uptime",
-                model.upMs() / 1000);
+                model.uptimeMs() / 1000);
     }
 
-    synchronized double drawn() {
+    synchronized double nextRandom() {
         return random.nextDouble();
     }
 }
--- a/emulator/src/main/java/ashlink/emulator/Ledger.java
+++ b/emulator/src/main/java/ashlink/emulator/Ledger.java
@@ -11,13 +11,13 @@
 import java.util.List;
 
 /**
- * What an engine was sent and did, noted by itself as it happens. Times are of {@link
- * System#nanoTime}.
+ * Record of the statements that an emulated engine received and executed, written by the engine
+ * when each event happens. Times are values of {@link System#nanoTime}.
  */
 public final class Ledger {
 
-    /** How a statement ended at the engine. */
-    public enum How {
+    /** Outcome of a statement at the engine. */
+    public enum Outcome {
         OPEN,
         ANSWERED,
         ERROR,
@@ -29,10 +29,7 @@
         NO_DATA
     }
 
-    /**
-     * A statement at an engine; {@code ranNs} is when it had all it needs to run, 0 if it never
-     * had.
-     */
+    /** A statement that an engine received. */
     public static final class Entry {
         public final String engine;
         public final String kind;
@@ -47,7 +44,7 @@
         private volatile long effectNs;
         private volatile long endedNs;
         private volatile long releasedNs;
-        private volatile How how = How.OPEN;
+        private volatile Outcome outcome = Outcome.OPEN;
 
         Entry(
                 String engine,
@@ -68,50 +65,56 @@
             this.beganNs = beganNs;
         }
 
-        /** When it had all it needs to run, 0 if it never had. */
+        /** Returns the time at which the statement's input was complete; 0 if it never was. */
         public long ranNs() {
             return ranNs;
         }
 
-        /** When its work was done, 0 if it never was. */
+        /** Returns the time at which the statement's work was done; 0 if it was not. */
         public long effectNs() {
             return effectNs;
         }
 
-        /** When the engine was through with it, 0 while it is not. */
+        /** Returns the time at which the engine finished the statement; 0 while it has not. */
         public long endedNs() {
             return endedNs;
         }
 
-        /** When the engine saw that nobody waited for it any more, 0 if it did not. */
+        /**
+         * Returns the time at which the engine noticed that the client no longer waits for the
+         * statement; 0 if it did not.
+         */
         public long releasedNs() {
             return releasedNs;
         }
 
-        /** How it ended. */
-        public How how() {
-            return how;
+        /** Returns the outcome; {@link Outcome#OPEN} until the statement ends. */
+        public Outcome outcome() {
+            return outcome;
         }
 
-        void ran() {
+        void markRan() {
             ranNs = System.nanoTime();
         }
 
-        void released() {
+        void markReleased() {
             releasedNs = releasedNs == 0 ? System.nanoTime() : releasedNs;
         }
 
-        void effect() {
+        void markEffect() {
             effectNs = System.nanoTime();
         }
     }
 
-    private static final int MOST_ENTRIES = 5_000_000;
+    private static final int MAX_ENTRIES = 5_000_000;
 
     private final List<Entry> entries = new ArrayList<>();
     private final BufferedWriter file;
 
-    /** A ledger in memory, and in a file where one is named. */
+    /**
+     * Creates a ledger in memory, and in a file if {@code path} is not null. An existing file is
+     * appended to.
+     */
     public Ledger(Path path) throws IOException {
         file =
                 path == null
@@ -124,28 +127,28 @@
     }
 
     synchronized void begin(Entry entry) {
-        if (entries.size() >= MOST_ENTRIES) {
-            throw new IllegalStateException("a ledger holds " + MOST_ENTRIES + " entries at most");
+        if (entries.size() >= MAX_ENTRIES) {
+            throw new IllegalStateException("ledger is full: at most " + MAX_ENTRIES + " entries");
         }
         entries.add(entry);
         write("begin", entry);
     }
 
-    void end(Entry entry, How how) {
-        if (entry.how == How.OPEN) {
-            entry.how = how;
+    void end(Entry entry, Outcome outcome) {
+        if (entry.outcome == Outcome.OPEN) {
+            entry.outcome = outcome;
             entry.endedNs = System.nanoTime();
             write("end", entry);
         }
     }
 
-    private synchronized void write(String what, Entry entry) {
+    private synchronized void write(String event, Entry entry) {
         if (file != null) {
             try {
                 file.write(
                         System.currentTimeMillis()
                                 + "\t"
-                                + what
+                                + event
                                 + "\t"
                                 + entry.engine
                                 + "\t"
@@ -157,16 +160,16 @@
                                 + "\t"
                                 + (entry.ranNs > 0 ? "ran" : "not run")
                                 + "\t"
-                                + entry.how
+                                + entry.outcome
                                 + "\n");
                 file.flush();
-            } catch (IOException ex) {
-                throw new UncheckedIOException(ex);
+            } catch (IOException e) {
+                throw new UncheckedIOException(e);
             }
         }
     }
 
-    /** All entries so far, in order of their beginning. */
+    /** Returns a copy of all entries, in the order in which the statements arrived. */
     public synchronized List<Entry> entries() {
         return new ArrayList<>(entries);
     }
--- a/emulator/src/main/java/ashlink/emulator/model/Job.java
+++ b/emulator/src/main/java/ashlink/emulator/model/Job.java
@@ -1,9 +1,21 @@
 package ashlink.emulator.model;
 
-/** A statement that an engine works on. */
+/** A statement that an engine executes. */
 public final class Job {
 
-    /** What a statement asks of an engine; {@code grantMb} 0 is the engine's own choice. */
+    /**
+     * Resources that a statement needs.
+     *
+     * @param workMs processor time at normal speed, in milliseconds
+     * @param threads threads that execute the statement
+     * @param ioShare fraction of the work that reads from or writes to disk
+     * @param memoryMb memory that the statement needs to run without spilling
+     * @param grantMb memory that the client requests; 0 leaves the grant to the engine
+     * @param priority scheduling priority, 0 (lowest) to 3
+     * @param tableGroup number of the group of tables that the statement uses
+     * @param locksTables whether the statement locks the tables
+     * @param waitsForTableLocks whether the statement waits for locks on the tables
+     */
     public record Demand(
             double workMs,
             int threads,
@@ -11,37 +23,37 @@
             double memoryMb,
             double grantMb,
             int priority,
-            long tables,
-            boolean holds,
-            boolean waits) {}
+            long tableGroup,
+            boolean locksTables,
+            boolean waitsForTableLocks) {}
 
-    /** Where a job stands. */
+    /** State of a job. */
     public enum State {
         WAITS_FOR_MEMORY,
         WAITS_FOR_TABLES,
         RUNS,
         DONE,
-        DROPPED
+        CANCELLED
     }
 
     private final Demand demand;
     private final long sequence;
     private State state;
-    private double leftMs;
+    private double remainingMs;
     private double grantedMb;
 
     Job(Demand demand, long sequence) {
         this.demand = demand;
         this.sequence = sequence;
-        this.leftMs = demand.workMs();
+        this.remainingMs = demand.workMs();
     }
 
-    /** What it asks. */
+    /** Returns the resources that the job needs. */
     public Demand demand() {
         return demand;
     }
 
-    /** Where it stands. */
+    /** Returns the current state. */
     public State state() {
         return state;
     }
@@ -50,25 +62,25 @@
         return sequence;
     }
 
-    double leftMs() {
-        return leftMs;
+    double remainingMs() {
+        return remainingMs;
     }
 
     double grantedMb() {
         return grantedMb;
     }
 
-    void state(State s) {
-        state = s;
+    void setState(State newState) {
+        state = newState;
     }
 
-    void grant(double mb, double spill) {
-        grantedMb = mb;
-        double lacks = Math.max(0, 1 - mb / Math.max(1e-9, demand.memoryMb()));
-        leftMs = demand.workMs() * (1 + spill * lacks);
+    void setGrant(double grantMb, double spillCost) {
+        grantedMb = grantMb;
+        double missingFraction = Math.max(0, 1 - grantMb / Math.max(1e-9, demand.memoryMb()));
+        remainingMs = demand.workMs() * (1 + spillCost * missingFraction);
     }
 
-    void work(double ms) {
-        leftMs -= ms;
+    void execute(double workMs) {
+        remainingMs -= workMs;
     }
 }
--- a/loadtest/src/main/java/ashlink/loadtest/check/DuplicateEffectsCheck.java
+++ b/loadtest/src/main/java/ashlink/loadtest/check/DuplicateEffectsCheck.java
@@ -1,7 +1,7 @@
 package ashlink.loadtest.check;
 
 import ashlink.decisions.api.RetrySafety;
-import ashlink.emulator.Ledger.How;
+import ashlink.emulator.Ledger.Outcome;
 import ashlink.loadtest.client.Reply;
 import ashlink.loadtest.load.ClientAttempt;
 import ashlink.loadtest.scenario.EngineQuery;
@@ -40,7 +40,8 @@
 
     private static boolean endedWithoutAnswer(
             ClientAttempt clientAttempt, List<EngineQuery> engineQueries) {
-        return engineQueries.stream().anyMatch(engineQuery -> engineQuery.outcome() != How.ANSWERED)
+        return engineQueries.stream()
+                        .anyMatch(engineQuery -> engineQuery.outcome() != Outcome.ANSWERED)
                 || clientAttempt.reply().kind() != Reply.Kind.SERVED;
     }
 
@@ -54,7 +55,7 @@
                         .filter(
                                 engineQuery ->
                                         engineQuery.executableNs() > 0
-                                                && engineQuery.outcome() != How.TURNED_AWAY)
+                                                && engineQuery.outcome() != Outcome.TURNED_AWAY)
                         .count();
         if (executionsByRequest.merge(clientAttempt.request(), (int) executions, Integer::sum)
                 > 1) {
--- a/loadtest/src/main/java/ashlink/loadtest/scenario/EngineQuery.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/EngineQuery.java
@@ -24,7 +24,7 @@
         long receivedNs,
         long executableNs,
         long finishedNs,
-        Ledger.How outcome) {
+        Ledger.Outcome outcome) {
 
     private static final String ROUTER_PREFIX = "ashlink ";
 
@@ -46,6 +46,6 @@
                 entry.beganNs,
                 entry.ranNs(),
                 finishedNs,
-                entry.how());
+                entry.outcome());
     }
 }
--- a/loadtest/src/main/java/ashlink/loadtest/scenario/ScenarioRunner.java
+++ b/loadtest/src/main/java/ashlink/loadtest/scenario/ScenarioRunner.java
@@ -109,7 +109,7 @@
 
     private List<String> overloadedEngines() {
         return engines.values().stream()
-                .filter(EmulatedEngine::hasFallen)
+                .filter(EmulatedEngine::hasCollapsed)
                 .map(engine -> engine.config().name())
                 .toList();
     }
--- a/loadtest/src/test/java/ashlink/loadtest/InvariantCheckerTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/InvariantCheckerTest.java
@@ -13,7 +13,7 @@
 import ashlink.decisions.api.RetrySafety;
 import ashlink.decisions.api.Settings;
 import ashlink.decisions.api.WorkloadManager;
-import ashlink.emulator.Ledger.How;
+import ashlink.emulator.Ledger.Outcome;
 import ashlink.loadtest.check.InvariantChecker;
 import ashlink.loadtest.check.ServiceLevel;
 import ashlink.loadtest.check.Verdict;
@@ -74,8 +74,8 @@
     }
 
     private void recordEngineQuery(
-            String tag, String engine, long receivedMs, long finishedMs, How outcome) {
-        boolean executable = outcome != How.NO_DATA && outcome != How.TURNED_AWAY;
+            String tag, String engine, long receivedMs, long finishedMs, Outcome outcome) {
+        boolean executable = outcome != Outcome.NO_DATA && outcome != Outcome.TURNED_AWAY;
         engineQueries.add(
                 new EngineQuery(
                         engine,
@@ -137,7 +137,7 @@
     @Test
     void uneventfulScenarioExercisesNoInvariant() throws Exception {
         recordClientAttempt("1.0", "abfrage", null, 0, 100, Reply.Kind.SERVED, 0);
-        recordEngineQuery("1.0", "a1", 10, 90, How.ANSWERED);
+        recordEngineQuery("1.0", "a1", 10, 90, Outcome.ANSWERED);
         for (int invariant = 1; invariant <= 7; invariant++) {
             assertVerdict(invariant, 0, 0);
         }
@@ -156,36 +156,36 @@
     @Test
     void secondExecutionOfAWriteAndRejectionOfAnExecutedOneAreViolations() throws Exception {
         recordClientAttempt("1.0", "ladung", "k", 0, 900, Reply.Kind.SERVED, 0);
-        recordEngineQuery("1.0", "a1", 10, 100, How.CRASHED);
-        recordEngineQuery("1.0", "b1", 300, 800, How.ANSWERED);
+        recordEngineQuery("1.0", "a1", 10, 100, Outcome.CRASHED);
+        recordEngineQuery("1.0", "b1", 300, 800, Outcome.ANSWERED);
         recordClientAttempt("2.0", "ladung", "k2", 0, 900, Reply.Kind.EXCEPTION, 202);
-        recordEngineQuery("2.0", "a1", 10, 100, How.ANSWER_LOST);
+        recordEngineQuery("2.0", "a1", 10, 100, Outcome.ANSWER_LOST);
         assertVerdict(2, 3, 2);
     }
 
     @Test
     void insertWithoutItsDataMayBeRetried() throws Exception {
         recordClientAttempt("1.0", "ladung", "k", 0, 900, Reply.Kind.SERVED, 0);
-        recordEngineQuery("1.0", "a1", 10, 100, How.NO_DATA);
-        recordEngineQuery("1.0", "b1", 300, 800, How.ANSWERED);
+        recordEngineQuery("1.0", "a1", 10, 100, Outcome.NO_DATA);
+        recordEngineQuery("1.0", "b1", 300, 800, Outcome.ANSWERED);
         assertVerdict(2, 2, 0);
     }
 
     @Test
     void concurrentAttemptsOfAQueryAreAViolation() throws Exception {
         recordClientAttempt("1.0", "abfrage", null, 0, 900, Reply.Kind.SERVED, 0);
-        recordEngineQuery("1.0", "a1", 10, 700, How.ANSWERED);
-        recordEngineQuery("1.0", "b1", 300, 800, How.ANSWERED);
+        recordEngineQuery("1.0", "a1", 10, 700, Outcome.ANSWERED);
+        recordEngineQuery("1.0", "b1", 300, 800, Outcome.ANSWERED);
         assertVerdict(2, 1, 1);
     }
 
     @Test
     void queryAfterTheDrainGracePeriodIsAViolation() throws Exception {
-        recordEngineQuery("1.0", "a1", 10, 100, How.ANSWERED);
+        recordEngineQuery("1.0", "a1", 10, 100, Outcome.ANSWERED);
         drains.add(new Drain("r1", "a1", START_NS + 500 * NS_PER_MS, START_NS + 9000 * NS_PER_MS));
-        recordEngineQuery("2.0", "a1", 2400, 2500, How.ANSWERED);
+        recordEngineQuery("2.0", "a1", 2400, 2500, Outcome.ANSWERED);
         assertVerdict(3, 1, 0);
-        recordEngineQuery("3.0", "a1", 2600, 2700, How.ANSWERED);
+        recordEngineQuery("3.0", "a1", 2600, 2700, Outcome.ANSWERED);
         assertVerdict(3, 1, 1);
     }
 
@@ -198,7 +198,7 @@
                     "a1",
                     1100 + i,
                     1200 + i,
-                    How.ANSWERED); // 24 s of work in 0.3 s; the limit is about 21 to 22 s
+                    Outcome.ANSWERED); // 24 s of work in 0.3 s; the limit is about 21 to 22 s
         }
         Verdict verdict = verdict(4);
         assertEquals(300, verdict.exercisedCases());
@@ -213,16 +213,16 @@
     void changedOrderAndOverlapOfQueriesWithOneKeyAreViolations() throws Exception {
         recordClientAttempt("1.0", "ladung", "k", 0, 1900, Reply.Kind.SERVED, 0);
         recordClientAttempt("2.0", "ladung", "k", 200, 1900, Reply.Kind.SERVED, 0);
-        recordEngineQuery("1.0", "a1", 10, 600, How.ANSWERED);
-        recordEngineQuery("2.0", "b1", 700, 1000, How.ANSWERED);
+        recordEngineQuery("1.0", "a1", 10, 600, Outcome.ANSWERED);
+        recordEngineQuery("2.0", "b1", 700, 1000, Outcome.ANSWERED);
         assertVerdict(5, 1, 0);
         engineQueries.clear();
-        recordEngineQuery("1.0", "a1", 10, 600, How.ANSWERED);
-        recordEngineQuery("2.0", "b1", 300, 1000, How.ANSWERED);
+        recordEngineQuery("1.0", "a1", 10, 600, Outcome.ANSWERED);
+        recordEngineQuery("2.0", "b1", 300, 1000, Outcome.ANSWERED);
         assertVerdict(5, 1, 1);
         engineQueries.clear();
-        recordEngineQuery("2.0", "b1", 300, 700, How.ANSWERED);
-        recordEngineQuery("1.0", "a1", 800, 1000, How.ANSWERED);
+        recordEngineQuery("2.0", "b1", 300, 700, Outcome.ANSWERED);
+        recordEngineQuery("1.0", "a1", 800, 1000, Outcome.ANSWERED);
         assertVerdict(5, 1, 1);
     }
 
@@ -230,20 +230,20 @@
     void queryOnADisallowedEngineKindIsAViolation() throws Exception {
         engineFaults.add(new Interval("a1", START_NS, START_NS + 1000 * NS_PER_MS));
         recordClientAttempt("1.0", "bericht", null, 0, 100, Reply.Kind.SERVED, 0);
-        recordEngineQuery("1.0", "a1", 10, 90, How.ANSWERED);
+        recordEngineQuery("1.0", "a1", 10, 90, Outcome.ANSWERED);
         assertVerdict(6, 1, 0);
         recordClientAttempt("2.0", "bericht", null, 0, 100, Reply.Kind.SERVED, 0);
-        recordEngineQuery("2.0", "b1", 10, 90, How.ANSWERED);
+        recordEngineQuery("2.0", "b1", 10, 90, Outcome.ANSWERED);
         assertVerdict(6, 2, 1);
     }
 
     @Test
     void retriesOverTheBudgetAreAViolation() throws Exception {
         recordClientAttempt("1.0", "abfrage", null, 0, 900, Reply.Kind.SERVED, 0);
-        recordEngineQuery("1.0", "a1", 10, 100, How.CRASHED);
-        recordEngineQuery("1.0", "b1", 300, 800, How.ANSWERED);
+        recordEngineQuery("1.0", "a1", 10, 100, Outcome.CRASHED);
+        recordEngineQuery("1.0", "b1", 300, 800, Outcome.ANSWERED);
         assertVerdict(7, 1, 0);
-        recordEngineQuery("1.0", "a1", 900, 1000, How.CRASHED);
+        recordEngineQuery("1.0", "a1", 900, 1000, Outcome.CRASHED);
         assertVerdict(7, 2, 1);
     }
 
