--- a/sql/src/main/antlr4/ashlink/sql/grammar/SqlLexer.g4
+++ b/sql/src/main/antlr4/ashlink/sql/grammar/SqlLexer.g4
@@ -1,5 +1,5 @@
-// The lexical rules of ClickHouse's SQL by its public documentation. What starts a heredoc is matched here, its end is
-// found by the reader, since the tag must be the same.
+// Lexical rules of the ClickHouse SQL dialect, following its public documentation. Only the opening tag of a heredoc is
+// matched here; class Tokens finds the closing tag, which must be equal to the opening tag.
 lexer grammar SqlLexer;
 
 BLANK : [ \t\r\n\f\u000B\u00A0]+ -> skip ;
--- a/sql/src/main/java/ashlink/sql/AnalysisBuilder.java
+++ b/sql/src/main/java/ashlink/sql/AnalysisBuilder.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** The analysis of one text, as its readers build it. For one thread. */
+/** Collects the analysis of one text while the readers parse the text. Not thread-safe. */
 final class AnalysisBuilder {
 
     final TreeSet<String> reads = new TreeSet<>();
@@ -16,12 +16,12 @@
     boolean takesData;
     String doubt = "";
 
-    /** Records why a read is not harmless; the first reason stays. */
+    /** Records why repeating a read is not safe; only the first reason is kept. */
     void doubt(String reason) {
         doubt = doubt.isEmpty() ? reason : doubt;
     }
 
-    /** Records a call of a function. */
+    /** Records a function call. */
     void function(String name) {
         String lower = name.toLowerCase(Locale.ROOT);
         unstable |= Vocabulary.UNSTABLE.contains(lower);
--- a/sql/src/main/java/ashlink/sql/CallReader.java
+++ b/sql/src/main/java/ashlink/sql/CallReader.java
@@ -2,7 +2,7 @@
 
 import ashlink.sql.grammar.SqlLexer;
 
-/** Reads names and calls of functions, with those whose arguments have keywords between them. */
+/** Parses names and function calls, including calls with keywords between the arguments. */
 final class CallReader {
 
     private final Readers readers;
@@ -17,7 +17,7 @@
         this.analysis = readers.analysis;
     }
 
-    /** A name with parts, or a call. */
+    /** Parses the first part of a name, or a function call. */
     void nameOrCall(Scope scope) {
         String name = cursor.expectName("a name");
         if (!cursor.at(SqlLexer.OPEN)) {
@@ -39,7 +39,7 @@
         } else {
             tokens.take();
             readers.expressions.parenthesis(scope);
-            if (cursor.at(SqlLexer.OPEN)) { // the first brackets had parameters
+            if (cursor.at(SqlLexer.OPEN)) { // the first parentheses held parameters
                 tokens.take();
                 readers.expressions.parenthesis(scope);
             }
@@ -56,7 +56,7 @@
         cursor.enter();
         readers.operands.operand(scope);
         while (!cursor.atKeyword("AS") && readers.operators.tryOperator(scope)) {
-            // up to its own AS
+            // continues to the AS keyword of this cast
         }
         if (cursor.tryKeyword("AS")) {
             readers.types.type();
@@ -68,7 +68,7 @@
         cursor.exit();
     }
 
-    /** A call whose arguments may have keywords between them. */
+    /** Parses a call that may have keywords between the arguments. */
     private void callWithKeywords(Scope scope) {
         tokens.take();
         cursor.enter();
--- a/sql/src/main/java/ashlink/sql/ClauseReader.java
+++ b/sql/src/main/java/ashlink/sql/ClauseReader.java
@@ -2,7 +2,7 @@
 
 import ashlink.sql.grammar.SqlLexer;
 
-/** Reads the clauses of a query after FROM, and the options of its output. */
+/** Parses the clauses of a query after FROM, and the output options. */
 final class ClauseReader {
 
     private final Readers readers;
@@ -17,7 +17,7 @@
         this.analysis = readers.analysis;
     }
 
-    /** Reads the next clause; false, with nothing taken, if none follows. */
+    /** Parses the next clause; returns false and consumes no token if no clause follows. */
     boolean tryClause(Scope scope) {
         Token token = tokens.peek();
         if (token == null) {
@@ -70,7 +70,7 @@
         readers.expressions.list(scope);
     }
 
-    /** Expressions with their directions and fillings. */
+    /** Parses the expressions of ORDER BY with their sort directions and WITH FILL options. */
     void orderList(Scope scope) {
         if (cursor.atKeyword("ALL")
                 && (tokens.peek(1) == null
@@ -155,7 +155,7 @@
         }
     }
 
-    /** The end of a statement: where its output goes, its format and its settings. */
+    /** Parses the options at the end of a statement: output file, format and settings. */
     void outputOptions() {
         while (true) {
             if (cursor.atKeywords("INTO", "OUTFILE")) {
@@ -167,7 +167,7 @@
                         || cursor.tryKeyword("STDOUT")
                         || cursor.tryKeyword("APPEND")
                         || cursor.tryKeyword("TRUNCATE")) {
-                    // each changes only how the file is written
+                    // these keywords change only how the file is written
                 }
                 if (cursor.tryKeyword("COMPRESSION")) {
                     cursor.expectLiteral("a compression");
@@ -182,7 +182,7 @@
         }
     }
 
-    /** {@code name = value} with commas between. */
+    /** Parses a comma-separated list of {@code name = value}. */
     void settings() {
         do {
             if (cursor.at(SqlLexer.COMMA)) {
--- a/sql/src/main/java/ashlink/sql/DefinitionReader.java
+++ b/sql/src/main/java/ashlink/sql/DefinitionReader.java
@@ -4,10 +4,10 @@
 import ashlink.sql.grammar.SqlLexer;
 import java.util.Set;
 
-/** Reads statements that define tables and other objects, or change rows by a condition. */
+/** Parses statements that define tables and other objects, or change rows by a condition. */
 final class DefinitionReader {
 
-    /** Words between the first one of a definition and the name of its object. */
+    /** Keywords that may stand between the first keyword of a definition and the object name. */
     private static final Set<String> OBJECTS =
             Set.of(
                     "TABLE",
@@ -46,7 +46,7 @@
                     "COLUMN",
                     "CONSTRAINT");
 
-    /** Objects of access control and of the server, which are no tables. */
+    /** Kinds of object that belong to access control or to the server and are not tables. */
     private static final Set<String> ACCESS =
             Set.of(
                     "USER",
@@ -70,7 +70,7 @@
         this.analysis = readers.analysis;
     }
 
-    /** CREATE, DROP and the like: the kind of their object, then its name. */
+    /** Parses CREATE, DROP and similar statements: the kind of the object, then the object name. */
     StatementKind define() {
         cursor.takeKeyword();
         boolean database = false;
@@ -80,7 +80,7 @@
         while (tokens.peek() != null && OBJECTS.contains(tokens.peek().upper())) {
             Token next = tokens.peek(1);
             if (table && next != null && next.type == SqlLexer.DOT) {
-                break; // a database of that name
+                break; // the keyword is the name of a database here
             }
             database |= cursor.atKeyword("DATABASE");
             all |= cursor.atKeyword("ALL") || cursor.atKeyword("TABLES");
@@ -100,7 +100,7 @@
         return readers.statements.skipRest(StatementKind.DDL);
     }
 
-    /** ALTER of a table or of another object. */
+    /** Parses ALTER of a table or of another object. */
     StatementKind alter() {
         cursor.takeKeyword();
         if (!cursor.atKeyword("TABLE")) {
@@ -117,7 +117,7 @@
         return readers.statements.skipRest(rows ? StatementKind.WRITE : StatementKind.DDL);
     }
 
-    /** RENAME and EXCHANGE of tables or other objects. */
+    /** Parses RENAME and EXCHANGE of tables or other objects. */
     StatementKind rename() {
         cursor.takeKeyword();
         if (!cursor.tryKeyword("TABLE")
@@ -139,7 +139,7 @@
         return readers.statements.skipRest(StatementKind.DDL);
     }
 
-    /** The table of a DELETE or UPDATE, and its condition. */
+    /** Parses the table and the condition of a DELETE or UPDATE. */
     StatementKind changeByCondition() {
         analysis.writes.add(readers.tables.tableName());
         while (tokens.peek() != null && !cursor.at(SqlLexer.SEMICOLON)) {
--- a/sql/src/main/java/ashlink/sql/ExpressionReader.java
+++ b/sql/src/main/java/ashlink/sql/ExpressionReader.java
@@ -3,9 +3,10 @@
 import ashlink.sql.grammar.SqlLexer;
 
 /**
- * Reads expressions, lists of them and brackets, just so far that every token is known for an
- * operand or an operator, and every subquery is found. An expression ends, where an operand is
- * complete, at a word that starts another clause, or at a bracket or comma that is not its own.
+ * Parses expressions, expression lists and parentheses, only in the detail that is needed to tell
+ * operands from operators and to find every subquery. After a complete operand, an expression ends
+ * at a keyword that starts another clause, or at a closing parenthesis or comma that belongs to an
+ * enclosing expression.
  */
 final class ExpressionReader {
 
@@ -19,7 +20,7 @@
         this.tokens = readers.tokens;
     }
 
-    /** Expressions with commas between them; a trailing comma before FROM is allowed. */
+    /** Parses a comma-separated list of expressions; a trailing comma before FROM is allowed. */
     void list(Scope scope) {
         expression(scope);
         while (cursor.at(SqlLexer.COMMA)) {
@@ -31,7 +32,10 @@
         }
     }
 
-    /** A list after an opening bracket, which may be empty, and the closing bracket. */
+    /**
+     * Parses the list after an opening bracket, which may be empty, and the closing bracket of the
+     * given token type.
+     */
     void bracketed(int close, Scope scope) {
         cursor.enter();
         if (!cursor.at(close)) {
@@ -42,8 +46,8 @@
     }
 
     /**
-     * A bracket that was opened: a query, or a list; where another bracket follows it may yet be
-     * either.
+     * Parses the content after an opening parenthesis, a query or a list, and the closing
+     * parenthesis. If another parenthesis opens first, the content may be either a query or a list.
      */
     void parenthesis(Scope scope) {
         if (readers.queries.startsQuery()) {
@@ -61,12 +65,12 @@
         }
     }
 
-    /** One expression. */
+    /** Parses one expression. */
     void expression(Scope scope) {
         cursor.enter();
         readers.operands.operand(scope);
         while (readers.operators.tryOperator(scope)) {
-            // as far as operators lead
+            // consumes operators while there are any
         }
         cursor.exit();
     }
--- a/sql/src/main/java/ashlink/sql/InsertReader.java
+++ b/sql/src/main/java/ashlink/sql/InsertReader.java
@@ -2,7 +2,7 @@
 
 import ashlink.sql.grammar.SqlLexer;
 
-/** Reads INSERT statements up to their data. */
+/** Parses INSERT statements up to the inserted data. */
 final class InsertReader {
 
     private final Readers readers;
@@ -17,7 +17,7 @@
         this.analysis = readers.analysis;
     }
 
-    /** An INSERT; the scope has the queries that a WITH before it has named. */
+    /** Parses an INSERT; the scope holds the query names that a preceding WITH defined. */
     StatementKind insert(Scope scope) {
         cursor.takeKeyword();
         cursor.expectKeyword("INTO");
@@ -64,7 +64,7 @@
         return true;
     }
 
-    /** Where the rows come from: a format, values, a file or a query. */
+    /** Parses the source of the rows: a format, values, a file or a query. */
     private StatementKind source(Scope scope, boolean fromFile) {
         if (cursor.tryKeyword("FORMAT")) {
             cursor.expectName("a format");
@@ -82,7 +82,7 @@
             return StatementKind.LOAD;
         }
         if (tokens.peek() == null) {
-            // The native protocol sends the rows without a word for them.
+            // In the native protocol the rows follow without a VALUES or FORMAT keyword.
             analysis.takesData = true;
             return StatementKind.LOAD;
         }
--- a/sql/src/main/java/ashlink/sql/NormalizedSql.java
+++ b/sql/src/main/java/ashlink/sql/NormalizedSql.java
@@ -9,8 +9,8 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * The normalized text of a statement, from which its fingerprint is computed: one blank between
- * tokens, keywords in capitals, {@code ?} for each literal.
+ * Builds the normalized text of a statement, from which the fingerprint is computed: one space
+ * between tokens, keywords in upper case, {@code ?} in place of each literal.
  */
 final class NormalizedSql {
 
@@ -38,7 +38,7 @@
         };
     }
 
-    /** A name as it would be written: in quotes only where it must be. */
+    /** Returns a name in backticks if the name requires quoting, otherwise unquoted. */
     private static String name(String plain) {
         String upper = plain.toUpperCase(Locale.ROOT);
         boolean word = Vocabulary.CLAUSES.contains(upper) || Vocabulary.LITERALS.contains(upper);
@@ -48,8 +48,8 @@
     }
 
     /**
-     * The tokens of a text that was not understood, without its literals, up to the first invalid
-     * one.
+     * Returns the tokens of an unsupported text with {@code ?} in place of literals, up to the
+     * first invalid token.
      */
     static String rough(String text, int maxTokens) {
         StringBuilder rough = new StringBuilder();
@@ -68,7 +68,9 @@
         return rough.toString().strip();
     }
 
-    /** 128 bits in hex: MurmurHash3 of the text's UTF-8 bytes, seed 0. */
+    /**
+     * Returns the 128-bit MurmurHash3 of the UTF-8 bytes of the text with seed 0, in hexadecimal.
+     */
     static String fingerprint(String normal) {
         long[] hash = MurmurHash3.hash128x64(normal.getBytes(StandardCharsets.UTF_8));
         HexFormat hex = HexFormat.of();
--- a/sql/src/main/java/ashlink/sql/OperandReader.java
+++ b/sql/src/main/java/ashlink/sql/OperandReader.java
@@ -3,7 +3,7 @@
 import ashlink.sql.Token.Role;
 import ashlink.sql.grammar.SqlLexer;
 
-/** Reads operands: literals, signs, brackets, names, intervals and CASE. */
+/** Parses operands: literals, signs, parentheses, arrays, maps, names, intervals and CASE. */
 final class OperandReader {
 
     private final Readers readers;
@@ -16,7 +16,7 @@
         this.tokens = readers.tokens;
     }
 
-    /** One operand, without the operators that follow it. */
+    /** Parses one operand without the operators that follow. */
     void operand(Scope scope) {
         if (tokens.peek() == null) {
             throw cursor.unexpected("an operand");
@@ -47,7 +47,7 @@
         }
     }
 
-    /** A sign before a number is part of the literal. */
+    /** Parses a signed operand; a sign before a number is part of the literal. */
     private void signed(Scope scope) {
         Token sign = tokens.take();
         if (cursor.at(SqlLexer.NUMBER)) {
@@ -56,7 +56,7 @@
         operand(scope);
     }
 
-    /** A parameter {@code {name:Type}}, or a map of literals. */
+    /** Parses a parameter {@code {name:Type}}, or a map. */
     private void braces(Scope scope) {
         tokens.take();
         Token second = tokens.peek(1);
@@ -138,7 +138,7 @@
         boolean text = cursor.at(SqlLexer.STRING) || cursor.at(SqlLexer.QUESTION);
         operand(scope);
         while (!atUnit() && readers.operators.tryOperator(scope)) {
-            // the amount may be an expression
+            // the amount of the interval may be an expression
         }
         if (atUnit()) {
             cursor.takeKeyword();
--- a/sql/src/main/java/ashlink/sql/OperatorReader.java
+++ b/sql/src/main/java/ashlink/sql/OperatorReader.java
@@ -4,7 +4,7 @@
 import ashlink.sql.grammar.SqlLexer;
 import java.util.List;
 
-/** Reads what may follow an operand: operators, parts of a name, aliases, modifiers of columns. */
+/** Parses what may follow an operand: operators, name parts, aliases and column modifiers. */
 final class OperatorReader {
 
     private final Readers readers;
@@ -18,9 +18,9 @@
     }
 
     /**
-     * Reads on where an operator, a part of a name, an alias or the like follows.
+     * Parses an operator, a name part, an alias or a column modifier if one follows.
      *
-     * @return false, with nothing taken, if the expression ends here
+     * @return false, with no token consumed, if the expression ends here
      */
     boolean tryOperator(Scope scope) {
         if (tokens.peek() == null) {
@@ -68,7 +68,7 @@
         return true;
     }
 
-    /** {@code condition ? value : other}. */
+    /** Parses {@code ? value : other} after a condition. */
     private void conditional(Scope scope) {
         tokens.take();
         readers.expressions.expression(scope);
@@ -76,7 +76,7 @@
         readers.expressions.expression(scope);
     }
 
-    /** An element of a tuple, {@code .1}, which the lexer takes for a number. */
+    /** Parses a tuple element such as {@code .1}, which the lexer recognizes as a number. */
     private boolean tryTupleElement(Token token) {
         if (token.text.charAt(0) != '.') {
             return false;
@@ -85,7 +85,7 @@
         return true;
     }
 
-    /** An alias without AS, where an operand is complete. */
+    /** Parses an alias without AS if the previous operand is complete. */
     private boolean tryAlias() {
         if (!endsOperand(tokens.last())) {
             return false;
@@ -150,7 +150,7 @@
         cursor.takeKeyword();
         readers.operands.operand(scope);
         while (!cursor.atKeyword("AND") && tryOperator(scope)) {
-            // up to its own AND
+            // continues to the AND keyword of this BETWEEN
         }
         cursor.expectKeyword("AND");
         readers.operands.operand(scope);
@@ -187,8 +187,8 @@
     }
 
     /**
-     * {@code * EXCEPT (...)}, {@code REPLACE (...)}, {@code APPLY (...)}; a query after EXCEPT is
-     * another query.
+     * Parses a column modifier: {@code * EXCEPT (...)}, {@code REPLACE (...)}, {@code APPLY (...)}.
+     * EXCEPT before a query is the set operation and no column modifier.
      */
     private boolean tryColumnModifier(Scope scope, Token next) {
         if (next == null
@@ -214,7 +214,7 @@
         return true;
     }
 
-    /** IN and what follows it: a list, a query, or a table's name. */
+    /** Parses IN and the right-hand side: a list, a query or a table name. */
     private void in(Scope scope) {
         cursor.takeKeyword();
         Token next = tokens.peek();
@@ -233,8 +233,9 @@
     }
 
     /**
-     * Makes lists of literals of any length the same: of the tokens since {@code from}, all but the
-     * first literal are dropped. A list with anything else in it stays.
+     * Normalizes lists of literals to the same text for any length: drops all tokens since position
+     * {@code from} except the parentheses and the first literal. A list with any other token is
+     * unchanged.
      */
     private void collapseLiterals(int from) {
         List<Token> list = tokens.taken().subList(from, tokens.position());
--- a/sql/src/main/java/ashlink/sql/QueryReader.java
+++ b/sql/src/main/java/ashlink/sql/QueryReader.java
@@ -2,7 +2,7 @@
 
 import ashlink.sql.grammar.SqlLexer;
 
-/** Reads queries: WITH, SELECT, and those joined by UNION, EXCEPT or INTERSECT. */
+/** Parses queries: WITH, SELECT, and queries combined by UNION, EXCEPT or INTERSECT. */
 final class QueryReader {
 
     private final Readers readers;
@@ -15,7 +15,7 @@
         this.tokens = readers.tokens;
     }
 
-    /** True where a query starts, after any number of brackets. */
+    /** Returns true if a query starts here, after any number of opening parentheses. */
     boolean startsQuery() {
         int ahead = 0;
         while (tokens.peek(ahead) != null && tokens.peek(ahead).type == SqlLexer.OPEN) {
@@ -34,14 +34,19 @@
                 && !(token.is("SELECT") && next != null && next.type == SqlLexer.DOT);
     }
 
-    /** Queries joined by UNION, EXCEPT or INTERSECT, and what may follow all of them. */
+    /**
+     * Parses queries combined by UNION, EXCEPT or INTERSECT, and the clauses after the last query.
+     */
     void query(Scope outer) {
         Scope scope = new Scope(outer);
         singleQuery(scope);
         afterFirstQuery(scope);
     }
 
-    /** What may follow the first query of several, or of one in brackets. */
+    /**
+     * Parses what may follow the first query: further queries of a set operation, and the clauses
+     * after a query in parentheses.
+     */
     void afterFirstQuery(Scope scope) {
         while (cursor.atKeyword("UNION")
                 || cursor.atKeyword("EXCEPT")
@@ -53,7 +58,7 @@
             singleQuery(scope);
         }
         while (readers.clauses.tryClause(scope)) {
-            // of a query in brackets
+            // clauses after a query in parentheses
         }
         readers.clauses.outputOptions();
     }
@@ -74,7 +79,9 @@
         select(scope);
     }
 
-    /** A WITH clause. The names of its queries hide tables of the same names from here on. */
+    /**
+     * Parses a WITH clause. The names of the queries hide tables of the same names from here on.
+     */
     void with(Scope scope) {
         cursor.expectKeyword("WITH");
         Token next = tokens.peek(1);
@@ -96,12 +103,15 @@
             if (isQuery) {
                 namedQuery(scope, recursive);
             } else {
-                readers.expressions.expression(scope); // with its alias
+                readers.expressions.expression(scope); // the expression includes the alias
             }
         } while (cursor.at(SqlLexer.COMMA));
     }
 
-    /** {@code name (a, b) AS (}: columns of a named query, no call. */
+    /**
+     * Returns true at {@code name (a, b) AS (}: the parentheses hold column names of a named query
+     * and no arguments of a call.
+     */
     private boolean hasColumnsThenAs() {
         int ahead = 2;
         while (tokens.peek(ahead) != null
@@ -129,7 +139,7 @@
         cursor.expectKeyword("AS");
         tokens.take();
         if (!startsQuery()) {
-            // An expression in brackets, as in name AS (1 + 2), names no query.
+            // An expression in parentheses, as in name AS (1 + 2), is not a named query.
             throw cursor.unexpected("a query");
         }
         Scope inner = new Scope(scope);
@@ -143,7 +153,7 @@
         scope.add(name);
     }
 
-    /** Names of columns after an opening bracket, up to its end. */
+    /** Parses column names after an opening parenthesis, and the closing parenthesis. */
     void columnNames() {
         while (!cursor.at(SqlLexer.CLOSE)) {
             cursor.expectName("a column");
@@ -177,7 +187,7 @@
             readers.tables.from(scope);
         }
         while (readers.clauses.tryClause(scope)) {
-            // in any order
+            // clauses are accepted in any order
         }
     }
 }
--- a/sql/src/main/java/ashlink/sql/Readers.java
+++ b/sql/src/main/java/ashlink/sql/Readers.java
@@ -1,10 +1,10 @@
 package ashlink.sql;
 
 /**
- * The readers of one text by recursive descent, which call each other, with the state that they
- * share: the tokens, the nesting and the analysis. For one thread.
+ * Holds the readers that parse one text by recursive descent and call each other, and the state
+ * that the readers share: the tokens, the nesting depth and the analysis. Not thread-safe.
  *
- * <p>All readers throw {@link UnsupportedSyntaxException} where a text is not understood.
+ * <p>All readers throw {@link UnsupportedSyntaxException} at unsupported syntax.
  */
 final class Readers {
 
@@ -12,7 +12,7 @@
     final TokenCursor cursor;
     final AnalysisBuilder analysis;
 
-    /** The connection's database, empty if there is none. */
+    /** Database of the connection; empty if there is none. */
     final String database;
 
     final ExpressionReader expressions;
--- a/sql/src/main/java/ashlink/sql/Scope.java
+++ b/sql/src/main/java/ashlink/sql/Scope.java
@@ -3,7 +3,9 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Names of queries given by WITH, as visible from one query; inner ones hide outer ones. */
+/**
+ * Names of the queries defined by WITH that are visible from one query; includes the outer scopes.
+ */
 final class Scope {
 
     private final Scope outer;
--- a/sql/src/main/java/ashlink/sql/StatementAnalysis.java
+++ b/sql/src/main/java/ashlink/sql/StatementAnalysis.java
@@ -4,22 +4,25 @@
 import java.util.SortedSet;
 
 /**
- * The analysis of a text of one statement or several.
+ * Result of the analysis of a text with one or more statements.
  *
- * @param reads tables that it reads, as {@code database.table}, or {@code table} if the database is
- *     unknown
- * @param writes tables that it writes, creates or drops
- * @param allTables false if it may touch other tables, by a pattern or through another server
- * @param harmless true only if running it again changes nothing: a read that was understood to its
- *     end
- * @param unstable true if its result may differ each time: functions of time or randomness
- * @param takesData true if its rows come from the client after it
- * @param settings that it sets, by name
- * @param fingerprint 128 bits in hex, the same for statements that differ in literal values only;
- *     of an unknown statement that of its tokens
+ * @param reads tables that the text reads, as {@code database.table}, or {@code table} if the
+ *     database is unknown
+ * @param writes tables that the text writes, creates or drops
+ * @param allTables true if {@code reads} and {@code writes} are complete; false if the text may
+ *     access other tables, by a pattern or through another server
+ * @param harmless true only if repeating the statement changes nothing: a read that was parsed to
+ *     the end
+ * @param unstable true if the result may differ at each execution, because of functions of time or
+ *     randomness
+ * @param takesData true if the client sends the rows after the statement
+ * @param settings values of the settings that the text sets, by name
+ * @param fingerprint 128 bits in hexadecimal, the same for statements that differ only in literal
+ *     values; for an unknown statement it is computed from the tokens
  * @param normalizedSql the normalized text, from which the fingerprint is computed
- * @param reason why it is unknown, or why it is not harmless though it reads; empty otherwise
- * @param offset index of the character at which reading ended, -1 if it was understood
+ * @param reason why the statement is unknown, or why repeating a read is not safe; empty otherwise
+ * @param offset index of the character at which parsing stopped, -1 if the text was parsed to the
+ *     end
  */
 public record StatementAnalysis(
         StatementKind kind,
--- a/sql/src/main/java/ashlink/sql/StatementKind.java
+++ b/sql/src/main/java/ashlink/sql/StatementKind.java
@@ -2,22 +2,22 @@
 
 /** The kind of a statement. */
 public enum StatementKind {
-    /** Only reads. */
+    /** Reads without writing. */
     READ,
-    /** Changes rows by a statement of its own: from a query, or by condition. */
+    /** Changes rows on the server alone: inserts from a query, or changes by condition. */
     WRITE,
-    /** An insert whose rows come with it or after it. */
+    /** An insert whose rows are sent with the statement or after it. */
     LOAD,
-    /** Changes what tables there are or how they are made. */
+    /** Creates, drops or alters tables or other schema objects. */
     DDL,
-    /** Changes the session: its settings, its database. */
+    /** Changes the settings or the database of the session. */
     SESSION,
     /** Begins or ends a transaction. */
     TRANSACTION,
-    /** Server, rights, background work. */
+    /** Manages the server, access rights or background operations. */
     ADMINISTRATION,
     /** Several statements in one text. */
     SEVERAL,
-    /** Not understood. */
+    /** The syntax is not supported. */
     UNKNOWN
 }
--- a/sql/src/main/java/ashlink/sql/StatementParser.java
+++ b/sql/src/main/java/ashlink/sql/StatementParser.java
@@ -4,7 +4,7 @@
 import ashlink.sql.grammar.SqlLexer;
 import java.util.Set;
 
-/** Reads a text of one statement or several, and finds its kind. */
+/** Parses a text of one or more statements and determines the kind. */
 final class StatementParser {
 
     private final Readers readers;
@@ -19,7 +19,7 @@
         this.analysis = readers.analysis;
     }
 
-    /** Reads to the end of the text: one statement, or several. */
+    /** Parses one or more statements to the end of the text. */
     StatementKind text() {
         StatementKind first = null;
         int statements = 0;
@@ -38,7 +38,7 @@
             statements++;
             first = first == null ? kind : first;
             if (analysis.takesData) {
-                break; // the rest is data
+                break; // the rest of the text is inserted data
             }
             if (tokens.peek() != null && !cursor.at(SqlLexer.SEMICOLON)) {
                 throw cursor.unexpected("the end of the statement");
@@ -101,7 +101,7 @@
         return StatementKind.SESSION;
     }
 
-    /** A query; named queries may also come before an INSERT. */
+    /** Parses a query, or an INSERT after a WITH clause. */
     private StatementKind query() {
         if (cursor.atKeyword("WITH")) {
             Scope scope = new Scope(null);
@@ -199,7 +199,7 @@
         return StatementKind.TRANSACTION;
     }
 
-    /** As {@link #skipRest}, but the rest must not be empty. */
+    /** Skips the rest of a statement as {@link #skipRest} does, but requires at least one token. */
     StatementKind requireRest(StatementKind kind) {
         if (tokens.peek() == null || tokens.peek(1) == null && tokens.position() == 0) {
             throw cursor.unexpected("the rest of the statement");
@@ -207,7 +207,7 @@
         return skipRest(kind);
     }
 
-    /** Skips the rest of a statement whose kind is known already; its brackets must match. */
+    /** Skips the rest of a statement whose kind is already known; requires balanced brackets. */
     StatementKind skipRest(StatementKind kind) {
         int open = 0;
         while (tokens.peek() != null && (open > 0 || !cursor.at(SqlLexer.SEMICOLON))) {
--- a/sql/src/main/java/ashlink/sql/StatementReader.java
+++ b/sql/src/main/java/ashlink/sql/StatementReader.java
@@ -4,35 +4,38 @@
 import java.util.Map;
 
 /**
- * Reads texts of statements. A reader is stateless and safe for many threads; time and memory grow
- * with the length of the text up to its limits, past which the text is unknown. Data that follows
- * an INSERT is not looked at.
+ * Analyzes SQL texts. A reader is stateless and thread-safe. Time and memory grow with the length
+ * of the text up to the token limit; a text beyond the limit is unknown. Data that follows an
+ * INSERT is not scanned.
  */
 public final class StatementReader {
 
-    /** Default limit on the tokens of one text: enough for a list of half a million values. */
+    /**
+     * Default limit on the number of tokens in one text: enough for a list of half a million
+     * values.
+     */
     public static final int MAX_TOKENS = 1_000_000;
 
-    /** The offset of a statement that was understood to its end. */
+    /** Offset in the analysis of a text that was parsed to the end. */
     private static final int UNDERSTOOD = -1;
 
     private final int maxTokens;
 
-    /** A reader with the default limit. */
+    /** Creates a reader with the default limit. */
     public StatementReader() {
         this(MAX_TOKENS);
     }
 
-    /** A reader that takes texts of at most that many tokens. */
+    /** Creates a reader for texts of at most the given number of tokens. */
     public StatementReader(int maxTokens) {
         this.maxTokens = maxTokens;
     }
 
     /**
-     * Reads a text. A text that is not understood gives an analysis of kind {@code UNKNOWN}, never
+     * Analyzes a text. Unsupported syntax results in an analysis of kind {@code UNKNOWN}, never in
      * an exception.
      *
-     * @param database the connection's, empty if there is none
+     * @param database database of the connection; empty if there is none
      */
     public StatementAnalysis read(String text, String database) {
         Tokens tokens = new Tokens(text, maxTokens);
@@ -43,8 +46,9 @@
         } catch (UnsupportedSyntaxException e) {
             return unknown(text, e.getMessage(), e.at());
         } catch (StackOverflowError e) {
-            // The limit on nesting is for the whole stack of a thread. How much of it the caller
-            // has used, and how large frames are before they are compiled, is not known here.
+            // The nesting limit assumes that the whole thread stack is available. How much of the
+            // stack the caller has used, and the frame size before JIT compilation, are unknown
+            // here.
             String reason = "brackets or operators too deep within each other for this thread";
             return unknown(text, reason, tokens.offset());
         }
--- a/sql/src/main/java/ashlink/sql/TableReader.java
+++ b/sql/src/main/java/ashlink/sql/TableReader.java
@@ -3,7 +3,7 @@
 import ashlink.sql.grammar.SqlLexer;
 import java.util.Locale;
 
-/** Reads the tables, queries and table functions after FROM and JOIN. */
+/** Parses the tables, queries and table functions after FROM and JOIN. */
 final class TableReader {
 
     private final Readers readers;
@@ -18,7 +18,7 @@
         this.analysis = readers.analysis;
     }
 
-    /** The sources after FROM: tables, queries and calls, joined. */
+    /** Parses the sources after FROM: tables, queries and table functions, and joins of these. */
     void from(Scope scope) {
         source(scope);
         while (true) {
@@ -125,7 +125,9 @@
         }
     }
 
-    /** A table that is read, unless its name stands for a query. */
+    /**
+     * Parses a table name and records a read, unless the name refers to a query of a WITH clause.
+     */
     void table(Scope scope) {
         int from = tokens.position();
         String name = tableName();
@@ -136,9 +138,7 @@
         analysis.reads.add(name);
     }
 
-    /**
-     * Takes {@code [database.]table}; a parameter in its place, or three parts, is not understood.
-     */
+    /** Parses {@code [database.]table}; a parameter or a name of three parts is not supported. */
     String tableName() {
         if (cursor.at(SqlLexer.OPEN_CURLY)) {
             throw new UnsupportedSyntaxException(
@@ -164,7 +164,7 @@
         return part.indexOf('.') >= 0 ? "`" + part + "`" : part;
     }
 
-    /** A call in place of a table. */
+    /** Parses a table function. */
     void function(Scope scope) {
         String name = cursor.expectName("a table function");
         String lower = name.toLowerCase(Locale.ROOT);
--- a/sql/src/main/java/ashlink/sql/TextChars.java
+++ b/sql/src/main/java/ashlink/sql/TextChars.java
@@ -4,7 +4,10 @@
 import org.antlr.v4.runtime.IntStream;
 import org.antlr.v4.runtime.misc.Interval;
 
-/** The characters of a text for the lexer, without a copy: most of a large insert is never read. */
+/**
+ * Provides the characters of a text to the lexer without copying the text, because most of a large
+ * insert is never scanned.
+ */
 final class TextChars implements CharStream {
 
     private final String text;
--- a/sql/src/main/java/ashlink/sql/Token.java
+++ b/sql/src/main/java/ashlink/sql/Token.java
@@ -3,12 +3,12 @@
 import ashlink.sql.grammar.SqlLexer;
 import java.util.Locale;
 
-/** A token and the role that the reader found for it. */
+/** A token of a statement and the role that the readers assign to the token. */
 final class Token {
 
     /**
-     * What a token is to the statement. The normalized text has names unchanged, keywords in
-     * capitals, and a mark in place of literals.
+     * Role of a token in the statement. The normalized text has names unchanged, keywords in upper
+     * case, and a placeholder in place of each literal.
      */
     enum Role {
         SYMBOL,
@@ -34,7 +34,7 @@
         this.upper = word ? text.toUpperCase(Locale.ROOT) : "";
     }
 
-    /** The word in capitals; empty for a token that is not a word. */
+    /** Returns the word in upper case; empty for a token that is not a word. */
     String upper() {
         return upper;
     }
@@ -43,7 +43,7 @@
         return upper.equals(keyword);
     }
 
-    /** True for a word and for a quoted name; false for null. */
+    /** Returns true for a word and for a quoted name; false for null. */
     static boolean isName(Token token) {
         return token != null
                 && (token.type == SqlLexer.WORD
@@ -51,7 +51,7 @@
                         || token.type == SqlLexer.QUOTED);
     }
 
-    /** A name without its quotes and escapes. */
+    /** Returns a name without quotes and escapes. */
     static String unquoted(Token token) {
         if (token.type == SqlLexer.WORD) {
             return token.text;
--- a/sql/src/main/java/ashlink/sql/TokenCursor.java
+++ b/sql/src/main/java/ashlink/sql/TokenCursor.java
@@ -3,10 +3,13 @@
 import ashlink.sql.Token.Role;
 import ashlink.sql.grammar.SqlLexer;
 
-/** Steps over the tokens of one text that all readers share, and their limit on nesting. */
+/** Matches and consumes tokens of one text for all readers, and limits the nesting depth. */
 final class TokenCursor {
 
-    /** Nested steps, some three a bracket; half the stack of a client's thread takes more. */
+    /**
+     * Limit on nested parsing steps, about three for each pair of brackets. Half the stack of a
+     * client thread is enough for more steps than this.
+     */
     private static final int MAX_DEPTH = 240;
 
     private final Tokens tokens;
@@ -16,32 +19,32 @@
         this.tokens = tokens;
     }
 
-    /** True if the next token has that type of {@link SqlLexer}. */
+    /** Returns true if the next token has the given type of {@link SqlLexer}. */
     boolean at(int type) {
         Token token = tokens.peek();
         return token != null && token.type == type;
     }
 
-    /** True if the next token is that word, in any case. */
+    /** Returns true if the next token is the given word, ignoring case. */
     boolean atKeyword(String word) {
         Token token = tokens.peek();
         return token != null && token.is(word);
     }
 
-    /** True if the next two tokens are those words. */
+    /** Returns true if the next two tokens are the given words. */
     boolean atKeywords(String first, String second) {
         Token token = tokens.peek(1);
         return atKeyword(first) && token != null && token.is(second);
     }
 
-    /** Takes the next token as a keyword. */
+    /** Consumes the next token as a keyword. */
     Token takeKeyword() {
         Token token = tokens.take();
         token.role = Role.KEYWORD;
         return token;
     }
 
-    /** Takes the next token if it is that keyword. */
+    /** Consumes the next token if it is the given keyword. */
     boolean tryKeyword(String word) {
         if (atKeyword(word)) {
             takeKeyword();
@@ -50,14 +53,14 @@
         return false;
     }
 
-    /** Takes that keyword. */
+    /** Consumes the given keyword. */
     void expectKeyword(String word) {
         if (!tryKeyword(word)) {
             throw unexpected(word);
         }
     }
 
-    /** Takes a token of that type. */
+    /** Consumes a token of the given type. */
     void expect(int type, String what) {
         if (!at(type)) {
             throw unexpected(what);
@@ -65,14 +68,17 @@
         tokens.take();
     }
 
-    /** The exception for a next token that is not the expected one. */
+    /** Returns the exception for a next token that is not the expected token. */
     UnsupportedSyntaxException unexpected(String expected) {
         Token token = tokens.peek();
         return new UnsupportedSyntaxException(
                 describe(token) + " where " + expected + " was expected", tokens.offset());
     }
 
-    /** Reasons are logged, so no name or value of a statement may be in one. */
+    /**
+     * Describes a token in a reason. Reasons are logged and must not contain names or values of a
+     * statement, so literals and words are described without their text.
+     */
     private static String describe(Token token) {
         if (token == null) {
             return "the end";
@@ -83,7 +89,10 @@
         return token.type == SqlLexer.WORD ? "a word" : "'" + token.text + "'";
     }
 
-    /** Begins a nested step; an exception ends all, so only completed steps are exited. */
+    /**
+     * Begins a nested step. {@link #exit} is not called after an exception, because an exception
+     * ends the parsing of the whole text.
+     */
     void enter() {
         if (++depth > MAX_DEPTH) {
             throw new UnsupportedSyntaxException(
@@ -96,7 +105,7 @@
         depth--;
     }
 
-    /** Takes a number, or the mark that stands for one. */
+    /** Consumes a number, or the placeholder of a number. */
     void expectNumber(String what) {
         if (!at(SqlLexer.NUMBER) && !at(SqlLexer.QUESTION)) {
             throw unexpected(what);
@@ -104,7 +113,7 @@
         tokens.take().role = Role.LITERAL;
     }
 
-    /** Takes a quoted text, or the mark that stands for one. */
+    /** Consumes a string literal, or the placeholder of a string literal. */
     void expectLiteral(String what) {
         if (!at(SqlLexer.STRING) && !at(SqlLexer.QUESTION)) {
             throw unexpected(what);
@@ -112,7 +121,7 @@
         tokens.take().role = Role.LITERAL;
     }
 
-    /** Takes a name, quoted or not, and returns it without quotes. */
+    /** Consumes a name, quoted or not, and returns the name without quotes. */
     String expectName(String what) {
         Token token = tokens.peek();
         if (!Token.isName(token)) {
@@ -123,7 +132,7 @@
         return Token.unquoted(token);
     }
 
-    /** True within at least one bracket or operand. */
+    /** Returns true within at least one pair of brackets or one operand. */
     boolean isNested() {
         return depth > 1;
     }
--- a/sql/src/main/java/ashlink/sql/Tokens.java
+++ b/sql/src/main/java/ashlink/sql/Tokens.java
@@ -6,7 +6,8 @@
 import org.antlr.v4.runtime.Token;
 
 /**
- * The tokens of a text without its comments, made lazily: data after an INSERT is never scanned.
+ * The tokens of a text without comments, scanned lazily so that data after an INSERT is never
+ * scanned.
  */
 final class Tokens {
 
@@ -29,7 +30,7 @@
         lexer.removeErrorListeners();
     }
 
-    /** The token that many places ahead, 0 for the next one; null past the end. */
+    /** Returns the token at the given distance ahead, 0 for the next token; null past the end. */
     ashlink.sql.Token peek(int ahead) {
         while (!ended && made.size() <= next + ahead) {
             make();
@@ -41,7 +42,7 @@
         return peek(0);
     }
 
-    /** Takes the next token. */
+    /** Consumes the next token. */
     ashlink.sql.Token take() {
         ashlink.sql.Token token = peek(0);
         if (token == null) {
@@ -51,22 +52,22 @@
         return token;
     }
 
-    /** The token taken last, or null. */
+    /** Returns the token consumed last, or null. */
     ashlink.sql.Token last() {
         return next == 0 ? null : made.get(next - 1);
     }
 
-    /** All tokens made so far that were taken. */
+    /** Returns all tokens consumed so far. */
     List<ashlink.sql.Token> taken() {
         return made.subList(0, next);
     }
 
-    /** Number of tokens taken so far. */
+    /** Returns the number of tokens consumed so far. */
     int position() {
         return next;
     }
 
-    /** Character at which the next token starts. */
+    /** Returns the index of the character at which the next token starts. */
     int offset() {
         ashlink.sql.Token token = peek(0);
         return token == null ? text.length() : token.from;
@@ -106,7 +107,10 @@
                         type, text.substring(from, to), from, to, type == SqlLexer.WORD));
     }
 
-    /** Versions differ on whether a comment ends at the first or at the matching end. */
+    /**
+     * Rejects nested comments: versions of the engine differ on whether a comment ends at the first
+     * or at the matching end.
+     */
     private void checkNoInnerComment(int from, int to) {
         int inner = text.indexOf("/*", from + 2);
         if (inner >= 0 && inner + 1 < to) {
@@ -114,7 +118,10 @@
         }
     }
 
-    /** The end of a heredoc whose opening tag is at that place. */
+    /**
+     * Returns the index after the closing tag of the heredoc whose opening tag is at the given
+     * place.
+     */
     private int heredocEnd(int from, int tagEnd) {
         String tag = text.substring(from, tagEnd);
         int close = text.indexOf(tag, tagEnd);
--- a/sql/src/main/java/ashlink/sql/TypeReader.java
+++ b/sql/src/main/java/ashlink/sql/TypeReader.java
@@ -3,7 +3,7 @@
 import ashlink.sql.Token.Role;
 import ashlink.sql.grammar.SqlLexer;
 
-/** Reads the types of casts and parameters. */
+/** Parses the types of casts and parameters. */
 final class TypeReader {
 
     private final TokenCursor cursor;
@@ -14,7 +14,7 @@
         this.tokens = readers.tokens;
     }
 
-    /** Reads a type with its arguments. */
+    /** Parses a type with its arguments. */
     void type() {
         cursor.enter();
         cursor.expectName("a type");
@@ -28,7 +28,7 @@
                                 || token.type == SqlLexer.OPERATOR
                                 || token.type == SqlLexer.COMMA
                                 || token.type == SqlLexer.MINUS)) {
-                    // The numbers of a type are part of it, no literals of the statement.
+                    // Numbers and strings within a type belong to the type and are not literals.
                     tokens.take().role = Role.SYMBOL;
                 } else {
                     type();
@@ -39,7 +39,7 @@
                 && !Vocabulary.CLAUSES.contains(tokens.peek().upper())
                 && cursor.isNested()
                 && !cursor.at(SqlLexer.CLOSE)) {
-            // The first word was the name of an element.
+            // The first word was the name of a tuple element.
             type();
         }
         cursor.exit();
--- a/sql/src/main/java/ashlink/sql/UnsupportedSyntaxException.java
+++ b/sql/src/main/java/ashlink/sql/UnsupportedSyntaxException.java
@@ -1,8 +1,8 @@
 package ashlink.sql;
 
 /**
- * A statement is not understood from an offset on. It ends the reading of a text and never leaves
- * {@link StatementReader}, so it has no stack trace.
+ * Thrown at syntax that the readers do not support. The exception ends the parsing of a text and
+ * never leaves {@link StatementReader}, so it has no stack trace.
  */
 final class UnsupportedSyntaxException extends RuntimeException {
 
--- a/sql/src/main/java/ashlink/sql/Vocabulary.java
+++ b/sql/src/main/java/ashlink/sql/Vocabulary.java
@@ -2,11 +2,14 @@
 
 import java.util.Set;
 
-/** Sets of words with a meaning for the readers, by the public documentation. */
+/**
+ * Sets of keywords and function names that the readers know, following the public documentation.
+ */
 final class Vocabulary {
 
     /**
-     * Words that end an expression where an operand is complete: what may follow one in a query.
+     * Keywords that may follow an expression in a query, and so end an expression after a complete
+     * operand.
      */
     static final Set<String> CLAUSES =
             Set.of(
@@ -96,16 +99,16 @@
                     "SET",
                     "FOR");
 
-    /** Words of joins before the word JOIN. */
+    /** Keywords that may precede JOIN. */
     static final Set<String> JOINS =
             Set.of(
                     "GLOBAL", "LOCAL", "ANY", "ALL", "ASOF", "SEMI", "ANTI", "INNER", "LEFT",
                     "RIGHT", "FULL", "OUTER", "CROSS", "PASTE");
 
-    /** Literals that are words. */
+    /** Literals that are keywords. */
     static final Set<String> LITERALS = Set.of("NULL", "TRUE", "FALSE", "INF", "INFINITY", "NAN");
 
-    /** Units of intervals. */
+    /** Interval units. */
     static final Set<String> UNITS =
             Set.of(
                     "NANOSECOND",
@@ -131,7 +134,7 @@
                     "QUARTERS",
                     "YEARS");
 
-    /** Table functions that generate rows, or read tables of this server. */
+    /** Table functions that generate rows or read tables of the local server. */
     static final Set<String> HARMLESS_TABLES =
             Set.of(
                     "numbers",
@@ -149,7 +152,9 @@
                     "view",
                     "viewifpermitted");
 
-    /** Table functions that read from other servers or files; what that does there is unknown. */
+    /**
+     * Table functions that access other servers or files, where the effect of a read is unknown.
+     */
     static final Set<String> OUTSIDE_TABLES =
             Set.of(
                     "remote",
@@ -180,11 +185,11 @@
                     "hudi",
                     "input");
 
-    /** Table functions whose tables a pattern names. */
+    /** Table functions that select tables by a pattern. */
     static final Set<String> PATTERN_TABLES =
             Set.of("merge", "mergetreeindex", "mergetreeprojection");
 
-    /** Functions that differ at each call, or from server to server. */
+    /** Functions whose result may differ at each call or between servers. */
     static final Set<String> UNSTABLE =
             Set.of(
                     "now",
--- a/sql/src/main/java/ashlink/sql/WindowReader.java
+++ b/sql/src/main/java/ashlink/sql/WindowReader.java
@@ -3,7 +3,7 @@
 import ashlink.sql.Token.Role;
 import ashlink.sql.grammar.SqlLexer;
 
-/** Reads windows, after OVER and in the WINDOW clause. */
+/** Parses windows after OVER and in the WINDOW clause. */
 final class WindowReader {
 
     private final Readers readers;
@@ -16,7 +16,7 @@
         this.tokens = readers.tokens;
     }
 
-    /** OVER with a window, or with the name of one. */
+    /** Parses OVER with a window definition or a window name. */
     void over(Scope scope) {
         cursor.takeKeyword();
         if (cursor.at(SqlLexer.OPEN)) {
@@ -27,11 +27,12 @@
         }
     }
 
-    /** The WINDOW clause: definitions by name. */
+    /** Parses the WINDOW clause: named window definitions. */
     void clause(Scope scope) {
         do {
-            // The condition is evaluated after the token is taken, so a comma between windows gets
-            // the role of a keyword and is normalized to nothing: fingerprints depend on it.
+            // The condition is evaluated after the token is consumed, so a comma between windows
+            // gets the role of a keyword and is normalized to an empty text. Fingerprints depend on
+            // this.
             tokens.take().role = cursor.at(SqlLexer.COMMA) ? Role.SYMBOL : Role.KEYWORD;
             cursor.expectName("a window");
             cursor.expectKeyword("AS");
@@ -40,7 +41,7 @@
         } while (cursor.at(SqlLexer.COMMA));
     }
 
-    /** A window's definition after its opening bracket. */
+    /** Parses a window definition after the opening parenthesis. */
     void definition(Scope scope) {
         cursor.enter();
         if (Token.isName(tokens.peek())
--- a/sql/src/main/java/ashlink/sql/package-info.java
+++ b/sql/src/main/java/ashlink/sql/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Reads statements: their kind, the tables they touch, whether repeating them is harmless, and a
- * fingerprint that ignores literal values. What is not understood is unknown, with the reason and
- * the place. No I/O.
+ * Analyzes SQL statements: the kind, the accessed tables, whether repeating a statement is safe,
+ * and a fingerprint that ignores literal values. Unsupported syntax is reported as unknown, with
+ * the reason and the offset. The package does no I/O.
  */
 package ashlink.sql;
