--- a/wire/src/main/java/ashlink/wire/ArrayReader.java
+++ b/wire/src/main/java/ashlink/wire/ArrayReader.java
@@ -3,7 +3,9 @@
 import java.io.IOException;
 import java.util.Arrays;
 
-/** Reads a column of arrays: where the array of each row ends, then the elements of all rows. */
+/**
+ * Reads a column of arrays: the end offset of the array in each row, then the elements of all rows.
+ */
 record ArrayReader(ValueReader inner) implements ValueReader {
     @Override
     public void readPrefix(ByteSource in) throws IOException {
--- a/wire/src/main/java/ashlink/wire/Block.java
+++ b/wire/src/main/java/ashlink/wire/Block.java
@@ -2,21 +2,21 @@
 
 import java.util.List;
 
-/** Columns of plain values, all of the same length. */
+/** Block of columns with basic types; all columns have the same number of rows. */
 public record Block(List<Column> columns, int rows) {
 
-    /** The block that ends a stream of blocks. */
+    /** Empty block that marks the end of a stream of blocks. */
     public static final Block END = new Block(List.of(), 0);
 
-    /** A column; its values are Long, Double or String by its type. */
+    /** Column of a block; the values are Long, Double or String, depending on the type. */
     public record Column(String name, String type, List<Object> values) {}
 
-    /** A block of these columns. */
+    /** Returns a block of the given columns. */
     public static Block of(Column... columns) {
         return new Block(List.of(columns), columns.length == 0 ? 0 : columns[0].values().size());
     }
 
-    /** The column of that name, or null. */
+    /** Returns the column with the given name, or null if there is none. */
     public Column column(String name) {
         for (Column column : columns) {
             if (column.name().equals(name)) {
--- a/wire/src/main/java/ashlink/wire/BlockReader.java
+++ b/wire/src/main/java/ashlink/wire/BlockReader.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Reads blocks of one peer: skips them, or decodes those whose columns are all of plain types. One
- * for each connection, not thread-safe; caches the types that it parsed last.
+ * Reads the blocks that one peer sends: skips a block, or decodes the values. Each connection has
+ * its own reader, which caches the most recently used column types. Not thread-safe.
  */
 public final class BlockReader {
 
@@ -16,10 +16,10 @@
     private static final int INFO_OVERFLOWS = 1;
     private static final int INFO_BUCKET = 2;
 
-    /** Rows and columns of a skipped block. */
+    /** Number of rows and columns of a skipped block. */
     public record Size(long rows, long columns) {
 
-        /** True for the block that ends a stream of blocks. */
+        /** Returns true for the empty block that marks the end of a stream of blocks. */
         public boolean isEnd() {
             return rows == 0 && columns == 0;
         }
@@ -36,14 +36,14 @@
                 }
             };
 
-    /** Reads from that stream. */
+    /** Creates a reader of the given stream. */
     public BlockReader(StreamSource in, WireLimits limits) {
         this.in = in;
         this.limits = limits;
         this.frames = new FrameSource(in, limits.frameBytes());
     }
 
-    /** Skips the block that follows. */
+    /** Skips the next block. */
     public Size skip(boolean compressed) throws IOException {
         ByteSource from = compressed ? frames : in;
         readInfo(from);
@@ -63,7 +63,7 @@
         return new Size(rows, columns);
     }
 
-    /** Reads the block that follows; only plain types are taken. */
+    /** Reads the next block; all columns must have basic types. */
     public Block read(boolean compressed, int maxRows) throws IOException {
         ByteSource from = compressed ? frames : in;
         readInfo(from);
@@ -81,12 +81,12 @@
         return new Block(read, rows);
     }
 
-    /** A block's columns with all their values, exactly. */
+    /** Columns of a block of any types, with the exact values. */
     public record Table(List<String> names, List<String> types, List<Object[]> columns, int rows) {}
 
     /**
-     * Reads the block that follows with the values of all types; the block is in memory, and no
-     * longer than its bytes say.
+     * Reads the next block, uncompressed, with values of any supported type. The stream must be in
+     * memory, so that the size of the stream bounds the size of the block.
      */
     public Table readValues(int maxRows) throws IOException {
         readInfo(in);
--- a/wire/src/main/java/ashlink/wire/ByteBuf.java
+++ b/wire/src/main/java/ashlink/wire/ByteBuf.java
@@ -9,8 +9,8 @@
 import java.util.Arrays;
 
 /**
- * A buffer that grows to a limit, with writers for the protocol's values. Writers beyond the limit
- * or the quota throw a {@link WireException} with {@code TOO_LARGE}. Not thread-safe.
+ * Byte buffer that grows up to a limit, with methods that append protocol values. An append beyond
+ * the limit or the quota throws a {@link WireException} with {@code TOO_LARGE}. Not thread-safe.
  */
 public final class ByteBuf {
 
@@ -21,8 +21,8 @@
     private static final int INITIAL_BYTES = 1024;
 
     /**
-     * A buffer that grew beyond this is released when it is cleared: one large packet must not
-     * occupy its memory for the life of a connection.
+     * Largest array that {@link #clear} retains: one large packet must not occupy memory for the
+     * lifetime of a connection.
      */
     private static final int MAX_RETAINED_BYTES = 4 << 20;
 
@@ -31,35 +31,39 @@
     private byte[] bytes = new byte[INITIAL_BYTES];
     private int size;
 
-    /** A buffer of at most that many bytes. */
+    /** Creates a buffer of at most the given number of bytes. */
     public ByteBuf(long maxBytes) {
         this(maxBytes, Quota.NONE);
     }
 
-    /** A buffer of at most that many bytes, whose growth is taken from the quota. */
+    /**
+     * Creates a buffer of at most the given number of bytes that reserves its growth from the
+     * quota.
+     */
     public ByteBuf(long maxBytes, Quota quota) {
         this.maxBytes = Math.min(maxBytes, Integer.MAX_VALUE - 16);
         this.quota = quota;
     }
 
-    /** A buffer without a limit of its own, for what this program writes itself. */
+    /** Creates a buffer without a limit, for data that this program produces. */
     public ByteBuf() {
         this(Integer.MAX_VALUE);
     }
 
-    /** The number of bytes in it. */
+    /** Returns the number of bytes in the buffer. */
     public int size() {
         return size;
     }
 
     /**
-     * The array that holds the bytes, from 0 to {@link #size}; it changes when more is appended.
+     * Returns the array that holds the bytes, from 0 to {@link #size}. An append may replace the
+     * array.
      */
     public byte[] array() {
         return bytes;
     }
 
-    /** Empties it. */
+    /** Removes all bytes. */
     public void clear() {
         size = 0;
         if (bytes.length > MAX_RETAINED_BYTES) {
@@ -67,25 +71,25 @@
         }
     }
 
-    /** Empties it and returns its memory to the quota. */
+    /** Removes all bytes and returns the memory to the quota. */
     public void release() {
         size = 0;
         quota.give(bytes.length - INITIAL_BYTES);
         bytes = new byte[INITIAL_BYTES];
     }
 
-    /** Truncates it to an earlier size, in bytes. */
+    /** Truncates the buffer to a smaller size in bytes. */
     public void truncate(int to) {
         size = Math.min(size, to);
     }
 
-    /** Removes that many bytes from the front. */
+    /** Removes the given number of bytes from the front. */
     public void dropFront(int count) {
         System.arraycopy(bytes, count, bytes, 0, size - count);
         size -= count;
     }
 
-    /** Writes all of it to a stream. */
+    /** Writes all bytes to a stream. */
     public void writeTo(OutputStream out) throws IOException {
         out.write(bytes, 0, size);
     }
@@ -122,12 +126,12 @@
         return this;
     }
 
-    /** Appends a flag as one byte. */
+    /** Appends a Boolean value as one byte. */
     public ByteBuf putFlag(boolean value) throws WireException {
         return putByte(value ? 1 : 0);
     }
 
-    /** Appends an unsigned number of variable length. */
+    /** Appends an unsigned integer of variable length. */
     public ByteBuf putVarUInt(long value) throws WireException {
         long rest = value;
         while ((rest & ~0x7fL) != 0) {
@@ -137,12 +141,12 @@
         return putByte((int) rest);
     }
 
-    /** Appends two bytes, least significant first. */
+    /** Appends a two-byte integer in little-endian order. */
     public ByteBuf putShort(int value) throws WireException {
         return putByte(value).putByte(value >>> 8);
     }
 
-    /** Appends four bytes, least significant first. */
+    /** Appends a four-byte integer in little-endian order. */
     public ByteBuf putInt(int value) throws WireException {
         ensureCapacity(Integer.BYTES);
         INT.set(bytes, size, value);
@@ -150,7 +154,7 @@
         return this;
     }
 
-    /** Appends eight bytes, least significant first. */
+    /** Appends an eight-byte integer in little-endian order. */
     public ByteBuf putLong(long value) throws WireException {
         ensureCapacity(Long.BYTES);
         LONG.set(bytes, size, value);
@@ -158,7 +162,7 @@
         return this;
     }
 
-    /** Appends a text with its length before it. */
+    /** Appends a string with a length prefix. */
     public ByteBuf putString(String value) throws WireException {
         byte[] text = value.getBytes(StandardCharsets.UTF_8);
         putVarUInt(text.length);
--- a/wire/src/main/java/ashlink/wire/ByteSource.java
+++ b/wire/src/main/java/ashlink/wire/ByteSource.java
@@ -8,7 +8,7 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads the protocol's values from a buffer that a subclass fills. Bad input throws a {@link
+ * Reads protocol values from a buffer that a subclass fills. Invalid input throws a {@link
  * WireException}. Not thread-safe.
  */
 public abstract class ByteSource {
@@ -19,7 +19,7 @@
             MethodHandles.byteArrayViewVarHandle(long[].class, ByteOrder.LITTLE_ENDIAN);
     private static final int MAX_VAR_INT_BYTES = 10;
 
-    /** Holds the buffered bytes, from {@code pos} to {@code end}. */
+    /** Array that holds the unread bytes, from {@code pos} to {@code end}. */
     protected byte[] buffer;
 
     /** Index of the next byte to read. */
@@ -28,14 +28,14 @@
     /** Index after the last buffered byte. */
     protected int end;
 
-    /** Starts with that buffer, empty. */
+    /** Creates a source with the given array and no buffered bytes. */
     protected ByteSource(byte[] buffer) {
         this.buffer = buffer;
     }
 
     /**
-     * Replaces the buffered bytes, all of which were read, by at least one more; false at the end
-     * of the stream.
+     * Replaces the buffered bytes, all of which have been read, with at least one new byte; returns
+     * false at the end of the stream.
      */
     protected abstract boolean refill() throws IOException;
 
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Reads one byte, 0 to 255. */
+    /** Reads one byte as a number from 0 to 255. */
     public final int readByte() throws IOException {
         if (pos == end) {
             refillOrFail();
@@ -54,7 +54,7 @@
         return buffer[pos++] & 0xff;
     }
 
-    /** Reads one byte, or -1 where the stream ends. */
+    /** Reads one byte as a number from 0 to 255; returns -1 at the end of the stream. */
     public final int readByteOrEnd() throws IOException {
         if (pos == end && !refill()) {
             return -1;
@@ -62,12 +62,12 @@
         return buffer[pos++] & 0xff;
     }
 
-    /** True if a byte can be read without waiting. */
+    /** Returns true if a byte can be read without blocking. */
     public final boolean hasBuffered() {
         return pos < end;
     }
 
-    /** Reads a flag; anything but 0 and 1 is malformed. */
+    /** Reads a Boolean value; any byte other than 0 and 1 is malformed. */
     public final boolean readFlag() throws IOException {
         int flag = readByte();
         if (flag > 1) {
@@ -76,7 +76,7 @@
         return flag == 1;
     }
 
-    /** Reads an unsigned number of variable length, up to 2^63 - 1. */
+    /** Reads an unsigned integer of variable length, up to 2^63 - 1. */
     public final long readVarUInt() throws IOException {
         long value = 0;
         for (int i = 0; i < MAX_VAR_INT_BYTES; i++) {
@@ -95,7 +95,10 @@
                 "a number has over " + MAX_VAR_INT_BYTES + " bytes");
     }
 
-    /** Reads an unsigned number that is a length or count of {@code what}, at most {@code max}. */
+    /**
+     * Reads an unsigned integer of variable length that must be at most {@code max}; {@code what}
+     * names the value in the error message.
+     */
     public final long readCount(String what, long max) throws IOException {
         long value = readVarUInt();
         if (value > max) {
@@ -106,12 +109,12 @@
         return value;
     }
 
-    /** Reads two bytes, least significant first, as a number from 0 to 65535. */
+    /** Reads a two-byte integer in little-endian order as a number from 0 to 65535. */
     final int readUnsignedShort() throws IOException {
         return readByte() | readByte() << 8;
     }
 
-    /** Reads four bytes, least significant first. */
+    /** Reads a four-byte integer in little-endian order. */
     public final int readInt() throws IOException {
         if (end - pos >= Integer.BYTES) {
             int value = (int) INT.get(buffer, pos);
@@ -121,7 +124,7 @@
         return readByte() | readByte() << 8 | readByte() << 16 | readByte() << 24;
     }
 
-    /** Reads eight bytes, least significant first. */
+    /** Reads an eight-byte integer in little-endian order. */
     public final long readLong() throws IOException {
         if (end - pos >= Long.BYTES) {
             long value = (long) LONG.get(buffer, pos);
@@ -132,8 +135,8 @@
     }
 
     /**
-     * Reads bytes with their length before them. The array is allocated by that length, so {@code
-     * maxBytes} bounds its memory.
+     * Reads a byte sequence with a length prefix. The array is allocated from the received length,
+     * so {@code maxBytes} bounds the memory.
      */
     public final byte[] readBytes(String what, int maxBytes) throws IOException {
         byte[] bytes = new byte[(int) readCount("length of " + what, maxBytes)];
@@ -142,7 +145,7 @@
     }
 
     /**
-     * Reads a text with its length before it; bytes that are not UTF-8 become the replacement
+     * Reads a string with a length prefix; bytes that are not valid UTF-8 become the replacement
      * character.
      */
     public final String readString(String what, int maxBytes) throws IOException {
@@ -157,7 +160,7 @@
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    /** Reads that many bytes. */
+    /** Reads exactly {@code length} bytes. */
     public final void readFully(byte[] into, int from, int length) throws IOException {
         int done = 0;
         while (done < length) {
@@ -171,7 +174,7 @@
         }
     }
 
-    /** Skips that many bytes. */
+    /** Skips exactly {@code length} bytes. */
     public final void skip(long length) throws IOException {
         long remaining = length;
         while (remaining > 0) {
@@ -184,11 +187,11 @@
         }
     }
 
-    /** Skips that many texts, each with its length before it. */
+    /** Skips the given number of strings, each with a length prefix. */
     public final void skipStrings(long count, long maxEachBytes) throws IOException {
         for (long i = 0; i < count; i++) {
             if (pos < end && buffer[pos] >= 0 && end - pos > buffer[pos]) {
-                // Short and buffered: skipped without a call.
+                // A short string that is fully buffered is skipped without further calls.
                 pos += 1 + buffer[pos];
             } else {
                 skip(readCount("length of a text in a column", maxEachBytes));
@@ -196,7 +199,7 @@
         }
     }
 
-    /** The exception for a stream that ends between packets. */
+    /** Returns the exception for a stream that ends between packets. */
     public static EOFException ended() {
         return new EOFException("the peer closed the connection");
     }
--- a/wire/src/main/java/ashlink/wire/CityHash.java
+++ b/wire/src/main/java/ashlink/wire/CityHash.java
@@ -5,9 +5,9 @@
 import java.nio.ByteOrder;
 
 /**
- * CityHash128 as of version 1.0.2, the checksum of compressed frames. Later versions of the hash,
- * which libraries offer, give other values. A number of 128 bits is written as two longs, the low
- * one first.
+ * CityHash128 in version 1.0.2, the checksum of compressed frames. Later versions of CityHash, as
+ * offered by libraries, return different values. A 128-bit number is represented as two longs, the
+ * low half first.
  */
 public final class CityHash {
 
@@ -23,7 +23,7 @@
 
     private CityHash() {}
 
-    /** Hashes a part of an array; returns the low and the high half. */
+    /** Hashes a range of an array; returns the low and the high half. */
     public static long[] hash128(byte[] s, int from, int length) {
         if (length >= 16) {
             return withSeed(s, from + 16, length - 16, at(s, from) ^ K3, at(s, from + 8));
--- a/wire/src/main/java/ashlink/wire/ClientInfo.java
+++ b/wire/src/main/java/ashlink/wire/ClientInfo.java
@@ -3,8 +3,9 @@
 import java.io.IOException;
 
 /**
- * The client information of a Query packet. Trace and replica fields are skipped: a router is the
- * first and only hop. A client that connects by HTTP leaves the fields of its program empty.
+ * Client information in a Query packet. Trace and replica fields are skipped, because a router is
+ * the first and only hop. The fields of the client program are empty for a client that connects
+ * over HTTP.
  */
 public record ClientInfo(
         String user,
@@ -24,10 +25,10 @@
     private static final int HTTP = 2;
     private static final int TRACE_BYTES = 24;
 
-    /** The information of a client that sends none. */
+    /** Client information of a client that sends none. */
     public static final ClientInfo NONE = new ClientInfo("", "", "", "", "", "", 0, 0, 0, 0, "");
 
-    /** Reads it as a peer of that revision writes it. */
+    /** Reads the client information from a peer of the given revision. */
     static ClientInfo read(ByteSource in, int revision, WireLimits limits) throws IOException {
         int maxBytes = limits.nameBytes();
         int queryKind = in.readByte();
@@ -69,7 +70,7 @@
                 quotaKey);
     }
 
-    /** The program of a client that speaks the native protocol. */
+    /** Fields that describe the program of a client of the native protocol. */
     private record Program(
             String osUser, String host, String name, int major, int minor, int revision) {
 
@@ -112,7 +113,7 @@
         }
     }
 
-    /** Appends it for a peer of that revision. */
+    /** Appends the client information for a peer of the given revision. */
     void write(int peer, ByteBuf to) throws WireException {
         to.putByte(INITIAL_QUERY).putString(user).putString(queryId).putString(address);
         if (peer >= Revision.INITIAL_QUERY_START_TIME) {
--- a/wire/src/main/java/ashlink/wire/ClientPacket.java
+++ b/wire/src/main/java/ashlink/wire/ClientPacket.java
@@ -1,19 +1,19 @@
 package ashlink.wire;
 
-/** Kinds of packet that a client sends. */
+/** Types of packet that a client sends; the ordinal is the number on the wire. */
 public enum ClientPacket {
     /** Opens a connection. */
     HELLO,
-    /** A statement with its settings. */
+    /** Carries a statement with its settings. */
     QUERY,
-    /** A block of an insert or of an external table. */
+    /** Carries a block of an insert or of an external table. */
     DATA,
     /** Cancels the running statement. */
     CANCEL,
-    /** Requests a Pong. */
+    /** Requests a Pong packet. */
     PING;
 
-    /** The kind of that number; anything else is malformed. */
+    /** Returns the packet type with the given number; any other number is malformed. */
     public static ClientPacket of(long number) throws WireException {
         if (number < 0 || number >= values().length) {
             throw new WireException(
--- a/wire/src/main/java/ashlink/wire/ColumnType.java
+++ b/wire/src/main/java/ashlink/wire/ColumnType.java
@@ -3,19 +3,19 @@
 import java.io.IOException;
 import java.util.List;
 
-/** The layout of a column, as far as is needed to find its end. */
+/** Layout of a column, in the detail that is needed to find the end of the column. */
 public sealed interface ColumnType {
 
-    /** Longest text in a column: longer than any block may be. */
+    /** Limit on one string in a column; larger than any accepted block. */
     long TEXT_BYTES = Integer.MAX_VALUE;
 
-    /** Skips the prefix of the values of a column, once for a column with rows. */
+    /** Skips the prefix before the values of a column; called once for a column that has rows. */
     default void skipPrefix(ByteSource in) throws IOException {}
 
-    /** Skips that many values. */
+    /** Skips the given number of values. */
     void skipValues(ByteSource in, long rows) throws IOException;
 
-    /** Values of a fixed size, in bytes. */
+    /** Values of a fixed size in bytes. */
     record Fixed(long bytes) implements ColumnType {
         @Override
         public void skipValues(ByteSource in, long rows) throws IOException {
@@ -23,7 +23,7 @@
         }
     }
 
-    /** Texts of any length. */
+    /** Strings of variable length. */
     record Text() implements ColumnType {
         @Override
         public void skipValues(ByteSource in, long rows) throws IOException {
@@ -31,7 +31,7 @@
         }
     }
 
-    /** A byte for each value that says whether it is null, then the values. */
+    /** Nullable values: one byte for each row that marks a null, then the values of all rows. */
     record Nullable(ColumnType inner) implements ColumnType {
         @Override
         public void skipPrefix(ByteSource in) throws IOException {
@@ -45,7 +45,7 @@
         }
     }
 
-    /** The index at which each array ends, then the elements of all arrays. */
+    /** Arrays: the end offset of the array in each row, then the elements of all arrays. */
     record Array(ColumnType inner) implements ColumnType {
         @Override
         public void skipPrefix(ByteSource in) throws IOException {
@@ -66,7 +66,7 @@
         }
     }
 
-    /** A column for each element. */
+    /** Tuples: one column for each element. */
     record Tuple(List<ColumnType> elements) implements ColumnType {
         @Override
         public void skipPrefix(ByteSource in) throws IOException {
@@ -83,13 +83,13 @@
         }
     }
 
-    /** Blocks of a dictionary, and for each value its index there. */
+    /** Dictionary-encoded values: blocks of a dictionary followed by an index for each row. */
     record LowCardinality(ColumnType inner) implements ColumnType {
         private static final long VERSION = 1;
         private static final int OWN_KEYS = 1 << 9;
         private static final int SHARED_KEYS = 1 << 8;
 
-        /** Indexes have {@code 1 << width} bytes, up to 8. */
+        /** Largest width: an index has {@code 1 << width} bytes, at most 8. */
         private static final int MAX_INDEX_WIDTH = 3;
 
         @Override
--- a/wire/src/main/java/ashlink/wire/Compression.java
+++ b/wire/src/main/java/ashlink/wire/Compression.java
@@ -8,11 +8,12 @@
 import net.jpountz.lz4.LZ4SafeDecompressor;
 
 /**
- * Compressed frames: a checksum of 16 bytes over all that follows, a byte for the method, the size
- * with its nine bytes of header, the size before compression, the data.
+ * Compression methods and the format of compressed frames: a 16-byte checksum of the rest of the
+ * frame, one byte for the method, the compressed size including the nine header bytes, the
+ * uncompressed size, and the data.
  */
 public enum Compression {
-    /** Not compressed, yet framed. */
+    /** Frames without compression. */
     NONE(0x02),
     /** LZ4 blocks. */
     LZ4(0x82),
@@ -22,7 +23,7 @@
     static final int CHECKSUM_BYTES = 16;
     static final int HEADER_BYTES = 9;
 
-    /** The most content of one frame that is written, as in public clients. */
+    /** Limit on the uncompressed content of a written frame, the same as in public clients. */
     private static final int FRAME_CONTENT_BYTES = 1 << 20;
 
     private static final int ZSTD_LEVEL = 1;
@@ -46,7 +47,7 @@
                 WireException.Reason.MALFORMED, "compression method " + method + " is unknown");
     }
 
-    /** Appends the bytes as frames. */
+    /** Appends the given bytes as compressed frames. */
     public void compress(byte[] from, int offset, int length, ByteBuf to) throws WireException {
         for (int done = 0; done < length; done += FRAME_CONTENT_BYTES) {
             writeFrame(from, offset + done, Math.min(FRAME_CONTENT_BYTES, length - done), to);
@@ -99,9 +100,10 @@
     }
 
     /**
-     * Decompresses the {@code size} bytes at the offset to exactly {@code length} bytes.
+     * Decompresses {@code size} bytes from the offset to exactly {@code length} bytes.
      *
-     * @throws WireException with {@code MALFORMED} if they are damaged or have another length
+     * @throws WireException with {@code MALFORMED} if the data is corrupt or decompresses to
+     *     another length
      */
     void decompress(byte[] from, int offset, int size, byte[] to, int length) throws WireException {
         long decompressed;
--- a/wire/src/main/java/ashlink/wire/DictionaryReader.java
+++ b/wire/src/main/java/ashlink/wire/DictionaryReader.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /**
- * Reads a column of low cardinality: blocks of a dictionary and of indexes into it. The first value
- * of a nullable dictionary stands for null.
+ * Reads a {@code LowCardinality} column: blocks of a dictionary followed by indexes into the
+ * dictionary. The first entry of a nullable dictionary represents null.
  */
 record DictionaryReader(ValueReader inner, boolean nullable) implements ValueReader {
 
@@ -12,7 +12,8 @@
 
     @Override
     public void readPrefix(ByteSource in) throws IOException {
-        // The version; ColumnType.LowCardinality checks it where columns are skipped.
+        // The version is not checked here; ColumnType.LowCardinality checks the version when
+        // columns are skipped.
         in.readLong();
     }
 
--- a/wire/src/main/java/ashlink/wire/FrameSource.java
+++ b/wire/src/main/java/ashlink/wire/FrameSource.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Reads the content of compressed frames, and verifies their checksums. */
+/** Reads the uncompressed content of frames and verifies the checksums. */
 public final class FrameSource extends ByteSource {
 
     private static final int HEADER_BYTES = Compression.HEADER_BYTES;
@@ -11,7 +11,7 @@
     private final int maxBytes;
     private byte[] frame = new byte[0];
 
-    /** Reads frames of at most that many bytes, before and after compression. */
+    /** Creates a source of frames of at most {@code maxBytes}, both compressed and uncompressed. */
     public FrameSource(StreamSource in, int maxBytes) {
         super(new byte[0]);
         this.in = in;
@@ -60,7 +60,10 @@
         }
     }
 
-    /** Reads the rest of the frame; its header is written back, since the checksum covers it. */
+    /**
+     * Reads the rest of the frame; stores the header before the data, since the checksum covers
+     * both.
+     */
     private void readFrame(int method, int frameBytes, int contentBytes) throws IOException {
         if (frame.length < frameBytes) {
             frame = new byte[frameBytes];
@@ -73,7 +76,7 @@
         in.readFully(frame, HEADER_BYTES, frameBytes - HEADER_BYTES);
     }
 
-    /** Checks that the last frame of a block holds nothing beyond the block. */
+    /** Checks that the last frame of a block has no data after the block. */
     void endOfBlock() throws WireException {
         if (pos != end) {
             throw new WireException(
--- a/wire/src/main/java/ashlink/wire/Hello.java
+++ b/wire/src/main/java/ashlink/wire/Hello.java
@@ -2,12 +2,12 @@
 
 import java.io.IOException;
 
-/** The packets that open a connection. */
+/** Hello packets, which open a connection. */
 public final class Hello {
 
     private Hello() {}
 
-    /** The Hello of a client. */
+    /** Hello packet of a client. */
     public record Client(
             String name,
             int major,
@@ -17,7 +17,7 @@
             String user,
             String password) {
 
-        /** Reads what follows the kind. */
+        /** Reads the content after the packet type. */
         public static Client read(ByteSource in, WireLimits limits) throws IOException {
             return new Client(
                     in.readString("client name", limits.nameBytes()),
@@ -29,7 +29,7 @@
                     in.readString("password", limits.nameBytes()));
         }
 
-        /** Appends kind and content. */
+        /** Appends the packet type and the content. */
         public void write(ByteBuf to) throws WireException {
             to.putVarUInt(ClientPacket.HELLO.ordinal())
                     .putString(name)
@@ -42,7 +42,7 @@
         }
     }
 
-    /** The Hello of a server. */
+    /** Hello packet of a server. */
     public record Server(
             String name,
             int major,
@@ -52,7 +52,7 @@
             String displayName,
             int patch) {
 
-        /** Reads what follows the kind. */
+        /** Reads the content after the packet type. */
         public static Server read(ByteSource in, WireLimits limits) throws IOException {
             String name = in.readString("server name", limits.nameBytes());
             int major = version(in);
@@ -70,7 +70,7 @@
             return new Server(name, major, minor, revision, timezone, display, patch);
         }
 
-        /** Appends kind and content for a client of that revision. */
+        /** Appends the packet type and the content for a client of the given revision. */
         public void write(int clientRevision, ByteBuf to) throws WireException {
             to.putVarUInt(ServerPacket.HELLO.ordinal())
                     .putString(name)
--- a/wire/src/main/java/ashlink/wire/NullableReader.java
+++ b/wire/src/main/java/ashlink/wire/NullableReader.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Reads a nullable column: a flag for each row, then the values of all rows. */
+/** Reads a nullable column: a null flag for each row, then the values of all rows. */
 record NullableReader(ValueReader inner) implements ValueReader {
     @Override
     public void readPrefix(ByteSource in) throws IOException {
--- a/wire/src/main/java/ashlink/wire/PlainPackets.java
+++ b/wire/src/main/java/ashlink/wire/PlainPackets.java
@@ -2,12 +2,12 @@
 
 import java.io.IOException;
 
-/** Packets of a server that carry neither a block nor an end, for readers that only skip them. */
+/** Skips the server packets that neither carry a block nor end a response. */
 public final class PlainPackets {
 
     private PlainPackets() {}
 
-    /** Skips what follows the kind, as a server of that revision writes it. */
+    /** Skips the content after the packet type, as sent by a server of the given revision. */
     public static void skip(ServerPacket kind, ByteSource in, int revision, WireLimits limits)
             throws IOException {
         switch (kind) {
--- a/wire/src/main/java/ashlink/wire/PlainValues.java
+++ b/wire/src/main/java/ashlink/wire/PlainValues.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Values of plain types, as this program itself makes and reads them: numbers up to 64 bits, texts,
- * times.
+ * Reads and writes values of the basic types that this program itself uses: numbers of up to 64
+ * bits, strings, dates and times.
  */
 final class PlainValues {
 
--- a/wire/src/main/java/ashlink/wire/ProfileInfo.java
+++ b/wire/src/main/java/ashlink/wire/ProfileInfo.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A ProfileInfo packet: figures of a result. */
+/** ProfileInfo packet: statistics of a result. */
 public record ProfileInfo(
         long rows,
         long blocks,
@@ -11,7 +11,7 @@
         long rowsBeforeLimit,
         boolean counted) {
 
-    /** Reads what follows the kind. */
+    /** Reads the content after the packet type. */
     public static ProfileInfo read(ByteSource in) throws IOException {
         return new ProfileInfo(
                 in.readVarUInt(),
@@ -22,7 +22,7 @@
                 in.readFlag());
     }
 
-    /** Appends kind and content. */
+    /** Appends the packet type and the content. */
     public void write(ByteBuf to) throws WireException {
         to.putVarUInt(ServerPacket.PROFILE_INFO.ordinal())
                 .putVarUInt(rows)
--- a/wire/src/main/java/ashlink/wire/Progress.java
+++ b/wire/src/main/java/ashlink/wire/Progress.java
@@ -2,10 +2,10 @@
 
 import java.io.IOException;
 
-/** A Progress packet: what was done since the last. */
+/** Progress packet: rows and bytes processed since the previous Progress packet. */
 public record Progress(long rows, long bytes, long totalRows, long writtenRows, long writtenBytes) {
 
-    /** Reads what follows the kind, as a peer of that revision writes it. */
+    /** Reads the content after the packet type from a peer of the given revision. */
     public static Progress read(ByteSource in, int revision) throws IOException {
         boolean writes = revision >= Revision.CLIENT_WRITE_INFO;
         return new Progress(
@@ -16,7 +16,7 @@
                 writes ? in.readVarUInt() : 0);
     }
 
-    /** Appends kind and content for a peer of that revision. */
+    /** Appends the packet type and the content for a peer of the given revision. */
     public void write(int peer, ByteBuf to) throws WireException {
         to.putVarUInt(ServerPacket.PROGRESS.ordinal())
                 .putVarUInt(rows)
--- a/wire/src/main/java/ashlink/wire/QueryPacket.java
+++ b/wire/src/main/java/ashlink/wire/QueryPacket.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * A Query packet: a statement with its settings. Its stage says how far the statement is executed,
- * {@link #COMPLETE} for all clients but servers.
+ * Query packet: a statement with its settings. The stage states how far the statement is executed;
+ * all clients other than servers request {@link #COMPLETE}.
  */
 public record QueryPacket(
         String id,
@@ -17,12 +17,15 @@
         boolean compressed,
         String statement) {
 
-    /** Run the statement to its end. */
+    /** Stage of a statement that is executed completely. */
     public static final int COMPLETE = 2;
 
     private static final int MAX_STAGE = 8;
 
-    /** Settings that older clients write as a number; all others that they may send are texts. */
+    /**
+     * Settings that older clients encode as a number; older clients encode all other settings as
+     * strings.
+     */
     private static final Set<String> NUMERIC_SETTINGS =
             Set.of(
                     "max_execution_time",
@@ -43,7 +46,7 @@
                     "insert_quorum",
                     "use_client_time_zone");
 
-    /** Reads what follows the kind, as a peer of that revision writes it. */
+    /** Reads the content after the packet type from a peer of the given revision. */
     public static QueryPacket read(ByteSource in, int revision, WireLimits limits)
             throws IOException {
         String id = in.readString("query id", limits.nameBytes());
@@ -106,8 +109,8 @@
     }
 
     /**
-     * Appends kind and content for a peer of that revision, {@link Revision#SETTINGS_AS_STRINGS} or
-     * more.
+     * Appends the packet type and the content for a peer of the given revision, at least {@link
+     * Revision#SETTINGS_AS_STRINGS}.
      */
     public void write(int peer, ByteBuf to) throws WireException {
         to.putVarUInt(ClientPacket.QUERY.ordinal()).putString(id);
@@ -122,7 +125,10 @@
         to.putVarUInt(stage).putFlag(compressed).putString(statement);
     }
 
-    /** The value of a setting, null if it is not set; of several, the last one. */
+    /**
+     * Returns the value of a setting, or null if the setting is not set; the last value applies if
+     * the setting is repeated.
+     */
     public String setting(String name) {
         String value = null;
         for (Setting setting : settings) {
--- a/wire/src/main/java/ashlink/wire/Quota.java
+++ b/wire/src/main/java/ashlink/wire/Quota.java
@@ -1,9 +1,9 @@
 package ashlink.wire;
 
-/** A limit on the memory that all buffers take together. Implementations are thread-safe. */
+/** Limit on the total memory of several buffers. Implementations are thread-safe. */
 public interface Quota {
 
-    /** No limit. */
+    /** Quota without a limit. */
     Quota NONE =
             new Quota() {
                 @Override
@@ -16,12 +16,12 @@
             };
 
     /**
-     * Takes that many bytes.
+     * Reserves the given number of bytes.
      *
-     * @return false, with nothing taken, if the limit would be exceeded
+     * @return false, with nothing reserved, if the limit would be exceeded
      */
     boolean take(long bytes);
 
-    /** Returns bytes that were taken. */
+    /** Returns reserved bytes to the quota. */
     void give(long bytes);
 }
--- a/wire/src/main/java/ashlink/wire/Revision.java
+++ b/wire/src/main/java/ashlink/wire/Revision.java
@@ -1,18 +1,18 @@
 package ashlink.wire;
 
 /**
- * Revisions of the protocol that introduced a field, as the public specification names them. Both
- * ends use the lesser of their two revisions.
+ * Protocol revisions that introduced a field, with the numbers of the public specification. Both
+ * peers use the lower of the two revisions.
  */
 public final class Revision {
 
-    /** The highest that is spoken: from the next one on blocks have another layout. */
+    /** Highest supported revision: later revisions have another block layout. */
     public static final int HIGHEST = 54453;
 
-    /** From here settings are strings; the lowest that is served in full. */
+    /** Revision from which settings are strings; the lowest fully supported revision. */
     public static final int SETTINGS_AS_STRINGS = 54429;
 
-    /** The lowest that is let in: older public clients, whose settings have a layout by type. */
+    /** Lowest accepted revision: older public clients, which encode each setting by its type. */
     public static final int LOWEST = 54372;
 
     static final int SERVER_TIMEZONE = 54058;
@@ -33,17 +33,17 @@
 
     private Revision() {}
 
-    /** True if a peer of that revision understands {@code Log} packets. */
+    /** Returns true if a peer of the given revision supports {@code Log} packets. */
     public static boolean hasLogs(int revision) {
         return revision >= SERVER_LOGS;
     }
 
-    /** True if a peer of that revision understands {@code TableColumns} packets. */
+    /** Returns true if a peer of the given revision supports {@code TableColumns} packets. */
     public static boolean hasTableColumns(int revision) {
         return revision >= COLUMN_DEFAULTS;
     }
 
-    /** True if a peer of that revision understands {@code ProfileEvents} packets. */
+    /** Returns true if a peer of the given revision supports {@code ProfileEvents} packets. */
     public static boolean hasProfileEvents(int revision) {
         return revision >= PROFILE_EVENTS;
     }
--- a/wire/src/main/java/ashlink/wire/ScalarReader.java
+++ b/wire/src/main/java/ashlink/wire/ScalarReader.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Reads one value of a type that has no other values within it. Stateless. */
+/** Reads one value of a type that has no nested types. Stateless. */
 @FunctionalInterface
 interface ScalarReader {
 
--- a/wire/src/main/java/ashlink/wire/ScalarReaders.java
+++ b/wire/src/main/java/ashlink/wire/ScalarReaders.java
@@ -10,12 +10,14 @@
 import java.util.Map;
 import java.util.UUID;
 
-/** The readers of scalar types: numbers, strings, enumerations, identifiers and addresses. */
+/**
+ * Readers of scalar types: numbers, strings, dates and times, enumerations, UUIDs and IP addresses.
+ */
 final class ScalarReaders {
 
     private static final int IPV6_BYTES = 16;
 
-    /** Readers of the types without arguments, by name. */
+    /** Readers of the types that have no arguments, by type name. */
     private static final Map<String, ScalarReader> WITHOUT_ARGUMENTS =
             Map.ofEntries(
                     Map.entry("Int8", in -> (long) (byte) in.readByte()),
@@ -43,7 +45,7 @@
 
     private ScalarReaders() {}
 
-    /** The reader of a scalar type; {@code UNKNOWN_TYPE} if there is none. */
+    /** Returns the reader of a scalar type; throws {@code UNKNOWN_TYPE} if there is none. */
     static ScalarReader of(Term term) throws WireException {
         if (term.name().startsWith("Interval")) {
             return in -> BigInteger.valueOf(in.readLong());
@@ -78,12 +80,12 @@
         return Integer.parseInt(term.arguments().get(index).name());
     }
 
-    /** An argument that is a number, 0 if it is left out. */
+    /** Returns a numeric argument, or 0 if the argument is missing. */
     static int optionalIntArgument(Term term, int index) {
         return index < term.arguments().size() ? intArgument(term, index) : 0;
     }
 
-    /** Reads an integer of that many bytes, least significant first. */
+    /** Reads an integer of {@code length} bytes in little-endian order. */
     private static BigInteger readInteger(ByteSource in, int length, boolean signed)
             throws IOException {
         byte[] bigEndian = new byte[length];
@@ -127,7 +129,9 @@
         return null;
     }
 
-    /** A number without a name is read as its digits. */
+    /**
+     * Returns the reader of an enumeration; a number without a name is read as the decimal number.
+     */
     private static ScalarReader enumeration(Term term, ScalarReader number) {
         Map<Long, String> names = new HashMap<>();
         List<Term> elements = term.arguments();
--- a/wire/src/main/java/ashlink/wire/ServerError.java
+++ b/wire/src/main/java/ashlink/wire/ServerError.java
@@ -2,17 +2,17 @@
 
 import java.io.IOException;
 
-/** An Exception packet; {@code nested} is its cause or null. */
+/** Exception packet; {@code nested} is the cause or null. */
 public record ServerError(int code, String name, String message, String stack, ServerError nested) {
 
     private static final int MAX_NESTING = 16;
 
-    /** An error without a cause. */
+    /** Creates an error without a stack trace and without a cause. */
     public ServerError(int code, String name, String message) {
         this(code, name, message, "", null);
     }
 
-    /** Reads what follows the kind. */
+    /** Reads the content after the packet type. */
     public static ServerError read(ByteSource in, WireLimits limits) throws IOException {
         return read(in, limits, 0);
     }
@@ -32,7 +32,7 @@
                 code, name, message, stack, more ? read(in, limits, depth + 1) : null);
     }
 
-    /** Appends kind and content. */
+    /** Appends the packet type and the content. */
     public void write(ByteBuf to) throws WireException {
         to.putVarUInt(ServerPacket.EXCEPTION.ordinal());
         for (ServerError e = this; e != null; e = e.nested) {
--- a/wire/src/main/java/ashlink/wire/ServerPacket.java
+++ b/wire/src/main/java/ashlink/wire/ServerPacket.java
@@ -1,40 +1,41 @@
 package ashlink.wire;
 
-/** Kinds of packet that a server sends. */
+/** Types of packet that a server sends; the ordinal is the number on the wire. */
 public enum ServerPacket {
-    /** Answers a client's Hello. */
+    /** Answers the Hello packet of a client. */
     HELLO,
-    /** A block of the result, or the header that an insert is to follow. */
+    /** Carries a block of the result, or the empty block with the columns expected of an insert. */
     DATA,
-    /** The statement, or the login, has failed; ends it. */
+    /** Reports that the statement or the login failed; ends the response. */
     EXCEPTION,
-    /** Rows and bytes done since the last. */
+    /** Reports rows and bytes processed since the previous Progress packet. */
     PROGRESS,
-    /** Answers a Ping. */
+    /** Answers a Ping packet. */
     PONG,
-    /** The statement has ended well. */
+    /** Reports that the statement completed successfully. */
     END_OF_STREAM,
-    /** Figures of the result. */
+    /** Reports statistics of the result. */
     PROFILE_INFO,
-    /** A block of totals. */
+    /** Carries a block of totals. */
     TOTALS,
-    /** A block of least and greatest values. */
+    /** Carries a block of minimum and maximum values. */
     EXTREMES,
     /** Only between servers. */
     TABLES_STATUS,
-    /** A block of the server's log. */
+    /** Carries a block of server log entries. */
     LOG,
-    /** Columns of the table that an insert is for. */
+    /** Describes the columns of the target table of an insert. */
     TABLE_COLUMNS,
     /** Only between servers. */
     PART_UUIDS,
     /** Only between servers. */
     READ_TASK_REQUEST,
-    /** A block of counters and gauges. */
+    /** Carries a block of counters and gauges. */
     PROFILE_EVENTS;
 
     /**
-     * The kind of that number; kinds that only servers exchange, and anything else, are malformed.
+     * Returns the packet type with the given number. Types that only servers exchange and unknown
+     * numbers are malformed.
      */
     public static ServerPacket of(long number) throws WireException {
         if (number >= 0 && number < values().length) {
@@ -50,7 +51,7 @@
                 "a server's packet of kind " + number + " is unknown");
     }
 
-    /** True for kinds that carry a block. */
+    /** Returns true for packet types that carry a block. */
     public boolean hasBlock() {
         return this == DATA
                 || this == TOTALS
@@ -59,7 +60,9 @@
                 || this == PROFILE_EVENTS;
     }
 
-    /** True for kinds whose block is compressed if the statement requests compression. */
+    /**
+     * Returns true for packet types whose block is compressed if the query requests compression.
+     */
     public boolean isCompressible() {
         return this == DATA || this == TOTALS || this == EXTREMES;
     }
--- a/wire/src/main/java/ashlink/wire/Setting.java
+++ b/wire/src/main/java/ashlink/wire/Setting.java
@@ -1,4 +1,4 @@
 package ashlink.wire;
 
-/** A setting of a query, as text; {@code flags} are passed on unchanged. */
+/** Setting of a query with its value as a string; {@code flags} are forwarded unchanged. */
 public record Setting(String name, long flags, String value) {}
--- a/wire/src/main/java/ashlink/wire/StreamSource.java
+++ b/wire/src/main/java/ashlink/wire/StreamSource.java
@@ -4,8 +4,8 @@
 import java.io.InputStream;
 
 /**
- * Reads from a stream, and copies what is read to a tap while one is set: a relay passes packets on
- * unchanged, and reads them only to find where they end.
+ * Reads from a stream and, while a tap is set, copies all bytes read to the tap. A relay forwards
+ * packets unchanged and parses packets only to find their end.
  */
 public final class StreamSource extends ByteSource {
 
@@ -14,7 +14,7 @@
     private int tapFrom;
     private long consumedBefore;
 
-    /** Reads through a buffer of that many bytes. */
+    /** Creates a source with a buffer of the given size. */
     public StreamSource(InputStream in, int bufferBytes) {
         super(new byte[bufferBytes]);
         this.in = in;
@@ -35,18 +35,21 @@
         return true;
     }
 
-    /** Bytes read from the stream so far, without those that are only buffered. */
+    /** Returns the number of bytes read so far, without bytes that are only buffered. */
     public long consumed() {
         return consumedBefore + pos;
     }
 
-    /** From here on what is read is also appended to {@code to}. */
+    /** Starts copying: all bytes read from now on are also appended to {@code to}. */
     public void startTap(ByteBuf to) {
         tap = to;
         tapFrom = pos;
     }
 
-    /** Ends the copying; all that was read since {@link #startTap} is in its buffer then. */
+    /**
+     * Ends the copying; the buffer given to {@link #startTap} then holds all bytes read since that
+     * call.
+     */
     public void endTap() throws WireException {
         flushTap();
         tap = null;
--- a/wire/src/main/java/ashlink/wire/TimeReaders.java
+++ b/wire/src/main/java/ashlink/wire/TimeReaders.java
@@ -12,7 +12,7 @@
 import java.time.temporal.ChronoField;
 import java.util.Locale;
 
-/** The readers of dates and times, as texts of ISO 8601. */
+/** Readers of dates and times, which return strings in ISO 8601 format. */
 final class TimeReaders {
 
     private static final int NANO_DIGITS = 9;
@@ -20,17 +20,17 @@
 
     private TimeReaders() {}
 
-    /** Days since 1970 in two bytes. */
+    /** Reads a {@code Date}: days since 1970-01-01 in two bytes, unsigned. */
     static Object readDate(ByteSource in) throws IOException {
         return LocalDate.ofEpochDay(in.readUnsignedShort()).toString();
     }
 
-    /** Signed days since 1970 in four bytes. */
+    /** Reads a {@code Date32}: days since 1970-01-01 in four bytes, signed. */
     static Object readDate32(ByteSource in) throws IOException {
         return LocalDate.ofEpochDay(in.readInt()).toString();
     }
 
-    /** {@code DateTime([zone])}: seconds since 1970 in four bytes. */
+    /** Returns the reader of {@code DateTime([zone])}: seconds since 1970-01-01 in four bytes. */
     static ScalarReader seconds(Term term) {
         ZoneId zone = zoneArgument(term, 0);
         return in ->
@@ -40,7 +40,7 @@
                                 .toOffsetDateTime());
     }
 
-    /** {@code DateTime64(digits[, zone])}: ticks of that decimal fraction of a second. */
+    /** Returns the reader of {@code DateTime64(digits[, zone])}: ticks of 10^-digits seconds. */
     static ScalarReader ticks(Term term) {
         int digits = Math.min(NANO_DIGITS, ScalarReaders.optionalIntArgument(term, 0));
         ZoneId zone = zoneArgument(term, 1);
@@ -61,7 +61,10 @@
         };
     }
 
-    /** UTC where the zone is left out or unknown here: the instant is right in any zone. */
+    /**
+     * Returns the time zone argument, or UTC if the zone is missing or unknown here; the instant is
+     * correct in any zone.
+     */
     private static ZoneId zoneArgument(Term term, int index) {
         String name = index < term.arguments().size() ? term.arguments().get(index).name() : "";
         try {
--- a/wire/src/main/java/ashlink/wire/TupleReader.java
+++ b/wire/src/main/java/ashlink/wire/TupleReader.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Reads a column of tuples: one column after the other, for each element. */
+/** Reads a column of tuples: one column for each element, one after the other. */
 record TupleReader(List<ValueReader> elements) implements ValueReader {
     @Override
     public void readPrefix(ByteSource in) throws IOException {
--- a/wire/src/main/java/ashlink/wire/TypeParser.java
+++ b/wire/src/main/java/ashlink/wire/TypeParser.java
@@ -6,12 +6,15 @@
 import java.util.Set;
 
 /**
- * Reads the text of a column's type by recursive descent: {@code type = name [ "(" argument { ","
- * argument } ")" ]}, where an argument is a type, a named type, a number or a quoted text.
+ * Parses the name of a column type by recursive descent: {@code type = name [ "(" argument { ","
+ * argument } ")" ]}, where an argument is a type, a type with an element name, a number or a quoted
+ * string.
  */
 public final class TypeParser {
 
-    /** Types within types; deeper is malformed, long before the stack of a thread ends. */
+    /**
+     * Limit on nested types; a deeper type is malformed, far below the depth of a stack overflow.
+     */
     private static final int MAX_DEPTH = 32;
 
     private static final ColumnType TEXT = new ColumnType.Text();
@@ -64,8 +67,8 @@
                     "Year");
 
     /**
-     * A word, number or text with its arguments, as it stands; {@code value} is that of an element
-     * of an enumeration.
+     * Word, number or quoted string with its arguments; {@code value} is the number of an
+     * enumeration element, or empty.
      */
     record Term(String name, List<Term> arguments, boolean quoted, String value) {}
 
@@ -81,8 +84,8 @@
     }
 
     /**
-     * Reads a type; {@code UNKNOWN_TYPE} where it is well formed but not known, else {@code
-     * MALFORMED}.
+     * Parses a column type; throws {@code UNKNOWN_TYPE} if the text is well-formed but the type is
+     * not supported, {@code MALFORMED} if the text is not well-formed.
      */
     public static ColumnType parse(String text) throws WireException {
         ColumnType plain = PLAIN.get(text);
@@ -93,7 +96,7 @@
         return parser.type(parser.completeTerm());
     }
 
-    /** Reads a type as it is written; only its form is checked. */
+    /** Parses a type into a term; checks only that the text is well-formed. */
     static Term term(String text) throws WireException {
         return new TypeParser(text).completeTerm();
     }
@@ -119,7 +122,7 @@
                 WireException.Reason.UNKNOWN_TYPE, "column type " + shown + " is unknown");
     }
 
-    // ---- Text to terms
+    // ---- From text to terms
     private Term term(int depth) throws WireException {
         if (depth > MAX_DEPTH) {
             throw malformed("over " + MAX_DEPTH + " types within each other");
@@ -135,7 +138,7 @@
                 && text.charAt(pos) != ','
                 && text.charAt(pos) != ')'
                 && text.charAt(pos) != '=') {
-            // The first word was the name of an element.
+            // The first word was the name of a tuple element.
             name = word();
             skipWhitespace();
         }
@@ -155,7 +158,7 @@
         return withValue(new Term(name, arguments, false, ""));
     }
 
-    /** Takes the value of an element of an enumeration, where there is one. */
+    /** Parses the value of an enumeration element if there is one. */
     private Term withValue(Term term) throws WireException {
         skipWhitespace();
         if (pos >= text.length() || text.charAt(pos) != '=') {
@@ -201,7 +204,7 @@
         }
     }
 
-    // ---- Terms to types
+    // ---- From terms to column types
     private ColumnType type(Term term) throws WireException {
         if (term.quoted) {
             throw unknown("'" + term.name + "'");
@@ -250,7 +253,10 @@
         return new ColumnType.Tuple(List.copyOf(elements));
     }
 
-    /** The dictionary holds plain values also where the column may be null. */
+    /**
+     * Builds a dictionary type; the dictionary holds non-nullable values even if the column is
+     * nullable.
+     */
     private ColumnType lowCardinality(Term inner) throws WireException {
         Term plain = inner.name.equals("Nullable") ? argument(inner, 0) : inner;
         return new ColumnType.LowCardinality(type(plain));
@@ -260,7 +266,7 @@
         return new ColumnType.Fixed(decimalBytes(digits));
     }
 
-    /** Bytes of a decimal number with so many digits, 1 to 76. */
+    /** Returns the size in bytes of a decimal number with the given number of digits, 1 to 76. */
     public static int decimalBytes(int digits) {
         return digits <= 9 ? 4 : digits <= 18 ? 8 : digits <= 38 ? 16 : 32;
     }
@@ -280,7 +286,7 @@
                 return value;
             }
         } catch (NumberFormatException ignored) {
-            // Reported below, as a number out of range is.
+            // Reported below together with numbers that are out of range.
         }
         throw malformed(term.name + " takes a number from 1 to " + max + ", not " + digits);
     }
--- a/wire/src/main/java/ashlink/wire/ValueReader.java
+++ b/wire/src/main/java/ashlink/wire/ValueReader.java
@@ -3,23 +3,23 @@
 import java.io.IOException;
 
 /**
- * Reads the values of a column exactly. A value is a {@code Long} (integers up to 32 bits), a
- * {@code BigInteger} (wider ones), {@code Float}, {@code Double}, {@code Boolean}, {@code
- * BigDecimal}, a {@code String} (dates, times, enumerations, UUIDs, addresses), a {@code byte[]}
- * (texts, which may be any bytes), a {@code List} (arrays, tuples; maps as lists of pairs), or
- * null.
+ * Reads the exact values of a column. A value is a {@code Long} (integers of up to 32 bits), a
+ * {@code BigInteger} (larger integers), a {@code Float}, a {@code Double}, a {@code Boolean}, a
+ * {@code BigDecimal}, a {@code String} (dates, times, enumerations, UUIDs, IP addresses), a {@code
+ * byte[]} (strings, which may contain arbitrary bytes), a {@code List} (arrays and tuples; maps as
+ * lists of pairs), or null.
  */
 public interface ValueReader {
 
-    /** Reads the prefix of the values of a column, once for a column with rows. */
+    /** Reads the prefix before the values of a column; called once for a column that has rows. */
     default void readPrefix(ByteSource in) throws IOException {}
 
-    /** Reads that many values. */
+    /** Reads the given number of values. */
     Object[] read(ByteSource in, int rows) throws IOException;
 
     /**
-     * A reader of that type; {@code UNKNOWN_TYPE} or {@code MALFORMED} as {@link TypeParser#parse}
-     * has it.
+     * Returns the reader of a column type; throws {@code UNKNOWN_TYPE} or {@code MALFORMED} in the
+     * same cases as {@link TypeParser#parse}.
      */
     static ValueReader of(String type) throws WireException {
         TypeParser.parse(type);
--- a/wire/src/main/java/ashlink/wire/ValueReaders.java
+++ b/wire/src/main/java/ashlink/wire/ValueReaders.java
@@ -4,15 +4,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Makes the reader of a column from the parsed text of its type. */
+/** Creates the reader of a column from the parsed column type. */
 final class ValueReaders {
 
-    /** Values of one column, and bytes of one value; about the longest array. */
+    /** Limit on the values of one column and on the bytes of one value; near the largest array. */
     static final int MAX_VALUES = Integer.MAX_VALUE - 16;
 
     private ValueReaders() {}
 
-    /** The reader of a type whose text has passed {@link TypeParser#parse}. */
+    /** Returns the reader of a type that {@link TypeParser#parse} has accepted. */
     static ValueReader of(Term term) throws WireException {
         List<Term> arguments = term.arguments();
         return switch (term.name()) {
--- a/wire/src/main/java/ashlink/wire/WireException.java
+++ b/wire/src/main/java/ashlink/wire/WireException.java
@@ -2,26 +2,29 @@
 
 import java.io.IOException;
 
-/** Input that violates the protocol or a limit; the only exception that the codec throws for it. */
+/**
+ * Thrown for input that violates the protocol or a limit; the codec throws no other exception for
+ * invalid input.
+ */
 public final class WireException extends IOException {
 
     /** What was wrong. */
     public enum Reason {
-        /** A value that the protocol does not allow where it stands. */
+        /** A value that the protocol does not allow at this place. */
         MALFORMED,
-        /** A length over a limit that the reader was given. */
+        /** A length or count above a limit. */
         TOO_LARGE,
-        /** A column type that this codec cannot find the end of. */
+        /** A column type whose layout this codec does not know. */
         UNKNOWN_TYPE,
-        /** A compressed frame whose checksum does not fit its bytes. */
+        /** A compressed frame whose checksum does not match its content. */
         CHECKSUM,
-        /** The stream ended within a value. */
+        /** A stream that ends within a value. */
         TRUNCATED
     }
 
     private final Reason reason;
 
-    /** An error at the current place of the stream. */
+    /** Creates an exception for an error at the current position of the stream. */
     public WireException(Reason reason, String message) {
         super(message);
         this.reason = reason;
--- a/wire/src/main/java/ashlink/wire/package-info.java
+++ b/wire/src/main/java/ashlink/wire/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Codec of a subset of the ClickHouse native protocol, by its public specification: bytes to
- * packets and back, with no sockets and no threads of its own. What is served is listed in {@code
- * docs/native-protocol.md}.
+ * Codec for a subset of the ClickHouse native protocol, following the public specification.
+ * Converts between bytes and packets, without sockets and threads of its own. The supported subset
+ * is listed in {@code docs/native-protocol.md}.
  */
 package ashlink.wire;
