--- a/sql/src/main/java/ashlink/sql/CallReader.java
+++ b/sql/src/main/java/ashlink/sql/CallReader.java
@@ -61,10 +61,10 @@
         if (cursor.tryKeyword("AS")) {
             readers.types.type();
         } else {
-            cursor.expect(SqlLexer.COMMA, "the type of a cast");
+            cursor.expect(SqlLexer.COMMA, "AS or a comma before the type of a cast");
             readers.expressions.expression(scope);
         }
-        cursor.expect(SqlLexer.CLOSE, "the end of a cast");
+        cursor.expect(SqlLexer.CLOSE, "the closing parenthesis of a cast");
         cursor.exit();
     }
 
@@ -80,7 +80,7 @@
         }
         while (!cursor.at(SqlLexer.CLOSE)) {
             if (!cursor.tryKeyword("FROM") && !cursor.tryKeyword("FOR")) {
-                cursor.expect(SqlLexer.COMMA, "another argument");
+                cursor.expect(SqlLexer.COMMA, "FROM, FOR, a comma or a closing parenthesis");
             }
             readers.expressions.expression(scope);
         }
--- a/sql/src/main/java/ashlink/sql/ClauseReader.java
+++ b/sql/src/main/java/ashlink/sql/ClauseReader.java
@@ -161,8 +161,8 @@
             if (cursor.atKeywords("INTO", "OUTFILE")) {
                 cursor.takeKeyword();
                 cursor.takeKeyword();
-                cursor.expectLiteral("a file");
-                analysis.doubt("it writes a file at the client");
+                cursor.expectLiteral("a file name");
+                analysis.doubt("INTO OUTFILE writes a file on the client");
                 while (cursor.tryKeyword("AND")
                         || cursor.tryKeyword("STDOUT")
                         || cursor.tryKeyword("APPEND")
@@ -170,10 +170,10 @@
                     // these keywords change only how the file is written
                 }
                 if (cursor.tryKeyword("COMPRESSION")) {
-                    cursor.expectLiteral("a compression");
+                    cursor.expectLiteral("a compression method");
                 }
             } else if (cursor.tryKeyword("FORMAT")) {
-                cursor.expectName("a format");
+                cursor.expectName("a format name");
             } else if (cursor.tryKeyword("SETTINGS")) {
                 settings();
             } else {
@@ -188,8 +188,8 @@
             if (cursor.at(SqlLexer.COMMA)) {
                 tokens.take();
             }
-            String name = cursor.expectName("a setting");
-            cursor.expect(SqlLexer.OPERATOR, "=");
+            String name = cursor.expectName("a setting name");
+            cursor.expect(SqlLexer.OPERATOR, "'='");
             int from = tokens.offset();
             readers.expressions.expression(new Scope(null));
             Token last = tokens.last();
--- a/sql/src/main/java/ashlink/sql/DefinitionReader.java
+++ b/sql/src/main/java/ashlink/sql/DefinitionReader.java
@@ -111,7 +111,7 @@
         analysis.writes.add(readers.tables.tableName());
         if (cursor.tryKeyword("ON")) {
             cursor.expectKeyword("CLUSTER");
-            cursor.expectName("a cluster");
+            cursor.expectName("a cluster name");
         }
         boolean rows = cursor.atKeyword("DELETE") || cursor.atKeyword("UPDATE");
         return readers.statements.skipRest(rows ? StatementKind.WRITE : StatementKind.DDL);
--- a/sql/src/main/java/ashlink/sql/ExpressionReader.java
+++ b/sql/src/main/java/ashlink/sql/ExpressionReader.java
@@ -41,7 +41,7 @@
         if (!cursor.at(close)) {
             list(scope);
         }
-        cursor.expect(close, "the end of a bracket");
+        cursor.expect(close, "a closing bracket");
         cursor.exit();
     }
 
@@ -58,7 +58,7 @@
             } else {
                 readers.queries.query(scope);
             }
-            cursor.expect(SqlLexer.CLOSE, "the end of a query in brackets");
+            cursor.expect(SqlLexer.CLOSE, "a closing parenthesis after a query");
             cursor.exit();
         } else {
             bracketed(SqlLexer.CLOSE, scope);
--- a/sql/src/main/java/ashlink/sql/InsertReader.java
+++ b/sql/src/main/java/ashlink/sql/InsertReader.java
@@ -42,8 +42,8 @@
         boolean function = cursor.atKeyword("FUNCTION") && Token.isName(tokens.peek(1));
         if (function) {
             cursor.takeKeyword();
-            cursor.expectName("a table function");
-            cursor.expect(SqlLexer.OPEN, "arguments");
+            cursor.expectName("a table function name");
+            cursor.expect(SqlLexer.OPEN, "an opening parenthesis before arguments");
             readers.expressions.parenthesis(scope);
             analysis.allTables = false;
         } else {
@@ -57,9 +57,9 @@
         }
         cursor.takeKeyword();
         cursor.takeKeyword();
-        cursor.expectLiteral("a file");
+        cursor.expectLiteral("a file name");
         if (cursor.tryKeyword("COMPRESSION")) {
-            cursor.expectLiteral("a compression");
+            cursor.expectLiteral("a compression method");
         }
         return true;
     }
@@ -67,7 +67,7 @@
     /** Parses the source of the rows: a format, values, a file or a query. */
     private StatementKind source(Scope scope, boolean fromFile) {
         if (cursor.tryKeyword("FORMAT")) {
-            cursor.expectName("a format");
+            cursor.expectName("a format name");
             if (cursor.tryKeyword("SETTINGS")) {
                 readers.clauses.settings();
             }
--- a/sql/src/main/java/ashlink/sql/OperandReader.java
+++ b/sql/src/main/java/ashlink/sql/OperandReader.java
@@ -61,10 +61,10 @@
         tokens.take();
         Token second = tokens.peek(1);
         if (Token.isName(tokens.peek()) && second != null && second.type == SqlLexer.COLON) {
-            cursor.expectName("a parameter");
+            cursor.expectName("a parameter name");
             tokens.take();
             readers.types.type();
-            cursor.expect(SqlLexer.CLOSE_CURLY, "the end of a parameter");
+            cursor.expect(SqlLexer.CLOSE_CURLY, "the closing brace of a parameter");
             return;
         }
         cursor.enter();
@@ -143,7 +143,7 @@
         if (atUnit()) {
             cursor.takeKeyword();
         } else if (!text) {
-            throw cursor.unexpected("a unit of an interval");
+            throw cursor.unexpected("an interval unit");
         }
     }
 
--- a/sql/src/main/java/ashlink/sql/OperatorReader.java
+++ b/sql/src/main/java/ashlink/sql/OperatorReader.java
@@ -72,7 +72,7 @@
     private void conditional(Scope scope) {
         tokens.take();
         readers.expressions.expression(scope);
-        cursor.expect(SqlLexer.COLON, "the other branch");
+        cursor.expect(SqlLexer.COLON, "a colon before the second branch");
         readers.expressions.expression(scope);
     }
 
@@ -104,7 +104,7 @@
         if (cursor.at(SqlLexer.NUMBER) || cursor.at(SqlLexer.STAR)) {
             tokens.take();
         } else {
-            cursor.expectName("a part of a name");
+            cursor.expectName("a name part");
         }
     }
 
@@ -169,7 +169,7 @@
 
     private void filter(Scope scope) {
         cursor.takeKeyword();
-        cursor.expect(SqlLexer.OPEN, "a condition in brackets");
+        cursor.expect(SqlLexer.OPEN, "an opening parenthesis before a condition");
         cursor.expectKeyword("WHERE");
         readers.expressions.bracketed(SqlLexer.CLOSE, scope);
     }
--- a/sql/src/main/java/ashlink/sql/QueryReader.java
+++ b/sql/src/main/java/ashlink/sql/QueryReader.java
@@ -68,7 +68,7 @@
             tokens.take();
             cursor.enter();
             query(scope);
-            cursor.expect(SqlLexer.CLOSE, "the end of a query in brackets");
+            cursor.expect(SqlLexer.CLOSE, "a closing parenthesis after a query");
             cursor.exit();
             return;
         }
@@ -148,7 +148,7 @@
         }
         cursor.enter();
         query(inner);
-        cursor.expect(SqlLexer.CLOSE, "the end of a named query");
+        cursor.expect(SqlLexer.CLOSE, "the closing parenthesis of a named query");
         cursor.exit();
         scope.add(name);
     }
@@ -156,7 +156,7 @@
     /** Parses column names after an opening parenthesis, and the closing parenthesis. */
     void columnNames() {
         while (!cursor.at(SqlLexer.CLOSE)) {
-            cursor.expectName("a column");
+            cursor.expectName("a column name");
             if (cursor.at(SqlLexer.COMMA)) {
                 tokens.take();
             }
@@ -168,7 +168,7 @@
         if (cursor.atKeyword("DISTINCT")) {
             cursor.takeKeyword();
             if (cursor.tryKeyword("ON")) {
-                cursor.expect(SqlLexer.OPEN, "columns in brackets");
+                cursor.expect(SqlLexer.OPEN, "an opening parenthesis before columns");
                 readers.expressions.parenthesis(scope);
             }
         }
--- a/sql/src/main/java/ashlink/sql/StatementParser.java
+++ b/sql/src/main/java/ashlink/sql/StatementParser.java
@@ -45,7 +45,7 @@
             }
         }
         if (statements == 0) {
-            throw new UnsupportedSyntaxException("there is no statement", 0);
+            throw new UnsupportedSyntaxException("missing statement", 0);
         }
         return statements > 1 ? StatementKind.SEVERAL : first;
     }
@@ -84,7 +84,7 @@
             }
             default ->
                     throw new UnsupportedSyntaxException(
-                            "no statement starts like this", tokens.offset());
+                            "unsupported start of a statement", tokens.offset());
         };
     }
 
@@ -97,7 +97,7 @@
 
     private StatementKind use() {
         cursor.takeKeyword();
-        cursor.expectName("a database");
+        cursor.expectName("a database name");
         return StatementKind.SESSION;
     }
 
@@ -147,7 +147,7 @@
             tokens.take();
             cursor.enter();
             readers.queries.query(new Scope(null));
-            cursor.expect(SqlLexer.CLOSE, "the end of a query in brackets");
+            cursor.expect(SqlLexer.CLOSE, "a closing parenthesis after a query");
             cursor.exit();
         } else if (tokens.peek(1) != null && tokens.peek(1).type == SqlLexer.OPEN) {
             readers.tables.function(new Scope(null));
@@ -170,7 +170,7 @@
             cursor.takeKeyword();
         }
         if (database) {
-            cursor.expectName("a database");
+            cursor.expectName("a database name");
         } else {
             analysis.reads.add(readers.tables.tableName());
         }
@@ -222,8 +222,7 @@
                             || token.type == SqlLexer.CLOSE_CURLY;
             open += opens ? 1 : closes ? -1 : 0;
             if (open < 0 || token.type == SqlLexer.SEMICOLON) {
-                throw new UnsupportedSyntaxException(
-                        "a bracket is not closed, or closes nothing", token.from);
+                throw new UnsupportedSyntaxException("unbalanced bracket", token.from);
             }
             token.role =
                     token.type == SqlLexer.NUMBER || token.type == SqlLexer.STRING
@@ -231,7 +230,7 @@
                             : Token.isName(token) ? Role.NAME : Role.SYMBOL;
         }
         if (open > 0) {
-            throw new UnsupportedSyntaxException("a bracket is not closed", tokens.offset());
+            throw new UnsupportedSyntaxException("unclosed bracket", tokens.offset());
         }
         return kind;
     }
--- a/sql/src/main/java/ashlink/sql/StatementReader.java
+++ b/sql/src/main/java/ashlink/sql/StatementReader.java
@@ -49,7 +49,7 @@
             // The nesting limit assumes that the whole thread stack is available. How much of the
             // stack the caller has used, and the frame size before JIT compilation, are unknown
             // here.
-            String reason = "brackets or operators too deep within each other for this thread";
+            String reason = "brackets or operators nested too deep for this thread";
             return unknown(text, reason, tokens.offset());
         }
         return understood(kind, analysis, tokens);
--- a/sql/src/main/java/ashlink/sql/TableReader.java
+++ b/sql/src/main/java/ashlink/sql/TableReader.java
@@ -72,7 +72,7 @@
             } else {
                 from(scope);
             }
-            cursor.expect(SqlLexer.CLOSE, "the end of a bracket");
+            cursor.expect(SqlLexer.CLOSE, "a closing parenthesis");
             cursor.exit();
         } else if (Token.isName(tokens.peek())
                 && tokens.peek(1) != null
@@ -142,16 +142,18 @@
     String tableName() {
         if (cursor.at(SqlLexer.OPEN_CURLY)) {
             throw new UnsupportedSyntaxException(
-                    "a table whose name is a parameter", tokens.offset());
+                    "unsupported parameter in place of a table name", tokens.offset());
         }
-        String first = cursor.expectName("a table");
+        String first = cursor.expectName("a table name");
         if (!cursor.at(SqlLexer.DOT)) {
             return qualified(readers.database, first);
         }
         tokens.take();
-        String second = cursor.expectName("a table");
+        String second = cursor.expectName("a table name");
         if (cursor.at(SqlLexer.DOT)) {
-            throw new UnsupportedSyntaxException("a name of three parts", tokens.offset());
+            throw new UnsupportedSyntaxException(
+                    "unsupported table name of three parts: at most database and table",
+                    tokens.offset());
         }
         return qualified(first, second);
     }
@@ -166,7 +168,7 @@
 
     /** Parses a table function. */
     void function(Scope scope) {
-        String name = cursor.expectName("a table function");
+        String name = cursor.expectName("a table function name");
         String lower = name.toLowerCase(Locale.ROOT);
         tokens.take();
         if (lower.equals("view") || lower.equals("viewifpermitted")) {
@@ -178,17 +180,17 @@
             if (cursor.tryKeyword("ELSE")) {
                 readers.expressions.expression(scope);
             }
-            cursor.expect(SqlLexer.CLOSE, "the end of a view");
+            cursor.expect(SqlLexer.CLOSE, "the closing parenthesis of a view");
             cursor.exit();
             return;
         }
         if (Vocabulary.OUTSIDE_TABLES.contains(lower)) {
-            analysis.doubt("it reads from outside by " + lower);
+            analysis.doubt("table function " + lower + " reads external data");
             analysis.allTables = false;
         } else if (Vocabulary.PATTERN_TABLES.contains(lower)) {
             analysis.allTables = false;
         } else if (!Vocabulary.HARMLESS_TABLES.contains(lower)) {
-            throw new UnsupportedSyntaxException("an unknown table function", tokens.last().from);
+            throw new UnsupportedSyntaxException("unknown table function", tokens.last().from);
         }
         analysis.unstable |= lower.equals("generaterandom") || lower.equals("fuzzjson");
         readers.expressions.parenthesis(scope);
--- a/sql/src/main/java/ashlink/sql/TokenCursor.java
+++ b/sql/src/main/java/ashlink/sql/TokenCursor.java
@@ -72,7 +72,7 @@
     UnsupportedSyntaxException unexpected(String expected) {
         Token token = tokens.peek();
         return new UnsupportedSyntaxException(
-                describe(token) + " where " + expected + " was expected", tokens.offset());
+                "unexpected " + describe(token) + ": expected " + expected, tokens.offset());
     }
 
     /**
@@ -81,12 +81,12 @@
      */
     private static String describe(Token token) {
         if (token == null) {
-            return "the end";
+            return "end of statement";
         }
         if (token.type == SqlLexer.STRING || token.type == SqlLexer.NUMBER) {
-            return "a literal";
+            return "literal";
         }
-        return token.type == SqlLexer.WORD ? "a word" : "'" + token.text + "'";
+        return token.type == SqlLexer.WORD ? "word" : "'" + token.text + "'";
     }
 
     /**
@@ -96,7 +96,10 @@
     void enter() {
         if (++depth > MAX_DEPTH) {
             throw new UnsupportedSyntaxException(
-                    "brackets or operators too deep within each other", tokens.offset());
+                    "brackets or operators nested too deep: at most "
+                            + MAX_DEPTH
+                            + " parsing steps",
+                    tokens.offset());
         }
     }
 
--- a/sql/src/main/java/ashlink/sql/Tokens.java
+++ b/sql/src/main/java/ashlink/sql/Tokens.java
@@ -46,7 +46,7 @@
     ashlink.sql.Token take() {
         ashlink.sql.Token token = peek(0);
         if (token == null) {
-            throw new UnsupportedSyntaxException("the statement ends early", text.length());
+            throw new UnsupportedSyntaxException("unexpected end of statement", text.length());
         }
         next++;
         return token;
@@ -81,7 +81,7 @@
         }
         if (made.size() >= maxTokens) {
             throw new UnsupportedSyntaxException(
-                    "over " + maxTokens + " tokens", token.getStartIndex());
+                    "too many tokens: at most " + maxTokens, token.getStartIndex());
         }
         int from = token.getStartIndex();
         int to = token.getStopIndex() + 1;
@@ -91,11 +91,12 @@
             return;
         }
         if (type == SqlLexer.OPEN_COMMENT) {
-            throw new UnsupportedSyntaxException("a comment is not closed", from);
+            throw new UnsupportedSyntaxException("unclosed comment", from);
         }
         if (type == SqlLexer.STRAY) {
             throw new UnsupportedSyntaxException(
-                    "a stray character U+" + String.format("%04X", (int) text.charAt(from)), from);
+                    "unexpected character U+" + String.format("%04X", (int) text.charAt(from)),
+                    from);
         }
         if (type == SqlLexer.HEREDOC) {
             to = heredocEnd(from, to);
@@ -114,7 +115,7 @@
     private void checkNoInnerComment(int from, int to) {
         int inner = text.indexOf("/*", from + 2);
         if (inner >= 0 && inner + 1 < to) {
-            throw new UnsupportedSyntaxException("a comment within a comment", inner);
+            throw new UnsupportedSyntaxException("unsupported nested comment", inner);
         }
     }
 
@@ -126,7 +127,7 @@
         String tag = text.substring(from, tagEnd);
         int close = text.indexOf(tag, tagEnd);
         if (close < 0) {
-            throw new UnsupportedSyntaxException("a heredoc is not closed", from);
+            throw new UnsupportedSyntaxException("unclosed heredoc", from);
         }
         return close + tag.length();
     }
--- a/sql/src/main/java/ashlink/sql/TypeReader.java
+++ b/sql/src/main/java/ashlink/sql/TypeReader.java
@@ -17,7 +17,7 @@
     /** Parses a type with its arguments. */
     void type() {
         cursor.enter();
-        cursor.expectName("a type");
+        cursor.expectName("a type name");
         if (cursor.at(SqlLexer.OPEN)) {
             tokens.take();
             while (!cursor.at(SqlLexer.CLOSE)) {
--- a/sql/src/main/java/ashlink/sql/WindowReader.java
+++ b/sql/src/main/java/ashlink/sql/WindowReader.java
@@ -23,7 +23,7 @@
             tokens.take();
             definition(scope);
         } else {
-            cursor.expectName("a window");
+            cursor.expectName("a window name");
         }
     }
 
@@ -34,9 +34,9 @@
             // gets the role of a keyword and is normalized to an empty text. Fingerprints depend on
             // this.
             tokens.take().role = cursor.at(SqlLexer.COMMA) ? Role.SYMBOL : Role.KEYWORD;
-            cursor.expectName("a window");
+            cursor.expectName("a window name");
             cursor.expectKeyword("AS");
-            cursor.expect(SqlLexer.OPEN, "a window in brackets");
+            cursor.expect(SqlLexer.OPEN, "an opening parenthesis before a window");
             definition(scope);
         } while (cursor.at(SqlLexer.COMMA));
     }
@@ -49,7 +49,7 @@
                 && !cursor.atKeyword("ORDER")
                 && !cursor.atKeyword("ROWS")
                 && !cursor.atKeyword("RANGE")) {
-            cursor.expectName("a window");
+            cursor.expectName("a window name");
         }
         if (cursor.tryKeyword("PARTITION")) {
             cursor.expectKeyword("BY");
@@ -68,7 +68,7 @@
                 }
             }
         }
-        cursor.expect(SqlLexer.CLOSE, "the end of a window");
+        cursor.expect(SqlLexer.CLOSE, "the closing parenthesis of a window");
         cursor.exit();
     }
 }
