--- a/wire/src/main/java/ashlink/wire/ArrayReader.java
+++ b/wire/src/main/java/ashlink/wire/ArrayReader.java
@@ -21,7 +21,12 @@
             if (ends[i] < previousEnd || ends[i] > ValueReaders.MAX_VALUES) {
                 throw new WireException(
                         WireException.Reason.MALFORMED,
-                        "arrays end at " + previousEnd + ", then at " + ends[i]);
+                        "invalid array end "
+                                + ends[i]
+                                + ": at least "
+                                + previousEnd
+                                + " and at most "
+                                + ValueReaders.MAX_VALUES);
             }
             previousEnd = ends[i];
         }
--- a/wire/src/main/java/ashlink/wire/BlockReader.java
+++ b/wire/src/main/java/ashlink/wire/BlockReader.java
@@ -50,8 +50,8 @@
         long columns = from.readCount("number of columns", limits.columns());
         long rows = from.readCount("number of rows", Long.MAX_VALUE);
         for (long i = 0; i < columns; i++) {
-            from.skip(from.readCount("length of a column's name", limits.nameBytes()));
-            ColumnType type = type(from.readString("a column's type", limits.nameBytes()));
+            from.skip(from.readCount("length of column name", limits.nameBytes()));
+            ColumnType type = type(from.readString("column type", limits.nameBytes()));
             if (rows > 0) {
                 type.skipPrefix(from);
                 type.skipValues(from, rows);
@@ -71,8 +71,8 @@
         int rows = (int) from.readCount("number of rows", maxRows);
         List<Block.Column> read = new ArrayList<>();
         for (int i = 0; i < columns; i++) {
-            String name = from.readString("a column's name", limits.nameBytes());
-            String type = from.readString("a column's type", limits.nameBytes());
+            String name = from.readString("column name", limits.nameBytes());
+            String type = from.readString("column type", limits.nameBytes());
             read.add(new Block.Column(name, type, PlainValues.read(type, rows, from, limits)));
         }
         if (compressed) {
@@ -96,8 +96,8 @@
         List<String> types = new ArrayList<>();
         List<Object[]> values = new ArrayList<>();
         for (int i = 0; i < columns; i++) {
-            names.add(in.readString("a column's name", limits.nameBytes()));
-            types.add(in.readString("a column's type", limits.nameBytes()));
+            names.add(in.readString("column name", limits.nameBytes()));
+            types.add(in.readString("column type", limits.nameBytes()));
             ValueReader reader = ValueReader.of(types.get(i));
             if (rows > 0) {
                 reader.readPrefix(in);
@@ -125,7 +125,12 @@
             } else {
                 throw new WireException(
                         WireException.Reason.MALFORMED,
-                        "field " + field + " of a block is unknown");
+                        "unknown field "
+                                + field
+                                + " of block info: supported are "
+                                + INFO_OVERFLOWS
+                                + " and "
+                                + INFO_BUCKET);
             }
         }
     }
--- a/wire/src/main/java/ashlink/wire/ByteBuf.java
+++ b/wire/src/main/java/ashlink/wire/ByteBuf.java
@@ -98,14 +98,16 @@
         if ((long) size + additional > maxBytes) {
             throw new WireException(
                     WireException.Reason.TOO_LARGE,
-                    "a packet is over the limit of " + maxBytes + " bytes");
+                    "packet exceeds the limit of " + maxBytes + " bytes");
         }
         if (size + additional > bytes.length) {
             int capacity = (int) Math.max(size + additional, Math.min(maxBytes, bytes.length * 2L));
             if (!quota.take(capacity - bytes.length)) {
                 throw new WireException(
                         WireException.Reason.TOO_LARGE,
-                        "the memory set aside for answers is used up");
+                        "memory quota exhausted: cannot reserve "
+                                + (capacity - bytes.length)
+                                + " bytes");
             }
             bytes = Arrays.copyOf(bytes, capacity);
         }
--- a/wire/src/main/java/ashlink/wire/ByteSource.java
+++ b/wire/src/main/java/ashlink/wire/ByteSource.java
@@ -42,7 +42,7 @@
     private void refillOrFail() throws IOException {
         if (!refill()) {
             throw new WireException(
-                    WireException.Reason.TRUNCATED, "the stream ends within a value");
+                    WireException.Reason.TRUNCATED, "unexpected end of stream within a value");
         }
     }
 
@@ -71,7 +71,9 @@
     public final boolean readFlag() throws IOException {
         int flag = readByte();
         if (flag > 1) {
-            throw new WireException(WireException.Reason.MALFORMED, "a flag is " + flag);
+            throw new WireException(
+                    WireException.Reason.MALFORMED,
+                    "invalid Boolean value " + flag + ": expected 0 or 1");
         }
         return flag == 1;
     }
@@ -85,14 +87,15 @@
             if (next < 0x80) {
                 if (value < 0 || i == MAX_VAR_INT_BYTES - 1 && next > 0) {
                     throw new WireException(
-                            WireException.Reason.TOO_LARGE, "a number is over 2^63 - 1");
+                            WireException.Reason.TOO_LARGE,
+                            "invalid variable-length integer: at most 2^63 - 1");
                 }
                 return value;
             }
         }
         throw new WireException(
                 WireException.Reason.MALFORMED,
-                "a number has over " + MAX_VAR_INT_BYTES + " bytes");
+                "invalid variable-length integer: at most " + MAX_VAR_INT_BYTES + " bytes");
     }
 
     /**
@@ -104,7 +107,7 @@
         if (value > max) {
             throw new WireException(
                     WireException.Reason.TOO_LARGE,
-                    what + " is " + value + ", over the limit of " + max);
+                    "invalid " + what + " " + value + ": at most " + max);
         }
         return value;
     }
@@ -194,13 +197,13 @@
                 // A short string that is fully buffered is skipped without further calls.
                 pos += 1 + buffer[pos];
             } else {
-                skip(readCount("length of a text in a column", maxEachBytes));
+                skip(readCount("length of a string in a column", maxEachBytes));
             }
         }
     }
 
     /** Returns the exception for a stream that ends between packets. */
     public static EOFException ended() {
-        return new EOFException("the peer closed the connection");
+        return new EOFException("connection closed by peer");
     }
 }
--- a/wire/src/main/java/ashlink/wire/ClientInfo.java
+++ b/wire/src/main/java/ashlink/wire/ClientInfo.java
@@ -54,7 +54,7 @@
             in.readVarUInt();
         }
         boolean hasPatch = revision >= Revision.VERSION_PATCH && transport == TCP;
-        int patch = hasPatch ? (int) in.readCount("version", Integer.MAX_VALUE) : 0;
+        int patch = hasPatch ? (int) in.readCount("patch version", Integer.MAX_VALUE) : 0;
         skipTraceAndReplicas(in, revision, maxBytes);
         return new ClientInfo(
                 user,
@@ -78,11 +78,11 @@
 
         static Program read(ByteSource in, int maxBytes) throws IOException {
             return new Program(
-                    in.readString("os user", maxBytes),
+                    in.readString("operating system user", maxBytes),
                     in.readString("client host", maxBytes),
                     in.readString("client name", maxBytes),
-                    (int) in.readCount("version", Integer.MAX_VALUE),
-                    (int) in.readCount("version", Integer.MAX_VALUE),
+                    (int) in.readCount("major version", Integer.MAX_VALUE),
+                    (int) in.readCount("minor version", Integer.MAX_VALUE),
                     (int) in.readCount("revision", Integer.MAX_VALUE));
         }
     }
@@ -92,10 +92,10 @@
         in.readByte();
         in.readString("user agent", maxBytes);
         if (revision >= Revision.X_FORWARDED_FOR) {
-            in.readString("forwarded for", maxBytes);
+            in.readString("X-Forwarded-For header", maxBytes);
         }
         if (revision >= Revision.REFERER) {
-            in.readString("referer", maxBytes);
+            in.readString("Referer header", maxBytes);
         }
     }
 
--- a/wire/src/main/java/ashlink/wire/ClientPacket.java
+++ b/wire/src/main/java/ashlink/wire/ClientPacket.java
@@ -18,7 +18,7 @@
         if (number < 0 || number >= values().length) {
             throw new WireException(
                     WireException.Reason.MALFORMED,
-                    "a client's packet of kind " + number + " is unknown");
+                    "unknown client packet type " + number + ": at most " + (values().length - 1));
         }
         return values()[(int) number];
     }
--- a/wire/src/main/java/ashlink/wire/ColumnType.java
+++ b/wire/src/main/java/ashlink/wire/ColumnType.java
@@ -59,7 +59,10 @@
                 long elements = in.readLong();
                 if (elements < 0) {
                     throw new WireException(
-                            WireException.Reason.TOO_LARGE, "an array ends past 2^63");
+                            WireException.Reason.TOO_LARGE,
+                            "invalid array end "
+                                    + Long.toUnsignedString(elements)
+                                    + ": at most 2^63 - 1");
                 }
                 inner.skipValues(in, elements);
             }
@@ -98,7 +101,10 @@
             if (version != VERSION) {
                 throw new WireException(
                         WireException.Reason.UNKNOWN_TYPE,
-                        "low-cardinality columns of version " + version + " are unknown");
+                        "unsupported version "
+                                + version
+                                + " of a LowCardinality column: expected "
+                                + VERSION);
             }
         }
 
@@ -113,18 +119,17 @@
                         || (flags & OWN_KEYS) == 0) {
                     throw new WireException(
                             WireException.Reason.UNKNOWN_TYPE,
-                            "a dictionary with flags " + Long.toHexString(flags) + " is unknown");
+                            "unsupported dictionary flags 0x" + Long.toHexString(flags));
                 }
                 inner.skipValues(in, in.readLong());
                 long blockRows = in.readLong();
                 if (blockRows <= 0 || blockRows > remaining) {
                     throw new WireException(
                             WireException.Reason.MALFORMED,
-                            "a dictionary is followed by "
+                            "invalid number of dictionary indexes "
                                     + blockRows
-                                    + " of "
-                                    + remaining
-                                    + " values");
+                                    + ": expected 1 to "
+                                    + remaining);
                 }
                 in.skip(product(1L << indexWidth, blockRows));
                 remaining -= blockRows;
@@ -137,7 +142,11 @@
         if (size < 0 || count < 0 || Math.multiplyHigh(size, count) != 0 || product < 0) {
             throw new WireException(
                     WireException.Reason.TOO_LARGE,
-                    count + " values of " + size + " bytes are too many");
+                    "invalid column size of "
+                            + count
+                            + " values of "
+                            + size
+                            + " bytes: at most 2^63 - 1 bytes");
         }
         return product;
     }
--- a/wire/src/main/java/ashlink/wire/Compression.java
+++ b/wire/src/main/java/ashlink/wire/Compression.java
@@ -44,7 +44,8 @@
             }
         }
         throw new WireException(
-                WireException.Reason.MALFORMED, "compression method " + method + " is unknown");
+                WireException.Reason.MALFORMED,
+                "unknown compression method 0x" + Integer.toHexString(method));
     }
 
     /** Appends the given bytes as compressed frames. */
@@ -121,13 +122,15 @@
                     };
         } catch (LZ4Exception | ZstdException e) {
             throw new WireException(
-                    WireException.Reason.MALFORMED,
-                    "a compressed frame is damaged: " + e.getMessage());
+                    WireException.Reason.MALFORMED, "corrupt compressed frame: " + e.getMessage());
         }
         if (decompressed != length) {
             throw new WireException(
                     WireException.Reason.MALFORMED,
-                    "a compressed frame holds " + decompressed + " bytes and says " + length);
+                    "compressed frame holds "
+                            + decompressed
+                            + " bytes, but the header declares "
+                            + length);
         }
     }
 }
--- a/wire/src/main/java/ashlink/wire/DictionaryReader.java
+++ b/wire/src/main/java/ashlink/wire/DictionaryReader.java
@@ -27,14 +27,18 @@
             int blockRows = count(in.readLong(), rows - done);
             if (blockRows == 0) {
                 throw new WireException(
-                        WireException.Reason.MALFORMED, "a dictionary without values");
+                        WireException.Reason.MALFORMED,
+                        "invalid number of dictionary indexes 0: at least 1");
             }
             for (int i = 0; i < blockRows; i++) {
                 int index = readIndex(in, indexWidth);
                 if (index < 0 || index >= dictionary.length) {
                     throw new WireException(
                             WireException.Reason.MALFORMED,
-                            "value " + index + " of a dictionary of " + dictionary.length);
+                            "invalid dictionary index "
+                                    + index
+                                    + ": expected 0 to "
+                                    + (dictionary.length - 1));
                 }
                 values[done++] = nullable && index == 0 ? null : dictionary[index];
             }
@@ -54,7 +58,8 @@
     private static int count(long value, long max) throws WireException {
         if (value < 0 || value > max) {
             throw new WireException(
-                    WireException.Reason.MALFORMED, "a dictionary has " + value + " values");
+                    WireException.Reason.MALFORMED,
+                    "invalid count " + value + " in a dictionary: expected 0 to " + max);
         }
         return (int) value;
     }
--- a/wire/src/main/java/ashlink/wire/FrameSource.java
+++ b/wire/src/main/java/ashlink/wire/FrameSource.java
@@ -31,7 +31,7 @@
         long[] checksum = CityHash.hash128(frame, 0, frameBytes);
         if (checksum[0] != checksumLow || checksum[1] != checksumHigh) {
             throw new WireException(
-                    WireException.Reason.CHECKSUM, "the checksum of a compressed frame is wrong");
+                    WireException.Reason.CHECKSUM, "checksum mismatch of a compressed frame");
         }
         if (buffer.length < contentBytes) {
             buffer = new byte[contentBytes];
@@ -51,11 +51,11 @@
                 || contentBytes > maxBytes) {
             throw new WireException(
                     tooShort ? WireException.Reason.MALFORMED : WireException.Reason.TOO_LARGE,
-                    "a compressed frame of "
+                    "invalid compressed frame of "
                             + Integer.toUnsignedString(frameBytes)
-                            + " bytes holds "
+                            + " bytes with "
                             + Integer.toUnsignedString(contentBytes)
-                            + ", the limit is "
+                            + " bytes of content: at most "
                             + maxBytes);
         }
     }
@@ -80,7 +80,8 @@
     void endOfBlock() throws WireException {
         if (pos != end) {
             throw new WireException(
-                    WireException.Reason.MALFORMED, "a compressed frame goes on past its block");
+                    WireException.Reason.MALFORMED,
+                    "unexpected data after the block in a compressed frame");
         }
     }
 }
--- a/wire/src/main/java/ashlink/wire/Hello.java
+++ b/wire/src/main/java/ashlink/wire/Hello.java
@@ -60,7 +60,7 @@
             int revision = (int) in.readCount("revision", Integer.MAX_VALUE);
             String timezone =
                     revision >= Revision.SERVER_TIMEZONE
-                            ? in.readString("timezone", limits.nameBytes())
+                            ? in.readString("time zone", limits.nameBytes())
                             : "";
             String display =
                     revision >= Revision.SERVER_DISPLAY_NAME
--- a/wire/src/main/java/ashlink/wire/PlainPackets.java
+++ b/wire/src/main/java/ashlink/wire/PlainPackets.java
@@ -14,13 +14,13 @@
             case PROGRESS -> Progress.read(in, revision);
             case PROFILE_INFO -> ProfileInfo.read(in);
             case TABLE_COLUMNS -> {
-                in.skip(in.readCount("length of a table's name", limits.nameBytes()));
-                in.skip(in.readCount("length of columns", limits.textBytes()));
+                in.skip(in.readCount("length of table name", limits.nameBytes()));
+                in.skip(in.readCount("length of column descriptions", limits.textBytes()));
             }
             case PONG -> {}
             default ->
                     throw new WireException(
-                            WireException.Reason.MALFORMED, "packet " + kind + " is out of place");
+                            WireException.Reason.MALFORMED, "unexpected packet " + kind);
         }
     }
 }
--- a/wire/src/main/java/ashlink/wire/PlainValues.java
+++ b/wire/src/main/java/ashlink/wire/PlainValues.java
@@ -24,7 +24,7 @@
     private static Object readOne(String type, ByteSource from, WireLimits limits)
             throws IOException {
         return switch (base(type)) {
-            case "String" -> from.readString("a text", limits.textBytes());
+            case "String" -> from.readString("string", limits.textBytes());
             case "UInt8", "Bool" -> (long) from.readByte();
             case "Int8", "Enum8" -> (long) (byte) from.readByte();
             case "UInt16", "Date" -> (long) from.readUnsignedShort();
@@ -36,8 +36,7 @@
             case "Float64" -> Double.longBitsToDouble(from.readLong());
             default ->
                     throw new WireException(
-                            WireException.Reason.UNKNOWN_TYPE,
-                            "values of type " + type + " are not read here");
+                            WireException.Reason.UNKNOWN_TYPE, "unsupported column type " + type);
         };
     }
 
@@ -55,7 +54,7 @@
                 default ->
                         throw new WireException(
                                 WireException.Reason.UNKNOWN_TYPE,
-                                "values of type " + type + " are not written here");
+                                "unsupported column type " + type);
             }
         }
     }
--- a/wire/src/main/java/ashlink/wire/QueryPacket.java
+++ b/wire/src/main/java/ashlink/wire/QueryPacket.java
@@ -56,9 +56,10 @@
                         ? settings(in, limits)
                         : oldSettings(in, limits);
         if (revision >= Revision.INTERSERVER_SECRET
-                && !in.readString("secret", limits.nameBytes()).isEmpty()) {
+                && !in.readString("interserver secret", limits.nameBytes()).isEmpty()) {
             throw new WireException(
-                    WireException.Reason.MALFORMED, "a secret between servers is not taken here");
+                    WireException.Reason.MALFORMED,
+                    "unsupported interserver secret: expected an empty string");
         }
         int stage = (int) in.readCount("stage", MAX_STAGE);
         boolean compressed = in.readFlag();
@@ -78,7 +79,9 @@
             long flags = in.readVarUInt();
             settings.add(
                     new Setting(
-                            name, flags, in.readString("value of " + name, limits.textBytes())));
+                            name,
+                            flags,
+                            in.readString("value of setting " + name, limits.textBytes())));
         }
         return List.copyOf(settings);
     }
@@ -90,21 +93,21 @@
             String value =
                     NUMERIC_SETTINGS.contains(name)
                             ? Long.toString(in.readVarUInt())
-                            : in.readString("value of " + name, limits.textBytes());
+                            : in.readString("value of setting " + name, limits.textBytes());
             settings.add(new Setting(name, 0, value));
         }
         return List.copyOf(settings);
     }
 
     private static String name(ByteSource in, WireLimits limits) throws IOException {
-        return in.readString("a setting's name", limits.nameBytes());
+        return in.readString("setting name", limits.nameBytes());
     }
 
     private static void checkCount(List<Setting> settings, WireLimits limits) throws WireException {
         if (settings.size() >= limits.settings()) {
             throw new WireException(
                     WireException.Reason.TOO_LARGE,
-                    "a query has over " + limits.settings() + " settings");
+                    "too many settings in a query: at most " + limits.settings());
         }
     }
 
--- a/wire/src/main/java/ashlink/wire/ScalarReaders.java
+++ b/wire/src/main/java/ashlink/wire/ScalarReaders.java
@@ -35,7 +35,7 @@
                     Map.entry("Float32", in -> Float.intBitsToFloat(in.readInt())),
                     Map.entry("Float64", in -> Double.longBitsToDouble(in.readLong())),
                     Map.entry("Bool", in -> in.readByte() != 0),
-                    Map.entry("String", in -> in.readBytes("a text", ValueReaders.MAX_VALUES)),
+                    Map.entry("String", in -> in.readBytes("string", ValueReaders.MAX_VALUES)),
                     Map.entry("Date", TimeReaders::readDate),
                     Map.entry("Date32", TimeReaders::readDate32),
                     Map.entry("UUID", in -> new UUID(in.readLong(), in.readLong()).toString()),
@@ -72,7 +72,7 @@
             default ->
                     throw new WireException(
                             WireException.Reason.UNKNOWN_TYPE,
-                            "values of type " + term.name() + " are not read");
+                            "unsupported column type " + term.name());
         };
     }
 
--- a/wire/src/main/java/ashlink/wire/ServerError.java
+++ b/wire/src/main/java/ashlink/wire/ServerError.java
@@ -20,13 +20,14 @@
     private static ServerError read(ByteSource in, WireLimits limits, int depth)
             throws IOException {
         int code = in.readInt();
-        String name = in.readString("an exception's name", limits.nameBytes());
-        String message = in.readString("an exception's message", limits.textBytes());
-        String stack = in.readString("an exception's stack", limits.textBytes());
+        String name = in.readString("exception name", limits.nameBytes());
+        String message = in.readString("exception message", limits.textBytes());
+        String stack = in.readString("exception stack trace", limits.textBytes());
         boolean more = in.readFlag();
         if (more && depth >= MAX_NESTING) {
             throw new WireException(
-                    WireException.Reason.TOO_LARGE, "over " + MAX_NESTING + " nested exceptions");
+                    WireException.Reason.TOO_LARGE,
+                    "too many nested exceptions: at most " + MAX_NESTING);
         }
         return new ServerError(
                 code, name, message, stack, more ? read(in, limits, depth + 1) : null);
--- a/wire/src/main/java/ashlink/wire/ServerPacket.java
+++ b/wire/src/main/java/ashlink/wire/ServerPacket.java
@@ -47,8 +47,7 @@
             }
         }
         throw new WireException(
-                WireException.Reason.MALFORMED,
-                "a server's packet of kind " + number + " is unknown");
+                WireException.Reason.MALFORMED, "unknown server packet type " + number);
     }
 
     /** Returns true for packet types that carry a block. */
--- a/wire/src/main/java/ashlink/wire/TypeParser.java
+++ b/wire/src/main/java/ashlink/wire/TypeParser.java
@@ -104,7 +104,7 @@
     private Term completeTerm() throws WireException {
         Term term = term(0);
         if (pos < text.length()) {
-            throw malformed("something follows the type");
+            throw malformed("unexpected text after the type");
         }
         return term;
     }
@@ -113,19 +113,24 @@
         String shown = text.length() > 100 ? text.substring(0, 100) + "..." : text;
         return new WireException(
                 WireException.Reason.MALFORMED,
-                "type " + shown + ": " + what + " at character " + Math.min(pos, text.length()));
+                "invalid column type "
+                        + shown
+                        + " at character "
+                        + Math.min(pos, text.length())
+                        + ": "
+                        + what);
     }
 
     private WireException unknown(String name) {
         String shown = name.length() > 100 ? name.substring(0, 100) + "..." : name;
         return new WireException(
-                WireException.Reason.UNKNOWN_TYPE, "column type " + shown + " is unknown");
+                WireException.Reason.UNKNOWN_TYPE, "unsupported column type " + shown);
     }
 
     // ---- From text to terms
     private Term term(int depth) throws WireException {
         if (depth > MAX_DEPTH) {
-            throw malformed("over " + MAX_DEPTH + " types within each other");
+            throw malformed("types nested too deep: at most " + MAX_DEPTH + " levels");
         }
         skipWhitespace();
         if (pos < text.length() && text.charAt(pos) == '\'') {
@@ -150,7 +155,7 @@
                 skipWhitespace();
             } while (pos < text.length() && text.charAt(pos) == ',');
             if (pos >= text.length() || text.charAt(pos) != ')') {
-                throw malformed("a parenthesis is not closed");
+                throw malformed("unclosed parenthesis");
             }
             pos++;
             skipWhitespace();
@@ -182,7 +187,7 @@
             pos++;
         }
         if (pos == from) {
-            throw malformed("a name or number is missing");
+            throw malformed("missing name or number");
         }
         return text.substring(from, pos);
     }
@@ -193,7 +198,7 @@
             pos += text.charAt(pos) == '\\' ? 2 : 1;
         }
         if (pos >= text.length()) {
-            throw malformed("a quote is not closed");
+            throw malformed("unclosed quote");
         }
         return text.substring(from, pos++);
     }
@@ -273,7 +278,7 @@
 
     private Term argument(Term term, int index) throws WireException {
         if (index >= term.arguments.size()) {
-            throw malformed(term.name + " lacks an argument");
+            throw malformed("missing argument " + (index + 1) + " of " + term.name);
         }
         return term.arguments.get(index);
     }
@@ -288,6 +293,7 @@
         } catch (NumberFormatException ignored) {
             // Reported below together with numbers that are out of range.
         }
-        throw malformed(term.name + " takes a number from 1 to " + max + ", not " + digits);
+        throw malformed(
+                "invalid argument " + digits + " of " + term.name + ": expected 1 to " + max);
     }
 }
