--- a/sql/src/main/antlr4/ashlink/sql/grammar/SqlLexer.g4
+++ b/sql/src/main/antlr4/ashlink/sql/grammar/SqlLexer.g4
@@ -2,15 +2,15 @@
 // matched here; class Tokens finds the closing tag, which must be equal to the opening tag.
 lexer grammar SqlLexer;
 
-BLANK : [ \t\r\n\f\u000B\u00A0]+ -> skip ;
+WHITESPACE : [ \t\r\n\f\u000B\u00A0]+ -> skip ;
 LINE_COMMENT : ('--' | '#!' | '# ') ~[\r\n]* -> skip ;
 BLOCK_COMMENT : '/*' .*? '*/' ;
-OPEN_COMMENT : '/*' ;
+UNCLOSED_COMMENT : '/*' ;
 
 STRING : '\'' ( '\\' . | '\'\'' | ~['\\] )* '\'' ;
 HEREDOC : '$' [A-Za-z_0-9]* '$' ;
-BACKTICKED : '`' ( '\\' . | '``' | ~[`\\] )* '`' ;
-QUOTED : '"' ( '\\' . | '""' | ~["\\] )* '"' ;
+BACKTICK_NAME : '`' ( '\\' . | '``' | ~[`\\] )* '`' ;
+QUOTED_NAME : '"' ( '\\' . | '""' | ~["\\] )* '"' ;
 
 NUMBER
     : '0' [xX] [0-9a-fA-F_]+ ( '.' [0-9a-fA-F]* )? ( [pP] [+-]? [0-9]+ )?
@@ -23,17 +23,17 @@
 
 WORD : [A-Za-z_\u00AA-\u1FFF\u2C00-\uFEFE\uFF10-\uFFDC] [A-Za-z_0-9$\u00AA-\u1FFF\u2C00-\uFEFE\uFF10-\uFFDC]* ;
 
-OPEN : '(' ;
-CLOSE : ')' ;
-OPEN_SQUARE : '[' ;
-CLOSE_SQUARE : ']' ;
-OPEN_CURLY : '{' ;
-CLOSE_CURLY : '}' ;
+OPEN_PAREN : '(' ;
+CLOSE_PAREN : ')' ;
+OPEN_BRACKET : '[' ;
+CLOSE_BRACKET : ']' ;
+OPEN_BRACE : '{' ;
+CLOSE_BRACE : '}' ;
 COMMA : ',' ;
 SEMICOLON : ';' ;
-CAST : '::' ;
+DOUBLE_COLON : '::' ;
 COLON : ':' ;
-MANY : '?+' ;
+QUESTION_PLUS : '?+' ;
 QUESTION : '?' ;
 ARROW : '->' ;
 DOT : '.' ;
@@ -41,4 +41,4 @@
 PLUS : '+' ;
 MINUS : '-' ;
 OPERATOR : '/' | '%' | '==' | '=' | '!=' | '<>' | '<=>' | '<=' | '>=' | '<' | '>' | '||' | '^' ;
-STRAY : . ;
+UNEXPECTED : . ;
--- a/sql/src/main/java/ashlink/sql/AnalysisBuilder.java
+++ b/sql/src/main/java/ashlink/sql/AnalysisBuilder.java
@@ -14,16 +14,16 @@
     boolean allTables = true;
     boolean unstable;
     boolean takesData;
-    String doubt = "";
+    String unsafeReason = "";
 
     /** Records why repeating a read is not safe; only the first reason is kept. */
-    void doubt(String reason) {
-        doubt = doubt.isEmpty() ? reason : doubt;
+    void markUnsafe(String reason) {
+        unsafeReason = unsafeReason.isEmpty() ? reason : unsafeReason;
     }
 
     /** Records a function call. */
-    void function(String name) {
+    void recordFunction(String name) {
         String lower = name.toLowerCase(Locale.ROOT);
-        unstable |= Vocabulary.UNSTABLE.contains(lower);
+        unstable |= Vocabulary.NONDETERMINISTIC_FUNCTIONS.contains(lower);
     }
 }
--- a/sql/src/main/java/ashlink/sql/CallReader.java
+++ b/sql/src/main/java/ashlink/sql/CallReader.java
@@ -20,39 +20,39 @@
     /** Parses the first part of a name, or a function call. */
     void nameOrCall(Scope scope) {
         String name = cursor.expectName("a name");
-        if (!cursor.at(SqlLexer.OPEN)) {
+        if (!cursor.at(SqlLexer.OPEN_PAREN)) {
             return;
         }
-        analysis.function(name);
+        analysis.recordFunction(name);
         if (name.equalsIgnoreCase("CAST") || name.equalsIgnoreCase("TRY_CAST")) {
             cast(scope);
         } else if (name.equalsIgnoreCase("EXTRACT")
-                && Vocabulary.UNITS.contains(keywordInBracket())) {
-            tokens.take();
-            cursor.takeKeyword();
+                && Vocabulary.INTERVAL_UNITS.contains(firstArgumentKeyword())) {
+            tokens.consume();
+            cursor.consumeKeyword();
             cursor.expectKeyword("FROM");
-            readers.expressions.bracketed(SqlLexer.CLOSE, scope);
+            readers.expressions.bracketedList(SqlLexer.CLOSE_PAREN, scope);
         } else if (name.equalsIgnoreCase("SUBSTRING")
                 || name.equalsIgnoreCase("TRIM")
                 || name.equalsIgnoreCase("POSITION")) {
-            callWithKeywords(scope);
+            callWithKeywordArguments(scope);
         } else {
-            tokens.take();
-            readers.expressions.parenthesis(scope);
-            if (cursor.at(SqlLexer.OPEN)) { // the first parentheses held parameters
-                tokens.take();
-                readers.expressions.parenthesis(scope);
+            tokens.consume();
+            readers.expressions.parenthesized(scope);
+            if (cursor.at(SqlLexer.OPEN_PAREN)) { // the first parentheses held parameters
+                tokens.consume();
+                readers.expressions.parenthesized(scope);
             }
         }
     }
 
-    private String keywordInBracket() {
+    private String firstArgumentKeyword() {
         Token token = tokens.peek(1);
         return token == null ? "" : token.upper();
     }
 
     private void cast(Scope scope) {
-        tokens.take();
+        tokens.consume();
         cursor.enter();
         readers.operands.operand(scope);
         while (!cursor.atKeyword("AS") && readers.operators.tryOperator(scope)) {
@@ -64,13 +64,13 @@
             cursor.expect(SqlLexer.COMMA, "AS or a comma before the type of a cast");
             readers.expressions.expression(scope);
         }
-        cursor.expect(SqlLexer.CLOSE, "the closing parenthesis of a cast");
+        cursor.expect(SqlLexer.CLOSE_PAREN, "the closing parenthesis of a cast");
         cursor.exit();
     }
 
     /** Parses a call that may have keywords between the arguments. */
-    private void callWithKeywords(Scope scope) {
-        tokens.take();
+    private void callWithKeywordArguments(Scope scope) {
+        tokens.consume();
         cursor.enter();
         for (String text : new String[] {"BOTH", "LEADING", "TRAILING"}) {
             cursor.tryKeyword(text);
@@ -78,13 +78,13 @@
         if (!cursor.atKeyword("FROM")) {
             readers.expressions.expression(scope);
         }
-        while (!cursor.at(SqlLexer.CLOSE)) {
+        while (!cursor.at(SqlLexer.CLOSE_PAREN)) {
             if (!cursor.tryKeyword("FROM") && !cursor.tryKeyword("FOR")) {
                 cursor.expect(SqlLexer.COMMA, "FROM, FOR, a comma or a closing parenthesis");
             }
             readers.expressions.expression(scope);
         }
-        tokens.take();
+        tokens.consume();
         cursor.exit();
     }
 }
--- a/sql/src/main/java/ashlink/sql/ClauseReader.java
+++ b/sql/src/main/java/ashlink/sql/ClauseReader.java
@@ -25,19 +25,19 @@
         }
         switch (token.upper()) {
             case "PREWHERE", "WHERE", "HAVING", "QUALIFY" -> {
-                cursor.takeKeyword();
+                cursor.consumeKeyword();
                 readers.expressions.expression(scope);
             }
             case "GROUP" -> group(scope);
             case "WINDOW" -> readers.windows.clause(scope);
             case "ORDER" -> {
-                cursor.takeKeyword();
+                cursor.consumeKeyword();
                 cursor.expectKeyword("BY");
                 orderList(scope);
             }
             case "LIMIT" -> limit(scope);
             case "OFFSET" -> {
-                cursor.takeKeyword();
+                cursor.consumeKeyword();
                 readers.expressions.expression(scope);
                 if (!cursor.tryKeyword("ROW")) {
                     cursor.tryKeyword("ROWS");
@@ -45,7 +45,7 @@
             }
             case "FETCH" -> fetch(scope);
             case "WITH" -> {
-                cursor.takeKeyword();
+                cursor.consumeKeyword();
                 if (!cursor.tryKeyword("TOTALS") && !cursor.tryKeyword("CUBE")) {
                     cursor.expectKeyword("ROLLUP");
                 }
@@ -58,14 +58,14 @@
     }
 
     private void group(Scope scope) {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         cursor.expectKeyword("BY");
         if (cursor.tryKeyword("ALL")) {
             return;
         }
         if (cursor.atKeywords("GROUPING", "SETS")) {
-            cursor.takeKeyword();
-            cursor.takeKeyword();
+            cursor.consumeKeyword();
+            cursor.consumeKeyword();
         }
         readers.expressions.list(scope);
     }
@@ -74,22 +74,22 @@
     void orderList(Scope scope) {
         if (cursor.atKeyword("ALL")
                 && (tokens.peek(1) == null
-                        || tokens.peek(1).type == SqlLexer.CLOSE
-                        || Vocabulary.CLAUSES.contains(tokens.peek(1).upper()))) {
-            cursor.takeKeyword();
+                        || tokens.peek(1).type == SqlLexer.CLOSE_PAREN
+                        || Vocabulary.EXPRESSION_TERMINATORS.contains(tokens.peek(1).upper()))) {
+            cursor.consumeKeyword();
             orderOptions(scope);
             return;
         }
         do {
             if (cursor.at(SqlLexer.COMMA)) {
-                tokens.take();
+                tokens.consume();
             }
             readers.expressions.expression(scope);
             orderOptions(scope);
         } while (cursor.at(SqlLexer.COMMA));
-        if (cursor.tryKeyword("INTERPOLATE") && cursor.at(SqlLexer.OPEN)) {
-            tokens.take();
-            readers.expressions.parenthesis(scope);
+        if (cursor.tryKeyword("INTERPOLATE") && cursor.at(SqlLexer.OPEN_PAREN)) {
+            tokens.consume();
+            readers.expressions.parenthesized(scope);
         }
     }
 
@@ -112,8 +112,8 @@
                     || cursor.tryKeyword("STALENESS")) {
                 readers.expressions.expression(scope);
             } else if (cursor.atKeywords("WITH", "FILL")) {
-                cursor.takeKeyword();
-                cursor.takeKeyword();
+                cursor.consumeKeyword();
+                cursor.consumeKeyword();
             } else {
                 return;
             }
@@ -121,10 +121,10 @@
     }
 
     private void limit(Scope scope) {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         readers.expressions.expression(scope);
         if (cursor.at(SqlLexer.COMMA)) {
-            tokens.take();
+            tokens.consume();
             readers.expressions.expression(scope);
         }
         if (cursor.tryKeyword("OFFSET")) {
@@ -133,13 +133,13 @@
         if (cursor.tryKeyword("BY")) {
             readers.expressions.list(scope);
         } else if (cursor.atKeywords("WITH", "TIES")) {
-            cursor.takeKeyword();
-            cursor.takeKeyword();
+            cursor.consumeKeyword();
+            cursor.consumeKeyword();
         }
     }
 
     private void fetch(Scope scope) {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         if (!cursor.tryKeyword("FIRST")) {
             cursor.expectKeyword("NEXT");
         }
@@ -159,10 +159,10 @@
     void outputOptions() {
         while (true) {
             if (cursor.atKeywords("INTO", "OUTFILE")) {
-                cursor.takeKeyword();
-                cursor.takeKeyword();
+                cursor.consumeKeyword();
+                cursor.consumeKeyword();
                 cursor.expectLiteral("a file name");
-                analysis.doubt("INTO OUTFILE writes a file on the client");
+                analysis.markUnsafe("INTO OUTFILE writes a file on the client");
                 while (cursor.tryKeyword("AND")
                         || cursor.tryKeyword("STDOUT")
                         || cursor.tryKeyword("APPEND")
@@ -186,14 +186,14 @@
     void settings() {
         do {
             if (cursor.at(SqlLexer.COMMA)) {
-                tokens.take();
+                tokens.consume();
             }
             String name = cursor.expectName("a setting name");
             cursor.expect(SqlLexer.OPERATOR, "'='");
             int from = tokens.offset();
             readers.expressions.expression(new Scope(null));
             Token last = tokens.last();
-            analysis.settings.put(name, last.from >= from ? last.text : "");
+            analysis.settings.put(name, last.start >= from ? last.text : "");
         } while (cursor.at(SqlLexer.COMMA));
     }
 }
--- a/sql/src/main/java/ashlink/sql/DefinitionReader.java
+++ b/sql/src/main/java/ashlink/sql/DefinitionReader.java
@@ -8,7 +8,7 @@
 final class DefinitionReader {
 
     /** Keywords that may stand between the first keyword of a definition and the object name. */
-    private static final Set<String> OBJECTS =
+    private static final Set<String> DEFINITION_KEYWORDS =
             Set.of(
                     "TABLE",
                     "VIEW",
@@ -47,7 +47,7 @@
                     "CONSTRAINT");
 
     /** Kinds of object that belong to access control or to the server and are not tables. */
-    private static final Set<String> ACCESS =
+    private static final Set<String> NON_TABLE_OBJECTS =
             Set.of(
                     "USER",
                     "ROLE",
@@ -72,12 +72,12 @@
 
     /** Parses CREATE, DROP and similar statements: the kind of the object, then the object name. */
     StatementKind define() {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         boolean database = false;
         boolean access = false;
         boolean all = false;
         boolean table = false;
-        while (tokens.peek() != null && OBJECTS.contains(tokens.peek().upper())) {
+        while (tokens.peek() != null && DEFINITION_KEYWORDS.contains(tokens.peek().upper())) {
             Token next = tokens.peek(1);
             if (table && next != null && next.type == SqlLexer.DOT) {
                 break; // the keyword is the name of a database here
@@ -88,8 +88,10 @@
                     cursor.atKeyword("TABLE")
                             || cursor.atKeyword("VIEW")
                             || cursor.atKeyword("DICTIONARY");
-            access |= ACCESS.contains(tokens.peek().upper()) || cursor.atKeyword("FUNCTION");
-            cursor.takeKeyword();
+            access |=
+                    NON_TABLE_OBJECTS.contains(tokens.peek().upper())
+                            || cursor.atKeyword("FUNCTION");
+            cursor.consumeKeyword();
         }
         if (access || all || database) {
             analysis.allTables = false;
@@ -102,24 +104,24 @@
 
     /** Parses ALTER of a table or of another object. */
     StatementKind alter() {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         if (!cursor.atKeyword("TABLE")) {
             analysis.allTables = false;
             return readers.statements.requireRest(StatementKind.ADMINISTRATION);
         }
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         analysis.writes.add(readers.tables.tableName());
         if (cursor.tryKeyword("ON")) {
             cursor.expectKeyword("CLUSTER");
             cursor.expectName("a cluster name");
         }
-        boolean rows = cursor.atKeyword("DELETE") || cursor.atKeyword("UPDATE");
-        return readers.statements.skipRest(rows ? StatementKind.WRITE : StatementKind.DDL);
+        boolean changesRows = cursor.atKeyword("DELETE") || cursor.atKeyword("UPDATE");
+        return readers.statements.skipRest(changesRows ? StatementKind.WRITE : StatementKind.DDL);
     }
 
     /** Parses RENAME and EXCHANGE of tables or other objects. */
     StatementKind rename() {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         if (!cursor.tryKeyword("TABLE")
                 && !cursor.tryKeyword("TABLES")
                 && !cursor.tryKeyword("DICTIONARY")) {
@@ -128,7 +130,7 @@
         }
         do {
             if (cursor.at(SqlLexer.COMMA)) {
-                tokens.take();
+                tokens.consume();
             }
             analysis.writes.add(readers.tables.tableName());
             if (!cursor.tryKeyword("TO")) {
@@ -150,7 +152,7 @@
                     || cursor.atKeyword("CLUSTER")
                     || cursor.atKeyword("PARTITION")
                     || cursor.at(SqlLexer.COMMA)) {
-                Token token = tokens.take();
+                Token token = tokens.consume();
                 token.role = token.type == SqlLexer.WORD ? Role.KEYWORD : Role.SYMBOL;
             } else if (cursor.tryKeyword("SETTINGS")) {
                 readers.clauses.settings();
--- a/sql/src/main/java/ashlink/sql/ExpressionReader.java
+++ b/sql/src/main/java/ashlink/sql/ExpressionReader.java
@@ -24,7 +24,7 @@
     void list(Scope scope) {
         expression(scope);
         while (cursor.at(SqlLexer.COMMA)) {
-            tokens.take();
+            tokens.consume();
             if (cursor.atKeyword("FROM")) {
                 return;
             }
@@ -36,7 +36,7 @@
      * Parses the list after an opening bracket, which may be empty, and the closing bracket of the
      * given token type.
      */
-    void bracketed(int close, Scope scope) {
+    void bracketedList(int close, Scope scope) {
         cursor.enter();
         if (!cursor.at(close)) {
             list(scope);
@@ -49,19 +49,19 @@
      * Parses the content after an opening parenthesis, a query or a list, and the closing
      * parenthesis. If another parenthesis opens first, the content may be either a query or a list.
      */
-    void parenthesis(Scope scope) {
+    void parenthesized(Scope scope) {
         if (readers.queries.startsQuery()) {
             cursor.enter();
-            if (cursor.at(SqlLexer.OPEN)) {
+            if (cursor.at(SqlLexer.OPEN_PAREN)) {
                 list(scope);
-                readers.queries.afterFirstQuery(scope);
+                readers.queries.queryTail(scope);
             } else {
                 readers.queries.query(scope);
             }
-            cursor.expect(SqlLexer.CLOSE, "a closing parenthesis after a query");
+            cursor.expect(SqlLexer.CLOSE_PAREN, "a closing parenthesis after a query");
             cursor.exit();
         } else {
-            bracketed(SqlLexer.CLOSE, scope);
+            bracketedList(SqlLexer.CLOSE_PAREN, scope);
         }
     }
 
--- a/sql/src/main/java/ashlink/sql/InsertReader.java
+++ b/sql/src/main/java/ashlink/sql/InsertReader.java
@@ -19,13 +19,13 @@
 
     /** Parses an INSERT; the scope holds the query names that a preceding WITH defined. */
     StatementKind insert(Scope scope) {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         cursor.expectKeyword("INTO");
         cursor.tryKeyword("TABLE");
         target(scope);
-        if (cursor.at(SqlLexer.OPEN) && !readers.queries.startsQuery()) {
-            tokens.take();
-            readers.expressions.parenthesis(scope); // columns
+        if (cursor.at(SqlLexer.OPEN_PAREN) && !readers.queries.startsQuery()) {
+            tokens.consume();
+            readers.expressions.parenthesized(scope); // columns
         }
         if (cursor.tryKeyword("PARTITION")) {
             cursor.expectKeyword("BY");
@@ -41,10 +41,10 @@
     private void target(Scope scope) {
         boolean function = cursor.atKeyword("FUNCTION") && Token.isName(tokens.peek(1));
         if (function) {
-            cursor.takeKeyword();
+            cursor.consumeKeyword();
             cursor.expectName("a table function name");
-            cursor.expect(SqlLexer.OPEN, "an opening parenthesis before arguments");
-            readers.expressions.parenthesis(scope);
+            cursor.expect(SqlLexer.OPEN_PAREN, "an opening parenthesis before arguments");
+            readers.expressions.parenthesized(scope);
             analysis.allTables = false;
         } else {
             analysis.writes.add(readers.tables.tableName());
@@ -55,8 +55,8 @@
         if (!cursor.atKeywords("FROM", "INFILE")) {
             return false;
         }
-        cursor.takeKeyword();
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
+        cursor.consumeKeyword();
         cursor.expectLiteral("a file name");
         if (cursor.tryKeyword("COMPRESSION")) {
             cursor.expectLiteral("a compression method");
--- a/sql/src/main/java/ashlink/sql/OperandReader.java
+++ b/sql/src/main/java/ashlink/sql/OperandReader.java
@@ -28,28 +28,28 @@
 
     private void operandAt(Token token, Scope scope) {
         switch (token.type) {
-            case SqlLexer.NUMBER, SqlLexer.STRING, SqlLexer.QUESTION, SqlLexer.MANY ->
-                    tokens.take().role = Role.LITERAL;
-            case SqlLexer.STAR -> tokens.take();
+            case SqlLexer.NUMBER, SqlLexer.STRING, SqlLexer.QUESTION, SqlLexer.QUESTION_PLUS ->
+                    tokens.consume().role = Role.LITERAL;
+            case SqlLexer.STAR -> tokens.consume();
             case SqlLexer.PLUS, SqlLexer.MINUS -> signed(scope);
-            case SqlLexer.OPEN -> {
-                tokens.take();
-                readers.expressions.parenthesis(scope);
+            case SqlLexer.OPEN_PAREN -> {
+                tokens.consume();
+                readers.expressions.parenthesized(scope);
             }
-            case SqlLexer.OPEN_SQUARE -> {
-                tokens.take();
-                readers.expressions.bracketed(SqlLexer.CLOSE_SQUARE, scope);
+            case SqlLexer.OPEN_BRACKET -> {
+                tokens.consume();
+                readers.expressions.bracketedList(SqlLexer.CLOSE_BRACKET, scope);
             }
-            case SqlLexer.OPEN_CURLY -> braces(scope);
-            case SqlLexer.WORD -> word(scope);
-            case SqlLexer.BACKTICKED, SqlLexer.QUOTED -> readers.calls.nameOrCall(scope);
+            case SqlLexer.OPEN_BRACE -> parameterOrMap(scope);
+            case SqlLexer.WORD -> wordOperand(scope);
+            case SqlLexer.BACKTICK_NAME, SqlLexer.QUOTED_NAME -> readers.calls.nameOrCall(scope);
             default -> throw cursor.unexpected("an operand");
         }
     }
 
     /** Parses a signed operand; a sign before a number is part of the literal. */
     private void signed(Scope scope) {
-        Token sign = tokens.take();
+        Token sign = tokens.consume();
         if (cursor.at(SqlLexer.NUMBER)) {
             sign.role = Role.DROPPED;
         }
@@ -57,43 +57,43 @@
     }
 
     /** Parses a parameter {@code {name:Type}}, or a map. */
-    private void braces(Scope scope) {
-        tokens.take();
+    private void parameterOrMap(Scope scope) {
+        tokens.consume();
         Token second = tokens.peek(1);
         if (Token.isName(tokens.peek()) && second != null && second.type == SqlLexer.COLON) {
             cursor.expectName("a parameter name");
-            tokens.take();
+            tokens.consume();
             readers.types.type();
-            cursor.expect(SqlLexer.CLOSE_CURLY, "the closing brace of a parameter");
+            cursor.expect(SqlLexer.CLOSE_BRACE, "the closing brace of a parameter");
             return;
         }
         cursor.enter();
-        while (!cursor.at(SqlLexer.CLOSE_CURLY)) {
+        while (!cursor.at(SqlLexer.CLOSE_BRACE)) {
             readers.expressions.expression(scope);
             if (cursor.at(SqlLexer.COLON) || cursor.at(SqlLexer.COMMA)) {
-                tokens.take();
+                tokens.consume();
             }
         }
-        tokens.take();
+        tokens.consume();
         cursor.exit();
     }
 
-    private void word(Scope scope) {
+    private void wordOperand(Scope scope) {
         Token token = tokens.peek();
         Token next = tokens.peek(1);
-        boolean call = next != null && next.type == SqlLexer.OPEN;
-        boolean part = next != null && next.type == SqlLexer.DOT;
+        boolean call = next != null && next.type == SqlLexer.OPEN_PAREN;
+        boolean qualified = next != null && next.type == SqlLexer.DOT;
         String text = token.upper();
-        if (text.equals("CASE") && !part && !call) {
+        if (text.equals("CASE") && !qualified && !call) {
             caseExpression(scope);
-        } else if (text.equals("NOT") && !part) {
-            cursor.takeKeyword();
+        } else if (text.equals("NOT") && !qualified) {
+            cursor.consumeKeyword();
             operand(scope);
-        } else if ((text.equals("DISTINCT") || text.equals("ALL")) && !part && !isEnd(next)) {
-            cursor.takeKeyword();
+        } else if ((text.equals("DISTINCT") || text.equals("ALL")) && !qualified && !isEnd(next)) {
+            cursor.consumeKeyword();
             operand(scope);
         } else if (text.equals("INTERVAL")
-                && !part
+                && !qualified
                 && next != null
                 && next.type != SqlLexer.COMMA
                 && !isEnd(next)
@@ -102,15 +102,15 @@
         } else if ((text.equals("DATE") || text.equals("TIMESTAMP"))
                 && next != null
                 && (next.type == SqlLexer.STRING || next.type == SqlLexer.QUESTION)) {
-            cursor.takeKeyword();
-            tokens.take().role = Role.LITERAL;
-        } else if (Vocabulary.LITERALS.contains(text) && !part && !call) {
-            tokens.take().role = Role.LITERAL;
+            cursor.consumeKeyword();
+            tokens.consume().role = Role.LITERAL;
+        } else if (Vocabulary.LITERAL_KEYWORDS.contains(text) && !qualified && !call) {
+            tokens.consume().role = Role.LITERAL;
         } else if (text.equals("EXISTS") && call) {
-            cursor.takeKeyword();
-            tokens.take();
-            readers.expressions.parenthesis(scope);
-        } else if (text.equals("SELECT") || text.equals("FROM") && !call && !part) {
+            cursor.consumeKeyword();
+            tokens.consume();
+            readers.expressions.parenthesized(scope);
+        } else if (text.equals("SELECT") || text.equals("FROM") && !call && !qualified) {
             throw cursor.unexpected("an operand");
         } else {
             readers.calls.nameOrCall(scope);
@@ -119,7 +119,7 @@
 
     private static boolean isEnd(Token token) {
         return token == null
-                || token.type == SqlLexer.CLOSE
+                || token.type == SqlLexer.CLOSE_PAREN
                 || token.type == SqlLexer.COMMA
                 || token.type == SqlLexer.OPERATOR;
     }
@@ -127,33 +127,34 @@
     private static boolean startsInterval(Token token) {
         return token.type == SqlLexer.NUMBER
                 || token.type == SqlLexer.STRING
-                || token.type == SqlLexer.OPEN
+                || token.type == SqlLexer.OPEN_PAREN
                 || token.type == SqlLexer.MINUS
                 || token.type == SqlLexer.QUESTION
-                || Token.isName(token) && !Vocabulary.CLAUSES.contains(token.upper());
+                || Token.isName(token)
+                        && !Vocabulary.EXPRESSION_TERMINATORS.contains(token.upper());
     }
 
     private void interval(Scope scope) {
-        cursor.takeKeyword();
-        boolean text = cursor.at(SqlLexer.STRING) || cursor.at(SqlLexer.QUESTION);
+        cursor.consumeKeyword();
+        boolean quotedAmount = cursor.at(SqlLexer.STRING) || cursor.at(SqlLexer.QUESTION);
         operand(scope);
         while (!atUnit() && readers.operators.tryOperator(scope)) {
             // the amount of the interval may be an expression
         }
         if (atUnit()) {
-            cursor.takeKeyword();
-        } else if (!text) {
+            cursor.consumeKeyword();
+        } else if (!quotedAmount) {
             throw cursor.unexpected("an interval unit");
         }
     }
 
     private boolean atUnit() {
         Token token = tokens.peek();
-        return token != null && Vocabulary.UNITS.contains(token.upper());
+        return token != null && Vocabulary.INTERVAL_UNITS.contains(token.upper());
     }
 
     private void caseExpression(Scope scope) {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         cursor.enter();
         if (!cursor.atKeyword("WHEN")) {
             readers.expressions.expression(scope);
--- a/sql/src/main/java/ashlink/sql/OperatorReader.java
+++ b/sql/src/main/java/ashlink/sql/OperatorReader.java
@@ -37,7 +37,7 @@
             case SqlLexer.WORD -> {
                 return keywordOperator(scope, token);
             }
-            case SqlLexer.BACKTICKED, SqlLexer.QUOTED -> {
+            case SqlLexer.BACKTICK_NAME, SqlLexer.QUOTED_NAME -> {
                 return tryAlias();
             }
             case SqlLexer.NUMBER -> {
@@ -48,18 +48,18 @@
                     SqlLexer.MINUS,
                     SqlLexer.STAR,
                     SqlLexer.ARROW -> {
-                tokens.take();
+                tokens.consume();
                 readers.operands.operand(scope);
             }
-            case SqlLexer.QUESTION, SqlLexer.MANY -> conditional(scope);
-            case SqlLexer.CAST -> {
-                tokens.take();
+            case SqlLexer.QUESTION, SqlLexer.QUESTION_PLUS -> conditional(scope);
+            case SqlLexer.DOUBLE_COLON -> {
+                tokens.consume();
                 readers.types.type();
             }
             case SqlLexer.DOT -> namePart();
-            case SqlLexer.OPEN_SQUARE -> {
-                tokens.take();
-                readers.expressions.bracketed(SqlLexer.CLOSE_SQUARE, scope);
+            case SqlLexer.OPEN_BRACKET -> {
+                tokens.consume();
+                readers.expressions.bracketedList(SqlLexer.CLOSE_BRACKET, scope);
             }
             default -> {
                 return false;
@@ -70,7 +70,7 @@
 
     /** Parses {@code ? value : other} after a condition. */
     private void conditional(Scope scope) {
-        tokens.take();
+        tokens.consume();
         readers.expressions.expression(scope);
         cursor.expect(SqlLexer.COLON, "a colon before the second branch");
         readers.expressions.expression(scope);
@@ -81,7 +81,7 @@
         if (token.text.charAt(0) != '.') {
             return false;
         }
-        tokens.take();
+        tokens.consume();
         return true;
     }
 
@@ -100,9 +100,9 @@
     }
 
     private void namePart() {
-        tokens.take();
+        tokens.consume();
         if (cursor.at(SqlLexer.NUMBER) || cursor.at(SqlLexer.STAR)) {
-            tokens.take();
+            tokens.consume();
         } else {
             cursor.expectName("a name part");
         }
@@ -113,7 +113,7 @@
         Token next = tokens.peek(1);
         switch (text) {
             case "AND", "OR", "XOR", "DIV", "MOD", "LIKE", "ILIKE", "REGEXP", "COLLATE" -> {
-                cursor.takeKeyword();
+                cursor.consumeKeyword();
                 readers.operands.operand(scope);
             }
             case "BETWEEN" -> between(scope);
@@ -122,32 +122,32 @@
                 if (next == null || !next.is("IN") && !next.is("NOT")) {
                     return false;
                 }
-                cursor.takeKeyword();
+                cursor.consumeKeyword();
             }
             case "IN" -> in(scope);
             case "IS" -> is(scope);
             case "AS" -> {
-                cursor.takeKeyword();
+                cursor.consumeKeyword();
                 alias();
             }
             case "OVER" -> readers.windows.over(scope);
             case "FILTER" -> filter(scope);
             case "IGNORE", "RESPECT" -> {
-                cursor.takeKeyword();
+                cursor.consumeKeyword();
                 cursor.expectKeyword("NULLS");
             }
             case "EXCEPT", "REPLACE", "APPLY" -> {
                 return tryColumnModifier(scope, next);
             }
             default -> {
-                return !Vocabulary.CLAUSES.contains(text) && tryAlias();
+                return !Vocabulary.EXPRESSION_TERMINATORS.contains(text) && tryAlias();
             }
         }
         return true;
     }
 
     private void between(Scope scope) {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         readers.operands.operand(scope);
         while (!cursor.atKeyword("AND") && tryOperator(scope)) {
             // continues to the AND keyword of this BETWEEN
@@ -157,7 +157,7 @@
     }
 
     private void negation() {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         if (!cursor.atKeyword("IN")
                 && !cursor.atKeyword("LIKE")
                 && !cursor.atKeyword("ILIKE")
@@ -168,22 +168,22 @@
     }
 
     private void filter(Scope scope) {
-        cursor.takeKeyword();
-        cursor.expect(SqlLexer.OPEN, "an opening parenthesis before a condition");
+        cursor.consumeKeyword();
+        cursor.expect(SqlLexer.OPEN_PAREN, "an opening parenthesis before a condition");
         cursor.expectKeyword("WHERE");
-        readers.expressions.bracketed(SqlLexer.CLOSE, scope);
+        readers.expressions.bracketedList(SqlLexer.CLOSE_PAREN, scope);
     }
 
     private static boolean endsOperand(Token last) {
         return last.role == Role.NAME
                 || last.role == Role.LITERAL
-                || last.type == SqlLexer.CLOSE
-                || last.type == SqlLexer.CLOSE_SQUARE
+                || last.type == SqlLexer.CLOSE_PAREN
+                || last.type == SqlLexer.CLOSE_BRACKET
                 || last.type == SqlLexer.STAR
-                || last.type == SqlLexer.CLOSE_CURLY
+                || last.type == SqlLexer.CLOSE_BRACE
                 || last.is("END")
                 || last.type == SqlLexer.NUMBER
-                || Vocabulary.UNITS.contains(last.upper());
+                || Vocabulary.INTERVAL_UNITS.contains(last.upper());
     }
 
     /**
@@ -198,17 +198,19 @@
                 || next.is("ALL")) {
             return false;
         }
-        if (next.type == SqlLexer.OPEN) {
+        if (next.type == SqlLexer.OPEN_PAREN) {
             Token inner = tokens.peek(2);
             if (inner != null
-                    && (inner.is("SELECT") || inner.is("WITH") || inner.type == SqlLexer.OPEN)) {
+                    && (inner.is("SELECT")
+                            || inner.is("WITH")
+                            || inner.type == SqlLexer.OPEN_PAREN)) {
                 return false;
             }
-            cursor.takeKeyword();
-            tokens.take();
-            readers.expressions.bracketed(SqlLexer.CLOSE, scope);
+            cursor.consumeKeyword();
+            tokens.consume();
+            readers.expressions.bracketedList(SqlLexer.CLOSE_PAREN, scope);
         } else {
-            cursor.takeKeyword();
+            cursor.consumeKeyword();
             readers.operands.operand(scope);
         }
         return true;
@@ -216,16 +218,16 @@
 
     /** Parses IN and the right-hand side: a list, a query or a table name. */
     private void in(Scope scope) {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         Token next = tokens.peek();
-        if (next != null && next.type == SqlLexer.OPEN) {
+        if (next != null && next.type == SqlLexer.OPEN_PAREN) {
             int from = tokens.position();
-            tokens.take();
-            readers.expressions.parenthesis(scope);
+            tokens.consume();
+            readers.expressions.parenthesized(scope);
             collapseLiterals(from);
         } else if (Token.isName(next)
-                && (tokens.peek(1) == null || tokens.peek(1).type != SqlLexer.OPEN)
-                && !Vocabulary.LITERALS.contains(next.upper())) {
+                && (tokens.peek(1) == null || tokens.peek(1).type != SqlLexer.OPEN_PAREN)
+                && !Vocabulary.LITERAL_KEYWORDS.contains(next.upper())) {
             readers.tables.table(scope);
         } else {
             readers.operands.operand(scope);
@@ -238,14 +240,14 @@
      * unchanged.
      */
     private void collapseLiterals(int from) {
-        List<Token> list = tokens.taken().subList(from, tokens.position());
+        List<Token> list = tokens.consumed().subList(from, tokens.position());
         for (Token token : list) {
             boolean inLiteralList =
                     token.role == Role.LITERAL
                             || token.role == Role.DROPPED
                             || token.type == SqlLexer.COMMA
-                            || token.type == SqlLexer.OPEN
-                            || token.type == SqlLexer.CLOSE;
+                            || token.type == SqlLexer.OPEN_PAREN
+                            || token.type == SqlLexer.CLOSE_PAREN;
             if (!inLiteralList) {
                 return;
             }
@@ -261,7 +263,7 @@
     }
 
     private void is(Scope scope) {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         cursor.tryKeyword("NOT");
         if (cursor.tryKeyword("DISTINCT")) {
             cursor.expectKeyword("FROM");
--- a/sql/src/main/java/ashlink/sql/QueryReader.java
+++ b/sql/src/main/java/ashlink/sql/QueryReader.java
@@ -18,19 +18,19 @@
     /** Returns true if a query starts here, after any number of opening parentheses. */
     boolean startsQuery() {
         int ahead = 0;
-        while (tokens.peek(ahead) != null && tokens.peek(ahead).type == SqlLexer.OPEN) {
+        while (tokens.peek(ahead) != null && tokens.peek(ahead).type == SqlLexer.OPEN_PAREN) {
             ahead++;
         }
         Token token = tokens.peek(ahead);
         Token next = tokens.peek(ahead + 1);
-        boolean nameOfColumn =
+        boolean isColumnName =
                 next != null
                         && (next.type == SqlLexer.DOT
                                 || next.type == SqlLexer.COMMA
-                                || next.type == SqlLexer.CLOSE
+                                || next.type == SqlLexer.CLOSE_PAREN
                                 || next.type == SqlLexer.OPERATOR);
         return token != null
-                && (token.is("SELECT") || token.is("WITH") && !nameOfColumn)
+                && (token.is("SELECT") || token.is("WITH") && !isColumnName)
                 && !(token.is("SELECT") && next != null && next.type == SqlLexer.DOT);
     }
 
@@ -40,18 +40,18 @@
     void query(Scope outer) {
         Scope scope = new Scope(outer);
         singleQuery(scope);
-        afterFirstQuery(scope);
+        queryTail(scope);
     }
 
     /**
      * Parses what may follow the first query: further queries of a set operation, and the clauses
      * after a query in parentheses.
      */
-    void afterFirstQuery(Scope scope) {
+    void queryTail(Scope scope) {
         while (cursor.atKeyword("UNION")
                 || cursor.atKeyword("EXCEPT")
                 || cursor.atKeyword("INTERSECT")) {
-            cursor.takeKeyword();
+            cursor.consumeKeyword();
             if (!cursor.tryKeyword("ALL")) {
                 cursor.tryKeyword("DISTINCT");
             }
@@ -64,11 +64,11 @@
     }
 
     private void singleQuery(Scope scope) {
-        if (cursor.at(SqlLexer.OPEN)) {
-            tokens.take();
+        if (cursor.at(SqlLexer.OPEN_PAREN)) {
+            tokens.consume();
             cursor.enter();
             query(scope);
-            cursor.expect(SqlLexer.CLOSE, "a closing parenthesis after a query");
+            cursor.expect(SqlLexer.CLOSE_PAREN, "a closing parenthesis after a query");
             cursor.exit();
             return;
         }
@@ -87,19 +87,22 @@
         Token next = tokens.peek(1);
         boolean recursive = cursor.atKeyword("RECURSIVE") && Token.isName(next);
         if (recursive) {
-            cursor.takeKeyword();
+            cursor.consumeKeyword();
         }
         do {
             if (cursor.at(SqlLexer.COMMA)) {
-                tokens.take();
+                tokens.consume();
             }
             Token second = tokens.peek(1);
             Token third = tokens.peek(2);
             boolean isQuery =
                     Token.isName(tokens.peek())
                             && second != null
-                            && (second.is("AS") && third != null && third.type == SqlLexer.OPEN
-                                    || second.type == SqlLexer.OPEN && hasColumnsThenAs());
+                            && (second.is("AS")
+                                            && third != null
+                                            && third.type == SqlLexer.OPEN_PAREN
+                                    || second.type == SqlLexer.OPEN_PAREN
+                                            && startsNamedQueryWithColumns());
             if (isQuery) {
                 namedQuery(scope, recursive);
             } else {
@@ -112,7 +115,7 @@
      * Returns true at {@code name (a, b) AS (}: the parentheses hold column names of a named query
      * and no arguments of a call.
      */
-    private boolean hasColumnsThenAs() {
+    private boolean startsNamedQueryWithColumns() {
         int ahead = 2;
         while (tokens.peek(ahead) != null
                 && (Token.isName(tokens.peek(ahead))
@@ -123,21 +126,21 @@
         Token as = tokens.peek(ahead + 1);
         Token open = tokens.peek(ahead + 2);
         return close != null
-                && close.type == SqlLexer.CLOSE
+                && close.type == SqlLexer.CLOSE_PAREN
                 && as != null
                 && as.is("AS")
                 && open != null
-                && open.type == SqlLexer.OPEN;
+                && open.type == SqlLexer.OPEN_PAREN;
     }
 
     private void namedQuery(Scope scope, boolean recursive) {
         String name = cursor.expectName("a name");
-        if (cursor.at(SqlLexer.OPEN)) {
-            tokens.take();
+        if (cursor.at(SqlLexer.OPEN_PAREN)) {
+            tokens.consume();
             columnNames();
         }
         cursor.expectKeyword("AS");
-        tokens.take();
+        tokens.consume();
         if (!startsQuery()) {
             // An expression in parentheses, as in name AS (1 + 2), is not a named query.
             throw cursor.unexpected("a query");
@@ -148,35 +151,35 @@
         }
         cursor.enter();
         query(inner);
-        cursor.expect(SqlLexer.CLOSE, "the closing parenthesis of a named query");
+        cursor.expect(SqlLexer.CLOSE_PAREN, "the closing parenthesis of a named query");
         cursor.exit();
         scope.add(name);
     }
 
     /** Parses column names after an opening parenthesis, and the closing parenthesis. */
     void columnNames() {
-        while (!cursor.at(SqlLexer.CLOSE)) {
+        while (!cursor.at(SqlLexer.CLOSE_PAREN)) {
             cursor.expectName("a column name");
             if (cursor.at(SqlLexer.COMMA)) {
-                tokens.take();
+                tokens.consume();
             }
         }
-        tokens.take();
+        tokens.consume();
     }
 
     private void select(Scope scope) {
         if (cursor.atKeyword("DISTINCT")) {
-            cursor.takeKeyword();
+            cursor.consumeKeyword();
             if (cursor.tryKeyword("ON")) {
-                cursor.expect(SqlLexer.OPEN, "an opening parenthesis before columns");
-                readers.expressions.parenthesis(scope);
+                cursor.expect(SqlLexer.OPEN_PAREN, "an opening parenthesis before columns");
+                readers.expressions.parenthesized(scope);
             }
         }
         if (cursor.atKeyword("TOP")
                 && tokens.peek(1) != null
                 && (tokens.peek(1).type == SqlLexer.NUMBER
                         || tokens.peek(1).type == SqlLexer.QUESTION)) {
-            cursor.takeKeyword();
+            cursor.consumeKeyword();
             cursor.expectNumber("a number of rows");
             if (cursor.tryKeyword("WITH")) {
                 cursor.expectKeyword("TIES");
--- a/sql/src/main/java/ashlink/sql/Scope.java
+++ b/sql/src/main/java/ashlink/sql/Scope.java
@@ -19,7 +19,7 @@
         names.add(name);
     }
 
-    boolean has(String name) {
+    boolean contains(String name) {
         for (Scope scope = this; scope != null; scope = scope.outer) {
             if (scope.names.contains(name)) {
                 return true;
--- a/sql/src/main/java/ashlink/sql/StatementParser.java
+++ b/sql/src/main/java/ashlink/sql/StatementParser.java
@@ -20,12 +20,12 @@
     }
 
     /** Parses one or more statements to the end of the text. */
-    StatementKind text() {
+    StatementKind parse() {
         StatementKind first = null;
         int statements = 0;
         while (true) {
             while (cursor.at(SqlLexer.SEMICOLON)) {
-                tokens.take().role = Role.DROPPED;
+                tokens.consume().role = Role.DROPPED;
             }
             if (tokens.peek() == null) {
                 break;
@@ -65,16 +65,16 @@
             case "ALTER" -> readers.definitions.alter();
             case "RENAME", "EXCHANGE" -> readers.definitions.rename();
             case "DELETE" -> {
-                cursor.takeKeyword();
+                cursor.consumeKeyword();
                 cursor.expectKeyword("FROM");
                 yield readers.definitions.changeByCondition();
             }
             case "UPDATE" -> {
-                cursor.takeKeyword();
+                cursor.consumeKeyword();
                 yield readers.definitions.changeByCondition();
             }
-            case "OPTIMIZE" -> administer(analysis.writes);
-            case "CHECK" -> administer(analysis.reads);
+            case "OPTIMIZE" -> maintainTable(analysis.writes);
+            case "CHECK" -> maintainTable(analysis.reads);
             case "SET" -> set();
             case "USE" -> use();
             case "BEGIN", "START", "COMMIT", "ROLLBACK" -> transaction();
@@ -88,15 +88,15 @@
         };
     }
 
-    private StatementKind administer(Set<String> tables) {
-        cursor.takeKeyword();
+    private StatementKind maintainTable(Set<String> tables) {
+        cursor.consumeKeyword();
         cursor.expectKeyword("TABLE");
         tables.add(readers.tables.tableName());
         return skipRest(StatementKind.ADMINISTRATION);
     }
 
     private StatementKind use() {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         cursor.expectName("a database name");
         return StatementKind.SESSION;
     }
@@ -117,14 +117,14 @@
     }
 
     private StatementKind explain() {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         while (tokens.peek() != null
                 && !readers.queries.startsQuery()
                 && !cursor.atKeyword("INSERT")) {
             if (cursor.at(SqlLexer.SEMICOLON)) {
                 throw cursor.unexpected("a statement");
             }
-            Token token = tokens.take();
+            Token token = tokens.consume();
             token.role =
                     token.type == SqlLexer.WORD
                             ? Role.KEYWORD
@@ -141,15 +141,15 @@
     }
 
     private StatementKind describe() {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         cursor.tryKeyword("TABLE");
         if (readers.queries.startsQuery()) {
-            tokens.take();
+            tokens.consume();
             cursor.enter();
             readers.queries.query(new Scope(null));
-            cursor.expect(SqlLexer.CLOSE, "a closing parenthesis after a query");
+            cursor.expect(SqlLexer.CLOSE_PAREN, "a closing parenthesis after a query");
             cursor.exit();
-        } else if (tokens.peek(1) != null && tokens.peek(1).type == SqlLexer.OPEN) {
+        } else if (tokens.peek(1) != null && tokens.peek(1).type == SqlLexer.OPEN_PAREN) {
             readers.tables.function(new Scope(null));
         } else {
             analysis.reads.add(readers.tables.tableName());
@@ -159,7 +159,7 @@
     }
 
     private StatementKind exists() {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         boolean database = false;
         while (cursor.atKeyword("TEMPORARY")
                 || cursor.atKeyword("TABLE")
@@ -167,7 +167,7 @@
                 || cursor.atKeyword("DICTIONARY")
                 || cursor.atKeyword("DATABASE")) {
             database |= cursor.atKeyword("DATABASE");
-            cursor.takeKeyword();
+            cursor.consumeKeyword();
         }
         if (database) {
             cursor.expectName("a database name");
@@ -179,7 +179,7 @@
     }
 
     private StatementKind set() {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         if (cursor.atKeyword("ROLE") || cursor.atKeyword("DEFAULT")) {
             return skipRest(StatementKind.SESSION);
         }
@@ -192,7 +192,7 @@
 
     private StatementKind transaction() {
         boolean start = cursor.atKeyword("START");
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         if (!cursor.tryKeyword("TRANSACTION") && start) {
             throw cursor.unexpected("TRANSACTION");
         }
@@ -211,18 +211,18 @@
     StatementKind skipRest(StatementKind kind) {
         int open = 0;
         while (tokens.peek() != null && (open > 0 || !cursor.at(SqlLexer.SEMICOLON))) {
-            Token token = tokens.take();
+            Token token = tokens.consume();
             boolean opens =
-                    token.type == SqlLexer.OPEN
-                            || token.type == SqlLexer.OPEN_SQUARE
-                            || token.type == SqlLexer.OPEN_CURLY;
+                    token.type == SqlLexer.OPEN_PAREN
+                            || token.type == SqlLexer.OPEN_BRACKET
+                            || token.type == SqlLexer.OPEN_BRACE;
             boolean closes =
-                    token.type == SqlLexer.CLOSE
-                            || token.type == SqlLexer.CLOSE_SQUARE
-                            || token.type == SqlLexer.CLOSE_CURLY;
+                    token.type == SqlLexer.CLOSE_PAREN
+                            || token.type == SqlLexer.CLOSE_BRACKET
+                            || token.type == SqlLexer.CLOSE_BRACE;
             open += opens ? 1 : closes ? -1 : 0;
             if (open < 0 || token.type == SqlLexer.SEMICOLON) {
-                throw new UnsupportedSyntaxException("unbalanced bracket", token.from);
+                throw new UnsupportedSyntaxException("unbalanced bracket", token.start);
             }
             token.role =
                     token.type == SqlLexer.NUMBER || token.type == SqlLexer.STRING
--- a/sql/src/main/java/ashlink/sql/StatementReader.java
+++ b/sql/src/main/java/ashlink/sql/StatementReader.java
@@ -17,7 +17,7 @@
     public static final int MAX_TOKENS = 1_000_000;
 
     /** Offset in the analysis of a text that was parsed to the end. */
-    private static final int UNDERSTOOD = -1;
+    private static final int NO_OFFSET = -1;
 
     private final int maxTokens;
 
@@ -42,9 +42,9 @@
         AnalysisBuilder analysis = new AnalysisBuilder();
         StatementKind kind;
         try {
-            kind = new Readers(tokens, analysis, database).statements.text();
+            kind = new Readers(tokens, analysis, database).statements.parse();
         } catch (UnsupportedSyntaxException e) {
-            return unknown(text, e.getMessage(), e.at());
+            return unknown(text, e.getMessage(), e.offset());
         } catch (StackOverflowError e) {
             // The nesting limit assumes that the whole thread stack is available. How much of the
             // stack the caller has used, and the frame size before JIT compilation, are unknown
@@ -52,13 +52,13 @@
             String reason = "brackets or operators nested too deep for this thread";
             return unknown(text, reason, tokens.offset());
         }
-        return understood(kind, analysis, tokens);
+        return parsed(kind, analysis, tokens);
     }
 
-    private static StatementAnalysis understood(
+    private static StatementAnalysis parsed(
             StatementKind kind, AnalysisBuilder analysis, Tokens tokens) {
-        String normal = NormalizedSql.of(tokens.taken());
-        boolean harmless = kind == StatementKind.READ && analysis.doubt.isEmpty();
+        String normalizedText = NormalizedSql.of(tokens.consumed());
+        boolean harmless = kind == StatementKind.READ && analysis.unsafeReason.isEmpty();
         return new StatementAnalysis(
                 kind,
                 Collections.unmodifiableSortedSet(analysis.reads),
@@ -68,14 +68,14 @@
                 analysis.unstable,
                 analysis.takesData,
                 Map.copyOf(analysis.settings),
-                NormalizedSql.fingerprint(normal),
-                normal,
-                kind == StatementKind.READ ? analysis.doubt : "",
-                UNDERSTOOD);
+                NormalizedSql.fingerprint(normalizedText),
+                normalizedText,
+                kind == StatementKind.READ ? analysis.unsafeReason : "",
+                NO_OFFSET);
     }
 
     private StatementAnalysis unknown(String text, String reason, int offset) {
-        String normal = "unknown " + NormalizedSql.rough(text, maxTokens);
+        String normalizedText = "unknown " + NormalizedSql.fallback(text, maxTokens);
         return new StatementAnalysis(
                 StatementKind.UNKNOWN,
                 Collections.emptySortedSet(),
@@ -85,8 +85,8 @@
                 true,
                 false,
                 Map.of(),
-                NormalizedSql.fingerprint(normal),
-                normal,
+                NormalizedSql.fingerprint(normalizedText),
+                normalizedText,
                 reason,
                 offset);
     }
--- a/sql/src/main/java/ashlink/sql/TableReader.java
+++ b/sql/src/main/java/ashlink/sql/TableReader.java
@@ -23,16 +23,16 @@
         source(scope);
         while (true) {
             if (cursor.at(SqlLexer.COMMA)) {
-                tokens.take();
+                tokens.consume();
                 source(scope);
             } else if (atArrayJoin()) {
                 while (!cursor.tryKeyword("JOIN")) {
-                    cursor.takeKeyword();
+                    cursor.consumeKeyword();
                 }
                 readers.expressions.list(scope);
             } else if (atJoin()) {
                 while (!cursor.tryKeyword("JOIN")) {
-                    cursor.takeKeyword();
+                    cursor.consumeKeyword();
                 }
                 source(scope);
                 if (cursor.tryKeyword("ON")) {
@@ -56,27 +56,27 @@
     private boolean atJoin() {
         int ahead = 0;
         while (tokens.peek(ahead) != null
-                && Vocabulary.JOINS.contains(tokens.peek(ahead).upper())) {
+                && Vocabulary.JOIN_MODIFIERS.contains(tokens.peek(ahead).upper())) {
             ahead++;
         }
         return tokens.peek(ahead) != null && tokens.peek(ahead).is("JOIN");
     }
 
     private void source(Scope scope) {
-        if (cursor.at(SqlLexer.OPEN)) {
+        if (cursor.at(SqlLexer.OPEN_PAREN)) {
             boolean query = readers.queries.startsQuery();
-            tokens.take();
+            tokens.consume();
             cursor.enter();
             if (query) {
                 readers.queries.query(scope);
             } else {
                 from(scope);
             }
-            cursor.expect(SqlLexer.CLOSE, "a closing parenthesis");
+            cursor.expect(SqlLexer.CLOSE_PAREN, "a closing parenthesis");
             cursor.exit();
         } else if (Token.isName(tokens.peek())
                 && tokens.peek(1) != null
-                && tokens.peek(1).type == SqlLexer.OPEN) {
+                && tokens.peek(1).type == SqlLexer.OPEN_PAREN) {
             function(scope);
         } else {
             table(scope);
@@ -107,12 +107,12 @@
 
     private boolean atAlias() {
         Token token = tokens.peek();
-        return Token.isName(token) && !Vocabulary.CLAUSES.contains(token.upper());
+        return Token.isName(token) && !Vocabulary.EXPRESSION_TERMINATORS.contains(token.upper());
     }
 
     private void aliasColumns() {
-        if (cursor.at(SqlLexer.OPEN)) {
-            tokens.take();
+        if (cursor.at(SqlLexer.OPEN_PAREN)) {
+            tokens.consume();
             readers.queries.columnNames();
         }
     }
@@ -120,7 +120,7 @@
     private void ratio() {
         cursor.expectNumber("a ratio");
         if (cursor.at(SqlLexer.OPERATOR) && tokens.peek().text.equals("/")) {
-            tokens.take();
+            tokens.consume();
             cursor.expectNumber("a ratio");
         }
     }
@@ -132,7 +132,7 @@
         int from = tokens.position();
         String name = tableName();
         boolean simple = tokens.position() == from + 1;
-        if (simple && scope.has(Token.unquoted(tokens.last()))) {
+        if (simple && scope.contains(Token.unquoted(tokens.last()))) {
             return;
         }
         analysis.reads.add(name);
@@ -140,7 +140,7 @@
 
     /** Parses {@code [database.]table}; a parameter or a name of three parts is not supported. */
     String tableName() {
-        if (cursor.at(SqlLexer.OPEN_CURLY)) {
+        if (cursor.at(SqlLexer.OPEN_BRACE)) {
             throw new UnsupportedSyntaxException(
                     "unsupported parameter in place of a table name", tokens.offset());
         }
@@ -148,7 +148,7 @@
         if (!cursor.at(SqlLexer.DOT)) {
             return qualified(readers.database, first);
         }
-        tokens.take();
+        tokens.consume();
         String second = cursor.expectName("a table name");
         if (cursor.at(SqlLexer.DOT)) {
             throw new UnsupportedSyntaxException(
@@ -170,7 +170,7 @@
     void function(Scope scope) {
         String name = cursor.expectName("a table function name");
         String lower = name.toLowerCase(Locale.ROOT);
-        tokens.take();
+        tokens.consume();
         if (lower.equals("view") || lower.equals("viewifpermitted")) {
             if (!readers.queries.startsQuery()) {
                 throw cursor.unexpected("a query");
@@ -180,19 +180,19 @@
             if (cursor.tryKeyword("ELSE")) {
                 readers.expressions.expression(scope);
             }
-            cursor.expect(SqlLexer.CLOSE, "the closing parenthesis of a view");
+            cursor.expect(SqlLexer.CLOSE_PAREN, "the closing parenthesis of a view");
             cursor.exit();
             return;
         }
-        if (Vocabulary.OUTSIDE_TABLES.contains(lower)) {
-            analysis.doubt("table function " + lower + " reads external data");
+        if (Vocabulary.EXTERNAL_TABLE_FUNCTIONS.contains(lower)) {
+            analysis.markUnsafe("table function " + lower + " reads external data");
             analysis.allTables = false;
-        } else if (Vocabulary.PATTERN_TABLES.contains(lower)) {
+        } else if (Vocabulary.PATTERN_TABLE_FUNCTIONS.contains(lower)) {
             analysis.allTables = false;
-        } else if (!Vocabulary.HARMLESS_TABLES.contains(lower)) {
-            throw new UnsupportedSyntaxException("unknown table function", tokens.last().from);
+        } else if (!Vocabulary.LOCAL_TABLE_FUNCTIONS.contains(lower)) {
+            throw new UnsupportedSyntaxException("unknown table function", tokens.last().start);
         }
         analysis.unstable |= lower.equals("generaterandom") || lower.equals("fuzzjson");
-        readers.expressions.parenthesis(scope);
+        readers.expressions.parenthesized(scope);
     }
 }
--- a/sql/src/main/java/ashlink/sql/Token.java
+++ b/sql/src/main/java/ashlink/sql/Token.java
@@ -21,16 +21,16 @@
 
     final int type;
     final String text;
-    final int from;
-    final int to;
+    final int start;
+    final int end;
     private final String upper;
     Role role = Role.SYMBOL;
 
-    Token(int type, String text, int from, int to, boolean word) {
+    Token(int type, String text, int start, int end, boolean word) {
         this.type = type;
         this.text = text;
-        this.from = from;
-        this.to = to;
+        this.start = start;
+        this.end = end;
         this.upper = word ? text.toUpperCase(Locale.ROOT) : "";
     }
 
@@ -47,8 +47,8 @@
     static boolean isName(Token token) {
         return token != null
                 && (token.type == SqlLexer.WORD
-                        || token.type == SqlLexer.BACKTICKED
-                        || token.type == SqlLexer.QUOTED);
+                        || token.type == SqlLexer.BACKTICK_NAME
+                        || token.type == SqlLexer.QUOTED_NAME);
     }
 
     /** Returns a name without quotes and escapes. */
--- a/sql/src/main/java/ashlink/sql/TokenCursor.java
+++ b/sql/src/main/java/ashlink/sql/TokenCursor.java
@@ -38,8 +38,8 @@
     }
 
     /** Consumes the next token as a keyword. */
-    Token takeKeyword() {
-        Token token = tokens.take();
+    Token consumeKeyword() {
+        Token token = tokens.consume();
         token.role = Role.KEYWORD;
         return token;
     }
@@ -47,7 +47,7 @@
     /** Consumes the next token if it is the given keyword. */
     boolean tryKeyword(String word) {
         if (atKeyword(word)) {
-            takeKeyword();
+            consumeKeyword();
             return true;
         }
         return false;
@@ -65,7 +65,7 @@
         if (!at(type)) {
             throw unexpected(what);
         }
-        tokens.take();
+        tokens.consume();
     }
 
     /** Returns the exception for a next token that is not the expected token. */
@@ -113,7 +113,7 @@
         if (!at(SqlLexer.NUMBER) && !at(SqlLexer.QUESTION)) {
             throw unexpected(what);
         }
-        tokens.take().role = Role.LITERAL;
+        tokens.consume().role = Role.LITERAL;
     }
 
     /** Consumes a string literal, or the placeholder of a string literal. */
@@ -121,7 +121,7 @@
         if (!at(SqlLexer.STRING) && !at(SqlLexer.QUESTION)) {
             throw unexpected(what);
         }
-        tokens.take().role = Role.LITERAL;
+        tokens.consume().role = Role.LITERAL;
     }
 
     /** Consumes a name, quoted or not, and returns the name without quotes. */
@@ -130,7 +130,7 @@
         if (!Token.isName(token)) {
             throw unexpected(what);
         }
-        tokens.take();
+        tokens.consume();
         token.role = Role.NAME;
         return Token.unquoted(token);
     }
--- a/sql/src/main/java/ashlink/sql/Tokens.java
+++ b/sql/src/main/java/ashlink/sql/Tokens.java
@@ -15,16 +15,16 @@
     private final TextChars chars;
     private final SqlLexer lexer;
     private final int maxTokens;
-    private final List<ashlink.sql.Token> made = new ArrayList<>();
+    private final List<ashlink.sql.Token> scanned = new ArrayList<>();
     private int next;
-    private boolean ended;
+    private boolean exhausted;
 
     Tokens(String text, int maxTokens) {
         this.text = text;
         this.maxTokens = maxTokens;
         chars = new TextChars(text);
         if (!text.isEmpty() && text.charAt(0) == '\ufeff') {
-            chars.seek(1); // a byte order mark
+            chars.seek(1); // skips the byte order mark
         }
         lexer = new SqlLexer(chars);
         lexer.removeErrorListeners();
@@ -32,10 +32,10 @@
 
     /** Returns the token at the given distance ahead, 0 for the next token; null past the end. */
     ashlink.sql.Token peek(int ahead) {
-        while (!ended && made.size() <= next + ahead) {
-            make();
+        while (!exhausted && scanned.size() <= next + ahead) {
+            scanNext();
         }
-        return next + ahead < made.size() ? made.get(next + ahead) : null;
+        return next + ahead < scanned.size() ? scanned.get(next + ahead) : null;
     }
 
     ashlink.sql.Token peek() {
@@ -43,7 +43,7 @@
     }
 
     /** Consumes the next token. */
-    ashlink.sql.Token take() {
+    ashlink.sql.Token consume() {
         ashlink.sql.Token token = peek(0);
         if (token == null) {
             throw new UnsupportedSyntaxException("unexpected end of statement", text.length());
@@ -54,12 +54,12 @@
 
     /** Returns the token consumed last, or null. */
     ashlink.sql.Token last() {
-        return next == 0 ? null : made.get(next - 1);
+        return next == 0 ? null : scanned.get(next - 1);
     }
 
     /** Returns all tokens consumed so far. */
-    List<ashlink.sql.Token> taken() {
-        return made.subList(0, next);
+    List<ashlink.sql.Token> consumed() {
+        return scanned.subList(0, next);
     }
 
     /** Returns the number of tokens consumed so far. */
@@ -70,16 +70,16 @@
     /** Returns the index of the character at which the next token starts. */
     int offset() {
         ashlink.sql.Token token = peek(0);
-        return token == null ? text.length() : token.from;
+        return token == null ? text.length() : token.start;
     }
 
-    private void make() {
+    private void scanNext() {
         Token token = lexer.nextToken();
         if (token.getType() == Token.EOF) {
-            ended = true;
+            exhausted = true;
             return;
         }
-        if (made.size() >= maxTokens) {
+        if (scanned.size() >= maxTokens) {
             throw new UnsupportedSyntaxException(
                     "too many tokens: at most " + maxTokens, token.getStartIndex());
         }
@@ -90,10 +90,10 @@
             checkNoInnerComment(from, to);
             return;
         }
-        if (type == SqlLexer.OPEN_COMMENT) {
+        if (type == SqlLexer.UNCLOSED_COMMENT) {
             throw new UnsupportedSyntaxException("unclosed comment", from);
         }
-        if (type == SqlLexer.STRAY) {
+        if (type == SqlLexer.UNEXPECTED) {
             throw new UnsupportedSyntaxException(
                     "unexpected character U+" + String.format("%04X", (int) text.charAt(from)),
                     from);
@@ -103,7 +103,7 @@
             chars.seek(to);
             type = SqlLexer.STRING;
         }
-        made.add(
+        scanned.add(
                 new ashlink.sql.Token(
                         type, text.substring(from, to), from, to, type == SqlLexer.WORD));
     }
--- a/sql/src/main/java/ashlink/sql/TypeReader.java
+++ b/sql/src/main/java/ashlink/sql/TypeReader.java
@@ -18,9 +18,9 @@
     void type() {
         cursor.enter();
         cursor.expectName("a type name");
-        if (cursor.at(SqlLexer.OPEN)) {
-            tokens.take();
-            while (!cursor.at(SqlLexer.CLOSE)) {
+        if (cursor.at(SqlLexer.OPEN_PAREN)) {
+            tokens.consume();
+            while (!cursor.at(SqlLexer.CLOSE_PAREN)) {
                 Token token = tokens.peek();
                 if (token != null
                         && (token.type == SqlLexer.NUMBER
@@ -29,16 +29,16 @@
                                 || token.type == SqlLexer.COMMA
                                 || token.type == SqlLexer.MINUS)) {
                     // Numbers and strings within a type belong to the type and are not literals.
-                    tokens.take().role = Role.SYMBOL;
+                    tokens.consume().role = Role.SYMBOL;
                 } else {
                     type();
                 }
             }
-            tokens.take();
+            tokens.consume();
         } else if (Token.isName(tokens.peek())
-                && !Vocabulary.CLAUSES.contains(tokens.peek().upper())
+                && !Vocabulary.EXPRESSION_TERMINATORS.contains(tokens.peek().upper())
                 && cursor.isNested()
-                && !cursor.at(SqlLexer.CLOSE)) {
+                && !cursor.at(SqlLexer.CLOSE_PAREN)) {
             // The first word was the name of a tuple element.
             type();
         }
--- a/sql/src/main/java/ashlink/sql/UnsupportedSyntaxException.java
+++ b/sql/src/main/java/ashlink/sql/UnsupportedSyntaxException.java
@@ -7,14 +7,14 @@
 final class UnsupportedSyntaxException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
-    private final int at;
+    private final int offset;
 
-    UnsupportedSyntaxException(String reason, int at) {
+    UnsupportedSyntaxException(String reason, int offset) {
         super(reason, null, false, false);
-        this.at = at;
+        this.offset = offset;
     }
 
-    int at() {
-        return at;
+    int offset() {
+        return offset;
     }
 }
--- a/sql/src/main/java/ashlink/sql/Vocabulary.java
+++ b/sql/src/main/java/ashlink/sql/Vocabulary.java
@@ -11,7 +11,7 @@
      * Keywords that may follow an expression in a query, and so end an expression after a complete
      * operand.
      */
-    static final Set<String> CLAUSES =
+    static final Set<String> EXPRESSION_TERMINATORS =
             Set.of(
                     "FROM",
                     "PREWHERE",
@@ -100,16 +100,17 @@
                     "FOR");
 
     /** Keywords that may precede JOIN. */
-    static final Set<String> JOINS =
+    static final Set<String> JOIN_MODIFIERS =
             Set.of(
                     "GLOBAL", "LOCAL", "ANY", "ALL", "ASOF", "SEMI", "ANTI", "INNER", "LEFT",
                     "RIGHT", "FULL", "OUTER", "CROSS", "PASTE");
 
     /** Literals that are keywords. */
-    static final Set<String> LITERALS = Set.of("NULL", "TRUE", "FALSE", "INF", "INFINITY", "NAN");
+    static final Set<String> LITERAL_KEYWORDS =
+            Set.of("NULL", "TRUE", "FALSE", "INF", "INFINITY", "NAN");
 
     /** Interval units. */
-    static final Set<String> UNITS =
+    static final Set<String> INTERVAL_UNITS =
             Set.of(
                     "NANOSECOND",
                     "MICROSECOND",
@@ -135,7 +136,7 @@
                     "YEARS");
 
     /** Table functions that generate rows or read tables of the local server. */
-    static final Set<String> HARMLESS_TABLES =
+    static final Set<String> LOCAL_TABLE_FUNCTIONS =
             Set.of(
                     "numbers",
                     "numbers_mt",
@@ -155,7 +156,7 @@
     /**
      * Table functions that access other servers or files, where the effect of a read is unknown.
      */
-    static final Set<String> OUTSIDE_TABLES =
+    static final Set<String> EXTERNAL_TABLE_FUNCTIONS =
             Set.of(
                     "remote",
                     "remotesecure",
@@ -186,11 +187,11 @@
                     "input");
 
     /** Table functions that select tables by a pattern. */
-    static final Set<String> PATTERN_TABLES =
+    static final Set<String> PATTERN_TABLE_FUNCTIONS =
             Set.of("merge", "mergetreeindex", "mergetreeprojection");
 
     /** Functions whose result may differ at each call or between servers. */
-    static final Set<String> UNSTABLE =
+    static final Set<String> NONDETERMINISTIC_FUNCTIONS =
             Set.of(
                     "now",
                     "now64",
--- a/sql/src/main/java/ashlink/sql/WindowReader.java
+++ b/sql/src/main/java/ashlink/sql/WindowReader.java
@@ -18,9 +18,9 @@
 
     /** Parses OVER with a window definition or a window name. */
     void over(Scope scope) {
-        cursor.takeKeyword();
-        if (cursor.at(SqlLexer.OPEN)) {
-            tokens.take();
+        cursor.consumeKeyword();
+        if (cursor.at(SqlLexer.OPEN_PAREN)) {
+            tokens.consume();
             definition(scope);
         } else {
             cursor.expectName("a window name");
@@ -33,10 +33,10 @@
             // The condition is evaluated after the token is consumed, so a comma between windows
             // gets the role of a keyword and is normalized to an empty text. Fingerprints depend on
             // this.
-            tokens.take().role = cursor.at(SqlLexer.COMMA) ? Role.SYMBOL : Role.KEYWORD;
+            tokens.consume().role = cursor.at(SqlLexer.COMMA) ? Role.SYMBOL : Role.KEYWORD;
             cursor.expectName("a window name");
             cursor.expectKeyword("AS");
-            cursor.expect(SqlLexer.OPEN, "an opening parenthesis before a window");
+            cursor.expect(SqlLexer.OPEN_PAREN, "an opening parenthesis before a window");
             definition(scope);
         } while (cursor.at(SqlLexer.COMMA));
     }
@@ -60,15 +60,15 @@
             readers.clauses.orderList(scope);
         }
         if (cursor.tryKeyword("ROWS") || cursor.tryKeyword("RANGE")) {
-            while (!cursor.at(SqlLexer.CLOSE)) {
+            while (!cursor.at(SqlLexer.CLOSE_PAREN)) {
                 if (Token.isName(tokens.peek())) {
-                    cursor.takeKeyword();
+                    cursor.consumeKeyword();
                 } else {
                     readers.operands.operand(scope);
                 }
             }
         }
-        cursor.expect(SqlLexer.CLOSE, "the closing parenthesis of a window");
+        cursor.expect(SqlLexer.CLOSE_PAREN, "the closing parenthesis of a window");
         cursor.exit();
     }
 }
