--- a/wire/src/main/java/ashlink/wire/PlainValues.java
+++ b/wire/src/main/java/ashlink/wire/BasicValues.java
@@ -8,9 +8,9 @@
  * Reads and writes values of the basic types that this program itself uses: numbers of up to 64
  * bits, strings, dates and times.
  */
-final class PlainValues {
+final class BasicValues {
 
-    private PlainValues() {}
+    private BasicValues() {}
 
     static List<Object> read(String type, int rows, ByteSource from, WireLimits limits)
             throws IOException {
@@ -23,7 +23,7 @@
 
     private static Object readOne(String type, ByteSource from, WireLimits limits)
             throws IOException {
-        return switch (base(type)) {
+        return switch (nameWithoutArguments(type)) {
             case "String" -> from.readString("string", limits.textBytes());
             case "UInt8", "Bool" -> (long) from.readByte();
             case "Int8", "Enum8" -> (long) (byte) from.readByte();
@@ -42,7 +42,7 @@
 
     static void write(String type, List<Object> values, ByteBuf to) throws WireException {
         for (Object value : values) {
-            switch (base(type)) {
+            switch (nameWithoutArguments(type)) {
                 case "String" -> to.putString((String) value);
                 case "UInt8", "Int8", "Bool", "Enum8" -> to.putByte((int) integer(value));
                 case "UInt16", "Int16", "Date" -> to.putShort((int) integer(value));
@@ -63,8 +63,8 @@
         return ((Number) value).longValue();
     }
 
-    private static String base(String type) {
-        int arguments = type.indexOf('(');
-        return arguments < 0 ? type : type.substring(0, arguments);
+    private static String nameWithoutArguments(String type) {
+        int argumentsStart = type.indexOf('(');
+        return argumentsStart < 0 ? type : type.substring(0, argumentsStart);
     }
 }
--- a/wire/src/main/java/ashlink/wire/Block.java
+++ b/wire/src/main/java/ashlink/wire/Block.java
@@ -28,15 +28,15 @@
 
     /** Appends the block in the layout of all revisions up to {@link Revision#HIGHEST}. */
     public void write(Compression compression, ByteBuf to) throws WireException {
-        ByteBuf plain = compression == null ? to : new ByteBuf();
-        plain.putVarUInt(1).putByte(0).putVarUInt(2).putInt(-1).putVarUInt(0);
-        plain.putVarUInt(columns.size()).putVarUInt(rows);
+        ByteBuf uncompressed = compression == null ? to : new ByteBuf();
+        uncompressed.putVarUInt(1).putByte(0).putVarUInt(2).putInt(-1).putVarUInt(0);
+        uncompressed.putVarUInt(columns.size()).putVarUInt(rows);
         for (Column column : columns) {
-            plain.putString(column.name).putString(column.type);
-            PlainValues.write(column.type, column.values, plain);
+            uncompressed.putString(column.name).putString(column.type);
+            BasicValues.write(column.type, column.values, uncompressed);
         }
         if (compression != null) {
-            compression.compress(plain.array(), 0, plain.size(), to);
+            compression.compress(uncompressed.array(), 0, uncompressed.size(), to);
         }
     }
 }
--- a/wire/src/main/java/ashlink/wire/BlockReader.java
+++ b/wire/src/main/java/ashlink/wire/BlockReader.java
@@ -28,7 +28,7 @@
     private final StreamSource in;
     private final FrameSource frames;
     private final WireLimits limits;
-    private final Map<String, ColumnType> types =
+    private final Map<String, ColumnType> cachedTypes =
             new LinkedHashMap<>(16, 0.75f, true) {
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, ColumnType> eldest) {
@@ -58,7 +58,7 @@
             }
         }
         if (compressed) {
-            frames.endOfBlock();
+            frames.requireEndOfBlock();
         }
         return new Size(rows, columns);
     }
@@ -73,10 +73,10 @@
         for (int i = 0; i < columns; i++) {
             String name = from.readString("column name", limits.nameBytes());
             String type = from.readString("column type", limits.nameBytes());
-            read.add(new Block.Column(name, type, PlainValues.read(type, rows, from, limits)));
+            read.add(new Block.Column(name, type, BasicValues.read(type, rows, from, limits)));
         }
         if (compressed) {
-            frames.endOfBlock();
+            frames.requireEndOfBlock();
         }
         return new Block(read, rows);
     }
@@ -108,12 +108,12 @@
     }
 
     private ColumnType type(String text) throws WireException {
-        ColumnType known = types.get(text);
-        if (known == null) {
-            known = TypeParser.parse(text);
-            types.put(text, known);
+        ColumnType cached = cachedTypes.get(text);
+        if (cached == null) {
+            cached = TypeParser.parse(text);
+            cachedTypes.put(text, cached);
         }
-        return known;
+        return cached;
     }
 
     private static void readInfo(ByteSource from) throws IOException {
--- a/wire/src/main/java/ashlink/wire/ByteSource.java
+++ b/wire/src/main/java/ashlink/wire/ByteSource.java
@@ -99,15 +99,15 @@
     }
 
     /**
-     * Reads an unsigned integer of variable length that must be at most {@code max}; {@code what}
-     * names the value in the error message.
+     * Reads an unsigned integer of variable length that must be at most {@code max}; {@code
+     * description} names the value in the error message.
      */
-    public final long readCount(String what, long max) throws IOException {
+    public final long readCount(String description, long max) throws IOException {
         long value = readVarUInt();
         if (value > max) {
             throw new WireException(
                     WireException.Reason.TOO_LARGE,
-                    "invalid " + what + " " + value + ": at most " + max);
+                    "invalid " + description + " " + value + ": at most " + max);
         }
         return value;
     }
@@ -141,8 +141,8 @@
      * Reads a byte sequence with a length prefix. The array is allocated from the received length,
      * so {@code maxBytes} bounds the memory.
      */
-    public final byte[] readBytes(String what, int maxBytes) throws IOException {
-        byte[] bytes = new byte[(int) readCount("length of " + what, maxBytes)];
+    public final byte[] readBytes(String description, int maxBytes) throws IOException {
+        byte[] bytes = new byte[(int) readCount("length of " + description, maxBytes)];
         readFully(bytes, 0, bytes.length);
         return bytes;
     }
@@ -151,8 +151,8 @@
      * Reads a string with a length prefix; bytes that are not valid UTF-8 become the replacement
      * character.
      */
-    public final String readString(String what, int maxBytes) throws IOException {
-        int length = (int) readCount("length of " + what, maxBytes);
+    public final String readString(String description, int maxBytes) throws IOException {
+        int length = (int) readCount("length of " + description, maxBytes);
         if (end - pos >= length) {
             String text = new String(buffer, pos, length, StandardCharsets.UTF_8);
             pos += length;
--- a/wire/src/main/java/ashlink/wire/CityHash.java
+++ b/wire/src/main/java/ashlink/wire/CityHash.java
@@ -26,43 +26,46 @@
     /** Hashes a range of an array; returns the low and the high half. */
     public static long[] hash128(byte[] s, int from, int length) {
         if (length >= 16) {
-            return withSeed(s, from + 16, length - 16, at(s, from) ^ K3, at(s, from + 8));
+            return hash128WithSeed(
+                    s, from + 16, length - 16, fetch64(s, from) ^ K3, fetch64(s, from + 8));
         } else if (length >= 8) {
-            return withSeed(s, from, 0, at(s, from) ^ length * K0, at(s, from + length - 8) ^ K1);
+            return hash128WithSeed(
+                    s, from, 0, fetch64(s, from) ^ length * K0, fetch64(s, from + length - 8) ^ K1);
         }
-        return withSeed(s, from, length, K0, K1);
+        return hash128WithSeed(s, from, length, K0, K1);
     }
 
-    private static long[] withSeed(byte[] s, int from, int length, long seedLow, long seedHigh) {
+    private static long[] hash128WithSeed(
+            byte[] s, int from, int length, long seedLow, long seedHigh) {
         if (length < 128) {
-            return murmur(s, from, length, seedLow, seedHigh);
+            return cityMurmur(s, from, length, seedLow, seedHigh);
         }
         long x = seedLow;
         long y = seedHigh;
         long z = length * K1;
-        long v1 = Long.rotateRight(y ^ K1, 49) * K1 + at(s, from);
-        long v2 = Long.rotateRight(v1, 42) * K1 + at(s, from + 8);
+        long v1 = Long.rotateRight(y ^ K1, 49) * K1 + fetch64(s, from);
+        long v2 = Long.rotateRight(v1, 42) * K1 + fetch64(s, from + 8);
         long w1 = Long.rotateRight(y + z, 35) * K1 + x;
-        long w2 = Long.rotateRight(x + at(s, from + 88), 53) * K1;
+        long w2 = Long.rotateRight(x + fetch64(s, from + 88), 53) * K1;
         int p = from;
         int left = length;
         do {
             for (int half = 0; half < 2; half++) {
-                x = Long.rotateRight(x + y + v1 + at(s, p + 16), 37) * K1;
-                y = Long.rotateRight(y + v2 + at(s, p + 48), 42) * K1;
+                x = Long.rotateRight(x + y + v1 + fetch64(s, p + 16), 37) * K1;
+                y = Long.rotateRight(y + v2 + fetch64(s, p + 48), 42) * K1;
                 x ^= w2;
                 y ^= v1;
                 z = Long.rotateRight(z ^ w1, 33);
-                long a = v2 * K1 + at(s, p);
-                long b = x + w1 + a + at(s, p + 24);
-                long c = a + at(s, p + 8) + at(s, p + 16);
+                long a = v2 * K1 + fetch64(s, p);
+                long b = x + w1 + a + fetch64(s, p + 24);
+                long c = a + fetch64(s, p + 8) + fetch64(s, p + 16);
                 v2 = Long.rotateRight(b, 21) + Long.rotateRight(c, 44) + a;
-                v1 = c + at(s, p + 24);
-                a = z + w2 + at(s, p + 32);
-                b = y + a + at(s, p + 56);
-                c = a + at(s, p + 40) + at(s, p + 48);
+                v1 = c + fetch64(s, p + 24);
+                a = z + w2 + fetch64(s, p + 32);
+                b = y + a + fetch64(s, p + 56);
+                c = a + fetch64(s, p + 40) + fetch64(s, p + 48);
                 w2 = Long.rotateRight(b, 21) + Long.rotateRight(c, 44) + a;
-                w1 = c + at(s, p + 56);
+                w1 = c + fetch64(s, p + 56);
                 long swap = z;
                 z = x;
                 x = swap;
@@ -75,70 +78,70 @@
         for (int done = 32; done < left + 32; done += 32) {
             y = Long.rotateRight(y - x, 42) * K0 + v2;
             int q = p + left - done;
-            w1 += at(s, q + 16);
+            w1 += fetch64(s, q + 16);
             x = Long.rotateRight(x, 49) * K0 + w1;
             w1 += v1;
-            long a = v1 + at(s, q);
-            long b = v2 + a + at(s, q + 24);
-            long c = a + at(s, q + 8) + at(s, q + 16);
+            long a = v1 + fetch64(s, q);
+            long b = v2 + a + fetch64(s, q + 24);
+            long c = a + fetch64(s, q + 8) + fetch64(s, q + 16);
             v2 = Long.rotateRight(b, 21) + Long.rotateRight(c, 44) + a;
-            v1 = c + at(s, q + 24);
+            v1 = c + fetch64(s, q + 24);
         }
-        x = mix(x, v1);
-        y = mix(y, w1);
-        return new long[] {mix(x + v2, w2) + y, mix(x + w2, y + v2)};
+        x = hashLen16(x, v1);
+        y = hashLen16(y, w1);
+        return new long[] {hashLen16(x + v2, w2) + y, hashLen16(x + w2, y + v2)};
     }
 
-    private static long[] murmur(byte[] s, int from, int length, long seedLow, long seedHigh) {
+    private static long[] cityMurmur(byte[] s, int from, int length, long seedLow, long seedHigh) {
         long a = seedLow;
         long b = seedHigh;
         long c;
         long d;
         int left = length - 16;
         if (left <= 0) {
-            a = shift(a * K1) * K1;
-            c = b * K1 + upTo16(s, from, length);
-            d = shift(a + (length >= 8 ? at(s, from) : c));
+            a = shiftMix(a * K1) * K1;
+            c = b * K1 + hashLen0to16(s, from, length);
+            d = shiftMix(a + (length >= 8 ? fetch64(s, from) : c));
         } else {
-            c = mix(at(s, from + length - 8) + K1, a);
-            d = mix(b + length, c + at(s, from + length - 16));
+            c = hashLen16(fetch64(s, from + length - 8) + K1, a);
+            d = hashLen16(b + length, c + fetch64(s, from + length - 16));
             a += d;
             int p = from;
             do {
-                a = (a ^ shift(at(s, p) * K1) * K1) * K1;
+                a = (a ^ shiftMix(fetch64(s, p) * K1) * K1) * K1;
                 b ^= a;
-                c = (c ^ shift(at(s, p + 8) * K1) * K1) * K1;
+                c = (c ^ shiftMix(fetch64(s, p + 8) * K1) * K1) * K1;
                 d ^= c;
                 p += 16;
                 left -= 16;
             } while (left > 0);
         }
-        a = mix(a, c);
-        b = mix(d, b);
-        return new long[] {a ^ b, mix(b, a)};
+        a = hashLen16(a, c);
+        b = hashLen16(d, b);
+        return new long[] {a ^ b, hashLen16(b, a)};
     }
 
-    private static long upTo16(byte[] s, int from, int length) {
+    private static long hashLen0to16(byte[] s, int from, int length) {
         if (length > 8) {
-            long a = at(s, from);
-            long b = at(s, from + length - 8);
-            return mix(a, Long.rotateRight(b + length, length)) ^ b;
+            long a = fetch64(s, from);
+            long b = fetch64(s, from + length - 8);
+            return hashLen16(a, Long.rotateRight(b + length, length)) ^ b;
         } else if (length >= 4) {
             long a = (int) INT.get(s, from) & 0xffffffffL;
-            return mix(length + (a << 3), (int) INT.get(s, from + length - 4) & 0xffffffffL);
+            return hashLen16(length + (a << 3), (int) INT.get(s, from + length - 4) & 0xffffffffL);
         } else if (length > 0) {
             int y = (s[from] & 0xff) + ((s[from + (length >> 1)] & 0xff) << 8);
             int z = length + ((s[from + length - 1] & 0xff) << 2);
-            return shift(y * K2 ^ z * K3) * K2;
+            return shiftMix(y * K2 ^ z * K3) * K2;
         }
         return K2;
     }
 
-    private static long shift(long value) {
+    private static long shiftMix(long value) {
         return value ^ value >>> 47;
     }
 
-    private static long mix(long low, long high) {
+    private static long hashLen16(long low, long high) {
         long a = (low ^ high) * MUL;
         a ^= a >>> 47;
         long b = (high ^ a) * MUL;
@@ -146,7 +149,7 @@
         return b * MUL;
     }
 
-    private static long at(byte[] s, int index) {
+    private static long fetch64(byte[] s, int index) {
         return (long) LONG.get(s, index);
     }
 }
--- a/wire/src/main/java/ashlink/wire/ClientInfo.java
+++ b/wire/src/main/java/ashlink/wire/ClientInfo.java
@@ -114,9 +114,9 @@
     }
 
     /** Appends the client information for a peer of the given revision. */
-    void write(int peer, ByteBuf to) throws WireException {
+    void write(int peerRevision, ByteBuf to) throws WireException {
         to.putByte(INITIAL_QUERY).putString(user).putString(queryId).putString(address);
-        if (peer >= Revision.INITIAL_QUERY_START_TIME) {
+        if (peerRevision >= Revision.INITIAL_QUERY_START_TIME) {
             to.putLong(0);
         }
         to.putByte(TCP)
@@ -126,19 +126,19 @@
                 .putVarUInt(major)
                 .putVarUInt(minor)
                 .putVarUInt(revision);
-        if (peer >= Revision.QUOTA_KEY) {
+        if (peerRevision >= Revision.QUOTA_KEY) {
             to.putString(quotaKey);
         }
-        if (peer >= Revision.DISTRIBUTED_DEPTH) {
+        if (peerRevision >= Revision.DISTRIBUTED_DEPTH) {
             to.putVarUInt(0);
         }
-        if (peer >= Revision.VERSION_PATCH) {
+        if (peerRevision >= Revision.VERSION_PATCH) {
             to.putVarUInt(patch);
         }
-        if (peer >= Revision.OPENTELEMETRY) {
+        if (peerRevision >= Revision.OPENTELEMETRY) {
             to.putByte(0);
         }
-        if (peer >= Revision.PARALLEL_REPLICAS) {
+        if (peerRevision >= Revision.PARALLEL_REPLICAS) {
             to.putVarUInt(0).putVarUInt(0).putVarUInt(0);
         }
     }
--- a/wire/src/main/java/ashlink/wire/ColumnType.java
+++ b/wire/src/main/java/ashlink/wire/ColumnType.java
@@ -7,7 +7,7 @@
 public sealed interface ColumnType {
 
     /** Limit on one string in a column; larger than any accepted block. */
-    long TEXT_BYTES = Integer.MAX_VALUE;
+    long MAX_STRING_BYTES = Integer.MAX_VALUE;
 
     /** Skips the prefix before the values of a column; called once for a column that has rows. */
     default void skipPrefix(ByteSource in) throws IOException {}
@@ -27,7 +27,7 @@
     record Text() implements ColumnType {
         @Override
         public void skipValues(ByteSource in, long rows) throws IOException {
-            in.skipStrings(rows, TEXT_BYTES);
+            in.skipStrings(rows, MAX_STRING_BYTES);
         }
     }
 
@@ -89,8 +89,8 @@
     /** Dictionary-encoded values: blocks of a dictionary followed by an index for each row. */
     record LowCardinality(ColumnType inner) implements ColumnType {
         private static final long VERSION = 1;
-        private static final int OWN_KEYS = 1 << 9;
-        private static final int SHARED_KEYS = 1 << 8;
+        private static final int HAS_ADDITIONAL_KEYS = 1 << 9;
+        private static final int NEEDS_GLOBAL_DICTIONARY = 1 << 8;
 
         /** Largest width: an index has {@code 1 << width} bytes, at most 8. */
         private static final int MAX_INDEX_WIDTH = 3;
@@ -115,8 +115,8 @@
                 long flags = in.readLong();
                 int indexWidth = (int) (flags & 0xff);
                 if (indexWidth > MAX_INDEX_WIDTH
-                        || (flags & SHARED_KEYS) != 0
-                        || (flags & OWN_KEYS) == 0) {
+                        || (flags & NEEDS_GLOBAL_DICTIONARY) != 0
+                        || (flags & HAS_ADDITIONAL_KEYS) == 0) {
                     throw new WireException(
                             WireException.Reason.UNKNOWN_TYPE,
                             "unsupported dictionary flags 0x" + Long.toHexString(flags));
--- a/wire/src/main/java/ashlink/wire/Compression.java
+++ b/wire/src/main/java/ashlink/wire/Compression.java
@@ -27,8 +27,9 @@
     private static final int FRAME_CONTENT_BYTES = 1 << 20;
 
     private static final int ZSTD_LEVEL = 1;
-    private static final LZ4Compressor LZ4_WRITE = LZ4Factory.fastestInstance().fastCompressor();
-    private static final LZ4SafeDecompressor LZ4_READ =
+    private static final LZ4Compressor LZ4_COMPRESSOR =
+            LZ4Factory.fastestInstance().fastCompressor();
+    private static final LZ4SafeDecompressor LZ4_DECOMPRESSOR =
             LZ4Factory.fastestInstance().safeDecompressor();
 
     private final int method;
@@ -65,7 +66,7 @@
                                 yield length;
                             }
                             case LZ4 ->
-                                    LZ4_WRITE.compress(
+                                    LZ4_COMPRESSOR.compress(
                                             from,
                                             offset,
                                             length,
@@ -95,7 +96,7 @@
     private int maxCompressedLength(int length) {
         return switch (this) {
             case NONE -> length;
-            case LZ4 -> LZ4_WRITE.maxCompressedLength(length);
+            case LZ4 -> LZ4_COMPRESSOR.maxCompressedLength(length);
             case ZSTD -> (int) Zstd.compressBound(length);
         };
     }
@@ -117,7 +118,7 @@
                             }
                             yield size;
                         }
-                        case LZ4 -> LZ4_READ.decompress(from, offset, size, to, 0, length);
+                        case LZ4 -> LZ4_DECOMPRESSOR.decompress(from, offset, size, to, 0, length);
                         case ZSTD -> Zstd.decompressByteArray(to, 0, length, from, offset, size);
                     };
         } catch (LZ4Exception | ZstdException e) {
--- a/wire/src/main/java/ashlink/wire/FrameSource.java
+++ b/wire/src/main/java/ashlink/wire/FrameSource.java
@@ -44,13 +44,13 @@
     }
 
     private void checkSizes(int frameBytes, int contentBytes) throws WireException {
-        boolean tooShort = frameBytes < HEADER_BYTES || contentBytes == 0;
-        if (tooShort
+        boolean tooSmall = frameBytes < HEADER_BYTES || contentBytes == 0;
+        if (tooSmall
                 || frameBytes - HEADER_BYTES > maxBytes
                 || contentBytes < 0
                 || contentBytes > maxBytes) {
             throw new WireException(
-                    tooShort ? WireException.Reason.MALFORMED : WireException.Reason.TOO_LARGE,
+                    tooSmall ? WireException.Reason.MALFORMED : WireException.Reason.TOO_LARGE,
                     "invalid compressed frame of "
                             + Integer.toUnsignedString(frameBytes)
                             + " bytes with "
@@ -77,7 +77,7 @@
     }
 
     /** Checks that the last frame of a block has no data after the block. */
-    void endOfBlock() throws WireException {
+    void requireEndOfBlock() throws WireException {
         if (pos != end) {
             throw new WireException(
                     WireException.Reason.MALFORMED,
--- a/wire/src/main/java/ashlink/wire/Hello.java
+++ b/wire/src/main/java/ashlink/wire/Hello.java
@@ -21,8 +21,8 @@
         public static Client read(ByteSource in, WireLimits limits) throws IOException {
             return new Client(
                     in.readString("client name", limits.nameBytes()),
-                    version(in),
-                    version(in),
+                    readVersion(in),
+                    readVersion(in),
                     (int) in.readCount("revision", Integer.MAX_VALUE),
                     in.readString("database", limits.nameBytes()),
                     in.readString("user", limits.nameBytes()),
@@ -55,19 +55,19 @@
         /** Reads the content after the packet type. */
         public static Server read(ByteSource in, WireLimits limits) throws IOException {
             String name = in.readString("server name", limits.nameBytes());
-            int major = version(in);
-            int minor = version(in);
+            int major = readVersion(in);
+            int minor = readVersion(in);
             int revision = (int) in.readCount("revision", Integer.MAX_VALUE);
             String timezone =
                     revision >= Revision.SERVER_TIMEZONE
                             ? in.readString("time zone", limits.nameBytes())
                             : "";
-            String display =
+            String displayName =
                     revision >= Revision.SERVER_DISPLAY_NAME
                             ? in.readString("display name", limits.nameBytes())
                             : "";
-            int patch = revision >= Revision.VERSION_PATCH ? version(in) : 0;
-            return new Server(name, major, minor, revision, timezone, display, patch);
+            int patch = revision >= Revision.VERSION_PATCH ? readVersion(in) : 0;
+            return new Server(name, major, minor, revision, timezone, displayName, patch);
         }
 
         /** Appends the packet type and the content for a client of the given revision. */
@@ -89,7 +89,7 @@
         }
     }
 
-    private static int version(ByteSource in) throws IOException {
+    private static int readVersion(ByteSource in) throws IOException {
         return (int) in.readCount("version", Integer.MAX_VALUE);
     }
 }
--- a/wire/src/main/java/ashlink/wire/ProfileInfo.java
+++ b/wire/src/main/java/ashlink/wire/ProfileInfo.java
@@ -7,9 +7,9 @@
         long rows,
         long blocks,
         long bytes,
-        boolean limited,
+        boolean appliedLimit,
         long rowsBeforeLimit,
-        boolean counted) {
+        boolean calculatedRowsBeforeLimit) {
 
     /** Reads the content after the packet type. */
     public static ProfileInfo read(ByteSource in) throws IOException {
@@ -28,8 +28,8 @@
                 .putVarUInt(rows)
                 .putVarUInt(blocks)
                 .putVarUInt(bytes)
-                .putFlag(limited)
+                .putFlag(appliedLimit)
                 .putVarUInt(rowsBeforeLimit)
-                .putFlag(counted);
+                .putFlag(calculatedRowsBeforeLimit);
     }
 }
--- a/wire/src/main/java/ashlink/wire/Progress.java
+++ b/wire/src/main/java/ashlink/wire/Progress.java
@@ -7,22 +7,22 @@
 
     /** Reads the content after the packet type from a peer of the given revision. */
     public static Progress read(ByteSource in, int revision) throws IOException {
-        boolean writes = revision >= Revision.CLIENT_WRITE_INFO;
+        boolean hasWriteInfo = revision >= Revision.CLIENT_WRITE_INFO;
         return new Progress(
                 in.readVarUInt(),
                 in.readVarUInt(),
                 in.readVarUInt(),
-                writes ? in.readVarUInt() : 0,
-                writes ? in.readVarUInt() : 0);
+                hasWriteInfo ? in.readVarUInt() : 0,
+                hasWriteInfo ? in.readVarUInt() : 0);
     }
 
     /** Appends the packet type and the content for a peer of the given revision. */
-    public void write(int peer, ByteBuf to) throws WireException {
+    public void write(int peerRevision, ByteBuf to) throws WireException {
         to.putVarUInt(ServerPacket.PROGRESS.ordinal())
                 .putVarUInt(rows)
                 .putVarUInt(bytes)
                 .putVarUInt(totalRows);
-        if (peer >= Revision.CLIENT_WRITE_INFO) {
+        if (peerRevision >= Revision.CLIENT_WRITE_INFO) {
             to.putVarUInt(writtenRows).putVarUInt(writtenBytes);
         }
     }
--- a/wire/src/main/java/ashlink/wire/QueryPacket.java
+++ b/wire/src/main/java/ashlink/wire/QueryPacket.java
@@ -53,8 +53,8 @@
         ClientInfo client = ClientInfo.read(in, revision, limits);
         List<Setting> settings =
                 revision >= Revision.SETTINGS_AS_STRINGS
-                        ? settings(in, limits)
-                        : oldSettings(in, limits);
+                        ? readSettings(in, limits)
+                        : readSettingsByType(in, limits);
         if (revision >= Revision.INTERSERVER_SECRET
                 && !in.readString("interserver secret", limits.nameBytes()).isEmpty()) {
             throw new WireException(
@@ -72,9 +72,11 @@
                 in.readString("statement", limits.textBytes()));
     }
 
-    private static List<Setting> settings(ByteSource in, WireLimits limits) throws IOException {
+    private static List<Setting> readSettings(ByteSource in, WireLimits limits) throws IOException {
         List<Setting> settings = new ArrayList<>();
-        for (String name = name(in, limits); !name.isEmpty(); name = name(in, limits)) {
+        for (String name = readSettingName(in, limits);
+                !name.isEmpty();
+                name = readSettingName(in, limits)) {
             checkCount(settings, limits);
             long flags = in.readVarUInt();
             settings.add(
@@ -86,9 +88,12 @@
         return List.copyOf(settings);
     }
 
-    private static List<Setting> oldSettings(ByteSource in, WireLimits limits) throws IOException {
+    private static List<Setting> readSettingsByType(ByteSource in, WireLimits limits)
+            throws IOException {
         List<Setting> settings = new ArrayList<>();
-        for (String name = name(in, limits); !name.isEmpty(); name = name(in, limits)) {
+        for (String name = readSettingName(in, limits);
+                !name.isEmpty();
+                name = readSettingName(in, limits)) {
             checkCount(settings, limits);
             String value =
                     NUMERIC_SETTINGS.contains(name)
@@ -99,7 +104,7 @@
         return List.copyOf(settings);
     }
 
-    private static String name(ByteSource in, WireLimits limits) throws IOException {
+    private static String readSettingName(ByteSource in, WireLimits limits) throws IOException {
         return in.readString("setting name", limits.nameBytes());
     }
 
@@ -115,14 +120,14 @@
      * Appends the packet type and the content for a peer of the given revision, at least {@link
      * Revision#SETTINGS_AS_STRINGS}.
      */
-    public void write(int peer, ByteBuf to) throws WireException {
+    public void write(int peerRevision, ByteBuf to) throws WireException {
         to.putVarUInt(ClientPacket.QUERY.ordinal()).putString(id);
-        client.write(peer, to);
+        client.write(peerRevision, to);
         for (Setting setting : settings) {
             to.putString(setting.name()).putVarUInt(setting.flags()).putString(setting.value());
         }
         to.putString("");
-        if (peer >= Revision.INTERSERVER_SECRET) {
+        if (peerRevision >= Revision.INTERSERVER_SECRET) {
             to.putString("");
         }
         to.putVarUInt(stage).putFlag(compressed).putString(statement);
--- a/wire/src/main/java/ashlink/wire/ServerError.java
+++ b/wire/src/main/java/ashlink/wire/ServerError.java
@@ -23,14 +23,14 @@
         String name = in.readString("exception name", limits.nameBytes());
         String message = in.readString("exception message", limits.textBytes());
         String stack = in.readString("exception stack trace", limits.textBytes());
-        boolean more = in.readFlag();
-        if (more && depth >= MAX_NESTING) {
+        boolean hasNested = in.readFlag();
+        if (hasNested && depth >= MAX_NESTING) {
             throw new WireException(
                     WireException.Reason.TOO_LARGE,
                     "too many nested exceptions: at most " + MAX_NESTING);
         }
         return new ServerError(
-                code, name, message, stack, more ? read(in, limits, depth + 1) : null);
+                code, name, message, stack, hasNested ? read(in, limits, depth + 1) : null);
     }
 
     /** Appends the packet type and the content. */
--- a/wire/src/main/java/ashlink/wire/StreamSource.java
+++ b/wire/src/main/java/ashlink/wire/StreamSource.java
@@ -11,8 +11,8 @@
 
     private final InputStream in;
     private ByteBuf tap;
-    private int tapFrom;
-    private long consumedBefore;
+    private int tapStart;
+    private long consumedBeforeBuffer;
 
     /** Creates a source with a buffer of the given size. */
     public StreamSource(InputStream in, int bufferBytes) {
@@ -23,10 +23,10 @@
     @Override
     protected boolean refill() throws IOException {
         flushTap();
-        consumedBefore += end;
+        consumedBeforeBuffer += end;
         pos = 0;
         end = 0;
-        tapFrom = 0;
+        tapStart = 0;
         int count = in.read(buffer, 0, buffer.length);
         if (count <= 0) {
             return false;
@@ -37,13 +37,13 @@
 
     /** Returns the number of bytes read so far, without bytes that are only buffered. */
     public long consumed() {
-        return consumedBefore + pos;
+        return consumedBeforeBuffer + pos;
     }
 
     /** Starts copying: all bytes read from now on are also appended to {@code to}. */
     public void startTap(ByteBuf to) {
         tap = to;
-        tapFrom = pos;
+        tapStart = pos;
     }
 
     /**
@@ -56,9 +56,9 @@
     }
 
     private void flushTap() throws WireException {
-        if (tap != null && pos > tapFrom) {
-            tap.append(buffer, tapFrom, pos - tapFrom);
-            tapFrom = pos;
+        if (tap != null && pos > tapStart) {
+            tap.append(buffer, tapStart, pos - tapStart);
+            tapStart = pos;
         }
     }
 }
--- a/wire/src/main/java/ashlink/wire/TypeParser.java
+++ b/wire/src/main/java/ashlink/wire/TypeParser.java
@@ -17,9 +17,9 @@
      */
     private static final int MAX_DEPTH = 32;
 
-    private static final ColumnType TEXT = new ColumnType.Text();
+    private static final ColumnType STRING = new ColumnType.Text();
     private static final ColumnType POINT = new ColumnType.Fixed(16);
-    private static final Map<String, ColumnType> PLAIN =
+    private static final Map<String, ColumnType> TYPES_WITHOUT_ARGUMENTS =
             Map.ofEntries(
                     fixed("Int8", 1),
                     fixed("Int16", 2),
@@ -44,7 +44,7 @@
                     fixed("Nothing", 1),
                     fixed("DateTime", 4),
                     fixed("DateTime32", 4),
-                    Map.entry("String", TEXT),
+                    Map.entry("String", STRING),
                     Map.entry("Point", POINT),
                     Map.entry("Ring", new ColumnType.Array(POINT)),
                     Map.entry("Polygon", new ColumnType.Array(new ColumnType.Array(POINT))),
@@ -88,9 +88,9 @@
      * not supported, {@code MALFORMED} if the text is not well-formed.
      */
     public static ColumnType parse(String text) throws WireException {
-        ColumnType plain = PLAIN.get(text);
-        if (plain != null) {
-            return plain;
+        ColumnType withoutArguments = TYPES_WITHOUT_ARGUMENTS.get(text);
+        if (withoutArguments != null) {
+            return withoutArguments;
         }
         TypeParser parser = new TypeParser(text);
         return parser.type(parser.completeTerm());
@@ -110,11 +110,11 @@
     }
 
     private WireException malformed(String what) {
-        String shown = text.length() > 100 ? text.substring(0, 100) + "..." : text;
+        String excerpt = text.length() > 100 ? text.substring(0, 100) + "..." : text;
         return new WireException(
                 WireException.Reason.MALFORMED,
                 "invalid column type "
-                        + shown
+                        + excerpt
                         + " at character "
                         + Math.min(pos, text.length())
                         + ": "
@@ -122,9 +122,9 @@
     }
 
     private WireException unknown(String name) {
-        String shown = name.length() > 100 ? name.substring(0, 100) + "..." : name;
+        String excerpt = name.length() > 100 ? name.substring(0, 100) + "..." : name;
         return new WireException(
-                WireException.Reason.UNKNOWN_TYPE, "unsupported column type " + shown);
+                WireException.Reason.UNKNOWN_TYPE, "unsupported column type " + excerpt);
     }
 
     // ---- From text to terms
@@ -214,10 +214,10 @@
         if (term.quoted) {
             throw unknown("'" + term.name + "'");
         }
-        List<Term> list = term.arguments;
-        ColumnType plain = PLAIN.get(term.name);
-        if (plain != null && (list.isEmpty() || term.name.startsWith("DateTime"))) {
-            return plain;
+        List<Term> arguments = term.arguments;
+        ColumnType withoutArguments = TYPES_WITHOUT_ARGUMENTS.get(term.name);
+        if (withoutArguments != null && (arguments.isEmpty() || term.name.startsWith("DateTime"))) {
+            return withoutArguments;
         }
         if (term.name.startsWith("Interval")
                 && INTERVALS.contains(term.name.substring("Interval".length()))) {
@@ -263,8 +263,8 @@
      * nullable.
      */
     private ColumnType lowCardinality(Term inner) throws WireException {
-        Term plain = inner.name.equals("Nullable") ? argument(inner, 0) : inner;
-        return new ColumnType.LowCardinality(type(plain));
+        Term nonNullable = inner.name.equals("Nullable") ? argument(inner, 0) : inner;
+        return new ColumnType.LowCardinality(type(nonNullable));
     }
 
     private static ColumnType decimal(int digits) {
