--- a/router/src/main/java/ashlink/router/frontend/InsertFeed.java
+++ b/router/src/main/java/ashlink/router/frontend/InsertFeed.java
@@ -43,10 +43,11 @@
      */
     public synchronized void put(byte[] packet, boolean last) throws InterruptedException {
         if (replayable
-                && (bufferedBytes + packet.length > maxReplayBytes || !quota.take(packet.length))) {
+                && (bufferedBytes + packet.length > maxReplayBytes
+                        || !quota.reserve(packet.length))) {
             replayable = false;
             discardSent();
-            quota.give(bufferedBytes);
+            quota.release(bufferedBytes);
         }
         while (!closed
                 && !replayable
@@ -127,7 +128,7 @@
         }
         closed = true;
         if (replayable) {
-            quota.give(bufferedBytes);
+            quota.release(bufferedBytes);
         }
         packets.clear();
         bufferedBytes = 0;
--- a/router/src/main/java/ashlink/router/frontend/MemoryQuota.java
+++ b/router/src/main/java/ashlink/router/frontend/MemoryQuota.java
@@ -15,7 +15,7 @@
     }
 
     @Override
-    public boolean take(long bytes) {
+    public boolean reserve(long bytes) {
         if (usedBytes.addAndGet(bytes) > maxBytes) {
             usedBytes.addAndGet(-bytes);
             return false;
@@ -24,7 +24,7 @@
     }
 
     @Override
-    public void give(long bytes) {
+    public void release(long bytes) {
         usedBytes.addAndGet(-bytes);
     }
 }
--- a/router/src/main/java/ashlink/router/http/PageResponder.java
+++ b/router/src/main/java/ashlink/router/http/PageResponder.java
@@ -40,7 +40,7 @@
                         (long) RENDERED_SIZE_FACTOR * page.blocks().length
                                 + RENDERED_OVERHEAD_BYTES,
                         spec.maxRenderBytes() / 2);
-        if (!renderQuota.take(estimatedBytes)) {
+        if (!renderQuota.reserve(estimatedBytes)) {
             exchange.sendProblem(
                     new ProblemDetail(
                             ProblemDetail.Kind.BUSY, "", StatementRegistry.RETRY_AFTER_NS, 0),
@@ -53,13 +53,13 @@
                         exchange.callback(),
                         () -> {
                             writeTimeout.cancel(false);
-                            renderQuota.give(estimatedBytes);
+                            renderQuota.release(estimatedBytes);
                         });
         try {
             send(exchange, statement, page, format, done);
         } catch (IOException | RuntimeException e) {
             writeTimeout.cancel(false);
-            renderQuota.give(estimatedBytes);
+            renderQuota.release(estimatedBytes);
             LOG.atError()
                     .addKeyValue("statement", statement.id())
                     .addKeyValue("page", page.page())
--- a/router/src/main/java/ashlink/router/spool/PageStore.java
+++ b/router/src/main/java/ashlink/router/spool/PageStore.java
@@ -86,7 +86,7 @@
             long storedBytes,
             BooleanSupplier cancelled)
             throws IOException, InterruptedException {
-        if (storedBytes + length <= maxMemoryBytes && memoryQuota.take(length)) {
+        if (storedBytes + length <= maxMemoryBytes && memoryQuota.reserve(length)) {
             return new StoredPage(statement, null, Arrays.copyOf(bytes, length), length, 0, false);
         }
         reserve(statement, user, length, cancelled);
@@ -166,7 +166,7 @@
         if (stored.budgeted) {
             release(stored.statement, stored.length);
         } else {
-            memoryQuota.give(stored.length);
+            memoryQuota.release(stored.length);
         }
     }
 
--- a/wire/src/main/java/ashlink/wire/ByteBuf.java
+++ b/wire/src/main/java/ashlink/wire/ByteBuf.java
@@ -74,7 +74,7 @@
     /** Removes all bytes and returns the memory to the quota. */
     public void release() {
         size = 0;
-        quota.give(bytes.length - INITIAL_BYTES);
+        quota.release(bytes.length - INITIAL_BYTES);
         bytes = new byte[INITIAL_BYTES];
     }
 
@@ -102,7 +102,7 @@
         }
         if (size + additional > bytes.length) {
             int capacity = (int) Math.max(size + additional, Math.min(maxBytes, bytes.length * 2L));
-            if (!quota.take(capacity - bytes.length)) {
+            if (!quota.reserve(capacity - bytes.length)) {
                 throw new WireException(
                         WireException.Reason.TOO_LARGE,
                         "memory quota exhausted: cannot reserve "
--- a/wire/src/main/java/ashlink/wire/Quota.java
+++ b/wire/src/main/java/ashlink/wire/Quota.java
@@ -7,12 +7,12 @@
     Quota NONE =
             new Quota() {
                 @Override
-                public boolean take(long bytes) {
+                public boolean reserve(long bytes) {
                     return true;
                 }
 
                 @Override
-                public void give(long bytes) {}
+                public void release(long bytes) {}
             };
 
     /**
@@ -20,8 +20,8 @@
      *
      * @return false, with nothing reserved, if the limit would be exceeded
      */
-    boolean take(long bytes);
+    boolean reserve(long bytes);
 
     /** Returns reserved bytes to the quota. */
-    void give(long bytes);
+    void release(long bytes);
 }
