--- a/cli/src/main/java/ashlink/cli/ExplainCommand.java
+++ b/cli/src/main/java/ashlink/cli/ExplainCommand.java
@@ -67,14 +67,14 @@
         System.out.println(
                 "reads        "
                         + statementAnalysis.reads()
-                        + (statementAnalysis.allTables() ? "" : " and others"));
+                        + (statementAnalysis.tablesComplete() ? "" : " and others"));
         System.out.println("writes       " + statementAnalysis.writes());
         System.out.println(
                 "harmless     "
-                        + (statementAnalysis.harmless() ? "yes" : "no")
-                        + (statementAnalysis.unstable() ? ", differs at each call" : ""));
+                        + (statementAnalysis.safeToRepeat() ? "yes" : "no")
+                        + (statementAnalysis.nondeterministic() ? ", differs at each call" : ""));
         System.out.println(
-                "data         " + (statementAnalysis.takesData() ? "from the client" : "none"));
+                "data         " + (statementAnalysis.expectsData() ? "from the client" : "none"));
         System.out.println("settings     " + statementAnalysis.settings());
         System.out.println("fingerprint  " + statementAnalysis.fingerprint());
         System.out.println("normal text  " + statementAnalysis.normalizedSql());
--- a/router/src/main/java/ashlink/router/classify/Classifier.java
+++ b/router/src/main/java/ashlink/router/classify/Classifier.java
@@ -57,7 +57,7 @@
                 return classify(rule, number, analysis);
             }
         }
-        String name = analysis.harmless() ? config.defaultClass() : config.defaultWriteClass();
+        String name = analysis.safeToRepeat() ? config.defaultClass() : config.defaultWriteClass();
         return new Classification(classes.get(name), 0, false);
     }
 
@@ -69,7 +69,7 @@
                         && selectsKindOrKeyword
                         && analysis.kind() != StatementKind.UNKNOWN
                         && analysis.kind() != StatementKind.SEVERAL;
-        if (analysis.harmless()
+        if (analysis.safeToRepeat()
                 || queryClass.retrySafety() == RetrySafety.AT_MOST_ONCE
                 || deduplicated) {
             return new Classification(queryClass, number, false);
@@ -127,12 +127,12 @@
 
     /** Returns whether the statement may be followed by data from the client. */
     public static boolean mayTakeData(StatementAnalysis analysis) {
-        return analysis.takesData()
+        return analysis.expectsData()
                 || analysis.kind() == StatementKind.UNKNOWN && keyword(analysis).equals("INSERT");
     }
 
     /** Returns whether the engine executes the statement only after the end of its data. */
     public static boolean waitsForData(StatementAnalysis analysis) {
-        return analysis.kind() == StatementKind.LOAD && analysis.takesData();
+        return analysis.kind() == StatementKind.LOAD && analysis.expectsData();
     }
 }
--- a/sql/src/main/java/ashlink/sql/AnalysisBuilder.java
+++ b/sql/src/main/java/ashlink/sql/AnalysisBuilder.java
@@ -11,9 +11,9 @@
     final TreeSet<String> reads = new TreeSet<>();
     final TreeSet<String> writes = new TreeSet<>();
     final Map<String, String> settings = new LinkedHashMap<>();
-    boolean allTables = true;
-    boolean unstable;
-    boolean takesData;
+    boolean tablesComplete = true;
+    boolean nondeterministic;
+    boolean expectsData;
     String unsafeReason = "";
 
     /** Records why repeating a read is not safe; only the first reason is kept. */
@@ -24,6 +24,6 @@
     /** Records a function call. */
     void recordFunction(String name) {
         String lower = name.toLowerCase(Locale.ROOT);
-        unstable |= Vocabulary.NONDETERMINISTIC_FUNCTIONS.contains(lower);
+        nondeterministic |= Vocabulary.NONDETERMINISTIC_FUNCTIONS.contains(lower);
     }
 }
--- a/sql/src/main/java/ashlink/sql/DefinitionReader.java
+++ b/sql/src/main/java/ashlink/sql/DefinitionReader.java
@@ -94,7 +94,7 @@
             cursor.consumeKeyword();
         }
         if (access || all || database) {
-            analysis.allTables = false;
+            analysis.tablesComplete = false;
             return readers.statements.skipRest(
                     access ? StatementKind.ADMINISTRATION : StatementKind.DDL);
         }
@@ -106,7 +106,7 @@
     StatementKind alter() {
         cursor.consumeKeyword();
         if (!cursor.atKeyword("TABLE")) {
-            analysis.allTables = false;
+            analysis.tablesComplete = false;
             return readers.statements.requireRest(StatementKind.ADMINISTRATION);
         }
         cursor.consumeKeyword();
@@ -125,7 +125,7 @@
         if (!cursor.tryKeyword("TABLE")
                 && !cursor.tryKeyword("TABLES")
                 && !cursor.tryKeyword("DICTIONARY")) {
-            analysis.allTables = false;
+            analysis.tablesComplete = false;
             return readers.statements.skipRest(StatementKind.DDL);
         }
         do {
--- a/sql/src/main/java/ashlink/sql/InsertReader.java
+++ b/sql/src/main/java/ashlink/sql/InsertReader.java
@@ -45,7 +45,7 @@
             cursor.expectName("a table function name");
             cursor.expect(SqlLexer.OPEN_PAREN, "an opening parenthesis before arguments");
             readers.expressions.parenthesized(scope);
-            analysis.allTables = false;
+            analysis.tablesComplete = false;
         } else {
             analysis.writes.add(readers.tables.tableName());
         }
@@ -71,11 +71,11 @@
             if (cursor.tryKeyword("SETTINGS")) {
                 readers.clauses.settings();
             }
-            analysis.takesData = !fromFile;
+            analysis.expectsData = !fromFile;
             return StatementKind.LOAD;
         }
         if (cursor.tryKeyword("VALUES")) {
-            analysis.takesData = true;
+            analysis.expectsData = true;
             return StatementKind.LOAD;
         }
         if (fromFile) {
@@ -83,7 +83,7 @@
         }
         if (tokens.peek() == null) {
             // In the native protocol the rows follow without a VALUES or FORMAT keyword.
-            analysis.takesData = true;
+            analysis.expectsData = true;
             return StatementKind.LOAD;
         }
         if (!readers.queries.startsQuery()) {
--- a/sql/src/main/java/ashlink/sql/StatementAnalysis.java
+++ b/sql/src/main/java/ashlink/sql/StatementAnalysis.java
@@ -9,13 +9,13 @@
  * @param reads tables that the text reads, as {@code database.table}, or {@code table} if the
  *     database is unknown
  * @param writes tables that the text writes, creates or drops
- * @param allTables true if {@code reads} and {@code writes} are complete; false if the text may
- *     access other tables, by a pattern or through another server
- * @param harmless true only if repeating the statement changes nothing: a read that was parsed to
- *     the end
- * @param unstable true if the result may differ at each execution, because of functions of time or
- *     randomness
- * @param takesData true if the client sends the rows after the statement
+ * @param tablesComplete true if {@code reads} and {@code writes} are complete; false if the text
+ *     may access other tables, by a pattern or through another server
+ * @param safeToRepeat true only if repeating the statement changes nothing: a read that was parsed
+ *     to the end
+ * @param nondeterministic true if the result may differ at each execution, because of functions of
+ *     time or randomness
+ * @param expectsData true if the client sends the rows after the statement
  * @param settings values of the settings that the text sets, by name
  * @param fingerprint 128 bits in hexadecimal, the same for statements that differ only in literal
  *     values; for an unknown statement it is computed from the tokens
@@ -28,10 +28,10 @@
         StatementKind kind,
         SortedSet<String> reads,
         SortedSet<String> writes,
-        boolean allTables,
-        boolean harmless,
-        boolean unstable,
-        boolean takesData,
+        boolean tablesComplete,
+        boolean safeToRepeat,
+        boolean nondeterministic,
+        boolean expectsData,
         Map<String, String> settings,
         String fingerprint,
         String normalizedSql,
--- a/sql/src/main/java/ashlink/sql/StatementParser.java
+++ b/sql/src/main/java/ashlink/sql/StatementParser.java
@@ -37,7 +37,7 @@
             StatementKind kind = statement();
             statements++;
             first = first == null ? kind : first;
-            if (analysis.takesData) {
+            if (analysis.expectsData) {
                 break; // the rest of the text is inserted data
             }
             if (tokens.peek() != null && !cursor.at(SqlLexer.SEMICOLON)) {
@@ -79,7 +79,7 @@
             case "USE" -> use();
             case "BEGIN", "START", "COMMIT", "ROLLBACK" -> transaction();
             case "SYSTEM", "KILL", "GRANT", "REVOKE", "BACKUP", "RESTORE" -> {
-                analysis.allTables = false;
+                analysis.tablesComplete = false;
                 yield requireRest(StatementKind.ADMINISTRATION);
             }
             default ->
@@ -134,7 +134,7 @@
             readers.inserts.insert(new Scope(null));
             analysis.reads.addAll(analysis.writes);
             analysis.writes.clear();
-            analysis.takesData = false;
+            analysis.expectsData = false;
             return StatementKind.READ;
         }
         return query();
--- a/sql/src/main/java/ashlink/sql/StatementReader.java
+++ b/sql/src/main/java/ashlink/sql/StatementReader.java
@@ -58,15 +58,15 @@
     private static StatementAnalysis parsed(
             StatementKind kind, AnalysisBuilder analysis, Tokens tokens) {
         String normalizedText = NormalizedSql.of(tokens.consumed());
-        boolean harmless = kind == StatementKind.READ && analysis.unsafeReason.isEmpty();
+        boolean safeToRepeat = kind == StatementKind.READ && analysis.unsafeReason.isEmpty();
         return new StatementAnalysis(
                 kind,
                 Collections.unmodifiableSortedSet(analysis.reads),
                 Collections.unmodifiableSortedSet(analysis.writes),
-                analysis.allTables,
-                harmless,
-                analysis.unstable,
-                analysis.takesData,
+                analysis.tablesComplete,
+                safeToRepeat,
+                analysis.nondeterministic,
+                analysis.expectsData,
                 Map.copyOf(analysis.settings),
                 NormalizedSql.fingerprint(normalizedText),
                 normalizedText,
--- a/sql/src/main/java/ashlink/sql/TableReader.java
+++ b/sql/src/main/java/ashlink/sql/TableReader.java
@@ -186,13 +186,13 @@
         }
         if (Vocabulary.EXTERNAL_TABLE_FUNCTIONS.contains(lower)) {
             analysis.markUnsafe("table function " + lower + " reads external data");
-            analysis.allTables = false;
+            analysis.tablesComplete = false;
         } else if (Vocabulary.PATTERN_TABLE_FUNCTIONS.contains(lower)) {
-            analysis.allTables = false;
+            analysis.tablesComplete = false;
         } else if (!Vocabulary.LOCAL_TABLE_FUNCTIONS.contains(lower)) {
             throw new UnsupportedSyntaxException("unknown table function", tokens.last().start);
         }
-        analysis.unstable |= lower.equals("generaterandom") || lower.equals("fuzzjson");
+        analysis.nondeterministic |= lower.equals("generaterandom") || lower.equals("fuzzjson");
         readers.expressions.parenthesized(scope);
     }
 }
--- a/sql/src/test/java/ashlink/sql/Corpus.java
+++ b/sql/src/test/java/ashlink/sql/Corpus.java
@@ -67,10 +67,10 @@
     }
 
     static String flags(StatementAnalysis statementAnalysis) {
-        return (statementAnalysis.harmless() ? "h" : "")
-                + (statementAnalysis.unstable() ? "u" : "")
-                + (statementAnalysis.takesData() ? "d" : "")
-                + (statementAnalysis.allTables()
+        return (statementAnalysis.safeToRepeat() ? "h" : "")
+                + (statementAnalysis.nondeterministic() ? "u" : "")
+                + (statementAnalysis.expectsData() ? "d" : "")
+                + (statementAnalysis.tablesComplete()
                                 || statementAnalysis.kind() == StatementKind.UNKNOWN
                         ? ""
                         : "o");
--- a/sql/src/test/java/ashlink/sql/ReaderProperties.java
+++ b/sql/src/test/java/ashlink/sql/ReaderProperties.java
@@ -174,7 +174,7 @@
                                         + "]*|\\$\\$.*?\\$\\$",
                                 " ")
                         .toUpperCase();
-        if (statementAnalysis.harmless() && statementAnalysis.kind() == StatementKind.READ) {
+        if (statementAnalysis.safeToRepeat() && statementAnalysis.kind() == StatementKind.READ) {
             assertTrue(
                     !words.strip()
                             .matches(
