--- a/loadtest/src/main/java/ashlink/loadtest/client/NativeClient.java
+++ b/loadtest/src/main/java/ashlink/loadtest/client/NativeClient.java
@@ -7,7 +7,7 @@
 import ashlink.wire.ClientPacket;
 import ashlink.wire.Compression;
 import ashlink.wire.Hello;
-import ashlink.wire.PlainPackets;
+import ashlink.wire.PacketSkipper;
 import ashlink.wire.QueryPacket;
 import ashlink.wire.Revision;
 import ashlink.wire.ServerError;
@@ -221,7 +221,7 @@
                                 System.nanoTime());
                     }
                     case PROGRESS, PROFILE_INFO, TABLE_COLUMNS, PONG ->
-                            PlainPackets.skip(kind, in, revision, limits);
+                            PacketSkipper.skip(kind, in, revision, limits);
                     default -> {
                         in.readString("table", limits.nameBytes());
                         boolean compressed = kind.isCompressible() && compression != null;
--- a/router/src/main/java/ashlink/router/http/ResponseDecoder.java
+++ b/router/src/main/java/ashlink/router/http/ResponseDecoder.java
@@ -2,7 +2,7 @@
 
 import ashlink.wire.BlockReader;
 import ashlink.wire.ByteBuf;
-import ashlink.wire.PlainPackets;
+import ashlink.wire.PacketSkipper;
 import ashlink.wire.Progress;
 import ashlink.wire.Revision;
 import ashlink.wire.ServerError;
@@ -58,7 +58,7 @@
                     handleBlock(bytes, offset, length, size.rows(), handler);
                 }
             } else if (kind != ServerPacket.END_OF_STREAM) {
-                PlainPackets.skip(kind, in, Revision.HIGHEST, limits);
+                PacketSkipper.skip(kind, in, Revision.HIGHEST, limits);
             }
         }
     }
--- a/router/src/main/java/ashlink/router/upstream/NativeEngineConnection.java
+++ b/router/src/main/java/ashlink/router/upstream/NativeEngineConnection.java
@@ -4,7 +4,7 @@
 import ashlink.wire.BlockReader;
 import ashlink.wire.ByteBuf;
 import ashlink.wire.Hello;
-import ashlink.wire.PlainPackets;
+import ashlink.wire.PacketSkipper;
 import ashlink.wire.Revision;
 import ashlink.wire.ServerError;
 import ashlink.wire.ServerPacket;
@@ -185,7 +185,7 @@
 
     /** Skips a packet that contains no block and does not end a response. */
     void skipPacket(ServerPacket kind) throws IOException {
-        PlainPackets.skip(kind, in, revision, limits);
+        PacketSkipper.skip(kind, in, revision, limits);
     }
 
     /** Returns false if the engine closed the connection or sent unexpected bytes. */
--- a/wire/src/main/java/ashlink/wire/PlainPackets.java
+++ b/wire/src/main/java/ashlink/wire/PacketSkipper.java
@@ -3,9 +3,9 @@
 import java.io.IOException;
 
 /** Skips the server packets that neither carry a block nor end a response. */
-public final class PlainPackets {
+public final class PacketSkipper {
 
-    private PlainPackets() {}
+    private PacketSkipper() {}
 
     /** Skips the content after the packet type, as sent by a server of the given revision. */
     public static void skip(ServerPacket kind, ByteSource in, int revision, WireLimits limits)
