--- a/sql/src/test/java/ashlink/sql/Corpus.java
+++ b/sql/src/test/java/ashlink/sql/Corpus.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.TreeSet;
 
-/** Statements with their expected analyses: a file that was reviewed by hand. */
+/** Test corpus: statements with expected analyses, from a file that was reviewed by hand. */
 final class Corpus {
 
-    /** A statement with its expected analysis; flags as {@link #flags} has them. */
+    /** Statement with the expected analysis; the flags have the format of {@link #flags}. */
     record Case(
             StatementKind kind,
             TreeSet<String> reads,
@@ -33,7 +33,7 @@
                                     names(fields[1]),
                                     names(fields[2]),
                                     fields[3],
-                                    unescaped(fields[4])));
+                                    unescape(fields[4])));
                 }
             }
         }
@@ -44,19 +44,19 @@
         return new TreeSet<>(text.isEmpty() ? List.of() : Arrays.asList(text.split(",")));
     }
 
-    private static String unescaped(String text) {
-        StringBuilder plain = new StringBuilder();
+    private static String unescape(String text) {
+        StringBuilder unescaped = new StringBuilder();
         for (int i = 0; i < text.length(); i++) {
             char next = text.charAt(i);
             if (next == '\\') {
-                next = unescaped(text.charAt(++i));
+                next = unescape(text.charAt(++i));
             }
-            plain.append(next);
+            unescaped.append(next);
         }
-        return plain.toString();
+        return unescaped.toString();
     }
 
-    private static char unescaped(char escaped) {
+    private static char unescape(char escaped) {
         return switch (escaped) {
             case 'n' -> '\n';
             case 't' -> '\t';
@@ -66,6 +66,7 @@
         };
     }
 
+    /** Returns the flags of an analysis as letters, in the format of the corpus file. */
     static String flags(StatementAnalysis statementAnalysis) {
         return (statementAnalysis.safeToRepeat() ? "h" : "")
                 + (statementAnalysis.nondeterministic() ? "u" : "")
--- a/sql/src/test/java/ashlink/sql/CorpusTest.java
+++ b/sql/src/test/java/ashlink/sql/CorpusTest.java
@@ -7,21 +7,21 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Analyses of the statements of {@link Corpus}. */
+/** Compares the analyses of the statements in {@link Corpus} with the expected analyses. */
 class CorpusTest {
 
     private final StatementReader reader = new StatementReader();
 
     @Test
-    void everyStatementIsReadRightOrMarkedUnknown() throws Exception {
-        List<String> wrong = new ArrayList<>();
+    void everyAnalysisEqualsTheExpectedAnalysis() throws Exception {
+        List<String> mismatches = new ArrayList<>();
         List<Corpus.Case> cases = Corpus.cases();
         for (Corpus.Case corpusCase : cases) {
             StatementAnalysis analysis = reader.read(corpusCase.statement(), "");
             String actual = actual(analysis);
             String expected = expected(corpusCase);
             if (!actual.equals(expected)) {
-                wrong.add(
+                mismatches.add(
                         corpusCase.statement()
                                 + "\n    expected "
                                 + expected
@@ -40,8 +40,8 @@
         assertTrue(cases.size() >= 400, cases.size() + " statements");
         assertEquals(
                 List.of(),
-                wrong,
-                wrong.size() + " of " + cases.size() + "\n" + String.join("\n", wrong));
+                mismatches,
+                mismatches.size() + " of " + cases.size() + "\n" + String.join("\n", mismatches));
     }
 
     private static String actual(StatementAnalysis analysis) {
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void theNormalTextOfAStatementReadsAsItself() throws Exception {
+    void normalizingTheNormalizedTextChangesNothing() throws Exception {
         for (Corpus.Case corpusCase : Corpus.cases()) {
             StatementAnalysis statementAnalysis = reader.read(corpusCase.statement(), "");
             if (statementAnalysis.kind() != StatementKind.UNKNOWN
--- a/sql/src/test/java/ashlink/sql/FuzzRun.java
+++ b/sql/src/test/java/ashlink/sql/FuzzRun.java
@@ -7,15 +7,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A million mutated statements from a seed: none throws, and each is read alike twice. By name:
- * {@code -Dtest=FuzzRun}.
+ * Fuzz test: analyzes a million mutated statements from a fixed seed. No analysis throws, and a
+ * second analysis of the same statement is equal. Runs only by name: {@code -Dtest=FuzzRun}.
  */
 class FuzzRun {
 
     private static final int TRIES = 1_000_000;
 
     @Test
-    void aMillion() throws Exception {
+    void mutatedStatementsAreAnalyzedConsistentlyWithoutExceptions() throws Exception {
         StatementReader reader = new StatementReader();
         List<Corpus.Case> cases = Corpus.cases();
         SplittableRandom random = new SplittableRandom(7);
@@ -23,7 +23,9 @@
         for (int i = 0; i < TRIES; i++) {
             StringBuilder builder =
                     new StringBuilder(cases.get(random.nextInt(cases.size())).statement());
-            for (int m = random.nextInt(4); m >= 0 && builder.length() > 0; m--) {
+            for (int mutations = random.nextInt(4);
+                    mutations >= 0 && builder.length() > 0;
+                    mutations--) {
                 int at = random.nextInt(builder.length());
                 switch (random.nextInt(4)) {
                     case 0 -> builder.deleteCharAt(at);
--- a/sql/src/test/java/ashlink/sql/LimitsTest.java
+++ b/sql/src/test/java/ashlink/sql/LimitsTest.java
@@ -5,12 +5,14 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Statements made to be expensive: a correct answer, in bounded memory, on a small stack. */
+/**
+ * Verifies that expensive statements are analyzed correctly with bounded memory and a small stack.
+ */
 class LimitsTest {
 
     private final StatementReader reader = new StatementReader();
 
-    /** Reads on a thread with the stack of a router's client. */
+    /** Analyzes a text on a thread with the stack size of a client thread in the router. */
     private StatementAnalysis read(String text) throws InterruptedException {
         return read(text, 512 << 10);
     }
@@ -19,7 +21,7 @@
         StatementAnalysis[] read = new StatementAnalysis[1];
         Throwable[] thrown = new Throwable[1];
         Thread thread =
-                new Thread(null, () -> read[0] = reader.read(text, ""), "small", stackBytes);
+                new Thread(null, () -> read[0] = reader.read(text, ""), "small-stack", stackBytes);
         thread.setUncaughtExceptionHandler((ignored, failure) -> thrown[0] = failure);
         thread.start();
         thread.join();
@@ -28,8 +30,8 @@
     }
 
     @Test
-    void deepNestingIsUnknownAndNoStackOverflows() throws Exception {
-        for (String[] way :
+    void deepNestingIsUnknownWithoutStackOverflow() throws Exception {
+        for (String[] brackets :
                 new String[][] {
                     {"(", ")"},
                     {"[", "]"},
@@ -41,10 +43,14 @@
                     {"CAST(", " AS Int8)"}
                 }) {
             StatementAnalysis statementAnalysis =
-                    read("SELECT " + way[0].repeat(100_000) + "1" + way[1].repeat(100_000));
+                    read(
+                            "SELECT "
+                                    + brackets[0].repeat(100_000)
+                                    + "1"
+                                    + brackets[1].repeat(100_000));
             assertTrue(
                     statementAnalysis.kind() == StatementKind.UNKNOWN,
-                    way[0] + " " + statementAnalysis.kind());
+                    brackets[0] + " " + statementAnalysis.kind());
         }
         assertEquals(
                 StatementKind.READ, read("SELECT " + "(".repeat(60) + "1" + ")".repeat(60)).kind());
@@ -55,12 +61,13 @@
     }
 
     @Test
-    void aStackTooSmallForTheLimitIsUnknownToo() throws Exception {
-        read("SELECT 1", 512 << 10); // classes load on a stack that bears it
+    void smallThreadStackGivesAResultWithoutAnException() throws Exception {
+        read("SELECT 1", 512 << 10); // loads the classes on a sufficient stack
         String deep = "SELECT " + "f(".repeat(76) + "1" + ")".repeat(76);
         assertEquals(StatementKind.READ, read(deep, 512 << 10).kind());
         StatementAnalysis statementAnalysis = read(deep, 1 << 10);
-        // How much a frame takes varies with what is compiled; whichever it is, nothing is thrown.
+        // The frame size depends on JIT compilation, so both results are valid, but nothing is
+        // thrown.
         assertTrue(
                 statementAnalysis.kind() == StatementKind.READ
                         || statementAnalysis.reason().contains("for this thread"),
@@ -68,7 +75,7 @@
     }
 
     @Test
-    void longListsAreReadUpToALimitAndThenUnknown() throws Exception {
+    void listsAreReadUpToTheTokenLimitAndUnknownBeyond() throws Exception {
         assertEquals(
                 StatementKind.READ, read("SELECT 1 IN (" + "1,".repeat(400_000) + "1)").kind());
         StatementAnalysis statementAnalysis = read("SELECT 1 IN (" + "1,".repeat(1_000_000) + "1)");
@@ -78,7 +85,7 @@
     }
 
     @Test
-    void dataOfAnInsertIsNotRead() throws Exception {
+    void insertedDataIsNotScanned() throws Exception {
         String data = "(1, 'a'),".repeat(7 << 20) + " this ' is /* no SQL";
         StatementAnalysis statementAnalysis = read("INSERT INTO t VALUES " + data);
         assertEquals(StatementKind.LOAD, statementAnalysis.kind());
@@ -86,7 +93,7 @@
     }
 
     @Test
-    void theFingerprintIsTheSameInAllVersions() {
+    void normalizedTextAndFingerprintAreStable() {
         assertEquals(
                 "SELECT sum ( value ) FROM readings WHERE meter IN ( ? ) AND ts > now ( ) -"
                         + " INTERVAL ? DAY",
@@ -96,23 +103,23 @@
                                 "")
                         .normalizedSql());
         assertEquals(
-                GOLDEN,
+                EXPECTED_FINGERPRINT,
                 reader.read("SELECT sum(value) FROM readings WHERE meter IN (4)", "")
                         .fingerprint());
     }
 
-    /** Fixed for major version 0. */
-    private static final String GOLDEN = "daaef0b9ba0caf83d54dae9beb3b0aef";
+    /** Fingerprint that must not change within major version 0. */
+    private static final String EXPECTED_FINGERPRINT = "daaef0b9ba0caf83d54dae9beb3b0aef";
 
     @Test
-    void aConnectionsDatabaseCompletesNames() {
+    void databaseOfTheConnectionQualifiesTableNames() {
         assertEquals(
                 "[meter.readings, other.t]",
                 reader.read("SELECT * FROM readings, other.t", "meter").reads().toString());
     }
 
     @Test
-    void noNameOrValueOfAStatementIsInAReason() {
+    void reasonContainsNoLiteralsOfTheStatement() {
         StatementAnalysis statementAnalysis = reader.read("SELECT 'Anna Huber' 'Gmunden' FROM", "");
         assertEquals(StatementKind.UNKNOWN, statementAnalysis.kind());
         assertTrue(
--- a/sql/src/test/java/ashlink/sql/ReaderProperties.java
+++ b/sql/src/test/java/ashlink/sql/ReaderProperties.java
@@ -14,23 +14,23 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * The fingerprint under rewriting and mutation, and the reader under noise. Seeds are fixed, so
- * each run is the same.
+ * Properties of the fingerprint under rewriting and mutation, and of the reader with random input.
+ * Seeds are fixed, so each run is the same.
  */
 class ReaderProperties {
 
     private final StatementReader reader = new StatementReader();
 
-    /** A statement in pieces: names and operators are its own, literals and blanks are free. */
+    /** Template of a statement with fixed names and operators; literals and white space vary. */
     record Shape(
             String column,
             String operator,
             String table,
             String function,
             boolean join,
-            int lists) {
+            int listLength) {
 
-        String text(List<String> literals, String blank, boolean upper) {
+        String text(List<String> literals, String whitespace, boolean upperCase) {
             String sql =
                     "select "
                             + function
@@ -50,7 +50,7 @@
                 String text = word;
                 while (text.contains("LIST")) {
                     StringBuilder list = new StringBuilder();
-                    for (int i = 0; i < lists; i++) {
+                    for (int i = 0; i < listLength; i++) {
                         list.append(i > 0 ? "," : "")
                                 .append(literals.get(next++ % literals.size()));
                     }
@@ -58,12 +58,12 @@
                 }
                 if (text.equals("L")) {
                     text = literals.get(next++ % literals.size());
-                } else if (upper
+                } else if (upperCase
                         && List.of("select", "from", "where", "join", "using", "and", "in", "limit")
                                 .contains(text)) {
                     text = text.toUpperCase(java.util.Locale.ROOT);
                 }
-                out.append(out.length() == 0 ? "" : blank).append(text);
+                out.append(out.length() == 0 ? "" : whitespace).append(text);
             }
             return out.toString();
         }
@@ -103,17 +103,17 @@
     }
 
     @Provide
-    Arbitrary<String> blanks() {
+    Arbitrary<String> whitespace() {
         return Arbitraries.of(" ", "\n", "\t \r\n", " /* c */ ", " -- c\n", "/**/");
     }
 
     @Property(tries = 500, seed = "42")
-    void literalsBlanksCommentsCaseAndListLengthsDoNotMatter(
+    void fingerprintIgnoresLiteralsWhitespaceCommentsCaseAndListLength(
             @ForAll("shapes") Shape shape,
             @ForAll("literals") List<String> literals,
             @ForAll("literals") List<String> otherLiterals,
-            @ForAll("blanks") String blank,
-            @ForAll boolean upper,
+            @ForAll("whitespace") String whitespace,
+            @ForAll boolean upperCase,
             @ForAll @IntRange(min = 1, max = 60) int length) {
         StatementAnalysis first = reader.read(shape.text(literals, " ", false), "");
         Shape other =
@@ -124,14 +124,15 @@
                         shape.function(),
                         shape.join(),
                         length);
-        StatementAnalysis second = reader.read(other.text(otherLiterals, blank, upper), "");
+        StatementAnalysis second =
+                reader.read(other.text(otherLiterals, whitespace, upperCase), "");
         assertEquals(StatementKind.READ, first.kind(), first.reason());
         assertEquals(first.normalizedSql(), second.normalizedSql());
         assertEquals(first.fingerprint(), second.fingerprint());
     }
 
     @Property(tries = 500, seed = "43")
-    void anotherNameOperatorOrShapeDoes(
+    void fingerprintDependsOnNamesOperatorsAndStructure(
             @ForAll("shapes") Shape first, @ForAll("shapes") Shape second) {
         Shape sameLists =
                 new Shape(
@@ -140,7 +141,7 @@
                         second.table(),
                         second.function(),
                         second.join(),
-                        first.lists());
+                        first.listLength());
         if (!first.equals(sameLists)) {
             assertNotEquals(
                     reader.read(first.text(List.of("1"), " ", false), "").fingerprint(),
@@ -149,21 +150,21 @@
     }
 
     @Property(tries = 3000, seed = "44")
-    void mutatedStatementsNeverThrowNorPassAWriteForHarmless(
-            @ForAll @IntRange(min = 0, max = 450) int which,
-            @ForAll @IntRange(min = 0, max = 300) int at,
-            @ForAll char by,
-            @ForAll @IntRange(min = 0, max = 2) int how)
+    void mutatedStatementsNeverThrowAndWritesAreNeverSafeToRepeat(
+            @ForAll @IntRange(min = 0, max = 450) int caseIndex,
+            @ForAll @IntRange(min = 0, max = 300) int position,
+            @ForAll char inserted,
+            @ForAll @IntRange(min = 0, max = 2) int mutation)
             throws Exception {
         List<Corpus.Case> cases = Corpus.cases();
-        Corpus.Case corpusCase = cases.get(which % cases.size());
+        Corpus.Case corpusCase = cases.get(caseIndex % cases.size());
         String text = corpusCase.statement();
-        int index = text.isEmpty() ? 0 : at % text.length();
+        int index = text.isEmpty() ? 0 : position % text.length();
         String mutated =
-                how == 0
+                mutation == 0
                         ? text.substring(0, index)
-                        : how == 1
-                                ? text.substring(0, index) + by + text.substring(index)
+                        : mutation == 1
+                                ? text.substring(0, index) + inserted + text.substring(index)
                                 : text.substring(0, index)
                                         + text.substring(Math.min(text.length(), index + 1));
         StatementAnalysis statementAnalysis = reader.read(mutated, "");
@@ -184,7 +185,7 @@
     }
 
     @Property(tries = 1000, seed = "45")
-    void noiseIsReadInBoundedTimeAndThrowsNothing(@ForAll String noise) {
-        assertTrue(reader.read(noise, "").fingerprint().length() == 32);
+    void randomInputNeverThrows(@ForAll String input) {
+        assertTrue(reader.read(input, "").fingerprint().length() == 32);
     }
 }
--- a/sql/src/test/java/ashlink/sql/SqlBenchRun.java
+++ b/sql/src/test/java/ashlink/sql/SqlBenchRun.java
@@ -19,8 +19,8 @@
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 
 /**
- * Speed beside JSqlParser, and what it makes of the corpus; run by name only: {@code
- * -Dtest=SqlBenchRun}.
+ * Benchmark against JSqlParser, and a comparison of the tables that JSqlParser finds in the corpus.
+ * Runs only by name: {@code -Dtest=SqlBenchRun}.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -34,7 +34,7 @@
                 + " 4713) AND ts >= '2026-01-01 00:00:00' AND kind = 'heat' GROUP BY meter ORDER BY"
                 + " total DESC LIMIT 100";
 
-    /** Length of the statement: the short one, or its list made so long. */
+    /** Length of the statement in characters; the list is extended to reach the length. */
     @Param({"200", "2000", "20000", "200000", "1000000"})
     public int chars;
 
@@ -49,13 +49,15 @@
         return statement;
     }
 
-    /** Ours: kind, tables, effect, fingerprint. */
+    /** Measures StatementReader: kind, tables, flags and fingerprint. */
     @Benchmark
-    public Object ours() {
+    public Object statementReader() {
         return reader.read(statement(), "");
     }
 
-    /** JSqlParser: a tree, and its tables. Only short statements, for its sake. */
+    /**
+     * Measures JSqlParser: syntax tree and tables; only for statements of up to 2000 characters.
+     */
     @Benchmark
     public Object jsqlparser() throws Exception {
         if (chars > 2000) {
@@ -71,16 +73,16 @@
         int agrees = 0;
         int differs = 0;
         List<Corpus.Case> cases = Corpus.cases();
-        for (Corpus.Case c : cases) {
+        for (Corpus.Case corpusCase : cases) {
             try {
-                Statement statement = CCJSqlParserUtil.parse(c.statement());
+                Statement statement = CCJSqlParserUtil.parse(corpusCase.statement());
                 java.util.Set<String> tables = new java.util.TreeSet<>();
                 new TablesNamesFinder<Void>()
                         .getTables(statement)
                         .forEach(text -> tables.add(text.replaceAll("[`\"]", "")));
-                java.util.Set<String> ours = new java.util.TreeSet<>(c.reads());
-                ours.addAll(c.writes());
-                if (c.kind() != StatementKind.UNKNOWN && ours.equals(tables)) {
+                java.util.Set<String> expected = new java.util.TreeSet<>(corpusCase.reads());
+                expected.addAll(corpusCase.writes());
+                if (corpusCase.kind() != StatementKind.UNKNOWN && expected.equals(tables)) {
                     agrees++;
                 } else {
                     differs++;
@@ -90,7 +92,8 @@
             }
         }
         System.out.printf(
-                "corpus of %d through JSqlParser: tables as reviewed %d, others %d, fails %d%n",
+                "JSqlParser on the corpus: statements=%d tablesEqual=%d tablesDiffer=%d"
+                        + " failed=%d%n",
                 cases.size(), agrees, differs, fails);
         new Runner(new OptionsBuilder().include(SqlBenchRun.class.getName()).forks(0).build())
                 .run();
--- a/wire/src/test/java/ashlink/wire/CityHashTest.java
+++ b/wire/src/test/java/ashlink/wire/CityHashTest.java
@@ -6,17 +6,16 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** {@link CityHash} beside the implementation of a public client. */
+/** Compares {@link CityHash} with the implementation of a public client. */
 class CityHashTest {
 
     @Test
-    void agreesWithAPublicClientAtEveryLength() {
+    void equalsThePublicClientAtEveryLength() {
         byte[] bytes = new byte[5000];
         new Random(1).nextBytes(bytes);
         for (int i = 0; i < 30; i++) {
-            // That client takes bytes over 127 as negative at the end of texts of 1 to 3 or 17 to
-            // 19
-            // bytes.
+            // The public client treats bytes above 127 as negative at the end of inputs of 1 to 3
+            // or 17 to 19 bytes.
             bytes[i] &= 0x7f;
         }
         for (int length = 0; length < 1000; length++) {
--- a/wire/src/test/java/ashlink/wire/CodecProperties.java
+++ b/wire/src/test/java/ashlink/wire/CodecProperties.java
@@ -19,8 +19,8 @@
 import net.jqwik.api.constraints.StringLength;
 
 /**
- * Round trips, and bytes that were tampered with: never a hang, an overrun, or anything thrown but
- * what is stated.
+ * Properties of the codec: round trips, and corrupted input, which must not cause a hang, an
+ * overrun or any exception other than {@link WireException}.
  */
 class CodecProperties {
 
@@ -30,23 +30,24 @@
     private static StreamSource source(ByteBuf byteBuf) {
         return new StreamSource(
                 new ByteArrayInputStream(byteBuf.array(), 0, byteBuf.size()),
-                7); // every value straddles a refill
+                7); // values cross the boundary of the 7-byte buffer
     }
 
     @Property(seed = "101")
-    void numbersComeBack(@ForAll @LongRange(min = 0) long value) throws IOException {
+    void numbersRoundTrip(@ForAll @LongRange(min = 0) long value) throws IOException {
         assertEquals(value, source(new ByteBuf().putVarUInt(value)).readVarUInt());
         assertEquals(value, source(new ByteBuf().putLong(value)).readLong());
     }
 
     @Property(tries = 200, seed = "102")
-    void queriesComeBack(
+    void queriesRoundTrip(
             @ForAll @StringLength(max = 300) String statement,
             @ForAll @StringLength(max = 20) String id,
             @ForAll boolean compressed,
-            @ForAll @IntRange(min = Revision.SETTINGS_AS_STRINGS, max = Revision.HIGHEST) int at)
+            @ForAll @IntRange(min = Revision.SETTINGS_AS_STRINGS, max = Revision.HIGHEST)
+                    int revision)
             throws IOException {
-        ClientInfo info = new ClientInfo("u", id, "a:1", "os", "h", "n", 1, 2, at, 3, "q");
+        ClientInfo info = new ClientInfo("u", id, "a:1", "os", "h", "n", 1, 2, revision, 3, "q");
         QueryPacket queryPacket =
                 new QueryPacket(
                         id,
@@ -56,16 +57,16 @@
                         compressed,
                         statement.replace('\ud800', ' '));
         ByteBuf bytes = new ByteBuf();
-        queryPacket.write(at, bytes);
+        queryPacket.write(revision, bytes);
         StreamSource in = source(bytes);
         assertEquals(ClientPacket.QUERY.ordinal(), in.readVarUInt());
-        QueryPacket back = QueryPacket.read(in, at, SMALL);
+        QueryPacket decoded = QueryPacket.read(in, revision, SMALL);
         assertEquals(
                 new String(
                         queryPacket.statement().getBytes(java.nio.charset.StandardCharsets.UTF_8),
                         java.nio.charset.StandardCharsets.UTF_8),
-                back.statement());
-        assertEquals(queryPacket.settings(), back.settings());
+                decoded.statement());
+        assertEquals(queryPacket.settings(), decoded.settings());
         assertEquals(-1, in.readByteOrEnd());
     }
 
@@ -108,13 +109,13 @@
     }
 
     @Property(tries = 300, seed = "103")
-    void typesAreReadAndTruncatedOnesAreMalformed(
-            @ForAll("types") String type, @ForAll @IntRange(min = 1, max = 200) int cut)
+    void typesAreParsedAndTruncatedTypesAreParsedOrRejected(
+            @ForAll("types") String type, @ForAll @IntRange(min = 1, max = 200) int removed)
             throws WireException {
         TypeParser.parse(type);
-        String less = type.substring(0, Math.max(0, type.length() - cut));
+        String truncated = type.substring(0, Math.max(0, type.length() - removed));
         try {
-            TypeParser.parse(less);
+            TypeParser.parse(truncated);
         } catch (WireException e) {
             assertEquals(
                     true,
@@ -125,9 +126,9 @@
     }
 
     @Property(tries = 200, seed = "104")
-    void blocksAreFoundToTheirEnd(
+    void blocksAreSkippedAndReadToTheirEnd(
             @ForAll @Size(max = 20) List<@StringLength(max = 200) String> texts,
-            @ForAll @IntRange(min = 0, max = 3) int how)
+            @ForAll @IntRange(min = 0, max = 3) int compressionIndex)
             throws IOException {
         List<Object> strings = new ArrayList<>(texts);
         List<Object> longs = new ArrayList<>();
@@ -136,7 +137,8 @@
                 Block.of(
                         new Block.Column("s", "String", strings),
                         new Block.Column("n", "UInt64", longs));
-        Compression compression = how == 0 ? null : Compression.values()[how - 1];
+        Compression compression =
+                compressionIndex == 0 ? null : Compression.values()[compressionIndex - 1];
         ByteBuf bytes = new ByteBuf();
         block.write(compression, bytes);
         bytes.putByte(42);
@@ -151,10 +153,10 @@
     }
 
     @Property(tries = 2000, seed = "105")
-    void tamperedBlocksThrowNothingButTheirOwn(
-            @ForAll @Size(min = 1, max = 8) List<@IntRange(min = 0, max = 400) Integer> at,
-            @ForAll byte by,
-            @ForAll @IntRange(min = 0, max = 3) int how)
+    void corruptedBlocksThrowOnlyWireException(
+            @ForAll @Size(min = 1, max = 8) List<@IntRange(min = 0, max = 400) Integer> positions,
+            @ForAll byte mask,
+            @ForAll @IntRange(min = 0, max = 3) int compressionIndex)
             throws IOException {
         Block block =
                 Block.of(
@@ -163,24 +165,25 @@
                                 "Array(String)".substring(6, 12),
                                 List.of("one", "two", "three")),
                         new Block.Column("n", "UInt64", List.of(1L, 2L, 3L)));
-        Compression compression = how == 0 ? null : Compression.values()[how - 1];
+        Compression compression =
+                compressionIndex == 0 ? null : Compression.values()[compressionIndex - 1];
         ByteBuf bytes = new ByteBuf();
         block.write(compression, bytes);
-        for (int i : at) {
-            bytes.array()[i % bytes.size()] ^= (byte) (by | 1);
+        for (int i : positions) {
+            bytes.array()[i % bytes.size()] ^= (byte) (mask | 1);
         }
         for (boolean compressed : new boolean[] {compression != null, compression == null}) {
             try {
                 new BlockReader(source(bytes), SMALL).skip(compressed);
                 new BlockReader(source(bytes), SMALL).read(compressed, 1000);
             } catch (WireException expected) {
-                // all that it may throw
+                // the only exception allowed
             }
         }
     }
 
     @Property(tries = 500, seed = "106")
-    void anyFlippedBitOfAFrameIsFound(
+    void flippedBitInAFrameIsDetected(
             @ForAll @IntRange(min = 0, max = 100_000) int bit,
             @ForAll("methods") Compression compression)
             throws IOException {
@@ -198,8 +201,8 @@
     }
 
     @Property(tries = 1000, seed = "107")
-    void noiseIsNoPacket(@ForAll byte[] noise) throws IOException {
-        ByteBuf byteBuf = new ByteBuf().append(noise, 0, noise.length);
+    void randomInputThrowsOnlyWireException(@ForAll byte[] input) throws IOException {
+        ByteBuf byteBuf = new ByteBuf().append(input, 0, input.length);
         for (int reader = 0; reader < 5; reader++) {
             try {
                 switch (reader) {
@@ -210,13 +213,13 @@
                     default -> Hello.Server.read(source(byteBuf), SMALL);
                 }
             } catch (WireException expected) {
-                // all that it may throw
+                // the only exception allowed
             }
         }
     }
 
     @Property(tries = 100, seed = "108")
-    void aTapHasWhatWasRead(@ForAll @Size(max = 30) List<@StringLength(max = 30) String> texts)
+    void tapHoldsAllBytesRead(@ForAll @Size(max = 30) List<@StringLength(max = 30) String> texts)
             throws IOException {
         ByteBuf bytes = new ByteBuf();
         for (String text : texts) {
