--- a/wire/src/main/java/ashlink/wire/BlockReader.java
+++ b/wire/src/main/java/ashlink/wire/BlockReader.java
@@ -45,16 +45,16 @@
 
     /** Skips the next block. */
     public Size skip(boolean compressed) throws IOException {
-        ByteSource from = compressed ? frames : in;
-        readInfo(from);
-        long columns = from.readCount("number of columns", limits.columns());
-        long rows = from.readCount("number of rows", Long.MAX_VALUE);
+        ByteSource source = compressed ? frames : in;
+        readInfo(source);
+        long columns = source.readCount("number of columns", limits.columns());
+        long rows = source.readCount("number of rows", Long.MAX_VALUE);
         for (long i = 0; i < columns; i++) {
-            from.skip(from.readCount("length of column name", limits.nameBytes()));
-            ColumnType type = type(from.readString("column type", limits.nameBytes()));
+            source.skip(source.readCount("length of column name", limits.nameBytes()));
+            ColumnType type = type(source.readString("column type", limits.nameBytes()));
             if (rows > 0) {
-                type.skipPrefix(from);
-                type.skipValues(from, rows);
+                type.skipPrefix(source);
+                type.skipValues(source, rows);
             }
         }
         if (compressed) {
@@ -65,20 +65,20 @@
 
     /** Reads the next block; all columns must have basic types. */
     public Block read(boolean compressed, int maxRows) throws IOException {
-        ByteSource from = compressed ? frames : in;
-        readInfo(from);
-        int columns = (int) from.readCount("number of columns", limits.columns());
-        int rows = (int) from.readCount("number of rows", maxRows);
-        List<Block.Column> read = new ArrayList<>();
+        ByteSource source = compressed ? frames : in;
+        readInfo(source);
+        int columns = (int) source.readCount("number of columns", limits.columns());
+        int rows = (int) source.readCount("number of rows", maxRows);
+        List<Block.Column> decoded = new ArrayList<>();
         for (int i = 0; i < columns; i++) {
-            String name = from.readString("column name", limits.nameBytes());
-            String type = from.readString("column type", limits.nameBytes());
-            read.add(new Block.Column(name, type, BasicValues.read(type, rows, from, limits)));
+            String name = source.readString("column name", limits.nameBytes());
+            String type = source.readString("column type", limits.nameBytes());
+            decoded.add(new Block.Column(name, type, BasicValues.read(type, rows, source, limits)));
         }
         if (compressed) {
             frames.requireEndOfBlock();
         }
-        return new Block(read, rows);
+        return new Block(decoded, rows);
     }
 
     /** Columns of a block of any types, with the exact values. */
@@ -116,12 +116,12 @@
         return cached;
     }
 
-    private static void readInfo(ByteSource from) throws IOException {
-        for (long field = from.readVarUInt(); field != 0; field = from.readVarUInt()) {
+    private static void readInfo(ByteSource source) throws IOException {
+        for (long field = source.readVarUInt(); field != 0; field = source.readVarUInt()) {
             if (field == INFO_OVERFLOWS) {
-                from.readByte();
+                source.readByte();
             } else if (field == INFO_BUCKET) {
-                from.readInt();
+                source.readInt();
             } else {
                 throw new WireException(
                         WireException.Reason.MALFORMED,
--- a/wire/src/main/java/ashlink/wire/ByteBuf.java
+++ b/wire/src/main/java/ashlink/wire/ByteBuf.java
@@ -135,12 +135,12 @@
 
     /** Appends an unsigned integer of variable length. */
     public ByteBuf putVarUInt(long value) throws WireException {
-        long rest = value;
-        while ((rest & ~0x7fL) != 0) {
-            putByte((int) (rest & 0x7f | 0x80));
-            rest >>>= 7;
+        long remaining = value;
+        while ((remaining & ~0x7fL) != 0) {
+            putByte((int) (remaining & 0x7f | 0x80));
+            remaining >>>= 7;
         }
-        return putByte((int) rest);
+        return putByte((int) remaining);
     }
 
     /** Appends a two-byte integer in little-endian order. */
--- a/wire/src/main/java/ashlink/wire/PacketSkipper.java
+++ b/wire/src/main/java/ashlink/wire/PacketSkipper.java
@@ -8,9 +8,9 @@
     private PacketSkipper() {}
 
     /** Skips the content after the packet type, as sent by a server of the given revision. */
-    public static void skip(ServerPacket kind, ByteSource in, int revision, WireLimits limits)
+    public static void skip(ServerPacket type, ByteSource in, int revision, WireLimits limits)
             throws IOException {
-        switch (kind) {
+        switch (type) {
             case PROGRESS -> Progress.read(in, revision);
             case PROFILE_INFO -> ProfileInfo.read(in);
             case TABLE_COLUMNS -> {
@@ -20,7 +20,7 @@
             case PONG -> {}
             default ->
                     throw new WireException(
-                            WireException.Reason.MALFORMED, "unexpected packet " + kind);
+                            WireException.Reason.MALFORMED, "unexpected packet " + type);
         }
     }
 }
--- a/wire/src/main/java/ashlink/wire/ServerError.java
+++ b/wire/src/main/java/ashlink/wire/ServerError.java
@@ -36,12 +36,12 @@
     /** Appends the packet type and the content. */
     public void write(ByteBuf to) throws WireException {
         to.putVarUInt(ServerPacket.EXCEPTION.ordinal());
-        for (ServerError e = this; e != null; e = e.nested) {
-            to.putInt(e.code)
-                    .putString(e.name)
-                    .putString(e.message)
-                    .putString(e.stack)
-                    .putFlag(e.nested != null);
+        for (ServerError error = this; error != null; error = error.nested) {
+            to.putInt(error.code)
+                    .putString(error.name)
+                    .putString(error.message)
+                    .putString(error.stack)
+                    .putFlag(error.nested != null);
         }
     }
 }
