--- a/cli/src/main/java/ashlink/cli/ExplainCommand.java
+++ b/cli/src/main/java/ashlink/cli/ExplainCommand.java
@@ -74,13 +74,13 @@
                                                 ? ""
                                                 : " at character " + analysis.offset())));
         System.out.println(
-                "reads        " + analysis.reads() + (analysis.allTables() ? "" : " and others"));
+                "reads        " + analysis.reads() + (analysis.tablesComplete() ? "" : " and others"));
         System.out.println("writes       " + analysis.writes());
         System.out.println(
                 "harmless     "
-                        + (analysis.harmless() ? "yes" : "no")
-                        + (analysis.unstable() ? ", result may differ between runs" : ""));
-        System.out.println("data         " + (analysis.takesData() ? "from the client" : "none"));
+                        + (analysis.safeToRepeat() ? "yes" : "no")
+                        + (analysis.nondeterministic() ? ", result may differ between runs" : ""));
+        System.out.println("data         " + (analysis.expectsData() ? "from the client" : "none"));
         System.out.println("settings     " + analysis.settings());
         System.out.println("fingerprint  " + analysis.fingerprint());
         System.out.println("normal text  " + analysis.normalizedSql());
--- a/loadtest/src/main/java/ashlink/loadtest/client/NativeClient.java
+++ b/loadtest/src/main/java/ashlink/loadtest/client/NativeClient.java
@@ -7,7 +7,7 @@
 import ashlink.wire.ClientPacket;
 import ashlink.wire.Compression;
 import ashlink.wire.Hello;
-import ashlink.wire.PlainPackets;
+import ashlink.wire.PacketSkipper;
 import ashlink.wire.QueryPacket;
 import ashlink.wire.Revision;
 import ashlink.wire.ServerError;
@@ -215,7 +215,7 @@
                                 firstByte);
                     }
                     case PROGRESS, PROFILE_INFO, TABLE_COLUMNS, PONG ->
-                            PlainPackets.skip(kind, in, revision, limits);
+                            PacketSkipper.skip(kind, in, revision, limits);
                     default -> {
                         BlockReader.Size size = readBlock(kind);
                         rows += kind == ServerPacket.DATA ? size.rows() : 0;
--- a/sql/src/main/java/ashlink/sql/AnalysisBuilder.java
+++ b/sql/src/main/java/ashlink/sql/AnalysisBuilder.java
@@ -5,25 +5,25 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** The analysis of one text, as its readers build it. For one thread. */
+/** Collects the analysis of one text while the readers parse the text. Not thread-safe. */
 final class AnalysisBuilder {
 
     final TreeSet<String> reads = new TreeSet<>();
     final TreeSet<String> writes = new TreeSet<>();
     final Map<String, String> settings = new LinkedHashMap<>();
-    boolean allTables = true;
-    boolean unstable;
-    boolean takesData;
-    String doubt = "";
+    boolean tablesComplete = true;
+    boolean nondeterministic;
+    boolean expectsData;
+    String unsafeReason = "";
 
-    /** Records why a read is not harmless; the first reason stays. */
-    void doubt(String reason) {
-        doubt = doubt.isEmpty() ? reason : doubt;
+    /** Records why repeating a read is not safe; only the first reason is kept. */
+    void markUnsafe(String reason) {
+        unsafeReason = unsafeReason.isEmpty() ? reason : unsafeReason;
     }
 
-    /** Records a call of a function. */
-    void function(String name) {
+    /** Records a function call. */
+    void recordFunction(String name) {
         String lower = name.toLowerCase(Locale.ROOT);
-        unstable |= Vocabulary.UNSTABLE.contains(lower);
+        nondeterministic |= Vocabulary.NONDETERMINISTIC_FUNCTIONS.contains(lower);
     }
 }
--- a/sql/src/main/java/ashlink/sql/CallReader.java
+++ b/sql/src/main/java/ashlink/sql/CallReader.java
@@ -2,7 +2,7 @@
 
 import ashlink.sql.grammar.SqlLexer;
 
-/** Reads names and calls of functions, with those whose arguments have keywords between them. */
+/** Parses names and function calls, including calls with keywords between the arguments. */
 final class CallReader {
 
     private final Readers readers;
@@ -17,60 +17,60 @@
         this.analysis = readers.analysis;
     }
 
-    /** A name with parts, or a call. */
+    /** Parses the first part of a name, or a function call. */
     void nameOrCall(Scope scope) {
         String name = cursor.expectName("a name");
-        if (!cursor.at(SqlLexer.OPEN)) {
+        if (!cursor.at(SqlLexer.OPEN_PAREN)) {
             return;
         }
-        analysis.function(name);
+        analysis.recordFunction(name);
         if (name.equalsIgnoreCase("CAST") || name.equalsIgnoreCase("TRY_CAST")) {
             cast(scope);
         } else if (name.equalsIgnoreCase("EXTRACT")
-                && Vocabulary.UNITS.contains(keywordInBracket())) {
-            tokens.take();
-            cursor.takeKeyword();
+                && Vocabulary.INTERVAL_UNITS.contains(firstArgumentKeyword())) {
+            tokens.consume();
+            cursor.consumeKeyword();
             cursor.expectKeyword("FROM");
-            readers.expressions.bracketed(SqlLexer.CLOSE, scope);
+            readers.expressions.bracketedList(SqlLexer.CLOSE_PAREN, scope);
         } else if (name.equalsIgnoreCase("SUBSTRING")
                 || name.equalsIgnoreCase("TRIM")
                 || name.equalsIgnoreCase("POSITION")) {
-            callWithKeywords(scope);
+            callWithKeywordArguments(scope);
         } else {
-            tokens.take();
-            readers.expressions.parenthesis(scope);
-            if (cursor.at(SqlLexer.OPEN)) { // the first brackets had parameters
-                tokens.take();
-                readers.expressions.parenthesis(scope);
+            tokens.consume();
+            readers.expressions.parenthesized(scope);
+            if (cursor.at(SqlLexer.OPEN_PAREN)) { // the first parentheses held parameters
+                tokens.consume();
+                readers.expressions.parenthesized(scope);
             }
         }
     }
 
-    private String keywordInBracket() {
+    private String firstArgumentKeyword() {
         Token token = tokens.peek(1);
         return token == null ? "" : token.upper();
     }
 
     private void cast(Scope scope) {
-        tokens.take();
+        tokens.consume();
         cursor.enter();
         readers.operands.operand(scope);
         while (!cursor.atKeyword("AS") && readers.operators.tryOperator(scope)) {
-            // up to its own AS
+            // continues to the AS keyword of this cast
         }
         if (cursor.tryKeyword("AS")) {
             readers.types.type();
         } else {
-            cursor.expect(SqlLexer.COMMA, "the type of a cast");
+            cursor.expect(SqlLexer.COMMA, "AS or a comma before the type of a cast");
             readers.expressions.expression(scope);
         }
-        cursor.expect(SqlLexer.CLOSE, "the end of a cast");
+        cursor.expect(SqlLexer.CLOSE_PAREN, "the closing parenthesis of a cast");
         cursor.exit();
     }
 
-    /** A call whose arguments may have keywords between them. */
-    private void callWithKeywords(Scope scope) {
-        tokens.take();
+    /** Parses a call that may have keywords between the arguments. */
+    private void callWithKeywordArguments(Scope scope) {
+        tokens.consume();
         cursor.enter();
         for (String text : new String[] {"BOTH", "LEADING", "TRAILING"}) {
             cursor.tryKeyword(text);
@@ -78,13 +78,13 @@
         if (!cursor.atKeyword("FROM")) {
             readers.expressions.expression(scope);
         }
-        while (!cursor.at(SqlLexer.CLOSE)) {
+        while (!cursor.at(SqlLexer.CLOSE_PAREN)) {
             if (!cursor.tryKeyword("FROM") && !cursor.tryKeyword("FOR")) {
-                cursor.expect(SqlLexer.COMMA, "another argument");
+                cursor.expect(SqlLexer.COMMA, "FROM, FOR, a comma or a closing parenthesis");
             }
             readers.expressions.expression(scope);
         }
-        tokens.take();
+        tokens.consume();
         cursor.exit();
     }
 }
--- a/sql/src/main/java/ashlink/sql/ClauseReader.java
+++ b/sql/src/main/java/ashlink/sql/ClauseReader.java
@@ -2,7 +2,7 @@
 
 import ashlink.sql.grammar.SqlLexer;
 
-/** Reads the clauses of a query after FROM, and the options of its output. */
+/** Parses the clauses of a query after FROM, and the output options. */
 final class ClauseReader {
 
     private final Readers readers;
@@ -17,7 +17,7 @@
         this.analysis = readers.analysis;
     }
 
-    /** Reads the next clause; false, with nothing taken, if none follows. */
+    /** Parses the next clause; returns false and consumes no token if no clause follows. */
     boolean tryClause(Scope scope) {
         Token token = tokens.peek();
         if (token == null) {
@@ -25,19 +25,19 @@
         }
         switch (token.upper()) {
             case "PREWHERE", "WHERE", "HAVING", "QUALIFY" -> {
-                cursor.takeKeyword();
+                cursor.consumeKeyword();
                 readers.expressions.expression(scope);
             }
             case "GROUP" -> group(scope);
             case "WINDOW" -> readers.windows.clause(scope);
             case "ORDER" -> {
-                cursor.takeKeyword();
+                cursor.consumeKeyword();
                 cursor.expectKeyword("BY");
                 orderList(scope);
             }
             case "LIMIT" -> limit(scope);
             case "OFFSET" -> {
-                cursor.takeKeyword();
+                cursor.consumeKeyword();
                 readers.expressions.expression(scope);
                 if (!cursor.tryKeyword("ROW")) {
                     cursor.tryKeyword("ROWS");
@@ -45,7 +45,7 @@
             }
             case "FETCH" -> fetch(scope);
             case "WITH" -> {
-                cursor.takeKeyword();
+                cursor.consumeKeyword();
                 if (!cursor.tryKeyword("TOTALS") && !cursor.tryKeyword("CUBE")) {
                     cursor.expectKeyword("ROLLUP");
                 }
@@ -58,38 +58,38 @@
     }
 
     private void group(Scope scope) {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         cursor.expectKeyword("BY");
         if (cursor.tryKeyword("ALL")) {
             return;
         }
         if (cursor.atKeywords("GROUPING", "SETS")) {
-            cursor.takeKeyword();
-            cursor.takeKeyword();
+            cursor.consumeKeyword();
+            cursor.consumeKeyword();
         }
         readers.expressions.list(scope);
     }
 
-    /** Expressions with their directions and fillings. */
+    /** Parses the expressions of ORDER BY with their sort directions and WITH FILL options. */
     void orderList(Scope scope) {
         if (cursor.atKeyword("ALL")
                 && (tokens.peek(1) == null
-                        || tokens.peek(1).type == SqlLexer.CLOSE
-                        || Vocabulary.CLAUSES.contains(tokens.peek(1).upper()))) {
-            cursor.takeKeyword();
+                        || tokens.peek(1).type == SqlLexer.CLOSE_PAREN
+                        || Vocabulary.EXPRESSION_TERMINATORS.contains(tokens.peek(1).upper()))) {
+            cursor.consumeKeyword();
             orderOptions(scope);
             return;
         }
         do {
             if (cursor.at(SqlLexer.COMMA)) {
-                tokens.take();
+                tokens.consume();
             }
             readers.expressions.expression(scope);
             orderOptions(scope);
         } while (cursor.at(SqlLexer.COMMA));
-        if (cursor.tryKeyword("INTERPOLATE") && cursor.at(SqlLexer.OPEN)) {
-            tokens.take();
-            readers.expressions.parenthesis(scope);
+        if (cursor.tryKeyword("INTERPOLATE") && cursor.at(SqlLexer.OPEN_PAREN)) {
+            tokens.consume();
+            readers.expressions.parenthesized(scope);
         }
     }
 
@@ -112,8 +112,8 @@
                     || cursor.tryKeyword("STALENESS")) {
                 readers.expressions.expression(scope);
             } else if (cursor.atKeywords("WITH", "FILL")) {
-                cursor.takeKeyword();
-                cursor.takeKeyword();
+                cursor.consumeKeyword();
+                cursor.consumeKeyword();
             } else {
                 return;
             }
@@ -121,10 +121,10 @@
     }
 
     private void limit(Scope scope) {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         readers.expressions.expression(scope);
         if (cursor.at(SqlLexer.COMMA)) {
-            tokens.take();
+            tokens.consume();
             readers.expressions.expression(scope);
         }
         if (cursor.tryKeyword("OFFSET")) {
@@ -133,13 +133,13 @@
         if (cursor.tryKeyword("BY")) {
             readers.expressions.list(scope);
         } else if (cursor.atKeywords("WITH", "TIES")) {
-            cursor.takeKeyword();
-            cursor.takeKeyword();
+            cursor.consumeKeyword();
+            cursor.consumeKeyword();
         }
     }
 
     private void fetch(Scope scope) {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         if (!cursor.tryKeyword("FIRST")) {
             cursor.expectKeyword("NEXT");
         }
@@ -155,25 +155,25 @@
         }
     }
 
-    /** The end of a statement: where its output goes, its format and its settings. */
+    /** Parses the options at the end of a statement: output file, format and settings. */
     void outputOptions() {
         while (true) {
             if (cursor.atKeywords("INTO", "OUTFILE")) {
-                cursor.takeKeyword();
-                cursor.takeKeyword();
-                cursor.expectLiteral("a file");
-                analysis.doubt("it writes a file at the client");
+                cursor.consumeKeyword();
+                cursor.consumeKeyword();
+                cursor.expectLiteral("a file name");
+                analysis.markUnsafe("INTO OUTFILE writes a file on the client");
                 while (cursor.tryKeyword("AND")
                         || cursor.tryKeyword("STDOUT")
                         || cursor.tryKeyword("APPEND")
                         || cursor.tryKeyword("TRUNCATE")) {
-                    // each changes only how the file is written
+                    // these keywords change only how the file is written
                 }
                 if (cursor.tryKeyword("COMPRESSION")) {
-                    cursor.expectLiteral("a compression");
+                    cursor.expectLiteral("a compression method");
                 }
             } else if (cursor.tryKeyword("FORMAT")) {
-                cursor.expectName("a format");
+                cursor.expectName("a format name");
             } else if (cursor.tryKeyword("SETTINGS")) {
                 settings();
             } else {
@@ -182,18 +182,18 @@
         }
     }
 
-    /** {@code name = value} with commas between. */
+    /** Parses a comma-separated list of {@code name = value}. */
     void settings() {
         do {
             if (cursor.at(SqlLexer.COMMA)) {
-                tokens.take();
+                tokens.consume();
             }
-            String name = cursor.expectName("a setting");
-            cursor.expect(SqlLexer.OPERATOR, "=");
+            String name = cursor.expectName("a setting name");
+            cursor.expect(SqlLexer.OPERATOR, "'='");
             int from = tokens.offset();
             readers.expressions.expression(new Scope(null));
             Token last = tokens.last();
-            analysis.settings.put(name, last.from >= from ? last.text : "");
+            analysis.settings.put(name, last.start >= from ? last.text : "");
         } while (cursor.at(SqlLexer.COMMA));
     }
 }
--- a/sql/src/main/java/ashlink/sql/DefinitionReader.java
+++ b/sql/src/main/java/ashlink/sql/DefinitionReader.java
@@ -4,11 +4,11 @@
 import ashlink.sql.grammar.SqlLexer;
 import java.util.Set;
 
-/** Reads statements that define tables and other objects, or change rows by a condition. */
+/** Parses statements that define tables and other objects, or change rows by a condition. */
 final class DefinitionReader {
 
-    /** Words between the first one of a definition and the name of its object. */
-    private static final Set<String> OBJECTS =
+    /** Keywords that may stand between the first keyword of a definition and the object name. */
+    private static final Set<String> DEFINITION_KEYWORDS =
             Set.of(
                     "TABLE",
                     "VIEW",
@@ -46,8 +46,8 @@
                     "COLUMN",
                     "CONSTRAINT");
 
-    /** Objects of access control and of the server, which are no tables. */
-    private static final Set<String> ACCESS =
+    /** Kinds of object that belong to access control or to the server and are not tables. */
+    private static final Set<String> NON_TABLE_OBJECTS =
             Set.of(
                     "USER",
                     "ROLE",
@@ -70,17 +70,17 @@
         this.analysis = readers.analysis;
     }
 
-    /** CREATE, DROP and the like: the kind of their object, then its name. */
+    /** Parses CREATE, DROP and similar statements: the kind of the object, then the object name. */
     StatementKind define() {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         boolean database = false;
         boolean access = false;
         boolean all = false;
         boolean table = false;
-        while (tokens.peek() != null && OBJECTS.contains(tokens.peek().upper())) {
+        while (tokens.peek() != null && DEFINITION_KEYWORDS.contains(tokens.peek().upper())) {
             Token next = tokens.peek(1);
             if (table && next != null && next.type == SqlLexer.DOT) {
-                break; // a database of that name
+                break; // the keyword is the name of a database here
             }
             database |= cursor.atKeyword("DATABASE");
             all |= cursor.atKeyword("ALL") || cursor.atKeyword("TABLES");
@@ -88,11 +88,13 @@
                     cursor.atKeyword("TABLE")
                             || cursor.atKeyword("VIEW")
                             || cursor.atKeyword("DICTIONARY");
-            access |= ACCESS.contains(tokens.peek().upper()) || cursor.atKeyword("FUNCTION");
-            cursor.takeKeyword();
+            access |=
+                    NON_TABLE_OBJECTS.contains(tokens.peek().upper())
+                            || cursor.atKeyword("FUNCTION");
+            cursor.consumeKeyword();
         }
         if (access || all || database) {
-            analysis.allTables = false;
+            analysis.tablesComplete = false;
             return readers.statements.skipRest(
                     access ? StatementKind.ADMINISTRATION : StatementKind.DDL);
         }
@@ -100,35 +102,35 @@
         return readers.statements.skipRest(StatementKind.DDL);
     }
 
-    /** ALTER of a table or of another object. */
+    /** Parses ALTER of a table or of another object. */
     StatementKind alter() {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         if (!cursor.atKeyword("TABLE")) {
-            analysis.allTables = false;
+            analysis.tablesComplete = false;
             return readers.statements.requireRest(StatementKind.ADMINISTRATION);
         }
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         analysis.writes.add(readers.tables.tableName());
         if (cursor.tryKeyword("ON")) {
             cursor.expectKeyword("CLUSTER");
-            cursor.expectName("a cluster");
+            cursor.expectName("a cluster name");
         }
-        boolean rows = cursor.atKeyword("DELETE") || cursor.atKeyword("UPDATE");
-        return readers.statements.skipRest(rows ? StatementKind.WRITE : StatementKind.DDL);
+        boolean changesRows = cursor.atKeyword("DELETE") || cursor.atKeyword("UPDATE");
+        return readers.statements.skipRest(changesRows ? StatementKind.WRITE : StatementKind.DDL);
     }
 
-    /** RENAME and EXCHANGE of tables or other objects. */
+    /** Parses RENAME and EXCHANGE of tables or other objects. */
     StatementKind rename() {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         if (!cursor.tryKeyword("TABLE")
                 && !cursor.tryKeyword("TABLES")
                 && !cursor.tryKeyword("DICTIONARY")) {
-            analysis.allTables = false;
+            analysis.tablesComplete = false;
             return readers.statements.skipRest(StatementKind.DDL);
         }
         do {
             if (cursor.at(SqlLexer.COMMA)) {
-                tokens.take();
+                tokens.consume();
             }
             analysis.writes.add(readers.tables.tableName());
             if (!cursor.tryKeyword("TO")) {
@@ -139,7 +141,7 @@
         return readers.statements.skipRest(StatementKind.DDL);
     }
 
-    /** The table of a DELETE or UPDATE, and its condition. */
+    /** Parses the table and the condition of a DELETE or UPDATE. */
     StatementKind changeByCondition() {
         analysis.writes.add(readers.tables.tableName());
         while (tokens.peek() != null && !cursor.at(SqlLexer.SEMICOLON)) {
@@ -150,7 +152,7 @@
                     || cursor.atKeyword("CLUSTER")
                     || cursor.atKeyword("PARTITION")
                     || cursor.at(SqlLexer.COMMA)) {
-                Token token = tokens.take();
+                Token token = tokens.consume();
                 token.role = token.type == SqlLexer.WORD ? Role.KEYWORD : Role.SYMBOL;
             } else if (cursor.tryKeyword("SETTINGS")) {
                 readers.clauses.settings();
--- a/sql/src/main/java/ashlink/sql/ExpressionReader.java
+++ b/sql/src/main/java/ashlink/sql/ExpressionReader.java
@@ -3,9 +3,10 @@
 import ashlink.sql.grammar.SqlLexer;
 
 /**
- * Reads expressions, lists of them and brackets, just so far that every token is known for an
- * operand or an operator, and every subquery is found. An expression ends, where an operand is
- * complete, at a word that starts another clause, or at a bracket or comma that is not its own.
+ * Parses expressions, expression lists and parentheses, only in the detail that is needed to tell
+ * operands from operators and to find every subquery. After a complete operand, an expression ends
+ * at a keyword that starts another clause, or at a closing parenthesis or comma that belongs to an
+ * enclosing expression.
  */
 final class ExpressionReader {
 
@@ -19,11 +20,11 @@
         this.tokens = readers.tokens;
     }
 
-    /** Expressions with commas between them; a trailing comma before FROM is allowed. */
+    /** Parses a comma-separated list of expressions; a trailing comma before FROM is allowed. */
     void list(Scope scope) {
         expression(scope);
         while (cursor.at(SqlLexer.COMMA)) {
-            tokens.take();
+            tokens.consume();
             if (cursor.atKeyword("FROM")) {
                 return;
             }
@@ -31,42 +32,45 @@
         }
     }
 
-    /** A list after an opening bracket, which may be empty, and the closing bracket. */
-    void bracketed(int close, Scope scope) {
+    /**
+     * Parses the list after an opening bracket, which may be empty, and the closing bracket of the
+     * given token type.
+     */
+    void bracketedList(int close, Scope scope) {
         cursor.enter();
         if (!cursor.at(close)) {
             list(scope);
         }
-        cursor.expect(close, "the end of a bracket");
+        cursor.expect(close, "a closing bracket");
         cursor.exit();
     }
 
     /**
-     * A bracket that was opened: a query, or a list; where another bracket follows it may yet be
-     * either.
+     * Parses the content after an opening parenthesis, a query or a list, and the closing
+     * parenthesis. If another parenthesis opens first, the content may be either a query or a list.
      */
-    void parenthesis(Scope scope) {
+    void parenthesized(Scope scope) {
         if (readers.queries.startsQuery()) {
             cursor.enter();
-            if (cursor.at(SqlLexer.OPEN)) {
+            if (cursor.at(SqlLexer.OPEN_PAREN)) {
                 list(scope);
-                readers.queries.afterFirstQuery(scope);
+                readers.queries.queryTail(scope);
             } else {
                 readers.queries.query(scope);
             }
-            cursor.expect(SqlLexer.CLOSE, "the end of a query in brackets");
+            cursor.expect(SqlLexer.CLOSE_PAREN, "a closing parenthesis after a query");
             cursor.exit();
         } else {
-            bracketed(SqlLexer.CLOSE, scope);
+            bracketedList(SqlLexer.CLOSE_PAREN, scope);
         }
     }
 
-    /** One expression. */
+    /** Parses one expression. */
     void expression(Scope scope) {
         cursor.enter();
         readers.operands.operand(scope);
         while (readers.operators.tryOperator(scope)) {
-            // as far as operators lead
+            // consumes operators while there are any
         }
         cursor.exit();
     }
--- a/sql/src/main/java/ashlink/sql/InsertReader.java
+++ b/sql/src/main/java/ashlink/sql/InsertReader.java
@@ -2,7 +2,7 @@
 
 import ashlink.sql.grammar.SqlLexer;
 
-/** Reads INSERT statements up to their data. */
+/** Parses INSERT statements up to the inserted data. */
 final class InsertReader {
 
     private final Readers readers;
@@ -17,15 +17,15 @@
         this.analysis = readers.analysis;
     }
 
-    /** An INSERT; the scope has the queries that a WITH before it has named. */
+    /** Parses an INSERT; the scope holds the query names that a preceding WITH defined. */
     StatementKind insert(Scope scope) {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         cursor.expectKeyword("INTO");
         cursor.tryKeyword("TABLE");
         target(scope);
-        if (cursor.at(SqlLexer.OPEN) && !readers.queries.startsQuery()) {
-            tokens.take();
-            readers.expressions.parenthesis(scope); // columns
+        if (cursor.at(SqlLexer.OPEN_PAREN) && !readers.queries.startsQuery()) {
+            tokens.consume();
+            readers.expressions.parenthesized(scope); // columns
         }
         if (cursor.tryKeyword("PARTITION")) {
             cursor.expectKeyword("BY");
@@ -41,11 +41,11 @@
     private void target(Scope scope) {
         boolean function = cursor.atKeyword("FUNCTION") && Token.isName(tokens.peek(1));
         if (function) {
-            cursor.takeKeyword();
-            cursor.expectName("a table function");
-            cursor.expect(SqlLexer.OPEN, "arguments");
-            readers.expressions.parenthesis(scope);
-            analysis.allTables = false;
+            cursor.consumeKeyword();
+            cursor.expectName("a table function name");
+            cursor.expect(SqlLexer.OPEN_PAREN, "an opening parenthesis before arguments");
+            readers.expressions.parenthesized(scope);
+            analysis.tablesComplete = false;
         } else {
             analysis.writes.add(readers.tables.tableName());
         }
@@ -55,35 +55,35 @@
         if (!cursor.atKeywords("FROM", "INFILE")) {
             return false;
         }
-        cursor.takeKeyword();
-        cursor.takeKeyword();
-        cursor.expectLiteral("a file");
+        cursor.consumeKeyword();
+        cursor.consumeKeyword();
+        cursor.expectLiteral("a file name");
         if (cursor.tryKeyword("COMPRESSION")) {
-            cursor.expectLiteral("a compression");
+            cursor.expectLiteral("a compression method");
         }
         return true;
     }
 
-    /** Where the rows come from: a format, values, a file or a query. */
+    /** Parses the source of the rows: a format, values, a file or a query. */
     private StatementKind source(Scope scope, boolean fromFile) {
         if (cursor.tryKeyword("FORMAT")) {
-            cursor.expectName("a format");
+            cursor.expectName("a format name");
             if (cursor.tryKeyword("SETTINGS")) {
                 readers.clauses.settings();
             }
-            analysis.takesData = !fromFile;
+            analysis.expectsData = !fromFile;
             return StatementKind.LOAD;
         }
         if (cursor.tryKeyword("VALUES")) {
-            analysis.takesData = true;
+            analysis.expectsData = true;
             return StatementKind.LOAD;
         }
         if (fromFile) {
             return StatementKind.LOAD;
         }
         if (tokens.peek() == null) {
-            // The native protocol sends the rows without a word for them.
-            analysis.takesData = true;
+            // In the native protocol the rows follow without a VALUES or FORMAT keyword.
+            analysis.expectsData = true;
             return StatementKind.LOAD;
         }
         if (!readers.queries.startsQuery()) {
--- a/sql/src/main/java/ashlink/sql/QueryReader.java
+++ b/sql/src/main/java/ashlink/sql/QueryReader.java
@@ -2,7 +2,7 @@
 
 import ashlink.sql.grammar.SqlLexer;
 
-/** Reads queries: WITH, SELECT, and those joined by UNION, EXCEPT or INTERSECT. */
+/** Parses queries: WITH, SELECT, and queries combined by UNION, EXCEPT or INTERSECT. */
 final class QueryReader {
 
     private final Readers readers;
@@ -15,55 +15,60 @@
         this.tokens = readers.tokens;
     }
 
-    /** True where a query starts, after any number of brackets. */
+    /** Returns true if a query starts here, after any number of opening parentheses. */
     boolean startsQuery() {
         int ahead = 0;
-        while (tokens.peek(ahead) != null && tokens.peek(ahead).type == SqlLexer.OPEN) {
+        while (tokens.peek(ahead) != null && tokens.peek(ahead).type == SqlLexer.OPEN_PAREN) {
             ahead++;
         }
         Token token = tokens.peek(ahead);
         Token next = tokens.peek(ahead + 1);
-        boolean nameOfColumn =
+        boolean isColumnName =
                 next != null
                         && (next.type == SqlLexer.DOT
                                 || next.type == SqlLexer.COMMA
-                                || next.type == SqlLexer.CLOSE
+                                || next.type == SqlLexer.CLOSE_PAREN
                                 || next.type == SqlLexer.OPERATOR);
         return token != null
-                && (token.is("SELECT") || token.is("WITH") && !nameOfColumn)
+                && (token.is("SELECT") || token.is("WITH") && !isColumnName)
                 && !(token.is("SELECT") && next != null && next.type == SqlLexer.DOT);
     }
 
-    /** Queries joined by UNION, EXCEPT or INTERSECT, and what may follow all of them. */
+    /**
+     * Parses queries combined by UNION, EXCEPT or INTERSECT, and the clauses after the last query.
+     */
     void query(Scope outer) {
         Scope scope = new Scope(outer);
         singleQuery(scope);
-        afterFirstQuery(scope);
+        queryTail(scope);
     }
 
-    /** What may follow the first query of several, or of one in brackets. */
-    void afterFirstQuery(Scope scope) {
+    /**
+     * Parses what may follow the first query: further queries of a set operation, and the clauses
+     * after a query in parentheses.
+     */
+    void queryTail(Scope scope) {
         while (cursor.atKeyword("UNION")
                 || cursor.atKeyword("EXCEPT")
                 || cursor.atKeyword("INTERSECT")) {
-            cursor.takeKeyword();
+            cursor.consumeKeyword();
             if (!cursor.tryKeyword("ALL")) {
                 cursor.tryKeyword("DISTINCT");
             }
             singleQuery(scope);
         }
         while (readers.clauses.tryClause(scope)) {
-            // of a query in brackets
+            // clauses after a query in parentheses
         }
         readers.clauses.outputOptions();
     }
 
     private void singleQuery(Scope scope) {
-        if (cursor.at(SqlLexer.OPEN)) {
-            tokens.take();
+        if (cursor.at(SqlLexer.OPEN_PAREN)) {
+            tokens.consume();
             cursor.enter();
             query(scope);
-            cursor.expect(SqlLexer.CLOSE, "the end of a query in brackets");
+            cursor.expect(SqlLexer.CLOSE_PAREN, "a closing parenthesis after a query");
             cursor.exit();
             return;
         }
@@ -74,35 +79,43 @@
         select(scope);
     }
 
-    /** A WITH clause. The names of its queries hide tables of the same names from here on. */
+    /**
+     * Parses a WITH clause. The names of the queries hide tables of the same names from here on.
+     */
     void with(Scope scope) {
         cursor.expectKeyword("WITH");
         Token next = tokens.peek(1);
         boolean recursive = cursor.atKeyword("RECURSIVE") && Token.isName(next);
         if (recursive) {
-            cursor.takeKeyword();
+            cursor.consumeKeyword();
         }
         do {
             if (cursor.at(SqlLexer.COMMA)) {
-                tokens.take();
+                tokens.consume();
             }
             Token second = tokens.peek(1);
             Token third = tokens.peek(2);
             boolean isQuery =
                     Token.isName(tokens.peek())
                             && second != null
-                            && (second.is("AS") && third != null && third.type == SqlLexer.OPEN
-                                    || second.type == SqlLexer.OPEN && hasColumnsThenAs());
+                            && (second.is("AS")
+                                            && third != null
+                                            && third.type == SqlLexer.OPEN_PAREN
+                                    || second.type == SqlLexer.OPEN_PAREN
+                                            && startsNamedQueryWithColumns());
             if (isQuery) {
                 namedQuery(scope, recursive);
             } else {
-                readers.expressions.expression(scope); // with its alias
+                readers.expressions.expression(scope); // the expression includes the alias
             }
         } while (cursor.at(SqlLexer.COMMA));
     }
 
-    /** {@code name (a, b) AS (}: columns of a named query, no call. */
-    private boolean hasColumnsThenAs() {
+    /**
+     * Returns true at {@code name (a, b) AS (}: the parentheses hold column names of a named query
+     * and no arguments of a call.
+     */
+    private boolean startsNamedQueryWithColumns() {
         int ahead = 2;
         while (tokens.peek(ahead) != null
                 && (Token.isName(tokens.peek(ahead))
@@ -113,23 +126,23 @@
         Token as = tokens.peek(ahead + 1);
         Token open = tokens.peek(ahead + 2);
         return close != null
-                && close.type == SqlLexer.CLOSE
+                && close.type == SqlLexer.CLOSE_PAREN
                 && as != null
                 && as.is("AS")
                 && open != null
-                && open.type == SqlLexer.OPEN;
+                && open.type == SqlLexer.OPEN_PAREN;
     }
 
     private void namedQuery(Scope scope, boolean recursive) {
         String name = cursor.expectName("a name");
-        if (cursor.at(SqlLexer.OPEN)) {
-            tokens.take();
+        if (cursor.at(SqlLexer.OPEN_PAREN)) {
+            tokens.consume();
             columnNames();
         }
         cursor.expectKeyword("AS");
-        tokens.take();
+        tokens.consume();
         if (!startsQuery()) {
-            // An expression in brackets, as in name AS (1 + 2), names no query.
+            // An expression in parentheses, as in name AS (1 + 2), is not a named query.
             throw cursor.unexpected("a query");
         }
         Scope inner = new Scope(scope);
@@ -138,35 +151,35 @@
         }
         cursor.enter();
         query(inner);
-        cursor.expect(SqlLexer.CLOSE, "the end of a named query");
+        cursor.expect(SqlLexer.CLOSE_PAREN, "the closing parenthesis of a named query");
         cursor.exit();
         scope.add(name);
     }
 
-    /** Names of columns after an opening bracket, up to its end. */
+    /** Parses column names after an opening parenthesis, and the closing parenthesis. */
     void columnNames() {
-        while (!cursor.at(SqlLexer.CLOSE)) {
-            cursor.expectName("a column");
+        while (!cursor.at(SqlLexer.CLOSE_PAREN)) {
+            cursor.expectName("a column name");
             if (cursor.at(SqlLexer.COMMA)) {
-                tokens.take();
+                tokens.consume();
             }
         }
-        tokens.take();
+        tokens.consume();
     }
 
     private void select(Scope scope) {
         if (cursor.atKeyword("DISTINCT")) {
-            cursor.takeKeyword();
+            cursor.consumeKeyword();
             if (cursor.tryKeyword("ON")) {
-                cursor.expect(SqlLexer.OPEN, "columns in brackets");
-                readers.expressions.parenthesis(scope);
+                cursor.expect(SqlLexer.OPEN_PAREN, "an opening parenthesis before columns");
+                readers.expressions.parenthesized(scope);
             }
         }
         if (cursor.atKeyword("TOP")
                 && tokens.peek(1) != null
                 && (tokens.peek(1).type == SqlLexer.NUMBER
                         || tokens.peek(1).type == SqlLexer.QUESTION)) {
-            cursor.takeKeyword();
+            cursor.consumeKeyword();
             cursor.expectNumber("a number of rows");
             if (cursor.tryKeyword("WITH")) {
                 cursor.expectKeyword("TIES");
@@ -177,7 +190,7 @@
             readers.tables.from(scope);
         }
         while (readers.clauses.tryClause(scope)) {
-            // in any order
+            // clauses are accepted in any order
         }
     }
 }
--- a/sql/src/main/java/ashlink/sql/StatementParser.java
+++ b/sql/src/main/java/ashlink/sql/StatementParser.java
@@ -4,7 +4,7 @@
 import ashlink.sql.grammar.SqlLexer;
 import java.util.Set;
 
-/** Reads a text of one statement or several, and finds its kind. */
+/** Parses a text of one or more statements and determines the kind. */
 final class StatementParser {
 
     private final Readers readers;
@@ -19,13 +19,13 @@
         this.analysis = readers.analysis;
     }
 
-    /** Reads to the end of the text: one statement, or several. */
-    StatementKind text() {
+    /** Parses one or more statements to the end of the text. */
+    StatementKind parse() {
         StatementKind first = null;
         int statements = 0;
         while (true) {
             while (cursor.at(SqlLexer.SEMICOLON)) {
-                tokens.take().role = Role.DROPPED;
+                tokens.consume().role = Role.DROPPED;
             }
             if (tokens.peek() == null) {
                 break;
@@ -37,15 +37,15 @@
             StatementKind kind = statement();
             statements++;
             first = first == null ? kind : first;
-            if (analysis.takesData) {
-                break; // the rest is data
+            if (analysis.expectsData) {
+                break; // the rest of the text is inserted data
             }
             if (tokens.peek() != null && !cursor.at(SqlLexer.SEMICOLON)) {
                 throw cursor.unexpected("the end of the statement");
             }
         }
         if (statements == 0) {
-            throw new UnsupportedSyntaxException("there is no statement", 0);
+            throw new UnsupportedSyntaxException("missing statement", 0);
         }
         return statements > 1 ? StatementKind.SEVERAL : first;
     }
@@ -65,43 +65,43 @@
             case "ALTER" -> readers.definitions.alter();
             case "RENAME", "EXCHANGE" -> readers.definitions.rename();
             case "DELETE" -> {
-                cursor.takeKeyword();
+                cursor.consumeKeyword();
                 cursor.expectKeyword("FROM");
                 yield readers.definitions.changeByCondition();
             }
             case "UPDATE" -> {
-                cursor.takeKeyword();
+                cursor.consumeKeyword();
                 yield readers.definitions.changeByCondition();
             }
-            case "OPTIMIZE" -> administer(analysis.writes);
-            case "CHECK" -> administer(analysis.reads);
+            case "OPTIMIZE" -> maintainTable(analysis.writes);
+            case "CHECK" -> maintainTable(analysis.reads);
             case "SET" -> set();
             case "USE" -> use();
             case "BEGIN", "START", "COMMIT", "ROLLBACK" -> transaction();
             case "SYSTEM", "KILL", "GRANT", "REVOKE", "BACKUP", "RESTORE" -> {
-                analysis.allTables = false;
+                analysis.tablesComplete = false;
                 yield requireRest(StatementKind.ADMINISTRATION);
             }
             default ->
                     throw new UnsupportedSyntaxException(
-                            "no statement starts like this", tokens.offset());
+                            "unsupported start of a statement", tokens.offset());
         };
     }
 
-    private StatementKind administer(Set<String> tables) {
-        cursor.takeKeyword();
+    private StatementKind maintainTable(Set<String> tables) {
+        cursor.consumeKeyword();
         cursor.expectKeyword("TABLE");
         tables.add(readers.tables.tableName());
         return skipRest(StatementKind.ADMINISTRATION);
     }
 
     private StatementKind use() {
-        cursor.takeKeyword();
-        cursor.expectName("a database");
+        cursor.consumeKeyword();
+        cursor.expectName("a database name");
         return StatementKind.SESSION;
     }
 
-    /** A query; named queries may also come before an INSERT. */
+    /** Parses a query, or an INSERT after a WITH clause. */
     private StatementKind query() {
         if (cursor.atKeyword("WITH")) {
             Scope scope = new Scope(null);
@@ -117,14 +117,14 @@
     }
 
     private StatementKind explain() {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         while (tokens.peek() != null
                 && !readers.queries.startsQuery()
                 && !cursor.atKeyword("INSERT")) {
             if (cursor.at(SqlLexer.SEMICOLON)) {
                 throw cursor.unexpected("a statement");
             }
-            Token token = tokens.take();
+            Token token = tokens.consume();
             token.role =
                     token.type == SqlLexer.WORD
                             ? Role.KEYWORD
@@ -134,22 +134,22 @@
             readers.inserts.insert(new Scope(null));
             analysis.reads.addAll(analysis.writes);
             analysis.writes.clear();
-            analysis.takesData = false;
+            analysis.expectsData = false;
             return StatementKind.READ;
         }
         return query();
     }
 
     private StatementKind describe() {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         cursor.tryKeyword("TABLE");
         if (readers.queries.startsQuery()) {
-            tokens.take();
+            tokens.consume();
             cursor.enter();
             readers.queries.query(new Scope(null));
-            cursor.expect(SqlLexer.CLOSE, "the end of a query in brackets");
+            cursor.expect(SqlLexer.CLOSE_PAREN, "a closing parenthesis after a query");
             cursor.exit();
-        } else if (tokens.peek(1) != null && tokens.peek(1).type == SqlLexer.OPEN) {
+        } else if (tokens.peek(1) != null && tokens.peek(1).type == SqlLexer.OPEN_PAREN) {
             readers.tables.function(new Scope(null));
         } else {
             analysis.reads.add(readers.tables.tableName());
@@ -159,7 +159,7 @@
     }
 
     private StatementKind exists() {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         boolean database = false;
         while (cursor.atKeyword("TEMPORARY")
                 || cursor.atKeyword("TABLE")
@@ -167,10 +167,10 @@
                 || cursor.atKeyword("DICTIONARY")
                 || cursor.atKeyword("DATABASE")) {
             database |= cursor.atKeyword("DATABASE");
-            cursor.takeKeyword();
+            cursor.consumeKeyword();
         }
         if (database) {
-            cursor.expectName("a database");
+            cursor.expectName("a database name");
         } else {
             analysis.reads.add(readers.tables.tableName());
         }
@@ -179,7 +179,7 @@
     }
 
     private StatementKind set() {
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         if (cursor.atKeyword("ROLE") || cursor.atKeyword("DEFAULT")) {
             return skipRest(StatementKind.SESSION);
         }
@@ -192,14 +192,14 @@
 
     private StatementKind transaction() {
         boolean start = cursor.atKeyword("START");
-        cursor.takeKeyword();
+        cursor.consumeKeyword();
         if (!cursor.tryKeyword("TRANSACTION") && start) {
             throw cursor.unexpected("TRANSACTION");
         }
         return StatementKind.TRANSACTION;
     }
 
-    /** As {@link #skipRest}, but the rest must not be empty. */
+    /** Skips the rest of a statement as {@link #skipRest} does, but requires at least one token. */
     StatementKind requireRest(StatementKind kind) {
         if (tokens.peek() == null || tokens.peek(1) == null && tokens.position() == 0) {
             throw cursor.unexpected("the rest of the statement");
@@ -207,23 +207,22 @@
         return skipRest(kind);
     }
 
-    /** Skips the rest of a statement whose kind is known already; its brackets must match. */
+    /** Skips the rest of a statement whose kind is already known; requires balanced brackets. */
     StatementKind skipRest(StatementKind kind) {
         int open = 0;
         while (tokens.peek() != null && (open > 0 || !cursor.at(SqlLexer.SEMICOLON))) {
-            Token token = tokens.take();
+            Token token = tokens.consume();
             boolean opens =
-                    token.type == SqlLexer.OPEN
-                            || token.type == SqlLexer.OPEN_SQUARE
-                            || token.type == SqlLexer.OPEN_CURLY;
+                    token.type == SqlLexer.OPEN_PAREN
+                            || token.type == SqlLexer.OPEN_BRACKET
+                            || token.type == SqlLexer.OPEN_BRACE;
             boolean closes =
-                    token.type == SqlLexer.CLOSE
-                            || token.type == SqlLexer.CLOSE_SQUARE
-                            || token.type == SqlLexer.CLOSE_CURLY;
+                    token.type == SqlLexer.CLOSE_PAREN
+                            || token.type == SqlLexer.CLOSE_BRACKET
+                            || token.type == SqlLexer.CLOSE_BRACE;
             open += opens ? 1 : closes ? -1 : 0;
             if (open < 0 || token.type == SqlLexer.SEMICOLON) {
-                throw new UnsupportedSyntaxException(
-                        "a bracket is not closed, or closes nothing", token.from);
+                throw new UnsupportedSyntaxException("unbalanced bracket", token.start);
             }
             token.role =
                     token.type == SqlLexer.NUMBER || token.type == SqlLexer.STRING
@@ -231,7 +230,7 @@
                             : Token.isName(token) ? Role.NAME : Role.SYMBOL;
         }
         if (open > 0) {
-            throw new UnsupportedSyntaxException("a bracket is not closed", tokens.offset());
+            throw new UnsupportedSyntaxException("unclosed bracket", tokens.offset());
         }
         return kind;
     }
--- a/sql/src/main/java/ashlink/sql/TableReader.java
+++ b/sql/src/main/java/ashlink/sql/TableReader.java
@@ -3,7 +3,7 @@
 import ashlink.sql.grammar.SqlLexer;
 import java.util.Locale;
 
-/** Reads the tables, queries and table functions after FROM and JOIN. */
+/** Parses the tables, queries and table functions after FROM and JOIN. */
 final class TableReader {
 
     private final Readers readers;
@@ -18,21 +18,21 @@
         this.analysis = readers.analysis;
     }
 
-    /** The sources after FROM: tables, queries and calls, joined. */
+    /** Parses the sources after FROM: tables, queries and table functions, and joins of these. */
     void from(Scope scope) {
         source(scope);
         while (true) {
             if (cursor.at(SqlLexer.COMMA)) {
-                tokens.take();
+                tokens.consume();
                 source(scope);
             } else if (atArrayJoin()) {
                 while (!cursor.tryKeyword("JOIN")) {
-                    cursor.takeKeyword();
+                    cursor.consumeKeyword();
                 }
                 readers.expressions.list(scope);
             } else if (atJoin()) {
                 while (!cursor.tryKeyword("JOIN")) {
-                    cursor.takeKeyword();
+                    cursor.consumeKeyword();
                 }
                 source(scope);
                 if (cursor.tryKeyword("ON")) {
@@ -56,27 +56,27 @@
     private boolean atJoin() {
         int ahead = 0;
         while (tokens.peek(ahead) != null
-                && Vocabulary.JOINS.contains(tokens.peek(ahead).upper())) {
+                && Vocabulary.JOIN_MODIFIERS.contains(tokens.peek(ahead).upper())) {
             ahead++;
         }
         return tokens.peek(ahead) != null && tokens.peek(ahead).is("JOIN");
     }
 
     private void source(Scope scope) {
-        if (cursor.at(SqlLexer.OPEN)) {
+        if (cursor.at(SqlLexer.OPEN_PAREN)) {
             boolean query = readers.queries.startsQuery();
-            tokens.take();
+            tokens.consume();
             cursor.enter();
             if (query) {
                 readers.queries.query(scope);
             } else {
                 from(scope);
             }
-            cursor.expect(SqlLexer.CLOSE, "the end of a bracket");
+            cursor.expect(SqlLexer.CLOSE_PAREN, "a closing parenthesis");
             cursor.exit();
         } else if (Token.isName(tokens.peek())
                 && tokens.peek(1) != null
-                && tokens.peek(1).type == SqlLexer.OPEN) {
+                && tokens.peek(1).type == SqlLexer.OPEN_PAREN) {
             function(scope);
         } else {
             table(scope);
@@ -107,12 +107,12 @@
 
     private boolean atAlias() {
         Token token = tokens.peek();
-        return Token.isName(token) && !Vocabulary.CLAUSES.contains(token.upper());
+        return Token.isName(token) && !Vocabulary.EXPRESSION_TERMINATORS.contains(token.upper());
     }
 
     private void aliasColumns() {
-        if (cursor.at(SqlLexer.OPEN)) {
-            tokens.take();
+        if (cursor.at(SqlLexer.OPEN_PAREN)) {
+            tokens.consume();
             readers.queries.columnNames();
         }
     }
@@ -120,38 +120,40 @@
     private void ratio() {
         cursor.expectNumber("a ratio");
         if (cursor.at(SqlLexer.OPERATOR) && tokens.peek().text.equals("/")) {
-            tokens.take();
+            tokens.consume();
             cursor.expectNumber("a ratio");
         }
     }
 
-    /** A table that is read, unless its name stands for a query. */
+    /**
+     * Parses a table name and records a read, unless the name refers to a query of a WITH clause.
+     */
     void table(Scope scope) {
         int from = tokens.position();
         String name = tableName();
         boolean simple = tokens.position() == from + 1;
-        if (simple && scope.has(Token.unquoted(tokens.last()))) {
+        if (simple && scope.contains(Token.unquoted(tokens.last()))) {
             return;
         }
         analysis.reads.add(name);
     }
 
-    /**
-     * Takes {@code [database.]table}; a parameter in its place, or three parts, is not understood.
-     */
+    /** Parses {@code [database.]table}; a parameter or a name of three parts is not supported. */
     String tableName() {
-        if (cursor.at(SqlLexer.OPEN_CURLY)) {
+        if (cursor.at(SqlLexer.OPEN_BRACE)) {
             throw new UnsupportedSyntaxException(
-                    "a table whose name is a parameter", tokens.offset());
+                    "unsupported parameter in place of a table name", tokens.offset());
         }
-        String first = cursor.expectName("a table");
+        String first = cursor.expectName("a table name");
         if (!cursor.at(SqlLexer.DOT)) {
             return qualified(readers.database, first);
         }
-        tokens.take();
-        String second = cursor.expectName("a table");
+        tokens.consume();
+        String second = cursor.expectName("a table name");
         if (cursor.at(SqlLexer.DOT)) {
-            throw new UnsupportedSyntaxException("a name of three parts", tokens.offset());
+            throw new UnsupportedSyntaxException(
+                    "unsupported table name of three parts: at most database and table",
+                    tokens.offset());
         }
         return qualified(first, second);
     }
@@ -164,11 +166,11 @@
         return part.indexOf('.') >= 0 ? "`" + part + "`" : part;
     }
 
-    /** A call in place of a table. */
+    /** Parses a table function. */
     void function(Scope scope) {
-        String name = cursor.expectName("a table function");
+        String name = cursor.expectName("a table function name");
         String lower = name.toLowerCase(Locale.ROOT);
-        tokens.take();
+        tokens.consume();
         if (lower.equals("view") || lower.equals("viewifpermitted")) {
             if (!readers.queries.startsQuery()) {
                 throw cursor.unexpected("a query");
@@ -178,19 +180,19 @@
             if (cursor.tryKeyword("ELSE")) {
                 readers.expressions.expression(scope);
             }
-            cursor.expect(SqlLexer.CLOSE, "the end of a view");
+            cursor.expect(SqlLexer.CLOSE_PAREN, "the closing parenthesis of a view");
             cursor.exit();
             return;
         }
-        if (Vocabulary.OUTSIDE_TABLES.contains(lower)) {
-            analysis.doubt("it reads from outside by " + lower);
-            analysis.allTables = false;
-        } else if (Vocabulary.PATTERN_TABLES.contains(lower)) {
-            analysis.allTables = false;
-        } else if (!Vocabulary.HARMLESS_TABLES.contains(lower)) {
-            throw new UnsupportedSyntaxException("an unknown table function", tokens.last().from);
+        if (Vocabulary.EXTERNAL_TABLE_FUNCTIONS.contains(lower)) {
+            analysis.markUnsafe("table function " + lower + " reads external data");
+            analysis.tablesComplete = false;
+        } else if (Vocabulary.PATTERN_TABLE_FUNCTIONS.contains(lower)) {
+            analysis.tablesComplete = false;
+        } else if (!Vocabulary.LOCAL_TABLE_FUNCTIONS.contains(lower)) {
+            throw new UnsupportedSyntaxException("unknown table function", tokens.last().start);
         }
-        analysis.unstable |= lower.equals("generaterandom") || lower.equals("fuzzjson");
-        readers.expressions.parenthesis(scope);
+        analysis.nondeterministic |= lower.equals("generaterandom") || lower.equals("fuzzjson");
+        readers.expressions.parenthesized(scope);
     }
 }
--- a/sql/src/main/java/ashlink/sql/Token.java
+++ b/sql/src/main/java/ashlink/sql/Token.java
@@ -3,12 +3,12 @@
 import ashlink.sql.grammar.SqlLexer;
 import java.util.Locale;
 
-/** A token and the role that the reader found for it. */
+/** A token of a statement and the role that the readers assign to the token. */
 final class Token {
 
     /**
-     * What a token is to the statement. The normalized text has names unchanged, keywords in
-     * capitals, and a mark in place of literals.
+     * Role of a token in the statement. The normalized text has names unchanged, keywords in upper
+     * case, and a placeholder in place of each literal.
      */
     enum Role {
         SYMBOL,
@@ -21,20 +21,20 @@
 
     final int type;
     final String text;
-    final int from;
-    final int to;
+    final int start;
+    final int end;
     private final String upper;
     Role role = Role.SYMBOL;
 
-    Token(int type, String text, int from, int to, boolean word) {
+    Token(int type, String text, int start, int end, boolean word) {
         this.type = type;
         this.text = text;
-        this.from = from;
-        this.to = to;
+        this.start = start;
+        this.end = end;
         this.upper = word ? text.toUpperCase(Locale.ROOT) : "";
     }
 
-    /** The word in capitals; empty for a token that is not a word. */
+    /** Returns the word in upper case; empty for a token that is not a word. */
     String upper() {
         return upper;
     }
@@ -43,15 +43,15 @@
         return upper.equals(keyword);
     }
 
-    /** True for a word and for a quoted name; false for null. */
+    /** Returns true for a word and for a quoted name; false for null. */
     static boolean isName(Token token) {
         return token != null
                 && (token.type == SqlLexer.WORD
-                        || token.type == SqlLexer.BACKTICKED
-                        || token.type == SqlLexer.QUOTED);
+                        || token.type == SqlLexer.BACKTICK_NAME
+                        || token.type == SqlLexer.QUOTED_NAME);
     }
 
-    /** A name without its quotes and escapes. */
+    /** Returns a name without quotes and escapes. */
     static String unquoted(Token token) {
         if (token.type == SqlLexer.WORD) {
             return token.text;
--- a/sql/src/main/java/ashlink/sql/Tokens.java
+++ b/sql/src/main/java/ashlink/sql/Tokens.java
@@ -6,7 +6,8 @@
 import org.antlr.v4.runtime.Token;
 
 /**
- * The tokens of a text without its comments, made lazily: data after an INSERT is never scanned.
+ * The tokens of a text without comments, scanned lazily so that data after an INSERT is never
+ * scanned.
  */
 final class Tokens {
 
@@ -14,73 +15,73 @@
     private final TextChars chars;
     private final SqlLexer lexer;
     private final int maxTokens;
-    private final List<ashlink.sql.Token> made = new ArrayList<>();
+    private final List<ashlink.sql.Token> scanned = new ArrayList<>();
     private int next;
-    private boolean ended;
+    private boolean exhausted;
 
     Tokens(String text, int maxTokens) {
         this.text = text;
         this.maxTokens = maxTokens;
         chars = new TextChars(text);
         if (!text.isEmpty() && text.charAt(0) == '\ufeff') {
-            chars.seek(1); // a byte order mark
+            chars.seek(1); // skips the byte order mark
         }
         lexer = new SqlLexer(chars);
         lexer.removeErrorListeners();
     }
 
-    /** The token that many places ahead, 0 for the next one; null past the end. */
+    /** Returns the token at the given distance ahead, 0 for the next token; null past the end. */
     ashlink.sql.Token peek(int ahead) {
-        while (!ended && made.size() <= next + ahead) {
-            make();
+        while (!exhausted && scanned.size() <= next + ahead) {
+            scanNext();
         }
-        return next + ahead < made.size() ? made.get(next + ahead) : null;
+        return next + ahead < scanned.size() ? scanned.get(next + ahead) : null;
     }
 
     ashlink.sql.Token peek() {
         return peek(0);
     }
 
-    /** Takes the next token. */
-    ashlink.sql.Token take() {
+    /** Consumes the next token. */
+    ashlink.sql.Token consume() {
         ashlink.sql.Token token = peek(0);
         if (token == null) {
-            throw new UnsupportedSyntaxException("the statement ends early", text.length());
+            throw new UnsupportedSyntaxException("unexpected end of statement", text.length());
         }
         next++;
         return token;
     }
 
-    /** The token taken last, or null. */
+    /** Returns the token consumed last, or null. */
     ashlink.sql.Token last() {
-        return next == 0 ? null : made.get(next - 1);
+        return next == 0 ? null : scanned.get(next - 1);
     }
 
-    /** All tokens made so far that were taken. */
-    List<ashlink.sql.Token> taken() {
-        return made.subList(0, next);
+    /** Returns all tokens consumed so far. */
+    List<ashlink.sql.Token> consumed() {
+        return scanned.subList(0, next);
     }
 
-    /** Number of tokens taken so far. */
+    /** Returns the number of tokens consumed so far. */
     int position() {
         return next;
     }
 
-    /** Character at which the next token starts. */
+    /** Returns the index of the character at which the next token starts. */
     int offset() {
         ashlink.sql.Token token = peek(0);
-        return token == null ? text.length() : token.from;
+        return token == null ? text.length() : token.start;
     }
 
-    private void make() {
+    private void scanNext() {
         Token token = lexer.nextToken();
         if (token.getType() == Token.EOF) {
-            ended = true;
+            exhausted = true;
             return;
         }
-        if (made.size() >= maxTokens) {
+        if (scanned.size() >= maxTokens) {
             throw new UnsupportedSyntaxException(
-                    "over " + maxTokens + " tokens", token.getStartIndex());
+                    "too many tokens: at most " + maxTokens, token.getStartIndex());
         }
         int from = token.getStartIndex();
         int to = token.getStopIndex() + 1;
@@ -89,37 +90,44 @@
             checkNoInnerComment(from, to);
             return;
         }
-        if (type == SqlLexer.OPEN_COMMENT) {
-            throw new UnsupportedSyntaxException("a comment is not closed", from);
+        if (type == SqlLexer.UNCLOSED_COMMENT) {
+            throw new UnsupportedSyntaxException("unclosed comment", from);
         }
-        if (type == SqlLexer.STRAY) {
+        if (type == SqlLexer.UNEXPECTED) {
             throw new UnsupportedSyntaxException(
-                    "a stray character U+" + String.format("%04X", (int) text.charAt(from)), from);
+                    "unexpected character U+" + String.format("%04X", (int) text.charAt(from)),
+                    from);
         }
         if (type == SqlLexer.HEREDOC) {
             to = heredocEnd(from, to);
             chars.seek(to);
             type = SqlLexer.STRING;
         }
-        made.add(
+        scanned.add(
                 new ashlink.sql.Token(
                         type, text.substring(from, to), from, to, type == SqlLexer.WORD));
     }
 
-    /** Versions differ on whether a comment ends at the first or at the matching end. */
+    /**
+     * Rejects nested comments: versions of the engine differ on whether a comment ends at the first
+     * or at the matching end.
+     */
     private void checkNoInnerComment(int from, int to) {
         int inner = text.indexOf("/*", from + 2);
         if (inner >= 0 && inner + 1 < to) {
-            throw new UnsupportedSyntaxException("a comment within a comment", inner);
+            throw new UnsupportedSyntaxException("unsupported nested comment", inner);
         }
     }
 
-    /** The end of a heredoc whose opening tag is at that place. */
+    /**
+     * Returns the index after the closing tag of the heredoc whose opening tag is at the given
+     * place.
+     */
     private int heredocEnd(int from, int tagEnd) {
         String tag = text.substring(from, tagEnd);
         int close = text.indexOf(tag, tagEnd);
         if (close < 0) {
-            throw new UnsupportedSyntaxException("a heredoc is not closed", from);
+            throw new UnsupportedSyntaxException("unclosed heredoc", from);
         }
         return close + tag.length();
     }
--- a/sql/src/main/java/ashlink/sql/TypeReader.java
+++ b/sql/src/main/java/ashlink/sql/TypeReader.java
@@ -3,7 +3,7 @@
 import ashlink.sql.Token.Role;
 import ashlink.sql.grammar.SqlLexer;
 
-/** Reads the types of casts and parameters. */
+/** Parses the types of casts and parameters. */
 final class TypeReader {
 
     private final TokenCursor cursor;
@@ -14,13 +14,13 @@
         this.tokens = readers.tokens;
     }
 
-    /** Reads a type with its arguments. */
+    /** Parses a type with its arguments. */
     void type() {
         cursor.enter();
-        cursor.expectName("a type");
-        if (cursor.at(SqlLexer.OPEN)) {
-            tokens.take();
-            while (!cursor.at(SqlLexer.CLOSE)) {
+        cursor.expectName("a type name");
+        if (cursor.at(SqlLexer.OPEN_PAREN)) {
+            tokens.consume();
+            while (!cursor.at(SqlLexer.CLOSE_PAREN)) {
                 Token token = tokens.peek();
                 if (token != null
                         && (token.type == SqlLexer.NUMBER
@@ -28,18 +28,18 @@
                                 || token.type == SqlLexer.OPERATOR
                                 || token.type == SqlLexer.COMMA
                                 || token.type == SqlLexer.MINUS)) {
-                    // The numbers of a type are part of it, no literals of the statement.
-                    tokens.take().role = Role.SYMBOL;
+                    // Numbers and strings within a type belong to the type and are not literals.
+                    tokens.consume().role = Role.SYMBOL;
                 } else {
                     type();
                 }
             }
-            tokens.take();
+            tokens.consume();
         } else if (Token.isName(tokens.peek())
-                && !Vocabulary.CLAUSES.contains(tokens.peek().upper())
+                && !Vocabulary.EXPRESSION_TERMINATORS.contains(tokens.peek().upper())
                 && cursor.isNested()
-                && !cursor.at(SqlLexer.CLOSE)) {
-            // The first word was the name of an element.
+                && !cursor.at(SqlLexer.CLOSE_PAREN)) {
+            // The first word was the name of a tuple element.
             type();
         }
         cursor.exit();
--- a/sql/src/main/java/ashlink/sql/UnsupportedSyntaxException.java
+++ b/sql/src/main/java/ashlink/sql/UnsupportedSyntaxException.java
@@ -1,20 +1,20 @@
 package ashlink.sql;
 
 /**
- * A statement is not understood from an offset on. It ends the reading of a text and never leaves
- * {@link StatementReader}, so it has no stack trace.
+ * Thrown at syntax that the readers do not support. The exception ends the parsing of a text and
+ * never leaves {@link StatementReader}, so it has no stack trace.
  */
 final class UnsupportedSyntaxException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
-    private final int at;
+    private final int offset;
 
-    UnsupportedSyntaxException(String reason, int at) {
+    UnsupportedSyntaxException(String reason, int offset) {
         super(reason, null, false, false);
-        this.at = at;
+        this.offset = offset;
     }
 
-    int at() {
-        return at;
+    int offset() {
+        return offset;
     }
 }
--- a/sql/src/main/java/ashlink/sql/Vocabulary.java
+++ b/sql/src/main/java/ashlink/sql/Vocabulary.java
@@ -2,13 +2,16 @@
 
 import java.util.Set;
 
-/** Sets of words with a meaning for the readers, by the public documentation. */
+/**
+ * Sets of keywords and function names that the readers know, following the public documentation.
+ */
 final class Vocabulary {
 
     /**
-     * Words that end an expression where an operand is complete: what may follow one in a query.
+     * Keywords that may follow an expression in a query, and so end an expression after a complete
+     * operand.
      */
-    static final Set<String> CLAUSES =
+    static final Set<String> EXPRESSION_TERMINATORS =
             Set.of(
                     "FROM",
                     "PREWHERE",
@@ -96,17 +99,18 @@
                     "SET",
                     "FOR");
 
-    /** Words of joins before the word JOIN. */
-    static final Set<String> JOINS =
+    /** Keywords that may precede JOIN. */
+    static final Set<String> JOIN_MODIFIERS =
             Set.of(
                     "GLOBAL", "LOCAL", "ANY", "ALL", "ASOF", "SEMI", "ANTI", "INNER", "LEFT",
                     "RIGHT", "FULL", "OUTER", "CROSS", "PASTE");
 
-    /** Literals that are words. */
-    static final Set<String> LITERALS = Set.of("NULL", "TRUE", "FALSE", "INF", "INFINITY", "NAN");
+    /** Literals that are keywords. */
+    static final Set<String> LITERAL_KEYWORDS =
+            Set.of("NULL", "TRUE", "FALSE", "INF", "INFINITY", "NAN");
 
-    /** Units of intervals. */
-    static final Set<String> UNITS =
+    /** Interval units. */
+    static final Set<String> INTERVAL_UNITS =
             Set.of(
                     "NANOSECOND",
                     "MICROSECOND",
@@ -131,8 +135,8 @@
                     "QUARTERS",
                     "YEARS");
 
-    /** Table functions that generate rows, or read tables of this server. */
-    static final Set<String> HARMLESS_TABLES =
+    /** Table functions that generate rows or read tables of the local server. */
+    static final Set<String> LOCAL_TABLE_FUNCTIONS =
             Set.of(
                     "numbers",
                     "numbers_mt",
@@ -149,8 +153,10 @@
                     "view",
                     "viewifpermitted");
 
-    /** Table functions that read from other servers or files; what that does there is unknown. */
-    static final Set<String> OUTSIDE_TABLES =
+    /**
+     * Table functions that access other servers or files, where the effect of a read is unknown.
+     */
+    static final Set<String> EXTERNAL_TABLE_FUNCTIONS =
             Set.of(
                     "remote",
                     "remotesecure",
@@ -180,12 +186,12 @@
                     "hudi",
                     "input");
 
-    /** Table functions whose tables a pattern names. */
-    static final Set<String> PATTERN_TABLES =
+    /** Table functions that select tables by a pattern. */
+    static final Set<String> PATTERN_TABLE_FUNCTIONS =
             Set.of("merge", "mergetreeindex", "mergetreeprojection");
 
-    /** Functions that differ at each call, or from server to server. */
-    static final Set<String> UNSTABLE =
+    /** Functions whose result may differ at each call or between servers. */
+    static final Set<String> NONDETERMINISTIC_FUNCTIONS =
             Set.of(
                     "now",
                     "now64",
--- a/sql/src/main/java/ashlink/sql/WindowReader.java
+++ b/sql/src/main/java/ashlink/sql/WindowReader.java
@@ -3,7 +3,7 @@
 import ashlink.sql.Token.Role;
 import ashlink.sql.grammar.SqlLexer;
 
-/** Reads windows, after OVER and in the WINDOW clause. */
+/** Parses windows after OVER and in the WINDOW clause. */
 final class WindowReader {
 
     private final Readers readers;
@@ -16,31 +16,32 @@
         this.tokens = readers.tokens;
     }
 
-    /** OVER with a window, or with the name of one. */
+    /** Parses OVER with a window definition or a window name. */
     void over(Scope scope) {
-        cursor.takeKeyword();
-        if (cursor.at(SqlLexer.OPEN)) {
-            tokens.take();
+        cursor.consumeKeyword();
+        if (cursor.at(SqlLexer.OPEN_PAREN)) {
+            tokens.consume();
             definition(scope);
         } else {
-            cursor.expectName("a window");
+            cursor.expectName("a window name");
         }
     }
 
-    /** The WINDOW clause: definitions by name. */
+    /** Parses the WINDOW clause: named window definitions. */
     void clause(Scope scope) {
         do {
-            // The condition is evaluated after the token is taken, so a comma between windows gets
-            // the role of a keyword and is normalized to nothing: fingerprints depend on it.
-            tokens.take().role = cursor.at(SqlLexer.COMMA) ? Role.SYMBOL : Role.KEYWORD;
-            cursor.expectName("a window");
+            // The condition is evaluated after the token is consumed, so a comma between windows
+            // gets the role of a keyword and is normalized to an empty text. Fingerprints depend on
+            // this.
+            tokens.consume().role = cursor.at(SqlLexer.COMMA) ? Role.SYMBOL : Role.KEYWORD;
+            cursor.expectName("a window name");
             cursor.expectKeyword("AS");
-            cursor.expect(SqlLexer.OPEN, "a window in brackets");
+            cursor.expect(SqlLexer.OPEN_PAREN, "an opening parenthesis before a window");
             definition(scope);
         } while (cursor.at(SqlLexer.COMMA));
     }
 
-    /** A window's definition after its opening bracket. */
+    /** Parses a window definition after the opening parenthesis. */
     void definition(Scope scope) {
         cursor.enter();
         if (Token.isName(tokens.peek())
@@ -48,7 +49,7 @@
                 && !cursor.atKeyword("ORDER")
                 && !cursor.atKeyword("ROWS")
                 && !cursor.atKeyword("RANGE")) {
-            cursor.expectName("a window");
+            cursor.expectName("a window name");
         }
         if (cursor.tryKeyword("PARTITION")) {
             cursor.expectKeyword("BY");
@@ -59,15 +60,15 @@
             readers.clauses.orderList(scope);
         }
         if (cursor.tryKeyword("ROWS") || cursor.tryKeyword("RANGE")) {
-            while (!cursor.at(SqlLexer.CLOSE)) {
+            while (!cursor.at(SqlLexer.CLOSE_PAREN)) {
                 if (Token.isName(tokens.peek())) {
-                    cursor.takeKeyword();
+                    cursor.consumeKeyword();
                 } else {
                     readers.operands.operand(scope);
                 }
             }
         }
-        cursor.expect(SqlLexer.CLOSE, "the end of a window");
+        cursor.expect(SqlLexer.CLOSE_PAREN, "the closing parenthesis of a window");
         cursor.exit();
     }
 }
--- a/wire/src/main/java/ashlink/wire/ArrayReader.java
+++ b/wire/src/main/java/ashlink/wire/ArrayReader.java
@@ -3,7 +3,9 @@
 import java.io.IOException;
 import java.util.Arrays;
 
-/** Reads a column of arrays: where the array of each row ends, then the elements of all rows. */
+/**
+ * Reads a column of arrays: the end offset of the array in each row, then the elements of all rows.
+ */
 record ArrayReader(ValueReader inner) implements ValueReader {
     @Override
     public void readPrefix(ByteSource in) throws IOException {
@@ -19,7 +21,12 @@
             if (ends[i] < previousEnd || ends[i] > ValueReaders.MAX_VALUES) {
                 throw new WireException(
                         WireException.Reason.MALFORMED,
-                        "arrays end at " + previousEnd + ", then at " + ends[i]);
+                        "invalid array end "
+                                + ends[i]
+                                + ": at least "
+                                + previousEnd
+                                + " and at most "
+                                + ValueReaders.MAX_VALUES);
             }
             previousEnd = ends[i];
         }
--- a/wire/src/main/java/ashlink/wire/PlainValues.java
+++ b/wire/src/main/java/ashlink/wire/BasicValues.java
@@ -5,12 +5,12 @@
 import java.util.List;
 
 /**
- * Values of plain types, as this program itself makes and reads them: numbers up to 64 bits, texts,
- * times.
+ * Reads and writes values of the basic types that this program itself uses: numbers of up to 64
+ * bits, strings, dates and times.
  */
-final class PlainValues {
+final class BasicValues {
 
-    private PlainValues() {}
+    private BasicValues() {}
 
     static List<Object> read(String type, int rows, ByteSource from, WireLimits limits)
             throws IOException {
@@ -23,8 +23,8 @@
 
     private static Object readOne(String type, ByteSource from, WireLimits limits)
             throws IOException {
-        return switch (base(type)) {
-            case "String" -> from.readString("a text", limits.textBytes());
+        return switch (nameWithoutArguments(type)) {
+            case "String" -> from.readString("string", limits.textBytes());
             case "UInt8", "Bool" -> (long) from.readByte();
             case "Int8", "Enum8" -> (long) (byte) from.readByte();
             case "UInt16", "Date" -> (long) from.readUnsignedShort();
@@ -36,14 +36,13 @@
             case "Float64" -> Double.longBitsToDouble(from.readLong());
             default ->
                     throw new WireException(
-                            WireException.Reason.UNKNOWN_TYPE,
-                            "values of type " + type + " are not read here");
+                            WireException.Reason.UNKNOWN_TYPE, "unsupported column type " + type);
         };
     }
 
     static void write(String type, List<Object> values, ByteBuf to) throws WireException {
         for (Object value : values) {
-            switch (base(type)) {
+            switch (nameWithoutArguments(type)) {
                 case "String" -> to.putString((String) value);
                 case "UInt8", "Int8", "Bool", "Enum8" -> to.putByte((int) integer(value));
                 case "UInt16", "Int16", "Date" -> to.putShort((int) integer(value));
@@ -55,7 +54,7 @@
                 default ->
                         throw new WireException(
                                 WireException.Reason.UNKNOWN_TYPE,
-                                "values of type " + type + " are not written here");
+                                "unsupported column type " + type);
             }
         }
     }
@@ -64,8 +63,8 @@
         return ((Number) value).longValue();
     }
 
-    private static String base(String type) {
-        int arguments = type.indexOf('(');
-        return arguments < 0 ? type : type.substring(0, arguments);
+    private static String nameWithoutArguments(String type) {
+        int argumentsStart = type.indexOf('(');
+        return argumentsStart < 0 ? type : type.substring(0, argumentsStart);
     }
 }
--- a/wire/src/main/java/ashlink/wire/BlockReader.java
+++ b/wire/src/main/java/ashlink/wire/BlockReader.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Reads blocks of one peer: skips them, or decodes those whose columns are all of plain types. One
- * for each connection, not thread-safe; caches the types that it parsed last.
+ * Reads the blocks that one peer sends: skips a block, or decodes the values. Each connection has
+ * its own reader, which caches the most recently used column types. Not thread-safe.
  */
 public final class BlockReader {
 
@@ -16,10 +16,10 @@
     private static final int INFO_OVERFLOWS = 1;
     private static final int INFO_BUCKET = 2;
 
-    /** Rows and columns of a skipped block. */
+    /** Number of rows and columns of a skipped block. */
     public record Size(long rows, long columns) {
 
-        /** True for the block that ends a stream of blocks. */
+        /** Returns true for the empty block that marks the end of a stream of blocks. */
         public boolean isEnd() {
             return rows == 0 && columns == 0;
         }
@@ -28,7 +28,7 @@
     private final StreamSource in;
     private final FrameSource frames;
     private final WireLimits limits;
-    private final Map<String, ColumnType> types =
+    private final Map<String, ColumnType> cachedTypes =
             new LinkedHashMap<>(16, 0.75f, true) {
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, ColumnType> eldest) {
@@ -36,57 +36,57 @@
                 }
             };
 
-    /** Reads from that stream. */
+    /** Creates a reader of the given stream. */
     public BlockReader(StreamSource in, WireLimits limits) {
         this.in = in;
         this.limits = limits;
         this.frames = new FrameSource(in, limits.frameBytes());
     }
 
-    /** Skips the block that follows. */
+    /** Skips the next block. */
     public Size skip(boolean compressed) throws IOException {
-        ByteSource from = compressed ? frames : in;
-        readInfo(from);
-        long columns = from.readCount("number of columns", limits.columns());
-        long rows = from.readCount("number of rows", Long.MAX_VALUE);
+        ByteSource source = compressed ? frames : in;
+        readInfo(source);
+        long columns = source.readCount("number of columns", limits.columns());
+        long rows = source.readCount("number of rows", Long.MAX_VALUE);
         for (long i = 0; i < columns; i++) {
-            from.skip(from.readCount("length of a column's name", limits.nameBytes()));
-            ColumnType type = type(from.readString("a column's type", limits.nameBytes()));
+            source.skip(source.readCount("length of column name", limits.nameBytes()));
+            ColumnType type = type(source.readString("column type", limits.nameBytes()));
             if (rows > 0) {
-                type.skipPrefix(from);
-                type.skipValues(from, rows);
+                type.skipPrefix(source);
+                type.skipValues(source, rows);
             }
         }
         if (compressed) {
-            frames.endOfBlock();
+            frames.requireEndOfBlock();
         }
         return new Size(rows, columns);
     }
 
-    /** Reads the block that follows; only plain types are taken. */
+    /** Reads the next block; all columns must have basic types. */
     public Block read(boolean compressed, int maxRows) throws IOException {
-        ByteSource from = compressed ? frames : in;
-        readInfo(from);
-        int columns = (int) from.readCount("number of columns", limits.columns());
-        int rows = (int) from.readCount("number of rows", maxRows);
-        List<Block.Column> read = new ArrayList<>();
+        ByteSource source = compressed ? frames : in;
+        readInfo(source);
+        int columns = (int) source.readCount("number of columns", limits.columns());
+        int rows = (int) source.readCount("number of rows", maxRows);
+        List<Block.Column> decoded = new ArrayList<>();
         for (int i = 0; i < columns; i++) {
-            String name = from.readString("a column's name", limits.nameBytes());
-            String type = from.readString("a column's type", limits.nameBytes());
-            read.add(new Block.Column(name, type, PlainValues.read(type, rows, from, limits)));
+            String name = source.readString("column name", limits.nameBytes());
+            String type = source.readString("column type", limits.nameBytes());
+            decoded.add(new Block.Column(name, type, BasicValues.read(type, rows, source, limits)));
         }
         if (compressed) {
-            frames.endOfBlock();
+            frames.requireEndOfBlock();
         }
-        return new Block(read, rows);
+        return new Block(decoded, rows);
     }
 
-    /** A block's columns with all their values, exactly. */
+    /** Columns of a block of any types, with the exact values. */
     public record Table(List<String> names, List<String> types, List<Object[]> columns, int rows) {}
 
     /**
-     * Reads the block that follows with the values of all types; the block is in memory, and no
-     * longer than its bytes say.
+     * Reads the next block, uncompressed, with values of any supported type. The stream must be in
+     * memory, so that the size of the stream bounds the size of the block.
      */
     public Table readValues(int maxRows) throws IOException {
         readInfo(in);
@@ -96,8 +96,8 @@
         List<String> types = new ArrayList<>();
         List<Object[]> values = new ArrayList<>();
         for (int i = 0; i < columns; i++) {
-            names.add(in.readString("a column's name", limits.nameBytes()));
-            types.add(in.readString("a column's type", limits.nameBytes()));
+            names.add(in.readString("column name", limits.nameBytes()));
+            types.add(in.readString("column type", limits.nameBytes()));
             ValueReader reader = ValueReader.of(types.get(i));
             if (rows > 0) {
                 reader.readPrefix(in);
@@ -108,24 +108,29 @@
     }
 
     private ColumnType type(String text) throws WireException {
-        ColumnType known = types.get(text);
-        if (known == null) {
-            known = TypeParser.parse(text);
-            types.put(text, known);
+        ColumnType cached = cachedTypes.get(text);
+        if (cached == null) {
+            cached = TypeParser.parse(text);
+            cachedTypes.put(text, cached);
         }
-        return known;
+        return cached;
     }
 
-    private static void readInfo(ByteSource from) throws IOException {
-        for (long field = from.readVarUInt(); field != 0; field = from.readVarUInt()) {
+    private static void readInfo(ByteSource source) throws IOException {
+        for (long field = source.readVarUInt(); field != 0; field = source.readVarUInt()) {
             if (field == INFO_OVERFLOWS) {
-                from.readByte();
+                source.readByte();
             } else if (field == INFO_BUCKET) {
-                from.readInt();
+                source.readInt();
             } else {
                 throw new WireException(
                         WireException.Reason.MALFORMED,
-                        "field " + field + " of a block is unknown");
+                        "unknown field "
+                                + field
+                                + " of block info: supported are "
+                                + INFO_OVERFLOWS
+                                + " and "
+                                + INFO_BUCKET);
             }
         }
     }
--- a/wire/src/main/java/ashlink/wire/ClientInfo.java
+++ b/wire/src/main/java/ashlink/wire/ClientInfo.java
@@ -3,8 +3,9 @@
 import java.io.IOException;
 
 /**
- * The client information of a Query packet. Trace and replica fields are skipped: a router is the
- * first and only hop. A client that connects by HTTP leaves the fields of its program empty.
+ * Client information in a Query packet. Trace and replica fields are skipped, because a router is
+ * the first and only hop. The fields of the client program are empty for a client that connects
+ * over HTTP.
  */
 public record ClientInfo(
         String user,
@@ -24,10 +25,10 @@
     private static final int HTTP = 2;
     private static final int TRACE_BYTES = 24;
 
-    /** The information of a client that sends none. */
+    /** Client information of a client that sends none. */
     public static final ClientInfo NONE = new ClientInfo("", "", "", "", "", "", 0, 0, 0, 0, "");
 
-    /** Reads it as a peer of that revision writes it. */
+    /** Reads the client information from a peer of the given revision. */
     static ClientInfo read(ByteSource in, int revision, WireLimits limits) throws IOException {
         int maxBytes = limits.nameBytes();
         int queryKind = in.readByte();
@@ -53,7 +54,7 @@
             in.readVarUInt();
         }
         boolean hasPatch = revision >= Revision.VERSION_PATCH && transport == TCP;
-        int patch = hasPatch ? (int) in.readCount("version", Integer.MAX_VALUE) : 0;
+        int patch = hasPatch ? (int) in.readCount("patch version", Integer.MAX_VALUE) : 0;
         skipTraceAndReplicas(in, revision, maxBytes);
         return new ClientInfo(
                 user,
@@ -69,7 +70,7 @@
                 quotaKey);
     }
 
-    /** The program of a client that speaks the native protocol. */
+    /** Fields that describe the program of a client of the native protocol. */
     private record Program(
             String osUser, String host, String name, int major, int minor, int revision) {
 
@@ -77,11 +78,11 @@
 
         static Program read(ByteSource in, int maxBytes) throws IOException {
             return new Program(
-                    in.readString("os user", maxBytes),
+                    in.readString("operating system user", maxBytes),
                     in.readString("client host", maxBytes),
                     in.readString("client name", maxBytes),
-                    (int) in.readCount("version", Integer.MAX_VALUE),
-                    (int) in.readCount("version", Integer.MAX_VALUE),
+                    (int) in.readCount("major version", Integer.MAX_VALUE),
+                    (int) in.readCount("minor version", Integer.MAX_VALUE),
                     (int) in.readCount("revision", Integer.MAX_VALUE));
         }
     }
@@ -91,10 +92,10 @@
         in.readByte();
         in.readString("user agent", maxBytes);
         if (revision >= Revision.X_FORWARDED_FOR) {
-            in.readString("forwarded for", maxBytes);
+            in.readString("X-Forwarded-For header", maxBytes);
         }
         if (revision >= Revision.REFERER) {
-            in.readString("referer", maxBytes);
+            in.readString("Referer header", maxBytes);
         }
     }
 
@@ -112,10 +113,10 @@
         }
     }
 
-    /** Appends it for a peer of that revision. */
-    void write(int peer, ByteBuf to) throws WireException {
+    /** Appends the client information for a peer of the given revision. */
+    void write(int peerRevision, ByteBuf to) throws WireException {
         to.putByte(INITIAL_QUERY).putString(user).putString(queryId).putString(address);
-        if (peer >= Revision.INITIAL_QUERY_START_TIME) {
+        if (peerRevision >= Revision.INITIAL_QUERY_START_TIME) {
             to.putLong(0);
         }
         to.putByte(TCP)
@@ -125,19 +126,19 @@
                 .putVarUInt(major)
                 .putVarUInt(minor)
                 .putVarUInt(revision);
-        if (peer >= Revision.QUOTA_KEY) {
+        if (peerRevision >= Revision.QUOTA_KEY) {
             to.putString(quotaKey);
         }
-        if (peer >= Revision.DISTRIBUTED_DEPTH) {
+        if (peerRevision >= Revision.DISTRIBUTED_DEPTH) {
             to.putVarUInt(0);
         }
-        if (peer >= Revision.VERSION_PATCH) {
+        if (peerRevision >= Revision.VERSION_PATCH) {
             to.putVarUInt(patch);
         }
-        if (peer >= Revision.OPENTELEMETRY) {
+        if (peerRevision >= Revision.OPENTELEMETRY) {
             to.putByte(0);
         }
-        if (peer >= Revision.PARALLEL_REPLICAS) {
+        if (peerRevision >= Revision.PARALLEL_REPLICAS) {
             to.putVarUInt(0).putVarUInt(0).putVarUInt(0);
         }
     }
--- a/wire/src/main/java/ashlink/wire/ColumnType.java
+++ b/wire/src/main/java/ashlink/wire/ColumnType.java
@@ -3,19 +3,19 @@
 import java.io.IOException;
 import java.util.List;
 
-/** The layout of a column, as far as is needed to find its end. */
+/** Layout of a column, in the detail that is needed to find the end of the column. */
 public sealed interface ColumnType {
 
-    /** Longest text in a column: longer than any block may be. */
-    long TEXT_BYTES = Integer.MAX_VALUE;
+    /** Limit on one string in a column; larger than any accepted block. */
+    long MAX_STRING_BYTES = Integer.MAX_VALUE;
 
-    /** Skips the prefix of the values of a column, once for a column with rows. */
+    /** Skips the prefix before the values of a column; called once for a column that has rows. */
     default void skipPrefix(ByteSource in) throws IOException {}
 
-    /** Skips that many values. */
+    /** Skips the given number of values. */
     void skipValues(ByteSource in, long rows) throws IOException;
 
-    /** Values of a fixed size, in bytes. */
+    /** Values of a fixed size in bytes. */
     record Fixed(long bytes) implements ColumnType {
         @Override
         public void skipValues(ByteSource in, long rows) throws IOException {
@@ -23,15 +23,15 @@
         }
     }
 
-    /** Texts of any length. */
+    /** Strings of variable length. */
     record Text() implements ColumnType {
         @Override
         public void skipValues(ByteSource in, long rows) throws IOException {
-            in.skipStrings(rows, TEXT_BYTES);
+            in.skipStrings(rows, MAX_STRING_BYTES);
         }
     }
 
-    /** A byte for each value that says whether it is null, then the values. */
+    /** Nullable values: one byte for each row that marks a null, then the values of all rows. */
     record Nullable(ColumnType inner) implements ColumnType {
         @Override
         public void skipPrefix(ByteSource in) throws IOException {
@@ -45,7 +45,7 @@
         }
     }
 
-    /** The index at which each array ends, then the elements of all arrays. */
+    /** Arrays: the end offset of the array in each row, then the elements of all arrays. */
     record Array(ColumnType inner) implements ColumnType {
         @Override
         public void skipPrefix(ByteSource in) throws IOException {
@@ -59,14 +59,17 @@
                 long elements = in.readLong();
                 if (elements < 0) {
                     throw new WireException(
-                            WireException.Reason.TOO_LARGE, "an array ends past 2^63");
+                            WireException.Reason.TOO_LARGE,
+                            "invalid array end "
+                                    + Long.toUnsignedString(elements)
+                                    + ": at most 2^63 - 1");
                 }
                 inner.skipValues(in, elements);
             }
         }
     }
 
-    /** A column for each element. */
+    /** Tuples: one column for each element. */
     record Tuple(List<ColumnType> elements) implements ColumnType {
         @Override
         public void skipPrefix(ByteSource in) throws IOException {
@@ -83,13 +86,13 @@
         }
     }
 
-    /** Blocks of a dictionary, and for each value its index there. */
+    /** Dictionary-encoded values: blocks of a dictionary followed by an index for each row. */
     record LowCardinality(ColumnType inner) implements ColumnType {
         private static final long VERSION = 1;
-        private static final int OWN_KEYS = 1 << 9;
-        private static final int SHARED_KEYS = 1 << 8;
+        private static final int HAS_ADDITIONAL_KEYS = 1 << 9;
+        private static final int NEEDS_GLOBAL_DICTIONARY = 1 << 8;
 
-        /** Indexes have {@code 1 << width} bytes, up to 8. */
+        /** Largest width: an index has {@code 1 << width} bytes, at most 8. */
         private static final int MAX_INDEX_WIDTH = 3;
 
         @Override
@@ -98,7 +101,10 @@
             if (version != VERSION) {
                 throw new WireException(
                         WireException.Reason.UNKNOWN_TYPE,
-                        "low-cardinality columns of version " + version + " are unknown");
+                        "unsupported version "
+                                + version
+                                + " of a LowCardinality column: expected "
+                                + VERSION);
             }
         }
 
@@ -109,22 +115,21 @@
                 long flags = in.readLong();
                 int indexWidth = (int) (flags & 0xff);
                 if (indexWidth > MAX_INDEX_WIDTH
-                        || (flags & SHARED_KEYS) != 0
-                        || (flags & OWN_KEYS) == 0) {
+                        || (flags & NEEDS_GLOBAL_DICTIONARY) != 0
+                        || (flags & HAS_ADDITIONAL_KEYS) == 0) {
                     throw new WireException(
                             WireException.Reason.UNKNOWN_TYPE,
-                            "a dictionary with flags " + Long.toHexString(flags) + " is unknown");
+                            "unsupported dictionary flags 0x" + Long.toHexString(flags));
                 }
                 inner.skipValues(in, in.readLong());
                 long blockRows = in.readLong();
                 if (blockRows <= 0 || blockRows > remaining) {
                     throw new WireException(
                             WireException.Reason.MALFORMED,
-                            "a dictionary is followed by "
+                            "invalid number of dictionary indexes "
                                     + blockRows
-                                    + " of "
-                                    + remaining
-                                    + " values");
+                                    + ": expected 1 to "
+                                    + remaining);
                 }
                 in.skip(product(1L << indexWidth, blockRows));
                 remaining -= blockRows;
@@ -137,7 +142,11 @@
         if (size < 0 || count < 0 || Math.multiplyHigh(size, count) != 0 || product < 0) {
             throw new WireException(
                     WireException.Reason.TOO_LARGE,
-                    count + " values of " + size + " bytes are too many");
+                    "invalid column size of "
+                            + count
+                            + " values of "
+                            + size
+                            + " bytes: at most 2^63 - 1 bytes");
         }
         return product;
     }
--- a/wire/src/main/java/ashlink/wire/FrameSource.java
+++ b/wire/src/main/java/ashlink/wire/FrameSource.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Reads the content of compressed frames, and verifies their checksums. */
+/** Reads the uncompressed content of frames and verifies the checksums. */
 public final class FrameSource extends ByteSource {
 
     private static final int HEADER_BYTES = Compression.HEADER_BYTES;
@@ -11,7 +11,7 @@
     private final int maxBytes;
     private byte[] frame = new byte[0];
 
-    /** Reads frames of at most that many bytes, before and after compression. */
+    /** Creates a source of frames of at most {@code maxBytes}, both compressed and uncompressed. */
     public FrameSource(StreamSource in, int maxBytes) {
         super(new byte[0]);
         this.in = in;
@@ -31,7 +31,7 @@
         long[] checksum = CityHash.hash128(frame, 0, frameBytes);
         if (checksum[0] != checksumLow || checksum[1] != checksumHigh) {
             throw new WireException(
-                    WireException.Reason.CHECKSUM, "the checksum of a compressed frame is wrong");
+                    WireException.Reason.CHECKSUM, "checksum mismatch of a compressed frame");
         }
         if (buffer.length < contentBytes) {
             buffer = new byte[contentBytes];
@@ -44,23 +44,26 @@
     }
 
     private void checkSizes(int frameBytes, int contentBytes) throws WireException {
-        boolean tooShort = frameBytes < HEADER_BYTES || contentBytes == 0;
-        if (tooShort
+        boolean tooSmall = frameBytes < HEADER_BYTES || contentBytes == 0;
+        if (tooSmall
                 || frameBytes - HEADER_BYTES > maxBytes
                 || contentBytes < 0
                 || contentBytes > maxBytes) {
             throw new WireException(
-                    tooShort ? WireException.Reason.MALFORMED : WireException.Reason.TOO_LARGE,
-                    "a compressed frame of "
+                    tooSmall ? WireException.Reason.MALFORMED : WireException.Reason.TOO_LARGE,
+                    "invalid compressed frame of "
                             + Integer.toUnsignedString(frameBytes)
-                            + " bytes holds "
+                            + " bytes with "
                             + Integer.toUnsignedString(contentBytes)
-                            + ", the limit is "
+                            + " bytes of content: at most "
                             + maxBytes);
         }
     }
 
-    /** Reads the rest of the frame; its header is written back, since the checksum covers it. */
+    /**
+     * Reads the rest of the frame; stores the header before the data, since the checksum covers
+     * both.
+     */
     private void readFrame(int method, int frameBytes, int contentBytes) throws IOException {
         if (frame.length < frameBytes) {
             frame = new byte[frameBytes];
@@ -73,11 +76,12 @@
         in.readFully(frame, HEADER_BYTES, frameBytes - HEADER_BYTES);
     }
 
-    /** Checks that the last frame of a block holds nothing beyond the block. */
-    void endOfBlock() throws WireException {
+    /** Checks that the last frame of a block has no data after the block. */
+    void requireEndOfBlock() throws WireException {
         if (pos != end) {
             throw new WireException(
-                    WireException.Reason.MALFORMED, "a compressed frame goes on past its block");
+                    WireException.Reason.MALFORMED,
+                    "unexpected data after the block in a compressed frame");
         }
     }
 }
--- a/wire/src/main/java/ashlink/wire/Hello.java
+++ b/wire/src/main/java/ashlink/wire/Hello.java
@@ -2,12 +2,12 @@
 
 import java.io.IOException;
 
-/** The packets that open a connection. */
+/** Hello packets, which open a connection. */
 public final class Hello {
 
     private Hello() {}
 
-    /** The Hello of a client. */
+    /** Hello packet of a client. */
     public record Client(
             String name,
             int major,
@@ -17,19 +17,19 @@
             String user,
             String password) {
 
-        /** Reads what follows the kind. */
+        /** Reads the content after the packet type. */
         public static Client read(ByteSource in, WireLimits limits) throws IOException {
             return new Client(
                     in.readString("client name", limits.nameBytes()),
-                    version(in),
-                    version(in),
+                    readVersion(in),
+                    readVersion(in),
                     (int) in.readCount("revision", Integer.MAX_VALUE),
                     in.readString("database", limits.nameBytes()),
                     in.readString("user", limits.nameBytes()),
                     in.readString("password", limits.nameBytes()));
         }
 
-        /** Appends kind and content. */
+        /** Appends the packet type and the content. */
         public void write(ByteBuf to) throws WireException {
             to.putVarUInt(ClientPacket.HELLO.ordinal())
                     .putString(name)
@@ -42,7 +42,7 @@
         }
     }
 
-    /** The Hello of a server. */
+    /** Hello packet of a server. */
     public record Server(
             String name,
             int major,
@@ -52,25 +52,25 @@
             String displayName,
             int patch) {
 
-        /** Reads what follows the kind. */
+        /** Reads the content after the packet type. */
         public static Server read(ByteSource in, WireLimits limits) throws IOException {
             String name = in.readString("server name", limits.nameBytes());
-            int major = version(in);
-            int minor = version(in);
+            int major = readVersion(in);
+            int minor = readVersion(in);
             int revision = (int) in.readCount("revision", Integer.MAX_VALUE);
             String timezone =
                     revision >= Revision.SERVER_TIMEZONE
-                            ? in.readString("timezone", limits.nameBytes())
+                            ? in.readString("time zone", limits.nameBytes())
                             : "";
-            String display =
+            String displayName =
                     revision >= Revision.SERVER_DISPLAY_NAME
                             ? in.readString("display name", limits.nameBytes())
                             : "";
-            int patch = revision >= Revision.VERSION_PATCH ? version(in) : 0;
-            return new Server(name, major, minor, revision, timezone, display, patch);
+            int patch = revision >= Revision.VERSION_PATCH ? readVersion(in) : 0;
+            return new Server(name, major, minor, revision, timezone, displayName, patch);
         }
 
-        /** Appends kind and content for a client of that revision. */
+        /** Appends the packet type and the content for a client of the given revision. */
         public void write(int clientRevision, ByteBuf to) throws WireException {
             to.putVarUInt(ServerPacket.HELLO.ordinal())
                     .putString(name)
@@ -89,7 +89,7 @@
         }
     }
 
-    private static int version(ByteSource in) throws IOException {
+    private static int readVersion(ByteSource in) throws IOException {
         return (int) in.readCount("version", Integer.MAX_VALUE);
     }
 }
--- a/wire/src/main/java/ashlink/wire/ProfileInfo.java
+++ b/wire/src/main/java/ashlink/wire/ProfileInfo.java
@@ -2,16 +2,16 @@
 
 import java.io.IOException;
 
-/** A ProfileInfo packet: figures of a result. */
+/** ProfileInfo packet: statistics of a result. */
 public record ProfileInfo(
         long rows,
         long blocks,
         long bytes,
-        boolean limited,
+        boolean appliedLimit,
         long rowsBeforeLimit,
-        boolean counted) {
+        boolean calculatedRowsBeforeLimit) {
 
-    /** Reads what follows the kind. */
+    /** Reads the content after the packet type. */
     public static ProfileInfo read(ByteSource in) throws IOException {
         return new ProfileInfo(
                 in.readVarUInt(),
@@ -22,14 +22,14 @@
                 in.readFlag());
     }
 
-    /** Appends kind and content. */
+    /** Appends the packet type and the content. */
     public void write(ByteBuf to) throws WireException {
         to.putVarUInt(ServerPacket.PROFILE_INFO.ordinal())
                 .putVarUInt(rows)
                 .putVarUInt(blocks)
                 .putVarUInt(bytes)
-                .putFlag(limited)
+                .putFlag(appliedLimit)
                 .putVarUInt(rowsBeforeLimit)
-                .putFlag(counted);
+                .putFlag(calculatedRowsBeforeLimit);
     }
 }
--- a/wire/src/main/java/ashlink/wire/QueryPacket.java
+++ b/wire/src/main/java/ashlink/wire/QueryPacket.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * A Query packet: a statement with its settings. Its stage says how far the statement is executed,
- * {@link #COMPLETE} for all clients but servers.
+ * Query packet: a statement with its settings. The stage states how far the statement is executed;
+ * all clients other than servers request {@link #COMPLETE}.
  */
 public record QueryPacket(
         String id,
@@ -17,12 +17,15 @@
         boolean compressed,
         String statement) {
 
-    /** Run the statement to its end. */
+    /** Stage of a statement that is executed completely. */
     public static final int COMPLETE = 2;
 
     private static final int MAX_STAGE = 8;
 
-    /** Settings that older clients write as a number; all others that they may send are texts. */
+    /**
+     * Settings that older clients encode as a number; older clients encode all other settings as
+     * strings.
+     */
     private static final Set<String> NUMERIC_SETTINGS =
             Set.of(
                     "max_execution_time",
@@ -43,19 +46,20 @@
                     "insert_quorum",
                     "use_client_time_zone");
 
-    /** Reads what follows the kind, as a peer of that revision writes it. */
+    /** Reads the content after the packet type from a peer of the given revision. */
     public static QueryPacket read(ByteSource in, int revision, WireLimits limits)
             throws IOException {
         String id = in.readString("query id", limits.nameBytes());
         ClientInfo client = ClientInfo.read(in, revision, limits);
         List<Setting> settings =
                 revision >= Revision.SETTINGS_AS_STRINGS
-                        ? settings(in, limits)
-                        : oldSettings(in, limits);
+                        ? readSettings(in, limits)
+                        : readSettingsByType(in, limits);
         if (revision >= Revision.INTERSERVER_SECRET
-                && !in.readString("secret", limits.nameBytes()).isEmpty()) {
+                && !in.readString("interserver secret", limits.nameBytes()).isEmpty()) {
             throw new WireException(
-                    WireException.Reason.MALFORMED, "a secret between servers is not taken here");
+                    WireException.Reason.MALFORMED,
+                    "unsupported interserver secret: expected an empty string");
         }
         int stage = (int) in.readCount("stage", MAX_STAGE);
         boolean compressed = in.readFlag();
@@ -68,61 +72,71 @@
                 in.readString("statement", limits.textBytes()));
     }
 
-    private static List<Setting> settings(ByteSource in, WireLimits limits) throws IOException {
+    private static List<Setting> readSettings(ByteSource in, WireLimits limits) throws IOException {
         List<Setting> settings = new ArrayList<>();
-        for (String name = name(in, limits); !name.isEmpty(); name = name(in, limits)) {
+        for (String name = readSettingName(in, limits);
+                !name.isEmpty();
+                name = readSettingName(in, limits)) {
             checkCount(settings, limits);
             long flags = in.readVarUInt();
             settings.add(
                     new Setting(
-                            name, flags, in.readString("value of " + name, limits.textBytes())));
+                            name,
+                            flags,
+                            in.readString("value of setting " + name, limits.textBytes())));
         }
         return List.copyOf(settings);
     }
 
-    private static List<Setting> oldSettings(ByteSource in, WireLimits limits) throws IOException {
+    private static List<Setting> readSettingsByType(ByteSource in, WireLimits limits)
+            throws IOException {
         List<Setting> settings = new ArrayList<>();
-        for (String name = name(in, limits); !name.isEmpty(); name = name(in, limits)) {
+        for (String name = readSettingName(in, limits);
+                !name.isEmpty();
+                name = readSettingName(in, limits)) {
             checkCount(settings, limits);
             String value =
                     NUMERIC_SETTINGS.contains(name)
                             ? Long.toString(in.readVarUInt())
-                            : in.readString("value of " + name, limits.textBytes());
+                            : in.readString("value of setting " + name, limits.textBytes());
             settings.add(new Setting(name, 0, value));
         }
         return List.copyOf(settings);
     }
 
-    private static String name(ByteSource in, WireLimits limits) throws IOException {
-        return in.readString("a setting's name", limits.nameBytes());
+    private static String readSettingName(ByteSource in, WireLimits limits) throws IOException {
+        return in.readString("setting name", limits.nameBytes());
     }
 
     private static void checkCount(List<Setting> settings, WireLimits limits) throws WireException {
         if (settings.size() >= limits.settings()) {
             throw new WireException(
                     WireException.Reason.TOO_LARGE,
-                    "a query has over " + limits.settings() + " settings");
+                    "too many settings in a query: at most " + limits.settings());
         }
     }
 
     /**
-     * Appends kind and content for a peer of that revision, {@link Revision#SETTINGS_AS_STRINGS} or
-     * more.
+     * Appends the packet type and the content for a peer of the given revision, at least {@link
+     * Revision#SETTINGS_AS_STRINGS}.
      */
-    public void write(int peer, ByteBuf to) throws WireException {
+    public void write(int peerRevision, ByteBuf to) throws WireException {
         to.putVarUInt(ClientPacket.QUERY.ordinal()).putString(id);
-        client.write(peer, to);
+        client.write(peerRevision, to);
         for (Setting setting : settings) {
             to.putString(setting.name()).putVarUInt(setting.flags()).putString(setting.value());
         }
         to.putString("");
-        if (peer >= Revision.INTERSERVER_SECRET) {
+        if (peerRevision >= Revision.INTERSERVER_SECRET) {
             to.putString("");
         }
         to.putVarUInt(stage).putFlag(compressed).putString(statement);
     }
 
-    /** The value of a setting, null if it is not set; of several, the last one. */
+    /**
+     * Returns the value of a setting, or null if the setting is not set; the last value applies if
+     * the setting is repeated.
+     */
     public String setting(String name) {
         String value = null;
         for (Setting setting : settings) {
--- a/wire/src/main/java/ashlink/wire/Quota.java
+++ b/wire/src/main/java/ashlink/wire/Quota.java
@@ -1,27 +1,27 @@
 package ashlink.wire;
 
-/** A limit on the memory that all buffers take together. Implementations are thread-safe. */
+/** Limit on the total memory of several buffers. Implementations are thread-safe. */
 public interface Quota {
 
-    /** No limit. */
+    /** Quota without a limit. */
     Quota NONE =
             new Quota() {
                 @Override
-                public boolean take(long bytes) {
+                public boolean reserve(long bytes) {
                     return true;
                 }
 
                 @Override
-                public void give(long bytes) {}
+                public void release(long bytes) {}
             };
 
     /**
-     * Takes that many bytes.
+     * Reserves the given number of bytes.
      *
-     * @return false, with nothing taken, if the limit would be exceeded
+     * @return false, with nothing reserved, if the limit would be exceeded
      */
-    boolean take(long bytes);
+    boolean reserve(long bytes);
 
-    /** Returns bytes that were taken. */
-    void give(long bytes);
+    /** Returns reserved bytes to the quota. */
+    void release(long bytes);
 }
--- a/wire/src/main/java/ashlink/wire/ServerError.java
+++ b/wire/src/main/java/ashlink/wire/ServerError.java
@@ -2,17 +2,17 @@
 
 import java.io.IOException;
 
-/** An Exception packet; {@code nested} is its cause or null. */
+/** Exception packet; {@code nested} is the cause or null. */
 public record ServerError(int code, String name, String message, String stack, ServerError nested) {
 
     private static final int MAX_NESTING = 16;
 
-    /** An error without a cause. */
+    /** Creates an error without a stack trace and without a cause. */
     public ServerError(int code, String name, String message) {
         this(code, name, message, "", null);
     }
 
-    /** Reads what follows the kind. */
+    /** Reads the content after the packet type. */
     public static ServerError read(ByteSource in, WireLimits limits) throws IOException {
         return read(in, limits, 0);
     }
@@ -20,27 +20,28 @@
     private static ServerError read(ByteSource in, WireLimits limits, int depth)
             throws IOException {
         int code = in.readInt();
-        String name = in.readString("an exception's name", limits.nameBytes());
-        String message = in.readString("an exception's message", limits.textBytes());
-        String stack = in.readString("an exception's stack", limits.textBytes());
-        boolean more = in.readFlag();
-        if (more && depth >= MAX_NESTING) {
+        String name = in.readString("exception name", limits.nameBytes());
+        String message = in.readString("exception message", limits.textBytes());
+        String stack = in.readString("exception stack trace", limits.textBytes());
+        boolean hasNested = in.readFlag();
+        if (hasNested && depth >= MAX_NESTING) {
             throw new WireException(
-                    WireException.Reason.TOO_LARGE, "over " + MAX_NESTING + " nested exceptions");
+                    WireException.Reason.TOO_LARGE,
+                    "too many nested exceptions: at most " + MAX_NESTING);
         }
         return new ServerError(
-                code, name, message, stack, more ? read(in, limits, depth + 1) : null);
+                code, name, message, stack, hasNested ? read(in, limits, depth + 1) : null);
     }
 
-    /** Appends kind and content. */
+    /** Appends the packet type and the content. */
     public void write(ByteBuf to) throws WireException {
         to.putVarUInt(ServerPacket.EXCEPTION.ordinal());
-        for (ServerError e = this; e != null; e = e.nested) {
-            to.putInt(e.code)
-                    .putString(e.name)
-                    .putString(e.message)
-                    .putString(e.stack)
-                    .putFlag(e.nested != null);
+        for (ServerError error = this; error != null; error = error.nested) {
+            to.putInt(error.code)
+                    .putString(error.name)
+                    .putString(error.message)
+                    .putString(error.stack)
+                    .putFlag(error.nested != null);
         }
     }
 }
--- a/wire/src/main/java/ashlink/wire/TypeParser.java
+++ b/wire/src/main/java/ashlink/wire/TypeParser.java
@@ -6,17 +6,20 @@
 import java.util.Set;
 
 /**
- * Reads the text of a column's type by recursive descent: {@code type = name [ "(" argument { ","
- * argument } ")" ]}, where an argument is a type, a named type, a number or a quoted text.
+ * Parses the name of a column type by recursive descent: {@code type = name [ "(" argument { ","
+ * argument } ")" ]}, where an argument is a type, a type with an element name, a number or a quoted
+ * string.
  */
 public final class TypeParser {
 
-    /** Types within types; deeper is malformed, long before the stack of a thread ends. */
+    /**
+     * Limit on nested types; a deeper type is malformed, far below the depth of a stack overflow.
+     */
     private static final int MAX_DEPTH = 32;
 
-    private static final ColumnType TEXT = new ColumnType.Text();
+    private static final ColumnType STRING = new ColumnType.Text();
     private static final ColumnType POINT = new ColumnType.Fixed(16);
-    private static final Map<String, ColumnType> PLAIN =
+    private static final Map<String, ColumnType> TYPES_WITHOUT_ARGUMENTS =
             Map.ofEntries(
                     fixed("Int8", 1),
                     fixed("Int16", 2),
@@ -41,7 +44,7 @@
                     fixed("Nothing", 1),
                     fixed("DateTime", 4),
                     fixed("DateTime32", 4),
-                    Map.entry("String", TEXT),
+                    Map.entry("String", STRING),
                     Map.entry("Point", POINT),
                     Map.entry("Ring", new ColumnType.Array(POINT)),
                     Map.entry("Polygon", new ColumnType.Array(new ColumnType.Array(POINT))),
@@ -64,8 +67,8 @@
                     "Year");
 
     /**
-     * A word, number or text with its arguments, as it stands; {@code value} is that of an element
-     * of an enumeration.
+     * Word, number or quoted string with its arguments; {@code value} is the number of an
+     * enumeration element, or empty.
      */
     record Term(String name, List<Term> arguments, boolean quoted, String value) {}
 
@@ -81,19 +84,19 @@
     }
 
     /**
-     * Reads a type; {@code UNKNOWN_TYPE} where it is well formed but not known, else {@code
-     * MALFORMED}.
+     * Parses a column type; throws {@code UNKNOWN_TYPE} if the text is well-formed but the type is
+     * not supported, {@code MALFORMED} if the text is not well-formed.
      */
     public static ColumnType parse(String text) throws WireException {
-        ColumnType plain = PLAIN.get(text);
-        if (plain != null) {
-            return plain;
+        ColumnType withoutArguments = TYPES_WITHOUT_ARGUMENTS.get(text);
+        if (withoutArguments != null) {
+            return withoutArguments;
         }
         TypeParser parser = new TypeParser(text);
         return parser.type(parser.completeTerm());
     }
 
-    /** Reads a type as it is written; only its form is checked. */
+    /** Parses a type into a term; checks only that the text is well-formed. */
     static Term term(String text) throws WireException {
         return new TypeParser(text).completeTerm();
     }
@@ -101,28 +104,33 @@
     private Term completeTerm() throws WireException {
         Term term = term(0);
         if (pos < text.length()) {
-            throw malformed("something follows the type");
+            throw malformed("unexpected text after the type");
         }
         return term;
     }
 
     private WireException malformed(String what) {
-        String shown = text.length() > 100 ? text.substring(0, 100) + "..." : text;
+        String excerpt = text.length() > 100 ? text.substring(0, 100) + "..." : text;
         return new WireException(
                 WireException.Reason.MALFORMED,
-                "type " + shown + ": " + what + " at character " + Math.min(pos, text.length()));
+                "invalid column type "
+                        + excerpt
+                        + " at character "
+                        + Math.min(pos, text.length())
+                        + ": "
+                        + what);
     }
 
     private WireException unknown(String name) {
-        String shown = name.length() > 100 ? name.substring(0, 100) + "..." : name;
+        String excerpt = name.length() > 100 ? name.substring(0, 100) + "..." : name;
         return new WireException(
-                WireException.Reason.UNKNOWN_TYPE, "column type " + shown + " is unknown");
+                WireException.Reason.UNKNOWN_TYPE, "unsupported column type " + excerpt);
     }
 
-    // ---- Text to terms
+    // ---- From text to terms
     private Term term(int depth) throws WireException {
         if (depth > MAX_DEPTH) {
-            throw malformed("over " + MAX_DEPTH + " types within each other");
+            throw malformed("types nested too deep: at most " + MAX_DEPTH + " levels");
         }
         skipWhitespace();
         if (pos < text.length() && text.charAt(pos) == '\'') {
@@ -135,7 +143,7 @@
                 && text.charAt(pos) != ','
                 && text.charAt(pos) != ')'
                 && text.charAt(pos) != '=') {
-            // The first word was the name of an element.
+            // The first word was the name of a tuple element.
             name = word();
             skipWhitespace();
         }
@@ -147,7 +155,7 @@
                 skipWhitespace();
             } while (pos < text.length() && text.charAt(pos) == ',');
             if (pos >= text.length() || text.charAt(pos) != ')') {
-                throw malformed("a parenthesis is not closed");
+                throw malformed("unclosed parenthesis");
             }
             pos++;
             skipWhitespace();
@@ -155,7 +163,7 @@
         return withValue(new Term(name, arguments, false, ""));
     }
 
-    /** Takes the value of an element of an enumeration, where there is one. */
+    /** Parses the value of an enumeration element if there is one. */
     private Term withValue(Term term) throws WireException {
         skipWhitespace();
         if (pos >= text.length() || text.charAt(pos) != '=') {
@@ -179,7 +187,7 @@
             pos++;
         }
         if (pos == from) {
-            throw malformed("a name or number is missing");
+            throw malformed("missing name or number");
         }
         return text.substring(from, pos);
     }
@@ -190,7 +198,7 @@
             pos += text.charAt(pos) == '\\' ? 2 : 1;
         }
         if (pos >= text.length()) {
-            throw malformed("a quote is not closed");
+            throw malformed("unclosed quote");
         }
         return text.substring(from, pos++);
     }
@@ -201,15 +209,15 @@
         }
     }
 
-    // ---- Terms to types
+    // ---- From terms to column types
     private ColumnType type(Term term) throws WireException {
         if (term.quoted) {
             throw unknown("'" + term.name + "'");
         }
-        List<Term> list = term.arguments;
-        ColumnType plain = PLAIN.get(term.name);
-        if (plain != null && (list.isEmpty() || term.name.startsWith("DateTime"))) {
-            return plain;
+        List<Term> arguments = term.arguments;
+        ColumnType withoutArguments = TYPES_WITHOUT_ARGUMENTS.get(term.name);
+        if (withoutArguments != null && (arguments.isEmpty() || term.name.startsWith("DateTime"))) {
+            return withoutArguments;
         }
         if (term.name.startsWith("Interval")
                 && INTERVALS.contains(term.name.substring("Interval".length()))) {
@@ -250,24 +258,27 @@
         return new ColumnType.Tuple(List.copyOf(elements));
     }
 
-    /** The dictionary holds plain values also where the column may be null. */
+    /**
+     * Builds a dictionary type; the dictionary holds non-nullable values even if the column is
+     * nullable.
+     */
     private ColumnType lowCardinality(Term inner) throws WireException {
-        Term plain = inner.name.equals("Nullable") ? argument(inner, 0) : inner;
-        return new ColumnType.LowCardinality(type(plain));
+        Term nonNullable = inner.name.equals("Nullable") ? argument(inner, 0) : inner;
+        return new ColumnType.LowCardinality(type(nonNullable));
     }
 
     private static ColumnType decimal(int digits) {
         return new ColumnType.Fixed(decimalBytes(digits));
     }
 
-    /** Bytes of a decimal number with so many digits, 1 to 76. */
+    /** Returns the size in bytes of a decimal number with the given number of digits, 1 to 76. */
     public static int decimalBytes(int digits) {
         return digits <= 9 ? 4 : digits <= 18 ? 8 : digits <= 38 ? 16 : 32;
     }
 
     private Term argument(Term term, int index) throws WireException {
         if (index >= term.arguments.size()) {
-            throw malformed(term.name + " lacks an argument");
+            throw malformed("missing argument " + (index + 1) + " of " + term.name);
         }
         return term.arguments.get(index);
     }
@@ -280,8 +291,9 @@
                 return value;
             }
         } catch (NumberFormatException ignored) {
-            // Reported below, as a number out of range is.
+            // Reported below together with numbers that are out of range.
         }
-        throw malformed(term.name + " takes a number from 1 to " + max + ", not " + digits);
+        throw malformed(
+                "invalid argument " + digits + " of " + term.name + ": expected 1 to " + max);
     }
 }
