--- a/config/src/main/antlr4/ashlink/config/grammar/SExpr.g4
+++ b/config/src/main/antlr4/ashlink/config/grammar/SExpr.g4
@@ -1,4 +1,5 @@
-// Settings files: words, quoted texts and lists in parentheses; a semicolon starts a comment.
+// Syntax of settings files: words, quoted strings and lists in parentheses. A semicolon starts a
+// comment that extends to the end of the line.
 grammar SExpr;
 
 file : form* EOF ;
--- a/config/src/main/java/ashlink/config/AddressParser.java
+++ b/config/src/main/java/ashlink/config/AddressParser.java
@@ -8,12 +8,15 @@
 
     private static final int MAX_PORT = 65_535;
 
-    /** Description of the accepted form for error messages. */
+    /** Description of the accepted format for error messages. */
     static final String ACCEPTED = "host:port with a port from 0 to " + MAX_PORT;
 
     private AddressParser() {}
 
-    /** Returns the address, or nothing where the text is not accepted. May resolve the host. */
+    /**
+     * Returns the address, or an empty result if the text is invalid. Resolves a host name, which
+     * may block.
+     */
     static Optional<InetSocketAddress> parse(String text) {
         int colon = text.lastIndexOf(':');
         int port;
--- a/config/src/main/java/ashlink/config/AtMostOnceVariants.java
+++ b/config/src/main/java/ashlink/config/AtMostOnceVariants.java
@@ -5,12 +5,12 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The at-most-once variants of query classes; see {@link RouterConfig#allClasses}. */
+/** Creates the at-most-once variants of query classes; see {@link RouterConfig#allQueryClasses}. */
 final class AtMostOnceVariants {
 
     private AtMostOnceVariants() {}
 
-    /** Returns the classes by name, in order, followed by the variants that they need. */
+    /** Returns the classes by name in their order, followed by the variants of the classes. */
     static Map<String, QueryClass> addTo(Map<String, QueryClass> classes) {
         Map<String, QueryClass> all = new LinkedHashMap<>(classes);
         for (QueryClass queryClass : classes.values()) {
@@ -22,13 +22,13 @@
         return all;
     }
 
-    /** Tells whether a class may be retried and is restricted to some engines. */
+    /** Returns whether a class may be retried and is restricted to some engine kinds or zones. */
     private static boolean isNeeded(QueryClass queryClass) {
         return queryClass.retrySafety() != RetrySafety.AT_MOST_ONCE
                 && !(queryClass.engineKinds().isEmpty() && queryClass.zones().isEmpty());
     }
 
-    /** Returns a copy of a class that is never retried and has no deduplication window. */
+    /** Returns a copy of a class; the copy is never retried and has no deduplication window. */
     private static QueryClass create(String name, QueryClass queryClass) {
         return new QueryClass(
                 name,
--- a/config/src/main/java/ashlink/config/CaptureConfigReader.java
+++ b/config/src/main/java/ashlink/config/CaptureConfigReader.java
@@ -11,7 +11,7 @@
 import ashlink.config.RouterConfig.CaptureSpec;
 import java.nio.file.Path;
 
-/** Reads the settings of the capture: {@code (capture ...)}. */
+/** Reads the settings of the capture of events and actions: {@code (capture ...)}. */
 final class CaptureConfigReader {
 
     private static final long MIN_BYTES = 4 * KIB_BYTES;
--- a/config/src/main/java/ashlink/config/ClassRuleReader.java
+++ b/config/src/main/java/ashlink/config/ClassRuleReader.java
@@ -12,7 +12,7 @@
 /** Reads the rules that assign statements to query classes: {@code (rule ...)}. */
 final class ClassRuleReader {
 
-    /** Kinds of statement, as the SQL reader names them. */
+    /** Kinds of statements, under the names that the SQL reader gives them. */
     private static final Set<String> STATEMENT_KINDS =
             Set.of(
                     "read",
@@ -71,7 +71,7 @@
         section.checkAllOf("user", rule.users(), userNames);
     }
 
-    /** Converts a table name in which {@code *} matches any characters. */
+    /** Converts a table name to a pattern; {@code *} matches any number of characters. */
     private static Pattern tablePattern(String word) {
         String regex =
                 Arrays.stream(word.split("\\*", -1))
--- a/config/src/main/java/ashlink/config/ConfigException.java
+++ b/config/src/main/java/ashlink/config/ConfigException.java
@@ -3,12 +3,12 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A settings file is not accepted; carries all of its problems. */
+/** Thrown for an invalid settings file, with all problems of the file. */
 public final class ConfigException extends Exception {
 
     private final transient List<ConfigProblem> problems;
 
-    /** An exception with those problems; not empty. */
+    /** Creates an exception with the given problems, of which there must be at least one. */
     public ConfigException(List<ConfigProblem> problems) {
         super(problems.stream().map(ConfigProblem::toString).collect(Collectors.joining("\n")));
         this.problems = List.copyOf(problems);
--- a/config/src/main/java/ashlink/config/EngineConfig.java
+++ b/config/src/main/java/ashlink/config/EngineConfig.java
@@ -8,22 +8,25 @@
  *
  * @param listen address to listen on; port 0 stands for any free port
  * @param zone failure domain that the engine runs in; may be empty
- * @param kind name of its hardware; may be empty
- * @param speed speed of a core relative to the reference, which is 1
- * @param kneeThreadsPerCore threads per core at which throughput is highest
- * @param thrash fraction of the throughput lost at twice the knee
- * @param spill extra work of a query without any memory, as a multiple of its work
- * @param memoryQueue true if a query waits for memory, false if it runs with what is free
- * @param diskThreadFraction fraction of its threads that may perform I/O at once
- * @param slowStartFraction fraction of its capacity right after a start
- * @param slowStartNs duration of the slow start after which the capacity is complete
- * @param crashLoadMultiple load, as a multiple of its capacity during slow start, that crashes the
- *     engine when it lasts {@code crashWindowNs}; 0 disables this
- * @param crashWindowNs time for which the load must last
- * @param stopsOnCancel true if a cancel or a closed connection stops the work
- * @param maxSessions concurrent queries; further ones are rejected
- * @param seed seed of all random choices
- * @param ledger file in which each statement is recorded, or null
+ * @param kind name of the engine's hardware; may be empty
+ * @param speed speed of a core relative to a reference core, whose speed is 1
+ * @param kneeThreadsPerCore threads per core beyond which throughput decreases
+ * @param thrash fraction of the throughput that is lost at twice {@code kneeThreadsPerCore}
+ * @param spill additional work of a query that is granted no memory, as a multiple of the query's
+ *     work
+ * @param memoryQueue whether a query waits until enough memory is free; otherwise the query runs
+ *     with the memory that is free
+ * @param diskThreadFraction number of threads that can perform I/O at once without slowing each
+ *     other down, as a fraction of the cores
+ * @param slowStartFraction fraction of the capacity that is available right after a start
+ * @param slowStartNs time after a start until the full capacity is available
+ * @param crashLoadMultiple load, as a multiple of the capacity during slow start, above which the
+ *     engine crashes if the load lasts for {@code crashWindowNs}; 0 disables such crashes
+ * @param crashWindowNs time for which the load must last to crash the engine
+ * @param stopsOnCancel whether a cancellation or a closed connection stops the work of a query
+ * @param maxSessions maximum number of concurrent queries; the engine rejects further queries
+ * @param seed seed of the random number generator
+ * @param ledger file that records each statement, or null
  */
 public record EngineConfig(
         String name,
--- a/config/src/main/java/ashlink/config/FleetConfig.java
+++ b/config/src/main/java/ashlink/config/FleetConfig.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /**
- * The routers of a fleet, as its operators address them.
+ * The routers of a fleet and the credentials of an operator who controls them.
  *
  * @param keys directory with {@code ca.crt} and the operator's key and certificate
  * @param operator name of the operator, which selects the certificate
@@ -19,16 +19,17 @@
     /**
      * A router of the fleet.
      *
-     * @param hall failure domain that the router runs in; may be empty
-     * @param control address of its control channel
-     * @param config its settings file
-     * @param log its log file
+     * @param hall zone, that is, the failure domain that the router runs in; may be empty
+     * @param control address of the router's control channel
+     * @param config settings file of the router
+     * @param log log file of the router
      */
     public record Member(
             String name, String hall, InetSocketAddress control, Path config, Path log) {}
 
     /**
-     * Reads {@code (fleet ...)}; relative paths are resolved against the directory of the file.
+     * Reads a file with {@code (fleet ...)}. Relative paths in the file are resolved against the
+     * directory of the file.
      *
      * @throws ConfigException with all problems of the file
      */
--- a/config/src/main/java/ashlink/config/HttpConfigReader.java
+++ b/config/src/main/java/ashlink/config/HttpConfigReader.java
@@ -19,7 +19,7 @@
 
     private static final long MAX_SPOOL_BYTES = 1024 * TIB_BYTES;
 
-    /** Pages of the smallest spool that is accepted. */
+    /** Smallest accepted spool size, in pages. */
     private static final int MIN_SPOOL_PAGES = 4;
 
     private static final int MAX_OPEN_STATEMENTS = 1_000_000;
--- a/config/src/main/java/ashlink/config/LoadMetricsReader.java
+++ b/config/src/main/java/ashlink/config/LoadMetricsReader.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.regex.Pattern;
 
-/** Reads under which metric names engines report their load: {@code (gauges ...)}. */
+/** Reads the names of the metrics in which engines report their load: {@code (gauges ...)}. */
 final class LoadMetricsReader {
 
     private static final char DIVISOR_SEPARATOR = '/';
@@ -44,7 +44,7 @@
         return List.copyOf(metrics);
     }
 
-    /** Parses a metric name, alone or followed by a slash and a divisor over 0. */
+    /** Parses a metric name that may be followed by a slash and a positive divisor. */
     private static Optional<LoadMetric> metric(String word) {
         int slash = word.indexOf(DIVISOR_SEPARATOR);
         if (slash < 0) {
--- a/config/src/main/java/ashlink/config/Node.java
+++ b/config/src/main/java/ashlink/config/Node.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A node of a parsed settings file and its place; lines and columns count from 1. */
+/** A node of a parsed settings file and its position; lines and columns are counted from 1. */
 sealed interface Node {
 
     /** Longest excerpt of the file in an error message, in characters. */
@@ -12,13 +12,13 @@
 
     int column();
 
-    /** A word, or the content of a quoted text. */
+    /** A word, or the content of a quoted string. */
     record Atom(String text, int line, int column) implements Node {}
 
-    /** A list; that of a setting starts with its name. */
+    /** A list; the list of a setting starts with the name of the setting. */
     record Form(List<Node> items, int line, int column) implements Node {
 
-        /** Returns the word that the list starts with, or an empty text. */
+        /** Returns the first word of the list, or an empty text if the list starts with no word. */
         String head() {
             return !items.isEmpty() && items.get(0) instanceof Atom atom ? atom.text() : "";
         }
--- a/config/src/main/java/ashlink/config/Passwords.java
+++ b/config/src/main/java/ashlink/config/Passwords.java
@@ -6,22 +6,28 @@
 import java.util.regex.Pattern;
 import org.bouncycastle.crypto.generators.OpenBSDBCrypt;
 
-/** Salted password hashes by bcrypt. Safe for use by several threads. */
+/** Creates and verifies salted bcrypt hashes of passwords. Thread-safe. */
 public final class Passwords {
 
-    /** Cost of new hashes, the logarithm of the rounds: tens of milliseconds per hash. */
+    /**
+     * Cost of new hashes: the binary logarithm of the number of rounds. A hash takes tens of
+     * milliseconds.
+     */
     public static final int COST = 10;
 
     private static final int SALT_BYTES = 16;
 
-    /** bcrypt ignores the bytes of a password beyond this. */
+    /** Longest password in bytes; bcrypt ignores the bytes beyond this length. */
     private static final int MAX_PASSWORD_BYTES = 72;
 
     private static final Pattern HASH =
             Pattern.compile("\\$2[aby]\\$[0-3][0-9]\\$[./A-Za-z0-9]{53}");
     private static final SecureRandom RANDOM = new SecureRandom();
 
-    /** Compared for unknown users, so that the response time does not reveal which users exist. */
+    /**
+     * Hash that the password of an unknown user is compared with, so that the response time does
+     * not reveal which users exist.
+     */
     private static final String UNKNOWN_USER_HASH = hash("nobody", COST);
 
     private Passwords() {}
@@ -29,7 +35,7 @@
     /**
      * Returns the hash of a password with a new salt.
      *
-     * @param cost logarithm of the rounds, from 4 to 31
+     * @param cost binary logarithm of the number of rounds, from 4 to 31
      */
     public static String hash(String password, int cost) {
         byte[] salt = new byte[SALT_BYTES];
@@ -37,13 +43,13 @@
         return OpenBSDBCrypt.generate(truncate(password), salt, cost);
     }
 
-    /** Tells whether a text has the form of a hash. */
+    /** Returns whether a text has the format of a hash. */
     public static boolean isHash(String text) {
         return HASH.matcher(text).matches();
     }
 
     /**
-     * Compares a password with a hash.
+     * Returns whether a password matches a hash.
      *
      * @param hash hash of the user; null for an unknown user, empty for an empty password
      */
--- a/config/src/main/java/ashlink/config/PolicyReader.java
+++ b/config/src/main/java/ashlink/config/PolicyReader.java
@@ -8,8 +8,8 @@
 import ashlink.decisions.api.PolicyLimits;
 
 /**
- * Reads what the decision module may use, {@code (allowed ...)}, and the limits that it keeps to,
- * {@code (limits ...)}.
+ * Reads the capabilities that the decision module may use, {@code (allowed ...)}, and the limits
+ * that apply to its decisions, {@code (limits ...)}.
  */
 final class PolicyReader {
 
@@ -18,7 +18,7 @@
     private static final double MAX_RETRIES_PER_REQUEST = 100;
     private static final double MAX_OVERLOAD_MULTIPLE = 100;
 
-    /** The router receives the endpoint list; it never polls for it. */
+    /** The endpoint list is sent to the decision module, which never has to request it. */
     private static final boolean POLLS_ENDPOINTS = false;
 
     private PolicyReader() {}
--- a/config/src/main/java/ashlink/config/ProblemReporter.java
+++ b/config/src/main/java/ashlink/config/ProblemReporter.java
@@ -6,11 +6,11 @@
 import org.apache.commons.text.similarity.LevenshteinDistance;
 
 /**
- * Adds the problems of one section of a settings file to the list of all problems of that file.
+ * Adds the problems of one section of a settings file to the list of all problems of the file.
  *
- * @param file name of the file as errors show it
- * @param path path of the section from the top of the file, its parts separated by dots
- * @param problems list that each problem is added to, in the order of reading
+ * @param file name of the file in error messages
+ * @param path path of the section from the top of the file, with the parts separated by dots
+ * @param problems list to which the problems are added in the order of detection
  */
 record ProblemReporter(String file, String path, List<ConfigProblem> problems) {
 
@@ -18,27 +18,27 @@
     private static final LevenshteinDistance DISTANCE =
             new LevenshteinDistance(MAX_SUGGESTION_DISTANCE);
 
-    /** Returns the reporter of the section {@code name} within this one. */
+    /** Returns the reporter of the section {@code name} within the section of this reporter. */
     ProblemReporter nested(String name) {
         return new ProblemReporter(file, settingPath(name), problems);
     }
 
-    /** Reports a value of the setting {@code name}. */
+    /** Reports an invalid value of the setting {@code name}. */
     void rejectedValue(Node value, String name, String accepted) {
         report(value, settingPath(name), value.shown(), accepted);
     }
 
-    /** Reports a node that has no place in this section. */
+    /** Reports a node that is not allowed in the section. */
     void rejectedNode(Node node, String accepted) {
         report(node, path, node.shown(), accepted);
     }
 
-    /** Reports that the required setting {@code name} is absent from {@code section}. */
+    /** Reports that the required setting {@code name} is missing in {@code section}. */
     void missing(Node section, String name, String accepted) {
         report(section, settingPath(name), "nothing", accepted);
     }
 
-    /** Reports a setting that the section does not have, with the known name nearest to it. */
+    /** Reports a setting with an unknown name and suggests the known name that is most similar. */
     void unknown(Node setting, String name, Set<String> known) {
         report(setting, settingPath(name), name, suggestion(name, known));
     }
--- a/config/src/main/java/ashlink/config/Quantity.java
+++ b/config/src/main/java/ashlink/config/Quantity.java
@@ -4,32 +4,32 @@
 import java.util.OptionalDouble;
 
 /**
- * What a numeric setting accepts: its units and its range.
+ * The accepted units and the accepted range of a numeric setting.
  *
- * @param units factor of each unit to the base unit; an empty name stands for no unit
- * @param min smallest value accepted, in the base unit
- * @param max largest value accepted, in the base unit
+ * @param units size of each unit in the base unit; the empty name stands for a number without unit
+ * @param min smallest accepted value, in the base unit
+ * @param max largest accepted value, in the base unit
  * @param accepted description of the accepted values for error messages
  */
 record Quantity(Map<String, Double> units, double min, double max, String accepted) {
 
     private static final Map<String, Double> NO_UNIT = Map.of("", 1.0);
 
-    /** Doubles below this print as integers without loss. */
+    /** Whole doubles of a smaller absolute value convert to {@code long} without loss. */
     private static final double MAX_EXACT = 1e15;
 
-    /** A number without a unit. */
+    /** Returns the quantity of a number without a unit. */
     static Quantity number(double min, double max) {
         return new Quantity(
                 NO_UNIT, min, max, "a number from " + format(min) + " to " + format(max));
     }
 
-    /** An integer without a unit. */
+    /** Returns the quantity of an integer without a unit. */
     static Quantity integer(long min, long max) {
         return new Quantity(NO_UNIT, min, max, "a whole number from " + min + " to " + max);
     }
 
-    /** A duration; the base unit is the nanosecond. */
+    /** Returns the quantity of a duration; the base unit is the nanosecond. */
     static Quantity duration(long minNs, long maxNs) {
         return new Quantity(
                 Units.DURATION_NS,
@@ -42,7 +42,7 @@
                         + "s, with ns, us, ms, s, m, h or d");
     }
 
-    /** A size; the base unit is the byte. */
+    /** Returns the quantity of a size; the base unit is the byte. */
     static Quantity size(long minBytes, long maxBytes) {
         return new Quantity(
                 Units.SIZE_BYTES,
@@ -55,7 +55,7 @@
                         + "B, with B, KiB, MiB, GiB, kB, MB or GB");
     }
 
-    /** A rate from 0; the base unit is once per second. */
+    /** Returns the quantity of a rate of at least 0; the base unit is events per second. */
     static Quantity rate(double maxPerS) {
         return new Quantity(
                 Units.RATE_PER_S,
@@ -64,7 +64,7 @@
                 "a rate up to " + format(maxPerS) + "/s, with /s, /m or /h");
     }
 
-    /** Returns the value in the base unit, or nothing where the text is not accepted. */
+    /** Returns the value in the base unit, or an empty result if the text is not accepted. */
     OptionalDouble parse(String text) {
         OptionalDouble value = Units.parse(text, units);
         boolean accepts =
--- a/config/src/main/java/ashlink/config/QueryClassReader.java
+++ b/config/src/main/java/ashlink/config/QueryClassReader.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Reads the query classes, {@code (class NAME ...)}, and which of them are the defaults. */
+/** Reads the query classes, {@code (class NAME ...)}, and the names of the default classes. */
 final class QueryClassReader {
 
     private static final long MAX_DEADLINE_NS = 24 * Units.NS_PER_HOUR;
@@ -79,7 +79,7 @@
         return name;
     }
 
-    /** Reads the class of statements that may write, which must never be retried. */
+    /** Reads the default class of statements that may write; the class must not allow retries. */
     static String defaultWriteClass(Section top, Map<String, QueryClass> classes) {
         String name = top.text("default-write-class", null);
         if (!classes.containsKey(name) || !isAtMostOnce(classes.get(name))) {
--- a/config/src/main/java/ashlink/config/ResourceLimitsReader.java
+++ b/config/src/main/java/ashlink/config/ResourceLimitsReader.java
@@ -21,7 +21,10 @@
     private static final long MAX_ENGINE_IDLE_NS = 24 * NS_PER_HOUR;
     private static final long MAX_CLIENT_IDLE_NS = 240 * NS_PER_HOUR;
 
-    /** A packet is one array, whose length is an int; some lengths below 2 GiB fail too. */
+    /**
+     * Largest accepted packet size. A packet is stored in one array, whose length is an int; the
+     * allocation fails for some lengths just below 2 GiB too.
+     */
     private static final long MAX_PACKET_BYTES = 2 * GIB_BYTES - 64;
 
     private ResourceLimitsReader() {}
--- a/config/src/main/java/ashlink/config/RouterConfig.java
+++ b/config/src/main/java/ashlink/config/RouterConfig.java
@@ -15,30 +15,30 @@
 import java.util.regex.Pattern;
 
 /**
- * The validated settings of one router; {@link RouterConfigReader} creates them.
+ * The validated settings of one router; {@link RouterConfigReader} reads them from a file.
  *
- * @param name name of the router, unique in its fleet
- * @param zone failure domain that the router runs in; empty where none are set
+ * @param name name of the router, unique in the fleet
+ * @param zone failure domain that the router runs in; empty if no zones are set
  * @param seed seed of the decision module
- * @param routerCount routers of the fleet, this one included
+ * @param routerCount number of routers in the fleet, including this router
  * @param routerIndex index of this router in the fleet, from 0
  * @param listen address of the native protocol
  * @param metrics address of the metrics endpoint, or null
- * @param stateDir directory of the state that survives a restart, or null
+ * @param stateDir directory of the state that is kept across restarts, or null
  * @param resourceLimits limits of memory, counts and time
- * @param engineKinds hardware of the engines
+ * @param engineKinds kinds of hardware that the engines run on
  * @param engines the engines by name, in the order of the file
  * @param queryClasses the query classes by name, in the order of the file
- * @param rules rules that assign a class to a statement, in the order in which they are tried
- * @param defaultClass class of statements that no rule matches
- * @param defaultWriteClass class of those among them that may write
+ * @param rules rules that assign a class to a statement, in the order of their evaluation
+ * @param defaultClass class of read-only statements that no rule matches
+ * @param defaultWriteClass class of statements that no rule matches and that may write
  * @param users the users by name
  * @param tenants the tenants with their quotas
- * @param overQuotaWeight fraction of its weight that a query beyond its tenant's quota keeps
- * @param capabilities what the decision module may use
- * @param policyLimits limits of the rules of the installation
- * @param loadMetrics metric names under which engines report their load
- * @param engineLogin credentials of the router at the engines
+ * @param overQuotaWeight fraction of the priority weight that a query beyond the tenant's quota has
+ * @param capabilities features that the decision module may use
+ * @param policyLimits limits set by the policy of the site
+ * @param loadMetrics metrics in which engines report their load
+ * @param engineLogin credentials with which the router logs in to the engines
  * @param capture settings of the capture
  * @param http settings of the statement API
  * @param control settings of the control channel
@@ -73,8 +73,8 @@
     /**
      * An engine of the static endpoint list.
      *
-     * @param kind name of its hardware; may be empty
-     * @param cell group of engines that share deduplication
+     * @param kind name of the engine's hardware; may be empty
+     * @param cell number of the group of engines that share idempotency keys
      */
     public record EngineSpec(
             String name,
@@ -97,10 +97,12 @@
      *
      * @param dir directory of the capture; null disables it
      * @param segmentBytes size at which a segment is closed
-     * @param retainedBytes total size beyond which the oldest segments are deleted
-     * @param eventQueueCapacity entries that wait to be written before further ones are dropped
+     * @param retainedBytes total size of all segments above which the oldest segments are deleted
+     * @param queueEntries maximum number of entries that wait to be written; further entries are
+     *     dropped
      * @param syncIntervalNs interval between two flushes to the disk
-     * @param keySecret secret by which ordering keys are hashed; empty: one drawn at each start
+     * @param keySecret secret for the hashing of ordering keys; if empty, a random secret is
+     *     generated at each start
      */
     public record CaptureSpec(
             Path dir,
@@ -114,33 +116,33 @@
      * Settings of the statement API over HTTP.
      *
      * @param listen address to listen on; null disables the API
-     * @param spool directory for results; null keeps them in memory
-     * @param pageBytes raw size of a result at which a page is complete
-     * @param memoryBytes raw size of a statement's result that stays in memory
-     * @param totalMemoryBytes the same of all statements together
-     * @param statementSpoolBytes result bytes of one statement on disk that its client has not
-     *     acknowledged
-     * @param userSpoolBytes the same of all statements of a user
-     * @param totalSpoolBytes the same of all statements
-     * @param maxOpenStatements statements open at once
-     * @param maxOpenStatementsPerUser the same of one user
+     * @param spool directory for results; null keeps all results in memory
+     * @param pageBytes unencoded size of result rows at which a page is complete
+     * @param memoryBytes maximum unencoded size of the result of one statement in memory
+     * @param totalMemoryBytes maximum unencoded size of the results of all statements in memory
+     * @param statementSpoolBytes maximum size on disk of the result pages of one statement that its
+     *     client has not acknowledged
+     * @param userSpoolBytes the same limit for all statements of one user together
+     * @param totalSpoolBytes the same limit for all statements together
+     * @param maxOpenStatements maximum number of open statements
+     * @param maxOpenStatementsPerUser maximum number of open statements of one user
      * @param pollTimeoutNs time without a poll after which a running statement is cancelled
      * @param resultRetentionNs time after which a result that is not fetched is deleted
-     * @param completedRetentionNs time after which a result is deleted once its last page was
-     *     fetched
-     * @param maxTombstones deleted statements that are remembered
+     * @param completedRetentionNs time after which a result whose last page was fetched is deleted
+     * @param maxTombstones maximum number of deleted statements that are remembered
      * @param tombstoneRetentionNs time for which a deleted statement is reported as expired
-     * @param maxPollWaitNs longest wait of a poll; less than {@code idleTimeoutNs}
-     * @param maxBodyBytes longest request body
-     * @param maxHeaderBytes longest request header
-     * @param maxClientConnections client connections at once
-     * @param headerTimeoutNs time for a client to send a header
-     * @param bodyTimeoutNs time for a client to send a body
+     * @param maxPollWaitNs longest wait of a poll for a page; less than {@code idleTimeoutNs}
+     * @param maxBodyBytes maximum size of a request body
+     * @param maxHeaderBytes maximum size of a request header
+     * @param maxConnections maximum number of concurrent client connections
+     * @param headerTimeoutNs time within which a client must send a request header
+     * @param bodyTimeoutNs time within which a client must send a request body
      * @param idleTimeoutNs time after which an idle connection is closed
-     * @param maxRenderBytes response bytes in memory at once
-     * @param maxIdempotencyKeys idempotency keys that are remembered
+     * @param maxRenderBytes maximum size of all encoded responses in memory
+     * @param maxIdempotencyKeys maximum number of idempotency keys that are remembered
      * @param idempotencyKeyRetentionNs time for which an idempotency key is remembered
-     * @param peers base URLs of the other routers by name, for polls that reach the wrong one
+     * @param peers base URLs of the other routers by name, for redirecting polls for their
+     *     statements
      */
     public record HttpSpec(
             InetSocketAddress listen,
@@ -174,26 +176,26 @@
      * Settings of the control channel between routers.
      *
      * @param listen address to listen on; null disables the channel
-     * @param maxIdempotencyKeys directory with {@code ca.crt}, and {@code NAME.crt} and {@code
-     *     NAME.key} of this router
+     * @param keys directory with {@code ca.crt}, and with {@code NAME.crt} and {@code NAME.key} of
+     *     this router
      * @param peers control addresses of the other routers by name
      */
     public record ControlSpec(
             InetSocketAddress listen, Path keys, Map<String, InetSocketAddress> peers) {}
 
-    /** Credentials of the router at the engines. */
+    /** Credentials with which the router logs in to the engines. */
     public record EngineLogin(String user, String password) {}
 
     /**
-     * A rule that assigns a query class. It matches a statement that matches every condition that
-     * is not empty; the first rule that matches decides.
+     * A rule that assigns a query class. A statement matches the rule if the statement meets every
+     * condition that is not empty. The first matching rule determines the class.
      *
      * @param queryClass class that the rule assigns
-     * @param keywords first keywords of a statement, in upper case
-     * @param engineKinds kinds of statement
-     * @param tables patterns of which one must match the name of a table
-     * @param fingerprints fingerprints of the normalized statement, in hex
-     * @param setting setting of the request that must have {@code value}
+     * @param keywords accepted first keywords of the statement, in upper case
+     * @param kinds accepted kinds of statements
+     * @param tables patterns of table names; a table of the statement must match one of them
+     * @param fingerprints accepted fingerprints of the normalized statement, in hexadecimal
+     * @param setting name of a request setting whose value must be {@code value}
      */
     public record ClassRule(
             String queryClass,
@@ -206,12 +208,12 @@
             String setting,
             String value) {}
 
-    /** A metric of the engines; its value is divided by {@code divisor}. */
+    /** A metric of the engines; the reported value is divided by {@code divisor}. */
     public record LoadMetric(String name, double divisor) {}
 
     /**
-     * Metrics from which the load of an engine is read. Of each list, the first metric that the
-     * engine reports counts; an empty list stands for a value that is not reported.
+     * Metrics from which the load of an engine is read. For each value, the first metric of the
+     * list that the engine reports is used; an empty list means that the value is not reported.
      */
     public record LoadMetrics(
             List<LoadMetric> queued,
@@ -224,27 +226,26 @@
             List<LoadMetric> uptimeS) {}
 
     /**
-     * Limits of memory, counts and time; docs/operating.md says what happens at each.
+     * Limits of memory, counts and time; docs/operating.md describes the effect of each limit.
      *
-     * @param maxClientConnections client connections at once
-     * @param maxOpenRequests requests that are queued or run at once
-     * @param eventQueueCapacity events that wait for the decision thread before new requests are
-     *     rejected
+     * @param maxClientConnections maximum number of concurrent client connections
+     * @param maxOpenRequests maximum number of requests that are queued or running
+     * @param eventQueueCapacity number of events waiting for the decision thread at which new
+     *     requests are rejected
      * @param responseBufferBytes bytes of a response that are buffered before its first byte is
      *     sent
-     * @param totalResponseBufferBytes the same of all requests together
-     * @param insertBufferBytes bytes of an insert that are buffered for a retry
-     * @param totalInsertBufferBytes the same of all requests together
-     * @param maxPacketBytes longest packet of the native protocol in bytes
-     * @param loginTimeoutNs time for a client to log in
-     * @param connectTimeoutNs time to connect to an engine
+     * @param totalResponseBufferBytes maximum size of the buffered responses of all requests
+     * @param insertBufferBytes maximum size of the data of an insert that is buffered for a retry
+     * @param totalInsertBufferBytes maximum size of the buffered insert data of all requests
+     * @param maxPacketBytes maximum size of a packet of the native protocol
+     * @param loginTimeoutNs time within which a client must log in
+     * @param connectTimeoutNs time within which a connection to an engine must be established
      * @param engineIdleTimeoutNs time after which an idle engine connection is closed
      * @param clientIdleTimeoutNs time after which an idle client connection is closed
-     * @param maxConnectionsPerEngine connections to one engine at once
-     * @param shutdownTimeoutNs time for open requests to end at shutdown
-     * @param threadStackBytes stack of each connection thread
-     * @param responseMarginNs time before the client's own deadline by which its response must be
-     *     sent
+     * @param maxConnectionsPerEngine maximum number of concurrent connections to one engine
+     * @param shutdownTimeoutNs time that open requests have to finish at shutdown
+     * @param threadStackBytes stack size of a connection thread
+     * @param responseMarginNs time before the client's own deadline by which the response is sent
      */
     public record ResourceLimits(
             int maxClientConnections,
@@ -285,9 +286,10 @@
     }
 
     /**
-     * Returns the classes, and an at-most-once variant of each class that may be retried and is
-     * restricted to some engines. A statement that turns out not to be a plain read moves to the
-     * variant: it keeps the placement of its class and is no longer retried.
+     * Returns the classes by name, and an at-most-once variant of each class that may be retried
+     * and is restricted to some engine kinds or zones. A statement of such a class that turns out
+     * not to be a plain read is assigned to the variant: the statement is then not retried and
+     * remains restricted to the same engines.
      */
     public Map<String, QueryClass> allQueryClasses() {
         return AtMostOnceVariants.addTo(queryClasses);
--- a/config/src/main/java/ashlink/config/RouterConfigReader.java
+++ b/config/src/main/java/ashlink/config/RouterConfigReader.java
@@ -16,8 +16,9 @@
 import java.util.Set;
 
 /**
- * Reads the settings file of a router, {@code (router ...)}. Each group of settings has a reader of
- * its own; this class reads the top level and checks references between the groups.
+ * Reads the settings file of a router, {@code (router ...)}. This class reads the settings of the
+ * top level and calls the readers of the sections. It passes the defined names to the readers that
+ * check references between sections.
  */
 public final class RouterConfigReader {
 
@@ -41,7 +42,7 @@
     /**
      * Reads a text.
      *
-     * @param file name of the text in errors
+     * @param file name of the text in error messages
      * @throws ConfigException with all problems of the text
      */
     public static RouterConfig read(String file, String text) throws ConfigException {
@@ -62,7 +63,7 @@
         return config;
     }
 
-    /** Reads every setting, in the order in which problems are reported. */
+    /** Reads all settings. Problems are reported in the order in which the settings are read. */
     private static RouterConfig readRouter(Section top) {
         String name = top.text("name", null);
         int routerCount = (int) top.integer("gateways", 1L, 1, MAX_ROUTERS);
@@ -104,7 +105,7 @@
                 ControlConfigReader.read(top));
     }
 
-    /** The groups of settings that refer to each other by name: classes, tenants, users, rules. */
+    /** The classes, tenants, users and rules, which refer to each other by name. */
     private record Workload(
             Map<String, QueryClass> queryClasses,
             List<Tenant> tenants,
@@ -127,7 +128,7 @@
                 QueryClassReader.defaultWriteClass(top, queryClasses));
     }
 
-    /** Addresses to listen on; {@code metrics} is null where there is no metrics listener. */
+    /** Addresses to listen on; {@code metrics} is null if there is no metrics endpoint. */
     private record Listeners(InetSocketAddress nativeProtocol, InetSocketAddress metrics) {}
 
     private static Listeners listeners(Section top) {
--- a/config/src/main/java/ashlink/config/SExprReader.java
+++ b/config/src/main/java/ashlink/config/SExprReader.java
@@ -16,7 +16,7 @@
 /** Parses the S-expressions of a settings file into nodes. */
 final class SExprReader {
 
-    /** Limit of nested lists: the parser recurses. */
+    /** Maximum nesting depth of lists, because the parser is recursive. */
     private static final int MAX_DEPTH = 32;
 
     private static final long MAX_FILE_BYTES = 4 * Units.MIB_BYTES;
@@ -29,7 +29,10 @@
         this.problems = problems;
     }
 
-    /** Parses a file; syntax errors are added to {@code problems}, and the result is empty. */
+    /**
+     * Parses a file. If the file cannot be read or has syntax errors, adds them to {@code problems}
+     * and returns an empty list.
+     */
     static List<Node> read(Path path, List<ConfigProblem> problems) {
         SExprReader reader = new SExprReader(path.toString(), problems);
         try {
@@ -48,7 +51,7 @@
         }
     }
 
-    /** Parses a text that is named {@code file} in errors. */
+    /** Parses a text, which error messages call {@code file}; otherwise like the other method. */
     static List<Node> read(String file, String text, List<ConfigProblem> problems) {
         return new SExprReader(file, problems).read(text);
     }
@@ -95,7 +98,7 @@
         problems.add(new ConfigProblem(file, line, column, "", value, accepted));
     }
 
-    /** Columns of errors count from 1, those of the parser from 0. */
+    /** Returns the column counted from 1; the parser counts columns from 0. */
     private static int column(Token token) {
         return token.getCharPositionInLine() + 1;
     }
--- a/config/src/main/java/ashlink/config/ScenarioConfig.java
+++ b/config/src/main/java/ashlink/config/ScenarioConfig.java
@@ -4,15 +4,16 @@
 import java.util.Map;
 
 /**
- * A load scenario: a fleet, its load, and the faults that are injected.
+ * A load scenario: a fleet, the load on the fleet, and the faults that are injected.
  *
- * @param seed seed of the load and of the faults
+ * @param seed seed of the random number generators of the load and the faults
  * @param engines the emulated engines by name, in the order of the file
  * @param ratePerS queries per second of all classes
- * @param httpFraction fraction of the queries sent through the HTTP statement API, from 0 to 1
- * @param load the classes of queries
+ * @param httpFraction fraction of the queries that are sent through the HTTP statement API, from 0
+ *     to 1
+ * @param load the load of each query class
  * @param faults the faults, in the order of the file
- * @param settings further settings of all routers, as text of a settings file
+ * @param settings additional settings of all routers, in the syntax of settings files
  */
 public record ScenarioConfig(
         String name,
@@ -26,7 +27,7 @@
         List<Fault> faults,
         String settings) {
 
-    /** Returns a copy with another seed and HTTP fraction, and with settings appended. */
+    /** Returns a copy with another seed, another HTTP fraction and additional settings. */
     public ScenarioConfig with(long newSeed, double newHttpShare, String moreSettings) {
         return new ScenarioConfig(
                 name,
@@ -48,19 +49,21 @@
      * The load of one query class.
      *
      * @param fraction fraction of all queries
-     * @param workNs mean work of a query, summed over its threads; log-normally distributed
+     * @param workNs mean work of a query, summed over all threads of the query; the work is
+     *     log-normally distributed
      * @param spread standard deviation of the logarithm of the work
-     * @param threads threads of a query
+     * @param threads number of threads of a query
      * @param ioFraction fraction of the work that is I/O
-     * @param memoryMb memory that a query needs
-     * @param timeoutNs time after which the client gives up
-     * @param user user that sends the queries
+     * @param memoryMb memory that a query needs, in MiB
+     * @param timeoutNs time after which the client stops waiting for the response
+     * @param user user who sends the queries
      * @param write whether the queries are inserts
-     * @param retries times that a client retries after a rejection, or after a failure where
-     *     repeating is safe
+     * @param retries maximum number of retries by a client; the client retries after a rejection,
+     *     and after a failure if repeating the query is safe
      * @param retryDelayNs delay of the client before a retry
-     * @param keys ordering keys that the queries are spread over; 0: they have none
-     * @param tableGroups table groups that the queries are spread over
+     * @param keys number of ordering keys over which the queries are distributed; 0 for queries
+     *     without ordering key
+     * @param tableGroups number of table groups over which the queries are distributed
      */
     public record LoadClass(
             String name,
@@ -90,7 +93,7 @@
         CRASH,
         /** The endpoint list marks an engine as draining. */
         DRAIN,
-        /** An engine executes its queries and loses {@code factor} of the responses. */
+        /** An engine executes its queries and drops {@code factor} of the responses. */
         LOST_RESPONSES,
         /** A router crashes and restarts. */
         ROUTER_CRASH,
@@ -98,13 +101,13 @@
         ZONE_OUTAGE,
         /** The load is multiplied by {@code factor}. */
         BURST,
-        /** An engine closes each connection at once. */
+        /** An engine closes each connection immediately. */
         CONNECTION_REFUSED,
         /** The work of a class is multiplied by {@code factor}. */
         HEAVY_TAIL,
-        /** {@code factor} of all queries use one table group. */
+        /** The fraction {@code factor} of all queries uses one table group. */
         HOT_TABLE_GROUP,
-        /** {@code factor} of all queries are sent to one router. */
+        /** The fraction {@code factor} of all queries is sent to one router. */
         HOT_ROUTER,
         /** Routers receive endpoint updates {@code factor} seconds late. */
         ENDPOINT_UPDATE_DELAY
@@ -113,10 +116,10 @@
     /**
      * An injected fault.
      *
-     * @param startNs time from the start of the scenario
-     * @param durationNs duration
-     * @param target engine, router, zone or class that it affects; empty where the kind has none
-     * @param factor strength; its meaning depends on the kind
+     * @param startNs time between the start of the scenario and the start of the fault
+     * @param target engine, router, zone or class that the fault affects; empty for a kind that
+     *     needs no target
+     * @param factor strength of the fault; {@link FaultKind} describes the meaning for each kind
      */
     public record Fault(
             FaultKind kind, long startNs, long durationNs, String target, double factor) {}
--- a/config/src/main/java/ashlink/config/ScenarioConfigReader.java
+++ b/config/src/main/java/ashlink/config/ScenarioConfigReader.java
@@ -14,8 +14,8 @@
 import java.util.stream.Stream;
 
 /**
- * Reads load scenarios with injected faults: {@code (day ...)}. The words of the file are mapped to
- * types here.
+ * Reads load scenarios with injected faults: {@code (day ...)}. This class maps the words of the
+ * file to types.
  */
 public final class ScenarioConfigReader {
 
@@ -47,7 +47,7 @@
     /**
      * Reads a text.
      *
-     * @param file name of the text in errors
+     * @param file name of the text in error messages
      * @throws ConfigException with all problems of the text
      */
     public static ScenarioConfig read(String file, String text) throws ConfigException {
@@ -147,11 +147,11 @@
                 section.number("factor", 1.0, 0, MAX_FACTOR));
     }
 
-    /** What the faults of a scenario may be injected into. */
+    /** Routers, engines and query classes that the faults of a scenario may affect. */
     private record FaultTargets(
             List<RouterSpec> routers, Map<String, EngineConfig> engines, List<LoadClass> load) {
 
-        /** Returns the accepted targets of a kind of fault; an empty name for none. */
+        /** Returns the accepted targets of a kind of fault; the empty name stands for no target. */
         Set<String> names(FaultKind kind) {
             return switch (kind) {
                 case BURST, HOT_TABLE_GROUP, ENDPOINT_UPDATE_DELAY -> Set.of("");
--- a/config/src/main/java/ashlink/config/Section.java
+++ b/config/src/main/java/ashlink/config/Section.java
@@ -14,10 +14,10 @@
 import java.util.Set;
 
 /**
- * A section of a settings file, whose settings are read by name. A value that is not accepted is
- * reported as a problem and read as its default, so that one pass finds all problems of a file.
- * {@link #close} reports the settings that were never read. Where a default is null, the setting is
- * required.
+ * A section of a settings file; its settings are read by name. An invalid value is reported as a
+ * problem and replaced by a default value, so that one pass finds all problems of the file. {@link
+ * #close} reports settings that were not read, because their names are unknown. A setting whose
+ * default value is null is required.
  */
 final class Section implements AutoCloseable {
 
@@ -28,9 +28,9 @@
     private final List<Atom> strayWords = new ArrayList<>();
 
     /**
-     * A section made of the items of {@code form} from index {@code firstItem} on.
+     * Creates a section from the items of {@code form}, starting at index {@code firstItem}.
      *
-     * @param firstItem 1 behind the head, 2 behind a head and a name
+     * @param firstItem 1 to skip the head, 2 to skip the head and the name of the section
      */
     private Section(Form form, int firstItem, ProblemReporter reporter) {
         this.form = form;
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Returns the single top-level list of the file, which must have the given name. */
+    /** Returns the only top-level list of the file; the list must start with {@code name}. */
     static Section top(String file, List<Node> nodes, String name, List<ConfigProblem> problems) {
         ProblemReporter reporter = new ProblemReporter(file, name, problems);
         if (nodes.size() == 1 && nodes.get(0) instanceof Form form && form.head().equals(name)) {
@@ -63,7 +63,7 @@
 
     // Problems
 
-    /** Reports the value of the setting {@code name}, or this section where it is absent. */
+    /** Reports the value of the setting {@code name}, or this section if the setting is missing. */
     void problem(String name, String accepted) {
         Node place = form;
         if (settings.containsKey(name)) {
@@ -91,13 +91,13 @@
 
     // Values
 
-    /** Tells whether the setting is present. */
+    /** Returns whether the setting is present. */
     boolean has(String name) {
         known.add(name);
         return settings.containsKey(name);
     }
 
-    /** Returns the single value of a setting, or null where it is absent or not accepted. */
+    /** Returns the only value of a setting, or null if the setting is missing or malformed. */
     private Atom atom(String name, String accepted) {
         known.add(name);
         List<Form> forms = settings.get(name);
@@ -115,7 +115,7 @@
         return null;
     }
 
-    /** Like {@link #atom(String, String)}; also reports a required setting that is absent. */
+    /** Like {@link #atom(String, String)}, but also reports a missing setting if it is required. */
     private Atom atom(String name, String accepted, boolean required) {
         Atom atom = atom(name, accepted);
         if (required && !settings.containsKey(name)) {
@@ -124,7 +124,7 @@
         return atom;
     }
 
-    /** Reads a word or a quoted text. */
+    /** Reads a word or a quoted string. */
     String text(String name, String defaultValue) {
         Atom atom = atom(name, "one word or text", defaultValue == null);
         if (atom != null) {
@@ -170,7 +170,7 @@
         return (long) quantity(name, toDouble(defaultBytes), Quantity.size(minBytes, maxBytes));
     }
 
-    /** Reads a rate per second, from 0. */
+    /** Reads a rate of at least 0, in events per second. */
     double ratePerS(String name, Double defaultPerS, double maxPerS) {
         return quantity(name, defaultPerS, Quantity.rate(maxPerS));
     }
@@ -206,9 +206,9 @@
     }
 
     /**
-     * Reads one of some words.
+     * Reads one of several words.
      *
-     * @param values value of each word, in the order in which errors list the words; not empty
+     * @param values values by word, in the order of the words in error messages; not empty
      */
     <V> V choice(String name, V defaultValue, Map<String, V> values) {
         V fallback = defaultValue == null ? values.values().iterator().next() : defaultValue;
@@ -223,7 +223,7 @@
         return values.getOrDefault(atom.text(), fallback);
     }
 
-    /** Reads all words of a setting, in order; empty where it is absent. */
+    /** Reads all words of a setting, in order; returns an empty set if the setting is missing. */
     Set<String> words(String name) {
         known.add(name);
         Set<String> words = new LinkedHashSet<>();
@@ -241,7 +241,7 @@
 
     // Nested sections
 
-    /** Returns the section of that name, which may occur once; empty where it is absent. */
+    /** Returns the only section {@code (name ...)}, or an empty section if there is none. */
     Section section(String name) {
         known.add(name);
         List<Form> forms = settings.get(name);
@@ -255,7 +255,7 @@
         return new Section(forms.get(0), 1, reporter.nested(name));
     }
 
-    /** Returns the sections {@code (name NAME ...)} by their own names, in order. */
+    /** Returns all sections {@code (name NAME ...)} by {@code NAME}, in order. */
     Map<String, Section> namedSections(String name) {
         known.add(name);
         Map<String, Section> sections = new LinkedHashMap<>();
@@ -271,7 +271,7 @@
         return sections;
     }
 
-    /** Returns the sections of that name, which have no names of their own, in order. */
+    /** Returns all sections {@code (name ...)} in order; the sections themselves have no names. */
     List<Section> repeatedSections(String name) {
         known.add(name);
         List<Section> sections = new ArrayList<>();
@@ -281,7 +281,7 @@
         return sections;
     }
 
-    /** Reports the settings that were never read. */
+    /** Reports settings that were not read and words that belong to no setting. */
     @Override
     public void close() {
         for (Atom word : strayWords) {
--- a/config/src/main/java/ashlink/config/TopologyReader.java
+++ b/config/src/main/java/ashlink/config/TopologyReader.java
@@ -9,13 +9,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the engines and their hardware: {@code (kind NAME ...)} and {@code (engine NAME ...)}. */
+/** Reads engine kinds and engines: {@code (kind NAME ...)} and {@code (engine NAME ...)}. */
 final class TopologyReader {
 
     private static final int MAX_CORES = 4096;
     private static final long MAX_MEMORY_BYTES = 1024 * Units.TIB_BYTES;
 
-    /** States that a settings file may give an engine, by their words. */
+    /** Engine states that a settings file may set, by the words of the file. */
     private static final Map<String, EndpointState> ENGINE_STATES = engineStates();
 
     private TopologyReader() {}
--- a/config/src/main/java/ashlink/config/Units.java
+++ b/config/src/main/java/ashlink/config/Units.java
@@ -5,7 +5,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Numbers with units, as settings files write them. */
+/** Parses numbers with units in settings files, and defines constants of time and size. */
 final class Units {
 
     static final long NS_PER_MS = 1_000_000L;
@@ -16,11 +16,11 @@
     static final long GIB_BYTES = 1L << 30;
     static final long TIB_BYTES = 1L << 40;
 
-    /** Nanoseconds of each unit of time. */
+    /** Nanoseconds per unit of time. */
     static final Map<String, Double> DURATION_NS =
             Map.of("ns", 1.0, "us", 1e3, "ms", 1e6, "s", 1e9, "m", 6e10, "h", 3.6e12, "d", 8.64e13);
 
-    /** Bytes of each unit of size. */
+    /** Bytes per unit of size. */
     static final Map<String, Double> SIZE_BYTES =
             Map.of(
                     "B",
@@ -38,7 +38,7 @@
                     "GB",
                     1e9);
 
-    /** Events per second of each unit of rate. */
+    /** Events per second for each unit of rate. */
     static final Map<String, Double> RATE_PER_S =
             Map.of("/s", 1.0, "/m", 1 / 60.0, "/h", 1 / 3600.0);
 
@@ -47,8 +47,8 @@
     private Units() {}
 
     /**
-     * Returns the number in the base unit, or nothing where the text is no number with one of the
-     * units. A bare 0 needs no unit.
+     * Returns the number in the base unit, or an empty result if the text is not a number with one
+     * of the units. The number 0 needs no unit.
      */
     static OptionalDouble parse(String text, Map<String, Double> units) {
         Matcher matcher = NUMBER.matcher(text);
--- a/config/src/main/java/ashlink/config/flat/Fields.java
+++ b/config/src/main/java/ashlink/config/flat/Fields.java
@@ -3,7 +3,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Named text values, read as typed fields. Errors name the source, the field and its value. */
+/**
+ * Named text values, which are read as typed fields. Error messages contain the source, the name of
+ * the field and the value.
+ */
 public final class Fields {
 
     private final String source;
@@ -15,20 +18,20 @@
     }
 
     /**
-     * Returns the fields of a map, which is copied.
+     * Creates fields from a copy of a map.
      *
-     * @param source name of their origin in errors
+     * @param source name of the origin of the fields in error messages
      */
     public static Fields of(String source, Map<String, String> values) {
         return new Fields(source, new HashMap<>(values));
     }
 
-    /** Returns the text of a field, or null where it is absent. */
+    /** Returns the text of a field, or null if the field is missing. */
     public String text(String name) {
         return values.get(name);
     }
 
-    /** Returns the text of a field, or {@code defaultValue} where it is absent. */
+    /** Returns the text of a field, or {@code defaultValue} if the field is missing. */
     public String text(String name, String defaultValue) {
         return values.getOrDefault(name, defaultValue);
     }
@@ -36,7 +39,7 @@
     /**
      * Returns the text of a field.
      *
-     * @throws FieldException if it is absent
+     * @throws FieldException if the field is missing
      */
     public String required(String name) {
         String value = values.get(name);
@@ -49,16 +52,16 @@
     /**
      * Returns an integer.
      *
-     * @throws FieldException if it is absent or not accepted
+     * @throws FieldException if the field is missing or invalid
      */
     public long integer(String name) {
         return parseInteger(name, required(name));
     }
 
     /**
-     * Returns an integer, or {@code defaultValue} where it is absent.
+     * Returns an integer, or {@code defaultValue} if the field is missing.
      *
-     * @throws FieldException if the value is not accepted
+     * @throws FieldException if the value is invalid
      */
     public long integer(String name, long defaultValue) {
         String value = values.get(name);
@@ -68,16 +71,16 @@
     /**
      * Returns a finite number.
      *
-     * @throws FieldException if it is absent or not accepted
+     * @throws FieldException if the field is missing or invalid
      */
     public double number(String name) {
         return parseNumber(name, required(name));
     }
 
     /**
-     * Returns a finite number, or {@code defaultValue} where it is absent.
+     * Returns a finite number, or {@code defaultValue} if the field is missing.
      *
-     * @throws FieldException if the value is not accepted
+     * @throws FieldException if the value is invalid
      */
     public double number(String name, double defaultValue) {
         String value = values.get(name);
@@ -85,9 +88,9 @@
     }
 
     /**
-     * Returns a flag, false where it is absent.
+     * Returns a flag, or false if the field is missing.
      *
-     * @throws FieldException if the value is not accepted
+     * @throws FieldException if the value is invalid
      */
     public boolean flag(String name) {
         String value = values.getOrDefault(name, "0");
--- a/config/src/main/java/ashlink/config/flat/LoadReportParser.java
+++ b/config/src/main/java/ashlink/config/flat/LoadReportParser.java
@@ -5,8 +5,8 @@
 import java.util.function.Consumer;
 
 /**
- * Parses the load report of an engine: pairs of a name and a number. This class maps the names of
- * the platform to the fields of {@link LoadReport}; pairs of other names are skipped.
+ * Parses the load report of an engine, which consists of pairs {@code name:number}. Maps the names
+ * that the platform uses to the fields of {@link LoadReport}; skips pairs with other names.
  */
 public final class LoadReportParser {
 
@@ -21,11 +21,11 @@
     private LoadReportParser() {}
 
     /**
-     * Parses a report. A value that is missing, negative or not finite becomes NaN, never 0.
+     * Parses a report. A value that is missing, negative or not finite is read as NaN, never as 0.
      *
-     * @param separator character between two pairs; it may also end the text
-     * @param onMalformedPair receives each pair without a number, whose value becomes NaN; may
-     *     throw
+     * @param separator character between two pairs; the text may also end with the separator
+     * @param onMalformedPair receives each pair without a number; may throw to reject the report,
+     *     otherwise the pair is skipped
      */
     public static LoadReport read(String text, char separator, Consumer<String> onMalformedPair) {
         LoadReportParser parser = new LoadReportParser();
@@ -60,7 +60,7 @@
             case "x1" -> diskUtilization = value;
             case "busy_reqs", "inflight" -> inFlight = value;
             default -> {
-                // Engines may report more than the router uses.
+                // Engines may report values that the router does not use.
             }
         }
     }
--- a/config/src/main/java/ashlink/config/flat/SettingsReader.java
+++ b/config/src/main/java/ashlink/config/flat/SettingsReader.java
@@ -14,8 +14,8 @@
 import java.util.Set;
 
 /**
- * Reads the settings of a router from the flat names of the platform; errors name a setting as the
- * platform does.
+ * Reads the settings of a router from fields with the flat names of the platform. Error messages
+ * use the platform's names of the settings.
  */
 public final class SettingsReader {
 
@@ -31,9 +31,10 @@
     }
 
     /**
-     * Returns the settings of a start message.
+     * Reads the settings from the fields of a start message.
      *
-     * @throws IllegalArgumentException naming a setting that is missing or not accepted
+     * @throws IllegalArgumentException if a setting is missing or invalid; the message contains the
+     *     name of the setting
      */
     public static Settings read(Fields fields) {
         try {
@@ -188,7 +189,7 @@
         return new LinkedHashSet<>(list(name));
     }
 
-    /** Returns a number of a list, or {@code defaultValue} where the list is too short. */
+    /** Returns a number of a list, or {@code defaultValue} if the list is too short. */
     private static double numberAt(
             int index, String name, List<String> values, double defaultValue) {
         if (index >= values.size()) {
@@ -202,7 +203,7 @@
         }
     }
 
-    /** Returns a flag of a list, or false where the list is too short. */
+    /** Returns a flag of a list, or false if the list is too short. */
     private static boolean flagAt(int index, List<String> values) {
         return index < values.size() && values.get(index).equals("true");
     }
--- a/config/src/main/java/ashlink/config/flat/package-info.java
+++ b/config/src/main/java/ashlink/config/flat/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Settings and load reports as flat names and values: the form that the protocol of the simulator
- * and the flattened JSON of the platform have in common. Maps the names of both to the types of the
- * decision module.
+ * Settings and load reports as flat lists of names and values, a representation that the simulator
+ * protocol and the flattened JSON of the platform have in common. This package maps the names that
+ * both use to the types of the decision module.
  */
 package ashlink.config.flat;
--- a/config/src/main/java/ashlink/config/package-info.java
+++ b/config/src/main/java/ashlink/config/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Settings files: S-expressions that are read into validated records. Reading a file reports all of
- * its problems at once. The words of the files are mapped to types in the readers of this package.
+ * Settings files: S-expressions that are read into validated records. The readers of this package
+ * map the words of a file to types. A reader reports all problems of a file at once.
  */
 package ashlink.config;
