--- a/config/src/main/java/ashlink/config/AddressParser.java
+++ b/config/src/main/java/ashlink/config/AddressParser.java
@@ -9,7 +9,7 @@
     private static final int MAX_PORT = 65_535;
 
     /** Description of the accepted format for error messages. */
-    static final String ACCEPTED = "host:port with a port from 0 to " + MAX_PORT;
+    static final String ACCEPTED = "HOST:PORT with a port from 0 to " + MAX_PORT;
 
     private AddressParser() {}
 
--- a/config/src/main/java/ashlink/config/ClassRuleReader.java
+++ b/config/src/main/java/ashlink/config/ClassRuleReader.java
@@ -65,7 +65,9 @@
             ClassRule rule, Section section, Set<String> classNames, Set<String> userNames) {
         section.checkAllOf("kind", rule.kinds(), STATEMENT_KINDS);
         if (!rule.fingerprints().stream().allMatch(FINGERPRINT.asMatchPredicate())) {
-            section.problem("fingerprint", "32 digits of hex, as ./ashlink explain prints them");
+            section.problem(
+                    "fingerprint",
+                    "32 lower-case hexadecimal digits as printed by ./ashlink explain");
         }
         section.checkOneOf("class", rule.queryClass(), classNames);
         section.checkAllOf("user", rule.users(), userNames);
--- a/config/src/main/java/ashlink/config/ConfigProblem.java
+++ b/config/src/main/java/ashlink/config/ConfigProblem.java
@@ -16,8 +16,11 @@
 
     @Override
     public String toString() {
-        String path = setting.isEmpty() ? "" : " setting " + setting + ":";
-        String found = value.isEmpty() ? "" : " " + value + " is not accepted;";
-        return file + ":" + line + ":" + column + ":" + path + found + " accepted: " + accepted;
+        String prefix = file + ":" + line + ":" + column + ": ";
+        if (setting.isEmpty()) {
+            return prefix + value + ": expected " + accepted;
+        }
+        String found = value.isEmpty() ? "" : "found " + value + ", ";
+        return prefix + "invalid setting " + setting + ": " + found + "expected " + accepted;
     }
 }
--- a/config/src/main/java/ashlink/config/ControlConfigReader.java
+++ b/config/src/main/java/ashlink/config/ControlConfigReader.java
@@ -19,8 +19,7 @@
             String keys = section.text("keys", listen == null ? "" : null);
             if (listen != null && !top.has("state-dir")) {
                 section.problem(
-                        "listen",
-                        "a control channel together with a state-dir, which keeps the notices");
+                        "listen", "state-dir to be set as well, which holds the command log");
             }
             return new ControlSpec(listen, Path.of(keys), peers);
         }
--- a/config/src/main/java/ashlink/config/EngineConfigReader.java
+++ b/config/src/main/java/ashlink/config/EngineConfigReader.java
@@ -32,7 +32,7 @@
                     .forEach((name, section) -> engines.add(engine(name, section)));
             top.close();
             if (engines.isEmpty()) {
-                top.problem("engine", "one section (engine NAME ...) at least");
+                top.problem("engine", "at least one section (engine NAME ...)");
             }
         }
         if (!problems.isEmpty()) {
--- a/config/src/main/java/ashlink/config/FleetConfig.java
+++ b/config/src/main/java/ashlink/config/FleetConfig.java
@@ -55,8 +55,8 @@
         if (routers.isEmpty()) {
             top.problem(
                     "router",
-                    "a router at least: (router NAME (hall H) (control host:port) (config FILE)"
-                            + " (log FILE))");
+                    "at least one section (router NAME (hall ZONE) (control HOST:PORT) (config"
+                            + " FILE) (log FILE))");
         }
         return new FleetConfig(
                 directory.resolve(top.text("keys", "keys")), top.text("operator", null), routers);
--- a/config/src/main/java/ashlink/config/LoadMetricsReader.java
+++ b/config/src/main/java/ashlink/config/LoadMetricsReader.java
@@ -36,8 +36,9 @@
             if (metric.isEmpty()) {
                 section.problem(
                         setting,
-                        "names such as QueriesWaiting, or with a divisor such as"
-                                + " CoresBusyPermille/1000");
+                        "metric names such as QueriesWaiting, optionally with a positive divisor"
+                                + " as in CoresBusyPermille/1000, instead of "
+                                + word);
             }
             metric.ifPresent(metrics::add);
         }
--- a/config/src/main/java/ashlink/config/ProblemReporter.java
+++ b/config/src/main/java/ashlink/config/ProblemReporter.java
@@ -53,11 +53,11 @@
     }
 
     private static String suggestion(String name, Set<String> known) {
-        String all = known.isEmpty() ? "no settings here" : String.join(", ", known);
+        String all = known.isEmpty() ? "no setting" : "one of " + String.join(", ", known);
         return known.stream()
                 .filter(candidate -> DISTANCE.apply(candidate, name) >= 0)
                 .min(Comparator.comparingInt(candidate -> DISTANCE.apply(candidate, name)))
-                .map(nearest -> nearest + " (the nearest), or any of: " + all)
+                .map(nearest -> nearest + " (closest match) or " + all)
                 .orElse(all);
     }
 }
--- a/config/src/main/java/ashlink/config/Quantity.java
+++ b/config/src/main/java/ashlink/config/Quantity.java
@@ -39,7 +39,7 @@
                         + minNs / (double) Units.NS_PER_S
                         + "s to "
                         + maxNs / (double) Units.NS_PER_S
-                        + "s, with ns, us, ms, s, m, h or d");
+                        + "s, in ns, us, ms, s, m, h or d");
     }
 
     /** Returns the quantity of a size; the base unit is the byte. */
@@ -52,7 +52,7 @@
                         + minBytes
                         + "B to "
                         + maxBytes
-                        + "B, with B, KiB, MiB, GiB, kB, MB or GB");
+                        + "B, in B, KiB, MiB, GiB, kB, MB or GB");
     }
 
     /** Returns the quantity of a rate of at least 0; the base unit is events per second. */
@@ -61,7 +61,7 @@
                 Units.RATE_PER_S,
                 0,
                 maxPerS,
-                "a rate up to " + format(maxPerS) + "/s, with /s, /m or /h");
+                "a rate from 0 to " + format(maxPerS) + "/s, in /s, /m or /h");
     }
 
     /** Returns the value in the base unit, or an empty result if the text is not accepted. */
--- a/config/src/main/java/ashlink/config/QueryClassReader.java
+++ b/config/src/main/java/ashlink/config/QueryClassReader.java
@@ -34,7 +34,7 @@
                         (name, section) ->
                                 classes.put(name, queryClass(name, section, kindNames, zones)));
         if (classes.isEmpty()) {
-            top.problem("class", "one section (class NAME ...) at least");
+            top.problem("class", "at least one section (class NAME ...)");
         }
         return classes;
     }
@@ -47,7 +47,7 @@
             section.checkAllOf("only-zones", result.zones(), zones);
             // The slash separates a class from its at-most-once variant.
             if (name.contains("/")) {
-                section.problem("class", "a name without a slash");
+                section.problem("class", "a class name without a slash");
             }
             return result;
         }
@@ -91,7 +91,7 @@
             top.problem(
                     "default-write-class",
                     "a class with (repeat never): "
-                            + (atMostOnceNames.isEmpty() ? "none is set" : atMostOnceNames));
+                            + (atMostOnceNames.isEmpty() ? "none is defined" : atMostOnceNames));
         }
         return name;
     }
--- a/config/src/main/java/ashlink/config/SExprReader.java
+++ b/config/src/main/java/ashlink/config/SExprReader.java
@@ -40,13 +40,13 @@
                 reader.problem(
                         1,
                         1,
-                        "a file of " + Files.size(path) + " bytes",
-                        "up to " + MAX_FILE_BYTES + " bytes");
+                        "invalid file size " + Files.size(path) + " bytes",
+                        "at most " + MAX_FILE_BYTES + " bytes");
                 return List.of();
             }
             return reader.read(Files.readString(path));
         } catch (IOException e) {
-            reader.problem(1, 1, e.toString(), "a file that can be read as UTF-8");
+            reader.problem(1, 1, "cannot read the file: " + e, "a readable file in UTF-8");
             return List.of();
         }
     }
@@ -86,8 +86,8 @@
                 problem(
                         token.getLine(),
                         column(token),
-                        "a list this deep",
-                        "up to " + MAX_DEPTH + " lists within each other");
+                        "invalid nesting depth " + depth,
+                        "at most " + MAX_DEPTH + " nested lists");
                 return false;
             }
         }
@@ -117,8 +117,8 @@
             problem(
                     line,
                     column + 1,
-                    message,
-                    "words, texts in quotes, and lists in parentheses that are closed");
+                    "syntax error: " + message,
+                    "words, quoted strings, and lists in balanced parentheses");
         }
     }
 
--- a/config/src/main/java/ashlink/config/ScenarioConfigReader.java
+++ b/config/src/main/java/ashlink/config/ScenarioConfigReader.java
@@ -81,7 +81,7 @@
         top.namedSections("load").forEach((name, section) -> load.add(load(name, section)));
         List<Fault> faults = faults(top, new FaultTargets(routers, engines, load));
         if (routers.isEmpty() || engines.isEmpty() || load.isEmpty()) {
-            top.problem("day", "a router, an engine and a load at least");
+            top.problem("day", "at least one router, one engine and one load");
         }
         return new ScenarioConfig(
                 top.text("name", null),
--- a/config/src/main/java/ashlink/config/Section.java
+++ b/config/src/main/java/ashlink/config/Section.java
@@ -56,7 +56,7 @@
         if (problems.isEmpty()) {
             problems.add(
                     new ConfigProblem(
-                            file, 1, 1, "", "what the file holds", "one list (" + name + " ...)"));
+                            file, 1, 1, "", "invalid content", "a single list (" + name + " ...)"));
         }
         return new Section(new Form(List.of(), 1, 1), 0, reporter);
     }
@@ -76,7 +76,7 @@
     /** Reports the setting {@code name} unless its value is empty or one of {@code names}. */
     void checkOneOf(String name, String value, Collection<String> names) {
         if (!value.isEmpty() && !names.contains(value)) {
-            problem(name, names.isEmpty() ? "none is set" : "one of " + String.join(", ", names));
+            problem(name, names.isEmpty() ? "no value" : "one of " + String.join(", ", names));
         }
     }
 
@@ -84,7 +84,7 @@
     void checkAllOf(String name, Set<String> values, Collection<String> names) {
         for (String value : values) {
             if (!names.contains(value)) {
-                problem(name, "any of " + String.join(", ", names) + ", not " + value);
+                problem(name, "one of " + String.join(", ", names) + " instead of " + value);
             }
         }
     }
@@ -105,7 +105,7 @@
             return null;
         }
         if (forms.size() > 1) {
-            reporter.rejectedValue(forms.get(1), name, "this setting once");
+            reporter.rejectedValue(forms.get(1), name, "the setting at most once");
         }
         List<Node> items = forms.get(0).items();
         if (items.size() == 2 && items.get(1) instanceof Atom atom) {
@@ -126,7 +126,7 @@
 
     /** Reads a word or a quoted string. */
     String text(String name, String defaultValue) {
-        Atom atom = atom(name, "one word or text", defaultValue == null);
+        Atom atom = atom(name, "a word or a quoted string", defaultValue == null);
         if (atom != null) {
             return atom.text();
         }
@@ -232,7 +232,7 @@
                 if (node instanceof Atom atom) {
                     words.add(atom.text());
                 } else {
-                    reporter.rejectedValue(node, name, "words");
+                    reporter.rejectedValue(node, name, "only words");
                 }
             }
         }
@@ -250,7 +250,7 @@
             return new Section(empty, 1, reporter.nested(name));
         }
         if (forms.size() > 1) {
-            reporter.rejectedValue(forms.get(1), name, "this section once");
+            reporter.rejectedValue(forms.get(1), name, "the section at most once");
         }
         return new Section(forms.get(0), 1, reporter.nested(name));
     }
@@ -263,7 +263,7 @@
             if (section.items().size() < 2 || !(section.items().get(1) instanceof Atom atom)) {
                 reporter.rejectedValue(section, name, "(" + name + " NAME ...)");
             } else if (sections.containsKey(atom.text())) {
-                reporter.rejectedValue(atom, name, "each name once");
+                reporter.rejectedValue(atom, name, "a unique name");
             } else {
                 sections.put(atom.text(), new Section(section, 2, reporter.nested(atom.text())));
             }
@@ -285,7 +285,7 @@
     @Override
     public void close() {
         for (Atom word : strayWords) {
-            reporter.rejectedNode(word, "only lists such as (name value)");
+            reporter.rejectedNode(word, "a list such as (NAME VALUE)");
         }
         settings.forEach(
                 (name, forms) -> {
--- a/config/src/main/java/ashlink/config/UserReader.java
+++ b/config/src/main/java/ashlink/config/UserReader.java
@@ -40,7 +40,8 @@
             String tenant = section.text("tenant", "");
             section.checkOneOf("tenant", tenant, tenantNames);
             if (!passwordHash.isEmpty() && !Passwords.isHash(passwordHash)) {
-                section.problem("password-hash", "what ./ashlink hash-password prints");
+                section.problem(
+                        "password-hash", "a bcrypt hash as printed by ./ashlink hash-password");
             }
             return new UserSpec(name, passwordHash, tenant);
         }
--- a/config/src/main/java/ashlink/config/flat/Fields.java
+++ b/config/src/main/java/ashlink/config/flat/Fields.java
@@ -44,7 +44,7 @@
     public String required(String name) {
         String value = values.get(name);
         if (value == null) {
-            throw new FieldException(source + ": " + name + " is missing");
+            throw new FieldException(source + ": missing field " + name);
         }
         return value;
     }
@@ -97,7 +97,7 @@
         return switch (value) {
             case "1", "true" -> true;
             case "0", "false" -> false;
-            default -> throw rejected(name, value, "a yes or no");
+            default -> throw rejected(name, value, "1, true, 0 or false");
         };
     }
 
@@ -123,6 +123,7 @@
     }
 
     private FieldException rejected(String name, String value, String accepted) {
-        return new FieldException(source + ": " + name + "=" + value + " is not " + accepted);
+        return new FieldException(
+                source + ": invalid field " + name + ": found " + value + ", expected " + accepted);
     }
 }
--- a/config/src/main/java/ashlink/config/flat/SettingsReader.java
+++ b/config/src/main/java/ashlink/config/flat/SettingsReader.java
@@ -116,7 +116,7 @@
             case "idempotent" -> RetrySafety.IDEMPOTENT;
             case "deduplicated" -> RetrySafety.DEDUPLICATED;
             case "at_most_once" -> RetrySafety.AT_MOST_ONCE;
-            default -> throw unknown(name);
+            default -> throw invalidSetting(name, "idempotent, deduplicated or at_most_once");
         };
     }
 
@@ -125,13 +125,18 @@
             case "all" -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
             case "cell" -> DeduplicationScope.CELL;
-            default -> throw unknown(name);
+            default -> throw invalidSetting(name, "all, zone or cell");
         };
     }
 
-    private IllegalArgumentException unknown(String name) {
+    private IllegalArgumentException invalidSetting(String name, String accepted) {
         return new IllegalArgumentException(
-                "setting " + name + " is unknown: " + fields.text(name));
+                "invalid setting "
+                        + name
+                        + ": found "
+                        + fields.text(name)
+                        + ", expected "
+                        + accepted);
     }
 
     private List<EngineKind> engineKinds() {
@@ -199,7 +204,12 @@
             return Double.parseDouble(values.get(index));
         } catch (NumberFormatException e) {
             throw new IllegalArgumentException(
-                    "setting " + name + " is not a list of numbers: " + values.get(index), e);
+                    "invalid setting "
+                            + name
+                            + ": found "
+                            + values.get(index)
+                            + ", expected a list of numbers",
+                    e);
         }
     }
 
