--- a/config/src/main/antlr4/ashlink/config/grammar/SExpr.g4
+++ b/config/src/main/antlr4/ashlink/config/grammar/SExpr.g4
@@ -4,11 +4,11 @@
 
 file : form* EOF ;
 
-form : OPEN form* CLOSE | TEXT | WORD ;
+form : OPEN form* CLOSE | STRING | WORD ;
 
 OPEN : '(' ;
 CLOSE : ')' ;
-TEXT : '"' ( '\\' . | ~["\\] )* '"' ;
+STRING : '"' ( '\\' . | ~["\\] )* '"' ;
 WORD : ~[ \t\r\n()";]+ ;
 COMMENT : ';' ~[\r\n]* -> skip ;
-BLANK : [ \t\r\n]+ -> skip ;
+WHITESPACE : [ \t\r\n]+ -> skip ;
--- a/config/src/main/java/ashlink/config/ClassRuleReader.java
+++ b/config/src/main/java/ashlink/config/ClassRuleReader.java
@@ -65,7 +65,7 @@
             ClassRule rule, Section section, Set<String> classNames, Set<String> userNames) {
         section.checkAllOf("kind", rule.kinds(), STATEMENT_KINDS);
         if (!rule.fingerprints().stream().allMatch(FINGERPRINT.asMatchPredicate())) {
-            section.problem(
+            section.reject(
                     "fingerprint",
                     "32 lower-case hexadecimal digits as printed by ./ashlink explain");
         }
--- a/config/src/main/java/ashlink/config/ControlConfigReader.java
+++ b/config/src/main/java/ashlink/config/ControlConfigReader.java
@@ -18,7 +18,7 @@
             Map<String, InetSocketAddress> peers = peers(section);
             String keys = section.text("keys", listen == null ? "" : null);
             if (listen != null && !top.has("state-dir")) {
-                section.problem(
+                section.reject(
                         "listen", "state-dir to be set as well, which holds the command log");
             }
             return new ControlSpec(listen, Path.of(keys), peers);
--- a/config/src/main/java/ashlink/config/EngineConfigReader.java
+++ b/config/src/main/java/ashlink/config/EngineConfigReader.java
@@ -26,13 +26,13 @@
         List<ConfigProblem> problems = new ArrayList<>();
         List<Node> nodes = SExprReader.read(path, problems);
         List<EngineConfig> engines = new ArrayList<>();
-        Section top = Section.top(path.toString(), nodes, "engines", problems);
+        Section top = Section.root(path.toString(), nodes, "engines", problems);
         if (problems.isEmpty()) {
             top.namedSections("engine")
                     .forEach((name, section) -> engines.add(engine(name, section)));
             top.close();
             if (engines.isEmpty()) {
-                top.problem("engine", "at least one section (engine NAME ...)");
+                top.reject("engine", "at least one section (engine NAME ...)");
             }
         }
         if (!problems.isEmpty()) {
--- a/config/src/main/java/ashlink/config/FleetConfig.java
+++ b/config/src/main/java/ashlink/config/FleetConfig.java
@@ -36,7 +36,7 @@
     public static FleetConfig read(Path file) throws ConfigException {
         List<ConfigProblem> problems = new ArrayList<>();
         List<Node> nodes = SExprReader.read(file, problems);
-        Section top = Section.top(file.toString(), nodes, "fleet", problems);
+        Section top = Section.root(file.toString(), nodes, "fleet", problems);
         FleetConfig fleet = null;
         if (problems.isEmpty()) {
             fleet = readFleet(top, file.toAbsolutePath().getParent());
@@ -53,7 +53,7 @@
         top.namedSections("router")
                 .forEach((name, section) -> routers.put(name, member(name, section, directory)));
         if (routers.isEmpty()) {
-            top.problem(
+            top.reject(
                     "router",
                     "at least one section (router NAME (hall ZONE) (control HOST:PORT) (config"
                             + " FILE) (log FILE))");
--- a/config/src/main/java/ashlink/config/HttpConfigReader.java
+++ b/config/src/main/java/ashlink/config/HttpConfigReader.java
@@ -36,7 +36,7 @@
         try (Section section = top.section("http")) {
             HttpSpec http = http(section);
             if (http.maxPollWaitNs() >= http.idleTimeoutNs()) {
-                section.problem("idle", "a duration longer than longest-wait");
+                section.reject("idle", "a duration longer than longest-wait");
             }
             return http;
         }
@@ -84,7 +84,7 @@
         try (Section section = peer) {
             String url = section.text("url", null);
             if (!url.isEmpty() && !PEER_URL.matcher(url).matches()) {
-                section.problem("url", "http://HOST:PORT or https://HOST:PORT without a path");
+                section.reject("url", "http://HOST:PORT or https://HOST:PORT without a path");
             }
             return url;
         }
--- a/config/src/main/java/ashlink/config/LoadMetricsReader.java
+++ b/config/src/main/java/ashlink/config/LoadMetricsReader.java
@@ -34,7 +34,7 @@
         for (String word : section.words(setting)) {
             Optional<LoadMetric> metric = metric(word);
             if (metric.isEmpty()) {
-                section.problem(
+                section.reject(
                         setting,
                         "metric names such as QueriesWaiting, optionally with a positive divisor"
                                 + " as in CoresBusyPermille/1000, instead of "
--- a/config/src/main/java/ashlink/config/Node.java
+++ b/config/src/main/java/ashlink/config/Node.java
@@ -6,7 +6,7 @@
 sealed interface Node {
 
     /** Longest excerpt of the file in an error message, in characters. */
-    int MAX_SHOWN_CHARS = 60;
+    int MAX_EXCERPT_CHARS = 60;
 
     int line();
 
@@ -25,9 +25,11 @@
     }
 
     /** Returns an excerpt of the node for error messages. */
-    default String shown() {
+    default String excerpt() {
         String text =
                 this instanceof Atom atom ? atom.text() : "(" + ((Form) this).head() + " ...)";
-        return text.length() > MAX_SHOWN_CHARS ? text.substring(0, MAX_SHOWN_CHARS) + "..." : text;
+        return text.length() > MAX_EXCERPT_CHARS
+                ? text.substring(0, MAX_EXCERPT_CHARS) + "..."
+                : text;
     }
 }
--- a/config/src/main/java/ashlink/config/PolicyReader.java
+++ b/config/src/main/java/ashlink/config/PolicyReader.java
@@ -14,12 +14,12 @@
 final class PolicyReader {
 
     private static final int MAX_ATTEMPTS = 100;
-    private static final double MAX_RETRY_TOKENS = 1e6;
-    private static final double MAX_RETRIES_PER_REQUEST = 100;
-    private static final double MAX_OVERLOAD_MULTIPLE = 100;
+    private static final double MAX_FREE_RETRIES = 1e6;
+    private static final double MAX_RETRIES_PER_QUERY = 100;
+    private static final double MAX_OVERLOAD_FACTOR = 100;
 
     /** The endpoint list is sent to the decision module, which never has to request it. */
-    private static final boolean POLLS_ENDPOINTS = false;
+    private static final boolean ENDPOINTS_MUST_BE_WATCHED = false;
 
     private PolicyReader() {}
 
@@ -37,7 +37,7 @@
                     section.durationNs("note-every", 0L, 0, NS_PER_HOUR),
                     section.flag("cost-in-answers", false),
                     section.flag("reports-inline", true),
-                    POLLS_ENDPOINTS);
+                    ENDPOINTS_MUST_BE_WATCHED);
         }
     }
 
@@ -47,11 +47,11 @@
                     section.durationNs("drain-grace", 2 * NS_PER_S, 0, NS_PER_HOUR),
                     section.number("cold-from", 0.0, 0, 1),
                     section.durationNs("cold-time", 0L, 0, NS_PER_HOUR),
-                    section.number("cold-multiple", 0.0, 0, MAX_OVERLOAD_MULTIPLE),
+                    section.number("cold-multiple", 0.0, 0, MAX_OVERLOAD_FACTOR),
                     section.durationNs("cold-window", 0L, 0, NS_PER_HOUR),
                     section.durationNs("key-rest", 0L, 0, NS_PER_HOUR),
-                    section.number("free-resends", 0.0, 0, MAX_RETRY_TOKENS),
-                    section.number("resends-per-request", 0.0, 0, MAX_RETRIES_PER_REQUEST),
+                    section.number("free-resends", 0.0, 0, MAX_FREE_RETRIES),
+                    section.number("resends-per-request", 0.0, 0, MAX_RETRIES_PER_QUERY),
                     section.durationNs("resend-span", 0L, 0, NS_PER_HOUR));
         }
     }
--- a/config/src/main/java/ashlink/config/ProblemReporter.java
+++ b/config/src/main/java/ashlink/config/ProblemReporter.java
@@ -24,23 +24,23 @@
     }
 
     /** Reports an invalid value of the setting {@code name}. */
-    void rejectedValue(Node value, String name, String accepted) {
-        report(value, settingPath(name), value.shown(), accepted);
+    void invalidValue(Node value, String name, String accepted) {
+        report(value, settingPath(name), value.excerpt(), accepted);
     }
 
     /** Reports a node that is not allowed in the section. */
-    void rejectedNode(Node node, String accepted) {
-        report(node, path, node.shown(), accepted);
+    void unexpectedNode(Node node, String accepted) {
+        report(node, path, node.excerpt(), accepted);
     }
 
     /** Reports that the required setting {@code name} is missing in {@code section}. */
-    void missing(Node section, String name, String accepted) {
+    void missingSetting(Node section, String name, String accepted) {
         report(section, settingPath(name), "nothing", accepted);
     }
 
     /** Reports a setting with an unknown name and suggests the known name that is most similar. */
-    void unknown(Node setting, String name, Set<String> known) {
-        report(setting, settingPath(name), name, suggestion(name, known));
+    void unknownSetting(Node setting, String name, Set<String> knownNames) {
+        report(setting, settingPath(name), name, suggestion(name, knownNames));
     }
 
     private void report(Node place, String setting, String value, String accepted) {
@@ -52,9 +52,10 @@
         return path + "." + name;
     }
 
-    private static String suggestion(String name, Set<String> known) {
-        String all = known.isEmpty() ? "no setting" : "one of " + String.join(", ", known);
-        return known.stream()
+    private static String suggestion(String name, Set<String> knownNames) {
+        String all =
+                knownNames.isEmpty() ? "no setting" : "one of " + String.join(", ", knownNames);
+        return knownNames.stream()
                 .filter(candidate -> DISTANCE.apply(candidate, name) >= 0)
                 .min(Comparator.comparingInt(candidate -> DISTANCE.apply(candidate, name)))
                 .map(nearest -> nearest + " (closest match) or " + all)
--- a/config/src/main/java/ashlink/config/Quantity.java
+++ b/config/src/main/java/ashlink/config/Quantity.java
@@ -16,7 +16,7 @@
     private static final Map<String, Double> NO_UNIT = Map.of("", 1.0);
 
     /** Whole doubles of a smaller absolute value convert to {@code long} without loss. */
-    private static final double MAX_EXACT = 1e15;
+    private static final double MAX_EXACT_INTEGER = 1e15;
 
     /** Returns the quantity of a number without a unit. */
     static Quantity number(double min, double max) {
@@ -73,7 +73,7 @@
     }
 
     private static String format(double value) {
-        return value == Math.rint(value) && Math.abs(value) < MAX_EXACT
+        return value == Math.rint(value) && Math.abs(value) < MAX_EXACT_INTEGER
                 ? Long.toString((long) value)
                 : Double.toString(value);
     }
--- a/config/src/main/java/ashlink/config/QueryClassReader.java
+++ b/config/src/main/java/ashlink/config/QueryClassReader.java
@@ -34,7 +34,7 @@
                         (name, section) ->
                                 classes.put(name, queryClass(name, section, kindNames, zones)));
         if (classes.isEmpty()) {
-            top.problem("class", "at least one section (class NAME ...)");
+            top.reject("class", "at least one section (class NAME ...)");
         }
         return classes;
     }
@@ -47,7 +47,7 @@
             section.checkAllOf("only-zones", result.zones(), zones);
             // The slash separates a class from its at-most-once variant.
             if (name.contains("/")) {
-                section.problem("class", "a class name without a slash");
+                section.reject("class", "a class name without a slash");
             }
             return result;
         }
@@ -88,7 +88,7 @@
                             .filter(QueryClassReader::isAtMostOnce)
                             .map(QueryClass::name)
                             .collect(Collectors.joining(", "));
-            top.problem(
+            top.reject(
                     "default-write-class",
                     "a class with (repeat never): "
                             + (atMostOnceNames.isEmpty() ? "none is defined" : atMostOnceNames));
@@ -101,18 +101,18 @@
     }
 
     private static Map<String, RetrySafety> retrySafeties() {
-        Map<String, RetrySafety> words = new LinkedHashMap<>();
-        words.put("safe", RetrySafety.IDEMPOTENT);
-        words.put("deduplicated", RetrySafety.DEDUPLICATED);
-        words.put("never", RetrySafety.AT_MOST_ONCE);
-        return words;
+        Map<String, RetrySafety> safetiesByWord = new LinkedHashMap<>();
+        safetiesByWord.put("safe", RetrySafety.IDEMPOTENT);
+        safetiesByWord.put("deduplicated", RetrySafety.DEDUPLICATED);
+        safetiesByWord.put("never", RetrySafety.AT_MOST_ONCE);
+        return safetiesByWord;
     }
 
     private static Map<String, DeduplicationScope> deduplicationScopes() {
-        Map<String, DeduplicationScope> words = new LinkedHashMap<>();
-        words.put("all", DeduplicationScope.ALL);
-        words.put("zone", DeduplicationScope.ZONE);
-        words.put("cell", DeduplicationScope.CELL);
-        return words;
+        Map<String, DeduplicationScope> scopesByWord = new LinkedHashMap<>();
+        scopesByWord.put("all", DeduplicationScope.ALL);
+        scopesByWord.put("zone", DeduplicationScope.ZONE);
+        scopesByWord.put("cell", DeduplicationScope.CELL);
+        return scopesByWord;
     }
 }
--- a/config/src/main/java/ashlink/config/RouterConfigReader.java
+++ b/config/src/main/java/ashlink/config/RouterConfigReader.java
@@ -51,7 +51,7 @@
     }
 
     private RouterConfig read(String file, List<Node> nodes) throws ConfigException {
-        Section top = Section.top(file, nodes, "router", problems);
+        Section top = Section.root(file, nodes, "router", problems);
         RouterConfig config = null;
         if (problems.isEmpty()) {
             config = readRouter(top);
--- a/config/src/main/java/ashlink/config/SExprReader.java
+++ b/config/src/main/java/ashlink/config/SExprReader.java
@@ -37,7 +37,7 @@
         SExprReader reader = new SExprReader(path.toString(), problems);
         try {
             if (Files.size(path) > MAX_FILE_BYTES) {
-                reader.problem(
+                reader.addProblem(
                         1,
                         1,
                         "invalid file size " + Files.size(path) + " bytes",
@@ -46,7 +46,7 @@
             }
             return reader.read(Files.readString(path));
         } catch (IOException e) {
-            reader.problem(1, 1, "cannot read the file: " + e, "a readable file in UTF-8");
+            reader.addProblem(1, 1, "cannot read the file: " + e, "a readable file in UTF-8");
             return List.of();
         }
     }
@@ -83,7 +83,7 @@
                 depth--;
             }
             if (depth > MAX_DEPTH) {
-                problem(
+                addProblem(
                         token.getLine(),
                         column(token),
                         "invalid nesting depth " + depth,
@@ -94,7 +94,7 @@
         return true;
     }
 
-    private void problem(int line, int column, String value, String accepted) {
+    private void addProblem(int line, int column, String value, String accepted) {
         problems.add(new ConfigProblem(file, line, column, "", value, accepted));
     }
 
@@ -114,7 +114,7 @@
                 int column,
                 String message,
                 RecognitionException failure) {
-            problem(
+            addProblem(
                     line,
                     column + 1,
                     "syntax error: " + message,
@@ -131,7 +131,7 @@
         if (form.OPEN() != null) {
             return new Node.Form(nodes(form.form()), start.getLine(), column(start));
         }
-        String text = form.TEXT() == null ? start.getText() : unquote(start.getText());
+        String text = form.STRING() == null ? start.getText() : unquote(start.getText());
         return new Node.Atom(text, start.getLine(), column(start));
     }
 
--- a/config/src/main/java/ashlink/config/ScenarioConfig.java
+++ b/config/src/main/java/ashlink/config/ScenarioConfig.java
@@ -28,7 +28,7 @@
         String settings) {
 
     /** Returns a copy with another seed, another HTTP fraction and additional settings. */
-    public ScenarioConfig with(long newSeed, double newHttpShare, String moreSettings) {
+    public ScenarioConfig with(long newSeed, double newHttpFraction, String additionalSettings) {
         return new ScenarioConfig(
                 name,
                 durationNs,
@@ -36,10 +36,10 @@
                 routers,
                 engines,
                 ratePerS,
-                newHttpShare,
+                newHttpFraction,
                 load,
                 faults,
-                settings + moreSettings);
+                settings + additionalSettings);
     }
 
     /** A router of the scenario. */
--- a/config/src/main/java/ashlink/config/ScenarioConfigReader.java
+++ b/config/src/main/java/ashlink/config/ScenarioConfigReader.java
@@ -57,7 +57,7 @@
 
     private static ScenarioConfig read(String file, List<Node> nodes, List<ConfigProblem> problems)
             throws ConfigException {
-        Section top = Section.top(file, nodes, "day", problems);
+        Section top = Section.root(file, nodes, "day", problems);
         ScenarioConfig scenario = null;
         if (problems.isEmpty()) {
             scenario = scenario(top);
@@ -81,7 +81,7 @@
         top.namedSections("load").forEach((name, section) -> load.add(load(name, section)));
         List<Fault> faults = faults(top, new FaultTargets(routers, engines, load));
         if (routers.isEmpty() || engines.isEmpty() || load.isEmpty()) {
-            top.problem("day", "at least one router, one engine and one load");
+            top.reject("day", "at least one router, one engine and one load");
         }
         return new ScenarioConfig(
                 top.text("name", null),
@@ -130,7 +130,7 @@
                 Fault fault = fault(section);
                 Set<String> names = targets.names(fault.kind());
                 if (!names.contains(fault.target())) {
-                    section.problem("target", "one of " + String.join(", ", names));
+                    section.reject("target", "one of " + String.join(", ", names));
                 }
                 faults.add(fault);
             }
@@ -168,21 +168,21 @@
     }
 
     private static Map<String, FaultKind> faultKinds() {
-        Map<String, FaultKind> words = new LinkedHashMap<>();
-        words.put("hang", FaultKind.HANG);
-        words.put("slow", FaultKind.SLOW);
-        words.put("age", FaultKind.DEGRADATION);
-        words.put("crash", FaultKind.CRASH);
-        words.put("drain", FaultKind.DRAIN);
-        words.put("lost-answers", FaultKind.LOST_RESPONSES);
-        words.put("router-kill", FaultKind.ROUTER_CRASH);
-        words.put("hall-lost", FaultKind.ZONE_OUTAGE);
-        words.put("burst", FaultKind.BURST);
-        words.put("refuse", FaultKind.CONNECTION_REFUSED);
-        words.put("heavy-tail", FaultKind.HEAVY_TAIL);
-        words.put("hot-group", FaultKind.HOT_TABLE_GROUP);
-        words.put("hot-caller", FaultKind.HOT_ROUTER);
-        words.put("list-late", FaultKind.ENDPOINT_UPDATE_DELAY);
-        return words;
+        Map<String, FaultKind> kindsByWord = new LinkedHashMap<>();
+        kindsByWord.put("hang", FaultKind.HANG);
+        kindsByWord.put("slow", FaultKind.SLOW);
+        kindsByWord.put("age", FaultKind.DEGRADATION);
+        kindsByWord.put("crash", FaultKind.CRASH);
+        kindsByWord.put("drain", FaultKind.DRAIN);
+        kindsByWord.put("lost-answers", FaultKind.LOST_RESPONSES);
+        kindsByWord.put("router-kill", FaultKind.ROUTER_CRASH);
+        kindsByWord.put("hall-lost", FaultKind.ZONE_OUTAGE);
+        kindsByWord.put("burst", FaultKind.BURST);
+        kindsByWord.put("refuse", FaultKind.CONNECTION_REFUSED);
+        kindsByWord.put("heavy-tail", FaultKind.HEAVY_TAIL);
+        kindsByWord.put("hot-group", FaultKind.HOT_TABLE_GROUP);
+        kindsByWord.put("hot-caller", FaultKind.HOT_ROUTER);
+        kindsByWord.put("list-late", FaultKind.ENDPOINT_UPDATE_DELAY);
+        return kindsByWord;
     }
 }
--- a/config/src/main/java/ashlink/config/Section.java
+++ b/config/src/main/java/ashlink/config/Section.java
@@ -24,8 +24,8 @@
     private final Form form;
     private final ProblemReporter reporter;
     private final Map<String, List<Form>> settings = new LinkedHashMap<>();
-    private final Set<String> known = new LinkedHashSet<>();
-    private final List<Atom> strayWords = new ArrayList<>();
+    private final Set<String> knownNames = new LinkedHashSet<>();
+    private final List<Atom> unexpectedWords = new ArrayList<>();
 
     /**
      * Creates a section from the items of {@code form}, starting at index {@code firstItem}.
@@ -40,15 +40,15 @@
             if (node instanceof Form setting && !setting.head().isEmpty()) {
                 settings.computeIfAbsent(setting.head(), name -> new ArrayList<>()).add(setting);
             } else if (node instanceof Atom word) {
-                strayWords.add(word);
+                unexpectedWords.add(word);
             } else {
-                reporter.rejectedNode(node, "a list that starts with the name of a setting");
+                reporter.unexpectedNode(node, "a list that starts with the name of a setting");
             }
         }
     }
 
     /** Returns the only top-level list of the file; the list must start with {@code name}. */
-    static Section top(String file, List<Node> nodes, String name, List<ConfigProblem> problems) {
+    static Section root(String file, List<Node> nodes, String name, List<ConfigProblem> problems) {
         ProblemReporter reporter = new ProblemReporter(file, name, problems);
         if (nodes.size() == 1 && nodes.get(0) instanceof Form form && form.head().equals(name)) {
             return new Section(form, 1, reporter);
@@ -63,20 +63,20 @@
 
     // Problems
 
-    /** Reports the value of the setting {@code name}, or this section if the setting is missing. */
-    void problem(String name, String accepted) {
+    /** Reports an invalid setting {@code name}, or this section if the setting is missing. */
+    void reject(String name, String accepted) {
         Node place = form;
         if (settings.containsKey(name)) {
             Form setting = settings.get(name).get(0);
             place = setting.items().size() > 1 ? setting.items().get(1) : setting;
         }
-        reporter.rejectedValue(place, name, accepted);
+        reporter.invalidValue(place, name, accepted);
     }
 
     /** Reports the setting {@code name} unless its value is empty or one of {@code names}. */
     void checkOneOf(String name, String value, Collection<String> names) {
         if (!value.isEmpty() && !names.contains(value)) {
-            problem(name, names.isEmpty() ? "no value" : "one of " + String.join(", ", names));
+            reject(name, names.isEmpty() ? "no value" : "one of " + String.join(", ", names));
         }
     }
 
@@ -84,7 +84,7 @@
     void checkAllOf(String name, Set<String> values, Collection<String> names) {
         for (String value : values) {
             if (!names.contains(value)) {
-                problem(name, "one of " + String.join(", ", names) + " instead of " + value);
+                reject(name, "one of " + String.join(", ", names) + " instead of " + value);
             }
         }
     }
@@ -93,25 +93,25 @@
 
     /** Returns whether the setting is present. */
     boolean has(String name) {
-        known.add(name);
+        knownNames.add(name);
         return settings.containsKey(name);
     }
 
     /** Returns the only value of a setting, or null if the setting is missing or malformed. */
     private Atom atom(String name, String accepted) {
-        known.add(name);
+        knownNames.add(name);
         List<Form> forms = settings.get(name);
         if (forms == null) {
             return null;
         }
         if (forms.size() > 1) {
-            reporter.rejectedValue(forms.get(1), name, "the setting at most once");
+            reporter.invalidValue(forms.get(1), name, "the setting at most once");
         }
         List<Node> items = forms.get(0).items();
         if (items.size() == 2 && items.get(1) instanceof Atom atom) {
             return atom;
         }
-        reporter.rejectedValue(forms.get(0), name, accepted);
+        reporter.invalidValue(forms.get(0), name, accepted);
         return null;
     }
 
@@ -119,7 +119,7 @@
     private Atom atom(String name, String accepted, boolean required) {
         Atom atom = atom(name, accepted);
         if (required && !settings.containsKey(name)) {
-            reporter.missing(form, name, accepted);
+            reporter.missingSetting(form, name, accepted);
         }
         return atom;
     }
@@ -140,7 +140,7 @@
             return defaultValue;
         }
         if (!atom.text().equals("yes") && !atom.text().equals("no")) {
-            reporter.rejectedValue(atom, name, "yes or no");
+            reporter.invalidValue(atom, name, "yes or no");
         }
         return atom.text().equals("yes");
     }
@@ -155,7 +155,7 @@
         Quantity quantity = Quantity.integer(min, max);
         double value = quantity(name, toDouble(defaultValue), quantity);
         if (value != Math.rint(value)) {
-            problem(name, quantity.accepted());
+            reject(name, quantity.accepted());
         }
         return (long) value;
     }
@@ -183,7 +183,7 @@
         }
         OptionalDouble value = quantity.parse(atom.text());
         if (value.isEmpty()) {
-            reporter.rejectedValue(atom, name, quantity.accepted());
+            reporter.invalidValue(atom, name, quantity.accepted());
         }
         return value.orElse(fallback);
     }
@@ -200,7 +200,7 @@
         }
         Optional<InetSocketAddress> address = AddressParser.parse(atom.text());
         if (address.isEmpty()) {
-            reporter.rejectedValue(atom, name, AddressParser.ACCEPTED);
+            reporter.invalidValue(atom, name, AddressParser.ACCEPTED);
         }
         return address.orElse(defaultValue);
     }
@@ -218,21 +218,21 @@
             return fallback;
         }
         if (!values.containsKey(atom.text())) {
-            reporter.rejectedValue(atom, name, accepted);
+            reporter.invalidValue(atom, name, accepted);
         }
         return values.getOrDefault(atom.text(), fallback);
     }
 
     /** Reads all words of a setting, in order; returns an empty set if the setting is missing. */
     Set<String> words(String name) {
-        known.add(name);
+        knownNames.add(name);
         Set<String> words = new LinkedHashSet<>();
         for (Form setting : settings.getOrDefault(name, List.of())) {
             for (Node node : setting.items().subList(1, setting.items().size())) {
                 if (node instanceof Atom atom) {
                     words.add(atom.text());
                 } else {
-                    reporter.rejectedValue(node, name, "only words");
+                    reporter.invalidValue(node, name, "only words");
                 }
             }
         }
@@ -243,27 +243,27 @@
 
     /** Returns the only section {@code (name ...)}, or an empty section if there is none. */
     Section section(String name) {
-        known.add(name);
+        knownNames.add(name);
         List<Form> forms = settings.get(name);
         if (forms == null) {
             Form empty = new Form(List.of(), form.line(), form.column());
             return new Section(empty, 1, reporter.nested(name));
         }
         if (forms.size() > 1) {
-            reporter.rejectedValue(forms.get(1), name, "the section at most once");
+            reporter.invalidValue(forms.get(1), name, "the section at most once");
         }
         return new Section(forms.get(0), 1, reporter.nested(name));
     }
 
     /** Returns all sections {@code (name NAME ...)} by {@code NAME}, in order. */
     Map<String, Section> namedSections(String name) {
-        known.add(name);
+        knownNames.add(name);
         Map<String, Section> sections = new LinkedHashMap<>();
         for (Form section : settings.getOrDefault(name, List.of())) {
             if (section.items().size() < 2 || !(section.items().get(1) instanceof Atom atom)) {
-                reporter.rejectedValue(section, name, "(" + name + " NAME ...)");
+                reporter.invalidValue(section, name, "(" + name + " NAME ...)");
             } else if (sections.containsKey(atom.text())) {
-                reporter.rejectedValue(atom, name, "a unique name");
+                reporter.invalidValue(atom, name, "a unique name");
             } else {
                 sections.put(atom.text(), new Section(section, 2, reporter.nested(atom.text())));
             }
@@ -273,7 +273,7 @@
 
     /** Returns all sections {@code (name ...)} in order; the sections themselves have no names. */
     List<Section> repeatedSections(String name) {
-        known.add(name);
+        knownNames.add(name);
         List<Section> sections = new ArrayList<>();
         for (Form section : settings.getOrDefault(name, List.of())) {
             sections.add(new Section(section, 1, reporter.nested(name)));
@@ -284,13 +284,14 @@
     /** Reports settings that were not read and words that belong to no setting. */
     @Override
     public void close() {
-        for (Atom word : strayWords) {
-            reporter.rejectedNode(word, "a list such as (NAME VALUE)");
+        for (Atom word : unexpectedWords) {
+            reporter.unexpectedNode(word, "a list such as (NAME VALUE)");
         }
         settings.forEach(
                 (name, forms) -> {
-                    if (!known.contains(name)) {
-                        forms.forEach(setting -> reporter.unknown(setting, name, known));
+                    if (!knownNames.contains(name)) {
+                        forms.forEach(
+                                setting -> reporter.unknownSetting(setting, name, knownNames));
                     }
                 });
     }
--- a/config/src/main/java/ashlink/config/TopologyReader.java
+++ b/config/src/main/java/ashlink/config/TopologyReader.java
@@ -63,9 +63,9 @@
     }
 
     private static Map<String, EndpointState> engineStates() {
-        Map<String, EndpointState> states = new LinkedHashMap<>();
-        states.put("ready", EndpointState.READY);
-        states.put("draining", EndpointState.DRAINING);
-        return states;
+        Map<String, EndpointState> statesByWord = new LinkedHashMap<>();
+        statesByWord.put("ready", EndpointState.READY);
+        statesByWord.put("draining", EndpointState.DRAINING);
+        return statesByWord;
     }
 }
--- a/config/src/main/java/ashlink/config/UserReader.java
+++ b/config/src/main/java/ashlink/config/UserReader.java
@@ -40,7 +40,7 @@
             String tenant = section.text("tenant", "");
             section.checkOneOf("tenant", tenant, tenantNames);
             if (!passwordHash.isEmpty() && !Passwords.isHash(passwordHash)) {
-                section.problem(
+                section.reject(
                         "password-hash", "a bcrypt hash as printed by ./ashlink hash-password");
             }
             return new UserSpec(name, passwordHash, tenant);
--- a/config/src/main/java/ashlink/config/flat/Fields.java
+++ b/config/src/main/java/ashlink/config/flat/Fields.java
@@ -97,7 +97,7 @@
         return switch (value) {
             case "1", "true" -> true;
             case "0", "false" -> false;
-            default -> throw rejected(name, value, "1, true, 0 or false");
+            default -> throw invalidField(name, value, "1, true, 0 or false");
         };
     }
 
@@ -105,7 +105,7 @@
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw rejected(name, value, "a whole number");
+            throw invalidField(name, value, "a whole number");
         }
     }
 
@@ -114,15 +114,15 @@
         try {
             number = Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw rejected(name, value, "a number");
+            throw invalidField(name, value, "a number");
         }
         if (!Double.isFinite(number)) {
-            throw rejected(name, value, "a finite number");
+            throw invalidField(name, value, "a finite number");
         }
         return number;
     }
 
-    private FieldException rejected(String name, String value, String accepted) {
+    private FieldException invalidField(String name, String value, String accepted) {
         return new FieldException(
                 source + ": invalid field " + name + ": found " + value + ", expected " + accepted);
     }
--- a/config/src/main/java/ashlink/config/flat/LoadReportParser.java
+++ b/config/src/main/java/ashlink/config/flat/LoadReportParser.java
@@ -13,8 +13,8 @@
     private static final char NAME_END = ':';
 
     private double queued = Double.NaN;
-    private double coreUtilization = Double.NaN;
-    private double memoryGranted = Double.NaN;
+    private double cpuUtilization = Double.NaN;
+    private double memoryUtilization = Double.NaN;
     private double diskUtilization = Double.NaN;
     private double inFlight = Double.NaN;
 
@@ -55,8 +55,8 @@
     private void setValue(String name, double value) {
         switch (name) {
             case "pending", "queue" -> queued = value;
-            case "cpu_share", "util" -> coreUtilization = value;
-            case "x0" -> memoryGranted = value;
+            case "cpu_share", "util" -> cpuUtilization = value;
+            case "x0" -> memoryUtilization = value;
             case "x1" -> diskUtilization = value;
             case "busy_reqs", "inflight" -> inFlight = value;
             default -> {
@@ -66,7 +66,7 @@
     }
 
     private LoadReport report() {
-        return new LoadReport(queued, coreUtilization, memoryGranted, diskUtilization, inFlight);
+        return new LoadReport(queued, cpuUtilization, memoryUtilization, diskUtilization, inFlight);
     }
 
     private static OptionalDouble parseValue(String text) {
--- a/config/src/main/java/ashlink/config/flat/SettingsReader.java
+++ b/config/src/main/java/ashlink/config/flat/SettingsReader.java
@@ -19,9 +19,9 @@
  */
 public final class SettingsReader {
 
-    private static final String CORES_OF_KINDS = "extra.kind-cores";
-    private static final String MEMORY_OF_KINDS = "extra.ram-of-kind-mb";
-    private static final String THREADS_OF_CLASSES = "extra.width-by-class";
+    private static final String ENGINE_KIND_CORES = "extra.kind-cores";
+    private static final String ENGINE_KIND_MEMORY_MB = "extra.ram-of-kind-mb";
+    private static final String QUERY_CLASS_THREADS = "extra.width-by-class";
     private static final String LIST_SEPARATOR = ",";
 
     private final Fields fields;
@@ -72,7 +72,7 @@
     }
 
     private List<QueryClass> queryClasses() {
-        List<String> threads = list(THREADS_OF_CLASSES);
+        List<String> threads = list(QUERY_CLASS_THREADS);
         List<String> locksTables = list("extra.writes-tables");
         List<String> waitsForTableLocks = list("extra.waits-for-loads");
         List<QueryClass> classes = new ArrayList<>();
@@ -81,7 +81,7 @@
             classes.add(
                     queryClass(
                             "classes." + i + ".",
-                            (int) numberAt(i, THREADS_OF_CLASSES, threads, 1),
+                            (int) numberAt(i, QUERY_CLASS_THREADS, threads, 1),
                             flagAt(i, locksTables),
                             flagAt(i, waitsForTableLocks)));
         }
@@ -141,15 +141,15 @@
 
     private List<EngineKind> engineKinds() {
         List<String> names = list("host-types");
-        List<String> cores = list(CORES_OF_KINDS);
-        List<String> memoryMb = list(MEMORY_OF_KINDS);
+        List<String> cores = list(ENGINE_KIND_CORES);
+        List<String> memoryMb = list(ENGINE_KIND_MEMORY_MB);
         List<EngineKind> kinds = new ArrayList<>();
         for (int i = 0; i < names.size(); i++) {
             kinds.add(
                     new EngineKind(
                             names.get(i),
-                            (int) numberAt(i, CORES_OF_KINDS, cores, 1),
-                            numberAt(i, MEMORY_OF_KINDS, memoryMb, 0)));
+                            (int) numberAt(i, ENGINE_KIND_CORES, cores, 1),
+                            numberAt(i, ENGINE_KIND_MEMORY_MB, memoryMb, 0)));
         }
         return kinds;
     }
