--- a/cli/src/main/java/ashlink/cli/FleetCommand.java
+++ b/cli/src/main/java/ashlink/cli/FleetCommand.java
@@ -136,7 +136,7 @@
                 ObjectNode objectNode =
                         all.addObject()
                                 .put("router", result.router())
-                                .put("hall", fleet().routers().get(result.router()).hall())
+                                .put("hall", fleet().routers().get(result.router()).zone())
                                 .put("ok", ok);
                 if (!result.isReached()) {
                     objectNode.put("error", result.error());
@@ -531,11 +531,11 @@
         @Override
         public Integer call() throws Exception {
             List<Member> plan = new ArrayList<>(common.routers());
-            plan.sort(java.util.Comparator.comparing(Member::hall).thenComparing(Member::name));
+            plan.sort(java.util.Comparator.comparing(Member::zone).thenComparing(Member::name));
             System.err.println(
                     "in this order: "
                             + plan.stream()
-                                    .map(member -> member.name() + " (" + member.hall() + ")")
+                                    .map(member -> member.name() + " (" + member.zone() + ")")
                                     .toList());
             int did = 0;
             for (Member member : common.dryRun ? List.<Member>of() : plan) {
--- a/config/src/main/java/ashlink/config/FleetConfig.java
+++ b/config/src/main/java/ashlink/config/FleetConfig.java
@@ -19,13 +19,13 @@
     /**
      * A router of the fleet.
      *
-     * @param hall zone, that is, the failure domain that the router runs in; may be empty
+     * @param zone failure domain that the router runs in; may be empty
      * @param control address of the router's control channel
      * @param config settings file of the router
      * @param log log file of the router
      */
     public record Member(
-            String name, String hall, InetSocketAddress control, Path config, Path log) {}
+            String name, String zone, InetSocketAddress control, Path config, Path log) {}
 
     /**
      * Reads a file with {@code (fleet ...)}. Relative paths in the file are resolved against the
