--- a/config/src/main/java/ashlink/config/Section.java
+++ b/config/src/main/java/ashlink/config/Section.java
@@ -76,7 +76,8 @@
     /** Reports the setting {@code name} unless its value is empty or one of {@code names}. */
     void checkOneOf(String name, String value, Collection<String> names) {
         if (!value.isEmpty() && !names.contains(value)) {
-            reject(name, names.isEmpty() ? "no value" : "one of " + String.join(", ", names));
+            String accepted = "one of " + String.join(", ", names);
+            reject(name, names.isEmpty() ? "no value, because none is defined" : accepted);
         }
     }
 
