--- a/config/src/test/java/ashlink/config/RouterConfigTest.java
+++ b/config/src/test/java/ashlink/config/RouterConfigTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The settings file of a router: values, defaults, and the problems that are reported. */
+/** Tests the values and the problems that are read from the settings file of a router. */
 class RouterConfigTest {
 
     private static final String VALID =
@@ -24,13 +24,14 @@
             """;
 
     private static List<ConfigProblem> problems(String text) {
-        return assertThrows(ConfigException.class, () -> RouterConfigReader.read("f.sexp", text))
+        return assertThrows(
+                        ConfigException.class, () -> RouterConfigReader.read("router.sexp", text))
                 .problems();
     }
 
     @Test
-    void readsAValidFile() throws ConfigException {
-        RouterConfig config = RouterConfigReader.read("f.sexp", VALID);
+    void readsTheValuesOfAValidFile() throws ConfigException {
+        RouterConfig config = RouterConfigReader.read("router.sexp", VALID);
         assertEquals(16384, config.engineKinds().get(0).memoryMb());
         assertEquals(2_500_000_000L, config.queryClasses().get("look").deadlineNs());
         assertEquals(RetrySafety.AT_MOST_ONCE, config.queryClasses().get("load").retrySafety());
@@ -44,7 +45,7 @@
     }
 
     @Test
-    void reportsAllProblemsWithPlaceValueAndAcceptedValues() {
+    void reportsAllProblemsWithPositionValueAndAcceptedValues() {
         List<ConfigProblem> found =
                 problems(
                         VALID.replace("aim 500ms", "aim 5parsecs")
@@ -53,25 +54,29 @@
                                 .replace("(worth 1)", "(wroth 1)")
                                 .replace("9101", "910100"));
         assertEquals(6, found.size(), found.toString());
-        ConfigProblem aim =
+        ConfigProblem invalidDuration =
                 found.stream()
                         .filter(configProblem -> configProblem.setting().endsWith("look.aim"))
                         .findFirst()
                         .orElseThrow();
-        assertEquals(4, aim.line());
-        assertEquals("5parsecs", aim.value());
-        assertTrue(aim.accepted().contains("ms"), aim.accepted());
-        ConfigProblem typo =
+        assertEquals(4, invalidDuration.line());
+        assertEquals("5parsecs", invalidDuration.value());
+        assertTrue(invalidDuration.accepted().contains("ms"), invalidDuration.accepted());
+        ConfigProblem unknownSetting =
                 found.stream()
                         .filter(configProblem -> configProblem.value().equals("wroth"))
                         .findFirst()
                         .orElseThrow();
-        assertTrue(typo.accepted().startsWith("worth (closest match)"), typo.accepted());
-        assertTrue(aim.toString().startsWith("f.sexp:4:"), aim.toString());
+        assertTrue(
+                unknownSetting.accepted().startsWith("worth (closest match)"),
+                unknownSetting.accepted());
+        assertTrue(
+                invalidDuration.toString().startsWith("router.sexp:4:"),
+                invalidDuration.toString());
     }
 
     @Test
-    void reportsThePlaceOfASyntaxError() {
+    void reportsSyntaxErrorsWithLineAndAcceptedSyntax() {
         assertEquals(1, problems("(router (name r1)").get(0).line());
         assertTrue(problems(")").get(0).accepted().contains("parentheses"));
         assertTrue(problems("").get(0).accepted().contains("(router ...)"));
@@ -88,12 +93,12 @@
     }
 
     @Test
-    void hashesPasswordsWithASaltAndChecksTheFormOfHashes() {
-        String text = Passwords.hash("x", 4);
+    void hashesPasswordsWithASaltAndChecksTheFormatOfHashes() {
+        String hash = Passwords.hash("x", 4);
         assertTrue(
-                !text.equals(Passwords.hash("x", 4))
-                        && Passwords.matches("x", text)
-                        && !Passwords.matches("y", text));
+                !hash.equals(Passwords.hash("x", 4))
+                        && Passwords.matches("x", hash)
+                        && !Passwords.matches("y", hash));
         assertTrue(
                 !Passwords.matches("", null)
                         && Passwords.matches("", "")
