--- a/cli/src/main/java/ashlink/cli/ExplainCommand.java
+++ b/cli/src/main/java/ashlink/cli/ExplainCommand.java
@@ -74,7 +74,9 @@
                                                 ? ""
                                                 : " at character " + analysis.offset())));
         System.out.println(
-                "reads        " + analysis.reads() + (analysis.tablesComplete() ? "" : " and others"));
+                "reads        "
+                        + analysis.reads()
+                        + (analysis.tablesComplete() ? "" : " and others"));
         System.out.println("writes       " + analysis.writes());
         System.out.println(
                 "harmless     "
--- a/cli/src/main/java/ashlink/cli/FleetProcessCommands.java
+++ b/cli/src/main/java/ashlink/cli/FleetProcessCommands.java
@@ -164,11 +164,11 @@
         @Override
         public Integer call() throws Exception {
             List<Member> members = new ArrayList<>(options.routers());
-            members.sort(java.util.Comparator.comparing(Member::hall).thenComparing(Member::name));
+            members.sort(java.util.Comparator.comparing(Member::zone).thenComparing(Member::name));
             System.err.println(
                     "restart order: "
                             + members.stream()
-                                    .map(member -> member.name() + " (" + member.hall() + ")")
+                                    .map(member -> member.name() + " (" + member.zone() + ")")
                                     .toList());
             int doneCount = 0;
             for (Member member : options.dryRun ? List.<Member>of() : members) {
--- a/cli/src/main/java/ashlink/cli/FleetRows.java
+++ b/cli/src/main/java/ashlink/cli/FleetRows.java
@@ -47,7 +47,7 @@
             ObjectNode row =
                     rows.addObject()
                             .put("router", result.router())
-                            .put("hall", fleet.routers().get(result.router()).hall())
+                            .put("hall", fleet.routers().get(result.router()).zone())
                             .put("ok", ok);
             if (!result.isReached()) {
                 row.put("error", result.error());
--- a/config/src/main/antlr4/ashlink/config/grammar/SExpr.g4
+++ b/config/src/main/antlr4/ashlink/config/grammar/SExpr.g4
@@ -1,13 +1,14 @@
-// Settings files: words, quoted texts and lists in parentheses; a semicolon starts a comment.
+// Syntax of settings files: words, quoted strings and lists in parentheses. A semicolon starts a
+// comment that extends to the end of the line.
 grammar SExpr;
 
 file : form* EOF ;
 
-form : OPEN form* CLOSE | TEXT | WORD ;
+form : OPEN form* CLOSE | STRING | WORD ;
 
 OPEN : '(' ;
 CLOSE : ')' ;
-TEXT : '"' ( '\\' . | ~["\\] )* '"' ;
+STRING : '"' ( '\\' . | ~["\\] )* '"' ;
 WORD : ~[ \t\r\n()";]+ ;
 COMMENT : ';' ~[\r\n]* -> skip ;
-BLANK : [ \t\r\n]+ -> skip ;
+WHITESPACE : [ \t\r\n]+ -> skip ;
--- a/config/src/main/java/ashlink/config/ClassRuleReader.java
+++ b/config/src/main/java/ashlink/config/ClassRuleReader.java
@@ -12,7 +12,7 @@
 /** Reads the rules that assign statements to query classes: {@code (rule ...)}. */
 final class ClassRuleReader {
 
-    /** Kinds of statement, as the SQL reader names them. */
+    /** Kinds of statements, under the names that the SQL reader gives them. */
     private static final Set<String> STATEMENT_KINDS =
             Set.of(
                     "read",
@@ -65,13 +65,15 @@
             ClassRule rule, Section section, Set<String> classNames, Set<String> userNames) {
         section.checkAllOf("kind", rule.kinds(), STATEMENT_KINDS);
         if (!rule.fingerprints().stream().allMatch(FINGERPRINT.asMatchPredicate())) {
-            section.problem("fingerprint", "32 digits of hex, as ./ashlink explain prints them");
+            section.reject(
+                    "fingerprint",
+                    "32 lower-case hexadecimal digits as printed by ./ashlink explain");
         }
         section.checkOneOf("class", rule.queryClass(), classNames);
         section.checkAllOf("user", rule.users(), userNames);
     }
 
-    /** Converts a table name in which {@code *} matches any characters. */
+    /** Converts a table name to a pattern; {@code *} matches any number of characters. */
     private static Pattern tablePattern(String word) {
         String regex =
                 Arrays.stream(word.split("\\*", -1))
--- a/config/src/main/java/ashlink/config/FleetConfig.java
+++ b/config/src/main/java/ashlink/config/FleetConfig.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /**
- * The routers of a fleet, as its operators address them.
+ * The routers of a fleet and the credentials of an operator who controls them.
  *
  * @param keys directory with {@code ca.crt} and the operator's key and certificate
  * @param operator name of the operator, which selects the certificate
@@ -19,23 +19,24 @@
     /**
      * A router of the fleet.
      *
-     * @param hall failure domain that the router runs in; may be empty
-     * @param control address of its control channel
-     * @param config its settings file
-     * @param log its log file
+     * @param zone failure domain that the router runs in; may be empty
+     * @param control address of the router's control channel
+     * @param config settings file of the router
+     * @param log log file of the router
      */
     public record Member(
-            String name, String hall, InetSocketAddress control, Path config, Path log) {}
+            String name, String zone, InetSocketAddress control, Path config, Path log) {}
 
     /**
-     * Reads {@code (fleet ...)}; relative paths are resolved against the directory of the file.
+     * Reads a file with {@code (fleet ...)}. Relative paths in the file are resolved against the
+     * directory of the file.
      *
      * @throws ConfigException with all problems of the file
      */
     public static FleetConfig read(Path file) throws ConfigException {
         List<ConfigProblem> problems = new ArrayList<>();
         List<Node> nodes = SExprReader.read(file, problems);
-        Section top = Section.top(file.toString(), nodes, "fleet", problems);
+        Section top = Section.root(file.toString(), nodes, "fleet", problems);
         FleetConfig fleet = null;
         if (problems.isEmpty()) {
             fleet = readFleet(top, file.toAbsolutePath().getParent());
@@ -52,10 +53,10 @@
         top.namedSections("router")
                 .forEach((name, section) -> routers.put(name, member(name, section, directory)));
         if (routers.isEmpty()) {
-            top.problem(
+            top.reject(
                     "router",
-                    "a router at least: (router NAME (hall H) (control host:port) (config FILE)"
-                            + " (log FILE))");
+                    "at least one section (router NAME (hall ZONE) (control HOST:PORT) (config"
+                            + " FILE) (log FILE))");
         }
         return new FleetConfig(
                 directory.resolve(top.text("keys", "keys")), top.text("operator", null), routers);
--- a/config/src/main/java/ashlink/config/HttpConfigReader.java
+++ b/config/src/main/java/ashlink/config/HttpConfigReader.java
@@ -19,7 +19,7 @@
 
     private static final long MAX_SPOOL_BYTES = 1024 * TIB_BYTES;
 
-    /** Pages of the smallest spool that is accepted. */
+    /** Smallest accepted spool size, in pages. */
     private static final int MIN_SPOOL_PAGES = 4;
 
     private static final int MAX_OPEN_STATEMENTS = 1_000_000;
@@ -36,7 +36,7 @@
         try (Section section = top.section("http")) {
             HttpSpec http = http(section);
             if (http.maxPollWaitNs() >= http.idleTimeoutNs()) {
-                section.problem("idle", "a duration over longest-wait");
+                section.reject("idle", "a duration longer than longest-wait");
             }
             return http;
         }
@@ -84,7 +84,7 @@
         try (Section section = peer) {
             String url = section.text("url", null);
             if (!url.isEmpty() && !PEER_URL.matcher(url).matches()) {
-                section.problem("url", "http://host:port or https://host:port, without a path");
+                section.reject("url", "http://HOST:PORT or https://HOST:PORT without a path");
             }
             return url;
         }
--- a/config/src/main/java/ashlink/config/LoadMetricsReader.java
+++ b/config/src/main/java/ashlink/config/LoadMetricsReader.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.regex.Pattern;
 
-/** Reads under which metric names engines report their load: {@code (gauges ...)}. */
+/** Reads the names of the metrics in which engines report their load: {@code (gauges ...)}. */
 final class LoadMetricsReader {
 
     private static final char DIVISOR_SEPARATOR = '/';
@@ -34,17 +34,18 @@
         for (String word : section.words(setting)) {
             Optional<LoadMetric> metric = metric(word);
             if (metric.isEmpty()) {
-                section.problem(
+                section.reject(
                         setting,
-                        "names such as QueriesWaiting, or with a divisor such as"
-                                + " CoresBusyPermille/1000");
+                        "metric names such as QueriesWaiting, optionally with a positive divisor"
+                                + " as in CoresBusyPermille/1000, instead of "
+                                + word);
             }
             metric.ifPresent(metrics::add);
         }
         return List.copyOf(metrics);
     }
 
-    /** Parses a metric name, alone or followed by a slash and a divisor over 0. */
+    /** Parses a metric name that may be followed by a slash and a positive divisor. */
     private static Optional<LoadMetric> metric(String word) {
         int slash = word.indexOf(DIVISOR_SEPARATOR);
         if (slash < 0) {
--- a/config/src/main/java/ashlink/config/QueryClassReader.java
+++ b/config/src/main/java/ashlink/config/QueryClassReader.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Reads the query classes, {@code (class NAME ...)}, and which of them are the defaults. */
+/** Reads the query classes, {@code (class NAME ...)}, and the names of the default classes. */
 final class QueryClassReader {
 
     private static final long MAX_DEADLINE_NS = 24 * Units.NS_PER_HOUR;
@@ -34,7 +34,7 @@
                         (name, section) ->
                                 classes.put(name, queryClass(name, section, kindNames, zones)));
         if (classes.isEmpty()) {
-            top.problem("class", "one section (class NAME ...) at least");
+            top.reject("class", "at least one section (class NAME ...)");
         }
         return classes;
     }
@@ -47,7 +47,7 @@
             section.checkAllOf("only-zones", result.zones(), zones);
             // The slash separates a class from its at-most-once variant.
             if (name.contains("/")) {
-                section.problem("class", "a name without a slash");
+                section.reject("class", "a class name without a slash");
             }
             return result;
         }
@@ -79,7 +79,7 @@
         return name;
     }
 
-    /** Reads the class of statements that may write, which must never be retried. */
+    /** Reads the default class of statements that may write; the class must not allow retries. */
     static String defaultWriteClass(Section top, Map<String, QueryClass> classes) {
         String name = top.text("default-write-class", null);
         if (!classes.containsKey(name) || !isAtMostOnce(classes.get(name))) {
@@ -88,10 +88,10 @@
                             .filter(QueryClassReader::isAtMostOnce)
                             .map(QueryClass::name)
                             .collect(Collectors.joining(", "));
-            top.problem(
+            top.reject(
                     "default-write-class",
                     "a class with (repeat never): "
-                            + (atMostOnceNames.isEmpty() ? "none is set" : atMostOnceNames));
+                            + (atMostOnceNames.isEmpty() ? "none is defined" : atMostOnceNames));
         }
         return name;
     }
@@ -101,18 +101,18 @@
     }
 
     private static Map<String, RetrySafety> retrySafeties() {
-        Map<String, RetrySafety> words = new LinkedHashMap<>();
-        words.put("safe", RetrySafety.IDEMPOTENT);
-        words.put("deduplicated", RetrySafety.DEDUPLICATED);
-        words.put("never", RetrySafety.AT_MOST_ONCE);
-        return words;
+        Map<String, RetrySafety> safetiesByWord = new LinkedHashMap<>();
+        safetiesByWord.put("safe", RetrySafety.IDEMPOTENT);
+        safetiesByWord.put("deduplicated", RetrySafety.DEDUPLICATED);
+        safetiesByWord.put("never", RetrySafety.AT_MOST_ONCE);
+        return safetiesByWord;
     }
 
     private static Map<String, DeduplicationScope> deduplicationScopes() {
-        Map<String, DeduplicationScope> words = new LinkedHashMap<>();
-        words.put("all", DeduplicationScope.ALL);
-        words.put("zone", DeduplicationScope.ZONE);
-        words.put("cell", DeduplicationScope.CELL);
-        return words;
+        Map<String, DeduplicationScope> scopesByWord = new LinkedHashMap<>();
+        scopesByWord.put("all", DeduplicationScope.ALL);
+        scopesByWord.put("zone", DeduplicationScope.ZONE);
+        scopesByWord.put("cell", DeduplicationScope.CELL);
+        return scopesByWord;
     }
 }
--- a/config/src/main/java/ashlink/config/SExprReader.java
+++ b/config/src/main/java/ashlink/config/SExprReader.java
@@ -16,7 +16,7 @@
 /** Parses the S-expressions of a settings file into nodes. */
 final class SExprReader {
 
-    /** Limit of nested lists: the parser recurses. */
+    /** Maximum nesting depth of lists, because the parser is recursive. */
     private static final int MAX_DEPTH = 32;
 
     private static final long MAX_FILE_BYTES = 4 * Units.MIB_BYTES;
@@ -29,26 +29,29 @@
         this.problems = problems;
     }
 
-    /** Parses a file; syntax errors are added to {@code problems}, and the result is empty. */
+    /**
+     * Parses a file. If the file cannot be read or has syntax errors, adds them to {@code problems}
+     * and returns an empty list.
+     */
     static List<Node> read(Path path, List<ConfigProblem> problems) {
         SExprReader reader = new SExprReader(path.toString(), problems);
         try {
             if (Files.size(path) > MAX_FILE_BYTES) {
-                reader.problem(
+                reader.addProblem(
                         1,
                         1,
-                        "a file of " + Files.size(path) + " bytes",
-                        "up to " + MAX_FILE_BYTES + " bytes");
+                        "invalid file size " + Files.size(path) + " bytes",
+                        "at most " + MAX_FILE_BYTES + " bytes");
                 return List.of();
             }
             return reader.read(Files.readString(path));
         } catch (IOException e) {
-            reader.problem(1, 1, e.toString(), "a file that can be read as UTF-8");
+            reader.addProblem(1, 1, "cannot read the file: " + e, "a readable file in UTF-8");
             return List.of();
         }
     }
 
-    /** Parses a text that is named {@code file} in errors. */
+    /** Parses a text, which error messages call {@code file}; otherwise like the other method. */
     static List<Node> read(String file, String text, List<ConfigProblem> problems) {
         return new SExprReader(file, problems).read(text);
     }
@@ -80,22 +83,22 @@
                 depth--;
             }
             if (depth > MAX_DEPTH) {
-                problem(
+                addProblem(
                         token.getLine(),
                         column(token),
-                        "a list this deep",
-                        "up to " + MAX_DEPTH + " lists within each other");
+                        "invalid nesting depth " + depth,
+                        "at most " + MAX_DEPTH + " nested lists");
                 return false;
             }
         }
         return true;
     }
 
-    private void problem(int line, int column, String value, String accepted) {
+    private void addProblem(int line, int column, String value, String accepted) {
         problems.add(new ConfigProblem(file, line, column, "", value, accepted));
     }
 
-    /** Columns of errors count from 1, those of the parser from 0. */
+    /** Returns the column counted from 1; the parser counts columns from 0. */
     private static int column(Token token) {
         return token.getCharPositionInLine() + 1;
     }
@@ -111,11 +114,11 @@
                 int column,
                 String message,
                 RecognitionException failure) {
-            problem(
+            addProblem(
                     line,
                     column + 1,
-                    message,
-                    "words, texts in quotes, and lists in parentheses that are closed");
+                    "syntax error: " + message,
+                    "words, quoted strings, and lists in balanced parentheses");
         }
     }
 
@@ -128,7 +131,7 @@
         if (form.OPEN() != null) {
             return new Node.Form(nodes(form.form()), start.getLine(), column(start));
         }
-        String text = form.TEXT() == null ? start.getText() : unquote(start.getText());
+        String text = form.STRING() == null ? start.getText() : unquote(start.getText());
         return new Node.Atom(text, start.getLine(), column(start));
     }
 
--- a/config/src/main/java/ashlink/config/Section.java
+++ b/config/src/main/java/ashlink/config/Section.java
@@ -14,23 +14,23 @@
 import java.util.Set;
 
 /**
- * A section of a settings file, whose settings are read by name. A value that is not accepted is
- * reported as a problem and read as its default, so that one pass finds all problems of a file.
- * {@link #close} reports the settings that were never read. Where a default is null, the setting is
- * required.
+ * A section of a settings file; its settings are read by name. An invalid value is reported as a
+ * problem and replaced by a default value, so that one pass finds all problems of the file. {@link
+ * #close} reports settings that were not read, because their names are unknown. A setting whose
+ * default value is null is required.
  */
 final class Section implements AutoCloseable {
 
     private final Form form;
     private final ProblemReporter reporter;
     private final Map<String, List<Form>> settings = new LinkedHashMap<>();
-    private final Set<String> known = new LinkedHashSet<>();
-    private final List<Atom> strayWords = new ArrayList<>();
+    private final Set<String> knownNames = new LinkedHashSet<>();
+    private final List<Atom> unexpectedWords = new ArrayList<>();
 
     /**
-     * A section made of the items of {@code form} from index {@code firstItem} on.
+     * Creates a section from the items of {@code form}, starting at index {@code firstItem}.
      *
-     * @param firstItem 1 behind the head, 2 behind a head and a name
+     * @param firstItem 1 to skip the head, 2 to skip the head and the name of the section
      */
     private Section(Form form, int firstItem, ProblemReporter reporter) {
         this.form = form;
@@ -40,15 +40,15 @@
             if (node instanceof Form setting && !setting.head().isEmpty()) {
                 settings.computeIfAbsent(setting.head(), name -> new ArrayList<>()).add(setting);
             } else if (node instanceof Atom word) {
-                strayWords.add(word);
+                unexpectedWords.add(word);
             } else {
-                reporter.rejectedNode(node, "a list that starts with the name of a setting");
+                reporter.unexpectedNode(node, "a list that starts with the name of a setting");
             }
         }
     }
 
-    /** Returns the single top-level list of the file, which must have the given name. */
-    static Section top(String file, List<Node> nodes, String name, List<ConfigProblem> problems) {
+    /** Returns the only top-level list of the file; the list must start with {@code name}. */
+    static Section root(String file, List<Node> nodes, String name, List<ConfigProblem> problems) {
         ProblemReporter reporter = new ProblemReporter(file, name, problems);
         if (nodes.size() == 1 && nodes.get(0) instanceof Form form && form.head().equals(name)) {
             return new Section(form, 1, reporter);
@@ -56,27 +56,28 @@
         if (problems.isEmpty()) {
             problems.add(
                     new ConfigProblem(
-                            file, 1, 1, "", "what the file holds", "one list (" + name + " ...)"));
+                            file, 1, 1, "", "invalid content", "a single list (" + name + " ...)"));
         }
         return new Section(new Form(List.of(), 1, 1), 0, reporter);
     }
 
     // Problems
 
-    /** Reports the value of the setting {@code name}, or this section where it is absent. */
-    void problem(String name, String accepted) {
+    /** Reports an invalid setting {@code name}, or this section if the setting is missing. */
+    void reject(String name, String accepted) {
         Node place = form;
         if (settings.containsKey(name)) {
             Form setting = settings.get(name).get(0);
             place = setting.items().size() > 1 ? setting.items().get(1) : setting;
         }
-        reporter.rejectedValue(place, name, accepted);
+        reporter.invalidValue(place, name, accepted);
     }
 
     /** Reports the setting {@code name} unless its value is empty or one of {@code names}. */
     void checkOneOf(String name, String value, Collection<String> names) {
         if (!value.isEmpty() && !names.contains(value)) {
-            problem(name, names.isEmpty() ? "none is set" : "one of " + String.join(", ", names));
+            String accepted = "one of " + String.join(", ", names);
+            reject(name, names.isEmpty() ? "no value, because none is defined" : accepted);
         }
     }
 
@@ -84,49 +85,49 @@
     void checkAllOf(String name, Set<String> values, Collection<String> names) {
         for (String value : values) {
             if (!names.contains(value)) {
-                problem(name, "any of " + String.join(", ", names) + ", not " + value);
+                reject(name, "one of " + String.join(", ", names) + " instead of " + value);
             }
         }
     }
 
     // Values
 
-    /** Tells whether the setting is present. */
+    /** Returns whether the setting is present. */
     boolean has(String name) {
-        known.add(name);
+        knownNames.add(name);
         return settings.containsKey(name);
     }
 
-    /** Returns the single value of a setting, or null where it is absent or not accepted. */
+    /** Returns the only value of a setting, or null if the setting is missing or malformed. */
     private Atom atom(String name, String accepted) {
-        known.add(name);
+        knownNames.add(name);
         List<Form> forms = settings.get(name);
         if (forms == null) {
             return null;
         }
         if (forms.size() > 1) {
-            reporter.rejectedValue(forms.get(1), name, "this setting once");
+            reporter.invalidValue(forms.get(1), name, "the setting at most once");
         }
         List<Node> items = forms.get(0).items();
         if (items.size() == 2 && items.get(1) instanceof Atom atom) {
             return atom;
         }
-        reporter.rejectedValue(forms.get(0), name, accepted);
+        reporter.invalidValue(forms.get(0), name, accepted);
         return null;
     }
 
-    /** Like {@link #atom(String, String)}; also reports a required setting that is absent. */
+    /** Like {@link #atom(String, String)}, but also reports a missing setting if it is required. */
     private Atom atom(String name, String accepted, boolean required) {
         Atom atom = atom(name, accepted);
         if (required && !settings.containsKey(name)) {
-            reporter.missing(form, name, accepted);
+            reporter.missingSetting(form, name, accepted);
         }
         return atom;
     }
 
-    /** Reads a word or a quoted text. */
+    /** Reads a word or a quoted string. */
     String text(String name, String defaultValue) {
-        Atom atom = atom(name, "one word or text", defaultValue == null);
+        Atom atom = atom(name, "a word or a quoted string", defaultValue == null);
         if (atom != null) {
             return atom.text();
         }
@@ -140,7 +141,7 @@
             return defaultValue;
         }
         if (!atom.text().equals("yes") && !atom.text().equals("no")) {
-            reporter.rejectedValue(atom, name, "yes or no");
+            reporter.invalidValue(atom, name, "yes or no");
         }
         return atom.text().equals("yes");
     }
@@ -155,7 +156,7 @@
         Quantity quantity = Quantity.integer(min, max);
         double value = quantity(name, toDouble(defaultValue), quantity);
         if (value != Math.rint(value)) {
-            problem(name, quantity.accepted());
+            reject(name, quantity.accepted());
         }
         return (long) value;
     }
@@ -170,7 +171,7 @@
         return (long) quantity(name, toDouble(defaultBytes), Quantity.size(minBytes, maxBytes));
     }
 
-    /** Reads a rate per second, from 0. */
+    /** Reads a rate of at least 0, in events per second. */
     double ratePerS(String name, Double defaultPerS, double maxPerS) {
         return quantity(name, defaultPerS, Quantity.rate(maxPerS));
     }
@@ -183,7 +184,7 @@
         }
         OptionalDouble value = quantity.parse(atom.text());
         if (value.isEmpty()) {
-            reporter.rejectedValue(atom, name, quantity.accepted());
+            reporter.invalidValue(atom, name, quantity.accepted());
         }
         return value.orElse(fallback);
     }
@@ -200,15 +201,15 @@
         }
         Optional<InetSocketAddress> address = AddressParser.parse(atom.text());
         if (address.isEmpty()) {
-            reporter.rejectedValue(atom, name, AddressParser.ACCEPTED);
+            reporter.invalidValue(atom, name, AddressParser.ACCEPTED);
         }
         return address.orElse(defaultValue);
     }
 
     /**
-     * Reads one of some words.
+     * Reads one of several words.
      *
-     * @param values value of each word, in the order in which errors list the words; not empty
+     * @param values values by word, in the order of the words in error messages; not empty
      */
     <V> V choice(String name, V defaultValue, Map<String, V> values) {
         V fallback = defaultValue == null ? values.values().iterator().next() : defaultValue;
@@ -218,21 +219,21 @@
             return fallback;
         }
         if (!values.containsKey(atom.text())) {
-            reporter.rejectedValue(atom, name, accepted);
+            reporter.invalidValue(atom, name, accepted);
         }
         return values.getOrDefault(atom.text(), fallback);
     }
 
-    /** Reads all words of a setting, in order; empty where it is absent. */
+    /** Reads all words of a setting, in order; returns an empty set if the setting is missing. */
     Set<String> words(String name) {
-        known.add(name);
+        knownNames.add(name);
         Set<String> words = new LinkedHashSet<>();
         for (Form setting : settings.getOrDefault(name, List.of())) {
             for (Node node : setting.items().subList(1, setting.items().size())) {
                 if (node instanceof Atom atom) {
                     words.add(atom.text());
                 } else {
-                    reporter.rejectedValue(node, name, "words");
+                    reporter.invalidValue(node, name, "only words");
                 }
             }
         }
@@ -241,29 +242,29 @@
 
     // Nested sections
 
-    /** Returns the section of that name, which may occur once; empty where it is absent. */
+    /** Returns the only section {@code (name ...)}, or an empty section if there is none. */
     Section section(String name) {
-        known.add(name);
+        knownNames.add(name);
         List<Form> forms = settings.get(name);
         if (forms == null) {
             Form empty = new Form(List.of(), form.line(), form.column());
             return new Section(empty, 1, reporter.nested(name));
         }
         if (forms.size() > 1) {
-            reporter.rejectedValue(forms.get(1), name, "this section once");
+            reporter.invalidValue(forms.get(1), name, "the section at most once");
         }
         return new Section(forms.get(0), 1, reporter.nested(name));
     }
 
-    /** Returns the sections {@code (name NAME ...)} by their own names, in order. */
+    /** Returns all sections {@code (name NAME ...)} by {@code NAME}, in order. */
     Map<String, Section> namedSections(String name) {
-        known.add(name);
+        knownNames.add(name);
         Map<String, Section> sections = new LinkedHashMap<>();
         for (Form section : settings.getOrDefault(name, List.of())) {
             if (section.items().size() < 2 || !(section.items().get(1) instanceof Atom atom)) {
-                reporter.rejectedValue(section, name, "(" + name + " NAME ...)");
+                reporter.invalidValue(section, name, "(" + name + " NAME ...)");
             } else if (sections.containsKey(atom.text())) {
-                reporter.rejectedValue(atom, name, "each name once");
+                reporter.invalidValue(atom, name, "a unique name");
             } else {
                 sections.put(atom.text(), new Section(section, 2, reporter.nested(atom.text())));
             }
@@ -271,9 +272,9 @@
         return sections;
     }
 
-    /** Returns the sections of that name, which have no names of their own, in order. */
+    /** Returns all sections {@code (name ...)} in order; the sections themselves have no names. */
     List<Section> repeatedSections(String name) {
-        known.add(name);
+        knownNames.add(name);
         List<Section> sections = new ArrayList<>();
         for (Form section : settings.getOrDefault(name, List.of())) {
             sections.add(new Section(section, 1, reporter.nested(name)));
@@ -281,16 +282,17 @@
         return sections;
     }
 
-    /** Reports the settings that were never read. */
+    /** Reports settings that were not read and words that belong to no setting. */
     @Override
     public void close() {
-        for (Atom word : strayWords) {
-            reporter.rejectedNode(word, "only lists such as (name value)");
+        for (Atom word : unexpectedWords) {
+            reporter.unexpectedNode(word, "a list such as (NAME VALUE)");
         }
         settings.forEach(
                 (name, forms) -> {
-                    if (!known.contains(name)) {
-                        forms.forEach(setting -> reporter.unknown(setting, name, known));
+                    if (!knownNames.contains(name)) {
+                        forms.forEach(
+                                setting -> reporter.unknownSetting(setting, name, knownNames));
                     }
                 });
     }
--- a/config/src/main/java/ashlink/config/flat/Fields.java
+++ b/config/src/main/java/ashlink/config/flat/Fields.java
@@ -3,7 +3,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Named text values, read as typed fields. Errors name the source, the field and its value. */
+/**
+ * Named text values, which are read as typed fields. Error messages contain the source, the name of
+ * the field and the value.
+ */
 public final class Fields {
 
     private final String source;
@@ -15,20 +18,20 @@
     }
 
     /**
-     * Returns the fields of a map, which is copied.
+     * Creates fields from a copy of a map.
      *
-     * @param source name of their origin in errors
+     * @param source name of the origin of the fields in error messages
      */
     public static Fields of(String source, Map<String, String> values) {
         return new Fields(source, new HashMap<>(values));
     }
 
-    /** Returns the text of a field, or null where it is absent. */
+    /** Returns the text of a field, or null if the field is missing. */
     public String text(String name) {
         return values.get(name);
     }
 
-    /** Returns the text of a field, or {@code defaultValue} where it is absent. */
+    /** Returns the text of a field, or {@code defaultValue} if the field is missing. */
     public String text(String name, String defaultValue) {
         return values.getOrDefault(name, defaultValue);
     }
@@ -36,12 +39,12 @@
     /**
      * Returns the text of a field.
      *
-     * @throws FieldException if it is absent
+     * @throws FieldException if the field is missing
      */
     public String required(String name) {
         String value = values.get(name);
         if (value == null) {
-            throw new FieldException(source + ": " + name + " is missing");
+            throw new FieldException(source + ": missing field " + name);
         }
         return value;
     }
@@ -49,16 +52,16 @@
     /**
      * Returns an integer.
      *
-     * @throws FieldException if it is absent or not accepted
+     * @throws FieldException if the field is missing or invalid
      */
     public long integer(String name) {
         return parseInteger(name, required(name));
     }
 
     /**
-     * Returns an integer, or {@code defaultValue} where it is absent.
+     * Returns an integer, or {@code defaultValue} if the field is missing.
      *
-     * @throws FieldException if the value is not accepted
+     * @throws FieldException if the value is invalid
      */
     public long integer(String name, long defaultValue) {
         String value = values.get(name);
@@ -68,16 +71,16 @@
     /**
      * Returns a finite number.
      *
-     * @throws FieldException if it is absent or not accepted
+     * @throws FieldException if the field is missing or invalid
      */
     public double number(String name) {
         return parseNumber(name, required(name));
     }
 
     /**
-     * Returns a finite number, or {@code defaultValue} where it is absent.
+     * Returns a finite number, or {@code defaultValue} if the field is missing.
      *
-     * @throws FieldException if the value is not accepted
+     * @throws FieldException if the value is invalid
      */
     public double number(String name, double defaultValue) {
         String value = values.get(name);
@@ -85,16 +88,16 @@
     }
 
     /**
-     * Returns a flag, false where it is absent.
+     * Returns a flag, or false if the field is missing.
      *
-     * @throws FieldException if the value is not accepted
+     * @throws FieldException if the value is invalid
      */
     public boolean flag(String name) {
         String value = values.getOrDefault(name, "0");
         return switch (value) {
             case "1", "true" -> true;
             case "0", "false" -> false;
-            default -> throw rejected(name, value, "a yes or no");
+            default -> throw invalidField(name, value, "1, true, 0 or false");
         };
     }
 
@@ -102,7 +105,7 @@
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw rejected(name, value, "a whole number");
+            throw invalidField(name, value, "a whole number");
         }
     }
 
@@ -111,15 +114,16 @@
         try {
             number = Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw rejected(name, value, "a number");
+            throw invalidField(name, value, "a number");
         }
         if (!Double.isFinite(number)) {
-            throw rejected(name, value, "a finite number");
+            throw invalidField(name, value, "a finite number");
         }
         return number;
     }
 
-    private FieldException rejected(String name, String value, String accepted) {
-        return new FieldException(source + ": " + name + "=" + value + " is not " + accepted);
+    private FieldException invalidField(String name, String value, String accepted) {
+        return new FieldException(
+                source + ": invalid field " + name + ": found " + value + ", expected " + accepted);
     }
 }
--- a/config/src/main/java/ashlink/config/flat/LoadReportParser.java
+++ b/config/src/main/java/ashlink/config/flat/LoadReportParser.java
@@ -5,27 +5,27 @@
 import java.util.function.Consumer;
 
 /**
- * Parses the load report of an engine: pairs of a name and a number. This class maps the names of
- * the platform to the fields of {@link LoadReport}; pairs of other names are skipped.
+ * Parses the load report of an engine, which consists of pairs {@code name:number}. Maps the names
+ * that the platform uses to the fields of {@link LoadReport}; skips pairs with other names.
  */
 public final class LoadReportParser {
 
     private static final char NAME_END = ':';
 
     private double queued = Double.NaN;
-    private double coreUtilization = Double.NaN;
-    private double memoryGranted = Double.NaN;
+    private double cpuUtilization = Double.NaN;
+    private double memoryUtilization = Double.NaN;
     private double diskUtilization = Double.NaN;
     private double inFlight = Double.NaN;
 
     private LoadReportParser() {}
 
     /**
-     * Parses a report. A value that is missing, negative or not finite becomes NaN, never 0.
+     * Parses a report. A value that is missing, negative or not finite is read as NaN, never as 0.
      *
-     * @param separator character between two pairs; it may also end the text
-     * @param onMalformedPair receives each pair without a number, whose value becomes NaN; may
-     *     throw
+     * @param separator character between two pairs; the text may also end with the separator
+     * @param onMalformedPair receives each pair without a number; may throw to reject the report,
+     *     otherwise the pair is skipped
      */
     public static LoadReport read(String text, char separator, Consumer<String> onMalformedPair) {
         LoadReportParser parser = new LoadReportParser();
@@ -55,18 +55,18 @@
     private void setValue(String name, double value) {
         switch (name) {
             case "pending", "queue" -> queued = value;
-            case "cpu_share", "util" -> coreUtilization = value;
-            case "x0" -> memoryGranted = value;
+            case "cpu_share", "util" -> cpuUtilization = value;
+            case "x0" -> memoryUtilization = value;
             case "x1" -> diskUtilization = value;
             case "busy_reqs", "inflight" -> inFlight = value;
             default -> {
-                // Engines may report more than the router uses.
+                // Engines may report values that the router does not use.
             }
         }
     }
 
     private LoadReport report() {
-        return new LoadReport(queued, coreUtilization, memoryGranted, diskUtilization, inFlight);
+        return new LoadReport(queued, cpuUtilization, memoryUtilization, diskUtilization, inFlight);
     }
 
     private static OptionalDouble parseValue(String text) {
--- a/config/src/main/java/ashlink/config/flat/SettingsReader.java
+++ b/config/src/main/java/ashlink/config/flat/SettingsReader.java
@@ -14,14 +14,14 @@
 import java.util.Set;
 
 /**
- * Reads the settings of a router from the flat names of the platform; errors name a setting as the
- * platform does.
+ * Reads the settings of a router from fields with the flat names of the platform. Error messages
+ * use the platform's names of the settings.
  */
 public final class SettingsReader {
 
-    private static final String CORES_OF_KINDS = "extra.kind-cores";
-    private static final String MEMORY_OF_KINDS = "extra.ram-of-kind-mb";
-    private static final String THREADS_OF_CLASSES = "extra.width-by-class";
+    private static final String ENGINE_KIND_CORES = "extra.kind-cores";
+    private static final String ENGINE_KIND_MEMORY_MB = "extra.ram-of-kind-mb";
+    private static final String QUERY_CLASS_THREADS = "extra.width-by-class";
     private static final String LIST_SEPARATOR = ",";
 
     private final Fields fields;
@@ -31,9 +31,10 @@
     }
 
     /**
-     * Returns the settings of a start message.
+     * Reads the settings from the fields of a start message.
      *
-     * @throws IllegalArgumentException naming a setting that is missing or not accepted
+     * @throws IllegalArgumentException if a setting is missing or invalid; the message contains the
+     *     name of the setting
      */
     public static Settings read(Fields fields) {
         try {
@@ -71,7 +72,7 @@
     }
 
     private List<QueryClass> queryClasses() {
-        List<String> threads = list(THREADS_OF_CLASSES);
+        List<String> threads = list(QUERY_CLASS_THREADS);
         List<String> locksTables = list("extra.writes-tables");
         List<String> waitsForTableLocks = list("extra.waits-for-loads");
         List<QueryClass> classes = new ArrayList<>();
@@ -80,7 +81,7 @@
             classes.add(
                     queryClass(
                             "classes." + i + ".",
-                            (int) numberAt(i, THREADS_OF_CLASSES, threads, 1),
+                            (int) numberAt(i, QUERY_CLASS_THREADS, threads, 1),
                             flagAt(i, locksTables),
                             flagAt(i, waitsForTableLocks)));
         }
@@ -115,7 +116,7 @@
             case "idempotent" -> RetrySafety.IDEMPOTENT;
             case "deduplicated" -> RetrySafety.DEDUPLICATED;
             case "at_most_once" -> RetrySafety.AT_MOST_ONCE;
-            default -> throw unknown(name);
+            default -> throw invalidSetting(name, "idempotent, deduplicated or at_most_once");
         };
     }
 
@@ -124,26 +125,31 @@
             case "all" -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
             case "cell" -> DeduplicationScope.CELL;
-            default -> throw unknown(name);
+            default -> throw invalidSetting(name, "all, zone or cell");
         };
     }
 
-    private IllegalArgumentException unknown(String name) {
+    private IllegalArgumentException invalidSetting(String name, String accepted) {
         return new IllegalArgumentException(
-                "setting " + name + " is unknown: " + fields.text(name));
+                "invalid setting "
+                        + name
+                        + ": found "
+                        + fields.text(name)
+                        + ", expected "
+                        + accepted);
     }
 
     private List<EngineKind> engineKinds() {
         List<String> names = list("host-types");
-        List<String> cores = list(CORES_OF_KINDS);
-        List<String> memoryMb = list(MEMORY_OF_KINDS);
+        List<String> cores = list(ENGINE_KIND_CORES);
+        List<String> memoryMb = list(ENGINE_KIND_MEMORY_MB);
         List<EngineKind> kinds = new ArrayList<>();
         for (int i = 0; i < names.size(); i++) {
             kinds.add(
                     new EngineKind(
                             names.get(i),
-                            (int) numberAt(i, CORES_OF_KINDS, cores, 1),
-                            numberAt(i, MEMORY_OF_KINDS, memoryMb, 0)));
+                            (int) numberAt(i, ENGINE_KIND_CORES, cores, 1),
+                            numberAt(i, ENGINE_KIND_MEMORY_MB, memoryMb, 0)));
         }
         return kinds;
     }
@@ -188,7 +194,7 @@
         return new LinkedHashSet<>(list(name));
     }
 
-    /** Returns a number of a list, or {@code defaultValue} where the list is too short. */
+    /** Returns a number of a list, or {@code defaultValue} if the list is too short. */
     private static double numberAt(
             int index, String name, List<String> values, double defaultValue) {
         if (index >= values.size()) {
@@ -198,11 +204,16 @@
             return Double.parseDouble(values.get(index));
         } catch (NumberFormatException e) {
             throw new IllegalArgumentException(
-                    "setting " + name + " is not a list of numbers: " + values.get(index), e);
+                    "invalid setting "
+                            + name
+                            + ": found "
+                            + values.get(index)
+                            + ", expected a list of numbers",
+                    e);
         }
     }
 
-    /** Returns a flag of a list, or false where the list is too short. */
+    /** Returns a flag of a list, or false if the list is too short. */
     private static boolean flagAt(int index, List<String> values) {
         return index < values.size() && values.get(index).equals("true");
     }
