--- a/cli/src/main/java/ashlink/cli/RouteCommand.java
+++ b/cli/src/main/java/ashlink/cli/RouteCommand.java
@@ -21,7 +21,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Runs a router until the process is told to stop. */
+/** Runs a router until a signal or a fleet command stops it. */
 @Command(
         name = "route",
         mixinStandardHelpOptions = true,
--- a/emulator/src/main/java/ashlink/emulator/BrokenConnectionException.java
+++ b/emulator/src/main/java/ashlink/emulator/BrokenConnectionException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Signals that the connection breaks because of an injected fault, a cancel or a crash. */
+/** Ends a session because of an injected fault, a cancellation or a crash of the engine. */
 final class BrokenConnectionException extends IOException {
 
     private static final long serialVersionUID = 1;
