--- a/loadtest/src/test/java/ashlink/loadtest/InsertTest.java
+++ b/loadtest/src/test/java/ashlink/loadtest/InsertTest.java
@@ -87,7 +87,9 @@
             fleet.engines
                     .values()
                     .forEach(engine -> engine.faults().breakAt(Place.INSERT, Break.CLOSE, 1));
-            List<Block> blocks = new ArrayList<>(Collections.nCopies(40, wideBlock(10_000)));
+            // More than the sockets to an engine can buffer, so that the end of the data cannot be
+            // written before the engine closes the connection, however late the engine reads.
+            List<Block> blocks = new ArrayList<>(Collections.nCopies(64, wideBlock(1 << 20)));
             NativeClient nativeClient = fleet.client("portal");
             Reply reply =
                     nativeClient.insert(
