--- a/cli/src/test/java/ashlink/cli/KilledStatementsTest.java
+++ b/cli/src/test/java/ashlink/cli/KilledStatementsTest.java
@@ -37,11 +37,20 @@
 /**
  * Kills a router process at pseudorandom times while inserts with idempotency keys arrive and
  * results fill the spool. No insert may run twice, no acknowledged key may be lost, and no spool
- * file may remain. {@code -Dashlink.kills=200} selects the long run.
+ * file may remain. The last kill waits until a long insert runs, so that every run covers an
+ * unknown outcome. {@code -Dashlink.kills=200} selects the long run.
  */
 class KilledStatementsTest {
 
     private static final int KILLS = Integer.getInteger("ashlink.kills", 3);
+
+    /** Key of the insert that runs during the last kill. */
+    private static final String LONG_INSERT_KEY = "long-insert";
+
+    /** Longer than a kill takes, and shorter than the deadline of the class, which is 25 s. */
+    private static final int LONG_INSERT_MS = 10_000;
+
+    private static final int INSERT_MS = 40;
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final HttpClient http =
@@ -66,20 +75,28 @@
     }
 
     private static String insertStatement(String key) {
-        return "INSERT /* sim tag=" + key + " work_ms=40 */ INTO readings SELECT * FROM inbox";
+        int workMs = key.equals(LONG_INSERT_KEY) ? LONG_INSERT_MS : INSERT_MS;
+        return "INSERT /* sim tag="
+                + key
+                + " work_ms="
+                + workMs
+                + " */ INTO readings SELECT * FROM inbox";
+    }
+
+    private void postInsert(String key) throws IOException, InterruptedException {
+        posted.add(key);
+        HttpResponse<String> response = post(key, insertStatement(key));
+        JsonNode node = JSON.readTree(response.body());
+        if (response.statusCode() == 200 || response.statusCode() == 202) {
+            acknowledged.put(key, node.get("id").asText());
+        }
     }
 
     /** Posts inserts until the router is killed. */
     private void postInserts(int round, int clientNumber) {
         try {
             for (int i = 0; ; i++) {
-                String key = "k" + round + "-" + clientNumber + "-" + i;
-                posted.add(key);
-                HttpResponse<String> response = post(key, insertStatement(key));
-                JsonNode node = JSON.readTree(response.body());
-                if (response.statusCode() == 200 || response.statusCode() == 202) {
-                    acknowledged.put(key, node.get("id").asText());
-                }
+                postInsert("k" + round + "-" + clientNumber + "-" + i);
                 post(null, "SELECT /* sim rows=500 blocks=4 */ 1");
             }
         } catch (IOException e) {
@@ -89,6 +106,17 @@
         }
     }
 
+    /** Posts the long insert, whose response the kill usually prevents. */
+    private void postLongInsert() {
+        try {
+            postInsert(LONG_INSERT_KEY);
+        } catch (IOException e) {
+            // The router was killed.
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
     private Path writeSettings(Path dir, Path spool, List<EmulatedEngine> engines)
             throws Exception {
         Path config = dir.resolve("r1.sexp");
@@ -125,8 +153,12 @@
                 .start();
     }
 
-    /** Kills a router at a pseudorandom time while clients post inserts. */
-    private void killUnderLoad(Process process, int round, SplittableRandom random)
+    /**
+     * Kills a router at a pseudorandom time while clients post inserts. The last kill comes after
+     * this time, as soon as the long insert runs.
+     */
+    private void killUnderLoad(
+            Process process, int round, SplittableRandom random, List<EmulatedEngine> engines)
             throws InterruptedException {
         List<Thread> clients = new ArrayList<>();
         for (int c = 0; c < 4; c++) {
@@ -140,6 +172,12 @@
             Thread.sleep(5); // waits until inserts are acknowledged, however slow
         }
         Thread.sleep(random.nextInt(400));
+        if (round == KILLS - 1) {
+            Thread thread = new Thread(this::postLongInsert);
+            clients.add(thread);
+            thread.start();
+            awaitLongInsert(engines);
+        }
         process.destroyForcibly();
         assertTrue(process.waitFor(20, TimeUnit.SECONDS));
         for (Thread thread : clients) {
@@ -147,6 +185,20 @@
         }
     }
 
+    /**
+     * Waits until an engine runs the long insert. The router has stored its key then, and cannot
+     * store its end before the work is done.
+     */
+    private static void awaitLongInsert(List<EmulatedEngine> engines) throws InterruptedException {
+        long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        while (!runsByTag(engines).containsKey(LONG_INSERT_KEY)) {
+            assertTrue(
+                    System.nanoTime() < deadlineNs,
+                    "no engine has begun to run the long insert within 20 s");
+            Thread.sleep(5);
+        }
+    }
+
     private static void awaitEmptySpool(Path spool) throws IOException, InterruptedException {
         long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (pageFiles(spool) > 0 && System.nanoTime() < deadlineNs) {
@@ -195,7 +247,7 @@
                 new BufferedReader(new InputStreamReader(process.getInputStream())).readLine();
                 repeatInserts(repeatedKeys, outcomes);
                 if (round < KILLS) {
-                    killUnderLoad(process, round, random);
+                    killUnderLoad(process, round, random, engines);
                     leftoverFiles += pageFiles(spool);
                 } else {
                     awaitEmptySpool(spool);
